--- a/eslint.config.js
+++ b/eslint.config.js
@@ -6,7 +6,8 @@
     message: "Arrow functions only; generators are the one exception.",
   },
   {
-    selector: "FunctionExpression[generator=false]:not(MethodDefinition[kind=/^(constructor|get|set)$/] > FunctionExpression)",
+    selector:
+      "FunctionExpression[generator=false]:not(MethodDefinition[kind=/^(constructor|get|set)$/] > FunctionExpression)",
     message: "Arrow functions only; generators are the one exception.",
   },
   {
@@ -22,7 +23,17 @@
   ...tseslint.configs.recommendedTypeChecked,
   {
     languageOptions: {
-      parserOptions: { project: ["./tsconfig.json", "./features/tsconfig.json", "./testtrack/tsconfig.json", "./fuzz/tsconfig.json", "./simulator/tsconfig.json", "./hunts/tsconfig.json"], tsconfigRootDir: import.meta.dirname },
+      parserOptions: {
+        project: [
+          "./tsconfig.json",
+          "./features/tsconfig.json",
+          "./testtrack/tsconfig.json",
+          "./fuzz/tsconfig.json",
+          "./simulator/tsconfig.json",
+          "./hunts/tsconfig.json",
+        ],
+        tsconfigRootDir: import.meta.dirname,
+      },
     },
     rules: {
       "no-restricted-syntax": ["error", ...arrowsOnly],
@@ -35,13 +46,35 @@
   {
     files: ["src/traction/**"],
     rules: {
-      "no-restricted-imports": ["error", { patterns: [{ group: ["**/interlocking/**"], message: "traction never imports interlocking." }] }],
+      "no-restricted-imports": [
+        "error",
+        {
+          patterns: [
+            { group: ["**/interlocking/**"], message: "traction never imports interlocking." },
+          ],
+        },
+      ],
     },
   },
   {
     files: ["src/trackbed/**"],
     rules: {
-      "no-restricted-imports": ["error", { patterns: [{ group: ["**/interlocking/**", "**/traction/**", "**/signalling/**", "**/inspection/**"], message: "trackbed imports nothing of the others." }] }],
+      "no-restricted-imports": [
+        "error",
+        {
+          patterns: [
+            {
+              group: [
+                "**/interlocking/**",
+                "**/traction/**",
+                "**/signalling/**",
+                "**/inspection/**",
+              ],
+              message: "trackbed imports nothing of the others.",
+            },
+          ],
+        },
+      ],
     },
   },
 );
--- a/features/steps/forecast.ts
+++ b/features/steps/forecast.ts
@@ -46,7 +46,14 @@
     terms: FORECAST_TERMS,
     isHolder: () => this.holds,
     nodes: () => NODES,
-    workers: () => Array.from({ length: this.slots / 2 }, (_, at) => ({ id: `w${at}`, service: "s", cell: CELLS[at % 4] ?? "", capacity: 2, isUsed: true })),
+    workers: () =>
+      Array.from({ length: this.slots / 2 }, (_, at) => ({
+        id: `w${at}`,
+        service: "s",
+        cell: CELLS[at % 4] ?? "",
+        capacity: 2,
+        isUsed: true,
+      })),
     published: () => this.published,
     publish: async (verdicts) => {
       this.published = verdicts;
@@ -61,20 +68,28 @@
   readonly tick = async (random: () => number, { part, slots, slower }: Moment): Promise<void> => {
     this.slots = slots;
     const perTick = (part * SLOTS * 2_000_000) / CALL_US;
-    const count = Math.max(0, Math.round(perTick + Math.sqrt(perTick) * (random() + random() + random() - 1.5) * 2));
+    const count = Math.max(
+      0,
+      Math.round(perTick + Math.sqrt(perTick) * (random() + random() + random() - 1.5) * 2),
+    );
     for (let at = 0; at < count; at += 1) {
       const counts = this.counts[Math.floor(random() * NODES)];
       counts?.arrived("s");
-      counts?.answered("s", CELLS[Math.floor(random() * 4)] ?? "", CALL_US * slower * (0.5 + random()));
+      counts?.answered(
+        "s",
+        CELLS[Math.floor(random() * 4)] ?? "",
+        CALL_US * slower * (0.5 + random()),
+      );
     }
     this.reports().forEach(this.forecaster.take);
     await this.pass();
   };
 
-  readonly reports = (): readonly Message[] => this.counts.flatMap((counts, at) => {
-    const report = counts.takeReport();
-    return report ? [{ ...report, node: `n${at}` }] : [];
-  });
+  readonly reports = (): readonly Message[] =>
+    this.counts.flatMap((counts, at) => {
+      const report = counts.takeReport();
+      return report ? [{ ...report, node: `n${at}` }] : [];
+    });
 
   readonly pass = async (): Promise<void> => {
     await this.clock.pass(2_000_000);
@@ -82,7 +97,11 @@
   };
 }
 
-const play = async (seed: number, seconds: number, momentAt: (atS: number) => Moment): Promise<Run> => {
+const play = async (
+  seed: number,
+  seconds: number,
+  momentAt: (atS: number) => Moment,
+): Promise<Run> => {
   const simulation = new Simulation();
   const random = seeded(seed * 7_919 + 13);
   const entered: { atS: number; verdict: ForecastName }[] = [];
@@ -92,7 +111,8 @@
     if (moment.part * moment.slower * SLOTS >= moment.slots) fullS = Math.min(fullS, atS);
     await simulation.tick(random, moment);
     const verdict = simulation.verdict();
-    if (verdict !== (entered[entered.length - 1]?.verdict ?? "unknown")) entered.push({ atS: atS + 2, verdict });
+    if (verdict !== (entered[entered.length - 1]?.verdict ?? "unknown"))
+      entered.push({ atS: atS + 2, verdict });
   }
   return { entered, fullS };
 };
@@ -100,32 +120,80 @@
 let runs: readonly Run[] = [];
 let simulation = new Simulation();
 
-const playAll = async (count: number, seconds: number, momentAt: (atS: number) => Moment): Promise<void> => {
+const playAll = async (
+  count: number,
+  seconds: number,
+  momentAt: (atS: number) => Moment,
+): Promise<void> => {
   const played: Run[] = [];
   for (let seed = 1; seed <= count; seed += 1) played.push(await play(seed, seconds, momentAt));
   runs = played;
 };
 
-const warnedS = (run: Run): number => run.entered.find(({ verdict }) => verdict === "nearing" || verdict === "overrun")?.atS ?? Number.POSITIVE_INFINITY;
+const warnedS = (run: Run): number =>
+  run.entered.find(({ verdict }) => verdict === "nearing" || verdict === "overrun")?.atS ??
+  Number.POSITIVE_INFINITY;
 
-When("{int} runs of a ramp from {int}% to {int}% over {int} s are played", (count: number, from: number, to: number, seconds: number) =>
-  playAll(count, seconds + 40, (atS) => ({ part: (from + (to - from) * Math.min(1, Math.max(0, atS - 40) / seconds)) / 100, slots: SLOTS, slower: 1 })));
-When("{int} runs of a level of {int}% are played while a worker is lost every {int} s from {int} s on", (count: number, level: number, gap: number, from: number) =>
-  playAll(count, 200, (atS) => ({ part: level / 100, slots: Math.max(2, SLOTS - 2 * Math.floor(Math.max(0, atS - from) / gap)), slower: 1 })));
-When("{int} runs of a level of {int}% are played while calls take longer by {int}% a second from {int} s on", (count: number, level: number, percent: number, from: number) =>
-  playAll(count, 200, (atS) => ({ part: level / 100, slots: SLOTS, slower: 1 + (Math.max(0, atS - from) * percent) / 100 })));
-When("{int} runs of a level of {int}% with waves of {int}% every {int} s are played", (count: number, level: number, swing: number, period: number) =>
-  playAll(count, 120, (atS) => ({ part: (level / 100) * (1 + (swing / 100) * Math.sin((2 * Math.PI * atS) / period)), slots: SLOTS, slower: 1 })));
-When("{int} runs of a level of {int}% are played", (count: number, level: number) => playAll(count, 120, () => ({ part: level / 100, slots: SLOTS, slower: 1 })));
-When("a step from {int}% to {int}% and back after {int} s is played", (from: number, to: number, lasts: number) =>
-  playAll(1, 160, (atS) => ({ part: (atS >= 60 && atS < 60 + lasts ? to : from) / 100, slots: SLOTS, slower: 1 })));
+When(
+  "{int} runs of a ramp from {int}% to {int}% over {int} s are played",
+  (count: number, from: number, to: number, seconds: number) =>
+    playAll(count, seconds + 40, (atS) => ({
+      part: (from + (to - from) * Math.min(1, Math.max(0, atS - 40) / seconds)) / 100,
+      slots: SLOTS,
+      slower: 1,
+    })),
+);
+When(
+  "{int} runs of a level of {int}% are played while a worker is lost every {int} s from {int} s on",
+  (count: number, level: number, gap: number, from: number) =>
+    playAll(count, 200, (atS) => ({
+      part: level / 100,
+      slots: Math.max(2, SLOTS - 2 * Math.floor(Math.max(0, atS - from) / gap)),
+      slower: 1,
+    })),
+);
+When(
+  "{int} runs of a level of {int}% are played while calls take longer by {int}% a second from {int} s on",
+  (count: number, level: number, percent: number, from: number) =>
+    playAll(count, 200, (atS) => ({
+      part: level / 100,
+      slots: SLOTS,
+      slower: 1 + (Math.max(0, atS - from) * percent) / 100,
+    })),
+);
+When(
+  "{int} runs of a level of {int}% with waves of {int}% every {int} s are played",
+  (count: number, level: number, swing: number, period: number) =>
+    playAll(count, 120, (atS) => ({
+      part: (level / 100) * (1 + (swing / 100) * Math.sin((2 * Math.PI * atS) / period)),
+      slots: SLOTS,
+      slower: 1,
+    })),
+);
+When("{int} runs of a level of {int}% are played", (count: number, level: number) =>
+  playAll(count, 120, () => ({ part: level / 100, slots: SLOTS, slower: 1 })),
+);
+When(
+  "a step from {int}% to {int}% and back after {int} s is played",
+  (from: number, to: number, lasts: number) =>
+    playAll(1, 160, (atS) => ({
+      part: (atS >= 60 && atS < 60 + lasts ? to : from) / 100,
+      slots: SLOTS,
+      slower: 1,
+    })),
+);
 
 Then("each warned before 100% was in use, the median at least {int} s ahead", (least: number) => {
   const leads = runs.map((run) => run.fullS - warnedS(run)).sort((a, b) => a - b);
   assert.ok((leads[0] ?? -1) > 0, `the worst lead was ${leads[0]}`);
-  assert.ok((leads[Math.floor(leads.length / 2)] ?? 0) >= least, `the median lead was ${leads[Math.floor(leads.length / 2)]}`);
+  assert.ok(
+    (leads[Math.floor(leads.length / 2)] ?? 0) >= least,
+    `the median lead was ${leads[Math.floor(leads.length / 2)]}`,
+  );
 });
-Then("none warned in the first {int} s", (seconds: number) => assert.ok(runs.every((run) => warnedS(run) > seconds)));
+Then("none warned in the first {int} s", (seconds: number) =>
+  assert.ok(runs.every((run) => warnedS(run) > seconds)),
+);
 Then("at most {int} of them warned", (most: number) => {
   const warned = runs.filter((run) => Number.isFinite(warnedS(run))).length;
   assert.ok(warned <= most, `${warned} warned`);
@@ -136,7 +204,10 @@
   const after = run.entered.filter(({ atS }) => atS > 60);
   const overrun = after.find(({ verdict }) => verdict === "overrun");
   assert.ok(overrun && overrun.atS - 60 <= seconds, JSON.stringify(run.entered));
-  assert.deepEqual(after.filter(({ atS }) => atS >= overrun.atS).map(({ verdict }) => verdict), ["overrun", "nearing", "steady"]);
+  assert.deepEqual(
+    after.filter(({ atS }) => atS >= overrun.atS).map(({ verdict }) => verdict),
+    ["overrun", "nearing", "steady"],
+  );
 });
 
 const level = (part: number, nodes: number, repeats: number): void => {
@@ -148,7 +219,8 @@
     }
     const report = counts?.takeReport();
     if (!report) continue;
-    for (let time = 0; time < repeats; time += 1) simulation.forecaster.take({ ...report, node: `n${at}` });
+    for (let time = 0; time < repeats; time += 1)
+      simulation.forecaster.take({ ...report, node: `n${at}` });
   }
 };
 
@@ -159,19 +231,24 @@
     await simulation.pass();
   }
 });
-When("20 nodes report a level of {int}%, each report twice and out of order", async (percent: number) => {
-  let before: readonly Message[] = [];
-  for (let time = 0; time < 8; time += 1) {
-    level(percent / 100, NODES, 2);
-    before.forEach(simulation.forecaster.take);
-    before = simulation.reports();
-    await simulation.pass();
-  }
-});
+When(
+  "20 nodes report a level of {int}%, each report twice and out of order",
+  async (percent: number) => {
+    let before: readonly Message[] = [];
+    for (let time = 0; time < 8; time += 1) {
+      level(percent / 100, NODES, 2);
+      before.forEach(simulation.forecaster.take);
+      before = simulation.reports();
+      await simulation.pass();
+    }
+  },
+);
 Then("its verdict is {string}", (verdict: string) => assert.equal(simulation.verdict(), verdict));
 Then("its verdict is {string} with {int}% in use", (verdict: string, percent: number) => {
   assert.equal(simulation.verdict(), verdict);
-  const row = asList(simulation.forecaster.explain()["services"]).map((value) => asRec(value)).find((told) => told["cell"] === "all");
+  const row = asList(simulation.forecaster.explain()["services"])
+    .map((value) => asRec(value))
+    .find((told) => told["cell"] === "all");
   assert.equal(Math.round(Number(row?.["usedPart"]) * 100), percent);
 });
 Given("a forecaster without the duty", () => {
--- a/features/steps/fuzz.ts
+++ b/features/steps/fuzz.ts
@@ -8,22 +8,33 @@
 let tries = 0;
 let found: string[] = [];
 
-When("{int} seeds are played from {int}", { timeout: 60_000 }, async (count: number, from: number) => {
-  [tries, found] = [0, []];
-  for (let seed = from; seed < from + count; seed += 1) {
-    const played = await play(seed, undefined, false);
-    tries += played.tries;
-    found.push(...played.violations.map(({ check, what }) => `seed ${seed}, ${check}: ${what}`));
-  }
-});
+When(
+  "{int} seeds are played from {int}",
+  { timeout: 60_000 },
+  async (count: number, from: number) => {
+    [tries, found] = [0, []];
+    for (let seed = from; seed < from + count; seed += 1) {
+      const played = await play(seed, undefined, false);
+      tries += played.tries;
+      found.push(...played.violations.map(({ check, what }) => `seed ${seed}, ${check}: ${what}`));
+    }
+  },
+);
 Then("no history shows a violation, and more than {int} tries were made", (least: number) => {
   assert.deepEqual(found, []);
   assert.ok(tries > least, `${tries} tries`);
 });
-When(/^seeds are played where (.*), until a check notices$/, { timeout: 60_000 }, async (name: string) => {
-  const variant = VARIANTS[name];
-  assert.ok(variant, `no such variant: ${name}`);
-  found = [];
-  for (let seed = 1; seed <= MOST_SEEDS && !found.includes(variant.noticedBy); seed += 1) found.push(...(await play(seed, variant, false)).violations.map(({ check }) => check));
-});
-Then("it is noticed by {string}", (check: string) => assert.ok(found.includes(check), `noticed by: ${[...new Set(found)].join(", ")}`));
+When(
+  /^seeds are played where (.*), until a check notices$/,
+  { timeout: 60_000 },
+  async (name: string) => {
+    const variant = VARIANTS[name];
+    assert.ok(variant, `no such variant: ${name}`);
+    found = [];
+    for (let seed = 1; seed <= MOST_SEEDS && !found.includes(variant.noticedBy); seed += 1)
+      found.push(...(await play(seed, variant, false)).violations.map(({ check }) => check));
+  },
+);
+Then("it is noticed by {string}", (check: string) =>
+  assert.ok(found.includes(check), `noticed by: ${[...new Set(found)].join(", ")}`),
+);
--- a/features/steps/goods.ts
+++ b/features/steps/goods.ts
@@ -22,13 +22,26 @@
 let lateDepot = false;
 let purges = 0;
 
-const copyOf = (url: string, bornUs: number): Copy => ({ service: "s", host: "h", url, status: 200, heads: [], etag: `"${version}"`, labels: ["t1"], body: Buffer.from(String(version)), bornUs });
+const copyOf = (url: string, bornUs: number): Copy => ({
+  service: "s",
+  host: "h",
+  url,
+  status: 200,
+  heads: [],
+  etag: `"${version}"`,
+  labels: ["t1"],
+  body: Buffer.from(String(version)),
+  bornUs,
+});
 
 const source = async (want: Want, old: Copy | undefined): Promise<Found> => {
   asked.push({ want, old });
   if (refuses) return { kind: "none", why: "rate", comeBackUs: 1 };
   const beganUs = clock.nowUs();
-  const copy = copyOf(want.url, lateDepot && want.mostAgeUs > 5_000_000 ? beganUs - 5_000_000 : beganUs);
+  const copy = copyOf(
+    want.url,
+    lateDepot && want.mostAgeUs > 5_000_000 ? beganUs - 5_000_000 : beganUs,
+  );
   await rest(clock, 100_000);
   return { kind: "found", copy };
 };
@@ -45,7 +58,15 @@
 };
 
 const get = async (url: string): Promise<Found> => {
-  const want: Want = { service: "s", host: "h", url, cacheForUs: 40_000_000, mostAgeUs: 40_000_000, aimUs: 500_000, untilUs: clock.nowUs() + 2_000_000 };
+  const want: Want = {
+    service: "s",
+    host: "h",
+    url,
+    cacheForUs: 40_000_000,
+    mostAgeUs: 40_000_000,
+    aimUs: 500_000,
+    untilUs: clock.nowUs() + 2_000_000,
+  };
   let found: Found | undefined;
   void store.get(want).then((told) => {
     found = told;
@@ -55,11 +76,17 @@
   return found;
 };
 
-const versionOf = (found: Found): string => (found.kind === "found" ? found.copy.body.toString() : found.why);
+const versionOf = (found: Found): string =>
+  found.kind === "found" ? found.copy.body.toString() : found.why;
 
 const learn = (kind: string, name: string): void => {
   purges += 1;
-  copies.purge({ id: `p${purges}`, host: kind === "path" ? "h" : "", path: kind === "path" ? name : "", label: kind === "label" ? name : "" });
+  copies.purge({
+    id: `p${purges}`,
+    host: kind === "path" ? "h" : "",
+    path: kind === "path" ? name : "",
+    label: kind === "label" ? name : "",
+  });
   store.detach();
 };
 
@@ -71,22 +98,30 @@
 When("{int} callers want {string} at the same moment", async (count: number, url: string) => {
   await Promise.all(Array.from({ length: count }, () => get(url)));
 });
-When(/^(\d+) seconds? pass(?:es)? at the store$/, (seconds: string) => clock.pass(Number(seconds) * 1_000_000));
-When(/^the object changes and a purge of (label|path) "(.*)" is learned$/, async (kind: string, name: string) => {
-  await clock.pass(1_000);
-  version += 1;
-  learn(kind, name);
-});
+When(/^(\d+) seconds? pass(?:es)? at the store$/, (seconds: string) =>
+  clock.pass(Number(seconds) * 1_000_000),
+);
+When(
+  /^the object changes and a purge of (label|path) "(.*)" is learned$/,
+  async (kind: string, name: string) => {
+    await clock.pass(1_000);
+    version += 1;
+    learn(kind, name);
+  },
+);
 When(/^a purge of (label|path) "(.*)" is learned$/, async (kind: string, name: string) => {
   learn(kind, name);
   await clock.pass(1_000_000);
 });
-When(/^a caller wants "(.*)" and the object changes and a purge of (label|path) "(.*)" is learned meanwhile$/, async (url: string, kind: string, name: string) => {
-  const before = get(url);
-  version += 1;
-  learn(kind, name);
-  await before;
-});
+When(
+  /^a caller wants "(.*)" and the object changes and a purge of (label|path) "(.*)" is learned meanwhile$/,
+  async (url: string, kind: string, name: string) => {
+    const before = get(url);
+    version += 1;
+    learn(kind, name);
+    await before;
+  },
+);
 When("a caller wants {string}", async (url: string) => {
   await get(url);
 });
@@ -101,16 +136,23 @@
   assert.equal(asked.length, count);
   assert.ok(asked[count - 1]?.old);
 });
-Then("a caller of {string} gets version {int}", async (url: string, wanted: number) => assert.equal(versionOf(await get(url)), String(wanted)));
-Then("a caller of {string} is refused for the rate", async (url: string) => assert.equal(versionOf(await get(url)), "rate"));
+Then("a caller of {string} gets version {int}", async (url: string, wanted: number) =>
+  assert.equal(versionOf(await get(url)), String(wanted)),
+);
+Then("a caller of {string} is refused for the rate", async (url: string) =>
+  assert.equal(versionOf(await get(url)), "rate"),
+);
 Then("the depot was asked for a copy no older than the purge", () => {
   const last = asked[asked.length - 1];
   assert.ok(last && last.want.mostAgeUs <= 1_100_000, `${last?.want.mostAgeUs}`);
 });
-Then("the range {string} of {int} bytes is {string}", (range: string, size: number, wanted: string) => {
-  const cut = cutOf(range, size);
-  assert.equal(cut.kind === "part" ? `${cut.from}-${cut.to}` : cut.kind, wanted);
-});
+Then(
+  "the range {string} of {int} bytes is {string}",
+  (range: string, size: number, wanted: string) => {
+    const cut = cutOf(range, size);
+    assert.equal(cut.kind === "part" ? `${cut.from}-${cut.to}` : cut.kind, wanted);
+  },
+);
 
 // --- the rate -------------------------------------------------------------------------------------------------------
 
@@ -127,39 +169,54 @@
   isCut: boolean;
 }
 
-const newDepot = (name: string): Depot => ({ name, share: new RateShare(clock, () => rate), isUp: true, isCut: false });
+const newDepot = (name: string): Depot => ({
+  name,
+  share: new RateShare(clock, () => rate),
+  isUp: true,
+  isCut: false,
+});
 const renew = (depot: Depot): void => {
   if (!depot.isUp || depot.isCut) return;
   const askedUs = clock.nowUs();
-  depot.share.take({ share: office.give(depot.name, "depot", depot.share.share), endUs: askedUs + GRANT_LASTS_US });
+  depot.share.take({
+    share: office.give(depot.name, "depot", depot.share.share),
+    endUs: askedUs + GRANT_LASTS_US,
+  });
 };
 const spendAll = (depot: Depot): void => {
-  while (depot.isUp && depot.share.spend("s").ok) history.push({ atUs: clock.nowUs(), depot: depot.name });
+  while (depot.isUp && depot.share.spend("s").ok)
+    history.push({ atUs: clock.nowUs(), depot: depot.name });
 };
 
-Given("an origin with a rate of {int} a second and a ceiling of {float} over {int} s", (perS: number, excess: number, seconds: number) => {
-  clock = new ManualClock();
-  [rate, ceiling, windowS] = [perS, excess, seconds];
-  history = [];
-  office = new RateOffice(clock);
-});
-When("{int} depots spend all they may for {int} s, while depots die and start and the duty moves", async (count: number, seconds: number) => {
-  const depots = Array.from({ length: count }, (_, at) => newDepot(`d${at}`));
-  let lives = 0;
-  for (let step = 0; step < seconds * 20; step += 1) {
-    await clock.pass(50_000);
-    // Every 7 s one is killed and starts again as another life; every 11 s one is cut off for 4 s; every 20 s the duty moves.
-    if (step % 140 === 139) {
-      lives += 1;
-      depots[lives % count] = newDepot(`again-${lives}`);
+Given(
+  "an origin with a rate of {int} a second and a ceiling of {float} over {int} s",
+  (perS: number, excess: number, seconds: number) => {
+    clock = new ManualClock();
+    [rate, ceiling, windowS] = [perS, excess, seconds];
+    history = [];
+    office = new RateOffice(clock);
+  },
+);
+When(
+  "{int} depots spend all they may for {int} s, while depots die and start and the duty moves",
+  async (count: number, seconds: number) => {
+    const depots = Array.from({ length: count }, (_, at) => newDepot(`d${at}`));
+    let lives = 0;
+    for (let step = 0; step < seconds * 20; step += 1) {
+      await clock.pass(50_000);
+      // Every 7 s one is killed and starts again as another life; every 11 s one is cut off for 4 s; every 20 s the duty moves.
+      if (step % 140 === 139) {
+        lives += 1;
+        depots[lives % count] = newDepot(`again-${lives}`);
+      }
+      if (step % 220 === 219) depots.forEach((depot, at) => (depot.isCut = at === lives % count));
+      if (step % 220 === 80) depots.forEach((depot) => (depot.isCut = false));
+      if (step % 400 === 399) office = new RateOffice(clock);
+      if (step % 12 === 0) depots.forEach(renew);
+      depots.forEach(spendAll);
     }
-    if (step % 220 === 219) depots.forEach((depot, at) => (depot.isCut = at === lives % count));
-    if (step % 220 === 80) depots.forEach((depot) => (depot.isCut = false));
-    if (step % 400 === 399) office = new RateOffice(clock);
-    if (step % 12 === 0) depots.forEach(renew);
-    depots.forEach(spendAll);
-  }
-});
+  },
+);
 When("one depot of 2 is cut off", async () => {
   const [one, two] = [newDepot("one"), newDepot("two")];
   for (let step = 0; step < 600; step += 1) {
@@ -178,11 +235,18 @@
     assert.ok(at - from + 1 <= most, `${at - from + 1} in a window`);
   });
 });
-Then("at least {int} requests a second were made", (least: number) => assert.ok(history.length / 60 >= least, `${history.length / 60}`));
+Then("at least {int} requests a second were made", (least: number) =>
+  assert.ok(history.length / 60 >= least, `${history.length / 60}`),
+);
 Then("it sends nothing once its grant has ended, and the other then gets the whole rate", () => {
   const cutUs = 1_000_000 + 301 * 50_000;
-  assert.equal(history.filter(({ depot, atUs }) => depot === "one" && atUs > cutUs + GRANT_LASTS_US).length, 0);
-  const late = history.filter(({ depot, atUs }) => depot === "two" && atUs > cutUs + 2 * GRANT_LASTS_US);
+  assert.equal(
+    history.filter(({ depot, atUs }) => depot === "one" && atUs > cutUs + GRANT_LASTS_US).length,
+    0,
+  );
+  const late = history.filter(
+    ({ depot, atUs }) => depot === "two" && atUs > cutUs + 2 * GRANT_LASTS_US,
+  );
   const spanS = (clock.nowUs() - cutUs - 2 * GRANT_LASTS_US) / 1_000_000;
   assert.ok(late.length / spanS > rate * 0.9, `${late.length / spanS}`);
 });
--- a/features/steps/hunts.ts
+++ b/features/steps/hunts.ts
@@ -20,7 +20,15 @@
 give_up: share of the clients leave within x ms (half the aim)
 steer_ship: count (1) ships are steered
 `;
-const SERVED = ["srv_grey", "node_kill", "roll_term", "config_change", "config_race", "big_config", "give_up"];
+const SERVED = [
+  "srv_grey",
+  "node_kill",
+  "roll_term",
+  "config_change",
+  "config_race",
+  "big_config",
+  "give_up",
+];
 const OWN_HOWS: Readonly<Record<string, readonly string[]>> = {
   srv_grey: ["errors", "hang", "slow", "one_zone", "across", "all"],
   node_kill: ["power", "leader", "seed", "meet", "race", "hard"],
@@ -35,18 +43,26 @@
 
 const run = (args: readonly string[]): Promise<void> =>
   new Promise((resolve) => {
-    execFile(process.execPath, ["target/hunts/hunts/run.js", ...args], { maxBuffer: 16 * 2 ** 20 }, (mishap, out, errorLines) => {
-      code = mishap && typeof mishap.code === "number" ? mishap.code : 0;
-      said = out;
-      errors = errorLines;
-      resolve();
-    });
+    execFile(
+      process.execPath,
+      ["target/hunts/hunts/run.js", ...args],
+      { maxBuffer: 16 * 2 ** 20 },
+      (mishap, out, errorLines) => {
+        code = mishap && typeof mishap.code === "number" ? mishap.code : 0;
+        said = out;
+        errors = errorLines;
+        resolve();
+      },
+    );
   });
 
 const prepare = async (): Promise<void> => {
   folder = await mkdtemp(join(tmpdir(), "yewreel-hunts-"));
   await writeFile(join(folder, "kinds.txt"), KINDS);
-  await writeFile(join(folder, "site.toml"), 'name = "harbour"\nzones = [{ name = "north" }, { name = "south" }]\n');
+  await writeFile(
+    join(folder, "site.toml"),
+    'name = "harbour"\nzones = [{ name = "north" }, { name = "south" }]\n',
+  );
   await writeFile(join(folder, "notes.toml"), "");
   await mkdir(join(folder, "bad"));
   await writeFile(join(folder, "bad", "one.json"), "{}");
@@ -58,10 +74,30 @@
 
 const draw = async (seed: number, count: number): Promise<Map<string, string>> => {
   const out = join(folder, `${seed}-${count}`);
-  await run(["days", "--site", join(folder, "site.toml"), "--kinds", join(folder, "kinds.txt"), "--seed", String(seed), "--count", String(count), "--out", out, "--json"]);
+  await run([
+    "days",
+    "--site",
+    join(folder, "site.toml"),
+    "--kinds",
+    join(folder, "kinds.txt"),
+    "--seed",
+    String(seed),
+    "--count",
+    String(count),
+    "--out",
+    out,
+    "--json",
+  ]);
   assert.equal(code, 0, errors);
   const names = await readdir(out);
-  return new Map(await Promise.all(names.map(async (name): Promise<[string, string]> => [name, await readFile(join(out, name), "utf8")])));
+  return new Map(
+    await Promise.all(
+      names.map(async (name): Promise<[string, string]> => [
+        name,
+        await readFile(join(out, name), "utf8"),
+      ]),
+    ),
+  );
 };
 
 let many = new Map<string, string>();
@@ -69,55 +105,98 @@
 let told: Rec = {};
 
 Given("a list of kinds with one that the system isn't built for", prepare);
-When("{int} days are drawn from seed {int}, and {int} again", async (count: number, seed: number, again: number) => {
-  few = await draw(seed, again);
-  many = await draw(seed, count);
-  told = asRec(parseJson(said));
-});
+When(
+  "{int} days are drawn from seed {int}, and {int} again",
+  async (count: number, seed: number, again: number) => {
+    few = await draw(seed, again);
+    many = await draw(seed, count);
+    told = asRec(parseJson(said));
+  },
+);
 Then("the {int} are the first of the {int}, word for word", (again: number, count: number) => {
   assert.deepEqual([few.size, many.size], [again, count]);
   few.forEach((body, name) => assert.equal(many.get(name), body));
 });
 
 const days = (): readonly Rec[] => [...many.values()].map((body) => asRec(parse(body)));
-const entriesOf = (day: Rec): readonly Rec[] => ["plan", "faults"].flatMap((book) => list(day, book, (entry) => asRec(entry)));
+const entriesOf = (day: Rec): readonly Rec[] =>
+  ["plan", "faults"].flatMap((book) => list(day, book, (entry) => asRec(entry)));
 
-Then("every day has {int} to {int} s, at most {int} changes and {int} orders at one moment, and nothing outside of its length", (least: number, most: number, changes: number, atOnce: number) => {
-  days().forEach((day) => {
-    const length = whole(day, "length_s");
-    assert.ok(length >= least && length <= most);
-    const orders = entriesOf(day).filter((entry) => entry["kind"] === "config_change");
-    assert.ok(orders.length <= changes);
-    const moments = new Map<number, number>();
-    orders.forEach((entry) => moments.set(whole(entry, "at"), (moments.get(whole(entry, "at")) ?? 0) + 1));
-    assert.ok(Math.max(...moments.values()) <= atOnce);
-    entriesOf(day).forEach((entry) => assert.ok(whole(entry, "at") >= 1 && whole(entry, "at") <= length - 3));
-  });
-});
-Then("every served kind and each mix came, some kind twice in a day, some closing fault, and no figure is out of bounds", () => {
-  const all = days();
-  const entries = all.flatMap(entriesOf);
-  assert.deepEqual([...new Set(entries.map((entry) => text(entry, "kind")))].sort(), [...SERVED].sort());
-  assert.deepEqual([...new Set(all.map((day) => text(day, "name").split("-")[0]))].sort(), ["changes", "few", "many"]);
-  assert.ok(all.some((day) => entriesOf(day).filter((entry) => entry["kind"] === "node_kill").length > 1));
-  assert.ok(all.some((day) => day["closing"] !== undefined) && all.some((day) => day["closing"] === undefined));
-  const bound = (kind: string, field: string, least: number, most: number) =>
-    entries.filter((entry) => entry["kind"] === kind && entry[field] !== undefined).forEach((entry) => assert.ok(whole(entry, field) >= least && whole(entry, field) <= most, JSON.stringify(entry)));
-  bound("srv_grey", "share", 0.1, 0.6);
-  bound("srv_grey", "x", 0.15, 0.6);
-  bound("node_kill", "share", 0.05, 0.2);
-  bound("roll_term", "share", 0.5, 1);
-  bound("roll_term", "x", 1, 4);
-  bound("big_config", "count", 20, 400);
-  bound("config_race", "gap_s", 0.1, 2);
-  assert.ok(entries.every((entry) => entry["kind"] !== "give_up" || entry["x"] === undefined), "a default told in words is left to the list");
-  entries.forEach((entry) => {
-    const how = entry["how"];
-    if (typeof how !== "string") return;
-    assert.ok(how.split(" ").every((word) => OWN_HOWS[text(entry, "kind")]?.includes(word)), JSON.stringify(entry));
-    assert.ok(!(how.includes("meet") && how.includes("race")) && how.includes("one_zone") === (entry["to_zone"] !== undefined), JSON.stringify(entry));
-  });
-});
+Then(
+  "every day has {int} to {int} s, at most {int} changes and {int} orders at one moment, and nothing outside of its length",
+  (least: number, most: number, changes: number, atOnce: number) => {
+    days().forEach((day) => {
+      const length = whole(day, "length_s");
+      assert.ok(length >= least && length <= most);
+      const orders = entriesOf(day).filter((entry) => entry["kind"] === "config_change");
+      assert.ok(orders.length <= changes);
+      const moments = new Map<number, number>();
+      orders.forEach((entry) =>
+        moments.set(whole(entry, "at"), (moments.get(whole(entry, "at")) ?? 0) + 1),
+      );
+      assert.ok(Math.max(...moments.values()) <= atOnce);
+      entriesOf(day).forEach((entry) =>
+        assert.ok(whole(entry, "at") >= 1 && whole(entry, "at") <= length - 3),
+      );
+    });
+  },
+);
+Then(
+  "every served kind and each mix came, some kind twice in a day, some closing fault, and no figure is out of bounds",
+  () => {
+    const all = days();
+    const entries = all.flatMap(entriesOf);
+    assert.deepEqual(
+      [...new Set(entries.map((entry) => text(entry, "kind")))].sort(),
+      [...SERVED].sort(),
+    );
+    assert.deepEqual([...new Set(all.map((day) => text(day, "name").split("-")[0]))].sort(), [
+      "changes",
+      "few",
+      "many",
+    ]);
+    assert.ok(
+      all.some((day) => entriesOf(day).filter((entry) => entry["kind"] === "node_kill").length > 1),
+    );
+    assert.ok(
+      all.some((day) => day["closing"] !== undefined) &&
+        all.some((day) => day["closing"] === undefined),
+    );
+    const bound = (kind: string, field: string, least: number, most: number) =>
+      entries
+        .filter((entry) => entry["kind"] === kind && entry[field] !== undefined)
+        .forEach((entry) =>
+          assert.ok(
+            whole(entry, field) >= least && whole(entry, field) <= most,
+            JSON.stringify(entry),
+          ),
+        );
+    bound("srv_grey", "share", 0.1, 0.6);
+    bound("srv_grey", "x", 0.15, 0.6);
+    bound("node_kill", "share", 0.05, 0.2);
+    bound("roll_term", "share", 0.5, 1);
+    bound("roll_term", "x", 1, 4);
+    bound("big_config", "count", 20, 400);
+    bound("config_race", "gap_s", 0.1, 2);
+    assert.ok(
+      entries.every((entry) => entry["kind"] !== "give_up" || entry["x"] === undefined),
+      "a default told in words is left to the list",
+    );
+    entries.forEach((entry) => {
+      const how = entry["how"];
+      if (typeof how !== "string") return;
+      assert.ok(
+        how.split(" ").every((word) => OWN_HOWS[text(entry, "kind")]?.includes(word)),
+        JSON.stringify(entry),
+      );
+      assert.ok(
+        !(how.includes("meet") && how.includes("race")) &&
+          how.includes("one_zone") === (entry["to_zone"] !== undefined),
+        JSON.stringify(entry),
+      );
+    });
+  },
+);
 Then("the kind that the system isn't built for is named and in no day", () => {
   assert.deepEqual(list(told, "leftOut", textOf), ["steer_ship"]);
   many.forEach((body) => assert.ok(!body.includes("steer_ship")));
@@ -134,18 +213,68 @@
   readonly minute: number;
   readonly cmd: string;
   readonly argv: readonly string[];
-  readonly days?: readonly (readonly [name: string, seed: number, rules: Readonly<Record<string, number>>, fault?: string])[];
+  readonly days?: readonly (readonly [
+    name: string,
+    seed: number,
+    rules: Readonly<Record<string, number>>,
+    fault?: string,
+  ])[];
 }
 
 const JOURNAL: readonly Told[] = [
-  { id: "a1", minute: 1, cmd: "run", argv: ["x/harbour.toml", "storm.toml"], days: [["storm", 4, { CONFIG: 2 }]] },
-  { id: "a2", minute: 2, cmd: "hunt", argv: ["x/harbour.toml"], days: [["calm --seed 5", 5, {}], ["calm --seed 6", 6, { LOST: 1 }]] },
+  {
+    id: "a1",
+    minute: 1,
+    cmd: "run",
+    argv: ["x/harbour.toml", "storm.toml"],
+    days: [["storm", 4, { CONFIG: 2 }]],
+  },
+  {
+    id: "a2",
+    minute: 2,
+    cmd: "hunt",
+    argv: ["x/harbour.toml"],
+    days: [
+      ["calm --seed 5", 5, {}],
+      ["calm --seed 6", 6, { LOST: 1 }],
+    ],
+  },
   { id: "a3", minute: 3, cmd: "score", argv: ["x/harbour.toml"], days: [["calm", 9, {}]] },
-  { id: "a4", minute: 4, cmd: "run", argv: ["x/harbour.toml", "storm.toml"], days: [["storm", 4, {}]] },
-  { id: "a5", minute: 5, cmd: "run", argv: ["x/harbour.toml", "wreck.toml", "--until", "4"], days: [["wreck", 7, {}]] },
-  { id: "a6", minute: 6, cmd: "hunt", argv: ["x/harbour.toml"], days: [["wreck --seed 8", 8, { CONFIG: 1 }, "too slow: given up"]] },
-  { id: "a7", minute: 7, cmd: "run", argv: ["x/harbour.toml", "storm.toml", "--small"], days: [["storm", 4, { CONFIG: 1 }]] },
-  { id: "a8", minute: 8, cmd: "run", argv: ["x/harbour.toml", "storm.toml", "--small"], days: [["storm", 4, { CONFIG: 1 }]] },
+  {
+    id: "a4",
+    minute: 4,
+    cmd: "run",
+    argv: ["x/harbour.toml", "storm.toml"],
+    days: [["storm", 4, {}]],
+  },
+  {
+    id: "a5",
+    minute: 5,
+    cmd: "run",
+    argv: ["x/harbour.toml", "wreck.toml", "--until", "4"],
+    days: [["wreck", 7, {}]],
+  },
+  {
+    id: "a6",
+    minute: 6,
+    cmd: "hunt",
+    argv: ["x/harbour.toml"],
+    days: [["wreck --seed 8", 8, { CONFIG: 1 }, "too slow: given up"]],
+  },
+  {
+    id: "a7",
+    minute: 7,
+    cmd: "run",
+    argv: ["x/harbour.toml", "storm.toml", "--small"],
+    days: [["storm", 4, { CONFIG: 1 }]],
+  },
+  {
+    id: "a8",
+    minute: 8,
+    cmd: "run",
+    argv: ["x/harbour.toml", "storm.toml", "--small"],
+    days: [["storm", 4, { CONFIG: 1 }]],
+  },
 ];
 
 Given("a journal in which one rule was broken and held later, and two stayed broken", async () => {
@@ -159,7 +288,14 @@
       argv,
       head: "0123456789",
       site: "harbour",
-      days: (played ?? []).map(([name, seed, rules, fault]) => ({ name, seed, rules, short: [], troubles: ["node_kill"], fault: fault ?? null })),
+      days: (played ?? []).map(([name, seed, rules, fault]) => ({
+        name,
+        seed,
+        rules,
+        short: [],
+        troubles: ["node_kill"],
+        fault: fault ?? null,
+      })),
     };
     await writeFile(join(folder, "journal", `${id}.json`), JSON.stringify(body));
   }
@@ -168,32 +304,76 @@
 let page = "";
 const table = async (since: string): Promise<void> => {
   const out = join(folder, "hunts.md");
-  await run(["table", "--journal", join(folder, "journal"), "--notes", join(folder, "notes.toml"), "--out", out, "--since", since, "--json"]);
+  await run([
+    "table",
+    "--journal",
+    join(folder, "journal"),
+    "--notes",
+    join(folder, "notes.toml"),
+    "--out",
+    out,
+    "--since",
+    since,
+    "--json",
+  ]);
   assert.equal(code, 0, errors);
   summary = asRec(list(asRec(parseJson(said)), "rows", (row) => asRec(row))[0]);
   page = await readFile(out, "utf8");
 };
 When("the table is made with notes that call two of them mended", async () => {
-  const note = (day: string, rule: string) => `[[note]]\nday = "${day}"\nrule = "${rule}"\nstate = "mended"\ntold = "docs/incidents/page.md"\n`;
-  await writeFile(join(folder, "notes.toml"), note("harbour storm 4 full", "CONFIG") + note("harbour storm 4 small", "CONFIG"));
+  const note = (day: string, rule: string) =>
+    `[[note]]\nday = "${day}"\nrule = "${rule}"\nstate = "mended"\ntold = "docs/incidents/page.md"\n`;
+  await writeFile(
+    join(folder, "notes.toml"),
+    note("harbour storm 4 full", "CONFIG") + note("harbour storm 4 small", "CONFIG"),
+  );
   await table("");
 });
 When("the table is made of runs since the last two days only", () => table("2026-01-01T00:07:00Z"));
-Then("it counts {int} full day(s) and {int} small twin of ours, {int} of the bench's hunts and {int} standard day(s)", (full: number, small: number, hunted: number, standard: number) => {
-  assert.deepEqual(summary["days"], { own: { full, small }, hunt: { full: hunted, small: 0 }, standard: { full: standard, small: 0 } });
-  assert.ok(page.includes(`| harbour | ${full} + ${small} | ${hunted} + 0 | ${standard} + 0 |`), page);
-});
-Then("it tells {int} rule as mended and {int} as left, {int} day given up and {int} run in part", (mended: number, left: number, givenUp: number, partial: number) => {
-  assert.deepEqual([summary["mended"], summary["left"], summary["givenUp"], summary["partial"]], [mended, left, givenUp, partial]);
-  assert.match(page, /harbour storm 4 full \| CONFIG \| 2 \| a1 \| held \| mended \| docs\/incidents\/page.md/);
-  assert.match(page, /harbour storm 4 small \| CONFIG \| 2 \| a7, a8 \| broken \| open/);
-});
-Then("its unbroken plays are those since the last that broke a rule", () => assert.deepEqual(summary["unbroken"], { full: 2, small: 0 }));
+Then(
+  "it counts {int} full day(s) and {int} small twin of ours, {int} of the bench's hunts and {int} standard day(s)",
+  (full: number, small: number, hunted: number, standard: number) => {
+    assert.deepEqual(summary["days"], {
+      own: { full, small },
+      hunt: { full: hunted, small: 0 },
+      standard: { full: standard, small: 0 },
+    });
+    assert.ok(
+      page.includes(`| harbour | ${full} + ${small} | ${hunted} + 0 | ${standard} + 0 |`),
+      page,
+    );
+  },
+);
+Then(
+  "it tells {int} rule as mended and {int} as left, {int} day given up and {int} run in part",
+  (mended: number, left: number, givenUp: number, partial: number) => {
+    assert.deepEqual(
+      [summary["mended"], summary["left"], summary["givenUp"], summary["partial"]],
+      [mended, left, givenUp, partial],
+    );
+    assert.match(
+      page,
+      /harbour storm 4 full \| CONFIG \| 2 \| a1 \| held \| mended \| docs\/incidents\/page.md/,
+    );
+    assert.match(page, /harbour storm 4 small \| CONFIG \| 2 \| a7, a8 \| broken \| open/);
+  },
+);
+Then("its unbroken plays are those since the last that broke a rule", () =>
+  assert.deepEqual(summary["unbroken"], { full: 2, small: 0 }),
+);
 
 When(/^hunts is asked for (.+)$/, async (args: string) => {
   await prepare();
-  const places: Readonly<Record<string, string>> = { SITE: "site.toml", KINDS: "kinds.txt", NOTES: "notes.toml", BAD: "bad", OUT: "out" };
-  await run(args.split(" ").map((word) => (places[word] === undefined ? word : join(folder, places[word]))));
+  const places: Readonly<Record<string, string>> = {
+    SITE: "site.toml",
+    KINDS: "kinds.txt",
+    NOTES: "notes.toml",
+    BAD: "bad",
+    OUT: "out",
+  };
+  await run(
+    args.split(" ").map((word) => (places[word] === undefined ? word : join(folder, places[word]))),
+  );
 });
 Then("it ends with code {int} and says in one line {string}", (wanted: number, what: string) => {
   assert.equal(code, wanted, errors);
--- a/features/steps/keys.ts
+++ b/features/steps/keys.ts
@@ -62,26 +62,53 @@
   boxes = undefined;
 });
 
-Given("{int} signalboxes that must bear the loss of {int}, with a full roster", (count: number, withstand: number) => open(count, withstand));
-Given("{int} signalboxes that must bear the loss of {int}, with logs of {int} bytes", (count: number, withstand: number, bytes: number) => open(count, withstand, bytes));
+Given(
+  "{int} signalboxes that must bear the loss of {int}, with a full roster",
+  (count: number, withstand: number) => open(count, withstand),
+);
+Given(
+  "{int} signalboxes that must bear the loss of {int}, with logs of {int} bytes",
+  (count: number, withstand: number, bytes: number) => open(count, withstand, bytes),
+);
 
-When("try {string} claims key {string} at box {int}", (name: string, key: string, box: number) => claim(name, key, `b${box}`));
-When("tries {string} and {string} claim key {string} at boxes {int} and {int} at the same moment", async (one: string, two: string, key: string, first: number, second: number) => {
-  await Promise.all([claim(one, key, `b${first}`), claim(two, key, `b${second}`)]);
-});
+When("try {string} claims key {string} at box {int}", (name: string, key: string, box: number) =>
+  claim(name, key, `b${box}`),
+);
+When(
+  "tries {string} and {string} claim key {string} at boxes {int} and {int} at the same moment",
+  async (one: string, two: string, key: string, first: number, second: number) => {
+    await Promise.all([claim(one, key, `b${first}`), claim(two, key, `b${second}`)]);
+  },
+);
 When("try {string} takes its token back at box {int}", async (name: string, box: number) => {
   net().copy(`b${box}`).keys.free("k", name);
   await net().clock.pass(10_000);
 });
-When("both losers take their tokens back and {string} claims key {string} at box {int}", async (name: string, key: string, box: number) => {
-  history.filter(({ verdict }) => verdict.kind !== "won").forEach((entry) => net().copy("b2").keys.free(key, entry.name));
-  await net().clock.pass(10_000);
-  await claim(name, key, `b${box}`);
-});
-When("try {string} keeps the answer {string} at box {int}", async (name: string, body: string, box: number) => {
-  const kept = await beside(net().copy(`b${box}`).keys.keep("k", name, { status: 200, heads: ["Yewreel-Server-Seal", "s"], body: Buffer.from(body) }));
-  assert.ok(kept);
-});
+When(
+  "both losers take their tokens back and {string} claims key {string} at box {int}",
+  async (name: string, key: string, box: number) => {
+    history
+      .filter(({ verdict }) => verdict.kind !== "won")
+      .forEach((entry) => net().copy("b2").keys.free(key, entry.name));
+    await net().clock.pass(10_000);
+    await claim(name, key, `b${box}`);
+  },
+);
+When(
+  "try {string} keeps the answer {string} at box {int}",
+  async (name: string, body: string, box: number) => {
+    const kept = await beside(
+      net()
+        .copy(`b${box}`)
+        .keys.keep("k", name, {
+          status: 200,
+          heads: ["Yewreel-Server-Seal", "s"],
+          body: Buffer.from(body),
+        }),
+    );
+    assert.ok(kept);
+  },
+);
 When("the claimant, box {int}, dies", (box: number) => net().kill(`b${box}`));
 When("boxes {int} and {int} lose their disks and start again", async (one: number, two: number) => {
   const ids = [`b${one}`, `b${two}`];
@@ -105,12 +132,17 @@
   await catchUp();
 });
 When("the clock moves on by {int} s", (seconds: number) => net().clock.pass(seconds * 1_000_000));
-When(/^boxes (.*) are cut off$/, (told: string) => told.match(/\d/g)?.forEach((box) => net().cut.add(`b${box}`)));
-When("box {int} is joined again and box {int} is killed", async (joined: number, killed: number) => {
-  net().cut.clear();
-  await net().kill(`b${killed}`);
-  assert.ok(net().running.has(`b${joined}`));
-});
+When(/^boxes (.*) are cut off$/, (told: string) =>
+  told.match(/\d/g)?.forEach((box) => net().cut.add(`b${box}`)),
+);
+When(
+  "box {int} is joined again and box {int} is killed",
+  async (joined: number, killed: number) => {
+    net().cut.clear();
+    await net().kill(`b${killed}`);
+    assert.ok(net().running.has(`b${joined}`));
+  },
+);
 When("new keys are claimed until one is refused", async () => {
   for (let at = 0; at < 2_000; at += 1) {
     // The clock stands still: on a busy machine it would outrun the window of the key that must not be forgotten.
@@ -119,16 +151,26 @@
   }
   assert.fail("the log never filled");
 });
-When("a purge of label {string} is acknowledged at box {int}", async (label: string, box: number) => {
-  assert.ok(await beside(net().copy(`b${box}`).keys.purge({ host: "", path: "", label })));
-});
+When(
+  "a purge of label {string} is acknowledged at box {int}",
+  async (label: string, box: number) => {
+    assert.ok(await beside(net().copy(`b${box}`).keys.purge({ host: "", path: "", label })));
+  },
+);
 When("box {int} reads the purges", async (box: number) => {
   assert.ok(await beside(net().copy(`b${box}`).keys.readPurges()));
 });
 
 When("the others leave boxes 1 and 5 out of the roster while box 1 is cut off", async () => {
   net().cut.add("b1");
-  const changed = await beside(net().copy("b2").ledger.changeMembers((members) => members.filter((id) => id !== "b1" && id !== "b5"), net().copy("b2").keys.spread));
+  const changed = await beside(
+    net()
+      .copy("b2")
+      .ledger.changeMembers(
+        (members) => members.filter((id) => id !== "b1" && id !== "b5"),
+        net().copy("b2").keys.spread,
+      ),
+  );
   assert.ok(changed.isOk);
   net().cut.delete("b1");
 });
@@ -137,22 +179,35 @@
   assert.equal(await beside(net().copy("b1").keys.purge(purge)), false);
   assert.equal(await beside(net().copy("b1").keys.purge(purge)), true);
 });
-Then("the verdicts are {string}", (kinds: string) => assert.equal(history.map(({ verdict }) => verdict.kind).join(", "), kinds));
+Then("the verdicts are {string}", (kinds: string) =>
+  assert.equal(history.map(({ verdict }) => verdict.kind).join(", "), kinds),
+);
 Then("the last verdict is {string}", (kind: string) => assert.equal(last().kind, kind));
 Then("the last verdict is not {string}", (kind: string) => assert.notEqual(last().kind, kind));
 Then("the last verdict is {string} with {string}", (kind: string, body: string) => {
   const verdict = last();
   assert.equal(verdict.kind, kind);
-  assert.equal(verdict.kind === "done" ? Buffer.from(verdict.answer.body ?? []).toString() : "", body);
-});
-Then("at most one of them won", () => assert.ok(history.filter(({ verdict }) => verdict.kind === "won").length <= 1));
+  assert.equal(
+    verdict.kind === "done" ? Buffer.from(verdict.answer.body ?? []).toString() : "",
+    body,
+  );
+});
+Then("at most one of them won", () =>
+  assert.ok(history.filter(({ verdict }) => verdict.kind === "won").length <= 1),
+);
 Then("exactly one try of {string} has ever won", (key: string) => {
-  assert.equal(history.filter((entry) => entry.key === key && entry.verdict.kind === "won").length, 1);
-});
-Then("try {string} of key {string} at box {int} is told {string}", async (name: string, key: string, box: number, kind: string) => {
-  await claim(name, key, `b${box}`);
-  assert.equal(last().kind, kind);
-});
+  assert.equal(
+    history.filter((entry) => entry.key === key && entry.verdict.kind === "won").length,
+    1,
+  );
+});
+Then(
+  "try {string} of key {string} at box {int} is told {string}",
+  async (name: string, key: string, box: number, kind: string) => {
+    await claim(name, key, `b${box}`);
+    assert.equal(last().kind, kind);
+  },
+);
 Then("box {int} knows the purge of label {string}", (box: number, label: string) => {
   const { book, learned } = net().copy(`b${box}`);
   assert.ok(book.purges().some((purge) => purge.label === label));
@@ -163,4 +218,6 @@
   for (const id of ids) await net().kill(id);
   await restart(ids);
 });
-Then("box {int} takes no claims before it has caught up", (box: number) => assert.equal(net().copy(`b${box}`).keys.isCounting, false));
+Then("box {int} takes no claims before it has caught up", (box: number) =>
+  assert.equal(net().copy(`b${box}`).keys.isCounting, false),
+);
--- a/features/steps/looks.ts
+++ b/features/steps/looks.ts
@@ -24,26 +24,40 @@
   open = [];
 });
 
-Given("{int} signalboxes that are told of and {int} that are only seeds, none of which takes anyone", async (told: number, others: number) => {
-  clock = new ManualClock();
-  looks = [];
-  const all = Array.from({ length: told + others }, (_none, at) => addressOf(at));
-  seeds = all.slice(told);
-  const boxes = all.slice(0, told).map((id, at) => ({ id, cell: `c${at}` }));
-  for (const id of all) {
-    const refuse = async (wire: Wire): Promise<void> => {
-      looks.push(id);
-      wire.send({ kind: "adrift", boxes });
-      await wire.finish();
-    };
-    const board = new Switchboard(clock, TIMES, { pointsman: refuse }, silentLog);
-    await board.listen(id.split(":")[0] ?? "", PORT);
-    open.push(board);
-  }
-});
+Given(
+  "{int} signalboxes that are told of and {int} that are only seeds, none of which takes anyone",
+  async (told: number, others: number) => {
+    clock = new ManualClock();
+    looks = [];
+    const all = Array.from({ length: told + others }, (_none, at) => addressOf(at));
+    seeds = all.slice(told);
+    const boxes = all.slice(0, told).map((id, at) => ({ id, cell: `c${at}` }));
+    for (const id of all) {
+      const refuse = async (wire: Wire): Promise<void> => {
+        looks.push(id);
+        wire.send({ kind: "adrift", boxes });
+        await wire.finish();
+      };
+      const board = new Switchboard(clock, TIMES, { pointsman: refuse }, silentLog);
+      await board.listen(id.split(":")[0] ?? "", PORT);
+      open.push(board);
+    }
+  },
+);
 
 When("a node has looked for one {int} times", async (count: number) => {
-  taker = new Taker({ name: "n", cell: "c0", role: "pointsman", relay: "127.9.0.99:1", seeds, signalPort: PORT, clock, times: TIMES, board: new Board(clock), log: silentLog });
+  taker = new Taker({
+    name: "n",
+    cell: "c0",
+    role: "pointsman",
+    relay: "127.9.0.99:1",
+    seeds,
+    signalPort: PORT,
+    clock,
+    times: TIMES,
+    board: new Board(clock),
+    log: silentLog,
+  });
   void taker.run();
   for (let step = 0; step < 5_000 && looks.length < count; step += 1) await clock.pass(10 * MS);
   assert.ok(looks.length >= count, `it looked only ${looks.length} times`);
--- a/features/steps/moves.ts
+++ b/features/steps/moves.ts
@@ -2,7 +2,14 @@
 import { Given, Then, When } from "@cucumber/cucumber";
 import { checkForecast, readKept } from "../../src/programs/backends-check.js";
 import { CallCounts } from "../../src/traction/call-counts.js";
-import { bandOf, forecastMoves, joinBandOf, unevennessOf, type BackendChange, type MoveRow } from "../../src/traction/move-forecast.js";
+import {
+  bandOf,
+  forecastMoves,
+  joinBandOf,
+  unevennessOf,
+  type BackendChange,
+  type MoveRow,
+} from "../../src/traction/move-forecast.js";
 import { isRec } from "../../src/trackbed/shape.js";
 import { FLEET_TERMS, SimFleet, type FleetTerms, type SimNode } from "../support/fleet.js";
 
@@ -19,19 +26,31 @@
 let nodesSeen: Seen[] = [];
 let fleetsSeen: Seen[] = [];
 
-Given("fleets of {int} cells with {int} nodes and {int} workers each, {int}% of all slots in use", (cells: number, nodesACell: number, workersACell: number, percent: number) => {
-  terms = { ...FLEET_TERMS, cells, nodesACell, workersACell, usedPart: percent / 100 };
-});
+Given(
+  "fleets of {int} cells with {int} nodes and {int} workers each, {int}% of all slots in use",
+  (cells: number, nodesACell: number, workersACell: number, percent: number) => {
+    terms = { ...FLEET_TERMS, cells, nodesACell, workersACell, usedPart: percent / 100 };
+  },
+);
 
 const changeOf = (what: string, fleet: SimFleet): BackendChange => {
   const ids = [...fleet.workers.keys()];
-  const retire = what === "one worker retired" ? ids.slice(0, 1) : what === "three workers retired" ? ids.slice(0, 3) : what === "a cell's retired" ? ids.filter((id) => id.startsWith("w-0-")) : [];
+  const retire =
+    what === "one worker retired"
+      ? ids.slice(0, 1)
+      : what === "three workers retired"
+        ? ids.slice(0, 3)
+        : what === "a cell's retired"
+          ? ids.filter((id) => id.startsWith("w-0-"))
+          : [];
   const count = what === "one worker added" ? 1 : what === "four workers added" ? 4 : 0;
   return { add: count > 0 ? [{ service: "s", cell: "c0", count }] : [], retire, byRoute: false };
 };
 
 /** A fleet that has run until the moment of the forecast, its nodes counting what they send. */
-const grow = (seed: number): { readonly fleet: SimFleet; readonly counts: ReadonlyMap<string, CallCounts> } => {
+const grow = (
+  seed: number,
+): { readonly fleet: SimFleet; readonly counts: ReadonlyMap<string, CallCounts> } => {
   const fleet = new SimFleet({ ...terms, seed });
   const counts = new Map(fleet.nodes.map(({ name }) => [name, new CallCounts(fleet.timeline)]));
   fleet.onSent = (node, worker) => counts.get(node)?.count("s", "safe", "r", worker);
@@ -40,10 +59,23 @@
   return { fleet, counts };
 };
 
-const forecastOf = (node: SimNode, counts: ReadonlyMap<string, CallCounts>, change: BackendChange): MoveRow | undefined => {
+const forecastOf = (
+  node: SimNode,
+  counts: ReadonlyMap<string, CallCounts>,
+  change: BackendChange,
+): MoveRow | undefined => {
   const { spanUs, counts: calls } = counts.get(node.name)?.of("s") ?? { spanUs: 0, counts: [] };
   const { yard } = node;
-  return forecastMoves({ node: node.name, cell: node.cell, nodes: yard.nodeCount, service: "s", workers: yard.ready("s"), calls, spanUs, change }).rows[0];
+  return forecastMoves({
+    node: node.name,
+    cell: node.cell,
+    nodes: yard.nodeCount,
+    service: "s",
+    workers: yard.ready("s"),
+    calls,
+    spanUs,
+    change,
+  }).rows[0];
 };
 
 /** What each node sent to whom in the window after the moment of the forecast. */
@@ -51,7 +83,9 @@
   const fromUs = fleet.timeline.nowUs();
   fleet.timeline.runUntil(fromUs + WINDOW_US);
   const sent = new Map<string, string[]>(fleet.nodes.map(({ name }) => [name, []]));
-  fleet.sent.filter(({ atUs, worker }) => atUs >= fromUs && worker !== "").forEach(({ node, worker }) => sent.get(node)?.push(worker));
+  fleet.sent
+    .filter(({ atUs, worker }) => atUs >= fromUs && worker !== "")
+    .forEach(({ node, worker }) => sent.get(node)?.push(worker));
   return sent;
 };
 
@@ -59,10 +93,17 @@
   const { fleet, counts } = grow(seed);
   const change = changeOf(what, fleet);
   const rows = new Map(fleet.nodes.map((node) => [node.name, forecastOf(node, counts, change)]));
-  const subsets = new Map(fleet.nodes.map(({ name, yard }) => [name, new Set([...yard.subset("s").near, ...yard.subset("s").far].map(({ id }) => id))]));
+  const subsets = new Map(
+    fleet.nodes.map(({ name, yard }) => [
+      name,
+      new Set([...yard.subset("s").near, ...yard.subset("s").far].map(({ id }) => id)),
+    ]),
+  );
   // Retired: the calls that would have gone to them, had they stayed. Added: the calls that the newcomers and their likes got.
   const isAdding = change.add.length > 0;
-  if (isAdding) for (let at = 0; at < (change.add[0]?.count ?? 0); at += 1) fleet.add(`fresh-${seed}-${at}`, "c0");
+  if (isAdding)
+    for (let at = 0; at < (change.add[0]?.count ?? 0); at += 1)
+      fleet.add(`fresh-${seed}-${at}`, "c0");
   const sent = after(fleet);
   let [moved, total, forecast] = [0, 0, 0];
   let draws: number[] = [];
@@ -71,30 +112,65 @@
     const calls = sent.get(name) ?? [];
     if (!row || row.calls < 30 || calls.length < 30) return;
     const leavers = new Set(row.leavers.filter((id) => change.retire.includes(id)));
-    const count = calls.filter((id) => (isAdding ? subsets.get(name)?.has(id) === false : leavers.has(id))).length;
-    nodesSeen.push({ share: count / calls.length, low: isAdding ? row.joinLow : row.low, high: isAdding ? row.joinHigh : row.high });
+    const count = calls.filter((id) =>
+      isAdding ? subsets.get(name)?.has(id) === false : leavers.has(id),
+    ).length;
+    nodesSeen.push({
+      share: count / calls.length,
+      low: isAdding ? row.joinLow : row.low,
+      high: isAdding ? row.joinHigh : row.high,
+    });
     moved += count;
     total += calls.length;
     forecast += (isAdding ? row.join : row.moved) * row.calls;
     draws = row.draws.map((share, at) => (draws[at] ?? 0) + share * row.calls);
   });
-  const known = [...rows.values()].reduce((sum, row) => sum + (row && row.calls >= 30 ? row.calls : 0), 0);
-  const perWorker = new Map([...fleet.workers.keys()].filter((id) => !id.startsWith("fresh")).map((id) => [id, 0]));
-  counts.forEach((counted) => counted.of("s").counts.forEach(({ worker, count }) => perWorker.has(worker) && perWorker.set(worker, (perWorker.get(worker) ?? 0) + count)));
-  const band = isAdding ? joinBandOf(forecast / known, known, unevennessOf([...perWorker.values()])) : bandOf(forecast / known, known);
+  const known = [...rows.values()].reduce(
+    (sum, row) => sum + (row && row.calls >= 30 ? row.calls : 0),
+    0,
+  );
+  const perWorker = new Map(
+    [...fleet.workers.keys()].filter((id) => !id.startsWith("fresh")).map((id) => [id, 0]),
+  );
+  counts.forEach((counted) =>
+    counted
+      .of("s")
+      .counts.forEach(
+        ({ worker, count }) =>
+          perWorker.has(worker) && perWorker.set(worker, (perWorker.get(worker) ?? 0) + count),
+      ),
+  );
+  const band = isAdding
+    ? joinBandOf(forecast / known, known, unevennessOf([...perWorker.values()]))
+    : bandOf(forecast / known, known);
   const spread = isAdding ? (Math.max(...draws) - Math.min(...draws)) / known / 2 : 0;
-  fleetsSeen.push({ share: moved / total, low: forecast / known - band - spread, high: forecast / known + band + spread });
+  fleetsSeen.push({
+    share: moved / total,
+    low: forecast / known - band - spread,
+    high: forecast / known + band + spread,
+  });
 };
 
-When(/^(\d+) histories are played, each with a forecast of (.+), and the change made or not$/, { timeout: 120_000 }, (histories: string, what: string) => {
-  [nodesSeen, fleetsSeen] = [[], []];
-  for (let seed = 1; seed <= Number(histories); seed += 1) play(seed, what);
-});
-const within = (seen: readonly Seen[]): number => seen.filter(({ share, low, high }) => share >= low && share <= high).length / seen.length;
-Then("at least {int}% of the nodes' shares seen lie within their bands, and so do at least {int}% of the fleets'", (nodes: number, fleets: number) => {
-  assert.ok(nodesSeen.length >= 50, `${nodesSeen.length} nodes`);
-  assert.ok(within(nodesSeen) >= nodes / 100 && within(fleetsSeen) >= fleets / 100, `${within(nodesSeen)} of the nodes, ${within(fleetsSeen)} of the fleets`);
-});
+When(
+  /^(\d+) histories are played, each with a forecast of (.+), and the change made or not$/,
+  { timeout: 120_000 },
+  (histories: string, what: string) => {
+    [nodesSeen, fleetsSeen] = [[], []];
+    for (let seed = 1; seed <= Number(histories); seed += 1) play(seed, what);
+  },
+);
+const within = (seen: readonly Seen[]): number =>
+  seen.filter(({ share, low, high }) => share >= low && share <= high).length / seen.length;
+Then(
+  "at least {int}% of the nodes' shares seen lie within their bands, and so do at least {int}% of the fleets'",
+  (nodes: number, fleets: number) => {
+    assert.ok(nodesSeen.length >= 50, `${nodesSeen.length} nodes`);
+    assert.ok(
+      within(nodesSeen) >= nodes / 100 && within(fleetsSeen) >= fleets / 100,
+      `${within(nodesSeen)} of the nodes, ${within(fleetsSeen)} of the fleets`,
+    );
+  },
+);
 Then("the fleets' bands are at most {float} wide on average", (width: number) => {
   const mean = fleetsSeen.reduce((sum, { low, high }) => sum + high - low, 0) / fleetsSeen.length;
   assert.ok(mean <= width, String(mean));
@@ -107,7 +183,12 @@
     const counts = new Map(fleet.nodes.map(({ name }) => [name, new CallCounts(fleet.timeline)]));
     fleet.onSent = (node, worker) => counts.get(node)?.count("s", "safe", "r", worker);
     fleet.start();
-    if (asks) fleet.timeline.every(1_000_000, () => fleet.nodes.forEach((node) => forecastOf(node, counts, changeOf("three workers retired", fleet))));
+    if (asks)
+      fleet.timeline.every(1_000_000, () =>
+        fleet.nodes.forEach((node) =>
+          forecastOf(node, counts, changeOf("three workers retired", fleet)),
+        ),
+      );
     fleet.timeline.runUntil(30_000_000);
     return fleet.nodes.map((node) => node.chosen);
   });
@@ -120,20 +201,38 @@
 
 let verdictOf: (node: string) => string = () => "";
 let kept = {};
-Given("a kept forecast that {int}% of the calls of node {string} would go to new workers, between {int}% and {int}%", (join: number, node: string, low: number, high: number) => {
-  kept = {
-    nodes: [{ node, service: "s", kind: "safe", join: join / 100, joinLow: low / 100, joinHigh: high / 100, leavers: ["w-gone"] }],
-    subsets: [{ node, service: "s", subset: ["w1", "w-gone"] }],
-  };
-});
-When("the nodes have seen {int} calls to workers new to {string} and {int} to those of before", (fresh: number, node: string, old: number) => {
-  const read = readKept(kept);
-  assert.ok(isRec(read));
-  const calls = [
-    { kind: "safe", worker: "w-new", count: fresh },
-    { kind: "safe", worker: "w1", count: old },
-  ];
-  const rows = checkForecast(read, [{ node, heard: true, services: [{ service: "s", calls }] }]);
-  verdictOf = (name) => rows.find((row) => row.node === name)?.verdict ?? "";
-});
-Then("the check of {string} says {string}", (node: string, verdict: string) => assert.equal(verdictOf(node), verdict));
+Given(
+  "a kept forecast that {int}% of the calls of node {string} would go to new workers, between {int}% and {int}%",
+  (join: number, node: string, low: number, high: number) => {
+    kept = {
+      nodes: [
+        {
+          node,
+          service: "s",
+          kind: "safe",
+          join: join / 100,
+          joinLow: low / 100,
+          joinHigh: high / 100,
+          leavers: ["w-gone"],
+        },
+      ],
+      subsets: [{ node, service: "s", subset: ["w1", "w-gone"] }],
+    };
+  },
+);
+When(
+  "the nodes have seen {int} calls to workers new to {string} and {int} to those of before",
+  (fresh: number, node: string, old: number) => {
+    const read = readKept(kept);
+    assert.ok(isRec(read));
+    const calls = [
+      { kind: "safe", worker: "w-new", count: fresh },
+      { kind: "safe", worker: "w1", count: old },
+    ];
+    const rows = checkForecast(read, [{ node, heard: true, services: [{ service: "s", calls }] }]);
+    verdictOf = (name) => rows.find((row) => row.node === name)?.verdict ?? "";
+  },
+);
+Then("the check of {string} says {string}", (node: string, verdict: string) =>
+  assert.equal(verdictOf(node), verdict),
+);
--- a/features/steps/relay.ts
+++ b/features/steps/relay.ts
@@ -37,8 +37,23 @@
   const board = new Board(clock);
   const feeder = new Feeder(clock, board, () => false);
   const ip = `127.3.1.${number}`;
-  const taker = new Taker({ name: `n${number}`, cell: "c1", role: "pointsman", relay: `${ip}:${port + 1}`, seeds: [boxId], signalPort: port, clock, times: TIMES, board, log: silentLog });
-  const serveChild = async (wire: Wire, _hello: Message, incoming: AsyncIterable<Message>): Promise<void> => {
+  const taker = new Taker({
+    name: `n${number}`,
+    cell: "c1",
+    role: "pointsman",
+    relay: `${ip}:${port + 1}`,
+    seeds: [boxId],
+    signalPort: port,
+    clock,
+    times: TIMES,
+    board,
+    log: silentLog,
+  });
+  const serveChild = async (
+    wire: Wire,
+    _hello: Message,
+    incoming: AsyncIterable<Message>,
+  ): Promise<void> => {
     if (!taker.isFed) return;
     feeder.adopt(wire);
     for await (const message of incoming) assert.ok(message.kind);
@@ -52,27 +67,40 @@
   await pass(200);
 };
 
-Given("a signalbox that feeds {int} and {int} pointsmen below it", async (room: number, count: number) => {
-  assert.equal(room, FAN_OUT);
-  clock = new ManualClock();
-  nodes = [];
-  trees += 1;
-  port = 12_000 + trees * 20;
-  top = new Board(clock);
-  topFeeder = new Feeder(clock, top, () => true);
-  const boxId = `127.3.0.1:${port}`;
-  const sessions = new Sessions({ clock, feeder: topFeeder, log: silentLog, isFit: async () => true, boxes: () => [{ id: boxId, cell: "c1" }], answer: async (message) => message, emptiedCell: () => "", cell: "c1" });
-  box = new Switchboard(clock, TIMES, { pointsman: sessions.serve }, silentLog);
-  await box.listen("127.3.0.1", port);
-  for (let number = 1; number <= count; number += 1) await join(number);
-});
+Given(
+  "a signalbox that feeds {int} and {int} pointsmen below it",
+  async (room: number, count: number) => {
+    assert.equal(room, FAN_OUT);
+    clock = new ManualClock();
+    nodes = [];
+    trees += 1;
+    port = 12_000 + trees * 20;
+    top = new Board(clock);
+    topFeeder = new Feeder(clock, top, () => true);
+    const boxId = `127.3.0.1:${port}`;
+    const sessions = new Sessions({
+      clock,
+      feeder: topFeeder,
+      log: silentLog,
+      isFit: async () => true,
+      boxes: () => [{ id: boxId, cell: "c1" }],
+      answer: async (message) => message,
+      emptiedCell: () => "",
+      cell: "c1",
+    });
+    box = new Switchboard(clock, TIMES, { pointsman: sessions.serve }, silentLog);
+    await box.listen("127.3.0.1", port);
+    for (let number = 1; number <= count; number += 1) await join(number);
+  },
+);
 
 Given("{int} pointsmen below the signalbox in all", async (count: number) => {
   for (let number = nodes.length + 1; number <= count; number += 1) await join(number);
   await pass(500);
 });
 /** The relay that feeds a node, or none where the signalbox does. */
-const above = (node: Node): Node | undefined => nodes.find(({ address }) => address === node.taker.parentRelay);
+const above = (node: Node): Node | undefined =>
+  nodes.find(({ address }) => address === node.taker.parentRelay);
 const depthOf = (node: Node): number => {
   let depth = 0;
   for (let at = above(node); at; at = above(at)) {
@@ -81,12 +109,23 @@
   }
   return depth;
 };
-Then("no relay feeds more than {int}, and none is more than {int} deep", (most: number, deepest: number) => {
-  nodes.forEach((node) => assert.ok(node.feeder.size <= most && depthOf(node) <= deepest, `${node.feeder.size} children, ${depthOf(node)} deep`));
-  assert.equal(topFeeder.size, FAN_OUT);
-});
+Then(
+  "no relay feeds more than {int}, and none is more than {int} deep",
+  (most: number, deepest: number) => {
+    nodes.forEach((node) =>
+      assert.ok(
+        node.feeder.size <= most && depthOf(node) <= deepest,
+        `${node.feeder.size} children, ${depthOf(node)} deep`,
+      ),
+    );
+    assert.equal(topFeeder.size, FAN_OUT);
+  },
+);
 When("a relay with relays below it dies without a word", () => {
-  const dying = nodes.find((node) => depthOf(node) === 0 && nodes.some((other) => other.feeder.size > 0 && above(other) === node));
+  const dying = nodes.find(
+    (node) =>
+      depthOf(node) === 0 && nodes.some((other) => other.feeder.size > 0 && above(other) === node),
+  );
   assert.ok(dying, "no relay has relays below it");
   nodes = nodes.filter((node) => node !== dying);
   dying.taker.stop();
@@ -102,7 +141,8 @@
   top.post([{ key: "plan/route/r1", version: 9, tie: "", body: { item: "nine", dropped: false } }]);
 });
 const ROUTES = "plan/route/many-";
-const routesAt = (board: Board): number => board.all().filter(({ key }) => key.startsWith(ROUTES)).length;
+const routesAt = (board: Board): number =>
+  board.all().filter(({ key }) => key.startsWith(ROUTES)).length;
 /** How many of the routes each node held when it was told that the news is fresh. */
 let heldWhenFresh: number[] = [];
 
@@ -113,13 +153,23 @@
       heldWhenFresh = [...heldWhenFresh, routesAt(board)];
     }),
   );
-  top.post(Array.from({ length: count }, (_, at) => ({ key: `${ROUTES}${at}`, version: 1, tie: "", body: { item: `{"name":"r-${at}","pathStart":"/a${at}/"}`, dropped: false } })));
+  top.post(
+    Array.from({ length: count }, (_, at) => ({
+      key: `${ROUTES}${at}`,
+      version: 1,
+      tie: "",
+      body: { item: `{"name":"r-${at}","pathStart":"/a${at}/"}`, dropped: false },
+    })),
+  );
 });
 When("the signalbox tells that all purges so far are known", () => topFeeder.setFresh(0));
-Then("every pointsman holds {int} routes within {int} ms", async (count: number, waitMs: number) => {
-  await pass(waitMs);
-  nodes.forEach(({ board }, at) => assert.equal(routesAt(board), count, `node ${at + 1}`));
-});
+Then(
+  "every pointsman holds {int} routes within {int} ms",
+  async (count: number, waitMs: number) => {
+    await pass(waitMs);
+    nodes.forEach(({ board }, at) => assert.equal(routesAt(board), count, `node ${at + 1}`));
+  },
+);
 Then("every pointsman was told so after it held them", () => {
   assert.equal(heldWhenFresh.length, nodes.length);
   heldWhenFresh.forEach((held) => assert.equal(held, 1_500));
@@ -127,7 +177,11 @@
 
 When("the fact is posted again with a lower version", async () => {
   await pass(100);
-  nodes.forEach(({ board }) => board.post([{ key: "plan/route/r1", version: 8, tie: "", body: { item: "eight", dropped: false } }]));
+  nodes.forEach(({ board }) =>
+    board.post([
+      { key: "plan/route/r1", version: 8, tie: "", body: { item: "eight", dropped: false } },
+    ]),
+  );
 });
 When("a relay with children dies without a word", () => {
   const dying = nodes.find(({ feeder }) => feeder.size > 0);
@@ -149,12 +203,17 @@
 Then("some pointsmen are fed by a relay and none feeds more than {int}", async (most: number) => {
   await pass(500);
   assert.equal(topFeeder.size, most);
-  assert.equal(nodes.reduce((sum, { feeder }) => sum + feeder.size, 0), nodes.length - most);
+  assert.equal(
+    nodes.reduce((sum, { feeder }) => sum + feeder.size, 0),
+    nodes.length - most,
+  );
   nodes.forEach(({ feeder }) => assert.ok(feeder.size <= most));
 });
 Then("every pointsman holds it within {int} ms", async (waitMs: number) => {
   await pass(waitMs);
-  nodes.forEach(({ board }, at) => assert.equal(board.get("plan/route/r1")?.body["item"], "nine", `node ${at + 1}`));
+  nodes.forEach(({ board }, at) =>
+    assert.equal(board.get("plan/route/r1")?.body["item"], "nine", `node ${at + 1}`),
+  );
 });
 
 After({ tags: "not @none" }, () => {
--- a/features/steps/retries.ts
+++ b/features/steps/retries.ts
@@ -4,7 +4,14 @@
 import { RetryBudgets } from "../../src/traction/retry-budget.js";
 import { RetryKeeper } from "../../src/traction/retry-keeper.js";
 import { silentLog } from "../../src/trackbed/log.js";
-import { defaultLimits, EVERY_SERVICE, limitOf, withLimit, type RetryLimits, type RouteKind } from "../../src/trackbed/retry-limits.js";
+import {
+  defaultLimits,
+  EVERY_SERVICE,
+  limitOf,
+  withLimit,
+  type RetryLimits,
+  type RouteKind,
+} from "../../src/trackbed/retry-limits.js";
 import { asList, list, numberOf, textOf } from "../../src/trackbed/shape.js";
 import type { Message } from "../../src/trackbed/wire.js";
 import { seeded, Timeline } from "../support/fleet.js";
@@ -36,24 +43,33 @@
 let random = seeded(1);
 let offices: { readonly office: RetryOffice; isUp: boolean }[] = [];
 
-const newBudgets = (): RetryBudgets => new RetryBudgets({ clock: timeline, log: silentLog, windowUs: WINDOW_US, limits: () => limits });
+const newBudgets = (): RetryBudgets =>
+  new RetryBudgets({ clock: timeline, log: silentLog, windowUs: WINDOW_US, limits: () => limits });
 const newLife = (name: string): Node => {
   lives += 1;
   return { name, life: `${name}-${lives}`, budgets: newBudgets(), cutUntilUs: 0 };
 };
 const newOffice = (): void => {
-  const office = new RetryOffice({ clock: timeline, windowUs: WINDOW_US, isHolder: () => true, limits: () => limits });
+  const office = new RetryOffice({
+    clock: timeline,
+    windowUs: WINDOW_US,
+    isHolder: () => true,
+    limits: () => limits,
+  });
   office.look();
   offices.push({ office, isUp: true });
 };
 
-Given("{int} nodes under a ratio of {float} and a slack of {int} over 10 seconds", (count: number, ratio: number, slack: number) => {
-  timeline = new Timeline();
-  limits = defaultLimits({ ratio, slack, windowUs: WINDOW_US });
-  nodes = Array.from({ length: count }, (_none, at) => newLife(`n${at}`));
-  [requests, retries, underLease, isDoubled, offices] = [[], [], 0, false, []];
-  newOffice();
-});
+Given(
+  "{int} nodes under a ratio of {float} and a slack of {int} over 10 seconds",
+  (count: number, ratio: number, slack: number) => {
+    timeline = new Timeline();
+    limits = defaultLimits({ ratio, slack, windowUs: WINDOW_US });
+    nodes = Array.from({ length: count }, (_none, at) => newLife(`n${at}`));
+    [requests, retries, underLease, isDoubled, offices] = [[], [], 0, false, []];
+    newOffice();
+  },
+);
 Given("every lease counts twice", () => {
   isDoubled = true;
 });
@@ -67,20 +83,25 @@
   if (budget.leased() > 0) underLease += 1;
 };
 
-When("each sends {int} requests a second and wants a retry for each, for {int} seconds, and node {int} restarts at {int}", (perS: number, seconds: number, restarted: number, atS: number) => {
-  for (let step = 0; step < seconds * perS; step += 1) {
-    if (step === atS * perS) nodes[restarted - 1] = newLife(`n${restarted - 1}`);
-    nodes.forEach((node) => request(node, "safe", true));
-    timeline.runUntil(timeline.nowUs() + 1_000_000 / perS);
-  }
-});
+When(
+  "each sends {int} requests a second and wants a retry for each, for {int} seconds, and node {int} restarts at {int}",
+  (perS: number, seconds: number, restarted: number, atS: number) => {
+    for (let step = 0; step < seconds * perS; step += 1) {
+      if (step === atS * perS) nodes[restarted - 1] = newLife(`n${restarted - 1}`);
+      nodes.forEach((node) => request(node, "safe", true));
+      timeline.runUntil(timeline.nowUs() + 1_000_000 / perS);
+    }
+  },
+);
 
 /** What the keeper does, over a net that delays and loses: asks go to whichever office the node can reach. */
 const renew = (node: Node): void => {
   const wants = node.budgets.takeWants();
   if (wants.length === 0 || timeline.nowUs() < node.cutUntilUs) return;
   const askedUs = timeline.nowUs();
-  const reached = offices.filter(({ isUp }) => isUp)[random() < 0.5 ? 0 : offices.filter(({ isUp }) => isUp).length - 1];
+  const reached = offices.filter(({ isUp }) => isUp)[
+    random() < 0.5 ? 0 : offices.filter(({ isUp }) => isUp).length - 1
+  ];
   const message: Message = { kind: "retry-ask", life: node.life, wants };
   timeline.after(random() * 100_000, () => {
     const reply = reached?.office.answer(message);
@@ -92,7 +113,12 @@
         const [service, kind, tokens] = asList(value);
         const known = KINDS.find((one) => one === textOf(kind));
         assert.ok(known);
-        node.budgets.of(textOf(service), known).take({ tokens: numberOf(tokens) * (isDoubled ? 2 : 1), endUs: askedUs + RETRY_LEASE_US });
+        node.budgets
+          .of(textOf(service), known)
+          .take({
+            tokens: numberOf(tokens) * (isDoubled ? 2 : 1),
+            endUs: askedUs + RETRY_LEASE_US,
+          });
       });
     });
   });
@@ -130,26 +156,34 @@
   });
 };
 
-When("a slowdown of {int} seconds makes them want a retry for most requests, with everything failing in turn, seed {int}", (seconds: number, seed: number) => {
-  random = seeded(seed);
-  fail();
-  slowdown(seconds);
-});
+When(
+  "a slowdown of {int} seconds makes them want a retry for most requests, with everything failing in turn, seed {int}",
+  (seconds: number, seed: number) => {
+    random = seeded(seed);
+    fail();
+    slowdown(seconds);
+  },
+);
 let loweredUs = 0;
 let before: RetryLimits = {};
-When("after {int} seconds of a slowdown the slack is lowered to {int}", (seconds: number, slack: number) => {
-  slowdown(seconds);
-  loweredUs = timeline.nowUs();
-  before = limits;
-  limits = defaultLimits({ ratio: 0.02, slack, windowUs: WINDOW_US });
-  slowdown(60);
-});
+When(
+  "after {int} seconds of a slowdown the slack is lowered to {int}",
+  (seconds: number, slack: number) => {
+    slowdown(seconds);
+    loweredUs = timeline.nowUs();
+    before = limits;
+    limits = defaultLimits({ ratio: 0.02, slack, windowUs: WINDOW_US });
+    slowdown(60);
+  },
+);
 
 /** By how much the limit is passed at most, over all windows that begin with a retry. */
 const worstExcess = (by: (fromUs: number) => RetryLimits): number => {
   let worst = -Infinity;
   KINDS.forEach((kind) => {
-    const [asked, again] = [requests, retries].map((events) => events.filter((event) => event.kind === kind).map(({ atUs }) => atUs));
+    const [asked, again] = [requests, retries].map((events) =>
+      events.filter((event) => event.kind === kind).map(({ atUs }) => atUs),
+    );
     if (!asked || !again) return;
     let [askedFrom, askedTo, to] = [0, 0, 0];
     again.forEach((fromUs, from) => {
@@ -162,16 +196,31 @@
   });
   return worst;
 };
-Then("in no window do the retries of a kind exceed its ratio times its requests plus its slack", () => {
-  const worst = worstExcess(() => limits);
-  assert.ok(worst <= 0, `passed by ${worst}`);
-});
-Then("in some window the retries of a kind exceed its ratio times its requests plus its slack", () => assert.ok(worstExcess(() => limits) > 0));
-Then("no window that begins {int} seconds later or more passes the lowered limit, and none before the old one", (seconds: number) => {
-  assert.ok(worstExcess((fromUs) => (fromUs < loweredUs + seconds * 1_000_000 ? before : limits)) <= 0);
-});
-Then("more than {int} retries were made", (count: number) => assert.ok(retries.length > count, `${retries.length}`));
-Then("at least {int} retries were made under leases", (count: number) => assert.ok(underLease >= count, `${underLease} of ${retries.length}`));
+Then(
+  "in no window do the retries of a kind exceed its ratio times its requests plus its slack",
+  () => {
+    const worst = worstExcess(() => limits);
+    assert.ok(worst <= 0, `passed by ${worst}`);
+  },
+);
+Then(
+  "in some window the retries of a kind exceed its ratio times its requests plus its slack",
+  () => assert.ok(worstExcess(() => limits) > 0),
+);
+Then(
+  "no window that begins {int} seconds later or more passes the lowered limit, and none before the old one",
+  (seconds: number) => {
+    assert.ok(
+      worstExcess((fromUs) => (fromUs < loweredUs + seconds * 1_000_000 ? before : limits)) <= 0,
+    );
+  },
+);
+Then("more than {int} retries were made", (count: number) =>
+  assert.ok(retries.length > count, `${retries.length}`),
+);
+Then("at least {int} retries were made under leases", (count: number) =>
+  assert.ok(underLease >= count, `${underLease} of ${retries.length}`),
+);
 Then("it may retry nothing", () => assert.equal(nodes[0]?.budgets.of("s", "safe").spend(), false));
 
 let office: RetryOffice;
@@ -180,28 +229,41 @@
   const [row] = list(reply, "rows", (value) => asList(value));
   return numberOf(row?.[2]);
 };
-Given("a holder that has leased {int} tokens of {int} to a node", (tokens: number, slack: number) => {
-  timeline = new Timeline();
-  limits = { [EVERY_SERVICE]: { safe: { ratio: 0, slack: slack * 1.25 * 1.6 }, unsafe: { ratio: 0, slack: 0 }, keyed: { ratio: 0, slack: 0 }, cached: { ratio: 0, slack: 0 } } };
-  newOffice();
-  const first = offices[offices.length - 1];
-  assert.ok(first);
-  office = first.office;
-  timeline.runUntil(timeline.nowUs() + 14_000_000);
-  assert.equal(ask("one", tokens, 0), tokens);
-});
+Given(
+  "a holder that has leased {int} tokens of {int} to a node",
+  (tokens: number, slack: number) => {
+    timeline = new Timeline();
+    limits = {
+      [EVERY_SERVICE]: {
+        safe: { ratio: 0, slack: slack * 1.25 * 1.6 },
+        unsafe: { ratio: 0, slack: 0 },
+        keyed: { ratio: 0, slack: 0 },
+        cached: { ratio: 0, slack: 0 },
+      },
+    };
+    newOffice();
+    const first = offices[offices.length - 1];
+    assert.ok(first);
+    office = first.office;
+    timeline.runUntil(timeline.nowUs() + 14_000_000);
+    assert.equal(ask("one", tokens, 0), tokens);
+  },
+);
 When("another takes the duty", () => {
   newOffice();
   const next = offices[offices.length - 1];
   assert.ok(next);
   office = next.office;
 });
-Then("the node's {int} tokens are renewed, and nobody else gets any for {int} seconds", (tokens: number, seconds: number) => {
-  for (let second = 0; second < seconds; second += 1) {
-    assert.deepEqual([ask("one", tokens, tokens), ask("two", 10, 0)], [tokens, 0]);
-    timeline.runUntil(timeline.nowUs() + 999_000);
-  }
-});
+Then(
+  "the node's {int} tokens are renewed, and nobody else gets any for {int} seconds",
+  (tokens: number, seconds: number) => {
+    for (let second = 0; second < seconds; second += 1) {
+      assert.deepEqual([ask("one", tokens, tokens), ask("two", 10, 0)], [tokens, 0]);
+      timeline.runUntil(timeline.nowUs() + 999_000);
+    }
+  },
+);
 Then("after that others get some", () => {
   timeline.runUntil(timeline.nowUs() + 100_000);
   assert.equal(ask("two", 10, 0), 10);
@@ -220,37 +282,58 @@
   });
   keeper.start();
 });
-When("it makes {int} requests and {int} retries", async (requestCount: number, retryCount: number) => {
-  const budget = budgets.of("s", "safe");
-  for (let at = 0; at < requestCount; at += 1) budget.count();
-  for (let at = 0; at < retryCount; at += 1) assert.ok(budget.spend());
-  await clock.pass(20_000_000);
-});
+When(
+  "it makes {int} requests and {int} retries",
+  async (requestCount: number, retryCount: number) => {
+    const budget = budgets.of("s", "safe");
+    for (let at = 0; at < requestCount; at += 1) budget.count();
+    for (let at = 0; at < retryCount; at += 1) assert.ok(budget.spend());
+    await clock.pass(20_000_000);
+  },
+);
 Then("nothing was asked of the holder", () => assert.equal(asked, 0));
 When("a retry is refused", () => assert.equal(budgets.of("s", "safe").spend(), false));
-Then("it asks the holder within a second, takes the lease, and stops asking when it needs none", async () => {
-  await clock.pass(1_000_000);
-  await settle();
-  assert.ok(asked > 0);
-  assert.equal(budgets.of("s", "safe").leased(), 5);
-  assert.ok(budgets.of("s", "safe").spend());
-  await clock.pass(20_000_000);
-  const askedBefore = asked;
-  await clock.pass(20_000_000);
-  assert.equal(asked, askedBefore);
-});
+Then(
+  "it asks the holder within a second, takes the lease, and stops asking when it needs none",
+  async () => {
+    await clock.pass(1_000_000);
+    await settle();
+    assert.ok(asked > 0);
+    assert.equal(budgets.of("s", "safe").leased(), 5);
+    assert.ok(budgets.of("s", "safe").spend());
+    await clock.pass(20_000_000);
+    const askedBefore = asked;
+    await clock.pass(20_000_000);
+    assert.equal(asked, askedBefore);
+  },
+);
 
 let verdict = "";
-When("the limit of {word} is set to a ratio of {float} and a slack of {int}, under {float} and {int}", (kind: string, ratio: number, slack: number, mostRatio: number, mostSlack: number) => {
-  const ceiling = { ratio: mostRatio, slack: mostSlack, windowUs: WINDOW_US };
-  const changed = withLimit(defaultLimits(ceiling), ceiling, EVERY_SERVICE, kind, { ratio, slack });
-  verdict = changed.isOk ? "" : changed.error;
-});
+When(
+  "the limit of {word} is set to a ratio of {float} and a slack of {int}, under {float} and {int}",
+  (kind: string, ratio: number, slack: number, mostRatio: number, mostSlack: number) => {
+    const ceiling = { ratio: mostRatio, slack: mostSlack, windowUs: WINDOW_US };
+    const changed = withLimit(defaultLimits(ceiling), ceiling, EVERY_SERVICE, kind, {
+      ratio,
+      slack,
+    });
+    verdict = changed.isOk ? "" : changed.error;
+  },
+);
 Then("it is taken", () => assert.equal(verdict, ""));
-Then("it is refused for {string}", (sentence: string) => assert.ok(verdict.includes(sentence), verdict));
-Then("by default unsafe and keyed have at most half of the ratio and slack of safe, and all slacks fit under the deployment's", () => {
-  const kinds = defaultLimits({ ratio: 0.2, slack: 70, windowUs: WINDOW_US })[EVERY_SERVICE];
-  assert.ok(kinds);
-  [kinds.unsafe, kinds.keyed].forEach((strict) => assert.ok(strict.ratio <= kinds.safe.ratio / 2 && strict.slack <= kinds.safe.slack / 2));
-  assert.ok(kinds.safe.slack + kinds.unsafe.slack + kinds.keyed.slack + kinds.cached.slack <= 70 + 1e-9);
-});
+Then("it is refused for {string}", (sentence: string) =>
+  assert.ok(verdict.includes(sentence), verdict),
+);
+Then(
+  "by default unsafe and keyed have at most half of the ratio and slack of safe, and all slacks fit under the deployment's",
+  () => {
+    const kinds = defaultLimits({ ratio: 0.2, slack: 70, windowUs: WINDOW_US })[EVERY_SERVICE];
+    assert.ok(kinds);
+    [kinds.unsafe, kinds.keyed].forEach((strict) =>
+      assert.ok(strict.ratio <= kinds.safe.ratio / 2 && strict.slack <= kinds.safe.slack / 2),
+    );
+    assert.ok(
+      kinds.safe.slack + kinds.unsafe.slack + kinds.keyed.slack + kinds.cached.slack <= 70 + 1e-9,
+    );
+  },
+);
--- a/features/steps/subset.ts
+++ b/features/steps/subset.ts
@@ -25,41 +25,74 @@
 const clock = new ManualClock();
 
 const spread = (count: number, prefix: string): { readonly id: string; readonly cell: string }[] =>
-  Array.from({ length: count }, (_value, at) => ({ id: `${prefix}-${Math.floor(at / cells) + 1}-${at % cells}`, cell: `c${at % cells}` }));
+  Array.from({ length: count }, (_value, at) => ({
+    id: `${prefix}-${Math.floor(at / cells) + 1}-${at % cells}`,
+    cell: `c${at % cells}`,
+  }));
 
-const countOf = (node: SimplePlace, all: readonly SimplePlace[] = nodes): NodeCount => ({ here: all.filter(({ cell }) => cell === node.cell).length, everywhere: all.length });
-const subsetFor = (node: SimplePlace, of: readonly Placed[] = workers, all: readonly SimplePlace[] = nodes): Subset<Placed> => subsetOf(node.name, node.cell, of, countOf(node, all));
-const changed = (before: readonly Placed[], after: readonly Placed[]): number => before.filter((one) => !after.includes(one)).length;
-
-Given("{int} nodes and {int} workers over {int} cells", (nodeCount: number, workerCount: number, cellCount: number) => {
-  cells = cellCount;
-  nodes = spread(nodeCount, "edge").map(({ id, cell }) => ({ name: id, cell }));
-  workers = spread(workerCount, "i-worker");
+const countOf = (node: SimplePlace, all: readonly SimplePlace[] = nodes): NodeCount => ({
+  here: all.filter(({ cell }) => cell === node.cell).length,
+  everywhere: all.length,
 });
+const subsetFor = (
+  node: SimplePlace,
+  of: readonly Placed[] = workers,
+  all: readonly SimplePlace[] = nodes,
+): Subset<Placed> => subsetOf(node.name, node.cell, of, countOf(node, all));
+const changed = (before: readonly Placed[], after: readonly Placed[]): number =>
+  before.filter((one) => !after.includes(one)).length;
+
+Given(
+  "{int} nodes and {int} workers over {int} cells",
+  (nodeCount: number, workerCount: number, cellCount: number) => {
+    cells = cellCount;
+    nodes = spread(nodeCount, "edge").map(({ id, cell }) => ({ name: id, cell }));
+    workers = spread(workerCount, "i-worker");
+  },
+);
 Then("each node sends to at most {int} workers, those of its own cell first", (most: number) => {
   nodes.forEach((node) => {
     const { near, far } = subsetFor(node);
     assert.ok(near.length + far.length <= most, `${near.length} and ${far.length}`);
-    assert.ok(near.length >= 6 && near.every(({ cell }) => cell === node.cell) && far.every(({ cell }) => cell !== node.cell));
-  });
-});
-Then("each worker is near for at least {int} nodes, and for at most {float} times as many as on average", (least: number, times: number) => {
-  const held = new Map(workers.map(({ id }) => [id, 0]));
-  nodes.forEach((node) => subsetFor(node).near.forEach(({ id }) => held.set(id, (held.get(id) ?? 0) + 1)));
-  const counts = [...held.values()];
-  const mean = counts.reduce((sum, count) => sum + count, 0) / counts.length;
-  assert.ok(Math.min(...counts) >= least && Math.max(...counts) <= mean * times, `${Math.min(...counts)} to ${Math.max(...counts)}, mean ${mean}`);
-});
-Then("a worker that comes or goes changes at most one place of each list, and a node more or less changes none", () => {
-  const fewer = workers.filter((_worker, at) => at !== 17);
-  const fewerNodes = nodes.filter((_node, at) => at !== 23);
-  nodes.slice(0, 20).forEach((node) => {
-    const [before, after, without] = [subsetFor(node), subsetFor(node, fewer), subsetFor(node, workers, fewerNodes)];
-    assert.ok(changed(before.near, after.near) <= 1 && changed(before.far, after.far) <= 1);
-    assert.ok(changed(after.near, before.near) <= 1 && changed(after.far, before.far) <= 1);
-    assert.deepEqual([without.near, without.far], [before.near, before.far]);
+    assert.ok(
+      near.length >= 6 &&
+        near.every(({ cell }) => cell === node.cell) &&
+        far.every(({ cell }) => cell !== node.cell),
+    );
   });
 });
+Then(
+  "each worker is near for at least {int} nodes, and for at most {float} times as many as on average",
+  (least: number, times: number) => {
+    const held = new Map(workers.map(({ id }) => [id, 0]));
+    nodes.forEach((node) =>
+      subsetFor(node).near.forEach(({ id }) => held.set(id, (held.get(id) ?? 0) + 1)),
+    );
+    const counts = [...held.values()];
+    const mean = counts.reduce((sum, count) => sum + count, 0) / counts.length;
+    assert.ok(
+      Math.min(...counts) >= least && Math.max(...counts) <= mean * times,
+      `${Math.min(...counts)} to ${Math.max(...counts)}, mean ${mean}`,
+    );
+  },
+);
+Then(
+  "a worker that comes or goes changes at most one place of each list, and a node more or less changes none",
+  () => {
+    const fewer = workers.filter((_worker, at) => at !== 17);
+    const fewerNodes = nodes.filter((_node, at) => at !== 23);
+    nodes.slice(0, 20).forEach((node) => {
+      const [before, after, without] = [
+        subsetFor(node),
+        subsetFor(node, fewer),
+        subsetFor(node, workers, fewerNodes),
+      ];
+      assert.ok(changed(before.near, after.near) <= 1 && changed(before.far, after.far) <= 1);
+      assert.ok(changed(after.near, before.near) <= 1 && changed(after.far, before.far) <= 1);
+      assert.deepEqual([without.near, without.far], [before.near, before.far]);
+    });
+  },
+);
 Then("each node sends to all {int} workers", (count: number) => {
   nodes.forEach((node) => {
     const { near, far } = subsetFor(node);
@@ -75,12 +108,33 @@
   assert.ok(node);
   const yard = new Yard(counting, node.name, node.cell);
   yard.setNodes(countOf(node));
-  const body = (cell: string) => ({ service: "s", address: "127.0.0.1:1", cell, capacity: 2, state: "ready", warmUs: 0 });
-  yard.take(workers.map(({ id, cell }) => ({ key: WORKER_PREFIX + id, version: 1, tie: "", sinceUs: 0, body: body(cell) })));
-  const chooser = new Chooser({ yard, cell: node.cell, random: seeded(7), connectionShare: () => 6 });
+  const body = (cell: string) => ({
+    service: "s",
+    address: "127.0.0.1:1",
+    cell,
+    capacity: 2,
+    state: "ready",
+    warmUs: 0,
+  });
+  yard.take(
+    workers.map(({ id, cell }) => ({
+      key: WORKER_PREFIX + id,
+      version: 1,
+      tie: "",
+      sinceUs: 0,
+      body: body(cell),
+    })),
+  );
+  const chooser = new Chooser({
+    yard,
+    cell: node.cell,
+    random: seeded(7),
+    connectionShare: () => 6,
+  });
   chooser.choose("s", new Set(), 600_000);
   count = 0;
-  for (let choice = 0; choice < choices; choice += 1) assert.ok(chooser.choose("s", new Set(), 600_000));
+  for (let choice = 0; choice < choices; choice += 1)
+    assert.ok(chooser.choose("s", new Set(), 600_000));
   return count;
 };
 When("the clock is read by {int} choices", (choices: number) => {
@@ -90,17 +144,27 @@
   nodes = spread(nodes.length * times, "edge").map(({ id, cell }) => ({ name: id, cell }));
   workers = spread(workers.length * times, "i-worker");
 });
-Then("{int} choices read the clock at most {float} times as often", (choices: number, times: number) => {
-  const now = readsOf(choices);
-  assert.ok(now > 0 && now <= reads * times, `${now} against ${reads}`);
-});
+Then(
+  "{int} choices read the clock at most {float} times as often",
+  (choices: number, times: number) => {
+    const now = readsOf(choices);
+    assert.ok(now > 0 && now <= reads * times, `${now} against ${reads}`);
+  },
+);
 
 // --- load over workers ----------------------------------------------------------------------------------------------
 
 Given(
   "a fleet of {int} cells with {int} nodes and {int} workers each, {int}% of all slots in use",
   (cellCount: number, nodesACell: number, workersACell: number, percent: number) => {
-    fleet = new SimFleet({ ...FLEET_TERMS, cells: cellCount, nodesACell, workersACell, usedPart: percent / 100, speeds: [1] });
+    fleet = new SimFleet({
+      ...FLEET_TERMS,
+      cells: cellCount,
+      nodesACell,
+      workersACell,
+      usedPart: percent / 100,
+      speeds: [1],
+    });
     gone = [];
     fleet.start();
   },
@@ -123,11 +187,14 @@
   });
   return [...counts.values()];
 };
-const meanOf = (values: readonly number[]): number => values.reduce((sum, value) => sum + value, 0) / values.length;
+const meanOf = (values: readonly number[]): number =>
+  values.reduce((sum, value) => sum + value, 0) / values.length;
 
 Then("at least {int}% of the calls are answered within {int} ms", (percent: number, ms: number) => {
   const rows = lately();
-  const inTime = rows.filter(({ kind, tookUs }) => kind === "answered" && tookUs <= ms * 1_000).length;
+  const inTime = rows.filter(
+    ({ kind, tookUs }) => kind === "answered" && tookUs <= ms * 1_000,
+  ).length;
   assert.ok(inTime >= (rows.length * percent) / 100, `${inTime} of ${rows.length}`);
 });
 Then("at most {float}% of the calls are reset by a full worker", (percent: number) => {
@@ -136,7 +203,10 @@
 });
 Then("no worker has more than {float} times the calls of the mean", (times: number) => {
   const calls = callsOf([...fleet.workers.keys()]);
-  assert.ok(Math.max(...calls) <= meanOf(calls) * times, `${Math.max(...calls)}, mean ${meanOf(calls)}`);
+  assert.ok(
+    Math.max(...calls) <= meanOf(calls) * times,
+    `${Math.max(...calls)}, mean ${meanOf(calls)}`,
+  );
 });
 When("{int} workers go and {int} others come", (out: number, come: number) => {
   goneUs = fleet.timeline.nowUs();
@@ -144,12 +214,23 @@
   gone.forEach(fleet.retire);
   for (let at = 0; at < come; at += 1) fleet.add(`w-new-${at}`, `c${at % fleet.terms.cells}`);
 });
-Then("no worker that was there all the time has more than {float} times the calls of the mean", (times: number) => {
-  const calls = callsOf([...fleet.workers.keys()].filter((id) => !gone.includes(id) && !id.startsWith("w-new")));
-  assert.ok(Math.max(...calls) <= meanOf(calls) * times, `${Math.max(...calls)}, mean ${meanOf(calls)}`);
-});
+Then(
+  "no worker that was there all the time has more than {float} times the calls of the mean",
+  (times: number) => {
+    const calls = callsOf(
+      [...fleet.workers.keys()].filter((id) => !gone.includes(id) && !id.startsWith("w-new")),
+    );
+    assert.ok(
+      Math.max(...calls) <= meanOf(calls) * times,
+      `${Math.max(...calls)}, mean ${meanOf(calls)}`,
+    );
+  },
+);
 Then("no call is sent to a worker after it went", () => {
-  assert.equal(fleet.sent.filter((sent) => sent.atUs > goneUs && gone.includes(sent.worker)).length, 0);
+  assert.equal(
+    fleet.sent.filter((sent) => sent.atUs > goneUs && gone.includes(sent.worker)).length,
+    0,
+  );
 });
 When("a sixth of the workers turn {int} times slower", (times: number) => {
   slow = [...fleet.workers.values()].filter((_worker, at) => at % 6 === 0);
@@ -164,10 +245,17 @@
 });
 const slowPart = (): number => {
   const slowIds = slow.map(({ id }) => id);
-  return meanOf(callsOf(slowIds)) / meanOf(callsOf([...fleet.workers.keys()].filter((id) => !slowIds.includes(id))));
+  return (
+    meanOf(callsOf(slowIds)) /
+    meanOf(callsOf([...fleet.workers.keys()].filter((id) => !slowIds.includes(id))))
+  );
 };
-Then("the slow workers get at most {int}% of the calls that the others get", (percent: number) => assert.ok(slowPart() <= percent / 100, String(slowPart())));
-Then("they get at least {int}% of the calls that the others get", (percent: number) => assert.ok(slowPart() >= percent / 100, String(slowPart())));
+Then("the slow workers get at most {int}% of the calls that the others get", (percent: number) =>
+  assert.ok(slowPart() <= percent / 100, String(slowPart())),
+);
+Then("they get at least {int}% of the calls that the others get", (percent: number) =>
+  assert.ok(slowPart() >= percent / 100, String(slowPart())),
+);
 
 Given("a worker whose calls usually take {int} ms", (ms: number) => {
   worker = new Worker("w", clock, new ServiceMean());
@@ -177,4 +265,6 @@
   worker.begin();
   await clock.pass(ms * 1_000);
 });
-Then("another call to it is expected to take at least {int} ms", (ms: number) => assert.ok(worker.guessUs(worker.usage(0)) >= ms * 1_000));
+Then("another call to it is expected to take at least {int} ms", (ms: number) =>
+  assert.ok(worker.guessUs(worker.usage(0)) >= ms * 1_000),
+);
--- a/features/steps/system.ts
+++ b/features/steps/system.ts
@@ -21,7 +21,15 @@
 let lastOrder = 0;
 let reply: Rec = {};
 
-const SPAN = { heartbeatUs: 1_500_000, drainUs: 2_000_000, graceUs: 1_000_000, applyUs: 2_000_000, contactUs: 3_000_000, confirmUs: 4_000_000, retryWindowUs: 10_000_000 };
+const SPAN = {
+  heartbeatUs: 1_500_000,
+  drainUs: 2_000_000,
+  graceUs: 1_000_000,
+  applyUs: 2_000_000,
+  contactUs: 3_000_000,
+  confirmUs: 4_000_000,
+  retryWindowUs: 10_000_000,
+};
 
 const settingsOf = (name: string, ip: string, cell: string, port: number): Settings => ({
   ...SPAN,
@@ -56,14 +64,26 @@
   rolloutWeights: { late: 0.3, lostSafe: 1, lostUnsafe: 2, doubled: 5 },
 });
 
-const call = (address: string, method: string, path: string, body = "", heads: Readonly<Record<string, string>> = {}): Promise<{ readonly status: number; readonly body: string }> =>
+const call = (
+  address: string,
+  method: string,
+  path: string,
+  body = "",
+  heads: Readonly<Record<string, string>> = {},
+): Promise<{ readonly status: number; readonly body: string }> =>
   new Promise((resolve) => {
-    const request = httpRequest(`http://${address}${path}`, { method, agent: false, headers: { ...heads, "Content-Length": Buffer.byteLength(body) } }, (response) => {
-      const chunks: Buffer[] = [];
-      response.on("data", (chunk: Buffer) => chunks.push(chunk));
-      response.on("end", () => resolve({ status: response.statusCode ?? 0, body: Buffer.concat(chunks).toString() }));
-      response.on("error", () => resolve({ status: 0, body: "" }));
-    });
+    const request = httpRequest(
+      `http://${address}${path}`,
+      { method, agent: false, headers: { ...heads, "Content-Length": Buffer.byteLength(body) } },
+      (response) => {
+        const chunks: Buffer[] = [];
+        response.on("data", (chunk: Buffer) => chunks.push(chunk));
+        response.on("end", () =>
+          resolve({ status: response.statusCode ?? 0, body: Buffer.concat(chunks).toString() }),
+        );
+        response.on("error", () => resolve({ status: 0, body: "" }));
+      },
+    );
     request.on("error", () => resolve({ status: 0, body: "" }));
     request.end(body);
   });
@@ -92,7 +112,16 @@
   beats += 1;
   const service = worker.id.startsWith("old") ? "s-old" : "s-new";
   const cell = `c${(Number(worker.id.slice(-1)) % 3) + 1}`;
-  return JSON.stringify({ service, address: worker.address, cell, version: "v1", capacity: 3, state, warmLeft: "0ms", callCount: beats });
+  return JSON.stringify({
+    service,
+    address: worker.address,
+    cell,
+    version: "v1",
+    capacity: 3,
+    state,
+    warmLeft: "0ms",
+    callCount: beats,
+  });
 };
 const liveBox = (): Settings => {
   const box = boxes.find(({ name }) => running.has(name));
@@ -101,9 +130,13 @@
 };
 let lastBeatUs = 0;
 const beatAll = async (): Promise<void> => {
-  if (!boxes.some(({ name }) => running.has(name)) || clock.nowUs() - lastBeatUs < 1_000_000) return;
+  if (!boxes.some(({ name }) => running.has(name)) || clock.nowUs() - lastBeatUs < 1_000_000)
+    return;
   lastBeatUs = clock.nowUs();
-  for (const worker of [...workers.values()].filter(({ id }) => cellOfWorker(id) !== darkCell)) await during(call(liveBox().control, "POST", `/workers/${worker.id}/heartbeat`, beatOf(worker)));
+  for (const worker of [...workers.values()].filter(({ id }) => cellOfWorker(id) !== darkCell))
+    await during(
+      call(liveBox().control, "POST", `/workers/${worker.id}/heartbeat`, beatOf(worker)),
+    );
 };
 
 /** Time passes while the workers go on beating. */
@@ -128,9 +161,27 @@
   JSON.stringify({
     putItems: {
       listeners: [
-        { host: "a.example", rules: [{ name: "r-unsafe", routeKind: "unsafe", target_time: "800ms", rank: 1, version, matchOn: { pathStart: "/o/" }, then: { ...then, giveUp: "2000ms", tries: 1 } }] },
+        {
+          host: "a.example",
+          rules: [
+            {
+              name: "r-unsafe",
+              routeKind: "unsafe",
+              target_time: "800ms",
+              rank: 1,
+              version,
+              matchOn: { pathStart: "/o/" },
+              then: { ...then, giveUp: "2000ms", tries: 1 },
+            },
+          ],
+        },
       ],
-      groups: ["s-old", "s-new"].map((name) => ({ name, statusPath: "/health", maxConnections: 60, version: 1 })),
+      groups: ["s-old", "s-new"].map((name) => ({
+        name,
+        statusPath: "/health",
+        maxConnections: 60,
+        version: 1,
+      })),
     },
   });
 
@@ -144,7 +195,14 @@
 
 const order = (node: Settings): Promise<{ readonly status: number; readonly body: string }> => {
   lastOrder += 1;
-  return during(call(node.front, "POST", "/o/x", "an order", { Host: "a.example", "Yewreel-Try-Id": `order-${lastOrder}`, "Yewreel-Time-Left-Ms": "1500" }), 20_000);
+  return during(
+    call(node.front, "POST", "/o/x", "an order", {
+      Host: "a.example",
+      "Yewreel-Try-Id": `order-${lastOrder}`,
+      "Yewreel-Time-Left-Ms": "1500",
+    }),
+    20_000,
+  );
 };
 
 const startNode = async (number: number): Promise<void> => {
@@ -153,8 +211,12 @@
   running.set(node.name, await runPointsman(node, clock));
 };
 
-const tellRollouts = async (): Promise<string> => (await during(call(liveBox().control, "GET", "/tell/rollouts"))).body;
-const seenBy = (prefix: string): number => [...workers].filter(([id]) => id.startsWith(prefix)).reduce((sum, [, worker]) => sum + worker.seen.length, 0);
+const tellRollouts = async (): Promise<string> =>
+  (await during(call(liveBox().control, "GET", "/tell/rollouts"))).body;
+const seenBy = (prefix: string): number =>
+  [...workers]
+    .filter(([id]) => id.startsWith(prefix))
+    .reduce((sum, [, worker]) => sum + worker.seen.length, 0);
 
 Given("3 signalboxes and 5 pointsmen in 3 cells that start for the first time", async () => {
   setLogLevel("silent");
@@ -165,7 +227,9 @@
   darkCell = "";
   systems += 1;
   base = 12_000 + systems * 20;
-  boxes = [1, 2, 3].map((number) => settingsOf(`box-${number}`, `127.1.0.${number}`, `c${number}`, base + 4));
+  boxes = [1, 2, 3].map((number) =>
+    settingsOf(`box-${number}`, `127.1.0.${number}`, `c${number}`, base + 4),
+  );
   nodes = [];
   for (const box of boxes) running.set(box.name, await runSignalbox(box, clock));
   for (let number = 1; number <= 5; number += 1) await startNode(number);
@@ -184,20 +248,38 @@
   await apply(liveBox(), planOf(1, { service: "s-old" }));
 });
 Given("every pointsman is ready", async () => {
-  for (const node of nodes) await until(async () => (await during(call(node.ready, "GET", "/ready"))).status === 200, `${node.name} is ready`);
+  for (const node of nodes)
+    await until(
+      async () => (await during(call(node.ready, "GET", "/ready"))).status === 200,
+      `${node.name} is ready`,
+    );
   await clock.pass(500_000);
 });
 
-When("the operator moves {string} to the new service at version {int} through box {int}", async (_name: string, version: number, number: number) => {
-  const box = boxes[number - 1];
-  assert.ok(box);
-  await apply(box, planOf(version, { service: "s-new" }));
-  await clock.pass(500_000);
-});
-When("the operator splits {string} {int} to {int} over the old and the new service at version {int}", async (_name: string, old: number, fresh: number, version: number) => {
-  await apply(liveBox(), planOf(version, { shares: [{ service: "s-old", share: old }, { service: "s-new", share: fresh }] }));
-  await live(1_500_000);
-});
+When(
+  "the operator moves {string} to the new service at version {int} through box {int}",
+  async (_name: string, version: number, number: number) => {
+    const box = boxes[number - 1];
+    assert.ok(box);
+    await apply(box, planOf(version, { service: "s-new" }));
+    await clock.pass(500_000);
+  },
+);
+When(
+  "the operator splits {string} {int} to {int} over the old and the new service at version {int}",
+  async (_name: string, old: number, fresh: number, version: number) => {
+    await apply(
+      liveBox(),
+      planOf(version, {
+        shares: [
+          { service: "s-old", share: old },
+          { service: "s-new", share: fresh },
+        ],
+      }),
+    );
+    await live(1_500_000);
+  },
+);
 When("every signalbox ends", async () => {
   for (const box of boxes) {
     await whileBeating(running.get(box.name)?.stop() ?? Promise.resolve());
@@ -205,19 +287,27 @@
   }
 });
 When("{int} seconds pass on the clock", async (seconds: number) => clock.pass(seconds * 1_000_000));
-When("worker {string} says through box {int} that it is draining", async (id: string, number: number) => {
-  const [worker, box] = [workers.get(id), boxes[number - 1]];
-  assert.ok(worker && box);
-  const answer = await during(call(box.control, "POST", `/workers/${id}/heartbeat`, beatOf(worker, "draining")));
-  assert.equal(answer.status, 200);
-  workers.forEach((one) => one.seen.splice(0));
-});
+When(
+  "worker {string} says through box {int} that it is draining",
+  async (id: string, number: number) => {
+    const [worker, box] = [workers.get(id), boxes[number - 1]];
+    assert.ok(worker && box);
+    const answer = await during(
+      call(box.control, "POST", `/workers/${id}/heartbeat`, beatOf(worker, "draining")),
+    );
+    assert.equal(answer.status, 200);
+    workers.forEach((one) => one.seen.splice(0));
+  },
+);
 When("the news has spread", async () => clock.pass(200_000));
 When("a sixth pointsman starts", async () => {
   await startNode(6);
   const node = nodes[5];
   assert.ok(node);
-  await until(async () => (await during(call(node.ready, "GET", "/ready"))).status === 200, "the sixth is ready");
+  await until(
+    async () => (await during(call(node.ready, "GET", "/ready"))).status === 200,
+    "the sixth is ready",
+  );
 });
 When("the new service's workers lose the answers of orders", () => {
   workers.forEach((worker, id) => {
@@ -225,7 +315,9 @@
   });
 });
 When("the holder of the duty ends in order", async () => {
-  const duty = asRec(asRec(parseJson((await during(call(liveBox().control, "GET", "/tell/duty"))).body))["duty"]);
+  const duty = asRec(
+    asRec(parseJson((await during(call(liveBox().control, "GET", "/tell/duty"))).body))["duty"],
+  );
   const holder = boxes.find((box) => box.control === duty["holder"]);
   assert.ok(holder, "nobody holds the duty");
   await during(running.get(holder.name)?.stop() ?? Promise.resolve());
@@ -242,7 +334,11 @@
 When("worker {string} of another cell beats at box {int}", async (id: string, number: number) => {
   const [worker, box] = [workers.get(id), boxes[number - 1]];
   assert.ok(worker && box);
-  reply = asRec(parseJson((await during(call(box.control, "POST", `/workers/${id}/heartbeat`, beatOf(worker)))).body));
+  reply = asRec(
+    parseJson(
+      (await during(call(box.control, "POST", `/workers/${id}/heartbeat`, beatOf(worker)))).body,
+    ),
+  );
 });
 
 Then("every pointsman serves an order", async () => {
@@ -256,20 +352,31 @@
 Then("every pointsman sends orders to the old service only", async () => {
   await clock.pass(300_000);
   workers.forEach((worker) => worker.seen.splice(0));
-  for (const node of nodes) for (let time = 0; time < 4; time += 1) assert.equal((await order(node)).status, 200);
+  for (const node of nodes)
+    for (let time = 0; time < 4; time += 1) assert.equal((await order(node)).status, 200);
   assert.deepEqual([seenBy("old"), seenBy("new")], [nodes.length * 4, 0]);
 });
 Then("no pointsman sends an order to {string}", async (id: string) => {
-  for (const node of nodes) for (let time = 0; time < 5; time += 1) assert.equal((await order(node)).status, 200);
+  for (const node of nodes)
+    for (let time = 0; time < 5; time += 1) assert.equal((await order(node)).status, 200);
   assert.equal(workers.get(id)?.seen.length, 0);
 });
-Then("within {int} seconds the new service is stopped on {string}", async (seconds: number, name: string) => {
-  await until(async () => /"verdict":"stop"/.test(await tellRollouts()), "the candidate is stopped", seconds);
-  const told = asRec(asRec(parseJson(await tellRollouts()))["rollouts"]);
-  const row = asRec(asList(told["rollouts"])[0]);
-  assert.deepEqual([row["route"], row["candidate"], row["baseline"]], [name, "s-new", "s-old"]);
-});
-Then("it is told to report to the signalbox of its own cell", () => assert.equal(reply["reportTo"], boxes[2]?.control));
+Then(
+  "within {int} seconds the new service is stopped on {string}",
+  async (seconds: number, name: string) => {
+    await until(
+      async () => /"verdict":"stop"/.test(await tellRollouts()),
+      "the candidate is stopped",
+      seconds,
+    );
+    const told = asRec(asRec(parseJson(await tellRollouts()))["rollouts"]);
+    const row = asRec(asList(told["rollouts"])[0]);
+    assert.deepEqual([row["route"], row["candidate"], row["baseline"]], [name, "s-new", "s-old"]);
+  },
+);
+Then("it is told to report to the signalbox of its own cell", () =>
+  assert.equal(reply["reportTo"], boxes[2]?.control),
+);
 
 After(async () => {
   for (const one of running.values()) await during(one.stop(), 100_000);
@@ -289,7 +396,10 @@
 let lastSeenInCellUs = 0;
 
 const cellOfWorker = (id: string): string => `c${(Number(id.slice(-1)) % 3) + 1}`;
-const seenInCell = (cell: string): number => [...workers].filter(([id]) => cellOfWorker(id) === cell).reduce((sum, [, worker]) => sum + worker.seen.length, 0);
+const seenInCell = (cell: string): number =>
+  [...workers]
+    .filter(([id]) => cellOfWorker(id) === cell)
+    .reduce((sum, [, worker]) => sum + worker.seen.length, 0);
 
 /** One order at each node that says it is ready, as the platform would bring callers there. */
 const placeAtReady = async (): Promise<void> => {
@@ -303,26 +413,46 @@
 };
 
 const stageOf = async (): Promise<string> => {
-  const told = asRec(asRec(parseJson((await during(call(liveBox().control, "GET", "/tell/windows"))).body))["windows"]);
-  const row = asList(told["windows"]).map((value) => asRec(value)).find((window) => window["id"] === windowId);
+  const told = asRec(
+    asRec(parseJson((await during(call(liveBox().control, "GET", "/tell/windows"))).body))[
+      "windows"
+    ],
+  );
+  const row = asList(told["windows"])
+    .map((value) => asRec(value))
+    .find((window) => window["id"] === windowId);
   return String(row?.["stage"]);
 };
 
-When("a window of {string} that opens in {int} s and lasts {int} s is planned through box {int}", async (cell: string, opens: number, lasts: number, number: number) => {
-  placed = [];
-  darkCell = "";
-  await live(3_000_000);
-  const answer = await during(call(boxes[number - 1]?.control ?? "", "POST", "/windows", JSON.stringify({ cell, opens: `${opens}s`, lasts: `${lasts}s` })));
-  assert.equal(answer.status, 200, answer.body);
-  windowId = String(asRec(parseJson(answer.body))["id"]);
-});
-When("orders go on at every ready pointsman until the window is {string}", { timeout: 60_000 }, async (stage: string) => {
-  for (let at = 0; at < 120 && (await stageOf()) !== stage; at += 1) {
-    await placeAtReady();
-    await live(500_000);
-  }
-  assert.equal(await stageOf(), stage);
-});
+When(
+  "a window of {string} that opens in {int} s and lasts {int} s is planned through box {int}",
+  async (cell: string, opens: number, lasts: number, number: number) => {
+    placed = [];
+    darkCell = "";
+    await live(3_000_000);
+    const answer = await during(
+      call(
+        boxes[number - 1]?.control ?? "",
+        "POST",
+        "/windows",
+        JSON.stringify({ cell, opens: `${opens}s`, lasts: `${lasts}s` }),
+      ),
+    );
+    assert.equal(answer.status, 200, answer.body);
+    windowId = String(asRec(parseJson(answer.body))["id"]);
+  },
+);
+When(
+  "orders go on at every ready pointsman until the window is {string}",
+  { timeout: 60_000 },
+  async (stage: string) => {
+    for (let at = 0; at < 120 && (await stageOf()) !== stage; at += 1) {
+      await placeAtReady();
+      await live(500_000);
+    }
+    assert.equal(await stageOf(), stage);
+  },
+);
 When("the workers and pointsmen of {string} go dark", { timeout: 60_000 }, async (cell: string) => {
   darkCell = cell;
   workers.forEach((worker, id) => {
@@ -333,89 +463,161 @@
     running.delete(node.name);
   }
 });
-When("orders go on at every ready pointsman for {int} s", { timeout: 60_000 }, async (seconds: number) => {
-  for (let at = 0; at < seconds * 2; at += 1) {
-    await placeAtReady();
-    await live(500_000);
-  }
-});
-Then("the pointsmen of {string} are not ready, and its workers have seen no order for {int} s or more", async (cell: string, seconds: number) => {
-  for (const node of nodes.filter((one) => one.cell === cell)) assert.notEqual((await during(call(node.ready, "GET", "/ready"))).status, 200);
-  assert.ok(clock.nowUs() - lastSeenInCellUs >= seconds * 1_000_000);
-});
+When(
+  "orders go on at every ready pointsman for {int} s",
+  { timeout: 60_000 },
+  async (seconds: number) => {
+    for (let at = 0; at < seconds * 2; at += 1) {
+      await placeAtReady();
+      await live(500_000);
+    }
+  },
+);
+Then(
+  "the pointsmen of {string} are not ready, and its workers have seen no order for {int} s or more",
+  async (cell: string, seconds: number) => {
+    for (const node of nodes.filter((one) => one.cell === cell))
+      assert.notEqual((await during(call(node.ready, "GET", "/ready"))).status, 200);
+    assert.ok(clock.nowUs() - lastSeenInCellUs >= seconds * 1_000_000);
+  },
+);
 Then("every order was answered well, and ran exactly once", () => {
   assert.ok(placed.length > 60, `${placed.length} orders`);
   const runs = new Map<string, number>();
-  workers.forEach((worker) => worker.seen.forEach(({ tryId }) => runs.set(tryId, (runs.get(tryId) ?? 0) + 1)));
+  workers.forEach((worker) =>
+    worker.seen.forEach(({ tryId }) => runs.set(tryId, (runs.get(tryId) ?? 0) + 1)),
+  );
   placed.forEach(({ id, status }) => assert.deepEqual([id, status, runs.get(id)], [id, 200, 1]));
 });
 
 // --- the written retry limit, and the forecast of what would move ------------------------------------------------------
 
-const post = async (box: Settings | undefined, path: string, body: Rec): Promise<{ readonly status: number; readonly body: Rec }> => {
+const post = async (
+  box: Settings | undefined,
+  path: string,
+  body: Rec,
+): Promise<{ readonly status: number; readonly body: Rec }> => {
   const answer = await during(call(box?.control ?? "", "POST", path, JSON.stringify(body)));
   return { status: answer.status, body: asRec(parseJson(answer.body)) };
 };
 let setStatuses: number[] = [];
-When("the retry limit of {string} is set to {float} and {int} through each signalbox in turn", async (kind: string, ratio: number, slack: number) => {
-  setStatuses = [];
-  for (const box of boxes) setStatuses.push((await post(box, "/retries", { service: "*", kind, ratio, slack })).status);
-});
+When(
+  "the retry limit of {string} is set to {float} and {int} through each signalbox in turn",
+  async (kind: string, ratio: number, slack: number) => {
+    setStatuses = [];
+    for (const box of boxes)
+      setStatuses.push((await post(box, "/retries", { service: "*", kind, ratio, slack })).status);
+  },
+);
 Then("it is taken each time", () => assert.deepEqual(setStatuses, [200, 200, 200]));
 Then("a limit above the deployment's is refused with one sentence", async () => {
-  const answer = await post(boxes[1], "/retries", { service: "*", kind: "unsafe", ratio: 0.9, slack: 4 });
+  const answer = await post(boxes[1], "/retries", {
+    service: "*",
+    kind: "unsafe",
+    ratio: 0.9,
+    slack: 4,
+  });
   assert.equal(answer.status, 400);
   assert.match(String(answer.body["problem"]), /above the deployment's 0.2/);
-  assert.equal((await post(boxes[1], "/retries", { service: "nobody", kind: "unsafe", ratio: 0.1, slack: 4 })).status, 400);
+  assert.equal(
+    (await post(boxes[1], "/retries", { service: "nobody", kind: "unsafe", ratio: 0.1, slack: 4 }))
+      .status,
+    400,
+  );
 });
 When("the old service's workers are full and orders are placed", async () => {
-  await apply(liveBox(), planOf(1, { service: "s-old" }).replace('"version":1,"matchOn"', '"version":3,"matchOn"').replace('"tries":1', '"tries":3'));
+  await apply(
+    liveBox(),
+    planOf(1, { service: "s-old" })
+      .replace('"version":1,"matchOn"', '"version":3,"matchOn"')
+      .replace('"tries":1', '"tries":3'),
+  );
   await live(1_000_000);
   workers.forEach((worker, id) => {
     worker.seen.splice(0);
     if (id.startsWith("old")) worker.manner = "full";
   });
-  for (let round = 0; round < 8; round += 1) for (const node of nodes) assert.equal((await order(node)).status, 503);
-});
-Then("the retries shown stand under the limit of {float} and {int}, with none left out", async (ratio: number, slack: number) => {
-  const told = asRec(parseJson((await during(call(liveBox().control, "GET", "/tell/retries"))).body));
-  const row = asList(told["retries"]).map((value) => asRec(value)).find((one) => one["service"] === "s-old" && one["kind"] === "unsafe");
-  assert.ok(row, JSON.stringify(told));
-  assert.deepEqual([row["ratio"], row["slack"], row["unheard"]], [ratio, slack, 0]);
-  const arrivals = [...workers.values()].flatMap(({ seen }) => seen.map(({ tryId }) => tryId));
-  const again = arrivals.length - new Set(arrivals).size;
-  assert.ok(again <= ratio * Number(row["requests"]) + slack, `${again} of ${String(row["requests"])}`);
-  assert.ok(Number(row["spent"]) >= again && Number(row["refused"]) > 0, JSON.stringify(row));
-});
+  for (let round = 0; round < 8; round += 1)
+    for (const node of nodes) assert.equal((await order(node)).status, 503);
+});
+Then(
+  "the retries shown stand under the limit of {float} and {int}, with none left out",
+  async (ratio: number, slack: number) => {
+    const told = asRec(
+      parseJson((await during(call(liveBox().control, "GET", "/tell/retries"))).body),
+    );
+    const row = asList(told["retries"])
+      .map((value) => asRec(value))
+      .find((one) => one["service"] === "s-old" && one["kind"] === "unsafe");
+    assert.ok(row, JSON.stringify(told));
+    assert.deepEqual([row["ratio"], row["slack"], row["unheard"]], [ratio, slack, 0]);
+    const arrivals = [...workers.values()].flatMap(({ seen }) => seen.map(({ tryId }) => tryId));
+    const again = arrivals.length - new Set(arrivals).size;
+    assert.ok(
+      again <= ratio * Number(row["requests"]) + slack,
+      `${again} of ${String(row["requests"])}`,
+    );
+    assert.ok(Number(row["spent"]) >= again && Number(row["refused"]) > 0, JSON.stringify(row));
+  },
+);
 Then("no order ran twice", () => {
   const runs = new Map<string, number>();
-  workers.forEach(({ seen, manner }) => seen.forEach(({ tryId }) => manner !== "full" && runs.set(tryId, (runs.get(tryId) ?? 0) + 1)));
+  workers.forEach(({ seen, manner }) =>
+    seen.forEach(({ tryId }) => manner !== "full" && runs.set(tryId, (runs.get(tryId) ?? 0) + 1)),
+  );
   runs.forEach((count) => assert.equal(count, 1));
 });
 
 let moves: Rec = {};
 let sentBefore = 0;
 let openBefore = 0;
-const sentInAll = (): number => [...workers.values()].reduce((sum, { seen }) => sum + seen.length, 0);
-const openedInAll = (): number => [...workers.values()].reduce((sum, { connections }) => sum + connections, 0);
-When("the forecast of retiring {string} is asked of box {int}", async (id: string, number: number) => {
-  [sentBefore, openBefore] = [sentInAll(), openedInAll()];
-  const answer = await post(boxes[number - 1], "/backends/forecast", { add: [], retire: [id], byRoute: true });
-  assert.equal(answer.status, 200, JSON.stringify(answer.body));
-  moves = asRec(answer.body["moves"]);
-});
-Then("it names the share that was sent to {string}, node by node and for the fleet", (id: string) => {
-  const seen = workers.get(id)?.seen.length ?? 0;
-  const [fleet] = asList(moves["fleet"]).map((value) => asRec(value));
-  assert.ok(fleet && seen > 0);
-  assert.deepEqual([fleet["kind"], fleet["route"], fleet["calls"], asList(moves["unheard"]).length], ["unsafe", "r-unsafe", 60, 0]);
-  assert.ok(Math.abs(Number(fleet["moved"]) - seen / 60) < 1e-9, `${String(fleet["moved"])} against ${seen}`);
-  assert.ok(Number(fleet["low"]) <= Number(fleet["moved"]) && Number(fleet["moved"]) <= Number(fleet["high"]));
-  const rows = asList(moves["nodes"]).map((value) => asRec(value));
-  assert.equal(rows.length, 5);
-  assert.ok(Math.abs(rows.reduce((sum, row) => sum + Number(row["moved"]) * Number(row["calls"]), 0) - seen) < 1e-9);
-});
-Then("asking sent nothing to any worker and opened no connection", () => assert.deepEqual([sentInAll(), openedInAll()], [sentBefore, openBefore]));
+const sentInAll = (): number =>
+  [...workers.values()].reduce((sum, { seen }) => sum + seen.length, 0);
+const openedInAll = (): number =>
+  [...workers.values()].reduce((sum, { connections }) => sum + connections, 0);
+When(
+  "the forecast of retiring {string} is asked of box {int}",
+  async (id: string, number: number) => {
+    [sentBefore, openBefore] = [sentInAll(), openedInAll()];
+    const answer = await post(boxes[number - 1], "/backends/forecast", {
+      add: [],
+      retire: [id],
+      byRoute: true,
+    });
+    assert.equal(answer.status, 200, JSON.stringify(answer.body));
+    moves = asRec(answer.body["moves"]);
+  },
+);
+Then(
+  "it names the share that was sent to {string}, node by node and for the fleet",
+  (id: string) => {
+    const seen = workers.get(id)?.seen.length ?? 0;
+    const [fleet] = asList(moves["fleet"]).map((value) => asRec(value));
+    assert.ok(fleet && seen > 0);
+    assert.deepEqual(
+      [fleet["kind"], fleet["route"], fleet["calls"], asList(moves["unheard"]).length],
+      ["unsafe", "r-unsafe", 60, 0],
+    );
+    assert.ok(
+      Math.abs(Number(fleet["moved"]) - seen / 60) < 1e-9,
+      `${String(fleet["moved"])} against ${seen}`,
+    );
+    assert.ok(
+      Number(fleet["low"]) <= Number(fleet["moved"]) &&
+        Number(fleet["moved"]) <= Number(fleet["high"]),
+    );
+    const rows = asList(moves["nodes"]).map((value) => asRec(value));
+    assert.equal(rows.length, 5);
+    assert.ok(
+      Math.abs(
+        rows.reduce((sum, row) => sum + Number(row["moved"]) * Number(row["calls"]), 0) - seen,
+      ) < 1e-9,
+    );
+  },
+);
+Then("asking sent nothing to any worker and opened no connection", () =>
+  assert.deepEqual([sentInAll(), openedInAll()], [sentBefore, openBefore]),
+);
 Then("forecasts of what can't be are refused with one sentence each", async () => {
   const refused: readonly (readonly [Rec, RegExp])[] = [
     [{ add: [], retire: ["nobody"] }, /no worker nobody/],
--- a/features/steps/terms.ts
+++ b/features/steps/terms.ts
@@ -81,15 +81,30 @@
 let registry: Registry;
 
 const beat = (id: string, state: string, callCount: number) =>
-  readBeat(id, { service: "s1", address: "10.0.0.9:80", cell: "c1", version: "v1", capacity: 3, state, warmLeft: "0ms", callCount });
+  readBeat(id, {
+    service: "s1",
+    address: "10.0.0.9:80",
+    cell: "c1",
+    version: "v1",
+    capacity: 3,
+    state,
+    warmLeft: "0ms",
+    callCount,
+  });
 
-Given("a registry that knows worker {string} as {word} at call {int}", (id: string, state: string, callCount: number) => {
-  registry = new Registry(clock, new Board(clock), 1_500_000);
-  registry.take(beat(id, state, callCount));
-});
-When("a beat of call {int} says that {string} is {word}", (callCount: number, id: string, state: string) => {
-  registry.take(beat(id, state, callCount));
-});
+Given(
+  "a registry that knows worker {string} as {word} at call {int}",
+  (id: string, state: string, callCount: number) => {
+    registry = new Registry(clock, new Board(clock), 1_500_000);
+    registry.take(beat(id, state, callCount));
+  },
+);
+When(
+  "a beat of call {int} says that {string} is {word}",
+  (callCount: number, id: string, state: string) => {
+    registry.take(beat(id, state, callCount));
+  },
+);
 When("{int} seconds go by", async (seconds: number) => {
   await clock.pass(seconds * 1_000_000);
   registry.sweep();
@@ -97,7 +112,9 @@
 When("{string} leaves", (id: string) => {
   registry.leave(id);
 });
-Then("{string} is {word}", (id: string, state: string) => assert.equal(registry.get(id)?.state, state));
+Then("{string} is {word}", (id: string, state: string) =>
+  assert.equal(registry.get(id)?.state, state),
+);
 
 let usage: readonly UsageRow[] = [];
 let fromCsv: unknown;
@@ -114,7 +131,10 @@
   const bytes = usageAsParquet(usage);
   const file = new ArrayBuffer(bytes.length);
   new Uint8Array(file).set(bytes);
-  fromParquet = (await parquetReadObjects({ file })).map((row) => ({ ...row, count: String(row["count"]) }));
+  fromParquet = (await parquetReadObjects({ file })).map((row) => ({
+    ...row,
+    count: String(row["count"]),
+  }));
 });
 Then("both give the same rows", () => {
   const wanted = usage.map((row) => ({ ...row, count: String(row.count) }));
--- a/features/steps/testtrack.ts
+++ b/features/steps/testtrack.ts
@@ -12,36 +12,66 @@
 
 const run = (args: readonly string[]): Promise<void> =>
   new Promise((resolve) => {
-    execFile(process.execPath, ["target/track/testtrack/run.js", ...args], (mishap, _out, errors) => {
-      code = mishap && typeof mishap.code === "number" ? mishap.code : 0;
-      said = errors;
-      resolve();
-    });
+    execFile(
+      process.execPath,
+      ["target/track/testtrack/run.js", ...args],
+      (mishap, _out, errors) => {
+        code = mishap && typeof mishap.code === "number" ? mishap.code : 0;
+        said = errors;
+        resolve();
+      },
+    );
   });
 
-When("the test track runs {int} and {int} hollow nodes before {int} signalboxes", { timeout: 90_000 }, async (small: number, large: number, boxes: number) => {
-  const folder = await mkdtemp(join(tmpdir(), "yewreel-track-"));
-  const out = join(folder, "result.json");
-  const sizes = `--boxes ${boxes} --hosts 2 --workers 6 --routes 10 --services 2 --seconds 3 --settle 2`;
-  await run(["nodes", String(small), String(large), ...sizes.split(" "), "--out", out]);
-  results = list(asRec(parseJson(await readFile(out, "utf8"))), "results", (value) => asRec(value));
-  await rm(folder, { recursive: true });
-});
+When(
+  "the test track runs {int} and {int} hollow nodes before {int} signalboxes",
+  { timeout: 90_000 },
+  async (small: number, large: number, boxes: number) => {
+    const folder = await mkdtemp(join(tmpdir(), "yewreel-track-"));
+    const out = join(folder, "result.json");
+    const sizes = `--boxes ${boxes} --hosts 2 --workers 6 --routes 10 --services 2 --seconds 3 --settle 2`;
+    await run(["nodes", String(small), String(large), ...sizes.split(" "), "--out", out]);
+    results = list(asRec(parseJson(await readFile(out, "utf8"))), "results", (value) =>
+      asRec(value),
+    );
+    await rm(folder, { recursive: true });
+  },
+);
 const nodesOf = (result: Rec): number => whole(asRec(result["size"]), "nodes");
 const framesOf = (result: Rec, phase: string, who: string, kind?: string): number =>
-  Object.entries(asRec(asRec(asRec(result[phase])[who])["sent"])).reduce((sum, [name, counts]) => (kind === undefined || kind === name ? sum + whole(asRec(counts), "frames") : sum), 0);
+  Object.entries(asRec(asRec(asRec(result[phase])[who])["sent"])).reduce(
+    (sum, [name, counts]) =>
+      kind === undefined || kind === name ? sum + whole(asRec(counts), "frames") : sum,
+    0,
+  );
 
-Then("no size failed", () => assert.deepEqual(results.map((result) => result["failed"]), [undefined, undefined]));
+Then("no size failed", () =>
+  assert.deepEqual(
+    results.map((result) => result["failed"]),
+    [undefined, undefined],
+  ),
+);
 Then("one change makes one news frame for each node at either size", () => {
-  results.forEach((result) => assert.equal(framesOf(result, "change", "boxes", "news") + framesOf(result, "change", "nodes", "news"), nodesOf(result)));
-});
-Then("a node at rest sends no more than the pulses of {int} connections and its report, at either size", (connections: number) => {
-  results.forEach((result) => {
-    const seconds = whole(asRec(result["atRest"]), "seconds") + 0.5;
-    const frames = framesOf(result, "atRest", "nodes") / nodesOf(result);
-    assert.ok(frames > 0 && frames <= connections * (seconds / 0.3) + seconds / 2, `${frames} in ${seconds} s`);
-  });
+  results.forEach((result) =>
+    assert.equal(
+      framesOf(result, "change", "boxes", "news") + framesOf(result, "change", "nodes", "news"),
+      nodesOf(result),
+    ),
+  );
 });
+Then(
+  "a node at rest sends no more than the pulses of {int} connections and its report, at either size",
+  (connections: number) => {
+    results.forEach((result) => {
+      const seconds = whole(asRec(result["atRest"]), "seconds") + 0.5;
+      const frames = framesOf(result, "atRest", "nodes") / nodesOf(result);
+      assert.ok(
+        frames > 0 && frames <= connections * (seconds / 0.3) + seconds / 2,
+        `${frames} in ${seconds} s`,
+      );
+    });
+  },
+);
 When(/^the test track is asked for (.+)$/, (args: string) => run(args.split(" ")));
 Then("it ends with code {int} and one line that names {string}", (wanted: number, what: string) => {
   assert.equal(code, wanted);
--- a/features/steps/traffic.ts
+++ b/features/steps/traffic.ts
@@ -87,7 +87,10 @@
     claims.set(key, { token, answer: message["answer"] });
     return { kind: "claim", kept: true };
   }
-  if (held && held.token !== token) return held.answer === undefined ? { kind: "claim", verdict: "working" } : { kind: "claim", verdict: "done", answer: held.answer };
+  if (held && held.token !== token)
+    return held.answer === undefined
+      ? { kind: "claim", verdict: "working" }
+      : { kind: "claim", verdict: "done", answer: held.answer };
   claims.set(key, { token, answer: undefined });
   return { kind: "claim", verdict: "won" };
 };
@@ -102,7 +105,12 @@
   board = new Board(clock);
   yard = new Yard(clock, "n1", "c1");
   const table = new RouteTable();
-  const budgets = new RetryBudgets({ clock, log: silentLog, windowUs: 10_000_000, limits: () => defaultLimits({ ratio: isBudgetEmpty ? 0 : 100, slack: 0, windowUs: 10_000_000 }) });
+  const budgets = new RetryBudgets({
+    clock,
+    log: silentLog,
+    windowUs: 10_000_000,
+    limits: () => defaultLimits({ ratio: isBudgetEmpty ? 0 : 100, slack: 0, windowUs: 10_000_000 }),
+  });
   retriesOf = (kind) => budgets.of("s1", kind).tell().retries;
   front = new Front({
     clock,
@@ -120,7 +128,8 @@
     desk: new KeyDesk(clock, askDesk, (message) => {
       if (message.kind !== "key-free") return;
       freed.push(String(message["token"]));
-      if (claims.get(String(message["key"]))?.token === message["token"]) claims.delete(String(message["key"]));
+      if (claims.get(String(message["key"]))?.token === message["token"])
+        claims.delete(String(message["key"]));
     }),
     goods: {
       permit: async () => true,
@@ -128,7 +137,12 @@
         wants.push(`${want.url} ${range ?? ""}`.trim());
         return isRateSpent
           ? { kind: "none", why: "rate", comeBackUs: 400_000 }
-          : { kind: "served", status: 200, heads: ["Yewreel-Server-Seal", "s.object", "ETag", '"1"'], body: Buffer.from("an object") };
+          : {
+              kind: "served",
+              status: 200,
+              heads: ["Yewreel-Server-Seal", "s.object", "ETag", '"1"'],
+              body: Buffer.from("an object"),
+            };
       },
     },
   });
@@ -140,7 +154,14 @@
   if (withPlan) {
     const call = readCall(PLAN);
     assert.ok(call.isOk);
-    board.post(call.value.map((register) => ({ key: PLAN_PREFIX + register.key, version: register.version, tie: "", body: { dropped: false, item: register.body } })));
+    board.post(
+      call.value.map((register) => ({
+        key: PLAN_PREFIX + register.key,
+        version: register.version,
+        tie: "",
+        body: { dropped: false, item: register.body },
+      })),
+    );
   }
   fronts += 1;
   host = `127.4.${Math.floor(fronts / 200)}.${(fronts % 200) + 1}`;
@@ -153,20 +174,58 @@
   const worker = new StandIn(id, manner);
   await worker.start();
   workers.set(id, worker);
-  board.post([{ key: WORKER_PREFIX + id, version: 1, tie: "", body: { service: "s1", address: worker.address, cell: "c1", capacity: 3, state: "ready", warmUs: 0 } }]);
+  board.post([
+    {
+      key: WORKER_PREFIX + id,
+      version: 1,
+      tie: "",
+      body: {
+        service: "s1",
+        address: worker.address,
+        cell: "c1",
+        capacity: 3,
+        state: "ready",
+        warmUs: 0,
+      },
+    },
+  ]);
   await settle();
   return worker;
 };
 
-const send = (method: string, path: string, body = "", more: Readonly<Record<string, string>> = {}): Promise<Got> =>
+const send = (
+  method: string,
+  path: string,
+  body = "",
+  more: Readonly<Record<string, string>> = {},
+): Promise<Got> =>
   new Promise((resolve, reject) => {
     lastTry += 1;
     const request = httpRequest(
-      { host, port, method, path, agent: false, headers: { Host: "a.example", "Yewreel-Try-Id": `try-${lastTry}`, "Yewreel-Time-Left-Ms": "2500", ...(body === "" ? {} : { "Content-Length": body.length }), ...more } },
+      {
+        host,
+        port,
+        method,
+        path,
+        agent: false,
+        headers: {
+          Host: "a.example",
+          "Yewreel-Try-Id": `try-${lastTry}`,
+          "Yewreel-Time-Left-Ms": "2500",
+          ...(body === "" ? {} : { "Content-Length": body.length }),
+          ...more,
+        },
+      },
       (response) => {
         const chunks: Buffer[] = [];
         response.on("data", (chunk: Buffer) => chunks.push(chunk));
-        response.on("end", () => resolve({ status: response.statusCode ?? 0, heads: response.headers, body: Buffer.concat(chunks).toString() }));
+        response.on("end", () =>
+          resolve({
+            status: response.statusCode ?? 0,
+            heads: response.headers,
+            body: Buffer.concat(chunks).toString(),
+          }),
+        );
         response.on("error", reject);
       },
     );
@@ -224,10 +283,13 @@
   port = 0;
 });
 
-Given("a front with the plan's routes {string} and {string}", async (one: string, other: string) => {
-  assert.notEqual(one, other);
-  await build(true);
-});
+Given(
+  "a front with the plan's routes {string} and {string}",
+  async (one: string, other: string) => {
+    assert.notEqual(one, other);
+    await build(true);
+  },
+);
 Given("a front without a plan", async () => {
   front.stopListening();
   await build(false);
@@ -248,48 +310,75 @@
   got.push(await during(send("GET", path), 2_000));
 });
 When("a caller gets {string} until {string} has been asked", async (path: string, id: string) => {
-  for (let time = 0; time < 60 && worker(id).seen.length === 0; time += 1) got.push(await during(send("GET", path), 1_000));
-  assert.ok(worker(id).seen.length > 0, `${id} was never asked`);
-});
-When("a caller posts {string} to {string} until {string} has been asked", async (body: string, path: string, id: string) => {
-  for (let time = 0; time < 60 && worker(id).seen.length === 0; time += 1) got.push(await during(send("POST", path, body), 1_000));
+  for (let time = 0; time < 60 && worker(id).seen.length === 0; time += 1)
+    got.push(await during(send("GET", path), 1_000));
   assert.ok(worker(id).seen.length > 0, `${id} was never asked`);
 });
+When(
+  "a caller posts {string} to {string} until {string} has been asked",
+  async (body: string, path: string, id: string) => {
+    for (let time = 0; time < 60 && worker(id).seen.length === 0; time += 1)
+      got.push(await during(send("POST", path, body), 1_000));
+    assert.ok(worker(id).seen.length > 0, `${id} was never asked`);
+  },
+);
 When("a caller gets {string} {int} times in a row", async (path: string, times: number) => {
   for (let time = 0; time < times; time += 1) got.push(await during(send("GET", path), 1_000));
 });
-When("a caller posts {string} to {string} and its time runs out", async (body: string, path: string) => {
-  got.push(await during(send("POST", path, body), 200_000));
-});
-When("a caller gets {string} while {string} joins and a second passes", async (path: string, id: string) => {
-  const answer = send("GET", path);
-  for (let turn = 0; turn < 500 && worker("w1").seen.length === 0; turn += 1) await clock.pass(1_000);
-  await join(id, "well");
-  got.push(await during(answer, 100_000));
-});
-When("a caller sends {int} requests to {string} at once on one connection", async (count: number, path: string) => {
-  const bytes = Array.from({ length: count }, (_, at) => `GET ${path} HTTP/1.1\r\nHost: a.example\r\nYewreel-Try-Id: p-${at}\r\nYewreel-Time-Left-Ms: 2000\r\n\r\n`).join("");
-  raw = await converse(bytes, (answer) => answer.split("the bytes of the worker").length > count);
-});
+When(
+  "a caller posts {string} to {string} and its time runs out",
+  async (body: string, path: string) => {
+    got.push(await during(send("POST", path, body), 200_000));
+  },
+);
+When(
+  "a caller gets {string} while {string} joins and a second passes",
+  async (path: string, id: string) => {
+    const answer = send("GET", path);
+    for (let turn = 0; turn < 500 && worker("w1").seen.length === 0; turn += 1)
+      await clock.pass(1_000);
+    await join(id, "well");
+    got.push(await during(answer, 100_000));
+  },
+);
+When(
+  "a caller sends {int} requests to {string} at once on one connection",
+  async (count: number, path: string) => {
+    const bytes = Array.from(
+      { length: count },
+      (_, at) =>
+        `GET ${path} HTTP/1.1\r\nHost: a.example\r\nYewreel-Try-Id: p-${at}\r\nYewreel-Time-Left-Ms: 2000\r\n\r\n`,
+    ).join("");
+    raw = await converse(bytes, (answer) => answer.split("the bytes of the worker").length > count);
+  },
+);
 When("the front begins to leave and a caller gets {string}", async (path: string) => {
   front.beginLeaving();
   got.push(await during(send("GET", path), 1_000));
 });
 When("a caller sends a head that is too large", async () => {
-  raw = await converse(`GET /safe/x HTTP/1.1\r\nHost: a.example\r\nX-Large: ${"x".repeat(40_000)}\r\n\r\n`, (answer) => answer.includes("\r\n\r\n"));
+  raw = await converse(
+    `GET /safe/x HTTP/1.1\r\nHost: a.example\r\nX-Large: ${"x".repeat(40_000)}\r\n\r\n`,
+    (answer) => answer.includes("\r\n\r\n"),
+  );
 });
 When("a caller sends what is no request", async () => {
   raw = await converse("this is no request\r\n\r\n", (answer) => answer.includes("\r\n\r\n"));
 });
 
-When("{string} is gone without a word and a caller posts {int} orders to {string}", async (id: string, count: number, path: string) => {
-  worker(id).stop();
-  for (let at = 0; at < count; at += 1) {
-    got.push(await during(send("POST", path, "an order"), 2_000));
-    await clock.pass(1_100_000);
-  }
-});
-Then("no retry was counted", () => assert.deepEqual([retriesOf("safe"), retriesOf("unsafe")], [0, 0]));
+When(
+  "{string} is gone without a word and a caller posts {int} orders to {string}",
+  async (id: string, count: number, path: string) => {
+    worker(id).stop();
+    for (let at = 0; at < count; at += 1) {
+      got.push(await during(send("POST", path, "an order"), 2_000));
+      await clock.pass(1_100_000);
+    }
+  },
+);
+Then("no retry was counted", () =>
+  assert.deepEqual([retriesOf("safe"), retriesOf("unsafe")], [0, 0]),
+);
 
 Then("the answer is {int}", (status: number) => assert.equal(last().status, status));
 Then("the answer is {int} with Retry-After", (status: number) => {
@@ -306,63 +395,113 @@
   assert.equal(last().status, status);
   assert.equal(last().heads.connection, "close");
 });
-Then("the raw answer is {int}", (status: number) => assert.match(raw, new RegExp(`^HTTP/1.1 ${status} `)));
+Then("the raw answer is {int}", (status: number) =>
+  assert.match(raw, new RegExp(`^HTTP/1.1 ${status} `)),
+);
 Then("every answer was {int}", (status: number) => {
   assert.ok(got.length > 0);
   got.forEach((answer) => assert.equal(answer.status, status));
 });
-Then("no answer holds the extra bytes", () => got.forEach((answer) => assert.equal(answer.body, "the bytes of the worker")));
-Then("{string} saw the same method, path, query and body, its own id expected, and less time left", (id: string) => {
-  const [seen] = worker(id).seen;
-  assert.ok(seen);
-  assert.match(seen.head, /^POST \/unsafe\/x\?y=1 HTTP\/1\.1/);
-  assert.equal(seen.body, "an order");
-  assert.equal(seen.expected, id);
-  const left = Number(/yewreel-time-left-ms: (\d+)/i.exec(seen.head)?.[1]);
-  assert.ok(left > 0 && left <= 2_500);
-});
-Then("{string} saw {int} request(s)", (id: string, count: number) => assert.equal(worker(id).seen.length, count));
+Then("no answer holds the extra bytes", () =>
+  got.forEach((answer) => assert.equal(answer.body, "the bytes of the worker")),
+);
+Then(
+  "{string} saw the same method, path, query and body, its own id expected, and less time left",
+  (id: string) => {
+    const [seen] = worker(id).seen;
+    assert.ok(seen);
+    assert.match(seen.head, /^POST \/unsafe\/x\?y=1 HTTP\/1\.1/);
+    assert.equal(seen.body, "an order");
+    assert.equal(seen.expected, id);
+    const left = Number(/yewreel-time-left-ms: (\d+)/i.exec(seen.head)?.[1]);
+    assert.ok(left > 0 && left <= 2_500);
+  },
+);
+Then("{string} saw {int} request(s)", (id: string, count: number) =>
+  assert.equal(worker(id).seen.length, count),
+);
 Then("the workers saw {int} request(s) in all", (count: number) => {
-  assert.equal([...workers.values()].reduce((sum, one) => sum + one.seen.length, 0), count);
-});
-Then("{string} is no longer known", (id: string) => assert.ok(!yard.all().some((one) => one.id === id)));
+  assert.equal(
+    [...workers.values()].reduce((sum, one) => sum + one.seen.length, 0),
+    count,
+  );
+});
+Then("{string} is no longer known", (id: string) =>
+  assert.ok(!yard.all().some((one) => one.id === id)),
+);
 Then("{int} answers come back in the order of their ids", (count: number) => {
   const ids = [...raw.matchAll(/Yewreel-Try-Id: (p-\d+)/gi)].map((match) => match[1]);
-  assert.deepEqual(ids, Array.from({ length: count }, (_, at) => `p-${at}`));
+  assert.deepEqual(
+    ids,
+    Array.from({ length: count }, (_, at) => `p-${at}`),
+  );
 });
 
 let shuntReport: ShuntReport | undefined;
 
-When("the load generator sends {int} requests a second for {int} seconds to {string}", async (ratePerS: number, seconds: number, path: string) => {
-  const load = { targets: [`${host}:${port}`], host: "a.example", path, method: path.startsWith("/unsafe") ? "POST" : "GET", body: "", ratePerS, seconds, budgetMs: 1_500 };
-  const work = shunt(load, clock).then((shunted) => {
-    shuntReport = reportOf(shunted);
-    return { status: 0, heads: {}, body: "" };
-  });
-  await during(work, 20_000);
-});
-Then("{int} outcomes of {int} are reported", (count: number, status: number) => assert.deepEqual(shuntReport?.outcomes, { [status]: count }));
+When(
+  "the load generator sends {int} requests a second for {int} seconds to {string}",
+  async (ratePerS: number, seconds: number, path: string) => {
+    const load = {
+      targets: [`${host}:${port}`],
+      host: "a.example",
+      path,
+      method: path.startsWith("/unsafe") ? "POST" : "GET",
+      body: "",
+      ratePerS,
+      seconds,
+      budgetMs: 1_500,
+    };
+    const work = shunt(load, clock).then((shunted) => {
+      shuntReport = reportOf(shunted);
+      return { status: 0, heads: {}, body: "" };
+    });
+    await during(work, 20_000);
+  },
+);
+Then("{int} outcomes of {int} are reported", (count: number, status: number) =>
+  assert.deepEqual(shuntReport?.outcomes, { [status]: count }),
+);
 Then("{int} outcomes are reported, the slowest after its whole budget", (count: number) => {
   assert.equal(shuntReport?.sent, count);
   assert.ok(shuntReport.mostMs >= 1_400, `${shuntReport.mostMs} ms`);
 });
 
 Given("the plan splits {string} over two services", async (path: string) => {
-  const call = readCall(PLAN.replaceAll('"version":1', '"version":2').replaceAll('"service":"s1"', '"shares":[{"service":"s1","share":1},{"service":"s0","share":0}]'));
+  const call = readCall(
+    PLAN.replaceAll('"version":1', '"version":2').replaceAll(
+      '"service":"s1"',
+      '"shares":[{"service":"s1","share":1},{"service":"s0","share":0}]',
+    ),
+  );
   assert.ok(call.isOk && path === "/unsafe/");
-  board.post(call.value.map((register) => ({ key: PLAN_PREFIX + register.key, version: register.version, tie: "", body: { dropped: false, item: register.body } })));
+  board.post(
+    call.value.map((register) => ({
+      key: PLAN_PREFIX + register.key,
+      version: register.version,
+      tie: "",
+      body: { dropped: false, item: register.body },
+    })),
+  );
   await settle();
 });
-When("a caller posts {string} to {string} and leaves after {int} ms", async (body: string, path: string, leavesAfterMs: number) => {
-  const socket = connect(port, host);
-  socket.on("error", () => undefined);
-  socket.write(`POST ${path} HTTP/1.1\r\nHost: a.example\r\nYewreel-Try-Id: leaver\r\nYewreel-Time-Left-Ms: 2500\r\nContent-Length: ${body.length}\r\n\r\n${body}`);
-  for (let turn = 0; turn < 2_000 && worker("w1").seen.length === 0; turn += 1) await settle();
-  await clock.pass(leavesAfterMs * 1_000);
-  socket.destroy();
-  for (let turn = 0; turn < 200 && front.openRequests > 0; turn += 1) await settle();
-});
-Then(/^the rollout counts (doubled|nothing)$/, (counted: string) => assert.deepEqual(rolloutCounts, counted === "nothing" ? [] : [counted]));
+When(
+  "a caller posts {string} to {string} and leaves after {int} ms",
+  async (body: string, path: string, leavesAfterMs: number) => {
+    const socket = connect(port, host);
+    socket.on("error", () => undefined);
+    socket.write(
+      `POST ${path} HTTP/1.1\r\nHost: a.example\r\nYewreel-Try-Id: leaver\r\nYewreel-Time-Left-Ms: 2500\r\nContent-Length: ${body.length}\r\n\r\n${body}`,
+    );
+    for (let turn = 0; turn < 2_000 && worker("w1").seen.length === 0; turn += 1) await settle();
+    await clock.pass(leavesAfterMs * 1_000);
+    socket.destroy();
+    for (let turn = 0; turn < 200 && front.openRequests > 0; turn += 1) await settle();
+  },
+);
+Then(/^the rollout counts (doubled|nothing)$/, (counted: string) =>
+  assert.deepEqual(rolloutCounts, counted === "nothing" ? [] : [counted]),
+);
 
 When("a caller posts {int} bytes to {string}", async (size: number, path: string) => {
   got.push(await during(send("POST", path, "x".repeat(size)), 2_000));
@@ -374,18 +513,29 @@
   assert.deepEqual([last().status, last().body.length], [status, size]);
 });
 
-const redeem = (key: string): Promise<Got> => send("POST", "/keyed/x", "a voucher", key === "" ? {} : { "Yewreel-Operation-Key": key });
+const redeem = (key: string): Promise<Got> =>
+  send("POST", "/keyed/x", "a voucher", key === "" ? {} : { "Yewreel-Operation-Key": key });
 
 When("key {string} is redeemed", async (key: string) => {
   got.push(await during(redeem(key)));
 });
-When("key {string} is redeemed and its caller leaves while the worker is silent", async (key: string) => {
-  const caller = connect(port, host);
-  caller.write(`POST /keyed/x HTTP/1.1\r\nHost: a.example\r\nYewreel-Try-Id: leaver\r\nYewreel-Time-Left-Ms: 2500\r\nYewreel-Operation-Key: ${key}\r\nContent-Length: 1\r\n\r\nx`);
-  for (let step = 0; step < 200 && [...workers.values()].every((worker) => worker.seen.length === 0); step += 1) await clock.pass(5_000);
-  caller.destroy();
-  await clock.pass(50_000);
-});
+When(
+  "key {string} is redeemed and its caller leaves while the worker is silent",
+  async (key: string) => {
+    const caller = connect(port, host);
+    caller.write(
+      `POST /keyed/x HTTP/1.1\r\nHost: a.example\r\nYewreel-Try-Id: leaver\r\nYewreel-Time-Left-Ms: 2500\r\nYewreel-Operation-Key: ${key}\r\nContent-Length: 1\r\n\r\nx`,
+    );
+    for (
+      let step = 0;
+      step < 200 && [...workers.values()].every((worker) => worker.seen.length === 0);
+      step += 1
+    )
+      await clock.pass(5_000);
+    caller.destroy();
+    await clock.pass(50_000);
+  },
+);
 When("nobody answers at the desk", () => {
   isDeskShut = true;
 });
@@ -396,10 +546,20 @@
   got.push(await during(send("GET", path, "", { Range: range })));
 });
 Then("the answer is {int} with the try's own id and {string}", (status: number, body: string) => {
-  assert.deepEqual([last().status, last().body, last().heads["yewreel-try-id"]], [status, body, `try-${lastTry}`]);
+  assert.deepEqual(
+    [last().status, last().body, last().heads["yewreel-try-id"]],
+    [status, body, `try-${lastTry}`],
+  );
   assert.ok(last().heads["yewreel-server-seal"]);
 });
-Then("all workers together saw {int} request(s)", (count: number) => assert.equal([...workers.values()].reduce((sum, worker) => sum + worker.seen.length, 0), count));
+Then("all workers together saw {int} request(s)", (count: number) =>
+  assert.equal(
+    [...workers.values()].reduce((sum, worker) => sum + worker.seen.length, 0),
+    count,
+  ),
+);
 Then("its token was taken back", () => assert.equal(freed.length > 0 && claims.size === 0, true));
 Then("its token was not taken back", () => assert.deepEqual([freed, claims.size], [[], 1]));
-Then("{string} was asked for with the range {string}", (path: string, range: string) => assert.deepEqual(wants, [`${path} ${range}`]));
+Then("{string} was asked for with the range {string}", (path: string, range: string) =>
+  assert.deepEqual(wants, [`${path} ${range}`]),
+);
--- a/features/steps/windows.ts
+++ b/features/steps/windows.ts
@@ -1,7 +1,13 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import type { Shift } from "../../src/inspection/inspector.js";
-import { WINDOW_TERMS, Windows, type CellWorker, type Stage, type WindowState } from "../../src/inspection/windows.js";
+import {
+  WINDOW_TERMS,
+  Windows,
+  type CellWorker,
+  type Stage,
+  type WindowState,
+} from "../../src/inspection/windows.js";
 import { SECOND } from "../../src/trackbed/span.js";
 import { ManualClock } from "../support/manual-clock.js";
 
@@ -27,7 +33,10 @@
 let addedWith: Awaited<ReturnType<Windows["add"]>> = "noQuorum";
 let number = 0;
 
-const workers = (): readonly CellWorker[] => cells.flatMap((cell) => [1, 2].map(() => ({ cell, service: "s", capacity: 2, isReady: !dark.has(cell) })));
+const workers = (): readonly CellWorker[] =>
+  cells.flatMap((cell) =>
+    [1, 2].map(() => ({ cell, service: "s", capacity: 2, isReady: !dark.has(cell) })),
+  );
 
 /** A holder; `knows` says whether its process has been up since the state was written. */
 const hold = (knows: boolean): void => {
@@ -66,7 +75,14 @@
   await clock.pass(SECOND / 2);
   await windows.tick();
   const window = windowOf();
-  if (window) history.push({ atS: nowS(), stage: window.stage, safe: window.safe, unsafe: window.unsafe, shift });
+  if (window)
+    history.push({
+      atS: nowS(),
+      stage: window.stage,
+      safe: window.safe,
+      unsafe: window.unsafe,
+      shift,
+    });
 };
 const passS = async (seconds: number): Promise<void> => {
   for (let at = 0; at < seconds * 2; at += 1) await step();
@@ -86,21 +102,27 @@
   number += 1;
   addedUs = clock.nowUs();
   history = [];
-  addedWith = await windows.add({ cell, opensUs: opensS * SECOND, lastsUs: lastsS * SECOND }, `w${number}`);
+  addedWith = await windows.add(
+    { cell, opensUs: opensS * SECOND, lastsUs: lastsS * SECOND },
+    `w${number}`,
+  );
 };
 
-Given("cells {string} whose longest budget is {int} s, and a holder of the duty", async (names: string, seconds: number) => {
-  clock = new ManualClock();
-  cells = names.split(", ");
-  budgetUs = seconds * SECOND;
-  state = [];
-  shift = undefined;
-  dark = new Set();
-  inFlight = new Map();
-  said = [];
-  hold(true);
-  await windows.tick();
-});
+Given(
+  "cells {string} whose longest budget is {int} s, and a holder of the duty",
+  async (names: string, seconds: number) => {
+    clock = new ManualClock();
+    cells = names.split(", ");
+    budgetUs = seconds * SECOND;
+    state = [];
+    shift = undefined;
+    dark = new Set();
+    inFlight = new Map();
+    said = [];
+    hold(true);
+    await windows.tick();
+  },
+);
 Given("a practice shift of {string} stands", (cell: string) => {
   shift = { cell, why: "practice", reason: "" };
 });
@@ -111,16 +133,22 @@
 Given("service {string} has {int} calls in flight", (service: string, count: number) => {
   inFlight = new Map([[service, count]]);
 });
-When("a window of {string} that opens in {int} s and lasts {int} s is added", async (cell: string, opens: number, lasts: number) => {
-  await add(cell, opens, lasts);
-  assert.notEqual(typeof addedWith, "string");
-});
+When(
+  "a window of {string} that opens in {int} s and lasts {int} s is added",
+  async (cell: string, opens: number, lasts: number) => {
+    await add(cell, opens, lasts);
+    assert.notEqual(typeof addedWith, "string");
+  },
+);
 When("a window of {string} that opens in {int} s and lasts {int} s is asked for", add);
-When("it is {string} and the holder dies, the next one having known the state", async (stage: string) => {
-  await until(WINDOW_STAGE(stage));
-  await clock.pass(2 * SECOND);
-  hold(true);
-});
+When(
+  "it is {string} and the holder dies, the next one having known the state",
+  async (stage: string) => {
+    await until(WINDOW_STAGE(stage));
+    await clock.pass(2 * SECOND);
+    hold(true);
+  },
+);
 When("{int} seconds later every process is killed and starts again", async (seconds: number) => {
   await passS(seconds);
   await clock.pass(5 * SECOND);
@@ -141,20 +169,34 @@
 });
 
 const WINDOW_STAGE = (name: string): Stage => {
-  const stage = (["announced", "moving", "clear", "open", "returning", "ended"] as const).find((other) => other === name);
+  const stage = (["announced", "moving", "clear", "open", "returning", "ended"] as const).find(
+    (other) => other === name,
+  );
   assert.ok(stage);
   return stage;
 };
 
-Then("safe requests leave in steps before unsafe ones, and all are gone {int} s or more before it opens", async (seconds: number) => {
-  await until("open");
-  const opened = firstOf("open").atS;
-  const safeGone = history.find(({ safe }) => safe === 1)?.atS ?? Number.NaN;
-  const unsafeGone = history.find(({ unsafe }) => unsafe === 1)?.atS ?? Number.NaN;
-  assert.deepEqual([...new Set(history.map(({ safe }) => safe))], [0, 0.25, 0.5, 0.75, 1]);
-  assert.ok(safeGone < unsafeGone && unsafeGone + seconds <= opened, `${safeGone} ${unsafeGone} ${opened}`);
-  assert.ok(history.every((moment) => moment.stage === "announced" || (moment.shift?.cell === "c2" && moment.shift.unsafe === moment.unsafe)));
-});
+Then(
+  "safe requests leave in steps before unsafe ones, and all are gone {int} s or more before it opens",
+  async (seconds: number) => {
+    await until("open");
+    const opened = firstOf("open").atS;
+    const safeGone = history.find(({ safe }) => safe === 1)?.atS ?? Number.NaN;
+    const unsafeGone = history.find(({ unsafe }) => unsafe === 1)?.atS ?? Number.NaN;
+    assert.deepEqual([...new Set(history.map(({ safe }) => safe))], [0, 0.25, 0.5, 0.75, 1]);
+    assert.ok(
+      safeGone < unsafeGone && unsafeGone + seconds <= opened,
+      `${safeGone} ${unsafeGone} ${opened}`,
+    );
+    assert.ok(
+      history.every(
+        (moment) =>
+          moment.stage === "announced" ||
+          (moment.shift?.cell === "c2" && moment.shift.unsafe === moment.unsafe),
+      ),
+    );
+  },
+);
 Then("it is clear before it opens, and open for {int} s", async (seconds: number) => {
   await until("returning");
   assert.ok(firstOf("clear").atS < firstOf("open").atS);
@@ -163,20 +205,29 @@
 Then("requests come back in steps, and no shift is left", async () => {
   await until("ended");
   assert.equal(shift, undefined);
-  assert.deepEqual([...new Set(history.filter(({ stage }) => stage === "returning").map(({ safe }) => safe))], [1, 0.75, 0.5, 0.25]);
+  assert.deepEqual(
+    [...new Set(history.filter(({ stage }) => stage === "returning").map(({ safe }) => safe))],
+    [1, 0.75, 0.5, 0.25],
+  );
 });
 Then("the window is refused as {string}", (mishap: string) => assert.equal(addedWith, mishap));
-Then("the window still opens at its time, give or take {int} s, with the cell clear, and ends", async (seconds: number) => {
-  await until("ended");
-  assert.ok(Math.abs(firstOf("open").atS - 60) <= seconds, `${firstOf("open").atS}`);
-  assert.ok(firstOf("clear").atS < firstOf("open").atS);
-});
-Then("the window opens early by {int} to {int} s, with the cell clear", async (least: number, most: number) => {
-  await until("open");
-  const earlyS = 90 - firstOf("open").atS;
-  assert.ok(earlyS >= least && earlyS <= most, `${earlyS}`);
-  assert.ok(firstOf("clear").atS < firstOf("open").atS);
-});
+Then(
+  "the window still opens at its time, give or take {int} s, with the cell clear, and ends",
+  async (seconds: number) => {
+    await until("ended");
+    assert.ok(Math.abs(firstOf("open").atS - 60) <= seconds, `${firstOf("open").atS}`);
+    assert.ok(firstOf("clear").atS < firstOf("open").atS);
+  },
+);
+Then(
+  "the window opens early by {int} to {int} s, with the cell clear",
+  async (least: number, most: number) => {
+    await until("open");
+    const earlyS = 90 - firstOf("open").atS;
+    assert.ok(earlyS >= least && earlyS <= most, `${earlyS}`);
+    assert.ok(firstOf("clear").atS < firstOf("open").atS);
+  },
+);
 Then("it ends without ever having been open, and no shift is left", async () => {
   await until("ended");
   assert.ok(history.every(({ stage }) => stage !== "open"));
@@ -197,13 +248,18 @@
   shift = undefined;
   await until("moving");
 });
-Then("{int} s past its end it is still open, and returns once they are back", async (seconds: number) => {
-  await passS(30 + seconds);
-  assert.equal(windowOf()?.stage, "open");
-  assert.ok(said.some((sentence) => sentence.includes("still dark")));
-  dark.clear();
-  await until("ended");
-});
+Then(
+  "{int} s past its end it is still open, and returns once they are back",
+  async (seconds: number) => {
+    await passS(30 + seconds);
+    assert.equal(windowOf()?.stage, "open");
+    assert.ok(said.some((sentence) => sentence.includes("still dark")));
+    dark.clear();
+    await until("ended");
+  },
+);
 Then("it is taken with a warning that names {string}", (service: string) => {
-  assert.ok(Array.isArray(addedWith) && addedWith.some((warning) => String(warning).startsWith(service)));
+  assert.ok(
+    Array.isArray(addedWith) && addedWith.some((warning) => String(warning).startsWith(service)),
+  );
 });
--- a/features/support/copies.ts
+++ b/features/support/copies.ts
@@ -39,7 +39,11 @@
   private readonly disks = new Map<string, MemoryDisk>();
   private seed = 1;
 
-  constructor(readonly ids: readonly string[], private readonly withstandMachines = 1, private readonly diskBytes = 0) {}
+  constructor(
+    readonly ids: readonly string[],
+    private readonly withstandMachines = 1,
+    private readonly diskBytes = 0,
+  ) {}
 
   readonly startAll = async (): Promise<void> => {
     for (const id of this.ids) await this.start(id, true);
@@ -49,10 +53,15 @@
     const folder = this.folders.get(id) ?? (await mkdtemp(join(tmpdir(), "yewreel-")));
     this.folders.set(id, folder);
     const state = new State();
-    const archive = new Archive({ folder: STATE_FOLDER, disk: this.diskOf(id), snapshot: state.snapshot });
+    const archive = new Archive({
+      folder: STATE_FOLDER,
+      disk: this.diskOf(id),
+      snapshot: state.snapshot,
+    });
     const asker = {
       ask: (to: string, message: Message) => this.carry(id, to, message),
-      send: (message: Message) => this.ids.filter((to) => to !== id).forEach((to) => void this.carry(id, to, message)),
+      send: (message: Message) =>
+        this.ids.filter((to) => to !== id).forEach((to) => void this.carry(id, to, message)),
     };
     const ledger = new Ledger({
       self: id,
@@ -80,7 +89,12 @@
     const told = new Set<string>();
     ledger.events.on("settled", (registers) => registers.forEach(({ key }) => told.add(key)));
     await ledger.start(firstRun);
-    const book = new KeyBook({ folder: this.diskBytes === 0 ? "" : join(folder, "keys"), clock: this.clock, keyWindowUs: KEY_WINDOW_US, diskBytes: this.diskBytes });
+    const book = new KeyBook({
+      folder: this.diskBytes === 0 ? "" : join(folder, "keys"),
+      clock: this.clock,
+      keyWindowUs: KEY_WINDOW_US,
+      diskBytes: this.diskBytes,
+    });
     const learned: Purge[] = [];
     const keys = new Keys({
       self: id,
@@ -113,13 +127,15 @@
   readonly enrol = async (ids: readonly string[]): Promise<void> => {
     await this.readAll();
     const changed = await this.beside(this.copy(this.ids[0] ?? "").ledger.changeMembers(() => ids));
-    if (changed.isErr) throw new Error(`the roster was not changed: ${JSON.stringify(changed.error)}`);
+    if (changed.isErr)
+      throw new Error(`the roster was not changed: ${JSON.stringify(changed.error)}`);
     await this.readAll();
   };
 
   /** Twice, since the first asking may only tell a newcomer whom to ask. */
   readonly readAll = async (): Promise<void> => {
-    for (const id of [...this.running.keys(), ...this.running.keys()]) await this.beside(this.copy(id).ledger.read());
+    for (const id of [...this.running.keys(), ...this.running.keys()])
+      await this.beside(this.copy(id).ledger.read());
   };
 
   readonly copy = (id: string): Copy => {
@@ -169,9 +185,15 @@
   };
 
   private readonly reaches = (from: string, to: string): boolean =>
-    this.running.has(to) && this.running.has(from) && (from === to || (!this.cut.has(from) && !this.cut.has(to)));
-
-  private readonly carry = async (from: string, to: string, message: Message): Promise<Message | undefined> => {
+    this.running.has(to) &&
+    this.running.has(from) &&
+    (from === to || (!this.cut.has(from) && !this.cut.has(to)));
+
+  private readonly carry = async (
+    from: string,
+    to: string,
+    message: Message,
+  ): Promise<Message | undefined> => {
     if (!this.reaches(from, to) || this.deaf(to, message)) return undefined;
     const { ledger, duty, keys } = this.copy(to);
     if (message.kind.startsWith("key-")) return keys.answer(message);
--- a/features/support/cuttable-net.ts
+++ b/features/support/cuttable-net.ts
@@ -14,12 +14,18 @@
   private readonly cuts = new Set<string>();
   private readonly pulsesOnly = new Set<string>();
   private readonly servers: Server[] = [];
-  private readonly pipes = new Set<{ readonly ends: readonly string[]; readonly sockets: readonly Socket[]; readonly flush: () => void }>();
+  private readonly pipes = new Set<{
+    readonly ends: readonly string[];
+    readonly sockets: readonly Socket[];
+    readonly flush: () => void;
+  }>();
 
   /** `id` is the box's control address. */
   readonly open = (id: string, ip: string, listensAt: string, port: number): Promise<void> =>
     new Promise((resolve) => {
-      const server = createServer({ noDelay: true }, (socket) => this.carry(socket, id, listensAt, port));
+      const server = createServer({ noDelay: true }, (socket) =>
+        this.carry(socket, id, listensAt, port),
+      );
       this.servers.push(server);
       server.listen(port, ip, resolve);
     });
@@ -27,7 +33,8 @@
   readonly cut = (from: string, to: string): void => void this.cuts.add(`${from}>${to}`);
 
   /** The way stands and says so, but carries nothing else. */
-  readonly passPulsesOnly = (from: string, to: string): void => void this.pulsesOnly.add(`${from}>${to}`);
+  readonly passPulsesOnly = (from: string, to: string): void =>
+    void this.pulsesOnly.add(`${from}>${to}`);
 
   readonly heal = (): void => {
     this.cuts.clear();
@@ -58,8 +65,15 @@
       const from = hello["kind"] === "colleague" ? String(hello["from"]) : "";
       const target = connect({ host: ip, port, noDelay: true });
       target.write(first);
-      const flushes = [this.pump(dialler, target, `${from}>${id}`), this.pump(target, dialler, `${id}>${from}`)];
-      const pipe = { ends: [from, id], sockets: [dialler, target], flush: () => flushes.forEach((flush) => flush()) };
+      const flushes = [
+        this.pump(dialler, target, `${from}>${id}`),
+        this.pump(target, dialler, `${id}>${from}`),
+      ];
+      const pipe = {
+        ends: [from, id],
+        sockets: [dialler, target],
+        flush: () => flushes.forEach((flush) => flush()),
+      };
       this.pipes.add(pipe);
       target.once("close", () => this.pipes.delete(pipe));
     });
--- a/features/support/faulty-disk.ts
+++ b/features/support/faulty-disk.ts
@@ -60,7 +60,9 @@
     return {
       list: async (folder) => {
         await step();
-        return [...this.names.keys()].filter((path) => dirname(path) === folder).map((path) => path.slice(folder.length + 1));
+        return [...this.names.keys()]
+          .filter((path) => dirname(path) === folder)
+          .map((path) => path.slice(folder.length + 1));
       },
       read: async (path) => {
         await step();
@@ -68,7 +70,10 @@
       },
       write: async (path, bytes) => {
         await step();
-        const node = this.names.get(path) ?? { synced: new Uint8Array(), written: new Uint8Array() };
+        const node = this.names.get(path) ?? {
+          synced: new Uint8Array(),
+          written: new Uint8Array(),
+        };
         this.names.set(path, node);
         node.written = new Uint8Array();
         const room = Math.max(0, this.capacityBytes - this.heldBytes);
@@ -118,7 +123,12 @@
     }
     for (const node of new Set(left.values())) {
       const torn = node.written.slice(0, Math.floor(this.random() * node.written.length));
-      node.written = node.synced = node.written === node.synced || this.random() >= keeping ? node.synced : this.random() < 0.5 ? node.written : torn;
+      node.written = node.synced =
+        node.written === node.synced || this.random() >= keeping
+          ? node.synced
+          : this.random() < 0.5
+            ? node.written
+            : torn;
     }
     this.names = left;
     this.lasting = new Map(left);
--- a/features/support/fleet.ts
+++ b/features/support/fleet.ts
@@ -17,14 +17,22 @@
 export class Timeline implements Clock {
   private timeUs = 1_000_000;
   private order = 0;
-  private readonly heap: { readonly atUs: number; readonly order: number; readonly act: () => void }[] = [];
+  private readonly heap: {
+    readonly atUs: number;
+    readonly order: number;
+    readonly act: () => void;
+  }[] = [];
 
   readonly nowUs = (): number => this.timeUs;
 
   readonly after = (waitUs: number, act: () => void): { readonly stop: () => void } => {
     let stopped = false;
     this.order += 1;
-    this.push({ atUs: this.timeUs + Math.max(0, waitUs), order: this.order, act: () => (stopped ? undefined : act()) });
+    this.push({
+      atUs: this.timeUs + Math.max(0, waitUs),
+      order: this.order,
+      act: () => (stopped ? undefined : act()),
+    });
     return { stop: () => void (stopped = true) };
   };
 
@@ -50,7 +58,11 @@
 
   private readonly isBefore = (one: number, other: number): boolean => {
     const [a, b] = [this.heap[one], this.heap[other]];
-    return a !== undefined && b !== undefined && (a.atUs < b.atUs || (a.atUs === b.atUs && a.order < b.order));
+    return (
+      a !== undefined &&
+      b !== undefined &&
+      (a.atUs < b.atUs || (a.atUs === b.atUs && a.order < b.order))
+    );
   };
 
   private readonly swap = (one: number, other: number): void => {
@@ -60,16 +72,25 @@
     this.heap[other] = a;
   };
 
-  private readonly push = (event: { readonly atUs: number; readonly order: number; readonly act: () => void }): void => {
+  private readonly push = (event: {
+    readonly atUs: number;
+    readonly order: number;
+    readonly act: () => void;
+  }): void => {
     this.heap.push(event);
-    for (let at = this.heap.length - 1; at > 0 && this.isBefore(at, (at - 1) >> 1); at = (at - 1) >> 1) this.swap(at, (at - 1) >> 1);
+    for (
+      let at = this.heap.length - 1;
+      at > 0 && this.isBefore(at, (at - 1) >> 1);
+      at = (at - 1) >> 1
+    )
+      this.swap(at, (at - 1) >> 1);
   };
 
   private readonly pop = (): void => {
     const last = this.heap.pop();
     if (last === undefined || this.heap.length === 0) return;
     this.heap[0] = last;
-    for (let at = 0; ; ) {
+    for (let at = 0; ;) {
       const child = this.isBefore(2 * at + 2, 2 * at + 1) ? 2 * at + 2 : 2 * at + 1;
       if (!this.isBefore(child, at)) return;
       this.swap(child, at);
@@ -124,7 +145,12 @@
   slowness = 1;
   readonly queued: Job[] = [];
 
-  constructor(readonly id: string, readonly cell: string, private readonly fleet: SimFleet, readonly speed: number) {}
+  constructor(
+    readonly id: string,
+    readonly cell: string,
+    private readonly fleet: SimFleet,
+    readonly speed: number,
+  ) {}
 
   readonly offer = (job: Job): void => {
     const { terms } = this.fleet;
@@ -153,7 +179,13 @@
   /** Every choice, in order, so that two runs can be compared. */
   readonly chosen: string[] = [];
 
-  constructor(readonly name: string, readonly cell: string, readonly weight: number, readonly fleet: SimFleet, random: () => number) {
+  constructor(
+    readonly name: string,
+    readonly cell: string,
+    readonly weight: number,
+    readonly fleet: SimFleet,
+    random: () => number,
+  ) {
     const { terms } = fleet;
     this.yard = new Yard(fleet.timeline, name, cell);
     this.yard.setNodes({ here: terms.nodesACell, everywhere: terms.nodesACell * terms.cells });
@@ -189,23 +221,42 @@
     this.random = seeded(terms.seed);
     for (let cell = 0; cell < terms.cells; cell += 1) {
       for (let node = 0; node < terms.nodesACell; node += 1) {
-        const weight = 0.15 + Array.from({ length: 40 }, () => (this.random() < 0.15 ? 1 : 0)).reduce<number>((a, b) => a + b, 0);
-        this.nodes.push(new SimNode(`n-${cell}-${node}`, `c${cell}`, weight, this, seeded(terms.seed * 1_000 + this.nodes.length)));
+        const weight =
+          0.15 +
+          Array.from({ length: 40 }, () => (this.random() < 0.15 ? 1 : 0)).reduce<number>(
+            (a, b) => a + b,
+            0,
+          );
+        this.nodes.push(
+          new SimNode(
+            `n-${cell}-${node}`,
+            `c${cell}`,
+            weight,
+            this,
+            seeded(terms.seed * 1_000 + this.nodes.length),
+          ),
+        );
       }
     }
-    for (let cell = 0; cell < terms.cells; cell += 1) for (let worker = 0; worker < terms.workersACell; worker += 1) this.add(`w-${cell}-${worker}`, `c${cell}`);
+    for (let cell = 0; cell < terms.cells; cell += 1)
+      for (let worker = 0; worker < terms.workersACell; worker += 1)
+        this.add(`w-${cell}-${worker}`, `c${cell}`);
   }
 
   /** A log-normal time with the wanted mean. */
   readonly drawUs = (): number => {
     const { meanUs, spread } = this.terms;
-    const normal = Math.sqrt(-2 * Math.log(1 - this.random())) * Math.cos(2 * Math.PI * this.random());
+    const normal =
+      Math.sqrt(-2 * Math.log(1 - this.random())) * Math.cos(2 * Math.PI * this.random());
     return meanUs * Math.exp(spread * normal - (spread * spread) / 2);
   };
 
   readonly add = (id: string, cell: string): void => {
     const { speeds } = this.terms;
-    this.workers.set(id, new SimWorker(id, cell, this, speeds[this.workers.size % speeds.length] ?? 1));
+    this.workers.set(
+      id,
+      new SimWorker(id, cell, this, speeds[this.workers.size % speeds.length] ?? 1),
+    );
     this.tell(id, cell, "ready");
   };
 
@@ -215,7 +266,20 @@
 
   private readonly tell = (id: string, cell: string, state: string): void => {
     this.version += 1;
-    const fact: Fact = { key: WORKER_PREFIX + id, version: this.version, tie: "", sinceUs: this.timeline.nowUs(), body: { service: "s", address: "127.0.0.1:1", cell, capacity: this.terms.slots, state, warmUs: 0 } };
+    const fact: Fact = {
+      key: WORKER_PREFIX + id,
+      version: this.version,
+      tie: "",
+      sinceUs: this.timeline.nowUs(),
+      body: {
+        service: "s",
+        address: "127.0.0.1:1",
+        cell,
+        capacity: this.terms.slots,
+        state,
+        warmUs: 0,
+      },
+    };
     this.nodes.forEach((node) => node.yard.take([fact]));
   };
 
@@ -234,7 +298,14 @@
   private readonly send = (node: SimNode): void => {
     const sentUs = this.timeline.nowUs();
     const worker = node.chooser.choose("s", new Set(), this.terms.aimUs);
-    if (!worker) return void this.sent.push({ atUs: sentUs, node: node.name, worker: "", tookUs: 0, kind: "refused" });
+    if (!worker)
+      return void this.sent.push({
+        atUs: sentUs,
+        node: node.name,
+        worker: "",
+        tookUs: 0,
+        kind: "refused",
+      });
     node.chosen.push(worker.id);
     this.onSent(node.name, worker.id);
     const call = worker.begin();
--- a/features/support/manual-clock.ts
+++ b/features/support/manual-clock.ts
@@ -56,7 +56,9 @@
   readonly pass = async (spanUs: number): Promise<void> => {
     const endUs = this.time + spanUs;
     for (;;) {
-      const next = this.due.filter((due) => due.atUs <= endUs).sort((a, b) => a.atUs - b.atUs || a.order - b.order)[0];
+      const next = this.due
+        .filter((due) => due.atUs <= endUs)
+        .sort((a, b) => a.atUs - b.atUs || a.order - b.order)[0];
       if (!next) break;
       this.due = this.due.filter((due) => due !== next);
       this.time = Math.max(this.time, next.atUs);
--- a/features/support/memory-disk.ts
+++ b/features/support/memory-disk.ts
@@ -5,7 +5,9 @@
   readonly files = new Map<string, Uint8Array>();
 
   readonly list = async (folder: string): Promise<readonly string[]> =>
-    [...this.files.keys()].filter((path) => path.startsWith(`${folder}/`)).map((path) => path.slice(folder.length + 1));
+    [...this.files.keys()]
+      .filter((path) => path.startsWith(`${folder}/`))
+      .map((path) => path.slice(folder.length + 1));
 
   readonly read = async (path: string): Promise<Uint8Array | undefined> => this.files.get(path);
 
--- a/features/support/run-stand-in.ts
+++ b/features/support/run-stand-in.ts
@@ -15,11 +15,24 @@
 const beat = (at: number): void => {
   const box = boxes[at];
   if (box === undefined) return;
-  const body = JSON.stringify({ service, address: worker.address, cell, version: "v1", capacity: 3, state: "ready", warmLeft: "0ms", callCount });
-  const call = request(`http://${box}/workers/${worker.id}/heartbeat`, { method: "POST", timeout: 1_000, headers: { "Content-Length": Buffer.byteLength(body) } }, (response) => {
-    response.resume();
-    if (response.statusCode !== 200) beat(at + 1);
+  const body = JSON.stringify({
+    service,
+    address: worker.address,
+    cell,
+    version: "v1",
+    capacity: 3,
+    state: "ready",
+    warmLeft: "0ms",
+    callCount,
   });
+  const call = request(
+    `http://${box}/workers/${worker.id}/heartbeat`,
+    { method: "POST", timeout: 1_000, headers: { "Content-Length": Buffer.byteLength(body) } },
+    (response) => {
+      response.resume();
+      if (response.statusCode !== 200) beat(at + 1);
+    },
+  );
   call.on("timeout", () => call.destroy());
   call.on("error", () => beat(at + 1));
   call.end(body);
--- a/features/support/stand-in.ts
+++ b/features/support/stand-in.ts
@@ -22,7 +22,8 @@
   | "fails"
   | "says close";
 
-const headValue = (head: string, name: string): string => new RegExp(`^${name}: (.*)$`, "im").exec(head)?.[1]?.trim() ?? "";
+const headValue = (head: string, name: string): string =>
+  new RegExp(`^${name}: (.*)$`, "im").exec(head)?.[1]?.trim() ?? "";
 
 /** A worker that behaves as told, over a bare socket so that it can misbehave in every way. */
 export class StandIn {
@@ -31,7 +32,11 @@
   private server: Server | undefined;
   private readonly sockets = new Set<Socket>();
 
-  constructor(readonly id: string, public manner: Manner = "well", public body = "the bytes of the worker") {}
+  constructor(
+    readonly id: string,
+    public manner: Manner = "well",
+    public body = "the bytes of the worker",
+  ) {}
 
   get address(): string {
     const address = this.server?.address();
@@ -85,9 +90,13 @@
       case "resets":
         return void socket.resetAndDestroy();
       case "full":
-        return void socket.write(`HTTP/1.1 503 Service Unavailable\r\nYewreel-Try-Id: ${tryId}\r\nYewreel-Not-Run: 1\r\nContent-Length: 0\r\n\r\n`);
+        return void socket.write(
+          `HTTP/1.1 503 Service Unavailable\r\nYewreel-Try-Id: ${tryId}\r\nYewreel-Not-Run: 1\r\nContent-Length: 0\r\n\r\n`,
+        );
       case "other":
-        return void socket.write(`HTTP/1.1 421 Misdirected Request\r\nYewreel-Try-Id: ${tryId}\r\nYewreel-Worker-Id: i-other\r\nContent-Length: 0\r\n\r\n`);
+        return void socket.write(
+          `HTTP/1.1 421 Misdirected Request\r\nYewreel-Try-Id: ${tryId}\r\nYewreel-Worker-Id: i-other\r\nContent-Length: 0\r\n\r\n`,
+        );
       case "wrong id":
         return void socket.write(this.answerOf("somebody-else"));
       case "no seal":
@@ -100,7 +109,9 @@
       case "an extra answer":
         return void socket.write(whole + this.answerOf("late-extra", "EXTRA"));
       case "fails":
-        return void socket.write(`HTTP/1.1 500 Internal Server Error\r\nYewreel-Try-Id: ${tryId}\r\nContent-Length: 4\r\n\r\noops`);
+        return void socket.write(
+          `HTTP/1.1 500 Internal Server Error\r\nYewreel-Try-Id: ${tryId}\r\nContent-Length: 4\r\n\r\noops`,
+        );
       case "says close":
         socket.end(whole.replace("X-Mark", "Connection: close\r\nX-Mark"));
         return undefined;
@@ -108,4 +119,5 @@
   };
 }
 
-const isPort = (address: AddressInfo | string | null | undefined): address is AddressInfo => typeof address === "object" && address !== null;
+const isPort = (address: AddressInfo | string | null | undefined): address is AddressInfo =>
+  typeof address === "object" && address !== null;
--- a/fuzz/checks.ts
+++ b/fuzz/checks.ts
@@ -2,7 +2,8 @@
 import type { Told } from "./raw-caller.js";
 import { TRIES } from "./rig.js";
 
-export const digestOf = (body: string): string => createHash("sha1").update(body, "latin1").digest("hex").slice(0, 12);
+export const digestOf = (body: string): string =>
+  createHash("sha1").update(body, "latin1").digest("hex").slice(0, 12);
 
 /** One try, as its caller sent it. */
 export interface Sent {
@@ -61,41 +62,74 @@
 const PROMISES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 const LEAVING_SEEN_US = 60_000;
 
-const runsOf = ({ arrived }: History, tryId: string): number => arrived.filter((one) => one.ran && one.tryId === tryId).length;
+const runsOf = ({ arrived }: History, tryId: string): number =>
+  arrived.filter((one) => one.ran && one.tryId === tryId).length;
 
 /** Each answer is its caller's own and whole; of keyed orders, that of the key's run. */
 const own: Check = ({ sent, produced }) =>
   sent.flatMap(({ tryId, key, kind, method, told }) => {
     if (!told) return [];
-    if (told.tryId !== "" && told.tryId !== tryId) return [`${tryId} was told the answer of ${told.tryId}`];
-    if (told.seal === "") return told.status < 300 ? [`${tryId} was told ${told.status} without a seal`] : [];
-    const ids = new Set(kind === "keyed" ? sent.filter((other) => other.key === key).map((other) => other.tryId) : [tryId]);
-    const match = produced.some((one) => ids.has(one.tryId) && one.seal === told.seal && one.status === told.status && (method === "HEAD" || one.digest === digestOf(told.body)));
-    return match ? [] : [`${tryId} was told ${told.status} ${told.seal}, which no worker answered it`];
+    if (told.tryId !== "" && told.tryId !== tryId)
+      return [`${tryId} was told the answer of ${told.tryId}`];
+    if (told.seal === "")
+      return told.status < 300 ? [`${tryId} was told ${told.status} without a seal`] : [];
+    const ids = new Set(
+      kind === "keyed"
+        ? sent.filter((other) => other.key === key).map((other) => other.tryId)
+        : [tryId],
+    );
+    const match = produced.some(
+      (one) =>
+        ids.has(one.tryId) &&
+        one.seal === told.seal &&
+        one.status === told.status &&
+        (method === "HEAD" || one.digest === digestOf(told.body)),
+    );
+    return match
+      ? []
+      : [`${tryId} was told ${told.status} ${told.seal}, which no worker answered it`];
   });
 
 /** What can't be repeated runs once at most, over all tries of its order. */
 const once: Check = (history) => {
   const runs = new Map<string, number>();
-  history.sent.filter(({ kind }) => kind !== "safe").forEach(({ order, tryId }) => runs.set(order, (runs.get(order) ?? 0) + runsOf(history, tryId)));
-  return [...runs].filter(([, count]) => count > 1).map(([order, count]) => `${order} ran ${count} times`);
+  history.sent
+    .filter(({ kind }) => kind !== "safe")
+    .forEach(({ order, tryId }) =>
+      runs.set(order, (runs.get(order) ?? 0) + runsOf(history, tryId)),
+    );
+  return [...runs]
+    .filter(([, count]) => count > 1)
+    .map(([order, count]) => `${order} ran ${count} times`);
 };
 
 /** What was promised not to have run has not run, and never does. */
 const promised: Check = (history) =>
-  history.sent.filter(({ kind, told, tryId }) => kind !== "safe" && told && PROMISES.has(told.status) && runsOf(history, tryId) > 0).map(({ tryId, told }) => `${tryId} was told ${told?.status} and ran`);
+  history.sent
+    .filter(
+      ({ kind, told, tryId }) =>
+        kind !== "safe" && told && PROMISES.has(told.status) && runsOf(history, tryId) > 0,
+    )
+    .map(({ tryId, told }) => `${tryId} was told ${told?.status} and ran`);
 
 /** Workers get what callers sent, and nothing else. */
 const asked: Check = ({ sent, arrived }) =>
   arrived.flatMap((one) => {
     const order = sent.find(({ tryId }) => tryId === one.tryId);
-    return order && order.method === one.method && order.path === one.path && order.digest === one.digest ? [] : [`${one.worker} got ${one.method} ${one.path} ${one.digest} as ${one.tryId}`];
+    return order &&
+      order.method === one.method &&
+      order.path === one.path &&
+      order.digest === one.digest
+      ? []
+      : [`${one.worker} got ${one.method} ${one.path} ${one.digest} as ${one.tryId}`];
   });
 
 /** One try never comes to more workers than its route's tries. */
 const fewTries: Check = ({ sent, arrived }) =>
   sent.flatMap(({ tryId }) => {
-    const workers = new Set(arrived.filter((one) => one.tryId === tryId).map(({ worker }) => worker));
+    const workers = new Set(
+      arrived.filter((one) => one.tryId === tryId).map(({ worker }) => worker),
+    );
     return workers.size > TRIES ? [`${tryId} came to ${workers.size} workers`] : [];
   });
 
@@ -103,25 +137,46 @@
 const oneRunAKey: Check = (history) => {
   const keys = new Set(history.sent.filter(({ kind }) => kind === "keyed").map(({ key }) => key));
   return [...keys].flatMap((key) => {
-    const runs = history.sent.filter((one) => one.kind === "keyed" && one.key === key).reduce((sum, { tryId }) => sum + runsOf(history, tryId), 0);
+    const runs = history.sent
+      .filter((one) => one.kind === "keyed" && one.key === key)
+      .reduce((sum, { tryId }) => sum + runsOf(history, tryId), 0);
     return runs > 1 ? [`key ${key} ran ${runs} times`] : [];
   });
 };
 
 /** Who waits gets a whole answer, unless the worker broke it off. */
-const answered: Check = ({ sent, broken }) => sent.filter(({ isOwed, told, tryId }) => isOwed && !told && !broken.has(tryId)).map(({ tryId }) => `${tryId} got no whole answer`);
+const answered: Check = ({ sent, broken }) =>
+  sent
+    .filter(({ isOwed, told, tryId }) => isOwed && !told && !broken.has(tryId))
+    .map(({ tryId }) => `${tryId} got no whole answer`);
 
 /** Nothing is sent for a caller that has gone, unless its leaving lies unread behind a long body. */
 const inTime: Check = ({ sent, heads }) =>
   heads.flatMap(({ tryId, atUs }) => {
-    const { leftUs, isLong } = sent.find((one) => one.tryId === tryId) ?? { leftUs: undefined, isLong: true };
-    return !isLong && leftUs !== undefined && atUs > leftUs + LEAVING_SEEN_US ? [`${tryId} was sent ${atUs - leftUs} us after its caller had left`] : [];
+    const { leftUs, isLong } = sent.find((one) => one.tryId === tryId) ?? {
+      leftUs: undefined,
+      isLong: true,
+    };
+    return !isLong && leftUs !== undefined && atUs > leftUs + LEAVING_SEEN_US
+      ? [`${tryId} was sent ${atUs - leftUs} us after its caller had left`]
+      : [];
   });
 
 /** Nothing is left behind. */
-const allClosed: Check = ({ leftOpen }) => (leftOpen === 0 ? [] : [`${leftOpen} requests and calls were left open`]);
-
-export const CHECKS = { own, once, promised, asked, fewTries, oneRunAKey, answered, inTime, allClosed } as const satisfies Readonly<Record<string, Check>>;
+const allClosed: Check = ({ leftOpen }) =>
+  leftOpen === 0 ? [] : [`${leftOpen} requests and calls were left open`];
+
+export const CHECKS = {
+  own,
+  once,
+  promised,
+  asked,
+  fewTries,
+  oneRunAKey,
+  answered,
+  inTime,
+  allClosed,
+} as const satisfies Readonly<Record<string, Check>>;
 export type CheckName = keyof typeof CHECKS;
 const isName = (name: string): name is CheckName => name in CHECKS;
 export const CHECK_NAMES: readonly CheckName[] = Object.keys(CHECKS).filter(isName);
@@ -131,4 +186,5 @@
   readonly what: string;
 }
 
-export const violationsOf = (history: History): readonly Violation[] => CHECK_NAMES.flatMap((check) => CHECKS[check](history).map((what) => ({ check, what })));
+export const violationsOf = (history: History): readonly Violation[] =>
+  CHECK_NAMES.flatMap((check) => CHECKS[check](history).map((what) => ({ check, what })));
--- a/fuzz/play.ts
+++ b/fuzz/play.ts
@@ -23,9 +23,19 @@
   const property = fc.asyncProperty(fc.noBias(scenario), async (drawn) => {
     const history = await new World(drawn, variant?.rig, variant?.lies).run();
     const found = violationsOf(history);
-    if (violations.length === 0) [tries, runs, violations] = [history.sent.length, history.arrived.filter(({ ran }) => ran).length, found];
+    if (violations.length === 0)
+      [tries, runs, violations] = [
+        history.sent.length,
+        history.arrived.filter(({ ran }) => ran).length,
+        found,
+      ];
     return found.length === 0;
   });
-  const result = await fc.check(property, { seed, numRuns: 1, endOnFailure: !shrinks, interruptAfterTimeLimit: SHRINK_MS });
+  const result = await fc.check(property, {
+    seed,
+    numRuns: 1,
+    endOnFailure: !shrinks,
+    interruptAfterTimeLimit: SHRINK_MS,
+  });
   return { seed, tries, runs, violations, shortest: result.counterexample?.[0] };
 };
--- a/fuzz/raw-caller.ts
+++ b/fuzz/raw-caller.ts
@@ -38,7 +38,12 @@
     this.methods.push(method);
   };
 
-  readonly send = (method: string, path: string, heads: Readonly<Record<string, string>>, body = ""): void => {
+  readonly send = (
+    method: string,
+    path: string,
+    heads: Readonly<Record<string, string>>,
+    body = "",
+  ): void => {
     this.expect(method);
     this.write(requestOf(method, path, heads, body));
   };
@@ -68,13 +73,29 @@
       const read = isBare ? { body: "", bytes: 0 } : bodyIn(head, this.held.slice(end + 4));
       if (read === undefined) return;
       this.held = this.held.slice(end + 4 + read.bytes);
-      this.told.push({ status, head, tryId: headValue(head, "yewreel-try-id"), seal: headValue(head, "yewreel-server-seal"), body: read.body });
+      this.told.push({
+        status,
+        head,
+        tryId: headValue(head, "yewreel-try-id"),
+        seal: headValue(head, "yewreel-server-seal"),
+        body: read.body,
+      });
     }
   };
 }
 
-export const requestOf = (method: string, path: string, heads: Readonly<Record<string, string>>, body = ""): string => {
-  const length = body === "" && method !== "POST" ? {} : { "Content-Length": String(Buffer.byteLength(body, "latin1")) };
-  const lines = Object.entries({ Host: "a.example", ...length, ...heads }).map(([name, value]) => `${name}: ${value}\r\n`);
+export const requestOf = (
+  method: string,
+  path: string,
+  heads: Readonly<Record<string, string>>,
+  body = "",
+): string => {
+  const length =
+    body === "" && method !== "POST"
+      ? {}
+      : { "Content-Length": String(Buffer.byteLength(body, "latin1")) };
+  const lines = Object.entries({ Host: "a.example", ...length, ...heads }).map(
+    ([name, value]) => `${name}: ${value}\r\n`,
+  );
   return `${method} ${path} HTTP/1.1\r\n${lines.join("")}\r\n${body}`;
 };
--- a/fuzz/rig.ts
+++ b/fuzz/rig.ts
@@ -19,7 +19,11 @@
 export const GIVE_UP_US = 3_000_000;
 
 /** Routes "/safe/", "/unsafe/" and "/keyed/", all to the service "s1". */
-export const planOf = (tries = TRIES, kindOf: (kind: string) => string = (kind) => kind, giveUpUs = GIVE_UP_US): string =>
+export const planOf = (
+  tries = TRIES,
+  kindOf: (kind: string) => string = (kind) => kind,
+  giveUpUs = GIVE_UP_US,
+): string =>
   JSON.stringify({
     putItems: {
       listeners: [
@@ -50,14 +54,18 @@
       this.claims.set(key, { token, answer: message["answer"] });
       return { kind: "claim", kept: true };
     }
-    if (held && held.token !== token) return held.answer === undefined ? { kind: "claim", verdict: "working" } : { kind: "claim", verdict: "done", answer: held.answer };
+    if (held && held.token !== token)
+      return held.answer === undefined
+        ? { kind: "claim", verdict: "working" }
+        : { kind: "claim", verdict: "done", answer: held.answer };
     this.claims.set(key, { token, answer: undefined });
     return { kind: "claim", verdict: "won" };
   };
 
   readonly tell = (message: Message): void => {
     const key = String(message["key"]);
-    if (message.kind === "key-free" && this.claims.get(key)?.token === message["token"]) this.claims.delete(key);
+    if (message.kind === "key-free" && this.claims.get(key)?.token === message["token"])
+      this.claims.delete(key);
   };
 }
 
@@ -113,7 +121,12 @@
     this.board = new Board(clock);
     this.yard = new Yard(clock, "n1", "c1");
     const table = new RouteTable();
-    const budgets = new RetryBudgets({ clock, log: silentLog, windowUs: 10_000_000, limits: () => defaultLimits({ ratio: retryRatio, slack: 0, windowUs: 10_000_000 }) });
+    const budgets = new RetryBudgets({
+      clock,
+      log: silentLog,
+      windowUs: 10_000_000,
+      limits: () => defaultLimits({ ratio: retryRatio, slack: 0, windowUs: 10_000_000 }),
+    });
     this.retriesOf = (kind) => budgets.of("s1", kind).tell().retries;
     this.front = new Front({
       clock,
@@ -138,7 +151,14 @@
     });
     const call = readCall(plan);
     assert.ok(call.isOk);
-    this.board.post(call.value.map((register) => ({ key: PLAN_PREFIX + register.key, version: register.version, tie: "", body: { dropped: false, item: register.body } })));
+    this.board.post(
+      call.value.map((register) => ({
+        key: PLAN_PREFIX + register.key,
+        version: register.version,
+        tie: "",
+        body: { dropped: false, item: register.body },
+      })),
+    );
   }
 
   readonly start = async (): Promise<void> => {
@@ -148,13 +168,28 @@
 
   readonly join = async (worker: ScriptedWorker, capacity = 3): Promise<void> => {
     await worker.start();
-    this.board.post([{ key: WORKER_PREFIX + worker.id, version: 1, tie: "", body: { service: "s1", address: worker.address, cell: "c1", capacity, state: "ready", warmUs: 0 } }]);
+    this.board.post([
+      {
+        key: WORKER_PREFIX + worker.id,
+        version: 1,
+        tie: "",
+        body: {
+          service: "s1",
+          address: worker.address,
+          cell: "c1",
+          capacity,
+          state: "ready",
+          warmUs: 0,
+        },
+      },
+    ]);
     await settle();
   };
 
   /** Moves the clock on in steps until it is so, or for a minute; what is under test never waits for real time. */
   readonly until = async (isSo: () => boolean, stepUs = 5_000): Promise<void> => {
-    for (let passedUs = 0; passedUs < 60_000_000 && !isSo(); passedUs += stepUs) await this.clock.pass(stepUs);
+    for (let passedUs = 0; passedUs < 60_000_000 && !isSo(); passedUs += stepUs)
+      await this.clock.pass(stepUs);
     assert.ok(isSo(), "it never came to be");
   };
 
