--- a/src/interlocking/check.ts
+++ b/src/interlocking/check.ts
@@ -17,16 +17,20 @@
 export const serviceKey = (name: string): string => `service/${name}`;
 export const LIMITS_KEY = "limits";
 
-export const isPlanKey = (key: string): boolean => key === LIMITS_KEY || key.startsWith("route/") || key.startsWith("service/");
+export const isPlanKey = (key: string): boolean =>
+  key === LIMITS_KEY || key.startsWith("route/") || key.startsWith("service/");
 
 const spanOver0 = (value: unknown): void => {
-  if (!(parseSpan(value).unwrapOr(0) > 0)) throw new Error("must be a span above 0, such as 1500ms");
+  if (!(parseSpan(value).unwrapOr(0) > 0))
+    throw new Error("must be a span above 0, such as 1500ms");
 };
 const named = (value: unknown): void => {
-  if (typeof value !== "string" || value === "") throw new Error("must be a text that is not empty");
+  if (typeof value !== "string" || value === "")
+    throw new Error("must be a text that is not empty");
 };
 const version = (value: unknown): void => {
-  if (!Number.isSafeInteger(value) || Number(value) < 0) throw new Error("must be a whole number of 0 or more");
+  if (!Number.isSafeInteger(value) || Number(value) < 0)
+    throw new Error("must be a whole number of 0 or more");
 };
 convict.addFormats({
   "plan-version": { validate: version },
@@ -39,18 +43,21 @@
   },
   rate: {
     validate: (value: unknown) => {
-      if (typeof value !== "number" || !(value >= 0)) throw new Error("must be a number of 0 or more");
+      if (typeof value !== "number" || !(value >= 0))
+        throw new Error("must be a number of 0 or more");
     },
   },
   "give-up": {
     validate: (value: unknown) => {
       spanOver0(value);
-      if (parseSpan(value).unwrapOr(0) > MAX_GIVE_UP_US) throw new Error("must be ten minutes or less");
+      if (parseSpan(value).unwrapOr(0) > MAX_GIVE_UP_US)
+        throw new Error("must be ten minutes or less");
     },
   },
   "path-start": {
     validate: (value: unknown) => {
-      if (typeof value !== "string" || !value.startsWith("/")) throw new Error("must begin with a slash");
+      if (typeof value !== "string" || !value.startsWith("/"))
+        throw new Error("must begin with a slash");
     },
   },
   destination: {
@@ -60,7 +67,12 @@
       if (value["shares"] === undefined) return named(value["service"]);
       const shares = asList(value["shares"]).map((share) => asRec(share));
       shares.forEach((share) => named(share["service"]));
-      const total = shares.reduce((sum, share) => sum + (typeof share["share"] === "number" && share["share"] >= 0 ? share["share"] : Number.NaN), 0);
+      const total = shares.reduce(
+        (sum, share) =>
+          sum +
+          (typeof share["share"] === "number" && share["share"] >= 0 ? share["share"] : Number.NaN),
+        0,
+      );
       if (!(total > 0)) throw new Error("must have shares that add up to more than 0");
     },
   },
@@ -101,17 +113,46 @@
   idle: { format: "span-over-0", default: "" },
 });
 
-const ROUTE_DEFAULTS: Rec = { name: "", host: "", version: -1, routeKind: "", cacheFor: "", target_time: "", rank: 0, giveUp: "", tries: 1 };
-const SERVICE_DEFAULTS: Rec = { name: "", version: -1, statusPath: "", maxConnections: 0, ratePerS: 0, dropsRepeats: false };
-const LIMITS_DEFAULTS: Rec = { version: -1, maxHeaderBytes: 0, maxBodyBytes: 0, headerWait: "", idle: "" };
+const ROUTE_DEFAULTS: Rec = {
+  name: "",
+  host: "",
+  version: -1,
+  routeKind: "",
+  cacheFor: "",
+  target_time: "",
+  rank: 0,
+  giveUp: "",
+  tries: 1,
+};
+const SERVICE_DEFAULTS: Rec = {
+  name: "",
+  version: -1,
+  statusPath: "",
+  maxConnections: 0,
+  ratePerS: 0,
+  dropsRepeats: false,
+};
+const LIMITS_DEFAULTS: Rec = {
+  version: -1,
+  maxHeaderBytes: 0,
+  maxBodyBytes: 0,
+  headerWait: "",
+  idle: "",
+};
 
-const check = (schema: { load: (conf: Rec) => unknown; validate: () => unknown }, defaults: Rec, value: Rec): void => {
+const check = (
+  schema: { load: (conf: Rec) => unknown; validate: () => unknown },
+  defaults: Rec,
+  value: Rec,
+): void => {
   schema.load({ ...defaults, ...value });
   schema.validate();
 };
 
 const pick = (rec: Rec, fields: readonly string[]): Rec => {
-  const kept = fields.filter((field) => rec[field] !== undefined).map((field): [string, unknown] => [field, rec[field]]);
+  const kept = fields
+    .filter((field) => rec[field] !== undefined)
+    .map((field): [string, unknown] => [field, rec[field]]);
   return Object.fromEntries(kept);
 };
 
@@ -127,18 +168,34 @@
     then: [pick(then, ["service", "shares"])],
   };
   check(routeSchema, ROUTE_DEFAULTS, flat);
-  return makeRegister(routeKey(String(rule["name"])), Number(rule["version"]), JSON.stringify({ host, rule }));
+  return makeRegister(
+    routeKey(String(rule["name"])),
+    Number(rule["version"]),
+    JSON.stringify({ host, rule }),
+  );
 };
 
 const serviceRegister = (value: unknown): Register => {
   const group = asRec(value, "group");
-  check(serviceSchema, SERVICE_DEFAULTS, pick(group, ["name", "version", "statusPath", "maxConnections", "ratePerS", "dropsRepeats"]));
-  return makeRegister(serviceKey(String(group["name"])), Number(group["version"]), JSON.stringify(group));
+  check(
+    serviceSchema,
+    SERVICE_DEFAULTS,
+    pick(group, ["name", "version", "statusPath", "maxConnections", "ratePerS", "dropsRepeats"]),
+  );
+  return makeRegister(
+    serviceKey(String(group["name"])),
+    Number(group["version"]),
+    JSON.stringify(group),
+  );
 };
 
 const limitsRegister = (value: unknown): Register => {
   const limits = asRec(value, "limits");
-  check(limitsSchema, LIMITS_DEFAULTS, pick(limits, ["version", "maxHeaderBytes", "maxBodyBytes", "headerWait", "idle"]));
+  check(
+    limitsSchema,
+    LIMITS_DEFAULTS,
+    pick(limits, ["version", "maxHeaderBytes", "maxBodyBytes", "headerWait", "idle"]),
+  );
   return makeRegister(LIMITS_KEY, Number(limits["version"]), JSON.stringify(limits));
 };
 
@@ -151,10 +208,13 @@
     return makeRegister(keyOf(String(rec["name"])), Number(rec["version"]), "", true);
   };
 
-const listOf = (value: unknown, field: string): readonly unknown[] => (value === undefined ? [] : asList(value, field));
+const listOf = (value: unknown, field: string): readonly unknown[] =>
+  value === undefined ? [] : asList(value, field);
 
 /** Reads a call item by item; it yields between items, so that who reads a large one can let others have their turn. */
-function* reading(body: string): Generator<undefined, Result<readonly Register[], PlanMishap>, undefined> {
+function* reading(
+  body: string,
+): Generator<undefined, Result<readonly Register[], PlanMishap>, undefined> {
   let call: Rec;
   try {
     call = asRec(parseJson(body), "the call");
@@ -164,7 +224,8 @@
   try {
     const put = call["putItems"] === undefined ? {} : asRec(call["putItems"], "putItems");
     const remove = call["remove"] === undefined ? {} : asRec(call["remove"], "remove");
-    const registers: Register[] = put["limits"] === undefined ? [] : [limitsRegister(put["limits"])];
+    const registers: Register[] =
+      put["limits"] === undefined ? [] : [limitsRegister(put["limits"])];
     for (const value of listOf(put["groups"], "groups")) {
       registers.push(serviceRegister(value));
       yield;
@@ -181,7 +242,8 @@
     registers.push(...listOf(remove["groups"], "groups").map(dropRegister(serviceKey)));
     return ok(registers);
   } catch (mishap) {
-    const sentence = mishap instanceof Error ? (mishap.message.split("\n")[0] ?? "") : "the call is wrong";
+    const sentence =
+      mishap instanceof Error ? (mishap.message.split("\n")[0] ?? "") : "the call is wrong";
     return err({ kind: "wrong", sentence });
   }
 }
@@ -197,7 +259,9 @@
 const ITEMS_A_TURN = 16;
 
 /** The same, with a turn for everything else after every few items: links must pulse while a large call is read. */
-export const readCallInTurns = async (body: string): Promise<Result<readonly Register[], PlanMishap>> => {
+export const readCallInTurns = async (
+  body: string,
+): Promise<Result<readonly Register[], PlanMishap>> => {
   const items = reading(body);
   for (let count = 1; ; count += 1) {
     const next = items.next();
@@ -212,8 +276,15 @@
 };
 
 /** The first service that a route of the call names and nobody knows, neither the call nor the copy. */
-export const unknownService = (call: readonly Register[], held: (key: string) => Register | undefined): string | undefined => {
-  const inCall = new Map(call.filter((register) => register.key.startsWith("service/")).map((register) => [register.key, register]));
+export const unknownService = (
+  call: readonly Register[],
+  held: (key: string) => Register | undefined,
+): string | undefined => {
+  const inCall = new Map(
+    call
+      .filter((register) => register.key.startsWith("service/"))
+      .map((register) => [register.key, register]),
+  );
   const known = (name: string): boolean => {
     const key = serviceKey(name);
     const put = inCall.get(key);
@@ -231,7 +302,9 @@
 export const layOut = (registers: readonly Register[]): Rec => {
   const standing = registers.filter((register) => !register.dropped);
   const limits = standing.find((register) => register.key === LIMITS_KEY);
-  const groups = standing.filter((register) => register.key.startsWith("service/")).map((register) => parseJson(register.body));
+  const groups = standing
+    .filter((register) => register.key.startsWith("service/"))
+    .map((register) => parseJson(register.body));
   const byHost = new Map<string, unknown[]>();
   standing
     .filter((register) => register.key.startsWith("route/"))
--- a/src/interlocking/copy.ts
+++ b/src/interlocking/copy.ts
@@ -1,6 +1,14 @@
 import { createHash } from "node:crypto";
 import { asList, asRec, list, textOf, type Rec } from "../trackbed/shape.js";
-import { higherOf, isHigher, isSame, NO_BALLOT, packBallot, readBallot, type Ballot } from "./ballot.js";
+import {
+  higherOf,
+  isHigher,
+  isSame,
+  NO_BALLOT,
+  packBallot,
+  readBallot,
+  type Ballot,
+} from "./ballot.js";
 import { packRegister, readRegister, type Register } from "./register.js";
 import { NO_ROSTER, packRoster, readRoster, type Roster } from "./roster.js";
 
@@ -34,7 +42,10 @@
   return sum % BUCKETS;
 };
 
-const packItem = ({ key, register }: Entry): readonly unknown[] => [key, register ? packRegister(register) : null];
+const packItem = ({ key, register }: Entry): readonly unknown[] => [
+  key,
+  register ? packRegister(register) : null,
+];
 const packRow = (entry: Entry): readonly unknown[] => [
   ...packItem(entry),
   packBallot(entry.ballot),
@@ -43,9 +54,17 @@
   ...(isHigher(entry.promised, entry.ballot) ? [packBallot(entry.promised)] : []),
 ];
 
-const readContent = (value: unknown): Register | undefined => (value === null || value === undefined ? undefined : readRegister(value));
+const readContent = (value: unknown): Register | undefined =>
+  value === null || value === undefined ? undefined : readRegister(value);
 
-const noEntry = (key: string): Entry => ({ key, promised: NO_BALLOT, ballot: NO_BALLOT, register: undefined, isVoted: false, isAgreed: false });
+const noEntry = (key: string): Entry => ({
+  key,
+  promised: NO_BALLOT,
+  ballot: NO_BALLOT,
+  register: undefined,
+  isVoted: false,
+  isAgreed: false,
+});
 
 /**
  * The state of one copy: what it promised, accepted and learned. Every change is a record too, for the disk.
@@ -55,11 +74,16 @@
 export class Copy {
   private readonly entries = new Map<string, Entry>();
   /** The newest that is known to be agreed; an entry may already hold a later offer. */
-  private readonly agreed = new Map<string, { readonly ballot: Ballot; readonly register: Register | undefined }>();
+  private readonly agreed = new Map<
+    string,
+    { readonly ballot: Ballot; readonly register: Register | undefined }
+  >();
   /** Invariant: the keys whose entry is not known to be agreed. */
   private readonly unsure = new Set<string>();
   /** Invariant: each pair is the exclusive-or of the hashes of the ballots of that bucket's entries. */
-  private readonly sums: (readonly [number, number])[] = new Array<readonly [number, number]>(BUCKETS).fill([0, 0]);
+  private readonly sums: (readonly [number, number])[] = new Array<readonly [number, number]>(
+    BUCKETS,
+  ).fill([0, 0]);
   private floor = NO_BALLOT;
   private top = 0;
   private counts = false;
@@ -89,7 +113,8 @@
 
   readonly agreedAt = (key: string): Register | undefined => this.agreed.get(key)?.register;
 
-  readonly allAgreed = (): readonly Register[] => [...this.agreed.values()].flatMap(({ register }) => register ?? []);
+  readonly allAgreed = (): readonly Register[] =>
+    [...this.agreed.values()].flatMap(({ register }) => register ?? []);
 
   readonly unsureKeys = (): readonly string[] => [...this.unsure];
 
@@ -99,9 +124,13 @@
     return higherOf(this.floor, higherOf(promised, ballot));
   };
 
-  readonly bucketSums = (): readonly string[] => this.sums.map(([high, low]) => `${high.toString(36)}.${low.toString(36)}`);
+  readonly bucketSums = (): readonly string[] =>
+    this.sums.map(([high, low]) => `${high.toString(36)}.${low.toString(36)}`);
 
-  readonly inBucket = (bucket: number): readonly Entry[] => [...this.entries.values()].filter(({ key, ballot }) => ballot.number > 0 && bucketOf(key) === bucket);
+  readonly inBucket = (bucket: number): readonly Entry[] =>
+    [...this.entries.values()].filter(
+      ({ key, ballot }) => ballot.number > 0 && bucketOf(key) === bucket,
+    );
 
   /** The entries by key, as they stand now. */
   readonly entriesNow = (): ReadonlyMap<string, Entry> => new Map(this.entries);
@@ -127,15 +156,33 @@
   };
 
   /** Accepts at a ballot that nothing higher was promised against; the caller has looked. */
-  readonly vote = (ballot: Ballot, items: readonly (readonly [string, Register | undefined])[]): readonly Rec[] => {
-    items.forEach(([key, register]) => this.put({ key, promised: ballot, ballot, register, isVoted: true, isAgreed: false }));
-    return [{ t: "vote", at: packBallot(ballot), items: items.map(([key, register]) => [key, register ? packRegister(register) : null]) }];
+  readonly vote = (
+    ballot: Ballot,
+    items: readonly (readonly [string, Register | undefined])[],
+  ): readonly Rec[] => {
+    items.forEach(([key, register]) =>
+      this.put({ key, promised: ballot, ballot, register, isVoted: true, isAgreed: false }),
+    );
+    return [
+      {
+        t: "vote",
+        at: packBallot(ballot),
+        items: items.map(([key, register]) => [key, register ? packRegister(register) : null]),
+      },
+    ];
   };
 
   /** Takes what others hold: agreed, or, for a copy that lost its own, whatever may have been accepted here before. */
   readonly learn = (entries: readonly Entry[]): readonly Rec[] => {
     const fresh = entries.filter((entry) => this.put({ ...entry, isVoted: false }));
-    return fresh.length === 0 ? [] : [{ t: "learned", rows: fresh.map((entry) => packRow({ ...entry, isVoted: false, promised: NO_BALLOT })) }];
+    return fresh.length === 0
+      ? []
+      : [
+          {
+            t: "learned",
+            rows: fresh.map((entry) => packRow({ ...entry, isVoted: false, promised: NO_BALLOT })),
+          },
+        ];
   };
 
   /** Marks what is held at these ballots as agreed; returns the registers that are news. */
@@ -164,11 +211,17 @@
     if (pending.number !== this.now.number + 1) return [];
     const before = this.next?.number === pending.number ? this.next : undefined;
     const isNewer = !before || !isHigher(before.ballot, pending.ballot);
-    this.next = { number: pending.number, promised: higherOf(before?.promised ?? NO_BALLOT, pending.promised), ballot: isNewer ? pending.ballot : before.ballot, roster: isNewer ? pending.roster : before.roster };
+    this.next = {
+      number: pending.number,
+      promised: higherOf(before?.promised ?? NO_BALLOT, pending.promised),
+      ballot: isNewer ? pending.ballot : before.ballot,
+      roster: isNewer ? pending.roster : before.roster,
+    };
     return [packPending(this.next)];
   };
 
-  readonly promisedForRoster = (number: number): Ballot => higherOf(this.floor, this.next?.number === number ? this.next.promised : NO_BALLOT);
+  readonly promisedForRoster = (number: number): Ballot =>
+    higherOf(this.floor, this.next?.number === number ? this.next.promised : NO_BALLOT);
 
   readonly setCounting = (): readonly Rec[] => {
     this.counts = true;
@@ -189,7 +242,9 @@
     });
     const agreed = [...this.agreed];
     this.agreed.clear();
-    agreed.forEach(([key, { ballot, register }]) => this.put({ key, promised: NO_BALLOT, ballot, register, isVoted: false, isAgreed: true }));
+    agreed.forEach(([key, { ballot, register }]) =>
+      this.put({ key, promised: NO_BALLOT, ballot, register, isVoted: false, isAgreed: true }),
+    );
   };
 
   readonly snapshot = (): readonly Rec[] => [
@@ -215,7 +270,14 @@
         list(record, "rows", asList).forEach((row) => {
           const [key, register] = readItem(row);
           const ballot = readBallot(row[2]);
-          this.put({ key, register, ballot, promised: row[5] === undefined ? NO_BALLOT : readBallot(row[5]), isVoted: row[3] === true, isAgreed: row[4] === true });
+          this.put({
+            key,
+            register,
+            ballot,
+            promised: row[5] === undefined ? NO_BALLOT : readBallot(row[5]),
+            isVoted: row[3] === true,
+            isAgreed: row[4] === true,
+          });
         });
         break;
       case "roster":
@@ -241,7 +303,11 @@
     const promised = higherOf(before.promised, entry.promised);
     const isSameBallot = isSame(entry.ballot, before.ballot);
     if (entry.isAgreed) this.knowAgreed(entry);
-    if (isHigher(before.ballot, entry.ballot) || entry.ballot.number === 0 || (isSameBallot && (before.isAgreed || !entry.isAgreed) && (before.isVoted || !entry.isVoted))) {
+    if (
+      isHigher(before.ballot, entry.ballot) ||
+      entry.ballot.number === 0 ||
+      (isSameBallot && (before.isAgreed || !entry.isAgreed) && (before.isVoted || !entry.isVoted))
+    ) {
       if (promised !== before.promised) this.entries.set(entry.key, { ...before, promised });
       return false;
     }
@@ -295,7 +361,12 @@
 export const readPending = (value: unknown): Pending => {
   const rec = asRec(value, "pending");
   const roster = rec["roster"] === undefined ? undefined : readRoster(rec["roster"]);
-  return { number: Number(rec["number"]), promised: readBallot(rec["promised"]), ballot: readBallot(rec["ballot"]), roster };
+  return {
+    number: Number(rec["number"]),
+    promised: readBallot(rec["promised"]),
+    ballot: readBallot(rec["ballot"]),
+    roster,
+  };
 };
 
 export const packTold = (entry: Entry, withRegister: boolean): readonly unknown[] => [
--- a/src/interlocking/duty.ts
+++ b/src/interlocking/duty.ts
@@ -3,7 +3,14 @@
 import { asRec, flag, isRec, text } from "../trackbed/shape.js";
 import { MS } from "../trackbed/span.js";
 import type { Message } from "../trackbed/wire.js";
-import { GRANT_KEY, READ_WAIT_US, readTerm, STORE_WAIT_US, type Ledger, type Term } from "./ledger.js";
+import {
+  GRANT_KEY,
+  READ_WAIT_US,
+  readTerm,
+  STORE_WAIT_US,
+  type Ledger,
+  type Term,
+} from "./ledger.js";
 import { isJoint, packRoster, readRoster } from "./roster.js";
 
 const TICK_US = 250 * MS;
@@ -60,25 +67,37 @@
   /** The term under which this box may act; undefined unless it holds the duty as far as it knows. */
   readonly heldTerm = (): Term | undefined => {
     const { ledger } = this.options;
-    return this.won && ledger.newestTerm() <= this.won.number && !ledger.isOvertaken(this.won) ? this.won : undefined;
+    return this.won && ledger.newestTerm() <= this.won.number && !ledger.isOvertaken(this.won)
+      ? this.won
+      : undefined;
   };
 
   readonly isHolder = (): boolean => this.heldTerm() !== undefined;
 
   /** Whether this box still holds the duty, by the word of a majority asked after this call. */
-  readonly confirm = async (): Promise<boolean> => this.isHolder() && (await this.options.ledger.contact()) && this.isHolder();
+  readonly confirm = async (): Promise<boolean> =>
+    this.isHolder() && (await this.options.ledger.contact()) && this.isHolder();
 
   /** Whether more than half of each set of the roster stands, this one included if its copy counts; a belief, no proof. */
   readonly hasMajority = (): boolean => {
     const { self, ledger, stands } = this.options;
-    return ledger.rosters().every((members) => members.filter((id) => stands(id) && (id !== self || ledger.isCounting)).length > members.length / 2);
+    return ledger
+      .rosters()
+      .every(
+        (members) =>
+          members.filter((id) => stands(id) && (id !== self || ledger.isCounting)).length >
+          members.length / 2,
+      );
   };
 
   /** Answers what colleagues ask of the duty: whether its holder is seen here, to join, to leave, to succeed. */
   readonly answer = async (message: Message): Promise<Message> => {
     switch (message.kind) {
       case "unseen":
-        return { kind: "done", yes: this.isFree(text(message, "holder"), text(message, "namedBy")) };
+        return {
+          kind: "done",
+          yes: this.isFree(text(message, "holder"), text(message, "namedBy")),
+        };
       case "join":
         return { kind: "done", ...(await this.join(text(message, "id"))) };
       case "leave":
@@ -109,7 +128,10 @@
     while (clock.nowUs() - beganUs < leaveUs) {
       if (this.isHolder()) await this.handTo(() => true);
       const holder = this.holder();
-      const reply = holder === self || holder === "" ? undefined : await ask(holder, { kind: "leave", id: self }, STORE_WAIT_US * 2);
+      const reply =
+        holder === self || holder === ""
+          ? undefined
+          : await ask(holder, { kind: "leave", id: self }, STORE_WAIT_US * 2);
       if (reply && flag(reply, "yes")) return;
       if (reply && typeof reply["why"] === "string") why = reply["why"];
       await rest(clock, LEAVE_AGAIN_US);
@@ -128,10 +150,12 @@
       const holder = this.holder();
       const members = ledger.members();
       if (!ledger.isMember()) {
-        if (hasDisk && holder !== "" && stands(holder)) await ask(holder, { kind: "join", id: self }, STORE_WAIT_US * 3);
+        if (hasDisk && holder !== "" && stands(holder))
+          await ask(holder, { kind: "join", id: self }, STORE_WAIT_US * 3);
         return;
       }
-      if (this.isHolder() && isJoint(ledger.roster())) await ledger.changeMembers((all) => all, this.options.moveMore);
+      if (this.isHolder() && isJoint(ledger.roster()))
+        await ledger.changeMembers((all) => all, this.options.moveMore);
       const isSeen = holder === self ? this.isHolder() : members.includes(holder) && stands(holder);
       if (isSeen) {
         this.holderUnseenUs = undefined;
@@ -150,7 +174,9 @@
   private readonly watch = (): void => {
     const { ledger, stands, clock } = this.options;
     const members = ledger.members();
-    [...this.unseenUs.keys()].filter((id) => !members.includes(id)).forEach((id) => this.unseenUs.delete(id));
+    [...this.unseenUs.keys()]
+      .filter((id) => !members.includes(id))
+      .forEach((id) => this.unseenUs.delete(id));
     members.forEach((id) => {
       if (stands(id)) this.unseenUs.delete(id);
       else if (!this.unseenUs.has(id)) this.unseenUs.set(id, clock.nowUs());
@@ -163,13 +189,20 @@
     // One that is cut off proposes nothing: its terms would rise and unseat the holder once it is joined.
     if (!ledger.isMember() || !ledger.isCounting || !this.hasMajority()) return false;
     const question: Message = { kind: "unseen", holder: self, namedBy };
-    const free = await ledger.gather(question, (reply) => flag(reply, "yes"), async () => this.isFree(self, namedBy), STORE_WAIT_US);
+    const free = await ledger.gather(
+      question,
+      (reply) => flag(reply, "yes"),
+      async () => this.isFree(self, namedBy),
+      STORE_WAIT_US,
+    );
     if (free.isErr) return false;
     const before = ledger.term()?.number ?? 0;
     const decided = await ledger.decide(GRANT_KEY, (now) => {
       const known = readTerm(now);
       const isMine = known?.holder === self && known.life === ledger.lifeName;
-      return isMine || (known?.number ?? 0) <= before ? JSON.stringify({ holder: self, life: ledger.lifeName }) : undefined;
+      return isMine || (known?.number ?? 0) <= before
+        ? JSON.stringify({ holder: self, life: ledger.lifeName })
+        : undefined;
     });
     const term = decided.isOk ? readTerm(decided.value) : undefined;
     if (!term || term.holder !== self || term.life !== ledger.lifeName) return false;
@@ -189,46 +222,79 @@
   };
 
   /** A newcomer takes the place of the member that has been unseen longest, or a new one if all are seen. */
-  private readonly join = async (id: string): Promise<{ readonly yes: boolean; readonly why: string }> => {
+  private readonly join = async (
+    id: string,
+  ): Promise<{ readonly yes: boolean; readonly why: string }> => {
     const { ledger, clock, ask } = this.options;
     if (!this.isHolder()) return { yes: false, why: "this box does not hold the duty" };
-    if (ledger.members().includes(id)) return { yes: !isJoint(ledger.roster()), why: "the roster is changing" };
+    if (ledger.members().includes(id))
+      return { yes: !isJoint(ledger.roster()), why: "the roster is changing" };
     // Asked now, so that a request that was long on its way adds nobody who doesn't know that it was let go.
-    const reply = await ask(id, { kind: "contact", roster: packRoster(ledger.roster()) }, STORE_WAIT_US);
-    const isReady = reply !== undefined && flag(reply, "counts") && isRec(reply["roster"]) && readRoster(asRec(reply["roster"])).number === ledger.roster().number;
+    const reply = await ask(
+      id,
+      { kind: "contact", roster: packRoster(ledger.roster()) },
+      STORE_WAIT_US,
+    );
+    const isReady =
+      reply !== undefined &&
+      flag(reply, "counts") &&
+      isRec(reply["roster"]) &&
+      readRoster(asRec(reply["roster"])).number === ledger.roster().number;
     if (!isReady) return { yes: false, why: "the newcomer has not caught up" };
     this.watch();
-    const unseenOf = (members: readonly string[]) => [...this.unseenUs].filter(([member]) => members.includes(member)).sort(([, a], [, b]) => a - b)[0];
+    const unseenOf = (members: readonly string[]) =>
+      [...this.unseenUs]
+        .filter(([member]) => members.includes(member))
+        .sort(([, a], [, b]) => a - b)[0];
     const unseen = unseenOf(ledger.members());
-    if (unseen && clock.nowUs() - unseen[1] < REPLACE_US) return { yes: false, why: `${unseen[0]} may come back` };
+    if (unseen && clock.nowUs() - unseen[1] < REPLACE_US)
+      return { yes: false, why: `${unseen[0]} may come back` };
     // A link may seem to stand for a while after a thaw or a cut: where all seem to be there, each is asked.
     const silent = unseen ? undefined : await this.silentMember();
     if (silent !== undefined) return { yes: false, why: `${silent} does not answer` };
     // Chosen among those who are members then: a change that had begun may have replaced the one seen now.
     // It may have brought this one in too: then there is nobody to replace.
-    const changed = await this.change((members) => (members.includes(id) ? members : [...members.filter((member) => member !== unseenOf(members)?.[0]), id]));
+    const changed = await this.change((members) =>
+      members.includes(id)
+        ? members
+        : [...members.filter((member) => member !== unseenOf(members)?.[0]), id],
+    );
     return { yes: changed, why: "no quorum" };
   };
 
   private readonly silentMember = async (): Promise<string | undefined> => {
     const { ledger, self, ask } = this.options;
     const others = ledger.members().filter((id) => id !== self);
-    const replies = await Promise.all(others.map((id) => ask(id, { kind: "contact", roster: packRoster(ledger.roster()) }, READ_WAIT_US)));
+    const replies = await Promise.all(
+      others.map((id) =>
+        ask(id, { kind: "contact", roster: packRoster(ledger.roster()) }, READ_WAIT_US),
+      ),
+    );
     return others.find((_id, at) => replies[at] === undefined);
   };
 
-  private readonly leave = async (id: string): Promise<{ readonly yes: boolean; readonly why: string }> => {
+  private readonly leave = async (
+    id: string,
+  ): Promise<{ readonly yes: boolean; readonly why: string }> => {
     const { ledger, withstandMachines } = this.options;
     if (!this.isHolder()) return { yes: false, why: "this box does not hold the duty" };
     const { members } = ledger.roster();
-    if (!members.includes(id)) return { yes: !isJoint(ledger.roster()), why: "the roster is changing" };
+    if (!members.includes(id))
+      return { yes: !isJoint(ledger.roster()), why: "the roster is changing" };
     const areTooFew = (all: readonly string[]) => all.length - 1 < 2 * withstandMachines + 1;
     if (areTooFew(members)) return { yes: false, why: "too few would be left" };
-    const changed = await this.change((all) => (areTooFew(all) ? all : all.filter((member) => member !== id)));
-    return { yes: changed && !ledger.members().includes(id), why: "the others don't hold everything yet" };
+    const changed = await this.change((all) =>
+      areTooFew(all) ? all : all.filter((member) => member !== id),
+    );
+    return {
+      yes: changed && !ledger.members().includes(id),
+      why: "the others don't hold everything yet",
+    };
   };
 
-  private readonly change = async (to: (members: readonly string[]) => readonly string[]): Promise<boolean> => {
+  private readonly change = async (
+    to: (members: readonly string[]) => readonly string[],
+  ): Promise<boolean> => {
     const { ledger, moveMore, log } = this.options;
     const changed = await ledger.changeMembers(to, moveMore);
     if (changed.isOk) log.info(`The roster is now ${ledger.members().join(", ")}.`);
--- a/src/interlocking/keybook.ts
+++ b/src/interlocking/keybook.ts
@@ -41,12 +41,21 @@
 export const readAnswer = (value: unknown): KeptAnswer | undefined => {
   if (!isRec(value)) return undefined;
   const body = value["body"];
-  return { status: whole(value, "status"), heads: list(value, "heads", textOf), body: body instanceof Uint8Array ? body : undefined };
+  return {
+    status: whole(value, "status"),
+    heads: list(value, "heads", textOf),
+    body: body instanceof Uint8Array ? body : undefined,
+  };
 };
 
 export const readPurge = (value: unknown): Purge => {
   const rec = asRec(value, "purge");
-  return { id: text(rec, "id"), host: text(rec, "host"), path: text(rec, "path"), label: text(rec, "label") };
+  return {
+    id: text(rec, "id"),
+    host: text(rec, "host"),
+    path: text(rec, "path"),
+    label: text(rec, "label"),
+  };
 };
 
 /**
@@ -136,7 +145,12 @@
   /** Everything but the bodies, for a copy that lost its own. */
   readonly pack = (): Rec => {
     const nowUs = this.options.clock.nowUs();
-    const keys = [...this.entries].map(([key, { token, sinceUs, answer }]) => ({ key, token, ageUs: nowUs - sinceUs, ...(answer ? { answer: { status: answer.status, heads: answer.heads } } : {}) }));
+    const keys = [...this.entries].map(([key, { token, sinceUs, answer }]) => ({
+      key,
+      token,
+      ageUs: nowUs - sinceUs,
+      ...(answer ? { answer: { status: answer.status, heads: answer.heads } } : {}),
+    }));
     return { keys, purges: this.purges() };
   };
 
@@ -149,11 +163,22 @@
       const answer = readAnswer(row["answer"]);
       const before = this.entry(key);
       if (before && (before.token !== token || before.answer || !answer)) return [];
-      this.entries.set(key, { token, sinceUs: before?.sinceUs ?? nowUs - whole(row, "ageUs"), answer });
-      return [this.segments.append(answer ? { kind: "done", key, token, ...answer } : { kind: "claim", key, token })];
+      this.entries.set(key, {
+        token,
+        sinceUs: before?.sinceUs ?? nowUs - whole(row, "ageUs"),
+        answer,
+      });
+      return [
+        this.segments.append(
+          answer ? { kind: "done", key, token, ...answer } : { kind: "claim", key, token },
+        ),
+      ];
     });
     const noted = list(packed, "purges", readPurge).map((purge) => this.purge(purge));
-    return (await Promise.all(kept)).every((result) => result.isOk) && (await Promise.all(noted)).every((done) => done);
+    return (
+      (await Promise.all(kept)).every((result) => result.isOk) &&
+      (await Promise.all(noted)).every((done) => done)
+    );
   };
 
   /** Forgets what is over; entries lie in the order they came. Returns the purges forgotten. */
@@ -163,7 +188,9 @@
       if (nowUs - entry.sinceUs <= this.keepUs) break;
       this.entries.delete(key);
     }
-    const old = [...this.held].filter(([, { sinceUs }]) => nowUs - sinceUs > PURGE_KEEP_US).map(([id]) => id);
+    const old = [...this.held]
+      .filter(([, { sinceUs }]) => nowUs - sinceUs > PURGE_KEEP_US)
+      .map(([id]) => id);
     old.forEach((id) => this.held.delete(id));
     return old;
   };
@@ -191,11 +218,13 @@
       const purge = readPurge(record);
       this.held.set(purge.id, { purge, sinceUs: nowUs });
     }
-    if (record["kind"] === "begun" || record["kind"] === "unbegun") this.hasBegun = record["kind"] === "begun";
+    if (record["kind"] === "begun" || record["kind"] === "unbegun")
+      this.hasBegun = record["kind"] === "begun";
     if (typeof record["key"] !== "string") return;
     const key = text(record, "key");
     const token = text(record, "token");
-    if (record["kind"] === "claim" && !this.entries.has(key)) this.entries.set(key, { token, sinceUs: nowUs, answer: undefined });
+    if (record["kind"] === "claim" && !this.entries.has(key))
+      this.entries.set(key, { token, sinceUs: nowUs, answer: undefined });
     else if (record["kind"] === "free") this.forget(key, token);
     else if (record["kind"] === "done") {
       const answer = readAnswer(record);
--- a/src/interlocking/keys.ts
+++ b/src/interlocking/keys.ts
@@ -35,7 +35,11 @@
 const SPREAD_WAIT_US = 1_500 * MS;
 const SMALL_BYTES = 256;
 
-const packAnswer = (answer: KeptAnswer): Rec => ({ status: answer.status, heads: answer.heads, ...(answer.body ? { body: answer.body } : {}) });
+const packAnswer = (answer: KeptAnswer): Rec => ({
+  status: answer.status,
+  heads: answer.heads,
+  ...(answer.body ? { body: answer.body } : {}),
+});
 
 /**
  * Operation keys over the roster: who may run an operation, and what its run was answered with.
@@ -56,7 +60,8 @@
     const found = await this.options.book.load();
     this.options.book.purges().forEach(this.options.onPurge);
     if (found) this.counting = true;
-    else if (firstRun && this.options.ledger.isMember()) this.counting = await this.options.book.begin();
+    else if (firstRun && this.options.ledger.isMember())
+      this.counting = await this.options.book.begin();
   };
 
   /** Reads what a lost copy needs; called until it counts. Begins only once this one is seen on the roster. */
@@ -75,7 +80,12 @@
   /** Brings what a quorum of the old members holds to a quorum of the new ones; true once that is done. */
   readonly spread = async (): Promise<boolean> => {
     const { ledger } = this.options;
-    const spread = await ledger.gather({ kind: "key-refresh" }, (reply) => flag(reply, "kept"), this.refresh, SPREAD_WAIT_US);
+    const spread = await ledger.gather(
+      { kind: "key-refresh" },
+      (reply) => flag(reply, "kept"),
+      this.refresh,
+      SPREAD_WAIT_US,
+    );
     return spread.isOk;
   };
 
@@ -114,7 +124,12 @@
     if (isDone) return this.fetch(key);
     if (others === 0) return { kind: "none" };
     // Unless the others could have won among those that did not answer, nobody has.
-    const couldOthers = ledger.rosters().every((members) => members.filter((id) => !takers.has(id)).length >= quorumOf(members, withstandMachines));
+    const couldOthers = ledger
+      .rosters()
+      .every(
+        (members) =>
+          members.filter((id) => !takers.has(id)).length >= quorumOf(members, withstandMachines),
+      );
     return couldOthers ? { kind: "working" } : { kind: "split" };
   };
 
@@ -127,16 +142,32 @@
   /** Keeps the answer at a quorum, whole, and tells the rest that there is one. */
   readonly keep = async (key: string, token: string, answer: KeptAnswer): Promise<boolean> => {
     const { self, book, ledger, ask, stands, withstandMachines } = this.options;
-    const others = ledger.members().filter((id) => id !== self).sort((a, b) => Number(stands(b)) - Number(stands(a)));
+    const others = ledger
+      .members()
+      .filter((id) => id !== self)
+      .sort((a, b) => Number(stands(b)) - Number(stands(a)));
     const whole: Message = { kind: "key-done", key, token, answer: packAnswer(answer) };
     const isSmall = (answer.body?.length ?? 0) <= SMALL_BYTES;
-    const note: Message = { kind: "key-done", key, token, answer: packAnswer({ ...answer, body: undefined }) };
+    const note: Message = {
+      kind: "key-done",
+      key,
+      token,
+      answer: packAnswer({ ...answer, body: undefined }),
+    };
     const kept = new Set<string>();
     const hold = async (id: string): Promise<void> => {
       if ((await ask(id, ledger.tagged(whole), KEEP_WAIT_US))?.["kept"] === true) kept.add(id);
     };
-    const isHeld = () => ledger.rosters().every((members) => members.filter((id) => kept.has(id)).length >= quorumOf(members, withstandMachines));
-    const first = isSmall ? others : others.slice(0, quorumOf(ledger.members(), withstandMachines) - 1);
+    const isHeld = () =>
+      ledger
+        .rosters()
+        .every(
+          (members) =>
+            members.filter((id) => kept.has(id)).length >= quorumOf(members, withstandMachines),
+        );
+    const first = isSmall
+      ? others
+      : others.slice(0, quorumOf(ledger.members(), withstandMachines) - 1);
     const rest = others.filter((id) => !first.includes(id));
     if (await book.keep(key, token, answer)) kept.add(self);
     await Promise.all(first.map(hold));
@@ -187,7 +218,9 @@
         return undefined;
       case "key-done": {
         const answer = readAnswer(message["answer"]);
-        const kept = answer !== undefined && (await book.keep(text(message, "key"), text(message, "token"), answer));
+        const kept =
+          answer !== undefined &&
+          (await book.keep(text(message, "key"), text(message, "token"), answer));
         return { kind: "done", kept: kept && this.counting };
       }
       case "key-read": {
@@ -202,7 +235,11 @@
         return { kind: "done", kept: await this.takePurge(readPurge(message)) };
       case "key-purges": {
         const known = new Set(list(message, "ids", textOf));
-        return { kind: "done", counts: this.counting, purges: book.purges().filter(({ id }) => !known.has(id)) };
+        return {
+          kind: "done",
+          counts: this.counting,
+          purges: book.purges().filter(({ id }) => !known.has(id)),
+        };
       }
       case "key-book":
         return { kind: "done", counts: this.counting, ...book.pack() };
@@ -229,19 +266,34 @@
   /** The answer of a key that some copy knows to be done, from whoever has its body. */
   private readonly fetch = async (key: string): Promise<KeyVerdict> => {
     const { self, book, ledger, ask } = this.options;
-    const replies = await Promise.all(ledger.members().filter((id) => id !== self).map((id) => ask(id, { kind: "key-read", key }, KEEP_WAIT_US)));
-    const found = [book.answerOf(key), ...replies.map((reply) => readAnswer(reply?.["answer"]))].find((answer) => answer?.body !== undefined);
+    const replies = await Promise.all(
+      ledger
+        .members()
+        .filter((id) => id !== self)
+        .map((id) => ask(id, { kind: "key-read", key }, KEEP_WAIT_US)),
+    );
+    const found = [
+      book.answerOf(key),
+      ...replies.map((reply) => readAnswer(reply?.["answer"])),
+    ].find((answer) => answer?.body !== undefined);
     return found ? { kind: "done", answer: found } : { kind: "working" };
   };
 
   /** Asks as many counting copies as share a member with every quorum. */
-  private readonly gatherToRead = async (message: Message, accepts: (reply: Message) => boolean): Promise<boolean> => {
+  private readonly gatherToRead = async (
+    message: Message,
+    accepts: (reply: Message) => boolean,
+  ): Promise<boolean> => {
     const { self, ledger, ask, withstandMachines } = this.options;
     const sets = ledger.rosters();
     const held = new Set(this.counting ? [self] : []);
     const others = ledger.members().filter((id) => id !== self);
     if (others.length === 0 && held.size === 0) return false;
-    const isEnough = () => sets.every((members) => members.filter((id) => held.has(id)).length >= readQuorumOf(members, withstandMachines));
+    const isEnough = () =>
+      sets.every(
+        (members) =>
+          members.filter((id) => held.has(id)).length >= readQuorumOf(members, withstandMachines),
+      );
     return new Promise((resolve) => {
       let open = others.length;
       const look = () => {
--- a/src/interlocking/ledger.ts
+++ b/src/interlocking/ledger.ts
@@ -2,14 +2,55 @@
 import { err, ok, type Result } from "true-myth/result";
 import { rest, within, type Clock } from "../trackbed/clock.js";
 import type { Log } from "../trackbed/log.js";
-import { asList, asRec, flag, isRec, list, numberOf, parseJson, text, textOf, whole, type Rec } from "../trackbed/shape.js";
+import {
+  asList,
+  asRec,
+  flag,
+  isRec,
+  list,
+  numberOf,
+  parseJson,
+  text,
+  textOf,
+  whole,
+  type Rec,
+} from "../trackbed/shape.js";
 import { MS } from "../trackbed/span.js";
 import type { Message } from "../trackbed/wire.js";
 import type { Archive } from "./archive.js";
-import { higherOf, isHigher, isSame, NO_BALLOT, packBallot, readBallot, type Ballot } from "./ballot.js";
-import { bucketOf, Copy, packPending, packTold, readItem, readPending, readTold, type Entry, type Pending, type Told } from "./copy.js";
+import {
+  higherOf,
+  isHigher,
+  isSame,
+  NO_BALLOT,
+  packBallot,
+  readBallot,
+  type Ballot,
+} from "./ballot.js";
+import {
+  bucketOf,
+  Copy,
+  packPending,
+  packTold,
+  readItem,
+  readPending,
+  readTold,
+  type Entry,
+  type Pending,
+  type Told,
+} from "./copy.js";
 import { applyOrder, makeRegister, packRegister, type Register } from "./register.js";
-import { everyoneOf, isJoint, majorityOf, packRoster, quorumOf, readQuorumOf, readRoster, setsOf, type Roster } from "./roster.js";
+import {
+  everyoneOf,
+  isJoint,
+  majorityOf,
+  packRoster,
+  quorumOf,
+  readQuorumOf,
+  readRoster,
+  setsOf,
+  type Roster,
+} from "./roster.js";
 import { Together } from "./together.js";
 
 export type LedgerMishap =
@@ -38,7 +79,14 @@
 };
 
 /** The kinds of messages that `answer` takes. */
-export const LEDGER_KINDS: ReadonlySet<string> = new Set(["promise", "accept", "read", "contact", "roster-promise", "roster-accept"]);
+export const LEDGER_KINDS: ReadonlySet<string> = new Set([
+  "promise",
+  "accept",
+  "read",
+  "contact",
+  "roster-promise",
+  "roster-accept",
+]);
 
 /** How the ledger reaches other copies; the links of signalling fit it, and so does a test's own net. */
 export interface Asker {
@@ -121,7 +169,12 @@
  * every quorum, which from then on take no try that began before; only what a quorum accepted is ever shown.
  */
 export class Ledger {
-  readonly events = new Emittery<{ settled: readonly Register[]; counting: undefined; roster: Roster; behind: undefined }>();
+  readonly events = new Emittery<{
+    settled: readonly Register[];
+    counting: undefined;
+    roster: Roster;
+    behind: undefined;
+  }>();
   private readonly copy: Copy;
   private readonly life: string;
   /** What has changed and is not yet on its way to the disk. */
@@ -180,7 +233,8 @@
   readonly term = (): Term | undefined => readTerm(this.get(GRANT_KEY));
 
   /** Whether this copy holds a term above this one, agreed or only offered. */
-  readonly isOvertaken = (term: Term): boolean => isAbove(this.copy.entry(GRANT_KEY).register, term) || isAbove(this.get(GRANT_KEY), term);
+  readonly isOvertaken = (term: Term): boolean =>
+    isAbove(this.copy.entry(GRANT_KEY).register, term) || isAbove(this.get(GRANT_KEY), term);
 
   /** The first start of the whole system, a start with a disk that kept its files, or one that lost them. */
   readonly start = async (firstRun: boolean): Promise<void> => {
@@ -203,7 +257,8 @@
     } else if (this.isCounting && !this.isMember()) {
       this.copy.doubt();
       this.whyNot = "it is not on the roster";
-    } else if (!this.isCounting) this.whyNot = loaded.kind === "empty" ? "its disk is empty" : "it never caught up";
+    } else if (!this.isCounting)
+      this.whyNot = loaded.kind === "empty" ? "its disk is empty" : "it never caught up";
   };
 
   /** Resolves to true once everything noted before the call is safe on this machine's disk. */
@@ -246,7 +301,12 @@
       default: {
         this.hearRoster(message);
         const term = this.get(GRANT_KEY);
-        return { kind: "here", counts: this.isCounting, roster: packRoster(this.copy.roster), ...(term ? { grant: packRegister(term) } : {}) };
+        return {
+          kind: "here",
+          counts: this.isCounting,
+          roster: packRoster(this.copy.roster),
+          ...(term ? { grant: packRegister(term) } : {}),
+        };
       }
     }
   };
@@ -254,10 +314,14 @@
   /** Hears from a colleague what a quorum has accepted; what this copy does not hold the same way waits for a reading. */
   readonly hearSettled = (message: Message): void => {
     this.hearRoster(message);
-    const marks = list(message, "items", asList).map((item): readonly [string, Ballot] => [textOf(item[0]), readBallot(item[1])]);
+    const marks = list(message, "items", asList).map((item): readonly [string, Ballot] => [
+      textOf(item[0]),
+      readBallot(item[1]),
+    ]);
     marks.forEach(([, ballot]) => this.copy.see(ballot));
     this.settle(marks);
-    if (marks.some(([key, ballot]) => isHigher(ballot, this.copy.entry(key).ballot))) void this.events.emit("behind");
+    if (marks.some(([key, ballot]) => isHigher(ballot, this.copy.entry(key).ballot)))
+      void this.events.emit("behind");
   };
 
   private readonly answerPromise = async (message: Message): Promise<Message> => {
@@ -269,7 +333,11 @@
     const entries = keys.map((key) => this.copy.entry(key));
     if (!(await this.safe())) return refused("disk");
     const have = list(message, "have", readBallot);
-    const rows = entries.flatMap((entry, at) => (entry.ballot.number === 0 ? [] : [packTold(entry, !isSame(entry.ballot, have[at] ?? NO_BALLOT))]));
+    const rows = entries.flatMap((entry, at) =>
+      entry.ballot.number === 0
+        ? []
+        : [packTold(entry, !isSame(entry.ballot, have[at] ?? NO_BALLOT))],
+    );
     return { kind: "promised", life: this.life, entries: rows };
   };
 
@@ -277,14 +345,26 @@
     const ballot = readBallot(message["ballot"]);
     const items = list(message, "items", readItem);
     const isOtherLife = asRec(message["lives"])[this.options.self] !== this.life;
-    const refusal = this.refusalOf(message) ?? (isOtherLife ? refused("life") : this.lowerThanPromised(items.map(([key]) => key), ballot));
+    const refusal =
+      this.refusalOf(message) ??
+      (isOtherLife
+        ? refused("life")
+        : this.lowerThanPromised(
+            items.map(([key]) => key),
+            ballot,
+          ));
     if (refusal) return refusal;
     this.note(this.copy.vote(ballot, items));
     return (await this.safe()) ? { kind: "accepted" } : refused("disk");
   };
 
-  private readonly lowerThanPromised = (keys: readonly string[], ballot: Ballot): Message | undefined =>
-    keys.some((key) => isHigher(this.copy.promisedFor(key), ballot)) ? refused("ballot", this.copy.highest) : undefined;
+  private readonly lowerThanPromised = (
+    keys: readonly string[],
+    ballot: Ballot,
+  ): Message | undefined =>
+    keys.some((key) => isHigher(this.copy.promisedFor(key), ballot))
+      ? refused("ballot", this.copy.highest)
+      : undefined;
 
   /** Why this copy takes part in nothing that the message asks for. */
   private readonly refusalOf = (message: Message): Message | undefined => {
@@ -298,7 +378,9 @@
   private readonly refusalOfRoster = (message: Message): Message | undefined => {
     this.hearRoster(message);
     const { roster } = this.copy;
-    return readRoster(message["roster"]).number < roster.number ? { ...refused("roster", this.copy.highest), roster: packRoster(roster) } : undefined;
+    return readRoster(message["roster"]).number < roster.number
+      ? { ...refused("roster", this.copy.highest), roster: packRoster(roster) }
+      : undefined;
   };
 
   private readonly answerRead = async (message: Message): Promise<Message> => {
@@ -325,9 +407,18 @@
         });
     }
     const unsure = list(message, "unsure", textOf);
-    unsure.filter((key) => same.includes(bucketOf(key))).forEach((key) => rows.push(packTold(this.copy.entry(key), false)));
+    unsure
+      .filter((key) => same.includes(bucketOf(key)))
+      .forEach((key) => rows.push(packTold(this.copy.entry(key), false)));
     const counts = (await this.safe()) && this.isCounting;
-    return { kind: "copy", counts, same, entries: rows, next: bucket, ...(this.copy.pending ? { pending: packPending(this.copy.pending) } : {}) };
+    return {
+      kind: "copy",
+      counts,
+      same,
+      entries: rows,
+      next: bucket,
+      ...(this.copy.pending ? { pending: packPending(this.copy.pending) } : {}),
+    };
   };
 
   private readonly answerRoster = async (message: Message): Promise<Message> => {
@@ -335,17 +426,39 @@
     const number = whole(message, "number");
     this.hearRoster(message);
     const { roster, pending } = this.copy;
-    if (number <= roster.number) return { ...refused("roster", this.copy.highest), roster: packRoster(roster) };
+    if (number <= roster.number)
+      return { ...refused("roster", this.copy.highest), roster: packRoster(roster) };
     const ballot = readBallot(message["ballot"]);
     if (number > roster.number + 1) return refused("roster");
-    if (isHigher(this.copy.promisedForRoster(number), ballot)) return refused("ballot", this.copy.highest);
+    if (isHigher(this.copy.promisedForRoster(number), ballot))
+      return refused("ballot", this.copy.highest);
     if (message.kind === "roster-promise") {
-      this.note(this.copy.takePending({ number, promised: ballot, ballot: pending?.ballot ?? NO_BALLOT, roster: pending?.roster }));
+      this.note(
+        this.copy.takePending({
+          number,
+          promised: ballot,
+          ballot: pending?.ballot ?? NO_BALLOT,
+          roster: pending?.roster,
+        }),
+      );
       if (!(await this.safe())) return refused("disk");
-      return { kind: "promised", life: this.life, pending: packPending(pending ?? { number, promised: ballot, ballot: NO_BALLOT, roster: undefined }) };
+      return {
+        kind: "promised",
+        life: this.life,
+        pending: packPending(
+          pending ?? { number, promised: ballot, ballot: NO_BALLOT, roster: undefined },
+        ),
+      };
     }
     if (asRec(message["lives"])[this.options.self] !== this.life) return refused("life");
-    this.note(this.copy.takePending({ number, promised: ballot, ballot, roster: readRoster(message["next"]) }));
+    this.note(
+      this.copy.takePending({
+        number,
+        promised: ballot,
+        ballot,
+        roster: readRoster(message["next"]),
+      }),
+    );
     return (await this.safe()) ? { kind: "accepted" } : refused("disk");
   };
 
@@ -360,7 +473,11 @@
       sets: this.rosters,
       needed: majorityOf,
       ask: async (id) => {
-        const reply = await this.askOne(id, { kind: "contact", roster: packRoster(this.copy.roster) }, READ_WAIT_US);
+        const reply = await this.askOne(
+          id,
+          { kind: "contact", roster: packRoster(this.copy.roster) },
+          READ_WAIT_US,
+        );
         if (!reply) return undefined;
         this.hearRoster(reply);
         if (reply["grant"] !== undefined && isRec(reply["grant"])) this.hearGrant(reply["grant"]);
@@ -386,31 +503,47 @@
    * Decides one order of an operator, all items at one ballot. Ok: every item is held by a quorum, or was taken before
    * and is, or has since been overtaken. `problemOf` is given what stands, by key, and tells what makes the order invalid.
    */
-  readonly offer = (call: readonly Register[], problemOf?: (get: (key: string) => Register | undefined) => string | undefined): Promise<Result<void, LedgerMishap>> => {
+  readonly offer = (
+    call: readonly Register[],
+    problemOf?: (get: (key: string) => Register | undefined) => string | undefined,
+  ): Promise<Result<void, LedgerMishap>> => {
     const keys = [...new Set(call.map(({ key }) => key))];
     let wasOffered = false;
     let verdict: Result<void, LedgerMishap> = ok(undefined);
     return this.tryOften(async () => {
       const attempt = await this.prepare(keys);
       if (attempt.isErr) return err(attempt.error);
-      const stands = new Map(keys.map((key): readonly [string, Content] => [key, this.contentOf(attempt.value, key)]));
+      const stands = new Map(
+        keys.map((key): readonly [string, Content] => [key, this.contentOf(attempt.value, key)]),
+      );
       const next = new Map(stands);
       let mishap: LedgerMishap | undefined;
       // By what stood before: a call may name an item twice. One known item may be another order's; an order taken before has all.
-      const known = call.filter((order) => applyOrder(stands.get(order.key), order).kind === "known").length;
+      const known = call.filter(
+        (order) => applyOrder(stands.get(order.key), order).kind === "known",
+      ).length;
       const isSeen = known > 0;
       call.forEach((order) => {
         const applied = applyOrder(next.get(order.key), order);
         if (applied.kind === "fits") next.set(order.key, applied.next);
-        if (applied.kind === "conflict") mishap ??= { kind: "conflict", key: order.key, version: order.version };
-        if (applied.kind === "forgotten") mishap ??= { kind: "unclear", sentence: `what ${order.key} was at version ${order.version} is no longer known` };
+        if (applied.kind === "conflict")
+          mishap ??= { kind: "conflict", key: order.key, version: order.version };
+        if (applied.kind === "forgotten")
+          mishap ??= {
+            kind: "unclear",
+            sentence: `what ${order.key} was at version ${order.version} is no longer known`,
+          };
       });
       if (!mishap && known < call.length && !wasOffered) {
         mishap = await this.problemNow(problemOf, stands);
       }
       if (mishap) {
         const isRefusal = mishap.kind === "conflict" || mishap.kind === "invalid";
-        if (isRefusal && (wasOffered || isSeen)) mishap = { kind: "unclear", sentence: "another order has one of its numbers, and parts of this one were offered" };
+        if (isRefusal && (wasOffered || isSeen))
+          mishap = {
+            kind: "unclear",
+            sentence: "another order has one of its numbers, and parts of this one were offered",
+          };
         verdict = err(mishap);
         if (mishap.kind === "unclear") return ok(undefined);
       } else {
@@ -420,16 +553,26 @@
       // What stands is always accepted anew beside a refusal: a minority may have accepted parts of an earlier try at this
       // order above the ballot that was agreed, and they must not come up later.
       const items: Items = [...(mishap ? stands : next)];
-      const isDone = !mishap && items.every(([key, content]) => {
-        const entry = this.copy.entry(key);
-        return content === stands.get(key) && entry.isAgreed && isSame(entry.ballot, attempt.value.found.get(key)?.ballot ?? NO_BALLOT);
-      });
+      const isDone =
+        !mishap &&
+        items.every(([key, content]) => {
+          const entry = this.copy.entry(key);
+          return (
+            content === stands.get(key) &&
+            entry.isAgreed &&
+            isSame(entry.ballot, attempt.value.found.get(key)?.ballot ?? NO_BALLOT)
+          );
+        });
       return isDone ? ok(undefined) : this.accept(attempt.value, items);
     }).then((done) => done.andThen(() => verdict));
   };
 
   /** Compares and sets one register; `make` tells the new body, or undefined to leave it. Gives what stands afterwards. */
-  readonly decide = async (key: string, make: (now: Register | undefined) => string | undefined, term?: Term): Promise<Result<Register | undefined, LedgerMishap>> => {
+  readonly decide = async (
+    key: string,
+    make: (now: Register | undefined) => string | undefined,
+    term?: Term,
+  ): Promise<Result<Register | undefined, LedgerMishap>> => {
     let result: Register | undefined;
     const done = await this.tryOften(async () => {
       const attempt = await this.prepare([key], term);
@@ -442,16 +585,22 @@
     return done.map(() => result);
   };
 
-  private readonly problemNow = async (problemOf: ((get: (key: string) => Register | undefined) => string | undefined) | undefined, stands: ReadonlyMap<string, Content>): Promise<LedgerMishap | undefined> => {
+  private readonly problemNow = async (
+    problemOf: ((get: (key: string) => Register | undefined) => string | undefined) | undefined,
+    stands: ReadonlyMap<string, Content>,
+  ): Promise<LedgerMishap | undefined> => {
     const look = () => problemOf?.((key) => stands.get(key) ?? this.get(key));
     if (look() === undefined) return undefined;
     // This copy may be old: nothing is called unknown, nor let pass, before a quorum was read.
-    if ((await this.read()).isErr) return { kind: "unclear", sentence: "no quorum could be read for what the order names" };
+    if ((await this.read()).isErr)
+      return { kind: "unclear", sentence: "no quorum could be read for what the order names" };
     const sentence = look();
     return sentence === undefined ? undefined : { kind: "invalid", sentence };
   };
 
-  private readonly tryOften = async (work: () => Promise<Result<void, Setback>>): Promise<Result<void, LedgerMishap>> => {
+  private readonly tryOften = async (
+    work: () => Promise<Result<void, Setback>>,
+  ): Promise<Result<void, LedgerMishap>> => {
     const { clock, random } = this.options;
     const beganUs = clock.nowUs();
     for (let turn = 0; ; turn += 1) {
@@ -460,7 +609,8 @@
       const setback = done.error;
       if (setback.kind === "no-quorum") return err(setback);
       if (setback.kind === "term") return err({ kind: "stale", what: "term" });
-      if (clock.nowUs() - beganUs > TRY_US || turn >= TRIES_MOST) return err({ kind: "unclear", sentence: "other orders were in the way" });
+      if (clock.nowUs() - beganUs > TRY_US || turn >= TRIES_MOST)
+        return err({ kind: "unclear", sentence: "other orders were in the way" });
       if (setback.soon) continue;
       await rest(clock, Math.round(random() * Math.min(PAUSE_MOST_US, PAUSE_US * 2 ** turn)));
     }
@@ -478,11 +628,21 @@
   };
 
   /** Asks for promises; what was accepted at the highest ballot is found under each key. */
-  private readonly prepare = async (keys: readonly string[], term?: Term): Promise<Result<Attempt, Setback>> => {
+  private readonly prepare = async (
+    keys: readonly string[],
+    term?: Term,
+  ): Promise<Result<Attempt, Setback>> => {
     const { roster } = this.copy;
     const ballot = this.nextBallot();
     const before = keys.map((key) => this.copy.entry(key));
-    const message: Message = { kind: "promise", ballot: packBallot(ballot), roster: packRoster(roster), keys, have: before.map((entry) => packBallot(entry.ballot)), ...(term ? { term: { ...term } } : {}) };
+    const message: Message = {
+      kind: "promise",
+      ballot: packBallot(ballot),
+      roster: packRoster(roster),
+      keys,
+      have: before.map((entry) => packBallot(entry.ballot)),
+      ...(term ? { term: { ...term } } : {}),
+    };
     const lives = new Map<string, string>();
     const found = new Map<string, Told>();
     const promised = await this.poll(roster, message, READ_WAIT_US, "promised", (id, reply) => {
@@ -490,7 +650,10 @@
       list(reply, "entries", readTold).forEach((told) => {
         const known = found.get(told.key);
         if (known && !isHigher(told.ballot, known.ballot)) return;
-        const at = told.register === "same" ? before.find((entry) => entry.key === told.key && isSame(entry.ballot, told.ballot)) : undefined;
+        const at =
+          told.register === "same"
+            ? before.find((entry) => entry.key === told.key && isSame(entry.ballot, told.ballot))
+            : undefined;
         found.set(told.key, at ? { ...told, register: at.register } : told);
       });
     });
@@ -498,7 +661,11 @@
   };
 
   /** Asks those that promised to accept; then everyone is told. */
-  private readonly accept = async (attempt: Attempt, items: Items, term?: Term): Promise<Result<void, Setback>> => {
+  private readonly accept = async (
+    attempt: Attempt,
+    items: Items,
+    term?: Term,
+  ): Promise<Result<void, Setback>> => {
     const { ballot, roster, lives } = attempt;
     const message: Message = {
       kind: "accept",
@@ -508,10 +675,28 @@
       items: items.map(([key, content]) => [key, content ? packRegister(content) : null]),
       ...(term ? { term: { ...term } } : {}),
     };
-    const accepted = await this.poll(roster, message, STORE_WAIT_US, "accepted", () => undefined, (id) => lives.has(id));
+    const accepted = await this.poll(
+      roster,
+      message,
+      STORE_WAIT_US,
+      "accepted",
+      () => undefined,
+      (id) => lives.has(id),
+    );
     if (accepted.isErr) return err(accepted.error);
     // A proposer that is no member holds what it has brought about all the same.
-    this.note(this.copy.learn(items.map(([key, register]): Entry => ({ key, promised: NO_BALLOT, ballot, register, isVoted: false, isAgreed: true }))));
+    this.note(
+      this.copy.learn(
+        items.map(([key, register]): Entry => ({
+          key,
+          promised: NO_BALLOT,
+          ballot,
+          register,
+          isVoted: false,
+          isAgreed: true,
+        })),
+      ),
+    );
     const fresh = items.flatMap(([, register]) => register ?? []);
     if (fresh.length > 0) void this.events.emit("settled", fresh);
     this.tell(items.map(([key]): readonly [string, Ballot] => [key, ballot]));
@@ -519,7 +704,11 @@
   };
 
   private readonly tell = (marks: readonly (readonly [string, Ballot])[]): void =>
-    this.options.asker.send({ kind: "settled", roster: packRoster(this.copy.roster), items: marks.map(([key, ballot]) => [key, packBallot(ballot)]) });
+    this.options.asker.send({
+      kind: "settled",
+      roster: packRoster(this.copy.roster),
+      items: marks.map(([key, ballot]) => [key, packBallot(ballot)]),
+    });
 
   /** Puts one question to the members of a roster; what stood in the way of a quorum is the setback. */
   private readonly poll = async (
@@ -547,7 +736,8 @@
         this.hearRefusal(reply);
         const why = reply["why"];
         if (why === "term") setback = { kind: "term" };
-        else if (why === "ballot" || why === "life" || why === "roster") setback ??= { kind: "again", soon: why === "roster" };
+        else if (why === "ballot" || why === "life" || why === "roster")
+          setback ??= { kind: "again", soon: why === "roster" };
         return undefined;
       },
     });
@@ -589,13 +779,17 @@
   };
 
   /** Offers anew what stands, so that it is agreed. */
-  private readonly finish = async (keys: readonly string[]): Promise<Result<void, LedgerMishap>> => {
+  private readonly finish = async (
+    keys: readonly string[],
+  ): Promise<Result<void, LedgerMishap>> => {
     for (let at = 0; at < keys.length; at += FINISH_AT_ONCE) {
       const part = keys.slice(at, at + FINISH_AT_ONCE);
       const done = await this.tryOften(async () => {
         const attempt = await this.prepare(part);
         if (attempt.isErr) return err(attempt.error);
-        const items = part.filter((key) => attempt.value.found.has(key)).map((key): readonly [string, Content] => [key, this.contentOf(attempt.value, key)]);
+        const items = part
+          .filter((key) => attempt.value.found.has(key))
+          .map((key): readonly [string, Content] => [key, this.contentOf(attempt.value, key)]);
         return items.length === 0 ? ok(undefined) : this.accept(attempt.value, items);
       });
       if (done.isErr) return err(done.error);
@@ -623,12 +817,19 @@
     });
     if (read.isErr) return err(read.error);
     const taken = new Map(views);
-    const keys = new Set([...unsure, ...[...taken.values()].flatMap(({ told }) => [...told.keys()])]);
+    const keys = new Set([
+      ...unsure,
+      ...[...taken.values()].flatMap(({ told }) => [...told.keys()]),
+    ]);
     return ok(this.adopt([...keys], before, taken));
   };
 
   /** Takes what the views show to be agreed; gives the keys of which none can tell. */
-  private readonly adopt = (keys: readonly string[], before: ReadonlyMap<string, Entry>, views: ReadonlyMap<string, View>): readonly string[] => {
+  private readonly adopt = (
+    keys: readonly string[],
+    before: ReadonlyMap<string, Entry>,
+    views: ReadonlyMap<string, View>,
+  ): readonly string[] => {
     const { self, withstandMachines } = this.options;
     const learned: Entry[] = [];
     const left: string[] = [];
@@ -640,35 +841,69 @@
         if (id === self && view) return own && { ...own };
         const told = view?.told.get(key);
         if (told) return told;
-        return view?.same.has(bucket) && own ? { ...own, isVoted: false, isAgreed: false } : undefined;
+        return view?.same.has(bucket) && own
+          ? { ...own, isVoted: false, isAgreed: false }
+          : undefined;
       };
       const tellings = [...views.keys()].flatMap((id) => {
         const told = toldBy(id);
         return told ? [{ id, told }] : [];
       });
-      const candidates = own && !views.has(self) ? [...tellings, { id: "", told: { ...own, isVoted: false } }] : tellings;
+      const candidates =
+        own && !views.has(self)
+          ? [...tellings, { id: "", told: { ...own, isVoted: false } }]
+          : tellings;
       const top = candidates.reduce((most, { told }) => higherOf(most, told.ballot), NO_BALLOT);
       if (top.number === 0) return;
       const atTop = candidates.filter(({ told }) => isSame(told.ballot, top));
       const voters = new Set(atTop.filter(({ told }) => told.isVoted).map(({ id }) => id));
-      const isAgreed = atTop.some(({ told }) => told.isAgreed) || this.rosters().every((members) => members.filter((id) => voters.has(id)).length >= quorumOf(members, withstandMachines));
+      const isAgreed =
+        atTop.some(({ told }) => told.isAgreed) ||
+        this.rosters().every(
+          (members) =>
+            members.filter((id) => voters.has(id)).length >= quorumOf(members, withstandMachines),
+        );
       if (!isAgreed) {
         left.push(key);
         return;
       }
-      const content = own && isSame(own.ballot, top) ? { register: own.register } : atTop.flatMap(({ told }) => (told.register === "same" ? [] : [{ register: told.register }]))[0];
-      if (content) learned.push({ key, promised: NO_BALLOT, ballot: top, register: content.register, isVoted: false, isAgreed: true });
+      const content =
+        own && isSame(own.ballot, top)
+          ? { register: own.register }
+          : atTop.flatMap(({ told }) =>
+              told.register === "same" ? [] : [{ register: told.register }],
+            )[0];
+      if (content)
+        learned.push({
+          key,
+          promised: NO_BALLOT,
+          ballot: top,
+          register: content.register,
+          isVoted: false,
+          isAgreed: true,
+        });
     });
     this.takeAgreed(learned);
     return left;
   };
 
   private readonly takeAgreed = (entries: readonly Entry[]): void => {
-    const fresh = entries.filter(({ key, ballot }) => !(this.copy.entry(key).isAgreed && !isHigher(ballot, this.copy.entry(key).ballot)));
-    const marks = fresh.filter(({ key, ballot }) => isSame(this.copy.entry(key).ballot, ballot)).map(({ key, ballot }): readonly [string, Ballot] => [key, ballot]);
-    this.note(this.copy.learn(fresh.filter(({ key, ballot }) => !isSame(this.copy.entry(key).ballot, ballot))));
+    const fresh = entries.filter(
+      ({ key, ballot }) =>
+        !(this.copy.entry(key).isAgreed && !isHigher(ballot, this.copy.entry(key).ballot)),
+    );
+    const marks = fresh
+      .filter(({ key, ballot }) => isSame(this.copy.entry(key).ballot, ballot))
+      .map(({ key, ballot }): readonly [string, Ballot] => [key, ballot]);
+    this.note(
+      this.copy.learn(
+        fresh.filter(({ key, ballot }) => !isSame(this.copy.entry(key).ballot, ballot)),
+      ),
+    );
     this.settle(marks);
-    const news = fresh.filter(({ key }) => !marks.some(([marked]) => marked === key)).flatMap(({ register }) => register ?? []);
+    const news = fresh
+      .filter(({ key }) => !marks.some(([marked]) => marked === key))
+      .flatMap(({ register }) => register ?? []);
     if (news.length > 0) void this.events.emit("settled", news);
   };
 
@@ -683,12 +918,24 @@
   };
 
   /** What one colleague holds that differs, in pieces; undefined where it stops answering. */
-  private readonly view = async (id: string, sums: readonly string[], unsure: readonly string[], floor?: Ballot): Promise<View | undefined> => {
+  private readonly view = async (
+    id: string,
+    sums: readonly string[],
+    unsure: readonly string[],
+    floor?: Ballot,
+  ): Promise<View | undefined> => {
     const told = new Map<string, Told>();
     const same = new Set<number>();
     let from = 0;
     for (let piece = 0; piece < PIECES_MOST; piece += 1) {
-      const message: Message = { kind: "read", roster: packRoster(this.copy.roster), sums, unsure, from, ...(floor ? { floor: packBallot(floor) } : {}) };
+      const message: Message = {
+        kind: "read",
+        roster: packRoster(this.copy.roster),
+        sums,
+        unsure,
+        from,
+        ...(floor ? { floor: packBallot(floor) } : {}),
+      };
       const reply = await this.askOne(id, message, READ_WAIT_US);
       if (!reply) return undefined;
       if (reply.kind !== "copy") {
@@ -697,7 +944,8 @@
       }
       list(reply, "entries", readTold).forEach((row) => told.set(row.key, row));
       list(reply, "same", numberOf).forEach((bucket) => same.add(bucket));
-      if (floor && reply["pending"] !== undefined) this.note(this.copy.takePending({ ...readPending(reply["pending"]), promised: NO_BALLOT }));
+      if (floor && reply["pending"] !== undefined)
+        this.note(this.copy.takePending({ ...readPending(reply["pending"]), promised: NO_BALLOT }));
       from = whole(reply, "next");
       if (from >= sums.length) return { counts: flag(reply, "counts"), told, same };
     }
@@ -726,7 +974,8 @@
     const views = new Map<string, View>();
     const read = await this.collect<View>({
       sets: () => (this.copy.roster.number === 0 ? [this.options.seeds()] : this.rosters()),
-      needed: (members) => (this.copy.roster.number === 0 ? Infinity : readQuorumOf(members, withstandMachines)),
+      needed: (members) =>
+        this.copy.roster.number === 0 ? Infinity : readQuorumOf(members, withstandMachines),
       ask: async (id) => {
         if (id === this.options.self) return undefined;
         const view = await this.view(id, sums, [], floor);
@@ -739,17 +988,32 @@
     if (this.copy.roster.number !== rosterBefore) return err({ kind: "stale", what: "roster" });
     // A copy that is on no roster was one of no quorum that still counts; what it accepted long ago must not come up again.
     if (!this.isMember()) this.copy.forgetOffers();
-    const keys = new Set([...before.keys(), ...[...views.values()].flatMap(({ told }) => [...told.keys()])]);
+    const keys = new Set([
+      ...before.keys(),
+      ...[...views.values()].flatMap(({ told }) => [...told.keys()]),
+    ]);
     const left = new Set(this.adopt([...keys], before, views));
     // What none knows to be agreed is held as it is: this copy may have been among those that accepted it.
     const held = [...views.values()].flatMap(({ told }) =>
       [...told.values()].flatMap((row): Entry[] =>
-        left.has(row.key) && row.register !== "same" ? [{ key: row.key, promised: NO_BALLOT, ballot: row.ballot, register: row.register, isVoted: false, isAgreed: false }] : [],
+        left.has(row.key) && row.register !== "same"
+          ? [
+              {
+                key: row.key,
+                promised: NO_BALLOT,
+                ballot: row.ballot,
+                register: row.register,
+                isVoted: false,
+                isAgreed: false,
+              },
+            ]
+          : [],
       ),
     );
     this.note(this.copy.learn(held));
     this.note(this.copy.raiseFloor(floor));
-    if (!(await this.safe()) || (await archive.keepWhole()).isErr) return err({ kind: "unclear", sentence: "the disk refused what was caught up" });
+    if (!(await this.safe()) || (await archive.keepWhole()).isErr)
+      return err({ kind: "unclear", sentence: "the disk refused what was caught up" });
     this.note(this.copy.setCounting());
     if (!(await this.safe())) {
       this.copy.doubt();
@@ -766,8 +1030,12 @@
    * Changes who the members are, in two decisions: a joint roster of old and new, and, once the new ones hold all that is
    * agreed, the new one. One change at a time; one begun by another is finished first. Ok: the wanted one stands.
    */
-  readonly changeMembers = async (change: (members: readonly string[]) => readonly string[], moveMore: () => Promise<boolean> = async () => true): Promise<Result<void, LedgerMishap>> => {
-    if (this.changing) return err({ kind: "unclear", sentence: "another change of the roster is under way" });
+  readonly changeMembers = async (
+    change: (members: readonly string[]) => readonly string[],
+    moveMore: () => Promise<boolean> = async () => true,
+  ): Promise<Result<void, LedgerMishap>> => {
+    if (this.changing)
+      return err({ kind: "unclear", sentence: "another change of the roster is under way" });
     this.changing = true;
     try {
       const settled = await this.finishRoster(moveMore);
@@ -775,8 +1043,13 @@
       const base = this.copy.roster;
       const wanted = [...new Set(change(base.members))].sort();
       if (wanted.join() === [...base.members].sort().join()) return ok(undefined);
-      const joint = await this.decideRoster(base, { number: base.number + 1, from: base.members, members: wanted });
-      if (!joint || joint.members.join() !== wanted.join()) return err({ kind: "stale", what: "roster" });
+      const joint = await this.decideRoster(base, {
+        number: base.number + 1,
+        from: base.members,
+        members: wanted,
+      });
+      if (!joint || joint.members.join() !== wanted.join())
+        return err({ kind: "stale", what: "roster" });
       return await this.finishRoster(moveMore);
     } finally {
       this.changing = false;
@@ -784,14 +1057,21 @@
   };
 
   /** Ends a joint roster: everything agreed is brought to a quorum of the new members, then they stand alone. */
-  private readonly finishRoster = async (moveMore: () => Promise<boolean>): Promise<Result<void, LedgerMishap>> => {
+  private readonly finishRoster = async (
+    moveMore: () => Promise<boolean>,
+  ): Promise<Result<void, LedgerMishap>> => {
     for (let turn = 0; turn < 4; turn += 1) {
       const { roster } = this.copy;
       if (!isJoint(roster)) return ok(undefined);
       const moved = await this.spread(roster);
       if (moved.isErr) return moved;
-      if (!(await moveMore())) return err({ kind: "unclear", sentence: "the new members don't hold everything yet" });
-      await this.decideRoster(roster, { number: roster.number + 1, members: roster.members, from: [] });
+      if (!(await moveMore()))
+        return err({ kind: "unclear", sentence: "the new members don't hold everything yet" });
+      await this.decideRoster(roster, {
+        number: roster.number + 1,
+        members: roster.members,
+        from: [],
+      });
     }
     return isJoint(this.copy.roster) ? err({ kind: "stale", what: "roster" }) : ok(undefined);
   };
@@ -802,7 +1082,9 @@
     const read = await this.readNow();
     if (read.isErr) return read;
     const before = this.copy.entriesNow();
-    const keys = [...before.values()].filter(({ ballot }) => ballot.number > 0).map(({ key }) => key);
+    const keys = [...before.values()]
+      .filter(({ ballot }) => ballot.number > 0)
+      .map(({ key }) => key);
     const missing = new Set(keys);
     const sums = this.copy.bucketSums();
     const views = new Map<string, View>();
@@ -829,20 +1111,32 @@
         const told = view.told.get(key);
         return told !== undefined && !isHigher(own.ballot, told.ballot);
       };
-      if (setsOf(roster).every((members) => members.filter(holds).length >= quorumOf(members, withstandMachines))) missing.delete(key);
+      if (
+        setsOf(roster).every(
+          (members) => members.filter(holds).length >= quorumOf(members, withstandMachines),
+        )
+      )
+        missing.delete(key);
     });
     return this.finish([...missing]);
   };
 
   /** Decides the roster after `base`: the wanted one, or what is already half decided. */
-  private readonly decideRoster = async (base: Roster, wanted: Roster): Promise<Roster | undefined> => {
+  private readonly decideRoster = async (
+    base: Roster,
+    wanted: Roster,
+  ): Promise<Roster | undefined> => {
     const { withstandMachines, log } = this.options;
     const number = base.number + 1;
     for (let turn = 0; turn < 6 && this.copy.roster.number === base.number; turn += 1) {
       const ballot = this.nextBallot();
       const lives = new Map<string, string>();
       let found: Pending | undefined;
-      const ask = (message: Message, isAsked: (id: string) => boolean, take: (id: string, reply: Message) => void) => {
+      const ask = (
+        message: Message,
+        isAsked: (id: string) => boolean,
+        take: (id: string, reply: Message) => void,
+      ) => {
         let isOpen = true;
         return this.collect<Message>({
           sets: () => setsOf(base),
@@ -861,18 +1155,40 @@
           isOpen = false;
         });
       };
-      const promised = await ask({ kind: "roster-promise", number, ballot: packBallot(ballot), roster: packRoster(base) }, () => true, (id, reply) => {
-        lives.set(id, text(reply, "life"));
-        const told = readPending(reply["pending"]);
-        if (told.number === number && told.roster && (!found || isHigher(told.ballot, found.ballot))) found = told;
-      });
+      const promised = await ask(
+        { kind: "roster-promise", number, ballot: packBallot(ballot), roster: packRoster(base) },
+        () => true,
+        (id, reply) => {
+          lives.set(id, text(reply, "life"));
+          const told = readPending(reply["pending"]);
+          if (
+            told.number === number &&
+            told.roster &&
+            (!found || isHigher(told.ballot, found.ballot))
+          )
+            found = told;
+        },
+      );
       const next: Roster = found?.roster ?? wanted;
       const accepted = promised.isOk
-        ? await ask({ kind: "roster-accept", number, ballot: packBallot(ballot), roster: packRoster(base), lives: Object.fromEntries(lives), next: packRoster(next) }, (id) => lives.has(id), () => undefined)
+        ? await ask(
+            {
+              kind: "roster-accept",
+              number,
+              ballot: packBallot(ballot),
+              roster: packRoster(base),
+              lives: Object.fromEntries(lives),
+              next: packRoster(next),
+            },
+            (id) => lives.has(id),
+            () => undefined,
+          )
         : promised;
       if (accepted.isOk) {
         this.takeRoster(next);
-        log.info(`Roster ${next.number} is ${isJoint(next) ? `joint, to be ${next.members.join(", ")}` : next.members.join(", ")}.`);
+        log.info(
+          `Roster ${next.number} is ${isJoint(next) ? `joint, to be ${next.members.join(", ")}` : next.members.join(", ")}.`,
+        );
         this.tell([]);
         return next;
       }
@@ -907,24 +1223,42 @@
     if (records.length > 0) this.unsaved = [...this.unsaved, ...records];
   };
 
-  private readonly askOne = (id: string, message: Message, waitUs: number): Promise<Message | undefined> => {
+  private readonly askOne = (
+    id: string,
+    message: Message,
+    waitUs: number,
+  ): Promise<Message | undefined> => {
     const { self, asker, clock } = this.options;
     // Its own disk may stall, and then counts no more than a silent colleague.
-    return id === self ? within(clock, waitUs, this.answer(message), undefined) : asker.ask(id, message, waitUs);
+    return id === self
+      ? within(clock, waitUs, this.answer(message), undefined)
+      : asker.ask(id, message, waitUs);
   };
 
   /** Asks every member of the sets; ok as soon as enough of each have answered, and the rest too or a grace is over. */
-  private readonly collect = <T>({ sets, needed, ask, graceUs = 0 }: Gathering<T>): Promise<Result<void, { readonly kind: "no-quorum"; readonly held: number; readonly needed: number }>> => {
+  private readonly collect = <T>({
+    sets,
+    needed,
+    ask,
+    graceUs = 0,
+  }: Gathering<T>): Promise<
+    Result<void, { readonly kind: "no-quorum"; readonly held: number; readonly needed: number }>
+  > => {
     const held = new Set<string>();
     const asked = new Set<string>();
-    const missing = () => sets().find((members) => members.length === 0 || members.filter((id) => held.has(id)).length < needed(members));
+    const missing = () =>
+      sets().find(
+        (members) =>
+          members.length === 0 || members.filter((id) => held.has(id)).length < needed(members),
+      );
     return new Promise((resolve) => {
       let open = 0;
       let isWaiting = false;
       const look = () => {
         const members = missing();
         if (members) {
-          if (open === 0) resolve(err({ kind: "no-quorum", held: held.size, needed: needed(members) }));
+          if (open === 0)
+            resolve(err({ kind: "no-quorum", held: held.size, needed: needed(members) }));
         } else if (open === 0 || graceUs === 0) resolve(ok(undefined));
         else if (!isWaiting) {
           isWaiting = true;
@@ -951,7 +1285,12 @@
   };
 
   /** Puts a question to every member for other parts of the control state; ok once a quorum of each set has given an accepted answer. */
-  readonly gather = (message: Message, accepts: (reply: Message, id: string) => boolean, own: () => Promise<boolean>, waitUs: number): Promise<Result<void, LedgerMishap>> => {
+  readonly gather = (
+    message: Message,
+    accepts: (reply: Message, id: string) => boolean,
+    own: () => Promise<boolean>,
+    waitUs: number,
+  ): Promise<Result<void, LedgerMishap>> => {
     const { self, asker, withstandMachines } = this.options;
     return this.collect<true>({
       sets: this.rosters,
@@ -972,11 +1311,17 @@
   readonly refusalOfOld = (message: Message): Message | undefined => {
     const { roster } = this.copy;
     const { under } = message;
-    return typeof under === "number" && under < roster.number ? { ...refused("roster"), roster: packRoster(roster) } : undefined;
+    return typeof under === "number" && under < roster.number
+      ? { ...refused("roster"), roster: packRoster(roster) }
+      : undefined;
   };
 }
 
-const refused = (why: string, top?: number): Message => ({ kind: "refused", why, ...(top === undefined ? {} : { top }) });
+const refused = (why: string, top?: number): Message => ({
+  kind: "refused",
+  why,
+  ...(top === undefined ? {} : { top }),
+});
 
 const readPackedTerm = (value: unknown): Term => {
   const rec = asRec(value, "term");
@@ -986,5 +1331,8 @@
 const isAbove = (grant: Register | undefined, term: Term): boolean => {
   const known = readTerm(grant);
   if (!known) return false;
-  return known.number > term.number || (known.number === term.number && (known.holder !== term.holder || known.life !== term.life));
+  return (
+    known.number > term.number ||
+    (known.number === term.number && (known.holder !== term.holder || known.life !== term.life))
+  );
 };
--- a/src/interlocking/register.ts
+++ b/src/interlocking/register.ts
@@ -24,21 +24,44 @@
 /** How many earlier numbers are kept for each item. */
 const PAST_MOST = 256;
 
-export const makeRegister = (key: string, version: number, body: string, dropped = false): Register => ({
+export const makeRegister = (
+  key: string,
+  version: number,
+  body: string,
+  dropped = false,
+): Register => ({
   key,
   version,
   dropped,
   body,
-  digest: createHash("sha1").update(`${key}\n${version}\n${dropped ? 1 : 0}\n${body}`).digest("base64").slice(0, 16),
+  digest: createHash("sha1")
+    .update(`${key}\n${version}\n${dropped ? 1 : 0}\n${body}`)
+    .digest("base64")
+    .slice(0, 16),
   past: [],
   pastFrom: 0,
 });
 
 export const readRegister = (value: unknown): Register => {
   const rec = asRec(value, "register");
-  const past = rec["past"] === undefined ? [] : asList(rec["past"], "past").map((row): Past => [numberOf(asList(row, "past")[0]), textOf(asList(row, "past")[1])]);
+  const past =
+    rec["past"] === undefined
+      ? []
+      : asList(rec["past"], "past").map((row): Past => [
+          numberOf(asList(row, "past")[0]),
+          textOf(asList(row, "past")[1]),
+        ]);
   const pastFrom = rec["pastFrom"] === undefined ? 0 : whole(rec, "pastFrom");
-  return { ...makeRegister(text(rec, "key"), whole(rec, "version"), text(rec, "body"), flag(rec, "dropped")), past, pastFrom };
+  return {
+    ...makeRegister(
+      text(rec, "key"),
+      whole(rec, "version"),
+      text(rec, "body"),
+      flag(rec, "dropped"),
+    ),
+    past,
+    pastFrom,
+  };
 };
 
 /** Registers travel and lie on disk without their digest, which the reader makes anew. */
@@ -54,7 +77,11 @@
 const withPast = (register: Register, past: readonly Past[], pastFrom: number): Register => {
   const rising = [...past].sort(([a], [b]) => a - b);
   const kept = rising.slice(-PAST_MOST);
-  return { ...register, past: kept, pastFrom: kept.length < rising.length ? (kept[0]?.[0] ?? pastFrom) : pastFrom };
+  return {
+    ...register,
+    past: kept,
+    pastFrom: kept.length < rising.length ? (kept[0]?.[0] ?? pastFrom) : pastFrom,
+  };
 };
 
 /** What an order comes to, given what stands. */
@@ -70,9 +97,19 @@
 
 export const applyOrder = (now: Register | undefined, order: Register): Applied => {
   if (!now) return { kind: "fits", next: order };
-  const agreed = order.version === now.version ? now.digest : now.past.find(([version]) => version === order.version)?.[1];
+  const agreed =
+    order.version === now.version
+      ? now.digest
+      : now.past.find(([version]) => version === order.version)?.[1];
   if (agreed !== undefined) return { kind: agreed === order.digest ? "known" : "conflict" };
   if (order.version < now.pastFrom) return { kind: "forgotten" };
-  if (order.version < now.version) return { kind: "fits", next: withPast(now, [...now.past, [order.version, order.digest]], now.pastFrom) };
-  return { kind: "fits", next: withPast(order, [...now.past, [now.version, now.digest]], now.pastFrom) };
+  if (order.version < now.version)
+    return {
+      kind: "fits",
+      next: withPast(now, [...now.past, [order.version, order.digest]], now.pastFrom),
+    };
+  return {
+    kind: "fits",
+    next: withPast(order, [...now.past, [now.version, now.digest]], now.pastFrom),
+  };
 };
--- a/src/interlocking/retry-office.ts
+++ b/src/interlocking/retry-office.ts
@@ -48,16 +48,29 @@
     const limits = this.options.limits();
     const rows = list(message, "wants", (value) => {
       const [service, kind, wanted, held] = asList(value, "want");
-      return [textOf(service), textOf(kind), this.give(limits, life, textOf(service), textOf(kind), numberOf(wanted), numberOf(held))];
+      return [
+        textOf(service),
+        textOf(kind),
+        this.give(limits, life, textOf(service), textOf(kind), numberOf(wanted), numberOf(held)),
+      ];
     });
     return { kind: "retries", rows, lastsUs: RETRY_LEASE_US };
   };
 
-  private readonly give = (limits: RetryLimits, life: string, service: string, kind: string, wanted: number, held: number): number => {
+  private readonly give = (
+    limits: RetryLimits,
+    life: string,
+    service: string,
+    kind: string,
+    wanted: number,
+    held: number,
+  ): number => {
     const { clock, windowUs } = this.options;
     const whole = limitOf(limits, service, kindOf(kind)).slack * USED_PART;
     const key = `${service}|${kind}`;
-    const office = this.offices.get(key) ?? new ShareOffice(clock, { lastsUs: RETRY_LEASE_US, restUs: windowUs }, this.sinceUs);
+    const office =
+      this.offices.get(key) ??
+      new ShareOffice(clock, { lastsUs: RETRY_LEASE_US, restUs: windowUs }, this.sinceUs);
     this.offices.set(key, office);
     return office.give(life, Math.min(wanted, Math.max(1, whole * MOST_PART)), held, whole);
   };
--- a/src/interlocking/segments.ts
+++ b/src/interlocking/segments.ts
@@ -42,7 +42,7 @@
 /** All records up to the first that is torn: what comes behind a torn one was never acknowledged. */
 const recordsOf = (bytes: Buffer): readonly unknown[] => {
   const records: unknown[] = [];
-  for (let at = 0; at + HEAD_BYTES <= bytes.length; ) {
+  for (let at = 0; at + HEAD_BYTES <= bytes.length;) {
     const size = bytes.readUInt32BE(at);
     const body = bytes.subarray(at + HEAD_BYTES, at + HEAD_BYTES + size);
     if (body.length !== size || crc32(body) !== bytes.readUInt32BE(at + 4)) break;
@@ -84,7 +84,10 @@
     if (folder === "") return undefined;
     try {
       await new FileDisk().makeFolder(folder);
-      const numbers = (await readdir(folder)).map((name) => Number(NAME.exec(name)?.[1] ?? 0)).filter((number) => number > 0).sort((a, b) => a - b);
+      const numbers = (await readdir(folder))
+        .map((name) => Number(NAME.exec(name)?.[1] ?? 0))
+        .filter((number) => number > 0)
+        .sort((a, b) => a - b);
       const records: unknown[] = [];
       for (const number of numbers) {
         const bytes = await readFile(this.path(number));
@@ -102,13 +105,16 @@
   /** Resolves once the record is safe. */
   readonly append = (record: unknown): Promise<Result<void, SegmentMishap>> => {
     if (this.options.folder === "") return Promise.resolve(ok(undefined));
-    if (this.heldBytes > this.options.mostBytes) return Promise.resolve(err({ kind: "full", sentence: "the room for the log is taken" }));
+    if (this.heldBytes > this.options.mostBytes)
+      return Promise.resolve(err({ kind: "full", sentence: "the room for the log is taken" }));
     return this.writes.add(frameOf(record));
   };
 
   /** Resolves once all that was appended before is safe. */
   readonly flush = (): Promise<Result<void, SegmentMishap>> =>
-    this.options.folder === "" || this.writes.isIdle ? Promise.resolve(ok(undefined)) : this.writes.add(Buffer.alloc(0));
+    this.options.folder === "" || this.writes.isIdle
+      ? Promise.resolve(ok(undefined))
+      : this.writes.add(Buffer.alloc(0));
 
   /** Lets what has begun come to its end, and closes the file. */
   readonly stop = async (): Promise<void> => {
@@ -117,7 +123,8 @@
     this.file = undefined;
   };
 
-  private readonly path = (number: number): string => join(this.options.folder, `log-${number}.bin`);
+  private readonly path = (number: number): string =>
+    join(this.options.folder, `log-${number}.bin`);
 
   private readonly write = async (bytes: Buffer): Promise<Result<void, SegmentMishap>> => {
     try {
@@ -130,7 +137,10 @@
     } catch (mishap) {
       // What the failed write left may be torn, so nothing more is appended behind it.
       await this.close().catch(() => undefined);
-      return err({ kind: "disk", sentence: mishap instanceof Error ? mishap.message : "the disk refused" });
+      return err({
+        kind: "disk",
+        sentence: mishap instanceof Error ? mishap.message : "the disk refused",
+      });
     }
   };
 
--- a/src/interlocking/share-office.ts
+++ b/src/interlocking/share-office.ts
@@ -22,7 +22,11 @@
   private readonly given = new Map<string, Given[]>();
 
   /** Since when the duty is held here; where that isn't told, since the first asking. */
-  constructor(private readonly clock: Clock, private readonly terms: ShareTerms, private sinceUs?: number) {}
+  constructor(
+    private readonly clock: Clock,
+    private readonly terms: ShareTerms,
+    private sinceUs?: number,
+  ) {}
 
   /** Whether nothing that was given still counts. */
   get isIdle(): boolean {
@@ -48,7 +52,8 @@
     });
     const isNew = nowUs - this.sinceUs < lastsUs + restUs;
     const share = Math.min(Math.max(0, whole - others), isNew ? held : wanted);
-    if (share > 0) this.given.set(life, [...(this.given.get(life) ?? []), { share, endUs: nowUs + lastsUs }]);
+    if (share > 0)
+      this.given.set(life, [...(this.given.get(life) ?? []), { share, endUs: nowUs + lastsUs }]);
     return share;
   };
 
@@ -63,4 +68,5 @@
 }
 
 /** A renewal that was lost leaves the old lease in force, so the largest one counts. */
-const outstanding = (rows: readonly Given[]): number => rows.reduce((most, { share }) => Math.max(most, share), 0);
+const outstanding = (rows: readonly Given[]): number =>
+  rows.reduce((most, { share }) => Math.max(most, share), 0);
--- a/src/programs/control.ts
+++ b/src/programs/control.ts
@@ -1,5 +1,11 @@
 import { err, ok, type Result } from "true-myth/result";
-import { layOut, readCallInTurns, unknownService, isPlanKey, type PlanMishap } from "../interlocking/check.js";
+import {
+  layOut,
+  readCallInTurns,
+  unknownService,
+  isPlanKey,
+  type PlanMishap,
+} from "../interlocking/check.js";
 import type { Ledger, LedgerMishap } from "../interlocking/ledger.js";
 import type { Register } from "../interlocking/register.js";
 import { readBeat, type Beat, type Registry } from "../signalling/registry.js";
@@ -11,17 +17,26 @@
 /** What can go wrong with a call, in this layer's own words. */
 export type CallMishap = { readonly outcome: OutcomeName; readonly sentence: string };
 
-const ofPlan = (mishap: PlanMishap): CallMishap => ({ outcome: mishap.kind === "unreadable" ? "unreadable" : "wrong", sentence: mishap.sentence });
+const ofPlan = (mishap: PlanMishap): CallMishap => ({
+  outcome: mishap.kind === "unreadable" ? "unreadable" : "wrong",
+  sentence: mishap.sentence,
+});
 
 /** Only what can never be in force is refused; all else has no clear answer. */
 const ofLedger = (mishap: LedgerMishap): CallMishap => {
   switch (mishap.kind) {
     case "conflict":
-      return { outcome: "versionTaken", sentence: `${mishap.key.replace("/", " ")} at version ${mishap.version} is already agreed with another content` };
+      return {
+        outcome: "versionTaken",
+        sentence: `${mishap.key.replace("/", " ")} at version ${mishap.version} is already agreed with another content`,
+      };
     case "invalid":
       return { outcome: "wrong", sentence: mishap.sentence };
     case "no-quorum":
-      return { outcome: "noQuorum", sentence: `only ${mishap.held} of ${mishap.needed} copies answered well` };
+      return {
+        outcome: "noQuorum",
+        sentence: `only ${mishap.held} of ${mishap.needed} copies answered well`,
+      };
     case "stale":
       return { outcome: "noQuorum", sentence: `the ${mishap.what} is stale` };
     case "unclear":
@@ -30,10 +45,14 @@
 };
 
 const verdictOf = (result: Result<Rec, CallMishap>): Verdict =>
-  result.isOk ? { outcome: "taken", body: result.value } : { outcome: result.error.outcome, body: { problem: result.error.sentence } };
+  result.isOk
+    ? { outcome: "taken", body: result.value }
+    : { outcome: result.error.outcome, body: { problem: result.error.sentence } };
 
 /** What a purge names, or a sentence on what is wrong with it. */
-const readPurge = (body: string): Result<{ readonly host: string; readonly path: string; readonly label: string }, string> => {
+const readPurge = (
+  body: string,
+): Result<{ readonly host: string; readonly path: string; readonly label: string }, string> => {
   let rec: Rec;
   try {
     const value = parseJson(body);
@@ -43,7 +62,10 @@
     return err("the purge is no whole JSON table");
   }
   const { host, path, label } = rec;
-  if (label !== undefined && host === undefined && path === undefined) return typeof label === "string" && label !== "" ? ok({ host: "", path: "", label }) : err("label must be a text that is not empty");
+  if (label !== undefined && host === undefined && path === undefined)
+    return typeof label === "string" && label !== ""
+      ? ok({ host: "", path: "", label })
+      : err("label must be a text that is not empty");
   if (label !== undefined) return err("a purge names a host and a path, or a label, not both");
   if (typeof host !== "string" || host === "") return err("host must be a text that is not empty");
   if (typeof path !== "string" || !path.startsWith("/")) return err("path must begin with a slash");
@@ -62,7 +84,11 @@
   /** Where a worker of this cell should send its later beats, if not here: a signalbox that hears a majority too. */
   readonly reportTo: (cell: string) => Promise<string | undefined>;
   /** Makes a purge durable and sends it out; left out where objects are not kept. */
-  readonly purge?: (what: { readonly host: string; readonly path: string; readonly label: string }) => Promise<boolean>;
+  readonly purge?: (what: {
+    readonly host: string;
+    readonly path: string;
+    readonly label: string;
+  }) => Promise<boolean>;
 }
 
 /** What changes something. Nothing is acknowledged without a majority heard after the call came. */
@@ -82,12 +108,18 @@
     try {
       beat = readBeat(call.segments[1] ?? "", parseJson(call.body));
     } catch (mishap) {
-      return { outcome: "wrong", body: { problem: mishap instanceof Error ? mishap.message : "unreadable" } };
+      return {
+        outcome: "wrong",
+        body: { problem: mishap instanceof Error ? mishap.message : "unreadable" },
+      };
     }
     if (isAdrift()) return { outcome: "adrift" };
     registry.take(beat);
     const held = registry.get(beat.id) ?? beat;
-    const [isShared, address] = await Promise.all([share([held], beat.state !== "ready"), reportTo(beat.cell)]);
+    const [isShared, address] = await Promise.all([
+      share([held], beat.state !== "ready"),
+      reportTo(beat.cell),
+    ]);
     if (!isShared) return { outcome: "noQuorum" };
     return { outcome: "taken", body: address === undefined ? {} : { reportTo: address } };
   };
@@ -96,7 +128,9 @@
     const { registry, isAdrift, hearMajority, share } = this.options;
     if (isAdrift()) return { outcome: "adrift" };
     const left = registry.leave(call.segments[1] ?? "");
-    return (await (left ? share([left], true) : hearMajority())) ? { outcome: "taken" } : { outcome: "noQuorum" };
+    return (await (left ? share([left], true) : hearMajority()))
+      ? { outcome: "taken" }
+      : { outcome: "noQuorum" };
   };
 
   readonly purge = async (call: Call): Promise<Verdict> => {
@@ -121,11 +155,17 @@
 
 /** What only tells something: of the fleet with a majority heard after the call came, of this copy at any time. */
 export class Queries {
-  constructor(private readonly ledger: Ledger, private readonly ofFleet: Tellers, private readonly ofThisCopy: Tellers) {}
+  constructor(
+    private readonly ledger: Ledger,
+    private readonly ofFleet: Tellers,
+    private readonly ofThisCopy: Tellers,
+  ) {}
 
   readonly readPlan = async (): Promise<Verdict> => {
     const read = await this.ledger.read();
-    const plan = read.mapErr(ofLedger).map(() => layOut(this.ledger.all().filter((register) => isPlanKey(register.key))));
+    const plan = read
+      .mapErr(ofLedger)
+      .map(() => layOut(this.ledger.all().filter((register) => isPlanKey(register.key))));
     return verdictOf(plan);
   };
 
@@ -133,7 +173,8 @@
     const what = call.segments[1] ?? "";
     const teller = this.ofThisCopy[what] ?? this.ofFleet[what];
     if (!teller) return { outcome: "unknownCall" };
-    if (this.ofThisCopy[what] === undefined && !(await this.ledger.contact())) return { outcome: "noMajority" };
+    if (this.ofThisCopy[what] === undefined && !(await this.ledger.contact()))
+      return { outcome: "noMajority" };
     return { outcome: "taken", body: { [what]: await teller() } };
   };
 }
@@ -149,7 +190,12 @@
 }
 
 export type WindowCall =
-  | { readonly what: "add"; readonly cell: string; readonly opensUs: number; readonly lastsUs: number }
+  | {
+      readonly what: "add";
+      readonly cell: string;
+      readonly opensUs: number;
+      readonly lastsUs: number;
+    }
   | { readonly what: "cancel"; readonly id: string }
   | { readonly what: "extend"; readonly id: string; readonly byUs: number };
 
@@ -165,12 +211,17 @@
 const shiftCell = async (orders: Orders, call: Call): Promise<Verdict> => {
   const { cell, why } = bodyOf(call);
   if (typeof cell !== "string") return { outcome: "wrong", body: { problem: "cell must be text" } };
-  return { outcome: (await orders.shift(cell, why === "practice" ? why : "by hand")) ? "taken" : "noQuorum" };
+  return {
+    outcome: (await orders.shift(cell, why === "practice" ? why : "by hand"))
+      ? "taken"
+      : "noQuorum",
+  };
 };
 
 const clearRollout = async (orders: Orders, call: Call): Promise<Verdict> => {
   const { version } = bodyOf(call);
-  if (version !== undefined && typeof version !== "number") return { outcome: "wrong", body: { problem: "version must be a number" } };
+  if (version !== undefined && typeof version !== "number")
+    return { outcome: "wrong", body: { problem: "version must be a number" } };
   return { outcome: await orders.clearRollout(call.segments[1] ?? "", version) };
 };
 
@@ -179,17 +230,26 @@
 const addWindow = async (orders: Orders, call: Call): Promise<Verdict> => {
   const { cell, opens, lasts } = bodyOf(call);
   const [opensUs, lastsUs] = [span(opens), span(lasts)];
-  if (typeof cell !== "string" || Number.isNaN(opensUs) || Number.isNaN(lastsUs)) return { outcome: "wrong", body: { problem: "cell must be text, opens and lasts spans such as 90s" } };
+  if (typeof cell !== "string" || Number.isNaN(opensUs) || Number.isNaN(lastsUs))
+    return {
+      outcome: "wrong",
+      body: { problem: "cell must be text, opens and lasts spans such as 90s" },
+    };
   return orders.window({ what: "add", cell, opensUs, lastsUs });
 };
 
 const extendWindow = async (orders: Orders, call: Call): Promise<Verdict> => {
   const byUs = span(bodyOf(call)["by"]);
-  if (Number.isNaN(byUs)) return { outcome: "wrong", body: { problem: "by must be a span such as 90s" } };
+  if (Number.isNaN(byUs))
+    return { outcome: "wrong", body: { problem: "by must be a span such as 90s" } };
   return orders.window({ what: "extend", id: call.segments[1] ?? "", byUs });
 };
 
-export const controlEntries = (commands: Commands, queries: Queries, orders: Orders): readonly Entry[] => [
+export const controlEntries = (
+  commands: Commands,
+  queries: Queries,
+  orders: Orders,
+): readonly Entry[] => [
   { method: "POST", path: "/plan/change", act: commands.changePlan },
   { method: "GET", path: "/plan/read", act: queries.readPlan },
   { method: "POST", path: "/workers/*/heartbeat", act: commands.beat },
@@ -198,10 +258,18 @@
   { method: "GET", path: "/tell/*", act: queries.tell },
   { method: "POST", path: "/cells/shift", act: (call) => shiftCell(orders, call) },
   { method: "POST", path: "/windows", act: (call) => addWindow(orders, call) },
-  { method: "POST", path: "/windows/*/cancel", act: (call) => orders.window({ what: "cancel", id: call.segments[1] ?? "" }) },
+  {
+    method: "POST",
+    path: "/windows/*/cancel",
+    act: (call) => orders.window({ what: "cancel", id: call.segments[1] ?? "" }),
+  },
   { method: "POST", path: "/windows/*/extend", act: (call) => extendWindow(orders, call) },
   { method: "POST", path: "/retries", act: (call) => orders.setRetries(bodyOf(call)) },
-  { method: "POST", path: "/backends/forecast", act: (call) => orders.forecastBackends(bodyOf(call)) },
+  {
+    method: "POST",
+    path: "/backends/forecast",
+    act: (call) => orders.forecastBackends(bodyOf(call)),
+  },
   { method: "POST", path: "/backends/seen", act: (call) => orders.seenBackends(bodyOf(call)) },
   { method: "POST", path: "/rollouts/*/clear", act: (call) => clearRollout(orders, call) },
 ];
--- a/src/programs/depot.ts
+++ b/src/programs/depot.ts
@@ -33,8 +33,16 @@
 /** Puts the shared cache together on one machine. */
 export const runDepot = async (settings: Settings, clock: Clock): Promise<Running> => {
   const log = logFor("depot");
-  const serve = (wire: Wire, hello: Message, incoming: AsyncIterable<Message>): Promise<void> => counter.serve(wire, hello, incoming);
-  const { board, taker, relay }: Member = joinNews(settings, clock, "depot", { goods: serve }, (question) => (question.kind === "retries" ? { kind: "retries", rows: budgets.tell() } : undefined));
+  const serve = (wire: Wire, hello: Message, incoming: AsyncIterable<Message>): Promise<void> =>
+    counter.serve(wire, hello, incoming);
+  const { board, taker, relay }: Member = joinNews(
+    settings,
+    clock,
+    "depot",
+    { goods: serve },
+    (question) =>
+      question.kind === "retries" ? { kind: "retries", rows: budgets.tell() } : undefined,
+  );
   const table = new RouteTable();
   const yard = new Yard(clock, settings.name, settings.cell);
   const life = `${process.pid}-${clock.nowUs()}-${Math.random()}`;
@@ -43,30 +51,68 @@
 
   const budgets = openRetryBudgets(settings, clock, board, taker, life);
   const rate = new RateShare(clock, (service) => table.service(service)?.ratePerS ?? 0);
-  const freshness = new Freshness({ clock, purgeUs: settings.purgeUs, stretchUs: settings.stretchUs, isFed: () => taker.isFed });
+  const freshness = new Freshness({
+    clock,
+    purgeUs: settings.purgeUs,
+    stretchUs: settings.stretchUs,
+    isFed: () => taker.isFed,
+  });
   const copies = new Copies(clock, (settings.memoryMb || DEFAULT_MEMORY_MB) * MB * COPIES_PART);
   const chooser = new Chooser({
     yard,
     cell: settings.cell,
     random: Math.random,
-    connectionShare: (service) => Math.max(1, Math.floor((table.service(service)?.maxConnections ?? 16) / (2 * crew.depots))),
+    connectionShare: (service) =>
+      Math.max(1, Math.floor((table.service(service)?.maxConnections ?? 16) / (2 * crew.depots))),
+  });
+  const origin = new Origin({
+    clock,
+    yard,
+    chooser,
+    rate,
+    budgets,
+    countFault: counts.count,
+    mostBytes: MOST_OBJECT_BYTES,
   });
-  const origin = new Origin({ clock, yard, chooser, rate, budgets, countFault: counts.count, mostBytes: MOST_OBJECT_BYTES });
   const here = `${settings.ip}:${settings.relayPort}`;
   const others = new Depots(clock);
   let addresses: readonly string[] = [here];
-  const ownStore = new Store({ clock, copies, isFresh: freshness.isFresh, slackUs: settings.staleSlackUs / 2, source: origin.fetch });
+  const ownStore = new Store({
+    clock,
+    copies,
+    isFresh: freshness.isFresh,
+    slackUs: settings.staleSlackUs / 2,
+    source: origin.fetch,
+  });
   /** The object's owner among all depots reads the origin; another asks it, and sends the body over only once a version. */
   const fetch = async (want: Want, old: Copy | undefined): Promise<Found> => {
     const owner = ownerOf(keyOf(want), addresses);
     const askedUs = clock.nowUs();
     const isOwn = owner === undefined || owner === here;
-    const reply = isOwn ? undefined : await others.askOne(owner, packWant(want, askedUs, undefined, old, true), Math.min(OWNER_WAIT_US, want.untilUs - askedUs));
+    const reply = isOwn
+      ? undefined
+      : await others.askOne(
+          owner,
+          packWant(want, askedUs, undefined, old, true),
+          Math.min(OWNER_WAIT_US, want.untilUs - askedUs),
+        );
     if (!reply) return ownStore.get(want);
     const copy = copyIn(reply, want, old, askedUs);
-    return copy ? { kind: "found", copy } : { kind: "none", why: reply["none"] === "rate" ? "rate" : "full", comeBackUs: want.aimUs / 4 };
+    return copy
+      ? { kind: "found", copy }
+      : {
+          kind: "none",
+          why: reply["none"] === "rate" ? "rate" : "full",
+          comeBackUs: want.aimUs / 4,
+        };
   };
-  const store = new Store({ clock, copies, isFresh: freshness.isFresh, slackUs: settings.staleSlackUs / 2, source: fetch });
+  const store = new Store({
+    clock,
+    copies,
+    isFresh: freshness.isFresh,
+    slackUs: settings.staleSlackUs / 2,
+    source: fetch,
+  });
   const counter = new Counter({ clock, store, ownStore, rate, log });
 
   board.events.on("changed", (facts) => {
@@ -77,18 +123,38 @@
     yard.forget(keys);
     keys.forEach((key) => counts.forget(key));
   });
-  const follow = followPurges({ clock, board, taker, freshness, copies, detach: () => {
-    store.detach();
-    ownStore.detach();
-  } });
+  const follow = followPurges({
+    clock,
+    board,
+    taker,
+    freshness,
+    copies,
+    detach: () => {
+      store.detach();
+      ownStore.detach();
+    },
+  });
   taker.events.on("crew", (told) => {
     const depots = told.depots ?? [];
-    addresses = [here, ...depots.map(({ address }) => address).filter((address) => address !== here)];
+    addresses = [
+      here,
+      ...depots.map(({ address }) => address).filter((address) => address !== here),
+    ];
     others.learn(depots.filter(({ address }) => address !== here));
-    crew = { depots: Math.max(1, depots.length), here: Math.max(1, depots.filter(({ cell }) => cell === settings.cell).length) };
+    crew = {
+      depots: Math.max(1, depots.length),
+      here: Math.max(1, depots.filter(({ cell }) => cell === settings.cell).length),
+    };
     yard.setNodes({ here: crew.here, everywhere: crew.depots });
   });
-  const keeper = new RateKeeper({ clock, rate, life, who: "depot", ask: taker.ask, wants: () => true });
+  const keeper = new RateKeeper({
+    clock,
+    rate,
+    life,
+    who: "depot",
+    ask: taker.ask,
+    wants: () => true,
+  });
   await relay.listen(settings.ip, settings.relayPort);
   void taker.run();
   keeper.start();
@@ -97,7 +163,18 @@
     if (message) taker.report(message);
     taker.report({
       kind: "goods",
-      counts: { ...store.counts, ownerHits: ownStore.counts.hits, ownerMisses: ownStore.counts.misses, copies: copies.size, bytes: copies.bytes, droppedByPurges: copies.dropped, fetches: origin.fetches, checks: origin.checks, refusedForRate: origin.noRate, share: rate.share },
+      counts: {
+        ...store.counts,
+        ownerHits: ownStore.counts.hits,
+        ownerMisses: ownStore.counts.misses,
+        copies: copies.size,
+        bytes: copies.bytes,
+        droppedByPurges: copies.dropped,
+        fetches: origin.fetches,
+        checks: origin.checks,
+        refusedForRate: origin.noRate,
+        share: rate.share,
+      },
     });
     yard.trim();
   });
--- a/src/programs/dispatch.ts
+++ b/src/programs/dispatch.ts
@@ -31,11 +31,20 @@
 
 const matches = (entry: Entry, method: string, segments: readonly string[]): boolean => {
   const wanted = entry.path.split("/").slice(1);
-  return entry.method === method && wanted.length === segments.length && wanted.every((part, at) => part === "*" || part === segments[at]);
+  return (
+    entry.method === method &&
+    wanted.length === segments.length &&
+    wanted.every((part, at) => part === "*" || part === segments[at])
+  );
 };
 
 /** The one dispatch on method and path segments, for workers' and operators' calls. */
-export const dispatch = async (entries: readonly Entry[], method: string, path: string, body: string): Promise<Verdict> => {
+export const dispatch = async (
+  entries: readonly Entry[],
+  method: string,
+  path: string,
+  body: string,
+): Promise<Verdict> => {
   const segments = path.split("/").slice(1).map(decodeSegment);
   const entry = entries.find((candidate) => matches(candidate, method, segments));
   return entry ? entry.act({ segments, body }) : { outcome: "unknownCall" };
@@ -72,8 +81,13 @@
   const outcome = OUTCOMES[verdict.outcome];
   if (outcome.comeBack) response.setHeader("Retry-After", String(COME_BACK_S));
   if (outcome.closes) response.setHeader("Connection", "close");
-  const body = JSON.stringify(verdict.body ?? (outcome.problem === "" ? {} : { problem: outcome.problem }));
-  response.writeHead(outcome.status, { "Content-Type": "application/json", "Content-Length": Buffer.byteLength(body) });
+  const body = JSON.stringify(
+    verdict.body ?? (outcome.problem === "" ? {} : { problem: outcome.problem }),
+  );
+  response.writeHead(outcome.status, {
+    "Content-Type": "application/json",
+    "Content-Length": Buffer.byteLength(body),
+  });
   response.end(body);
 };
 
--- a/src/programs/member.ts
+++ b/src/programs/member.ts
@@ -18,7 +18,13 @@
 }
 
 /** A node of the data plane among the others: its session with a signalbox, and its place in the relay tree. */
-export const joinNews = (settings: Settings, clock: Clock, role: Role, receivers: Readonly<Record<string, Receiver>> = {}, answer?: TakerOptions["answer"]): Member => {
+export const joinNews = (
+  settings: Settings,
+  clock: Clock,
+  role: Role,
+  receivers: Readonly<Record<string, Receiver>> = {},
+  answer?: TakerOptions["answer"],
+): Member => {
   const log = logFor("relay");
   const board = new Board(clock);
   const taker = new Taker({
@@ -36,7 +42,11 @@
     ...(answer ? { answer } : {}),
   });
   const feeder = new Feeder(clock, board, () => false);
-  const serveChild = async (wire: Wire, _hello: Message, incoming: AsyncIterable<Message>): Promise<void> => {
+  const serveChild = async (
+    wire: Wire,
+    _hello: Message,
+    incoming: AsyncIterable<Message>,
+  ): Promise<void> => {
     if (!taker.isFed) return;
     feeder.adopt(wire);
     for await (const message of incoming) log.debug(`A child said ${message.kind}.`);
@@ -45,5 +55,9 @@
   taker.events.on("crew", feeder.setCrew);
   taker.events.on("fresh", feeder.setFresh);
   taker.events.on("unfed", feeder.closeAll);
-  return { board, taker, relay: new Switchboard(clock, TIMES, { child: serveChild, ...receivers }, log) };
+  return {
+    board,
+    taker,
+    relay: new Switchboard(clock, TIMES, { child: serveChild, ...receivers }, log),
+  };
 };
--- a/src/programs/pointsman-answers.ts
+++ b/src/programs/pointsman-answers.ts
@@ -23,15 +23,36 @@
 });
 
 /** What a pointsman answers a signalbox that asks on an operator's behalf. Queries only: they count, and change nothing. */
-export const answersOf = ({ node, cell, yard, calls, budgets }: AnswersOptions): ((question: Message) => Message | undefined) => {
+export const answersOf = ({
+  node,
+  cell,
+  yard,
+  calls,
+  budgets,
+}: AnswersOptions): ((question: Message) => Message | undefined) => {
   const moves = (question: Message): Message => {
     const change = readBackendChange(question);
     const forecasts = list(question, "services", textOf).map((service) => ({
       service,
-      ...forecastMoves({ node, cell, nodes: yard.nodeCount, service, workers: yard.ready(service), change, ...readCalls(service) }),
+      ...forecastMoves({
+        node,
+        cell,
+        nodes: yard.nodeCount,
+        service,
+        workers: yard.ready(service),
+        change,
+        ...readCalls(service),
+      }),
     }));
-    const loads = forecasts.flatMap((forecast) => forecast.loads).map((load) => ({ ...load, tookUs: yard.tookUs(load.worker) }));
-    return { kind: "moves", rows: forecasts.flatMap((forecast) => forecast.rows), subsets: forecasts.map(({ service, subset }) => ({ service, subset })), loads };
+    const loads = forecasts
+      .flatMap((forecast) => forecast.loads)
+      .map((load) => ({ ...load, tookUs: yard.tookUs(load.worker) }));
+    return {
+      kind: "moves",
+      rows: forecasts.flatMap((forecast) => forecast.rows),
+      subsets: forecasts.map(({ service, subset }) => ({ service, subset })),
+      loads,
+    };
   };
   const readCalls = (service: string) => {
     const { spanUs, counts } = calls.of(service);
--- a/src/programs/pointsman-goods.ts
+++ b/src/programs/pointsman-goods.ts
@@ -51,14 +51,28 @@
 
 /** What a pointsman of a content deployment has besides. */
 export const openPointsmanGoods = (options: PointsmanGoodsOptions): PointsmanGoods => {
-  const { settings, clock, board, taker, table, yard, life, budgets, connectionShare, countFault } = options;
+  const { settings, clock, board, taker, table, yard, life, budgets, connectionShare, countFault } =
+    options;
   const distance = distanceFrom(settings.cell, settings.regions);
   const depots = new Depots(clock, distance);
   const halls = new Depots(clock);
   const rate = new RateShare(clock, (service) => table.service(service)?.ratePerS ?? 0);
-  const freshness = new Freshness({ clock, purgeUs: settings.purgeUs, stretchUs: settings.stretchUs, isFed: () => taker.isFed });
+  const freshness = new Freshness({
+    clock,
+    purgeUs: settings.purgeUs,
+    stretchUs: settings.stretchUs,
+    isFed: () => taker.isFed,
+  });
   const chooser = new Chooser({ yard, cell: settings.cell, random: Math.random, connectionShare });
-  const origin = new Origin({ clock, yard, chooser, rate, budgets, countFault, mostBytes: MOST_OBJECT_BYTES });
+  const origin = new Origin({
+    clock,
+    yard,
+    chooser,
+    rate,
+    budgets,
+    countFault,
+    mostBytes: MOST_OBJECT_BYTES,
+  });
   const goods = new Goods({
     clock,
     roomBytes: ((settings.memoryMb || DEFAULT_MEMORY_MB) * MB) / COPIES_PART,
@@ -69,7 +83,14 @@
     isFresh: freshness.isFresh,
     slackUs: settings.staleSlackUs / 2,
   });
-  const follow = followPurges({ clock, board, taker, freshness, copies: goods.copies, detach: goods.detach });
+  const follow = followPurges({
+    clock,
+    board,
+    taker,
+    freshness,
+    copies: goods.copies,
+    detach: goods.detach,
+  });
 
   /** What this node gives out if it is its cell's hall: copies of large objects, kept new without their bodies travelling. */
   const copies = new Copies(clock, ((settings.memoryMb || DEFAULT_MEMORY_MB) * MB) / HALL_PART);
@@ -80,9 +101,19 @@
     slackUs: settings.staleSlackUs / 2,
     source: async (want, old): Promise<Found> => {
       const askedUs = clock.nowUs();
-      const reply = await depots.ask(keyOf(want), packWant(want, askedUs, undefined, old), want.untilUs - askedUs);
+      const reply = await depots.ask(
+        keyOf(want),
+        packWant(want, askedUs, undefined, old),
+        want.untilUs - askedUs,
+      );
       const copy = reply && copyIn(reply, want, old, askedUs);
-      return copy ? { kind: "found", copy } : { kind: "none", why: reply?.["none"] === "rate" ? "rate" : "full", comeBackUs: want.aimUs / 4 };
+      return copy
+        ? { kind: "found", copy }
+        : {
+            kind: "none",
+            why: reply?.["none"] === "rate" ? "rate" : "full",
+            comeBackUs: want.aimUs / 4,
+          };
     },
   });
   const followToo = followPurges({ clock, board, taker, freshness, copies, detach: store.detach });
@@ -90,10 +121,19 @@
   const here = `${settings.ip}:${settings.relayPort}`;
   taker.events.on("crew", (crew) => {
     depots.learn(crew.depots ?? []);
-    const ofCell = (crew.halls ?? []).filter(({ cell, address }) => cell === settings.cell && address !== here);
+    const ofCell = (crew.halls ?? []).filter(
+      ({ cell, address }) => cell === settings.cell && address !== here,
+    );
     halls.learn((crew.depots ?? []).some(({ cell }) => cell === settings.cell) ? [] : ofCell);
   });
-  const keeper = new RateKeeper({ clock, rate, life, who: "pointsman", ask: taker.ask, wants: () => !depots.anyStands });
+  const keeper = new RateKeeper({
+    clock,
+    rate,
+    life,
+    who: "pointsman",
+    ask: taker.ask,
+    wants: () => !depots.anyStands,
+  });
   keeper.start();
   return {
     goods,
--- a/src/programs/pointsman.ts
+++ b/src/programs/pointsman.ts
@@ -29,12 +29,19 @@
 
 /** Only a deployment of this kind loads and runs what objects and operation keys need. */
 const CONTENT = "content";
-const openGoods = async (options: PointsmanGoodsOptions): Promise<PointsmanGoods> => (await import("./pointsman-goods.js")).openPointsmanGoods(options);
+const openGoods = async (options: PointsmanGoodsOptions): Promise<PointsmanGoods> =>
+  (await import("./pointsman-goods.js")).openPointsmanGoods(options);
 
 /** Puts the data plane together on one machine. */
 export const runPointsman = async (settings: Settings, clock: Clock): Promise<Running> => {
   const log = logFor("pointsman");
-  const { board, taker, relay } = joinNews(settings, clock, "pointsman", { goods: (...session) => goods?.receiver(...session) ?? Promise.resolve() }, (question) => answers(question));
+  const { board, taker, relay } = joinNews(
+    settings,
+    clock,
+    "pointsman",
+    { goods: (...session) => goods?.receiver(...session) ?? Promise.resolve() },
+    (question) => answers(question),
+  );
   const table = new RouteTable();
   const yard = new Yard(clock, settings.name, settings.cell);
   const life = `${process.pid}-${clock.nowUs()}-${Math.random()}`;
@@ -49,9 +56,26 @@
   let leaving = false;
 
   const connectionShare = (service: string): number =>
-    Math.max(1, Math.floor((table.service(service)?.maxConnections ?? 16) / Math.max(1, crew.pointsmen)));
+    Math.max(
+      1,
+      Math.floor((table.service(service)?.maxConnections ?? 16) / Math.max(1, crew.pointsmen)),
+    );
 
-  const goods = settings.deployment === CONTENT ? await openGoods({ settings, clock, board, taker, table, yard, life, budgets, connectionShare, countFault: counts.count }) : undefined;
+  const goods =
+    settings.deployment === CONTENT
+      ? await openGoods({
+          settings,
+          clock,
+          board,
+          taker,
+          table,
+          yard,
+          life,
+          budgets,
+          connectionShare,
+          countFault: counts.count,
+        })
+      : undefined;
   const front = new Front({
     clock,
     log: logFor("front"),
@@ -66,7 +90,8 @@
       const key = `${route}|${kind}|${settings.cell}|${outcome}`;
       tallies.set(key, (tallies.get(key) ?? 0) + 1);
     },
-    countRollout: (route, service, stratum, outcome) => rollouts.count(route.name, route.version, service, `${settings.cell}|${stratum}`, outcome),
+    countRollout: (route, service, stratum, outcome) =>
+      rollouts.count(route.name, route.version, service, `${settings.cell}|${stratum}`, outcome),
     countCall: calls.count,
     random: Math.random,
     usage,
@@ -88,12 +113,20 @@
   });
   taker.events.on("crew", (told) => {
     crew = told;
-    yard.setNodes({ here: Math.max(1, told.cells[settings.cell] ?? 1), everywhere: Math.max(1, told.pointsmen) });
+    yard.setNodes({
+      here: Math.max(1, told.cells[settings.cell] ?? 1),
+      everywhere: Math.max(1, told.pointsmen),
+    });
   });
 
-  const isReady = (): boolean => !leaving && !yard.isEmptied(settings.cell) && table.isHeld && yard.size > 0;
+  const isReady = (): boolean =>
+    !leaving && !yard.isEmptied(settings.cell) && table.isHeld && yard.size > 0;
   const ready = await serveCalls(settings.ready, [
-    { method: "GET", path: "/ready", act: async () => ({ outcome: isReady() ? "taken" : "noPlan" }) },
+    {
+      method: "GET",
+      path: "/ready",
+      act: async () => ({ outcome: isReady() ? "taken" : "noPlan" }),
+    },
     {
       method: "GET",
       path: "/tell/counts",
@@ -107,14 +140,27 @@
         },
       }),
     },
-    { method: "GET", path: "/tell/goods", act: async () => ({ outcome: "taken", body: { goods: goods?.goods.tell() ?? {} } }) },
+    {
+      method: "GET",
+      path: "/tell/goods",
+      act: async () => ({ outcome: "taken", body: { goods: goods?.goods.tell() ?? {} } }),
+    },
     {
       method: "GET",
       path: "/tell/workers",
       act: async () => ({
         outcome: "taken",
         body: {
-          workers: yard.all().map((worker) => ({ id: worker.id, service: worker.service, cell: worker.cell, state: worker.state, usage: worker.usage(0), ejected: yard.isEjected(worker) })),
+          workers: yard
+            .all()
+            .map((worker) => ({
+              id: worker.id,
+              service: worker.service,
+              cell: worker.cell,
+              state: worker.state,
+              usage: worker.usage(0),
+              ejected: yard.isEjected(worker),
+            })),
         },
       }),
     },
--- a/src/programs/purges.ts
+++ b/src/programs/purges.ts
@@ -19,15 +19,29 @@
 const LAPSE_US = 20 * SECOND;
 
 /** Ends what a purge names as soon as the news brings it. */
-export const followPurges = ({ clock, board, taker, freshness, copies, detach }: PurgeFollowing): Pulse => {
+export const followPurges = ({
+  clock,
+  board,
+  taker,
+  freshness,
+  copies,
+  detach,
+}: PurgeFollowing): Pulse => {
   board.events.on("changed", (facts) => {
     const news = facts.filter((fact) => fact.key.startsWith(PURGE_PREFIX));
     const fresh = news.filter((fact) =>
-      copies.purge({ id: fact.key, host: text(fact.body, "host"), path: text(fact.body, "path"), label: text(fact.body, "label") }),
+      copies.purge({
+        id: fact.key,
+        host: text(fact.body, "host"),
+        path: text(fact.body, "path"),
+        label: text(fact.body, "label"),
+      }),
     );
     if (fresh.length > 0) detach();
   });
-  board.events.on("forgotten", (keys) => keys.filter((key) => key.startsWith(PURGE_PREFIX)).forEach(copies.forget));
+  board.events.on("forgotten", (keys) =>
+    keys.filter((key) => key.startsWith(PURGE_PREFIX)).forEach(copies.forget),
+  );
   taker.events.on("fresh", freshness.hear);
   return clock.every(SECOND, () => {
     if (freshness.ageUs() > LAPSE_US) copies.clear();
--- a/src/programs/shunter.ts
+++ b/src/programs/shunter.ts
@@ -33,14 +33,29 @@
 
 const sendOne = (load: Load, target: string, tryId: string, agent: Agent): Promise<string> =>
   new Promise((resolve) => {
-    const heads = { Host: load.host, "Yewreel-Try-Id": tryId, "Yewreel-Time-Left-Ms": String(load.budgetMs) };
-    const call = request(`http://${target}${load.path}`, { method: load.method, agent, timeout: load.budgetMs, headers: { ...heads, "Content-Length": Buffer.byteLength(load.body) } }, (response) => {
-      response.resume();
-      response.on("end", () => resolve(String(response.statusCode)));
-      response.on("error", () => resolve("broken"));
-    });
+    const heads = {
+      Host: load.host,
+      "Yewreel-Try-Id": tryId,
+      "Yewreel-Time-Left-Ms": String(load.budgetMs),
+    };
+    const call = request(
+      `http://${target}${load.path}`,
+      {
+        method: load.method,
+        agent,
+        timeout: load.budgetMs,
+        headers: { ...heads, "Content-Length": Buffer.byteLength(load.body) },
+      },
+      (response) => {
+        response.resume();
+        response.on("end", () => resolve(String(response.statusCode)));
+        response.on("error", () => resolve("broken"));
+      },
+    );
     call.on("timeout", () => call.destroy(new Error("out of time")));
-    call.on("error", (mishap) => resolve(mishap.message === "out of time" ? "out of time" : "no connection"));
+    call.on("error", (mishap) =>
+      resolve(mishap.message === "out of time" ? "out of time" : "no connection"),
+    );
     call.end(load.body);
   });
 
@@ -55,7 +70,9 @@
     return new Promise((resolve) => {
       clock.after(dueUs - clock.nowUs(), () => {
         const target = load.targets[at % load.targets.length] ?? "";
-        void sendOne(load, target, `${run}-${at}`, agent).then((outcome) => resolve({ outcome, tookUs: clock.nowUs() - dueUs }));
+        void sendOne(load, target, `${run}-${at}`, agent).then((outcome) =>
+          resolve({ outcome, tookUs: clock.nowUs() - dueUs }),
+        );
       });
     });
   });
@@ -65,7 +82,8 @@
 };
 
 /** The smallest value that a share of all values does not exceed. */
-const percentile = (sorted: readonly number[], share: number): number => sorted[Math.max(0, Math.ceil(sorted.length * share) - 1)] ?? 0;
+const percentile = (sorted: readonly number[], share: number): number =>
+  sorted[Math.max(0, Math.ceil(sorted.length * share) - 1)] ?? 0;
 
 export const reportOf = (shunted: readonly Shunted[]): ShuntReport => {
   const tookMs = shunted.map(({ tookUs }) => tookUs / MS).sort((a, b) => a - b);
@@ -108,7 +126,9 @@
 export const addShunter = (cli: Command): void => {
   cli
     .command("shunter <target...>")
-    .description("send an open-loop load to fronts (ip:port) and report latency from the intended send time")
+    .description(
+      "send an open-loop load to fronts (ip:port) and report latency from the intended send time",
+    )
     .requiredOption("--host <host>", "the Host of the route")
     .option("--path <path>", "the path", "/")
     .option("--method <method>", "the method", "GET")
@@ -118,14 +138,27 @@
     .option("--budget-ms <number>", "how long each request may take", "2000")
     .option("--json", "print JSON")
     .action(async (targets: string[], flags: Flags) => {
-      const [ratePerS, seconds, budgetMs] = [Number(flags.rate), Number(flags.seconds), Number(flags.budgetMs)];
+      const [ratePerS, seconds, budgetMs] = [
+        Number(flags.rate),
+        Number(flags.seconds),
+        Number(flags.budgetMs),
+      ];
       if (![ratePerS, seconds, budgetMs].every((number) => Number.isFinite(number) && number > 0)) {
-        process.stderr.write("shunter: --rate, --seconds and --budget-ms must be numbers above 0.\n");
+        process.stderr.write(
+          "shunter: --rate, --seconds and --budget-ms must be numbers above 0.\n",
+        );
         process.exitCode = WRONG_INPUT;
         return;
       }
       const { host, path, method, body } = flags;
-      const report = reportOf(await shunt({ targets, host, path, method, body, ratePerS, seconds, budgetMs }, new SteadyClock()));
-      process.stdout.write(`${flags.json === true ? JSON.stringify(report, undefined, 2) : show(report)}\n`);
+      const report = reportOf(
+        await shunt(
+          { targets, host, path, method, body, ratePerS, seconds, budgetMs },
+          new SteadyClock(),
+        ),
+      );
+      process.stdout.write(
+        `${flags.json === true ? JSON.stringify(report, undefined, 2) : show(report)}\n`,
+      );
     });
 };
--- a/src/programs/signalbox-content.ts
+++ b/src/programs/signalbox-content.ts
@@ -34,7 +34,11 @@
   readonly hear: (message: Message) => void;
   /** Brings what the old members hold to the new ones; true once it is done. */
   readonly spread: () => Promise<boolean>;
-  readonly purge: (what: { readonly host: string; readonly path: string; readonly label: string }) => Promise<boolean>;
+  readonly purge: (what: {
+    readonly host: string;
+    readonly path: string;
+    readonly label: string;
+  }) => Promise<boolean>;
   readonly tellers: Readonly<Record<string, () => unknown>>;
 }
 
@@ -42,7 +46,15 @@
 const READ_US = 300 * MS;
 
 /** What a signalbox of a content deployment has besides: operation keys, purges, and shares of the rates. */
-export const openContent = ({ settings, clock, ledger, colleagues, board, feeder, duty }: ContentOptions): Content => {
+export const openContent = ({
+  settings,
+  clock,
+  ledger,
+  colleagues,
+  board,
+  feeder,
+  duty,
+}: ContentOptions): Content => {
   const book = new KeyBook({
     folder: settings.dataFolder === "" ? "" : join(settings.dataFolder, "keys"),
     clock,
@@ -58,7 +70,8 @@
     send: colleagues.send,
     withstandMachines: settings.withstandMachines,
     log: logFor("keys"),
-    onPurge: ({ id, host, path, label }) => board.post([{ key: PURGE_PREFIX + id, version: 1, tie: "", body: { host, path, label } }]),
+    onPurge: ({ id, host, path, label }) =>
+      board.post([{ key: PURGE_PREFIX + id, version: 1, tie: "", body: { host, path, label } }]),
   });
   const office = new RateOffice(clock);
   const depots = new Map<string, Rec>();
@@ -66,10 +79,16 @@
   /** Only by a holder that a majority has just heard of: one that was cut off or frozen may have a successor. */
   const giveHere = async (message: Message): Promise<Message> =>
     (await duty.confirm())
-      ? { kind: "rate", share: office.give(text(message, "life"), text(message, "who"), whole(message, "held")), lastsUs: GRANT_LASTS_US }
+      ? {
+          kind: "rate",
+          share: office.give(text(message, "life"), text(message, "who"), whole(message, "held")),
+          lastsUs: GRANT_LASTS_US,
+        }
       : { kind: "rate" };
   const giveRate = async (message: Message): Promise<Message> =>
-    duty.isHolder() ? giveHere(message) : ((await colleagues.ask(duty.holder(), message, STORE_WAIT_US)) ?? { kind: "rate" });
+    duty.isHolder()
+      ? giveHere(message)
+      : ((await colleagues.ask(duty.holder(), message, STORE_WAIT_US)) ?? { kind: "rate" });
 
   /** Learns the purges of a reading quorum, and tells the nodes as of when they know them all. */
   let reading = false;
@@ -85,7 +104,9 @@
     void keys.catchUp();
     void read();
   });
-  const sweeper = clock.every(SECOND, () => board.forget(book.sweep().map((id) => PURGE_PREFIX + id)));
+  const sweeper = clock.every(SECOND, () =>
+    board.forget(book.sweep().map((id) => PURGE_PREFIX + id)),
+  );
 
   return {
     start: () => keys.start(settings.firstRun),
@@ -97,11 +118,20 @@
       switch (message.kind) {
         case "key-claim": {
           const verdict = await keys.claim(text(message, "key"), text(message, "token"));
-          return { kind: "claim", verdict: verdict.kind, ...(verdict.kind === "done" ? { answer: verdict.answer } : {}) };
+          return {
+            kind: "claim",
+            verdict: verdict.kind,
+            ...(verdict.kind === "done" ? { answer: verdict.answer } : {}),
+          };
         }
         case "key-done": {
           const answer = readAnswer(message["answer"]);
-          return { kind: "claim", kept: answer !== undefined && (await keys.keep(text(message, "key"), text(message, "token"), answer)) };
+          return {
+            kind: "claim",
+            kept:
+              answer !== undefined &&
+              (await keys.keep(text(message, "key"), text(message, "token"), answer)),
+          };
         }
         case "rate-ask":
           return giveRate(message);
@@ -109,7 +139,8 @@
           return undefined;
       }
     },
-    answerColleague: async (message) => (message.kind === "rate-ask" ? giveHere(message) : keys.answer(message)),
+    answerColleague: async (message) =>
+      message.kind === "rate-ask" ? giveHere(message) : keys.answer(message),
     hear: (message) => {
       if (message.kind === "key-free") keys.free(text(message, "key"), text(message, "token"));
       if (message.kind === "goods") depots.set(text(message, "node"), { ...message });
@@ -117,7 +148,12 @@
     spread: keys.spread,
     purge: keys.purge,
     tellers: {
-      keys: () => ({ keys: book.size, bytes: book.heldBytes, purges: book.purges().length, counting: keys.isCounting }),
+      keys: () => ({
+        keys: book.size,
+        bytes: book.heldBytes,
+        purges: book.purges().length,
+        counting: keys.isCounting,
+      }),
       goods: () => [...depots.values()],
     },
   };
--- a/src/programs/signalbox-retries.ts
+++ b/src/programs/signalbox-retries.ts
@@ -4,7 +4,16 @@
 import type { Colleagues } from "../signalling/colleagues.js";
 import type { NodeAnswer } from "../signalling/sessions.js";
 import type { Clock } from "../trackbed/clock.js";
-import { defaultLimits, EVERY_SERVICE, kindOf, limitOf, readRetryLimits, ROUTE_KINDS, withLimit, type RetryLimits } from "../trackbed/retry-limits.js";
+import {
+  defaultLimits,
+  EVERY_SERVICE,
+  kindOf,
+  limitOf,
+  readRetryLimits,
+  ROUTE_KINDS,
+  withLimit,
+  type RetryLimits,
+} from "../trackbed/retry-limits.js";
 import type { Settings } from "../trackbed/settings.js";
 import { asRec, list, text, whole, type Rec } from "../trackbed/shape.js";
 import type { Message } from "../trackbed/wire.js";
@@ -33,58 +42,118 @@
 }
 
 /** The fleet's written limit on retries: kept in a register, leased out by the duty's holder, told to operators. */
-export const openRetries = ({ settings, clock, duty, colleagues, published, publish, isService, askNodes }: RetriesOptions): Retries => {
+export const openRetries = ({
+  settings,
+  clock,
+  duty,
+  colleagues,
+  published,
+  publish,
+  isService,
+  askNodes,
+}: RetriesOptions): Retries => {
   const ceiling = ceilingOf(settings);
   const limits = (): RetryLimits => {
     const written = published();
     return written === undefined ? defaultLimits(ceiling) : readRetryLimits(written);
   };
-  const office = new RetryOffice({ clock, windowUs: ceiling.windowUs, isHolder: () => duty.isHolder() && duty.hasMajority(), limits });
+  const office = new RetryOffice({
+    clock,
+    windowUs: ceiling.windowUs,
+    isHolder: () => duty.isHolder() && duty.hasMajority(),
+    limits,
+  });
 
   /** Only by a holder that a majority has just heard of: one that was cut off or frozen may have a successor. */
-  const answer = async (message: Message): Promise<Message> => ((await duty.confirm()) ? office.answer(message) : { kind: "retries" });
+  const answer = async (message: Message): Promise<Message> =>
+    (await duty.confirm()) ? office.answer(message) : { kind: "retries" };
   const setHere = async (order: Rec): Promise<Verdict> => {
     if (!(await duty.confirm())) return { outcome: "noQuorum" };
     const service = text(order, "service");
-    if (service !== EVERY_SERVICE && !isService(service)) return { outcome: "wrong", body: { problem: `there is no service ${service}` } };
-    const changed = withLimit(limits(), ceiling, service, text(order, "kind"), { ratio: order["ratio"], slack: order["slack"] });
+    if (service !== EVERY_SERVICE && !isService(service))
+      return { outcome: "wrong", body: { problem: `there is no service ${service}` } };
+    const changed = withLimit(limits(), ceiling, service, text(order, "kind"), {
+      ratio: order["ratio"],
+      slack: order["slack"],
+    });
     if (changed.isErr) return { outcome: "wrong", body: { problem: changed.error } };
     return { outcome: (await publish(changed.value)) ? "taken" : "noQuorum" };
   };
   const set = async (order: Rec): Promise<Verdict> => {
-    if (typeof order["service"] !== "string" || order["service"] === "" || typeof order["kind"] !== "string") return { outcome: "wrong", body: { problem: "service and kind must be texts" } };
+    if (
+      typeof order["service"] !== "string" ||
+      order["service"] === "" ||
+      typeof order["kind"] !== "string"
+    )
+      return { outcome: "wrong", body: { problem: "service and kind must be texts" } };
     if (duty.isHolder()) return setHere(order);
-    const reply = await colleagues.ask(duty.holder(), { ...order, kind: "retry-set", order }, 2 * STORE_WAIT_US);
+    const reply = await colleagues.ask(
+      duty.holder(),
+      { ...order, kind: "retry-set", order },
+      2 * STORE_WAIT_US,
+    );
     return readVerdict(reply) ?? { outcome: "noQuorum" };
   };
 
   /** What is spent and left, by service and kind over all nodes that answer. */
   const show = async (): Promise<readonly Rec[]> => {
     const answers = await askNodes({ kind: "retries" });
-    const sums = new Map<string, { requests: number; retries: number; refused: number; leased: number }>();
+    const sums = new Map<
+      string,
+      { requests: number; retries: number; refused: number; leased: number }
+    >();
     answers.forEach(({ answer }) =>
       list(answer ?? {}, "rows", (value) => {
         const row = asRec(value);
         const key = `${text(row, "service")}\n${text(row, "kind")}`;
         const sum = sums.get(key) ?? { requests: 0, retries: 0, refused: 0, leased: 0 };
-        sums.set(key, { requests: sum.requests + whole(row, "requests"), retries: sum.retries + whole(row, "retries"), refused: sum.refused + whole(row, "refused"), leased: sum.leased + whole(row, "leased") });
+        sums.set(key, {
+          requests: sum.requests + whole(row, "requests"),
+          retries: sum.retries + whole(row, "retries"),
+          refused: sum.refused + whole(row, "refused"),
+          leased: sum.leased + whole(row, "leased"),
+        });
       }),
     );
     const now = limits();
     const unheard = answers.filter(({ answer }) => answer === undefined).length;
-    const rows = [...sums].sort(([a], [b]) => (a < b ? -1 : 1)).map(([key, sum]) => {
-      const [service = "", kind = ""] = key.split("\n");
-      const { ratio, slack } = limitOf(now, service, kindOf(kind));
-      const most = Math.floor(ratio * sum.requests + slack);
-      return { service, kind, ratio, slack, requests: sum.requests, limit: most, spent: sum.retries, refused: sum.refused, left: Math.max(0, most - sum.retries), leased: sum.leased, unheard };
-    });
+    const rows = [...sums]
+      .sort(([a], [b]) => (a < b ? -1 : 1))
+      .map(([key, sum]) => {
+        const [service = "", kind = ""] = key.split("\n");
+        const { ratio, slack } = limitOf(now, service, kindOf(kind));
+        const most = Math.floor(ratio * sum.requests + slack);
+        return {
+          service,
+          kind,
+          ratio,
+          slack,
+          requests: sum.requests,
+          limit: most,
+          spent: sum.retries,
+          refused: sum.refused,
+          left: Math.max(0, most - sum.retries),
+          leased: sum.leased,
+          unheard,
+        };
+      });
     if (rows.length > 0) return rows;
-    return Object.entries(now).flatMap(([service, kinds]) => ROUTE_KINDS.map((kind) => ({ service: service === EVERY_SERVICE ? "every" : service, kind, ...kinds[kind], unheard })));
+    return Object.entries(now).flatMap(([service, kinds]) =>
+      ROUTE_KINDS.map((kind) => ({
+        service: service === EVERY_SERVICE ? "every" : service,
+        kind,
+        ...kinds[kind],
+        unheard,
+      })),
+    );
   };
 
   return {
     look: office.look,
-    answerNode: async (message) => (duty.isHolder() ? answer(message) : ((await colleagues.ask(duty.holder(), message, STORE_WAIT_US)) ?? { kind: "retries" })),
+    answerNode: async (message) =>
+      duty.isHolder()
+        ? answer(message)
+        : ((await colleagues.ask(duty.holder(), message, STORE_WAIT_US)) ?? { kind: "retries" }),
     answerColleague: async (message) => {
       if (message.kind === "retry-ask") return answer(message);
       const verdict = await setHere(asRec(message["order"], "order"));
--- a/src/programs/signalbox.ts
+++ b/src/programs/signalbox.ts
@@ -12,10 +12,32 @@
 import { Inspector, NO_DECISIONS, readDecisions, type Decisions } from "../inspection/inspector.js";
 import { TRIAL_TERMS } from "../inspection/evidence.js";
 import { TERMS } from "../inspection/ranking.js";
-import { NO_ROLLOUTS, readRolloutState, RolloutInspector, type ClearMishap, type RolloutState } from "../inspection/rollout-inspector.js";
-import { readWindows, WINDOW_SENTENCES, WINDOW_TERMS, Windows, type WindowMishap, type WindowState } from "../inspection/windows.js";
+import {
+  NO_ROLLOUTS,
+  readRolloutState,
+  RolloutInspector,
+  type ClearMishap,
+  type RolloutState,
+} from "../inspection/rollout-inspector.js";
+import {
+  readWindows,
+  WINDOW_SENTENCES,
+  WINDOW_TERMS,
+  Windows,
+  type WindowMishap,
+  type WindowState,
+} from "../inspection/windows.js";
 import { SplitRoutes } from "../inspection/split-routes.js";
-import { Board, EJECTIONS_KEY, FORECAST_KEY, PLAN_PREFIX, RETRIES_KEY, ROLLOUTS_KEY, WORKER_PREFIX, type NewFact } from "../signalling/board.js";
+import {
+  Board,
+  EJECTIONS_KEY,
+  FORECAST_KEY,
+  PLAN_PREFIX,
+  RETRIES_KEY,
+  ROLLOUTS_KEY,
+  WORKER_PREFIX,
+  type NewFact,
+} from "../signalling/board.js";
 import { Colleagues } from "../signalling/colleagues.js";
 import { Feeder } from "../signalling/feeder.js";
 import { readSharedBeat, Registry, type Beat } from "../signalling/registry.js";
@@ -82,7 +104,13 @@
   const board = new Board(clock);
   const registry = new Registry(clock, board, settings.heartbeatUs);
   const feeder = new Feeder(clock, board, registry.isComplete);
-  const colleagues = new Colleagues({ self, cell: settings.cell, signalPort: settings.signalPort, clock, times: TIMES });
+  const colleagues = new Colleagues({
+    self,
+    cell: settings.cell,
+    signalPort: settings.signalPort,
+    clock,
+    times: TIMES,
+  });
   const disk = new FileDisk();
   const copy = new Copy();
   const archive = new Archive({ folder: settings.dataFolder, disk, snapshot: copy.snapshot });
@@ -117,7 +145,11 @@
   const memory = new Archive({
     folder: settings.dataFolder === "" ? "" : join(settings.dataFolder, "workers"),
     disk,
-    snapshot: () => registry.all().filter((beat) => beat.state === "ready").map((beat): Rec => ({ ...beat })),
+    snapshot: () =>
+      registry
+        .all()
+        .filter((beat) => beat.state === "ready")
+        .map((beat): Rec => ({ ...beat })),
   });
   const remember = async (): Promise<void> => {
     const found = await memory.load();
@@ -156,7 +188,16 @@
     if (readUs === undefined || isAdrift()) return false;
     return clock.nowUs() - readUs < FEED_AGE_US ? ledger.contact() : sweep();
   };
-  const sessions = new Sessions({ clock, feeder, log: logFor("sessions"), isFit, boxes: colleagues.boxes, cell: settings.cell, emptiedCell: () => emptiedCell(), answer: (message, node) => answerNode(message, node) });
+  const sessions = new Sessions({
+    clock,
+    feeder,
+    log: logFor("sessions"),
+    isFit,
+    boxes: colleagues.boxes,
+    cell: settings.cell,
+    emptiedCell: () => emptiedCell(),
+    answer: (message, node) => answerNode(message, node),
+  });
 
   /** Makes what the duty's holder decided, on the state as held here, durable under its term; false if that state or the term has been overtaken. */
   const publish = async (key: string, wanted: unknown): Promise<boolean> => {
@@ -164,7 +205,11 @@
     if (!term) return false;
     const before = ledger.get(key)?.digest;
     const body = JSON.stringify(wanted);
-    const decided = await ledger.decide(key, (now) => (now?.digest === before ? body : undefined), term);
+    const decided = await ledger.decide(
+      key,
+      (now) => (now?.digest === before ? body : undefined),
+      term,
+    );
     return decided.isOk && decided.value?.body === body;
   };
   const published = <T>(key: string, read: (value: unknown) => T, none: T): T => {
@@ -179,12 +224,21 @@
     isHolder: duty.isHolder,
     term: duty.term,
     workers: () =>
-      registry.all().filter((beat) => beat.state !== "gone").map((beat) => ({ id: beat.id, service: beat.service, cell: beat.cell, missing: beat.state === "missing" })),
+      registry
+        .all()
+        .filter((beat) => beat.state !== "gone")
+        .map((beat) => ({
+          id: beat.id,
+          service: beat.service,
+          cell: beat.cell,
+          missing: beat.state === "missing",
+        })),
     decisions,
     publish: (wanted) => publish(EJECTIONS_REGISTER, wanted),
   });
   const splitRoutes = new SplitRoutes();
-  const rolloutState = (): RolloutState => published(ROLLOUTS_REGISTER, readRolloutState, NO_ROLLOUTS);
+  const rolloutState = (): RolloutState =>
+    published(ROLLOUTS_REGISTER, readRolloutState, NO_ROLLOUTS);
   const rollouts = new RolloutInspector({
     clock,
     log: logFor("rollout"),
@@ -212,7 +266,15 @@
     isHolder: duty.isHolder,
     workers: () => {
       const ejected = new Set(decisions().ejections.map(({ worker }) => worker));
-      return registry.all().map((beat) => ({ id: beat.id, service: beat.service, cell: beat.cell, capacity: beat.capacity, isUsed: beat.state === "ready" && !ejected.has(beat.id) }));
+      return registry
+        .all()
+        .map((beat) => ({
+          id: beat.id,
+          service: beat.service,
+          cell: beat.cell,
+          capacity: beat.capacity,
+          isUsed: beat.state === "ready" && !ejected.has(beat.id),
+        }));
     },
     nodes: () => sessions.crew().pointsmen,
     published: verdicts,
@@ -229,16 +291,32 @@
     terms: WINDOW_TERMS,
     isHolder: duty.isHolder,
     state: windowState,
-    knownUs: () => (windowsSinceUs === undefined || windowsSinceUs - upUs < YOUNG_US ? undefined : clock.nowUs() - windowsSinceUs),
+    knownUs: () =>
+      windowsSinceUs === undefined || windowsSinceUs - upUs < YOUNG_US
+        ? undefined
+        : clock.nowUs() - windowsSinceUs,
     publish: (wanted) => publish(WINDOWS_REGISTER, { windows: wanted }),
     shift: () => decisions().shift,
     setShift: inspector.setShift,
     cells: () => cells(),
-    workers: () => registry.all().map(({ cell, service, capacity, state }) => ({ cell, service, capacity, isReady: state === "ready" })),
+    workers: () =>
+      registry
+        .all()
+        .map(({ cell, service, capacity, state }) => ({
+          cell,
+          service,
+          capacity,
+          isReady: state === "ready",
+        })),
     longestBudgetUs: splitRoutes.longestGiveUpUs,
     isBorne: (cell) => {
       const stands = (id: string) => colleagues.stands(id) && colleagues.cellOf(id) !== cell;
-      return ledger.rosters().every((members) => members.filter(stands).length >= quorumOf(members, settings.withstandMachines));
+      return ledger
+        .rosters()
+        .every(
+          (members) =>
+            members.filter(stands).length >= quorumOf(members, settings.withstandMachines),
+        );
     },
     inFlight: forecaster.inFlight,
     leaveDuty: async (cell) => {
@@ -247,27 +325,49 @@
   });
   const windowMishap = (mishap: WindowMishap): Verdict => {
     const outcome: OutcomeName =
-      mishap === "noQuorum" ? "noQuorum" : mishap === "unknownWindow" ? "unknownWindow" : mishap === "unknownCell" || mishap === "wrongLength" ? "wrong" : "refusedOrder";
+      mishap === "noQuorum"
+        ? "noQuorum"
+        : mishap === "unknownWindow"
+          ? "unknownWindow"
+          : mishap === "unknownCell" || mishap === "wrongLength"
+            ? "wrong"
+            : "refusedOrder";
     return { outcome, body: { problem: WINDOW_SENTENCES[mishap] } };
   };
   const windowHere = async (order: WindowCall): Promise<Verdict> => {
     if (!(await duty.confirm())) return windowMishap("noQuorum");
     if (order.what !== "add") {
-      const mishap = await (order.what === "cancel" ? windows.cancel(order.id) : windows.extend(order.id, order.byUs));
+      const mishap = await (order.what === "cancel"
+        ? windows.cancel(order.id)
+        : windows.extend(order.id, order.byUs));
       return mishap === undefined ? { outcome: "taken" } : windowMishap(mishap);
     }
     const id = randomUUID().slice(0, 8);
     const added = await windows.add(order, id);
-    return typeof added === "string" ? windowMishap(added) : { outcome: "taken", body: { id, warnings: added } };
+    return typeof added === "string"
+      ? windowMishap(added)
+      : { outcome: "taken", body: { id, warnings: added } };
   };
   const readWindowCall = (message: Message): WindowCall => {
     const what = text(message, "what");
-    if (what === "add") return { what, cell: text(message, "cell"), opensUs: whole(message, "opensUs"), lastsUs: whole(message, "lastsUs") };
-    return what === "extend" ? { what, id: text(message, "id"), byUs: whole(message, "byUs") } : { what: "cancel", id: text(message, "id") };
+    if (what === "add")
+      return {
+        what,
+        cell: text(message, "cell"),
+        opensUs: whole(message, "opensUs"),
+        lastsUs: whole(message, "lastsUs"),
+      };
+    return what === "extend"
+      ? { what, id: text(message, "id"), byUs: whole(message, "byUs") }
+      : { what: "cancel", id: text(message, "id") };
   };
   const window = async (order: WindowCall): Promise<Verdict> => {
     if (duty.isHolder()) return windowHere(order);
-    const reply = await colleagues.ask(duty.holder(), { kind: "window", ...order }, 2 * STORE_WAIT_US);
+    const reply = await colleagues.ask(
+      duty.holder(),
+      { kind: "window", ...order },
+      2 * STORE_WAIT_US,
+    );
     return readVerdict(reply) ?? windowMishap("noQuorum");
   };
 
@@ -277,8 +377,19 @@
       return hearMajority();
     }
     const message: Message = { kind: "beats", beats };
-    colleagues.known().filter((id) => !ledger.members().includes(id)).forEach((id) => void colleagues.ask(id, message, STORE_WAIT_US));
-    const [held, isHeard] = await Promise.all([ledger.gather(message, (reply) => reply.kind === "took", async () => true, STORE_WAIT_US), ledger.contact()]);
+    colleagues
+      .known()
+      .filter((id) => !ledger.members().includes(id))
+      .forEach((id) => void colleagues.ask(id, message, STORE_WAIT_US));
+    const [held, isHeard] = await Promise.all([
+      ledger.gather(
+        message,
+        (reply) => reply.kind === "took",
+        async () => true,
+        STORE_WAIT_US,
+      ),
+      ledger.contact(),
+    ]);
     return held.isOk && isHeard;
   };
 
@@ -303,7 +414,15 @@
   /** Only a deployment of this kind loads and runs what operation keys, purges and rates need. */
   const content =
     settings.deployment === "content"
-      ? (await import("./signalbox-content.js")).openContent({ settings, clock, ledger, colleagues, board, feeder, duty })
+      ? (await import("./signalbox-content.js")).openContent({
+          settings,
+          clock,
+          ledger,
+          colleagues,
+          board,
+          feeder,
+          duty,
+        })
       : undefined;
   const nodeAnswers = new NodeAnswers(sessions, colleagues);
   const retries = openRetries({
@@ -316,16 +435,25 @@
     isService: (name) => ledger.get(serviceKey(name))?.dropped === false,
     askNodes: nodeAnswers.askAll,
   });
-  const cells = () => [...new Set([...registry.all().map(({ cell }) => cell), ...sessions.nodes().map(({ cell }) => cell)])];
+  const cells = () => [
+    ...new Set([
+      ...registry.all().map(({ cell }) => cell),
+      ...sessions.nodes().map(({ cell }) => cell),
+    ]),
+  ];
   const backends = openBackends({ registry, cells, askNodes: nodeAnswers.askAll });
   const answerNode = async (message: Message, node: string): Promise<Message> =>
-    message.kind === "retry-ask" ? retries.answerNode(message) : ((await content?.answerNode(message, node)) ?? { kind: "unknown" });
+    message.kind === "retry-ask"
+      ? retries.answerNode(message)
+      : ((await content?.answerNode(message, node)) ?? { kind: "unknown" });
 
   /** Joins come in crowds: who has a session here is told to colleagues, and the crew to nodes, once for all that came meanwhile. */
   const tellCrew = oncePer(clock, GATHER_JOINS_US, () => feeder.setCrew(sessions.crew()));
   const tellSessions = oncePer(clock, GATHER_JOINS_US, () => colleagues.send(sessions.pack()));
 
-  const shiftHere = async (cell: string, why: string): Promise<boolean> => (await duty.confirm()) && (why === "practice" ? inspector.practise(cell) : inspector.shiftByHand(cell));
+  const shiftHere = async (cell: string, why: string): Promise<boolean> =>
+    (await duty.confirm()) &&
+    (why === "practice" ? inspector.practise(cell) : inspector.shiftByHand(cell));
   const shift = async (cell: string, why: string): Promise<boolean> => {
     if (duty.isHolder()) return shiftHere(cell, why);
     const reply = await colleagues.ask(duty.holder(), { kind: "shift", cell, why }, STORE_WAIT_US);
@@ -339,15 +467,29 @@
   };
   const clearRollout = async (route: string, version: number | undefined): Promise<OutcomeName> => {
     if (duty.isHolder()) return clearHere(route, version);
-    const reply = await colleagues.ask(duty.holder(), { kind: "clear", route, ...(version === undefined ? {} : { version }) }, STORE_WAIT_US);
-    const outcome = ["taken" as const, ...Object.values(CLEAR_OUTCOMES)].find((name) => name === reply?.["outcome"]);
+    const reply = await colleagues.ask(
+      duty.holder(),
+      { kind: "clear", route, ...(version === undefined ? {} : { version }) },
+      STORE_WAIT_US,
+    );
+    const outcome = ["taken" as const, ...Object.values(CLEAR_OUTCOMES)].find(
+      (name) => name === reply?.["outcome"],
+    );
     return outcome ?? "noQuorum";
   };
-  const tellers: Readonly<Record<string, () => unknown>> = { inspection: inspector.explain, rollouts: rollouts.explain, forecast: forecaster.explain, windows: windows.explain };
-  const tellHere = async (what: string): Promise<unknown> => ((await duty.confirm()) ? tellers[what]?.() : undefined);
+  const tellers: Readonly<Record<string, () => unknown>> = {
+    inspection: inspector.explain,
+    rollouts: rollouts.explain,
+    forecast: forecaster.explain,
+    windows: windows.explain,
+  };
+  const tellHere = async (what: string): Promise<unknown> =>
+    (await duty.confirm()) ? tellers[what]?.() : undefined;
   /** What only the holder knows is asked of the holder. */
   const tellOfHolder = async (what: string): Promise<unknown> =>
-    (await tellHere(what)) ?? (await colleagues.ask(duty.holder(), { kind: "tell", what }, STORE_WAIT_US))?.["told"] ?? tellers[what]?.();
+    (await tellHere(what)) ??
+    (await colleagues.ask(duty.holder(), { kind: "tell", what }, STORE_WAIT_US))?.["told"] ??
+    tellers[what]?.();
 
   /** What this copy knows by itself, told also while it is cut off; nothing of it speaks for the fleet. */
   const thisCopy = (): Rec => {
@@ -373,14 +515,33 @@
     const boxes = [...new Set([self, ...ledger.members(), ...colleagues.known()])].sort();
     const rows = await Promise.all(
       boxes.map(async (box): Promise<Rec> => {
-        const told = box === self ? thisCopy() : await colleagues.ask(box, { kind: "tell-copy" }, STORE_WAIT_US);
+        const told =
+          box === self
+            ? thisCopy()
+            : await colleagues.ask(box, { kind: "tell-copy" }, STORE_WAIT_US);
         const isMember = ledger.members().includes(box);
-        if (!told) return { box, isMember, seen: false, counting: false, why: "it does not answer" };
-        return { box, isMember, seen: true, counting: told["counting"], why: told["why"], roster: told["roster"], term: told["term"], majorityInReach: told["majorityInReach"] };
+        if (!told)
+          return { box, isMember, seen: false, counting: false, why: "it does not answer" };
+        return {
+          box,
+          isMember,
+          seen: true,
+          counting: told["counting"],
+          why: told["why"],
+          roster: told["roster"],
+          term: told["term"],
+          majorityInReach: told["majorityInReach"],
+        };
       }),
     );
     const { number, members, from } = ledger.roster();
-    return { holder: duty.holder(), term: duty.term(), here: duty.isHolder(), roster: { number, is: from.length > 0 ? "joint" : "simple", members, from }, boxes: rows.filter(({ isMember, seen }) => isMember === true || seen === true) };
+    return {
+      holder: duty.holder(),
+      term: duty.term(),
+      here: duty.isHolder(),
+      roster: { number, is: from.length > 0 ? "joint" : "simple", members, from },
+      boxes: rows.filter(({ isMember, seen }) => isMember === true || seen === true),
+    };
   };
 
   /** Who takes what nodes report, at the duty's holder; the others pass it on. */
@@ -402,7 +563,13 @@
       case "shift":
         return { kind: "done", yes: await shiftHere(text(message, "cell"), text(message, "why")) };
       case "clear":
-        return { kind: "done", outcome: await clearHere(text(message, "route"), typeof message["version"] === "number" ? message["version"] : undefined) };
+        return {
+          kind: "done",
+          outcome: await clearHere(
+            text(message, "route"),
+            typeof message["version"] === "number" ? message["version"] : undefined,
+          ),
+        };
       case "window": {
         const verdict = await windowHere(readWindowCall(message));
         return { kind: "done", outcome: verdict.outcome, body: verdict.body ?? {} };
@@ -435,7 +602,11 @@
   };
   /** The newest connection that each colleague has dialled. */
   const inbound = new Map<string, Wire>();
-  const serveColleague = async (wire: Wire, hello: Message, incoming: AsyncIterable<Message>): Promise<void> => {
+  const serveColleague = async (
+    wire: Wire,
+    hello: Message,
+    incoming: AsyncIterable<Message>,
+  ): Promise<void> => {
     const from = text(hello, "from");
     wire.send({ ...colleagues.hello(), kind: "welcome" });
     colleagues.meet(hello);
@@ -447,7 +618,8 @@
       else
         void answerColleague(message)
           .then((reply) => {
-            if (reply && typeof message["ask"] === "number") wire.send({ ...reply, re: message["ask"] });
+            if (reply && typeof message["ask"] === "number")
+              wire.send({ ...reply, re: message["ask"] });
           })
           .catch((mishap: unknown) => log.warn(`A colleague's message failed: ${String(mishap)}.`));
     }
@@ -455,21 +627,30 @@
     inbound.delete(from);
     if (!colleagues.stands(from)) sessions.forget(from);
   };
-  const switchboard = new Switchboard(clock, TIMES, { colleague: serveColleague, pointsman: sessions.serve }, logFor("switchboard"));
+  const switchboard = new Switchboard(
+    clock,
+    TIMES,
+    { colleague: serveColleague, pointsman: sessions.serve },
+    logFor("switchboard"),
+  );
 
   ledger.events.on("settled", (settled) => {
     const facts = settled.filter((register) => isPlanKey(register.key)).map(factOf);
     const ejections = settled.find((register) => register.key === EJECTIONS_REGISTER);
     board.post(facts);
     if (ejections) sessions.leaveEmptied();
-    if (settled.some((register) => register.key === WINDOWS_REGISTER)) windowsSinceUs = clock.nowUs();
+    if (settled.some((register) => register.key === WINDOWS_REGISTER))
+      windowsSinceUs = clock.nowUs();
     settled.forEach(({ key, version, digest, body }) => {
       const told = TOLD_REGISTERS[key];
-      if (told !== undefined) board.post([{ key: told, version, tie: digest, body: asRec(parseJson(body)) }]);
+      if (told !== undefined)
+        board.post([{ key: told, version, tie: digest, body: asRec(parseJson(body)) }]);
     });
     settled
       .filter((register) => register.key.startsWith(ROUTE_PREFIX))
-      .forEach((register) => splitRoutes.take(register.key.slice(ROUTE_PREFIX.length), register.version, register.body));
+      .forEach((register) =>
+        splitRoutes.take(register.key.slice(ROUTE_PREFIX.length), register.version, register.body),
+      );
   });
   ledger.events.on("roster", (roster) => colleagues.learn(everyoneOf(roster)));
   ledger.events.on("behind", () => void sweep());
@@ -548,8 +729,21 @@
     ...(content?.tellers ?? {}),
   };
   const queries = new Queries(ledger, ofFleet, { copy: thisCopy });
-  const withMajority = (act: (order: Rec) => Promise<Verdict>) => async (order: Rec): Promise<Verdict> => ((await ledger.contact()) ? act(order) : { outcome: "noMajority" });
-  const server = await serveCalls(settings.control, controlEntries(commands, queries, { shift, clearRollout, window, setRetries: retries.set, forecastBackends: withMajority(backends.forecast), seenBackends: withMajority(backends.seen) }));
+  const withMajority =
+    (act: (order: Rec) => Promise<Verdict>) =>
+    async (order: Rec): Promise<Verdict> =>
+      (await ledger.contact()) ? act(order) : { outcome: "noMajority" };
+  const server = await serveCalls(
+    settings.control,
+    controlEntries(commands, queries, {
+      shift,
+      clearRollout,
+      window,
+      setRetries: retries.set,
+      forecastBackends: withMajority(backends.forecast),
+      seenBackends: withMajority(backends.seen),
+    }),
+  );
   const early = clock.every(100 * MS, () => {
     if (readUs !== undefined) early.stop();
     else void sweep();
@@ -580,4 +774,3 @@
     },
   };
 };
-
--- a/src/programs/usage-export.ts
+++ b/src/programs/usage-export.ts
@@ -25,13 +25,25 @@
 
 export const readUsageRow = (node: string, value: unknown): UsageRow => {
   const rec = asRec(value, "row");
-  return { node, route: text(rec, "route"), kind: text(rec, "kind"), cell: text(rec, "cell"), outcome: text(rec, "outcome"), count: whole(rec, "count") };
+  return {
+    node,
+    route: text(rec, "route"),
+    kind: text(rec, "kind"),
+    cell: text(rec, "cell"),
+    outcome: text(rec, "outcome"),
+    count: whole(rec, "count"),
+  };
 };
 
-export const usageAsCsv = (rows: readonly UsageRow[]): string => stringify([...rows], { header: true, columns: USAGE_SCHEMA.map(({ name }) => name) });
+export const usageAsCsv = (rows: readonly UsageRow[]): string =>
+  stringify([...rows], { header: true, columns: USAGE_SCHEMA.map(({ name }) => name) });
 
 export const usageAsParquet = (rows: readonly UsageRow[]): Uint8Array => {
-  const columnData = USAGE_SCHEMA.map(({ name, type }) => ({ name, type, data: rows.map((row) => (name === "count" ? BigInt(row.count) : row[name])) }));
+  const columnData = USAGE_SCHEMA.map(({ name, type }) => ({
+    name,
+    type,
+    data: rows.map((row) => (name === "count" ? BigInt(row.count) : row[name])),
+  }));
   return new Uint8Array(parquetWriteBuffer({ columnData }));
 };
 
--- a/src/signalling/board.ts
+++ b/src/signalling/board.ts
@@ -18,7 +18,9 @@
 export type NewFact = Omit<Fact, "sinceUs">;
 
 const outranks = (one: NewFact, other: Fact | undefined): boolean =>
-  other === undefined || one.version > other.version || (one.version === other.version && one.tie > other.tie);
+  other === undefined ||
+  one.version > other.version ||
+  (one.version === other.version && one.tie > other.tie);
 
 /** All facts one process knows; merging only goes upward. */
 export class Board {
@@ -47,14 +49,25 @@
 
   readonly pack = (facts: readonly Fact[]): readonly Rec[] => {
     const nowUs = this.clock.nowUs();
-    return facts.map(({ key, version, tie, body, sinceUs }) => ({ key, version, tie, body, ageUs: nowUs - sinceUs }));
+    return facts.map(({ key, version, tie, body, sinceUs }) => ({
+      key,
+      version,
+      tie,
+      body,
+      ageUs: nowUs - sinceUs,
+    }));
   };
 
   readonly take = (packed: readonly unknown[]): void => {
     const ages = new Map<NewFact, number>();
     const facts = packed.map((value) => {
       const rec = asRec(value, "fact");
-      const fact = { key: text(rec, "key"), version: whole(rec, "version"), tie: text(rec, "tie"), body: asRec(rec["body"], "body") };
+      const fact = {
+        key: text(rec, "key"),
+        version: whole(rec, "version"),
+        tie: text(rec, "tie"),
+        body: asRec(rec["body"], "body"),
+      };
       ages.set(fact, whole(rec, "ageUs"));
       return fact;
     });
--- a/src/signalling/colleagues.ts
+++ b/src/signalling/colleagues.ts
@@ -26,19 +26,29 @@
 
   readonly known = (): readonly string[] => [...this.links.keys()];
 
-  readonly stands = (id: string): boolean => id === this.options.self || this.links.get(id)?.stands === true;
+  readonly stands = (id: string): boolean =>
+    id === this.options.self || this.links.get(id)?.stands === true;
 
   readonly cellOf = (id: string): string => this.cells.get(id) ?? "";
 
   /** Every standing signalbox with its cell, this one included. */
   readonly boxes = (): readonly { readonly id: string; readonly cell: string }[] =>
-    [this.options.self, ...this.known().filter(this.stands)].map((id) => ({ id, cell: this.cellOf(id) }));
+    [this.options.self, ...this.known().filter(this.stands)].map((id) => ({
+      id,
+      cell: this.cellOf(id),
+    }));
 
-  readonly hello = (): Message => ({ kind: "colleague", from: this.options.self, cell: this.options.cell, known: [this.options.self, ...this.known()] });
+  readonly hello = (): Message => ({
+    kind: "colleague",
+    from: this.options.self,
+    cell: this.options.cell,
+    known: [this.options.self, ...this.known()],
+  });
 
   /** Takes what a hello or a welcome of a colleague tells. */
   readonly meet = (hello: Message): void => {
-    if (typeof hello["from"] === "string" && typeof hello["cell"] === "string") this.cells.set(hello["from"], hello["cell"]);
+    if (typeof hello["from"] === "string" && typeof hello["cell"] === "string")
+      this.cells.set(hello["from"], hello["cell"]);
     this.learn(list(hello, "known", textOf));
   };
 
@@ -62,7 +72,15 @@
 
   private readonly open = (id: string): void => {
     const { clock, times, signalPort } = this.options;
-    const link = new Link({ ip: splitAddress(id).ip, port: signalPort, clock, times, dialUs: times.silenceUs, restUs: times.pulseUs, hello: this.hello });
+    const link = new Link({
+      ip: splitAddress(id).ip,
+      port: signalPort,
+      clock,
+      times,
+      dialUs: times.silenceUs,
+      restUs: times.pulseUs,
+      hello: this.hello,
+    });
     this.links.set(id, link);
     link.events.on("up", (welcome) => {
       this.meet(welcome);
--- a/src/signalling/feeder.ts
+++ b/src/signalling/feeder.ts
@@ -27,7 +27,11 @@
   private flushPulse: Pulse | undefined;
   private crew: Crew = { pointsmen: 0, cells: {} };
 
-  constructor(private readonly clock: Clock, private readonly board: Board, private readonly isComplete: () => boolean) {
+  constructor(
+    private readonly clock: Clock,
+    private readonly board: Board,
+    private readonly isComplete: () => boolean,
+  ) {
     board.events.on("changed", (facts) => {
       facts.forEach((fact) => this.changed.add(fact.key));
       this.flushSoon();
@@ -70,7 +74,12 @@
 
   readonly closeAll = (): void => this.children.forEach((wire) => wire.close());
 
-  private readonly whole = (): Message => ({ kind: "news", whole: true, complete: this.isComplete(), facts: this.board.pack(this.board.all()) });
+  private readonly whole = (): Message => ({
+    kind: "news",
+    whole: true,
+    complete: this.isComplete(),
+    facts: this.board.pack(this.board.all()),
+  });
 
   private readonly flushSoon = (): void => {
     this.flushPulse ??= this.clock.after(GATHER_US, this.flush);
@@ -83,7 +92,14 @@
     const forget = [...this.forgotten].filter((key) => this.board.get(key) === undefined);
     this.changed.clear();
     this.forgotten.clear();
-    if (facts.length + forget.length > 0) this.sendAll({ kind: "news", whole: false, complete: false, facts: this.board.pack(facts), forget });
+    if (facts.length + forget.length > 0)
+      this.sendAll({
+        kind: "news",
+        whole: false,
+        complete: false,
+        facts: this.board.pack(facts),
+        forget,
+      });
   };
 
   private readonly sendAll = (message: Message): void => {
--- a/src/signalling/link.ts
+++ b/src/signalling/link.ts
@@ -48,7 +48,9 @@
 
   /** Resolves to the reply, or to undefined when the session ends or the wait is over first. */
   readonly ask = (message: Message, waitUs: number): Promise<Message | undefined> => {
-    return this.stands && this.wire ? this.asks.ask(this.wire.send, message, waitUs) : Promise.resolve(undefined);
+    return this.stands && this.wire
+      ? this.asks.ask(this.wire.send, message, waitUs)
+      : Promise.resolve(undefined);
   };
 
   private async *life(): AsyncGenerator<LinkState, void, undefined> {
--- a/src/signalling/registry.ts
+++ b/src/signalling/registry.ts
@@ -22,7 +22,8 @@
 }
 
 const stateOf = (value: string): WorkerState => {
-  if (value === "ready" || value === "missing" || value === "draining" || value === "gone") return value;
+  if (value === "ready" || value === "missing" || value === "draining" || value === "gone")
+    return value;
   return "ready";
 };
 
@@ -36,7 +37,8 @@
     version: typeof rec["version"] === "string" ? rec["version"] : "",
     capacity: whole(rec, "capacity"),
     state: stateOf(text(rec, "state")),
-    warmUs: typeof rec["warmUs"] === "number" ? rec["warmUs"] : parseSpan(rec["warmLeft"]).unwrapOr(0),
+    warmUs:
+      typeof rec["warmUs"] === "number" ? rec["warmUs"] : parseSpan(rec["warmLeft"]).unwrapOr(0),
     callCount: whole(rec, "callCount"),
   };
 };
@@ -55,7 +57,15 @@
   key: WORKER_PREFIX + beat.id,
   version: beat.callCount * RANKS + RANK[beat.state],
   tie: "",
-  body: { service: beat.service, address: beat.address, cell: beat.cell, capacity: beat.capacity, state: beat.state, warmUs: beat.warmUs, release: beat.version },
+  body: {
+    service: beat.service,
+    address: beat.address,
+    cell: beat.cell,
+    capacity: beat.capacity,
+    state: beat.state,
+    warmUs: beat.warmUs,
+    release: beat.version,
+  },
 });
 
 const TOMBSTONE_BEATS = 40;
@@ -70,7 +80,11 @@
   /** Since when beats, and what colleagues share of them, have been able to come in. */
   private listeningSinceUs: number;
 
-  constructor(private readonly clock: Clock, private readonly board: Board, private readonly heartbeatUs: number) {
+  constructor(
+    private readonly clock: Clock,
+    private readonly board: Board,
+    private readonly heartbeatUs: number,
+  ) {
     this.listeningSinceUs = clock.nowUs();
   }
 
@@ -80,14 +94,16 @@
   };
 
   /** Whether every worker that lives has had time to be heard here. */
-  readonly isComplete = (): boolean => this.clock.nowUs() - this.listeningSinceUs > this.heartbeatUs * MISSING_BEATS;
+  readonly isComplete = (): boolean =>
+    this.clock.nowUs() - this.listeningSinceUs > this.heartbeatUs * MISSING_BEATS;
 
   readonly all = (): readonly Beat[] => [...this.entries.values()].map((entry) => entry.beat);
 
   readonly get = (id: string): Beat | undefined => this.entries.get(id)?.beat;
 
   /** Takes up workers known before this start; those that are not heard soon go missing like any other. */
-  readonly recall = (beats: readonly Beat[]): void => beats.forEach((beat) => this.take({ ...beat, state: "ready", warmUs: 0 }));
+  readonly recall = (beats: readonly Beat[]): void =>
+    beats.forEach((beat) => this.take({ ...beat, state: "ready", warmUs: 0 }));
 
   /**
    * Takes a beat, heard here or shared after `ageUs` elsewhere; false if it is old. One so old that its worker is missing
@@ -95,7 +111,10 @@
    */
   readonly take = (told: Beat, ageUs = 0): boolean => {
     const nowUs = this.clock.nowUs() - ageUs;
-    const beat: Beat = told.state === "ready" && ageUs > this.heartbeatUs * MISSING_BEATS ? { ...told, state: "missing" } : told;
+    const beat: Beat =
+      told.state === "ready" && ageUs > this.heartbeatUs * MISSING_BEATS
+        ? { ...told, state: "missing" }
+        : told;
     const before = this.entries.get(beat.id);
     if (!before) {
       if (ageUs > this.heartbeatUs * TOMBSTONE_BEATS) return false;
@@ -105,10 +124,15 @@
     }
     if (before.beat.state === "gone") return false;
     const rises = beat.callCount > before.beat.callCount;
-    const sinks = beat.callCount === before.beat.callCount && RANK[beat.state] > RANK[before.beat.state];
+    const sinks =
+      beat.callCount === before.beat.callCount && RANK[beat.state] > RANK[before.beat.state];
     if (!rises && !sinks) return false;
-    const state = before.beat.state === "draining" && beat.state !== "gone" ? "draining" : beat.state;
-    const changed = state !== before.beat.state || beat.address !== before.beat.address || beat.service !== before.beat.service;
+    const state =
+      before.beat.state === "draining" && beat.state !== "gone" ? "draining" : beat.state;
+    const changed =
+      state !== before.beat.state ||
+      beat.address !== before.beat.address ||
+      beat.service !== before.beat.service;
     before.beat = { ...beat, state };
     before.heardUs = Math.max(nowUs, before.heardUs);
     if (changed) this.board.post([factOf(before.beat)]);
@@ -130,7 +154,10 @@
 
   readonly packAll = (): readonly Rec[] => {
     const nowUs = this.clock.nowUs();
-    return [...this.entries.values()].map(({ beat, heardUs }) => ({ ...beat, ageUs: nowUs - heardUs }));
+    return [...this.entries.values()].map(({ beat, heardUs }) => ({
+      ...beat,
+      ageUs: nowUs - heardUs,
+    }));
   };
 
   /** Marks those missing that were not heard for some beats, and forgets the long gone. */
--- a/src/signalling/sessions.ts
+++ b/src/signalling/sessions.ts
@@ -48,7 +48,13 @@
 
 const readNode = (value: unknown): Node => {
   const rec = asRec(value, "node");
-  return { name: text(rec, "name"), cell: text(rec, "cell"), relay: text(rec, "relay"), role: rec["role"] === "depot" ? "depot" : "pointsman", linkMbps: typeof rec["linkMbps"] === "number" ? rec["linkMbps"] : 0 };
+  return {
+    name: text(rec, "name"),
+    cell: text(rec, "cell"),
+    relay: text(rec, "relay"),
+    role: rec["role"] === "depot" ? "depot" : "pointsman",
+    linkMbps: typeof rec["linkMbps"] === "number" ? rec["linkMbps"] : 0,
+  };
 };
 
 export interface SessionsOptions {
@@ -76,7 +82,11 @@
 
   constructor(private readonly options: SessionsOptions) {}
 
-  readonly serve = async (wire: Wire, hello: Message, incoming: AsyncIterable<Message>): Promise<void> => {
+  readonly serve = async (
+    wire: Wire,
+    hello: Message,
+    incoming: AsyncIterable<Message>,
+  ): Promise<void> => {
     const node = readNode(hello["node"]);
     if (!(await this.options.isFit()) || this.isElsewhere(node)) {
       wire.send({ kind: "adrift", boxes: this.options.boxes() });
@@ -92,7 +102,8 @@
     void this.events.emit("own");
     for await (const message of incoming) {
       if (session.asks.settle(message)) continue;
-      if (typeof message["ask"] === "number") void this.answerNode(session, message, message["ask"]);
+      if (typeof message["ask"] === "number")
+        void this.answerNode(session, message, message["ask"]);
       else if (message.kind === "lost-news") this.assign(session, text(message, "parent"));
       else void this.events.emit("report", { ...message, node: node.name });
     }
@@ -101,7 +112,9 @@
     if (this.own.get(node.name) !== session) return;
     this.own.delete(node.name);
     this.options.log.info(`${node.name} left.`);
-    [...this.own.values()].filter((other) => other.parent === node.relay).forEach((other) => this.assign(other, node.relay));
+    [...this.own.values()]
+      .filter((other) => other.parent === node.relay)
+      .forEach((other) => this.assign(other, node.relay));
     void this.events.emit("own");
   };
 
@@ -113,17 +126,35 @@
     const emptied = this.options.emptiedCell();
     this.own.forEach((session) => {
       if (this.isElsewhere(session.node)) session.wire.close();
-      else if (session.node.cell !== emptied && [...this.own.values()].some(({ node }) => node.relay === session.parent && node.cell === emptied)) this.assign(session, session.parent);
+      else if (
+        session.node.cell !== emptied &&
+        [...this.own.values()].some(
+          ({ node }) => node.relay === session.parent && node.cell === emptied,
+        )
+      )
+        this.assign(session, session.parent);
     });
   };
 
-  readonly tellBoxes = (): void => this.own.forEach((session) => session.wire.send({ kind: "boxes", boxes: this.options.boxes() }));
+  readonly tellBoxes = (): void =>
+    this.own.forEach((session) =>
+      session.wire.send({ kind: "boxes", boxes: this.options.boxes() }),
+    );
 
   /** Asks every node with a session here; who doesn't answer in time is named without an answer. */
   readonly askAll = (question: Message, waitUs: number): Promise<readonly NodeAnswer[]> =>
-    Promise.all([...this.own.values()].map(async ({ node, wire, asks }) => ({ node: node.name, cell: node.cell, answer: await asks.ask(wire.send, question, waitUs) })));
+    Promise.all(
+      [...this.own.values()].map(async ({ node, wire, asks }) => ({
+        node: node.name,
+        cell: node.cell,
+        answer: await asks.ask(wire.send, question, waitUs),
+      })),
+    );
 
-  readonly pack = (): Message => ({ kind: "sessions", nodes: [...this.own.values()].map((session) => ({ ...session.node })) });
+  readonly pack = (): Message => ({
+    kind: "sessions",
+    nodes: [...this.own.values()].map((session) => ({ ...session.node })),
+  });
 
   readonly hear = (from: string, message: Message): void => {
     this.told.set(from, list(message, "nodes", readNode));
@@ -136,7 +167,10 @@
 
   readonly nodes = (): readonly Node[] => {
     const all = new Map<string, Node>();
-    [...[...this.own.values()].map((session) => session.node), ...[...this.told.values()].flat()].forEach((node) => all.set(node.name, node));
+    [
+      ...[...this.own.values()].map((session) => session.node),
+      ...[...this.told.values()].flat(),
+    ].forEach((node) => all.set(node.name, node));
     return [...all.values()];
   };
 
@@ -144,12 +178,19 @@
     const cells: Record<string, number> = {};
     const all = this.nodes();
     const nodes = all.filter(({ role }) => role === "pointsman");
-    const depots = all.filter(({ role }) => role === "depot").map(({ relay, cell }) => ({ address: relay, cell }));
+    const depots = all
+      .filter(({ role }) => role === "depot")
+      .map(({ relay, cell }) => ({ address: relay, cell }));
     nodes.forEach((node) => {
       cells[node.cell] = (cells[node.cell] ?? 0) + 1;
     });
     const halls = depots.length > 0 ? hallsOf(nodes) : [];
-    return { pointsmen: nodes.length, cells, ...(halls.length > 0 ? { halls } : {}), ...(depots.length > 0 ? { depots } : {}) };
+    return {
+      pointsmen: nodes.length,
+      cells,
+      ...(halls.length > 0 ? { halls } : {}),
+      ...(depots.length > 0 ? { depots } : {}),
+    };
   };
 
   private readonly isElsewhere = (node: Node): boolean => {
@@ -157,7 +198,11 @@
     return emptied !== "" && emptied === this.options.cell && node.cell !== emptied;
   };
 
-  private readonly answerNode = async (session: Session, message: Message, ask: number): Promise<void> => {
+  private readonly answerNode = async (
+    session: Session,
+    message: Message,
+    ask: number,
+  ): Promise<void> => {
     try {
       session.wire.send({ ...(await this.options.answer(message, session.node.name)), re: ask });
     } catch (mishap) {
@@ -166,7 +211,11 @@
   };
 
   /** How far below this signalbox a node is fed; undefined if it hangs below the one that looks for a parent, or on none. */
-  private readonly depthBelow = (session: Session, seeker: Session, byRelay: ReadonlyMap<string, Session>): number | undefined => {
+  private readonly depthBelow = (
+    session: Session,
+    seeker: Session,
+    byRelay: ReadonlyMap<string, Session>,
+  ): number | undefined => {
     let at: Session | undefined = session;
     for (let depth = 0; at && at !== seeker && depth <= byRelay.size; depth += 1) {
       if (at.parent === "") return depth;
@@ -195,7 +244,8 @@
       best = other;
       bestCost = cost;
     });
-    session.parent = feeder.size < (failed === "" ? FAN_OUT : DIRECT_MOST) || !best ? "" : best.node.relay;
+    session.parent =
+      feeder.size < (failed === "" ? FAN_OUT : DIRECT_MOST) || !best ? "" : best.node.relay;
     session.wire.send({ kind: "parent", parent: session.parent });
     if (session.parent === "") feeder.adopt(session.wire);
   };
@@ -211,14 +261,25 @@
   return [...byCell].flatMap(([cell, all]) => {
     const widths = all.map(({ linkMbps }) => linkMbps).sort((a, b) => a - b);
     const usual = widths[Math.floor(widths.length / 2)] ?? 0;
-    const wide = all.filter(({ linkMbps }) => usual > 0 && linkMbps >= usual * HALL_TIMES).sort((a, b) => (a.name < b.name ? -1 : 1))[0];
+    const wide = all
+      .filter(({ linkMbps }) => usual > 0 && linkMbps >= usual * HALL_TIMES)
+      .sort((a, b) => (a.name < b.name ? -1 : 1))[0];
     return wide ? [{ address: wide.relay, cell }] : [];
   });
 };
 
 export const readCrew = (message: Message): Crew => {
   const cells = asRec(message["cells"], "cells");
-  const places = (field: string) => list(message, field, (value) => ({ address: text(asRec(value), "address"), cell: text(asRec(value), "cell") }));
+  const places = (field: string) =>
+    list(message, field, (value) => ({
+      address: text(asRec(value), "address"),
+      cell: text(asRec(value), "cell"),
+    }));
   const [depots, halls] = [places("depots"), places("halls")];
-  return { ...(halls.length > 0 ? { halls } : {}), ...(depots.length > 0 ? { depots } : {}), pointsmen: whole(message, "pointsmen"), cells: Object.fromEntries(Object.keys(cells).map((cell) => [cell, whole(cells, cell)])) };
+  return {
+    ...(halls.length > 0 ? { halls } : {}),
+    ...(depots.length > 0 ? { depots } : {}),
+    pointsmen: whole(message, "pointsmen"),
+    cells: Object.fromEntries(Object.keys(cells).map((cell) => [cell, whole(cells, cell)])),
+  };
 };
--- a/src/signalling/switchboard.ts
+++ b/src/signalling/switchboard.ts
@@ -4,7 +4,11 @@
 import { Wire, type Message, type WireTimes } from "../trackbed/wire.js";
 
 /** What serves one kind of caller for as long as its connection stands. */
-export type Receiver = (wire: Wire, hello: Message, incoming: AsyncIterable<Message>) => Promise<void>;
+export type Receiver = (
+  wire: Wire,
+  hello: Message,
+  incoming: AsyncIterable<Message>,
+) => Promise<void>;
 
 /** The listening side of sessions: one task for each connection, handed on by what the hello says. */
 export class Switchboard {
@@ -20,7 +24,9 @@
 
   readonly listen = (ip: string, port: number): Promise<void> =>
     new Promise((resolve, reject) => {
-      this.server = createServer((socket) => void this.serve(new Wire(socket, this.clock, this.times)));
+      this.server = createServer(
+        (socket) => void this.serve(new Wire(socket, this.clock, this.times)),
+      );
       this.server.once("error", reject);
       this.server.listen(port, ip, resolve);
     });
@@ -39,7 +45,9 @@
       const receiver = this.receivers[first.value.kind];
       if (receiver) await receiver(wire, first.value, incoming);
     } catch (mishap) {
-      this.log.warn(`A session broke off: ${mishap instanceof Error ? mishap.message : "unknown"}.`);
+      this.log.warn(
+        `A session broke off: ${mishap instanceof Error ? mishap.message : "unknown"}.`,
+      );
     } finally {
       this.wires.delete(wire);
       wire.close();
--- a/src/signalling/taker.ts
+++ b/src/signalling/taker.ts
@@ -39,10 +39,19 @@
  * Cut off, it goes on with the board as it is.
  */
 export class Taker {
-  readonly events = new Emittery<{ crew: Crew; whole: undefined; fresh: number; unfed: undefined }>();
+  readonly events = new Emittery<{
+    crew: Crew;
+    whole: undefined;
+    fresh: number;
+    unfed: undefined;
+  }>();
   private state: SessionState = "looking";
   /** Every signalbox that was told of, those told last first; who is no longer told of is kept behind, since a teller may be cut off. */
-  private boxes: readonly { readonly id: string; readonly cell: string; readonly isTold: boolean }[] = [];
+  private boxes: readonly {
+    readonly id: string;
+    readonly cell: string;
+    readonly isTold: boolean;
+  }[] = [];
   private seeds: readonly string[];
   private wire: Wire | undefined;
   /** Invariant: set exactly while a relay feeds this node. */
@@ -95,7 +104,9 @@
 
   /** Asks the signalbox; undefined when the session ends or the wait is over first. */
   readonly ask = (message: Message, waitUs: number): Promise<Message | undefined> => {
-    return this.state === "standing" && this.wire ? this.asks.ask(this.wire.send, message, waitUs) : Promise.resolve(undefined);
+    return this.state === "standing" && this.wire
+      ? this.asks.ask(this.wire.send, message, waitUs)
+      : Promise.resolve(undefined);
   };
 
   private async *life(): AsyncGenerator<SessionState, void, undefined> {
@@ -107,7 +118,10 @@
       if (wire) {
         yield "greeting";
         this.wire = wire;
-        wire.send({ kind: "pointsman", node: { name, cell, relay, role, ...(linkMbps === undefined ? {} : { linkMbps }) } });
+        wire.send({
+          kind: "pointsman",
+          node: { name, cell, relay, role, ...(linkMbps === undefined ? {} : { linkMbps }) },
+        });
         const incoming = wire.incoming();
         const first = await within(clock, times.silenceUs, incoming.next(), undefined);
         if (first && !first.done) {
@@ -139,18 +153,32 @@
   private readonly choose = (): string => {
     this.looks += 1;
     const told = this.boxes.filter(({ isTold }) => isTold);
-    const others = [...new Set([...this.boxes.map(({ id }) => id), ...this.seeds])].filter((id) => !told.some((box) => box.id === id));
-    const isOthersTurn = told.length === 0 || (others.length > 0 && this.looks % OTHERS_EVERY === 0);
+    const others = [...new Set([...this.boxes.map(({ id }) => id), ...this.seeds])].filter(
+      (id) => !told.some((box) => box.id === id),
+    );
+    const isOthersTurn =
+      told.length === 0 || (others.length > 0 && this.looks % OTHERS_EVERY === 0);
     const near = new Set(told.filter(({ cell }) => cell === this.options.cell).map(({ id }) => id));
     const pool = isOthersTurn ? others : told.map(({ id }) => id);
-    const scores = new Map(pool.map((id) => [id, (this.tried.get(id) ?? 0) + (near.has(id) ? 0 : 1) + Math.random() * 0.5]));
+    const scores = new Map(
+      pool.map((id) => [
+        id,
+        (this.tried.get(id) ?? 0) + (near.has(id) ? 0 : 1) + Math.random() * 0.5,
+      ]),
+    );
     return pool.sort((a, b) => (scores.get(a) ?? 0) - (scores.get(b) ?? 0))[0] ?? "";
   };
 
   private readonly learnBoxes = (message: Message): void => {
-    const told = list(message, "boxes", asRec).map((rec) => ({ id: text(rec, "id"), cell: text(rec, "cell"), isTold: true }));
+    const told = list(message, "boxes", asRec).map((rec) => ({
+      id: text(rec, "id"),
+      cell: text(rec, "cell"),
+      isTold: true,
+    }));
     const ids = new Set(told.map(({ id }) => id));
-    const others = this.boxes.filter(({ id }) => !ids.has(id)).map((box) => ({ ...box, isTold: false }));
+    const others = this.boxes
+      .filter(({ id }) => !ids.has(id))
+      .map((box) => ({ ...box, isTold: false }));
     this.boxes = [...told, ...others].slice(0, MOST_BOXES);
   };
 
@@ -161,7 +189,11 @@
 
   private readonly take = (message: Message): void => {
     if (this.asks.settle(message)) return;
-    if (typeof message["ask"] === "number") return this.report({ ...(this.options.answer?.(message) ?? { kind: "unknown" }), re: message["ask"] });
+    if (typeof message["ask"] === "number")
+      return this.report({
+        ...(this.options.answer?.(message) ?? { kind: "unknown" }),
+        re: message["ask"],
+      });
     switch (message.kind) {
       case "boxes":
         return this.learnBoxes(message);
@@ -181,7 +213,8 @@
     board.take(facts);
     board.forget(list(message, "forget", textOf));
     if (flag(message, "whole")) {
-      if (flag(message, "complete")) this.forgetUntold(new Set(facts.map((fact) => text(asRec(fact), "key"))));
+      if (flag(message, "complete"))
+        this.forgetUntold(new Set(facts.map((fact) => text(asRec(fact), "key"))));
       void this.events.emit("whole");
     }
   };
@@ -189,7 +222,12 @@
   /** A complete telling names every worker there is; plan items never vanish, since drops stay as tombstones. */
   private readonly forgetUntold = (told: ReadonlySet<string>): void => {
     const { board } = this.options;
-    board.forget(board.all().map((fact) => fact.key).filter((key) => key.startsWith(WORKER_PREFIX) && !told.has(key)));
+    board.forget(
+      board
+        .all()
+        .map((fact) => fact.key)
+        .filter((key) => key.startsWith(WORKER_PREFIX) && !told.has(key)),
+    );
   };
 
   private readonly follow = (parent: string): void => {
--- a/src/trackbed/asks.ts
+++ b/src/trackbed/asks.ts
@@ -9,7 +9,11 @@
   constructor(private readonly clock: Clock) {}
 
   /** Resolves to the reply, or to undefined when the connection ends or the wait is over first. */
-  readonly ask = (send: (message: Message) => void, message: Message, waitUs: number): Promise<Message | undefined> => {
+  readonly ask = (
+    send: (message: Message) => void,
+    message: Message,
+    waitUs: number,
+  ): Promise<Message | undefined> => {
     this.last += 1;
     const id = this.last;
     const reply = new Promise<Message | undefined>((resolve) => this.pending.set(id, resolve));
--- a/src/trackbed/clock.ts
+++ b/src/trackbed/clock.ts
@@ -43,7 +43,11 @@
 };
 
 /** Work done once for all who ask within `gatherUs` of the first. It begins after each of them has asked. */
-export const onceForAll = <R>(clock: Clock, gatherUs: number, work: () => Promise<R>): (() => Promise<R>) => {
+export const onceForAll = <R>(
+  clock: Clock,
+  gatherUs: number,
+  work: () => Promise<R>,
+): (() => Promise<R>) => {
   let due: Promise<R> | undefined;
   return () => {
     due ??= rest(clock, gatherUs).then(() => {
@@ -55,7 +59,12 @@
 };
 
 /** Resolves to the work's value, or to `late` once the wait is over; a rejected work counts as late too. */
-export const within = <T, L>(clock: Clock, waitUs: number, work: Promise<T>, late: L): Promise<T | L> =>
+export const within = <T, L>(
+  clock: Clock,
+  waitUs: number,
+  work: Promise<T>,
+  late: L,
+): Promise<T | L> =>
   new Promise((resolve) => {
     const pulse = clock.after(waitUs, () => resolve(late));
     const finish = (value: T | L) => {
--- a/src/trackbed/log.ts
+++ b/src/trackbed/log.ts
@@ -6,7 +6,10 @@
   readonly debug: (sentence: string) => void;
 }
 
-const root: Logger = pino({ base: null, timestamp: false, level: "info" }, destination({ fd: 1, sync: true }));
+const root: Logger = pino(
+  { base: null, timestamp: false, level: "info" },
+  destination({ fd: 1, sync: true }),
+);
 
 export const setLogLevel = (level: string): void => {
   root.level = level;
@@ -19,4 +22,8 @@
   debug: (sentence) => root.debug(`${part}: ${sentence}`),
 });
 
-export const silentLog: Log = { info: () => undefined, warn: () => undefined, debug: () => undefined };
+export const silentLog: Log = {
+  info: () => undefined,
+  warn: () => undefined,
+  debug: () => undefined,
+};
--- a/src/trackbed/outcomes.ts
+++ b/src/trackbed/outcomes.ts
@@ -7,7 +7,12 @@
   readonly closes: boolean;
 }
 
-const row = (status: number, problem: string, comeBack = false, closes = false): Outcome => ({ status, problem, comeBack, closes });
+const row = (status: number, problem: string, comeBack = false, closes = false): Outcome => ({
+  status,
+  problem,
+  comeBack,
+  closes,
+});
 
 export const OUTCOMES = {
   taken: row(200, ""),
