--- a/src/trackbed/retry-limits.ts
+++ b/src/trackbed/retry-limits.ts
@@ -5,7 +5,8 @@
 export const ROUTE_KINDS = ["safe", "unsafe", "keyed", "cached"] as const;
 export type RouteKind = (typeof ROUTE_KINDS)[number];
 
-export const isRouteKind = (value: unknown): value is RouteKind => ROUTE_KINDS.some((kind) => kind === value);
+export const isRouteKind = (value: unknown): value is RouteKind =>
+  ROUTE_KINDS.some((kind) => kind === value);
 /** What can't be told to be repeatable is treated as what can't be. */
 export const kindOf = (value: string): RouteKind => (isRouteKind(value) ? value : "unsafe");
 
@@ -50,10 +51,14 @@
 convict.addFormat({
   name: "not-negative",
   validate: (value: unknown) => {
-    if (typeof value !== "number" || !Number.isFinite(value) || value < 0) throw new Error("must be a number of 0 or more");
+    if (typeof value !== "number" || !Number.isFinite(value) || value < 0)
+      throw new Error("must be a number of 0 or more");
   },
 });
-const limitSchema = convict({ ratio: { format: "not-negative", default: -1 }, slack: { format: "not-negative", default: -1 } });
+const limitSchema = convict({
+  ratio: { format: "not-negative", default: -1 },
+  slack: { format: "not-negative", default: -1 },
+});
 
 const readLimit = (value: unknown): RetryLimit => {
   limitSchema.load({ ratio: -1, slack: -1, ...(isRec(value) ? value : {}) });
@@ -61,15 +66,28 @@
   return { ratio: limitSchema.get("ratio"), slack: limitSchema.get("slack") };
 };
 
-const readKinds = (value: Rec): KindLimits => ({ safe: readLimit(value["safe"]), unsafe: readLimit(value["unsafe"]), keyed: readLimit(value["keyed"]), cached: readLimit(value["cached"]) });
+const readKinds = (value: Rec): KindLimits => ({
+  safe: readLimit(value["safe"]),
+  unsafe: readLimit(value["unsafe"]),
+  keyed: readLimit(value["keyed"]),
+  cached: readLimit(value["cached"]),
+});
 
 export const readRetryLimits = (value: unknown): RetryLimits => {
   const rec = isRec(value) ? value : {};
-  return Object.fromEntries(Object.entries(rec).map(([service, kinds]) => [service, readKinds(isRec(kinds) ? kinds : {})]));
+  return Object.fromEntries(
+    Object.entries(rec).map(([service, kinds]) => [service, readKinds(isRec(kinds) ? kinds : {})]),
+  );
 };
 
 /** One service's or every service's limit of one kind changed; or a sentence on what is wrong with it. */
-export const withLimit = (limits: RetryLimits, ceiling: RetryCeiling, service: string, kind: string, value: Rec): Result<RetryLimits, string> => {
+export const withLimit = (
+  limits: RetryLimits,
+  ceiling: RetryCeiling,
+  service: string,
+  kind: string,
+  value: Rec,
+): Result<RetryLimits, string> => {
   if (!isRouteKind(kind)) return err(`the kind must be one of ${ROUTE_KINDS.join(", ")}`);
   let limit: RetryLimit;
   try {
@@ -81,8 +99,12 @@
   if (!before) return err("there are no limits yet");
   const kinds: KindLimits = { ...before, [kind]: limit };
   const slacks = ROUTE_KINDS.reduce((sum, one) => sum + kinds[one].slack, 0);
-  if (limit.ratio > ceiling.ratio) return err(`a ratio of ${limit.ratio} is above the deployment's ${ceiling.ratio}`);
-  if (slacks > ceiling.slack * (1 + 1e-9)) return err(`the slacks of all kinds add up to ${slacks}, above the deployment's ${ceiling.slack}`);
+  if (limit.ratio > ceiling.ratio)
+    return err(`a ratio of ${limit.ratio} is above the deployment's ${ceiling.ratio}`);
+  if (slacks > ceiling.slack * (1 + 1e-9))
+    return err(
+      `the slacks of all kinds add up to ${slacks}, above the deployment's ${ceiling.slack}`,
+    );
   const loose = (["unsafe", "keyed"] as const).find((one) => kinds[one].ratio > kinds.safe.ratio);
   if (loose) return err(`the ratio of ${loose} is above that of safe, which may be repeated`);
   return ok({ ...limits, [service]: kinds });
--- a/src/trackbed/settings.ts
+++ b/src/trackbed/settings.ts
@@ -10,43 +10,54 @@
 convict.addFormat({
   name: "span",
   validate: (value: unknown) => {
-    if (typeof value !== "number" || !(value >= 0)) throw new Error("must be a span such as 1500ms");
+    if (typeof value !== "number" || !(value >= 0))
+      throw new Error("must be a span such as 1500ms");
   },
   coerce: (value: unknown) => (typeof value === "number" ? value : parseSpan(value).unwrapOr(-1)),
 });
 const readRegions = (value: unknown): Readonly<Record<string, string>> =>
-  isRec(value) ? Object.fromEntries(Object.entries(value).map(([cell, region]) => [cell, String(region)])) : {};
+  isRec(value)
+    ? Object.fromEntries(Object.entries(value).map(([cell, region]) => [cell, String(region)]))
+    : {};
 
 convict.addFormat({
   name: "regions",
   validate: (value: unknown) => {
-    if (!isRec(value) || !Object.values(value).every((region) => typeof region === "string")) throw new Error("must name the region of each cell");
+    if (!isRec(value) || !Object.values(value).every((region) => typeof region === "string"))
+      throw new Error("must name the region of each cell");
   },
 });
 convict.addFormat({
   name: "filled",
   validate: (value: unknown) => {
-    if (typeof value !== "string" || value === "") throw new Error("must be a text that is not empty");
+    if (typeof value !== "string" || value === "")
+      throw new Error("must be a text that is not empty");
   },
 });
 convict.addFormat({
   name: "texts",
   validate: (value: unknown) => {
-    if (!Array.isArray(value) || !value.every((entry) => typeof entry === "string")) throw new Error("must be a list of texts");
+    if (!Array.isArray(value) || !value.every((entry) => typeof entry === "string"))
+      throw new Error("must be a list of texts");
   },
 });
 convict.addFormat({
   name: "port-range",
   validate: (value: unknown) => {
-    const fits = Array.isArray(value) && value.length === 2 && value.every((port) => Number.isInteger(port) && port > 0 && port < 65_536);
-    if (!fits || Number(value[1]) - Number(value[0]) < 1) throw new Error("must be two ports, the first and the last of a range of two or more");
+    const fits =
+      Array.isArray(value) &&
+      value.length === 2 &&
+      value.every((port) => Number.isInteger(port) && port > 0 && port < 65_536);
+    if (!fits || Number(value[1]) - Number(value[0]) < 1)
+      throw new Error("must be two ports, the first and the last of a range of two or more");
   },
 });
 
 convict.addFormat({
   name: "weight",
   validate: (value: unknown) => {
-    if (typeof value !== "number" || !(value >= 0)) throw new Error("must be a number of 0 or more");
+    if (typeof value !== "number" || !(value >= 0))
+      throw new Error("must be a number of 0 or more");
   },
 });
 
@@ -150,7 +161,12 @@
   /** Whether what the forecast says is acted on, or only told. */
   readonly forecastActs: boolean;
   /** How heavy each loss weighs when a new route version is judged. */
-  readonly rolloutWeights: { readonly late: number; readonly lostSafe: number; readonly lostUnsafe: number; readonly doubled: number };
+  readonly rolloutWeights: {
+    readonly late: number;
+    readonly lostSafe: number;
+    readonly lostUnsafe: number;
+    readonly doubled: number;
+  };
 }
 
 export const checkSettings = (raw: string): Result<Settings, SettingsMishap> => {
@@ -198,7 +214,10 @@
       rolloutWeights: cfg.get("rollout"),
     });
   } catch (mishap) {
-    const sentence = (mishap instanceof Error ? mishap.message : String(mishap)).split("\n").filter((line) => line.trim() !== "")[0] ?? "";
+    const sentence =
+      (mishap instanceof Error ? mishap.message : String(mishap))
+        .split("\n")
+        .filter((line) => line.trim() !== "")[0] ?? "";
     return err({ kind: "wrong", sentence });
   }
 };
--- a/src/trackbed/shape.ts
+++ b/src/trackbed/shape.ts
@@ -1,6 +1,9 @@
 /** Reading of untyped data without casts: each reader gives the value or throws a ShapeMishap naming the field. */
 export class ShapeMishap extends Error {
-  constructor(readonly field: string, wanted: string) {
+  constructor(
+    readonly field: string,
+    wanted: string,
+  ) {
     super(`${field} must be ${wanted}`);
   }
 }
@@ -28,7 +31,8 @@
 
 export const whole = (rec: Rec, field: string): number => {
   const value = rec[field];
-  if (typeof value !== "number" || !Number.isFinite(value)) throw new ShapeMishap(field, "a number");
+  if (typeof value !== "number" || !Number.isFinite(value))
+    throw new ShapeMishap(field, "a number");
   return value;
 };
 
--- a/src/trackbed/shares.ts
+++ b/src/trackbed/shares.ts
@@ -10,7 +10,11 @@
 export const readShares = (then: Rec): readonly Share[] =>
   then["shares"] === undefined
     ? [{ service: text(then, "service"), share: 1 }]
-    : asList(then["shares"], "shares").map((value) => ({ service: text(asRec(value), "service"), share: whole(asRec(value), "share") }));
+    : asList(then["shares"], "shares").map((value) => ({
+        service: text(asRec(value), "service"),
+        share: whole(asRec(value), "share"),
+      }));
 
 /** The service with the largest share. */
-export const mainOf = (shares: readonly Share[]): string => [...shares].sort((a, b) => b.share - a.share)[0]?.service ?? "";
+export const mainOf = (shares: readonly Share[]): string =>
+  [...shares].sort((a, b) => b.share - a.share)[0]?.service ?? "";
--- a/src/trackbed/span.ts
+++ b/src/trackbed/span.ts
@@ -12,5 +12,7 @@
 export const parseSpan = (text: unknown): Result<number, SpanMishap> => {
   const found = typeof text === "string" ? SPAN.exec(text) : null;
   const unitUs = UNIT_US[found?.[2] ?? ""];
-  return found && unitUs ? ok(Math.round(Number(found[1]) * unitUs)) : err({ kind: "not-a-span", text: String(text) });
+  return found && unitUs
+    ? ok(Math.round(Number(found[1]) * unitUs))
+    : err({ kind: "not-a-span", text: String(text) });
 };
--- a/src/trackbed/wire.ts
+++ b/src/trackbed/wire.ts
@@ -43,7 +43,15 @@
 /** Set in a frame's length where its body is deflated. Invariant: no body is so long that its length reaches this bit. */
 const DEFLATED = 0x4000_0000;
 /** Plans, news and copies of state shrink to a tenth, which thin links need; bodies of objects don't shrink at all. */
-const SHRINKING: ReadonlySet<string> = new Set(["news", "accept", "promised", "copy", "beats", "sessions", "settled"]);
+const SHRINKING: ReadonlySet<string> = new Set([
+  "news",
+  "accept",
+  "promised",
+  "copy",
+  "beats",
+  "sessions",
+  "settled",
+]);
 const SHRUNK_FROM_BYTES = 2_048;
 /** What goes to several is packed once. */
 const frames = new WeakMap<Message, Buffer>();
@@ -72,7 +80,11 @@
   private sentUs: number;
   private readonly watch: Pulse;
 
-  constructor(private readonly socket: Socket, private readonly clock: Clock, private readonly times: WireTimes) {
+  constructor(
+    private readonly socket: Socket,
+    private readonly clock: Clock,
+    private readonly times: WireTimes,
+  ) {
     this.heardUs = clock.nowUs();
     this.sentUs = this.heardUs;
     socket.setNoDelay(true);
@@ -131,7 +143,13 @@
           if (size > MAX_FRAME_BYTES) return;
           if (held.length - at - 4 < size) break;
           const body = held.subarray(at + 4, at + 4 + size);
-          const message = asMessage(unpackValue((told & DEFLATED) === 0 ? body : inflateRawSync(body, { maxOutputLength: MAX_FRAME_BYTES })));
+          const message = asMessage(
+            unpackValue(
+              (told & DEFLATED) === 0
+                ? body
+                : inflateRawSync(body, { maxOutputLength: MAX_FRAME_BYTES }),
+            ),
+          );
           at += 4 + size;
           if (message.kind !== "pulse") yield message;
         }
@@ -152,7 +170,13 @@
 }
 
 /** Dials; resolves to undefined when nobody answers in time. */
-export const dial = (ip: string, port: number, clock: Clock, waitUs: number, times: WireTimes): Promise<Wire | undefined> =>
+export const dial = (
+  ip: string,
+  port: number,
+  clock: Clock,
+  waitUs: number,
+  times: WireTimes,
+): Promise<Wire | undefined> =>
   new Promise((resolve) => {
     const socket = connect({ host: ip, port });
     const pulse = clock.after(waitUs, () => {
--- a/src/traction/call-counts.ts
+++ b/src/traction/call-counts.ts
@@ -33,17 +33,24 @@
   };
 
   /** The calls of a service, and over which span they were counted. */
-  readonly of = (service: string): { readonly spanUs: number; readonly counts: readonly CallCount[] } => {
+  readonly of = (
+    service: string,
+  ): { readonly spanUs: number; readonly counts: readonly CallCount[] } => {
     this.slot();
     const sums = new Map<string, number>();
-    this.slots.forEach(({ counts }) => counts.forEach((count, key) => {
-      if (key.startsWith(`${service}\n`)) sums.set(key, (sums.get(key) ?? 0) + count);
-    }));
+    this.slots.forEach(({ counts }) =>
+      counts.forEach((count, key) => {
+        if (key.startsWith(`${service}\n`)) sums.set(key, (sums.get(key) ?? 0) + count);
+      }),
+    );
     const counts = [...sums].map(([key, count]) => {
       const [, kind = "", route = "", worker = ""] = key.split("\n");
       return { service, kind, route, worker, count };
     });
-    return { spanUs: this.clock.nowUs() - Math.max(this.sinceUs, this.slots[0]?.sinceUs ?? 0), counts };
+    return {
+      spanUs: this.clock.nowUs() - Math.max(this.sinceUs, this.slots[0]?.sinceUs ?? 0),
+      counts,
+    };
   };
 
   private readonly slot = (): Slot => {
--- a/src/traction/call.ts
+++ b/src/traction/call.ts
@@ -73,7 +73,8 @@
 };
 
 /** Whether the worker says that it turned the request away. Only to be asked of an own answer. */
-const isTurnedAway = (status: number, heads: FlatHeads): boolean => status === 421 || headOf(heads, NOT_RUN) !== undefined;
+const isTurnedAway = (status: number, heads: FlatHeads): boolean =>
+  status === 421 || headOf(heads, NOT_RUN) !== undefined;
 
 /** Why an answer can't be this request's whole own answer, or undefined if it can. */
 const doubt = (status: number, heads: FlatHeads, order: Order): string | undefined => {
@@ -81,7 +82,9 @@
   if (!isOwn(heads, order)) return "another id";
   if (isTurnedAway(status, heads)) return status < 400 ? "a success that did not run" : undefined;
   if (headOf(heads, "content-encoding") !== undefined) return "an encoding";
-  const isBounded = headOf(heads, "content-length") !== undefined || headOf(heads, "transfer-encoding")?.trim().toLowerCase() === "chunked";
+  const isBounded =
+    headOf(heads, "content-length") !== undefined ||
+    headOf(heads, "transfer-encoding")?.trim().toLowerCase() === "chunked";
   if (!isBounded && status !== 204 && status !== 304 && method !== "HEAD") return "no bound";
   if (status >= 200 && status < 300 && headOf(heads, SEAL) === undefined) return "no seal";
   return undefined;
@@ -98,7 +101,9 @@
   private heads: FlatHeads = [];
   private readonly chunks: Buffer[] = [];
   private heldBytes = 0;
-  private restSinks: { readonly onData: (chunk: Buffer) => boolean; readonly onEnd: (isWhole: boolean) => void } | undefined;
+  private restSinks:
+    | { readonly onData: (chunk: Buffer) => boolean; readonly onEnd: (isWhole: boolean) => void }
+    | undefined;
   private streaming = false;
   private readonly coupling;
   private readonly mark;
@@ -115,7 +120,18 @@
     this.coupling = worker.couple(order.alone === true);
     const { method, path, heads, body } = order;
     try {
-      this.coupling.client.dispatch({ method, path, headers: heads, body, idempotent: false, headersTimeout: 0, bodyTimeout: 0 }, this);
+      this.coupling.client.dispatch(
+        {
+          method,
+          path,
+          headers: heads,
+          body,
+          idempotent: false,
+          headersTimeout: 0,
+          bodyTimeout: 0,
+        },
+        this,
+      );
     } catch {
       this.finish(false, false, { kind: "unsent", why: "unwritable" });
     }
@@ -128,14 +144,20 @@
   readonly onRequestStart = (controller: Dispatcher.DispatchController): void => {
     this.controller = controller;
     if (this.over) return controller.abort(new Error("cancelled"));
-    if (!this.order.mayBegin()) return this.finish(false, false, { kind: "unsent", why: "withheld" });
+    if (!this.order.mayBegin())
+      return this.finish(false, false, { kind: "unsent", why: "withheld" });
     this.started = true;
   };
 
-  readonly onResponseStart = (controller: Dispatcher.DispatchController, statusCode: number): void => {
+  readonly onResponseStart = (
+    controller: Dispatcher.DispatchController,
+    statusCode: number,
+  ): void => {
     if (statusCode < 200) return;
     const raw = controller.rawHeaders;
-    this.heads = Array.isArray(raw) ? raw.map((entry) => (typeof entry === "string" ? entry : entry.toString("latin1"))) : [];
+    this.heads = Array.isArray(raw)
+      ? raw.map((entry) => (typeof entry === "string" ? entry : entry.toString("latin1")))
+      : [];
     this.status = statusCode;
     const why = doubt(statusCode, this.heads, this.order);
     if (why !== undefined) return this.finish(true, false, { kind: "lost", why });
@@ -151,7 +173,8 @@
     }
     this.chunks.push(chunk);
     this.heldBytes += chunk.length;
-    if (!this.order.hold(chunk.length) || this.heldBytes > HELD_BYTES) this.startStreaming(controller);
+    if (!this.order.hold(chunk.length) || this.heldBytes > HELD_BYTES)
+      this.startStreaming(controller);
   };
 
   readonly onResponseEnd = (): void => {
@@ -162,12 +185,17 @@
       return;
     }
     if (this.over) return;
-    const isSound = this.order.alone !== true && headOf(this.heads, "connection")?.toLowerCase() !== "close";
+    const isSound =
+      this.order.alone !== true && headOf(this.heads, "connection")?.toLowerCase() !== "close";
     if (this.status === 421) this.finish(true, false, { kind: "turned-away", why: "other-worker" });
-    else if (isTurnedAway(this.status, this.heads)) this.finish(true, isSound, { kind: "turned-away", why: "full" });
+    else if (isTurnedAway(this.status, this.heads))
+      this.finish(true, isSound, { kind: "turned-away", why: "full" });
     else {
       this.worker.learn(this.nowUs() - this.mark.sinceUs);
-      this.finish(true, isSound, { kind: "answered", answer: { status: this.status, heads: this.heads, start: this.body(), rest: undefined } });
+      this.finish(true, isSound, {
+        kind: "answered",
+        answer: { status: this.status, heads: this.heads, start: this.body(), rest: undefined },
+      });
     }
   };
 
@@ -183,7 +211,8 @@
     else this.finish(false, false, { kind: "unsent", why: whyUnsent(mishap) });
   };
 
-  private readonly body = (): Buffer => (this.chunks.length === 1 ? (this.chunks[0] ?? EMPTY) : Buffer.concat(this.chunks));
+  private readonly body = (): Buffer =>
+    this.chunks.length === 1 ? (this.chunks[0] ?? EMPTY) : Buffer.concat(this.chunks);
 
   private readonly startStreaming = (controller: Dispatcher.DispatchController): void => {
     this.streaming = true;
@@ -201,7 +230,10 @@
         this.release(true, false);
       },
     };
-    this.resolve({ kind: "answered", answer: { status: this.status, heads: this.heads, start: this.body(), rest } });
+    this.resolve({
+      kind: "answered",
+      answer: { status: this.status, heads: this.heads, start: this.body(), rest },
+    });
   };
 
   private readonly finish = (heard: boolean, isSound: boolean, verdict: CallVerdict): void => {
@@ -220,6 +252,9 @@
 /** The worker's own machine said no, as against silence, a path that is not there, or a request that is none. */
 const whyUnsent = (mishap: Error): "refused" | "unreachable" | "unwritable" => {
   const code = "code" in mishap ? mishap.code : undefined;
-  if (code === "UND_ERR_INVALID_ARG" || code === "UND_ERR_REQ_CONTENT_LENGTH_MISMATCH") return "unwritable";
-  return code === "ECONNREFUSED" || code === "ECONNRESET" || code === "UND_ERR_SOCKET" ? "refused" : "unreachable";
+  if (code === "UND_ERR_INVALID_ARG" || code === "UND_ERR_REQ_CONTENT_LENGTH_MISMATCH")
+    return "unwritable";
+  return code === "ECONNREFUSED" || code === "ECONNRESET" || code === "UND_ERR_SOCKET"
+    ? "refused"
+    : "unreachable";
 };
--- a/src/traction/choose.ts
+++ b/src/traction/choose.ts
@@ -33,20 +33,38 @@
 
   constructor(private readonly options: ChooserOptions) {}
 
-  readonly choose = (service: string, tried: ReadonlySet<string>, aimUs: number, isSafe = true): Worker | undefined => {
+  readonly choose = (
+    service: string,
+    tried: ReadonlySet<string>,
+    aimUs: number,
+    isSafe = true,
+  ): Worker | undefined => {
     const { yard, connectionShare, random } = this.options;
     const share = connectionShare(service);
     const avoided = yard.avoidedCell(isSafe, random);
-    const fullAt = isSafe && this.options.acts === true && yard.pressure(service) !== "" ? PRESSED_AT : FULL_AT;
+    const fullAt =
+      isSafe && this.options.acts === true && yard.pressure(service) !== "" ? PRESSED_AT : FULL_AT;
     const { near, far, spare } = yard.subset(service);
-    const isUsable: Fits = (worker, usage) => !tried.has(worker.id) && worker.hasRoom(share) && !worker.isShunned() && usage < worker.capacity * fullAt;
+    const isUsable: Fits = (worker, usage) =>
+      !tried.has(worker.id) &&
+      worker.hasRoom(share) &&
+      !worker.isShunned() &&
+      usage < worker.capacity * fullAt;
     const isWanted: Fits = (worker, usage) => isUsable(worker, usage) && !yard.isEjected(worker);
-    const isWantedThere: Fits = (worker, usage) => worker.cell !== avoided && isWanted(worker, usage);
+    const isWantedThere: Fits = (worker, usage) =>
+      worker.cell !== avoided && isWanted(worker, usage);
     const here = this.quickest(near, isWantedThere);
     const there = this.quickest(far, isWantedThere);
-    if (here && there) return this.guessUs(here) <= this.guessUs(there) + aimUs / FAR_PART ? here : there;
+    if (here && there)
+      return this.guessUs(here) <= this.guessUs(there) + aimUs / FAR_PART ? here : there;
     const all = () => [...near, ...far, ...spare];
-    return here ?? there ?? this.quickest(spare, isWantedThere) ?? this.quickest(all(), isWanted) ?? this.quickest(all(), isUsable);
+    return (
+      here ??
+      there ??
+      this.quickest(spare, isWantedThere) ??
+      this.quickest(all(), isWanted) ??
+      this.quickest(all(), isUsable)
+    );
   };
 
   /**
--- a/src/traction/fate.ts
+++ b/src/traction/fate.ts
@@ -66,4 +66,5 @@
 };
 
 /** Whether a worker's answer may be given on: one without its own word that it turned the request away is no promise. */
-export const mayPass = (status: number, isRepeatable: boolean): boolean => isRepeatable || !PROMISES.has(status);
+export const mayPass = (status: number, isRepeatable: boolean): boolean =>
+  isRepeatable || !PROMISES.has(status);
--- a/src/traction/front.ts
+++ b/src/traction/front.ts
@@ -36,12 +36,21 @@
   readonly countFault: (worker: string, isFault: boolean) => void;
   readonly tally: (route: string, kind: string, outcome: string) => void;
   /** Counts an outcome of a route that sends to more than one service. */
-  readonly countRollout: (route: Route, service: string, stratum: string, outcome: RolloutOutcome) => void;
+  readonly countRollout: (
+    route: Route,
+    service: string,
+    stratum: string,
+    outcome: RolloutOutcome,
+  ) => void;
   /** Counts what is sent to each worker, for the forecast of what would move. */
   readonly countCall?: (service: string, kind: string, route: string, worker: string) => void;
   readonly random: () => number;
   /** Counts what arrives and is answered, for the forecast. */
-  readonly usage?: { readonly arrived: (service: string) => void; readonly refused: (service: string) => void; readonly answered: (service: string, cell: string, tookUs: number) => void };
+  readonly usage?: {
+    readonly arrived: (service: string) => void;
+    readonly refused: (service: string) => void;
+    readonly answered: (service: string, cell: string, tookUs: number) => void;
+  };
   /** Whether what the forecast says is acted on. */
   readonly acts?: boolean;
   /** Where objects of cached routes come from; without it they are carried like any safe request. */
@@ -71,7 +80,12 @@
 const RESUMING_US = 50 * MS;
 const RATE_REST_US = 1 * SECOND;
 const SPLIT_REST_US = 30 * MS;
-const NOT_PASSED_ON: ReadonlySet<string> = new Set([TIME_LEFT, EXPECT_WORKER, "content-length", "expect"]);
+const NOT_PASSED_ON: ReadonlySet<string> = new Set([
+  TIME_LEFT,
+  EXPECT_WORKER,
+  "content-length",
+  "expect",
+]);
 const NONE: ReadonlySet<string> = new Set();
 
 /** The front of a pointsman: the stages that a caller's request passes. */
@@ -94,16 +108,37 @@
   constructor(private readonly options: FrontOptions) {
     const { yard, cell, random, connectionShare, clock, acts } = options;
     this.room = new Room(options.roomBytes);
-    this.chooser = new Chooser({ yard, cell, random, connectionShare, ...(acts === true ? { acts } : {}) });
-    this.gate = new Gate(clock, (trip) => this.chooser.choose(trip.service, trip.tried, trip.route?.aimUs ?? 0, trip.route?.isSafe ?? true));
+    this.chooser = new Chooser({
+      yard,
+      cell,
+      random,
+      connectionShare,
+      ...(acts === true ? { acts } : {}),
+    });
+    this.gate = new Gate(clock, (trip) =>
+      this.chooser.choose(
+        trip.service,
+        trip.tried,
+        trip.route?.aimUs ?? 0,
+        trip.route?.isSafe ?? true,
+      ),
+    );
     this.reading = new Stage(MOST_READING, MOST_READING, this.read);
-    this.carrying = new Stage(MOST_CARRIED, MOST_CARRIED, this.carry, (trip) => trip.route?.rank ?? 0);
+    this.carrying = new Stage(
+      MOST_CARRIED,
+      MOST_CARRIED,
+      this.carry,
+      (trip) => trip.route?.rank ?? 0,
+    );
     const app = express();
     app.disable("x-powered-by");
     app.disable("etag");
     app.set("query parser", false);
     app.use(this.arrive);
-    this.server = createServer({ connectionsCheckingInterval: 1_000, requestTimeout: 0, keepAlive: true, noDelay: true }, app);
+    this.server = createServer(
+      { connectionsCheckingInterval: 1_000, requestTimeout: 0, keepAlive: true, noDelay: true },
+      app,
+    );
     this.server.on("clientError", this.malformed);
   }
 
@@ -149,7 +184,13 @@
 
   private readonly arrive = (req: IncomingMessage, res: ServerResponse): void => {
     const { clock } = this.options;
-    const line = this.lines.get(req.socket) ?? { socket: req.socket, open: 0, last: Promise.resolve(), came: 0, closedBy: Infinity };
+    const line = this.lines.get(req.socket) ?? {
+      socket: req.socket,
+      open: 0,
+      last: Promise.resolve(),
+      came: 0,
+      closedBy: Infinity,
+    };
     this.lines.set(req.socket, line);
     if (line.closedBy !== Infinity) return;
     line.came += 1;
@@ -213,10 +254,16 @@
       if (this.hasStoodStill()) await turns();
       return this.direct(trip);
     }
-    const held = await within(clock, trip.budgetUs - clock.nowUs(), this.hold(trip), "slowBody" as const);
+    const held = await within(
+      clock,
+      trip.budgetUs - clock.nowUs(),
+      this.hold(trip),
+      "slowBody" as const,
+    );
     if (this.hasStoodStill()) await turns();
     if (trip.over) return;
-    if (held === "slowBody" || held === "bodyTooLarge" || held === "full") return this.refuse(trip, held);
+    if (held === "slowBody" || held === "bodyTooLarge" || held === "full")
+      return this.refuse(trip, held);
     if (held === "broken") return this.end(trip);
     trip.body = held;
     this.direct(trip);
@@ -233,7 +280,9 @@
     return nowUs - this.resumedUs <= RESUMING_US;
   };
 
-  private readonly hold = async (trip: Trip): Promise<Buffer | "broken" | "bodyTooLarge" | "full"> => {
+  private readonly hold = async (
+    trip: Trip,
+  ): Promise<Buffer | "broken" | "bodyTooLarge" | "full"> => {
     const chunks: Buffer[] = [];
     let size = 0;
     try {
@@ -275,7 +324,11 @@
     trip.service = table.unlessStopped(route, drawService(route, random()));
     trip.budgetUs = Math.min(trip.budgetUs, trip.arrivedUs + route.giveUpUs);
     const { goods } = this.options;
-    if (goods && route.kind === "cached" && (trip.req.method === "GET" || trip.req.method === "HEAD")) {
+    if (
+      goods &&
+      route.kind === "cached" &&
+      (trip.req.method === "GET" || trip.req.method === "HEAD")
+    ) {
       void this.give(trip, route, goods, host);
       return;
     }
@@ -286,18 +339,41 @@
   };
 
   /** An object of a cached route, from a copy or fetched within the origin's rate. */
-  private readonly give = async (trip: Trip, route: Route, goods: ObjectSource, host: string): Promise<void> => {
+  private readonly give = async (
+    trip: Trip,
+    route: Route,
+    goods: ObjectSource,
+    host: string,
+  ): Promise<void> => {
     const { cacheForUs, aimUs } = route;
-    const want = { service: trip.service, host, url: trip.req.url ?? "/", cacheForUs, mostAgeUs: cacheForUs, aimUs, untilUs: trip.budgetUs };
+    const want = {
+      service: trip.service,
+      host,
+      url: trip.req.url ?? "/",
+      cacheForUs,
+      mostAgeUs: cacheForUs,
+      aimUs,
+      untilUs: trip.budgetUs,
+    };
     const { range } = trip.req.headers;
     const got = await goods.fetch(want, trip.req.method === "GET" ? range : undefined);
     if (trip.over || isBehindClose(trip)) return;
-    if (got.kind === "none") this.refuse(trip, got.why === "rate" ? "noRate" : "full", got.why === "rate" ? Math.max(got.comeBackUs, RATE_REST_US) : got.comeBackUs);
+    if (got.kind === "none")
+      this.refuse(
+        trip,
+        got.why === "rate" ? "noRate" : "full",
+        got.why === "rate" ? Math.max(got.comeBackUs, RATE_REST_US) : got.comeBackUs,
+      );
     else this.answerKept(trip, got.status, got.heads, got.body);
   };
 
   /** Answers with what was kept of a worker's answer to another request. */
-  private readonly answerKept = (trip: Trip, status: number, heads: readonly string[], body: Buffer): void => {
+  private readonly answerKept = (
+    trip: Trip,
+    status: number,
+    heads: readonly string[],
+    body: Buffer,
+  ): void => {
     if (trip.over || trip.res.headersSent) return;
     const all = [...heads, "Yewreel-Try-Id", trip.tryId];
     this.answer(trip, { status, heads: all, start: body, rest: undefined });
@@ -317,7 +393,9 @@
     for (let at = 0; desk && !trip.over && clock.nowUs() < untilUs; at += 1) {
       const askedUs = clock.nowUs();
       const token = `${trip.tryId}.${at}.${random().toString(36).slice(2)}`;
-      const verdict = await within(clock, untilUs - clock.nowUs(), desk.claim(key, token), { kind: "none" as const });
+      const verdict = await within(clock, untilUs - clock.nowUs(), desk.claim(key, token), {
+        kind: "none" as const,
+      });
       if (verdict.kind === "won") {
         if (trip.over) {
           desk.free(key, token);
@@ -327,7 +405,12 @@
         return true;
       }
       if (verdict.kind === "done") {
-        this.answerKept(trip, verdict.answer.status, verdict.answer.heads, Buffer.from(verdict.answer.body));
+        this.answerKept(
+          trip,
+          verdict.answer.status,
+          verdict.answer.heads,
+          Buffer.from(verdict.answer.body),
+        );
         return false;
       }
       desk.free(key, token);
@@ -343,9 +426,18 @@
   private readonly keep = async (trip: Trip, answer: Answer): Promise<void> => {
     const { desk, clock } = this.options;
     if (!desk || !trip.claim || answer.rest) return;
-    const kept: KeyAnswer = { status: answer.status, heads: passOn(answer.heads, NOT_KEPT), body: answer.start };
+    const kept: KeyAnswer = {
+      status: answer.status,
+      heads: passOn(answer.heads, NOT_KEPT),
+      body: answer.start,
+    };
     const aimLeftUs = trip.arrivedUs + (trip.route?.aimUs ?? 0) - clock.nowUs();
-    await desk.keep(trip.claim.key, trip.claim.token, kept, Math.max(aimLeftUs * KEEP_PART, 300 * MS));
+    await desk.keep(
+      trip.claim.key,
+      trip.claim.token,
+      kept,
+      Math.max(aimLeftUs * KEEP_PART, 300 * MS),
+    );
   };
 
   /** Gate, choose and call, again where that is allowed, and at the end the one answer. */
@@ -360,10 +452,24 @@
     const budget = clock.after(trip.budgetUs - clock.nowUs(), () => this.runOut(trip));
     trip.onOver.push(budget.stop);
     if (route.kind === "keyed" && !(await this.claim(trip, route))) return;
-    if (this.options.goods && (this.options.table.service(trip.service)?.ratePerS ?? 0) > 0 && !(await this.options.goods.permit(trip.service))) return this.refuse(trip, "noRate");
+    if (
+      this.options.goods &&
+      (this.options.table.service(trip.service)?.ratePerS ?? 0) > 0 &&
+      !(await this.options.goods.permit(trip.service))
+    )
+      return this.refuse(trip, "noRate");
     let lastAnswer: Answer | undefined;
     while (!trip.over && !isBehindClose(trip) && trip.tried.size < route.tries + MOST_UNREACHED) {
-      if (trip.sends > 0 && !(trip.sends < route.tries && isHeldBody(trip) && !this.isPressed(trip, route) && budgets.of(trip.service, kindOf(route.kind)).spend())) break;
+      if (
+        trip.sends > 0 &&
+        !(
+          trip.sends < route.tries &&
+          isHeldBody(trip) &&
+          !this.isPressed(trip, route) &&
+          budgets.of(trip.service, kindOf(route.kind)).spend()
+        )
+      )
+        break;
       const worker = await this.gate.pass(trip, this.gateWaitUs(trip, route));
       if (trip.over || !worker) break;
       if (this.isPast(trip)) return this.runOut(trip);
@@ -378,10 +484,17 @@
           break;
         }
         const isOwnMishap = verdict.answer.status >= 500;
-        if (!isOwnMishap || !route.isSafe || trip.sends >= route.tries) return this.answer(trip, verdict.answer);
+        if (!isOwnMishap || !route.isSafe || trip.sends >= route.tries)
+          return this.answer(trip, verdict.answer);
         lastAnswer = verdict.answer;
-      } else if (trip.over || verdict.kind === "cancelled" || (verdict.kind === "lost" && !route.isSafe)) break;
-      else if (verdict.kind === "unsent" && verdict.why === "unwritable") return this.refuse(trip, "malformed");
+      } else if (
+        trip.over ||
+        verdict.kind === "cancelled" ||
+        (verdict.kind === "lost" && !route.isSafe)
+      )
+        break;
+      else if (verdict.kind === "unsent" && verdict.why === "unwritable")
+        return this.refuse(trip, "malformed");
     }
     if (trip.over) {
       this.freeClaim(trip);
@@ -399,12 +512,22 @@
    * some turns after it was read; a keyed request must hold a claim that is not too old.
    */
   private readonly mayBegin = (trip: Trip, route: Route): boolean =>
-    !trip.over && !trip.line.socket.readableEnded && !isBehindClose(trip) && !this.isPast(trip) && (route.kind !== "keyed" || this.isClaimed(trip)) && fates.begin(trip.fate, route.isSafe);
+    !trip.over &&
+    !trip.line.socket.readableEnded &&
+    !isBehindClose(trip) &&
+    !this.isPast(trip) &&
+    (route.kind !== "keyed" || this.isClaimed(trip)) &&
+    fates.begin(trip.fate, route.isSafe);
 
-  private readonly isClaimed = ({ claim }: Trip): boolean => claim !== undefined && this.options.clock.nowUs() - claim.askedUs <= CLAIM_GOOD_US;
+  private readonly isClaimed = ({ claim }: Trip): boolean =>
+    claim !== undefined && this.options.clock.nowUs() - claim.askedUs <= CLAIM_GOOD_US;
 
   /** Calls one worker; a safe request whose worker has fallen silent is sent to a second one beside it. */
-  private readonly call = async (trip: Trip, route: Route, worker: Worker): Promise<CallVerdict> => {
+  private readonly call = async (
+    trip: Trip,
+    route: Route,
+    worker: Worker,
+  ): Promise<CallVerdict> => {
     const { clock, budgets } = this.options;
     const first = this.start(trip, route, worker);
     if (!route.isSafe) return first.verdict;
@@ -412,11 +535,21 @@
       const early = await within(clock, SILENCE_CHECK_US, first.verdict, undefined);
       if (early) return early;
       if (trip.over) return { kind: "cancelled" };
-      if (!worker.isSilent() || this.isPast(trip) || this.isPressed(trip, route) || trip.sends >= route.tries || !isHeldBody(trip)) continue;
+      if (
+        !worker.isSilent() ||
+        this.isPast(trip) ||
+        this.isPressed(trip, route) ||
+        trip.sends >= route.tries ||
+        !isHeldBody(trip)
+      )
+        continue;
       const other = this.chooser.choose(trip.service, trip.tried, trip.route?.aimUs ?? 0);
       if (!other || !budgets.of(trip.service, kindOf(route.kind)).spend()) continue;
       const second = this.start(trip, route, other);
-      const [quick, slow] = await Promise.race([first.verdict.then(() => [first, second] as const), second.verdict.then(() => [second, first] as const)]);
+      const [quick, slow] = await Promise.race([
+        first.verdict.then(() => [first, second] as const),
+        second.verdict.then(() => [second, first] as const),
+      ]);
       const verdict = await quick.verdict;
       if (verdict.kind !== "answered") return slow.verdict;
       slow.cancel();
@@ -425,12 +558,18 @@
   };
 
   /** Repeats of safe requests stop before they take room that a pressed service lacks. */
-  private readonly isPressed = (trip: Trip, route: Route): boolean => this.options.acts === true && route.isSafe && this.options.yard.pressure(trip.service) !== "";
+  private readonly isPressed = (trip: Trip, route: Route): boolean =>
+    this.options.acts === true && route.isSafe && this.options.yard.pressure(trip.service) !== "";
 
   /** At a pressed service one that can't be repeated is refused before it is offered, rather than broken off in work. */
   private readonly wouldBeLate = (trip: Trip, route: Route, worker: Worker): boolean => {
     const { acts, yard, clock } = this.options;
-    return acts === true && !route.isSafe && yard.pressure(trip.service) === "overrun" && worker.guessUs(worker.usage(0)) > trip.budgetUs - clock.nowUs();
+    return (
+      acts === true &&
+      !route.isSafe &&
+      yard.pressure(trip.service) === "overrun" &&
+      worker.guessUs(worker.usage(0)) > trip.budgetUs - clock.nowUs()
+    );
   };
 
   private readonly start = (trip: Trip, route: Route, worker: Worker): Calling => {
@@ -441,25 +580,43 @@
     heads.push("Yewreel-Time-Left-Ms", String(leftMs), "Yewreel-Expect-Worker", worker.id);
     const length = trip.req.headers["content-length"];
     if (!isHeldBody(trip) && length !== undefined) heads.push("Content-Length", length);
-    const order = { method: trip.req.method ?? "GET", path: trip.req.url ?? "/", heads, body: trip.body, tryId: trip.tryId, hold: (bytes: number) => this.takeRoom(trip, bytes), mayBegin: () => this.mayBegin(trip, route) };
+    const order = {
+      method: trip.req.method ?? "GET",
+      path: trip.req.url ?? "/",
+      heads,
+      body: trip.body,
+      tryId: trip.tryId,
+      hold: (bytes: number) => this.takeRoom(trip, bytes),
+      mayBegin: () => this.mayBegin(trip, route),
+    };
     const call = new WorkerCall(worker, order, clock.nowUs);
-    if (trip.sends === 0) trip.stratum = `${worker.cell === this.options.cell ? "near" : "far"}|${clock.nowUs() < worker.warmUntilUs ? "cold" : "warm"}`;
+    if (trip.sends === 0)
+      trip.stratum = `${worker.cell === this.options.cell ? "near" : "far"}|${clock.nowUs() < worker.warmUntilUs ? "cold" : "warm"}`;
     trip.tried.add(worker.id);
     trip.sends += 1;
     this.options.countCall?.(trip.service, route.kind, route.name, worker.id);
     trip.calls.add(call);
     void call.verdict.then((verdict) => {
       trip.calls.delete(call);
-      if (verdict.kind === "answered" || verdict.kind === "lost") usage?.answered(trip.service, worker.cell, clock.nowUs() - startedUs);
+      if (verdict.kind === "answered" || verdict.kind === "lost")
+        usage?.answered(trip.service, worker.cell, clock.nowUs() - startedUs);
       if (verdict.kind === "answered") fates.ran(trip.fate);
       if (verdict.kind === "turned-away") fates.turnedAway(trip.fate);
       // Nothing of it arrived anywhere, so what is sent next is no retry.
       if (verdict.kind === "unsent") trip.sends -= 1;
-      const isOut = verdict.kind === "unsent" && (verdict.why === "unreachable" || verdict.why === "refused");
+      const isOut =
+        verdict.kind === "unsent" && (verdict.why === "unreachable" || verdict.why === "refused");
       if (isOut || verdict.kind === "lost") worker.shun();
       if (verdict.kind === "unsent" && verdict.why === "unreachable") trip.linkMishap = true;
-      if (verdict.kind === "turned-away" && verdict.why === "other-worker") this.options.yard.misdirected(worker);
-      if (verdict.kind === "answered" || verdict.kind === "turned-away" || verdict.kind === "lost" || isOut) countFault(worker.id, verdict.kind === "lost" || isOut);
+      if (verdict.kind === "turned-away" && verdict.why === "other-worker")
+        this.options.yard.misdirected(worker);
+      if (
+        verdict.kind === "answered" ||
+        verdict.kind === "turned-away" ||
+        verdict.kind === "lost" ||
+        isOut
+      )
+        countFault(worker.id, verdict.kind === "lost" || isOut);
       this.gate.wake();
     });
     return call;
@@ -479,9 +636,21 @@
     const { res } = trip;
     if (trip.over || res.headersSent) return answer.rest?.stop();
     const heads = passOn(answer.heads, answer.rest ? NONE : CONTENT_LENGTH);
-    if (!answer.rest && trip.req.method !== "HEAD" && answer.status !== 204 && answer.status !== 304) heads.push("Content-Length", String(answer.start.length));
+    if (
+      !answer.rest &&
+      trip.req.method !== "HEAD" &&
+      answer.status !== 204 &&
+      answer.status !== 304
+    )
+      heads.push("Content-Length", String(answer.start.length));
     this.count(trip, answer.status < 400 ? "served" : String(answer.status));
-    this.countSplit(trip, () => (answer.status >= 500 ? "lost" : this.waitedUs(trip) <= (trip.route?.aimUs ?? 0) ? "inTime" : "late"));
+    this.countSplit(trip, () =>
+      answer.status >= 500
+        ? "lost"
+        : this.waitedUs(trip) <= (trip.route?.aimUs ?? 0)
+          ? "inTime"
+          : "late",
+    );
     this.markClosing(trip, false);
     res.writeHead(answer.status, heads);
     trip.over = true;
@@ -511,11 +680,16 @@
     const outcome = OUTCOMES[name];
     if (name === "full" && trip.service !== "") this.options.usage?.refused(trip.service);
     this.count(trip, name);
-    this.countSplit(trip, () => (fates.isUnrun(trip.fate) && trip.linkMishap ? "own" : lossOf(trip)));
+    this.countSplit(trip, () =>
+      fates.isUnrun(trip.fate) && trip.linkMishap ? "own" : lossOf(trip),
+    );
     this.markClosing(trip, outcome.closes);
     const body = JSON.stringify({ problem: outcome.problem });
     if (outcome.comeBack) res.setHeader("Retry-After", comeBackS(route, comeBackUs));
-    res.writeHead(outcome.status, { "Content-Type": "application/json", "Content-Length": Buffer.byteLength(body) });
+    res.writeHead(outcome.status, {
+      "Content-Type": "application/json",
+      "Content-Length": Buffer.byteLength(body),
+    });
     res.end(body);
     this.end(trip);
   };
@@ -542,7 +716,8 @@
 
   /** Nothing is worked out for a route that sends to one service only. */
   private readonly countSplit = (trip: Trip, outcome: () => RolloutOutcome): void => {
-    if (trip.route !== undefined && trip.route.shares.length > 1) this.options.countRollout(trip.route, trip.service, trip.stratum, outcome());
+    if (trip.route !== undefined && trip.route.shares.length > 1)
+      this.options.countRollout(trip.route, trip.service, trip.stratum, outcome());
   };
 
   /** Whatever still runs for the trip is called off: it has been answered, or its caller is gone. */
@@ -556,7 +731,8 @@
     };
     // A keyed run whose caller is gone goes on while its worker may be at it, so that its answer can be kept for the repeats.
     if (!trip.claim || trip.res.writableEnded) cancel();
-    else this.options.clock.after(trip.budgetUs - this.options.clock.nowUs() + KEYED_REST_US, cancel);
+    else
+      this.options.clock.after(trip.budgetUs - this.options.clock.nowUs() + KEYED_REST_US, cancel);
     trip.onOver.splice(0).forEach((act) => act());
   };
 
@@ -573,18 +749,32 @@
       return;
     }
     if (line) line.closedBy = line.came;
-    const name: OutcomeName = mishap.code === "HPE_HEADER_OVERFLOW" ? "headTooLarge" : mishap.code === "ERR_HTTP_REQUEST_TIMEOUT" ? "slowHead" : "malformed";
+    const name: OutcomeName =
+      mishap.code === "HPE_HEADER_OVERFLOW"
+        ? "headTooLarge"
+        : mishap.code === "ERR_HTTP_REQUEST_TIMEOUT"
+          ? "slowHead"
+          : "malformed";
     const outcome = OUTCOMES[name];
     if (mishap.code === "ECONNRESET") socket.destroy();
-    else socket.end(`HTTP/1.1 ${outcome.status} ${outcome.problem}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`);
+    else
+      socket.end(
+        `HTTP/1.1 ${outcome.status} ${outcome.problem}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`,
+      );
   };
 }
 
-const NOT_KEPT: ReadonlySet<string> = new Set([TRY_ID, "content-length", "date", "yewreel-worker-load"]);
+const NOT_KEPT: ReadonlySet<string> = new Set([
+  TRY_ID,
+  "content-length",
+  "date",
+  "yewreel-worker-load",
+]);
 const CONTENT_LENGTH: ReadonlySet<string> = new Set(["content-length"]);
 
 /** Two turns of the event loop: in the first, what lies unread is read; in the second, what follows from it. */
-const turns = (): Promise<void> => new Promise((resolve) => setImmediate(() => setImmediate(resolve)));
+const turns = (): Promise<void> =>
+  new Promise((resolve) => setImmediate(() => setImmediate(resolve)));
 
 /** A body as it comes. Its caller's connection outlives it: who stops reading it early still owes an answer. */
 const flowOf = (req: IncomingMessage): Readable => {
@@ -602,7 +792,8 @@
 const isBehindClose = (trip: Trip): boolean => trip.place > trip.line.closedBy;
 
 /** An unsafe request that may have run may be placed again by its caller. */
-const lossOf = (trip: Trip): RolloutOutcome => (!fates.isUnrun(trip.fate) && trip.route?.isSafe === false ? "doubled" : "lost");
+const lossOf = (trip: Trip): RolloutOutcome =>
+  !fates.isUnrun(trip.fate) && trip.route?.isSafe === false ? "doubled" : "lost";
 
 const isHeldBody = (trip: Trip): boolean => trip.body === null || Buffer.isBuffer(trip.body);
 
--- a/src/traction/gate.ts
+++ b/src/traction/gate.ts
@@ -19,7 +19,10 @@
   private waiting: Waiting[] = [];
   private scheduled = false;
 
-  constructor(private readonly clock: Clock, private readonly choose: (trip: Trip) => Worker | undefined) {}
+  constructor(
+    private readonly clock: Clock,
+    private readonly choose: (trip: Trip) => Worker | undefined,
+  ) {}
 
   readonly pass = (trip: Trip, waitUs: number): Promise<Worker | undefined> => {
     const worker = this.choose(trip);
@@ -39,7 +42,8 @@
       const at = this.waiting.findIndex((other) => other.rank > rank);
       this.waiting.splice(at < 0 ? this.waiting.length : at, 0, entry);
       trip.onOver.push(() => entry.take(undefined));
-      if (this.waiting.length > MOST_WAITING) this.waiting[this.waiting.length - 1]?.take(undefined);
+      if (this.waiting.length > MOST_WAITING)
+        this.waiting[this.waiting.length - 1]?.take(undefined);
     });
   };
 
--- a/src/traction/heads.ts
+++ b/src/traction/heads.ts
@@ -26,20 +26,23 @@
 export const passOn = (heads: FlatHeads, without: ReadonlySet<string>): string[] => {
   const named = new Set<string>();
   for (let at = 0; at + 1 < heads.length; at += 2) {
-    if (isNamed(heads[at], "connection")) heads[at + 1]?.split(",").forEach((token) => named.add(token.trim().toLowerCase()));
+    if (isNamed(heads[at], "connection"))
+      heads[at + 1]?.split(",").forEach((token) => named.add(token.trim().toLowerCase()));
   }
   const passed: string[] = [];
   for (let at = 0; at + 1 < heads.length; at += 2) {
     const [name, value] = [heads[at] ?? "", heads[at + 1] ?? ""];
     const lower = name.toLowerCase();
-    if (!OF_ONE_CONNECTION.has(lower) && !named.has(lower) && !without.has(lower)) passed.push(name, value);
+    if (!OF_ONE_CONNECTION.has(lower) && !named.has(lower) && !without.has(lower))
+      passed.push(name, value);
   }
   return passed;
 };
 
 /** The first value under a name, which is given in small letters. */
 export const headOf = (heads: FlatHeads, name: string): string | undefined => {
-  for (let at = 0; at + 1 < heads.length; at += 2) if (isNamed(heads[at], name)) return heads[at + 1];
+  for (let at = 0; at + 1 < heads.length; at += 2)
+    if (isNamed(heads[at], name)) return heads[at + 1];
   return undefined;
 };
 
@@ -50,4 +53,5 @@
   return found > 1;
 };
 
-const isNamed = (head: string | undefined, name: string): boolean => head !== undefined && head.length === name.length && head.toLowerCase() === name;
+const isNamed = (head: string | undefined, name: string): boolean =>
+  head !== undefined && head.length === name.length && head.toLowerCase() === name;
--- a/src/traction/move-forecast.ts
+++ b/src/traction/move-forecast.ts
@@ -4,7 +4,11 @@
 
 /** What the planners ask about: backends added, by service and cell, and workers retired. */
 export interface BackendChange {
-  readonly add: readonly { readonly service: string; readonly cell: string; readonly count: number }[];
+  readonly add: readonly {
+    readonly service: string;
+    readonly cell: string;
+    readonly count: number;
+  }[];
   readonly retire: readonly string[];
   readonly byRoute: boolean;
 }
@@ -68,10 +72,15 @@
 const OVERDISPERSION = 6;
 
 /** How unevenly a service's workers share its calls over the whole fleet. */
-export const unevennessOf = (perWorker: readonly number[]): number => (perWorker.length < 2 ? 0 : sampleStandardDeviation(perWorker) / Math.max(1e-9, mean(perWorker)));
+export const unevennessOf = (perWorker: readonly number[]): number =>
+  perWorker.length < 2 ? 0 : sampleStandardDeviation(perWorker) / Math.max(1e-9, mean(perWorker));
 
-const groupsOf = (subset: Subset<Placed>): readonly (readonly Placed[])[] => [subset.near, subset.far];
-const idsOf = (workers: readonly Placed[]): ReadonlySet<string> => new Set(workers.map(({ id }) => id));
+const groupsOf = (subset: Subset<Placed>): readonly (readonly Placed[])[] => [
+  subset.near,
+  subset.far,
+];
+const idsOf = (workers: readonly Placed[]): ReadonlySet<string> =>
+  new Set(workers.map(({ id }) => id));
 
 interface Shift {
   readonly moved: number;
@@ -89,7 +98,12 @@
  * Within each of near and far, newcomers get an equal part of the group's calls, and those who stay share the rest as
  * before. What moves is what was pinned to leavers; where backends are added, what newcomers draw may be more.
  */
-const shiftOf = (before: Subset<Placed>, after: Subset<Placed>, shareOf: (id: string) => number, isAdding: boolean): Shift => {
+const shiftOf = (
+  before: Subset<Placed>,
+  after: Subset<Placed>,
+  shareOf: (id: string) => number,
+  isAdding: boolean,
+): Shift => {
   let [moved, leave, join, joiners] = [0, 0, 0, 0];
   const unevenness = unevennessOf(before.near.map(({ id }) => shareOf(id)));
   const leavers: string[] = [];
@@ -109,7 +123,9 @@
     leavers.push(...gone.map(({ id }) => id));
     const stay = next.filter(({ id }) => was.has(id));
     const scale = total - goneShare > 0 ? (total - comeShare) / (total - goneShare) : 0;
-    stay.forEach(({ id }) => then.set(id, scale > 0 ? shareOf(id) * scale : (total - comeShare) / stay.length));
+    stay.forEach(({ id }) =>
+      then.set(id, scale > 0 ? shareOf(id) * scale : (total - comeShare) / stay.length),
+    );
     come.forEach(({ id }) => then.set(id, total / next.length));
   });
   return { moved, leave, join, unevenness, leavers, joiners, after: then };
@@ -128,7 +144,10 @@
   return Math.hypot(bandOf(join, calls), z * unevenness * join);
 };
 
-const sumBy = (calls: readonly CallCount[], keyOf: (call: CallCount) => string): ReadonlyMap<string, number> => {
+const sumBy = (
+  calls: readonly CallCount[],
+  keyOf: (call: CallCount) => string,
+): ReadonlyMap<string, number> => {
   const sums = new Map<string, number>();
   calls.forEach((call) => sums.set(keyOf(call), (sums.get(keyOf(call)) ?? 0) + call.count));
   return sums;
@@ -138,30 +157,65 @@
  * The forecast of one node for one service. A query: it changes nothing, draws no random number, and calls the same
  * function that choosing goes by.
  */
-export const forecastMoves = ({ node, cell, nodes, service, workers, calls, spanUs, change }: MoveQuestion): MoveForecast => {
+export const forecastMoves = ({
+  node,
+  cell,
+  nodes,
+  service,
+  workers,
+  calls,
+  spanUs,
+  change,
+}: MoveQuestion): MoveForecast => {
   const stay = workers.filter(({ id }) => !change.retire.includes(id));
   const added = change.add.filter((one) => one.service === service);
   const before = subsetOf(node, cell, workers, nodes);
   const afterOf = (draw: number): Subset<Placed> =>
-    subsetOf(node, cell, [...stay, ...added.flatMap((one, at) => Array.from({ length: one.count }, (_none, each) => ({ id: `to-come-${draw}-${at}-${each}`, cell: one.cell })))], nodes);
-  const afters = Array.from({ length: added.length > 0 ? DRAWS : 1 }, (_none, draw) => afterOf(draw));
+    subsetOf(
+      node,
+      cell,
+      [
+        ...stay,
+        ...added.flatMap((one, at) =>
+          Array.from({ length: one.count }, (_none, each) => ({
+            id: `to-come-${draw}-${at}-${each}`,
+            cell: one.cell,
+          })),
+        ),
+      ],
+      nodes,
+    );
+  const afters = Array.from({ length: added.length > 0 ? DRAWS : 1 }, (_none, draw) =>
+    afterOf(draw),
+  );
   const cellOf = new Map(workers.map((worker) => [worker.id, worker.cell]));
-  const groups = sumBy(calls, (call) => (change.byRoute ? `${call.kind}\n${call.route}` : `${call.kind}\n`));
+  const groups = sumBy(calls, (call) =>
+    change.byRoute ? `${call.kind}\n${call.route}` : `${call.kind}\n`,
+  );
   const rows = [...groups].map(([key, total]): MoveRow => {
     const [kind = "", route = ""] = key.split("\n");
-    const own = calls.filter((call) => call.kind === kind && (!change.byRoute || call.route === route));
+    const own = calls.filter(
+      (call) => call.kind === kind && (!change.byRoute || call.route === route),
+    );
     const byWorker = sumBy(own, ({ worker }) => worker);
-    const shifts = afters.map((after) => shiftOf(before, after, (id) => (byWorker.get(id) ?? 0) / total, added.length > 0));
+    const shifts = afters.map((after) =>
+      shiftOf(before, after, (id) => (byWorker.get(id) ?? 0) / total, added.length > 0),
+    );
     const draws = shifts.map(({ moved }) => moved);
     const moved = mean(draws);
     const unevenness = shifts[0]?.unevenness ?? 0;
     const joinBand = (share: number) => joinBandOf(share, total, unevenness);
     const band = (share: number) => (added.length > 0 ? joinBand(share) : bandOf(share, total));
     const toCells: Record<string, number> = {};
-    shifts.forEach(({ after }) => after.forEach((share, id) => {
-      const at = cellOf.get(id) ?? added.find((one, place) => id.split("-")[3] === String(place) && one.cell !== "")?.cell ?? "";
-      toCells[at] = (toCells[at] ?? 0) + share / shifts.length;
-    }));
+    shifts.forEach(({ after }) =>
+      after.forEach((share, id) => {
+        const at =
+          cellOf.get(id) ??
+          added.find((one, place) => id.split("-")[3] === String(place) && one.cell !== "")?.cell ??
+          "";
+        toCells[at] = (toCells[at] ?? 0) + share / shifts.length;
+      }),
+    );
     return {
       service,
       kind,
@@ -184,9 +238,25 @@
   const total = calls.reduce((sum, { count }) => sum + count, 0);
   const byWorker = sumBy(calls, ({ worker }) => worker);
   const perS = (total / Math.max(1, spanUs)) * 1_000_000;
-  const shifts = total === 0 ? [] : afters.map((after) => shiftOf(before, after, (id) => (byWorker.get(id) ?? 0) / total, added.length > 0));
+  const shifts =
+    total === 0
+      ? []
+      : afters.map((after) =>
+          shiftOf(before, after, (id) => (byWorker.get(id) ?? 0) / total, added.length > 0),
+        );
   const loads = workers
-    .map(({ id }) => ({ worker: id, perSNow: ((byWorker.get(id) ?? 0) / Math.max(1, spanUs)) * 1_000_000, perSThen: shifts.length === 0 ? 0 : mean(shifts.map(({ after }) => after.get(id) ?? 0)) * perS }))
+    .map(({ id }) => ({
+      worker: id,
+      perSNow: ((byWorker.get(id) ?? 0) / Math.max(1, spanUs)) * 1_000_000,
+      perSThen:
+        shifts.length === 0 ? 0 : mean(shifts.map(({ after }) => after.get(id) ?? 0)) * perS,
+    }))
     .filter(({ perSNow, perSThen }) => perSNow > 0 || perSThen > 0);
-  return { rows, subset: groupsOf(before).flat().map(({ id }) => id), loads };
+  return {
+    rows,
+    subset: groupsOf(before)
+      .flat()
+      .map(({ id }) => id),
+    loads,
+  };
 };
--- a/src/traction/objects.ts
+++ b/src/traction/objects.ts
@@ -20,7 +20,12 @@
 }
 
 export type ObjectVerdict =
-  | { readonly kind: "served"; readonly status: number; readonly heads: readonly string[]; readonly body: Buffer }
+  | {
+      readonly kind: "served";
+      readonly status: number;
+      readonly heads: readonly string[];
+      readonly body: Buffer;
+    }
   | ObjectRefusal;
 
 /** Where the front gets objects of cached routes from. */
--- a/src/traction/retry-budget.ts
+++ b/src/traction/retry-budget.ts
@@ -1,6 +1,12 @@
 import type { Clock } from "../trackbed/clock.js";
 import type { Log } from "../trackbed/log.js";
-import { limitOf, USED_PART, type RetryLimit, type RetryLimits, type RouteKind } from "../trackbed/retry-limits.js";
+import {
+  limitOf,
+  USED_PART,
+  type RetryLimit,
+  type RetryLimits,
+  type RouteKind,
+} from "../trackbed/retry-limits.js";
 import type { Rec } from "../trackbed/shape.js";
 
 interface Slot {
@@ -72,18 +78,31 @@
     return Math.ceil(want);
   };
 
-  readonly tell = (): { readonly requests: number; readonly retries: number; readonly refused: number; readonly leased: number } => {
+  readonly tell = (): {
+    readonly requests: number;
+    readonly retries: number;
+    readonly refused: number;
+    readonly leased: number;
+  } => {
     this.slot();
-    return { requests: this.sum("requests"), retries: this.sum("retries"), refused: this.sum("refused"), leased: this.leased() };
+    return {
+      requests: this.sum("requests"),
+      retries: this.sum("retries"),
+      refused: this.sum("refused"),
+      leased: this.leased(),
+    };
   };
 
   private readonly earned = (): number => this.sum("requests") * this.limit().ratio * USED_PART;
 
-  private readonly sum = (what: "requests" | "retries" | "refused"): number => this.slots.reduce((total, slot) => total + slot[what], 0);
+  private readonly sum = (what: "requests" | "retries" | "refused"): number =>
+    this.slots.reduce((total, slot) => total + slot[what], 0);
 
   private readonly slot = (): Slot => {
     const nowUs = this.clock.nowUs();
-    this.slots = this.slots.filter((slot) => nowUs - slot.sinceUs < this.windowUs + this.windowUs / SLOTS);
+    this.slots = this.slots.filter(
+      (slot) => nowUs - slot.sinceUs < this.windowUs + this.windowUs / SLOTS,
+    );
     const last = this.slots[this.slots.length - 1];
     if (last && nowUs - last.sinceUs < this.windowUs / SLOTS) return last;
     const slot = { sinceUs: nowUs, requests: 0, retries: 0, refused: 0 };
@@ -102,7 +121,10 @@
 
 /** The budgets of one node, by service and kind of route. */
 export class RetryBudgets {
-  private readonly budgets = new Map<string, { readonly service: string; readonly kind: RouteKind; readonly budget: RetryBudget }>();
+  private readonly budgets = new Map<
+    string,
+    { readonly service: string; readonly kind: RouteKind; readonly budget: RetryBudget }
+  >();
   /** Called when a budget has refused: a lease of the slack would help. */
   onShort: () => void = () => undefined;
 
@@ -133,5 +155,10 @@
       return want > 0 ? [[service, kind, want, budget.leased()] as const] : [];
     });
 
-  readonly tell = (): readonly Rec[] => [...this.budgets.values()].map(({ service, kind, budget }) => ({ service, kind, ...budget.tell() }));
+  readonly tell = (): readonly Rec[] =>
+    [...this.budgets.values()].map(({ service, kind, budget }) => ({
+      service,
+      kind,
+      ...budget.tell(),
+    }));
 }
--- a/src/traction/retry-keeper.ts
+++ b/src/traction/retry-keeper.ts
@@ -34,12 +34,17 @@
   private readonly renew = async (): Promise<void> => {
     const wants = this.budgets.takeWants();
     const askedUs = this.clock.nowUs();
-    const reply = wants.length === 0 ? undefined : await this.ask({ kind: "retry-ask", life: this.life, wants }, WAIT_US);
+    const reply =
+      wants.length === 0
+        ? undefined
+        : await this.ask({ kind: "retry-ask", life: this.life, wants }, WAIT_US);
     const lastsUs = reply?.["lastsUs"];
     if (reply && typeof lastsUs === "number") {
       list(reply, "rows", (value) => {
         const [service, kind, tokens] = asList(value, "row");
-        this.budgets.of(textOf(service), kindOf(textOf(kind))).take({ tokens: numberOf(tokens), endUs: askedUs + lastsUs });
+        this.budgets
+          .of(textOf(service), kindOf(textOf(kind)))
+          .take({ tokens: numberOf(tokens), endUs: askedUs + lastsUs });
       });
     }
     this.isDue = false;
--- a/src/traction/routes.ts
+++ b/src/traction/routes.ts
@@ -36,9 +36,15 @@
   readonly idleUs: number;
 }
 
-const stopKey = (route: string, version: number, candidate: string): string => `${route}\n${version}\n${candidate}`;
-
-const FIRST_LIMITS: CallerLimits = { maxHeaderBytes: 16_384, maxBodyBytes: 64 * 1024 * 1024, headerWaitUs: 5 * SECOND, idleUs: 15 * SECOND };
+const stopKey = (route: string, version: number, candidate: string): string =>
+  `${route}\n${version}\n${candidate}`;
+
+const FIRST_LIMITS: CallerLimits = {
+  maxHeaderBytes: 16_384,
+  maxBodyBytes: 64 * 1024 * 1024,
+  headerWaitUs: 5 * SECOND,
+  idleUs: 15 * SECOND,
+};
 
 const readRoute = (body: string): Route => {
   const rec = asRec(parseJson(body));
@@ -78,26 +84,36 @@
   readonly service = (name: string): Service | undefined => this.services.get(name);
 
   /** The service itself, or the baseline where the rollout inspector stopped it for this version. */
-  readonly unlessStopped = (route: Route, service: string): string => this.stops.get(stopKey(route.name, route.version, service)) ?? service;
+  readonly unlessStopped = (route: Route, service: string): string =>
+    this.stops.get(stopKey(route.name, route.version, service)) ?? service;
 
-  readonly isInForce = (name: string, version: number): boolean => this.routes.get(`route/${name}`)?.version === version;
+  readonly isInForce = (name: string, version: number): boolean =>
+    this.routes.get(`route/${name}`)?.version === version;
 
   readonly take = (facts: readonly Fact[]): void => {
     const stopped = facts.find((fact) => fact.key === ROLLOUTS_KEY);
     if (stopped) this.takeStops(stopped);
     const hosts = new Set<string>();
-    facts.filter((fact) => fact.key.startsWith(PLAN_PREFIX)).forEach((fact) => {
-      this.held = true;
-      this.takeItem(fact, hosts);
-    });
+    facts
+      .filter((fact) => fact.key.startsWith(PLAN_PREFIX))
+      .forEach((fact) => {
+        this.held = true;
+        this.takeItem(fact, hosts);
+      });
     if (hosts.size > 0) this.sortHosts(hosts);
   };
 
-  readonly find = (host: string, path: string): Route | undefined => this.byHost.get(host)?.find((route) => path.startsWith(route.pathStart));
+  readonly find = (host: string, path: string): Route | undefined =>
+    this.byHost.get(host)?.find((route) => path.startsWith(route.pathStart));
 
   private readonly takeStops = (fact: Fact): void => {
     const rows = asList(fact.body["stops"], "stops").map((value) => asRec(value, "stop"));
-    this.stops = new Map(rows.map((row) => [stopKey(text(row, "route"), whole(row, "version"), text(row, "candidate")), text(row, "baseline")]));
+    this.stops = new Map(
+      rows.map((row) => [
+        stopKey(text(row, "route"), whole(row, "version"), text(row, "candidate")),
+        text(row, "baseline"),
+      ]),
+    );
   };
 
   private readonly takeItem = (fact: Fact, hosts: Set<string>): void => {
@@ -122,8 +138,16 @@
   private readonly takeService = (item: string): void => {
     const rec = asRec(parseJson(item));
     const name = text(rec, "name");
-    const maxConnections = typeof rec["maxConnections"] === "number" && rec["maxConnections"] > 0 ? rec["maxConnections"] : 1_000;
-    this.services.set(name, { name, statusPath: text(rec, "statusPath"), maxConnections, ratePerS: typeof rec["ratePerS"] === "number" ? rec["ratePerS"] : 0 });
+    const maxConnections =
+      typeof rec["maxConnections"] === "number" && rec["maxConnections"] > 0
+        ? rec["maxConnections"]
+        : 1_000;
+    this.services.set(name, {
+      name,
+      statusPath: text(rec, "statusPath"),
+      maxConnections,
+      ratePerS: typeof rec["ratePerS"] === "number" ? rec["ratePerS"] : 0,
+    });
   };
 
   private readonly takeLimits = (item: string): void => {
--- a/src/traction/subset.ts
+++ b/src/traction/subset.ts
@@ -52,13 +52,31 @@
  * Invariants: `near` and `far` are bounded by what evenness needs, whatever the number of workers, as long as nodes
  * grow with them; a worker that comes or goes changes at most one place of each; all workers where there are few.
  */
-export const subsetOf = <W extends Placed>(node: string, cell: string, workers: readonly W[], nodes: NodeCount): Subset<W> => {
-  const ranked = workers.map((worker) => ({ worker, rank: rankOf(node, worker.id) })).sort((a, b) => b.rank - a.rank || (a.worker.id < b.worker.id ? -1 : 1));
+export const subsetOf = <W extends Placed>(
+  node: string,
+  cell: string,
+  workers: readonly W[],
+  nodes: NodeCount,
+): Subset<W> => {
+  const ranked = workers
+    .map((worker) => ({ worker, rank: rankOf(node, worker.id) }))
+    .sort((a, b) => b.rank - a.rank || (a.worker.id < b.worker.id ? -1 : 1));
   const own = ranked.filter(({ worker }) => worker.cell === cell).map(({ worker }) => worker);
   const others = ranked.filter(({ worker }) => worker.cell !== cell).map(({ worker }) => worker);
   if (workers.length <= FEW) return { near: own, far: others, spare: [], holders: nodes.here };
-  const near = own.slice(0, Math.max(NEAR_LEAST, Math.ceil((HOLDERS * own.length) / roundUp(nodes.here))));
+  const near = own.slice(
+    0,
+    Math.max(NEAR_LEAST, Math.ceil((HOLDERS * own.length) / roundUp(nodes.here))),
+  );
   // A cell with few workers of its own takes the rest of its share from elsewhere.
   const far = others.slice(0, FAR + Math.max(0, NEAR_LEAST - near.length));
-  return { near, far, spare: [...own.slice(near.length, near.length + SPARE), ...others.slice(far.length, far.length + SPARE)], holders: (nodes.here * near.length) / Math.max(1, own.length) };
+  return {
+    near,
+    far,
+    spare: [
+      ...own.slice(near.length, near.length + SPARE),
+      ...others.slice(far.length, far.length + SPARE),
+    ],
+    holders: (nodes.here * near.length) / Math.max(1, own.length),
+  };
 };
--- a/src/traction/yard.ts
+++ b/src/traction/yard.ts
@@ -59,7 +59,11 @@
   private readonly waitingSince = new Set<{ readonly sinceUs: number }>();
   private heardUs = 0;
 
-  constructor(readonly id: string, private readonly clock: Clock, private readonly mean: ServiceMean) {}
+  constructor(
+    readonly id: string,
+    private readonly clock: Clock,
+    private readonly mean: ServiceMean,
+  ) {}
 
   readonly takeFact = (fact: Fact): void => {
     const address = text(fact.body, "address");
@@ -109,10 +113,15 @@
   /** How long a call sent now would take, by guess, at this usage. */
   readonly guessUs = (usage: number): number => {
     const coldness = this.clock.nowUs() < this.warmUntilUs ? 2 : 1;
-    return Math.max(this.meanUs(), this.longestWaitUs()) * coldness * Math.max(1, (usage + 1) / this.capacity);
+    return (
+      Math.max(this.meanUs(), this.longestWaitUs()) *
+      coldness *
+      Math.max(1, (usage + 1) / this.capacity)
+    );
   };
 
-  private readonly remembered = (): number => this.learned * Math.exp((this.learnedUs - this.clock.nowUs()) / FORGET_US);
+  private readonly remembered = (): number =>
+    this.learned * Math.exp((this.learnedUs - this.clock.nowUs()) / FORGET_US);
 
   readonly meanUs = (): number => {
     const calls = this.remembered();
@@ -137,7 +146,8 @@
   readonly isSilent = (): boolean => {
     const nowUs = this.clock.nowUs();
     const patienceUs = Math.max(500 * MS, 6 * this.meanUs());
-    for (const call of this.waitingSince) return this.heardUs < call.sinceUs && nowUs - call.sinceUs > patienceUs;
+    for (const call of this.waitingSince)
+      return this.heardUs < call.sinceUs && nowUs - call.sinceUs > patienceUs;
     return false;
   };
 
@@ -216,7 +226,11 @@
   /** What the forecast says of services that near or pass what they can keep up with. */
   private pressed: ReadonlyMap<string, string> = new Map();
 
-  constructor(private readonly clock: Clock, private readonly node: string, private readonly cell: string) {}
+  constructor(
+    private readonly clock: Clock,
+    private readonly node: string,
+    private readonly cell: string,
+  ) {}
 
   get size(): number {
     return this.workers.size;
@@ -224,7 +238,8 @@
 
   readonly of = (service: string): readonly Worker[] => this.byService.get(service) ?? [];
 
-  readonly ready = (service: string): readonly Worker[] => this.of(service).filter(({ state }) => state === "ready");
+  readonly ready = (service: string): readonly Worker[] =>
+    this.of(service).filter(({ state }) => state === "ready");
 
   get nodeCount(): NodeCount {
     return this.nodes;
@@ -260,20 +275,26 @@
   };
 
   /** Whether a planned window has everything leave the cell, its callers too. */
-  readonly isEmptied = (cell: string): boolean => this.shifted.why === "window" && this.shifted.cell === cell && this.shifted.unsafe >= 1;
+  readonly isEmptied = (cell: string): boolean =>
+    this.shifted.why === "window" && this.shifted.cell === cell && this.shifted.unsafe >= 1;
 
   readonly pressure = (service: string): string => this.pressed.get(service) ?? "";
 
   readonly take = (facts: readonly Fact[]): void => {
     facts.forEach((fact) => {
-      if (fact.key === FORECAST_KEY) this.pressed = new Map(Object.entries(fact.body).map(([service, verdict]) => [service, String(verdict)]));
+      if (fact.key === FORECAST_KEY)
+        this.pressed = new Map(
+          Object.entries(fact.body).map(([service, verdict]) => [service, String(verdict)]),
+        );
       else if (fact.key === EJECTIONS_KEY) this.takeDecisions(fact);
       else if (fact.key.startsWith(WORKER_PREFIX)) this.takeWorker(fact);
     });
   };
 
   readonly forget = (keys: readonly string[]): void => {
-    keys.filter((key) => key.startsWith(WORKER_PREFIX)).forEach((key) => this.remove(key.slice(WORKER_PREFIX.length)));
+    keys
+      .filter((key) => key.startsWith(WORKER_PREFIX))
+      .forEach((key) => this.remove(key.slice(WORKER_PREFIX.length)));
   };
 
   /** Another worker has the address: this one is no more, whatever the news says so far. */
@@ -304,11 +325,17 @@
   private readonly takeDecisions = (fact: Fact): void => {
     this.ejected = new Set(list(fact.body, "ejections", (value) => text(asRec(value), "worker")));
     const shift = fact.body["shift"];
-    if (shift === undefined || shift === null) this.shifted = { cell: "", why: "", safe: 0, unsafe: 0 };
+    if (shift === undefined || shift === null)
+      this.shifted = { cell: "", why: "", safe: 0, unsafe: 0 };
     else {
       const rec = asRec(shift);
       const part = (field: string) => (typeof rec[field] === "number" ? whole(rec, field) : 1);
-      this.shifted = { cell: text(rec, "cell"), why: text(rec, "why"), safe: part("safe"), unsafe: part("unsafe") };
+      this.shifted = {
+        cell: text(rec, "cell"),
+        why: text(rec, "why"),
+        safe: part("safe"),
+        unsafe: part("unsafe"),
+      };
     }
   };
 
@@ -322,7 +349,10 @@
   };
 
   private readonly unlist = (worker: Worker): void => {
-    this.byService.set(worker.service, this.of(worker.service).filter((other) => other !== worker));
+    this.byService.set(
+      worker.service,
+      this.of(worker.service).filter((other) => other !== worker),
+    );
     this.subsets.delete(worker.service);
   };
 }
--- a/src/yewreel.ts
+++ b/src/yewreel.ts
@@ -20,7 +20,11 @@
 };
 
 /** The settings file may change with a signal or without one; what is wrong in it then changes nothing. */
-const watchSettings = async (path: string, clock: Clock, renew: (settings: Settings) => void): Promise<void> => {
+const watchSettings = async (
+  path: string,
+  clock: Clock,
+  renew: (settings: Settings) => void,
+): Promise<void> => {
   const log = logFor("settings");
   let last = await stamp(path);
   const look = async () => {
@@ -49,7 +53,11 @@
   }
   setLogLevel(read.value.logLevel);
   const log = logFor("yewreel");
-  process.on("unhandledRejection", (mishap) => log.warn(`A mishap nobody took: ${mishap instanceof Error ? (mishap.stack ?? mishap.message) : String(mishap)}.`));
+  process.on("unhandledRejection", (mishap) =>
+    log.warn(
+      `A mishap nobody took: ${mishap instanceof Error ? (mishap.stack ?? mishap.message) : String(mishap)}.`,
+    ),
+  );
   const clock = new SteadyClock();
   const program = await load();
   const running = await program(read.value, clock);
@@ -64,11 +72,26 @@
   process.on("SIGINT", stop);
 };
 
-const cli = new Command("yewreel").description("An API gateway that repairs itself and explains what it did.");
-cli.command("pointsman").description("carry callers' requests to workers (data plane)").action(() => run(async () => (await import("./programs/pointsman.js")).runPointsman));
-cli.command("signalbox").description("hold the plan, know workers and nodes, decide (control plane)").action(() => run(async () => (await import("./programs/signalbox.js")).runSignalbox));
-cli.command("depot").description("hold copies of objects for all pointsmen (shared cache)").action(() => run(async () => (await import("./programs/depot.js")).runDepot));
-if (process.argv[2] !== "depot" && process.argv[2] !== "pointsman" && process.argv[2] !== "signalbox") {
+const cli = new Command("yewreel").description(
+  "An API gateway that repairs itself and explains what it did.",
+);
+cli
+  .command("pointsman")
+  .description("carry callers' requests to workers (data plane)")
+  .action(() => run(async () => (await import("./programs/pointsman.js")).runPointsman));
+cli
+  .command("signalbox")
+  .description("hold the plan, know workers and nodes, decide (control plane)")
+  .action(() => run(async () => (await import("./programs/signalbox.js")).runSignalbox));
+cli
+  .command("depot")
+  .description("hold copies of objects for all pointsmen (shared cache)")
+  .action(() => run(async () => (await import("./programs/depot.js")).runDepot));
+if (
+  process.argv[2] !== "depot" &&
+  process.argv[2] !== "pointsman" &&
+  process.argv[2] !== "signalbox"
+) {
   (await import("./programs/stationmaster.js")).addStationmaster(cli);
   (await import("./programs/shunter.js")).addShunter(cli);
 }
--- a/testtrack/host-control.ts
+++ b/testtrack/host-control.ts
@@ -14,7 +14,9 @@
   readonly child: ChildProcess;
 
   constructor(heapMb: number) {
-    this.child = fork(new URL("./host.js", import.meta.url), [], { execArgv: [`--max-old-space-size=${heapMb}`, "--max-semi-space-size=1"] });
+    this.child = fork(new URL("./host.js", import.meta.url), [], {
+      execArgv: [`--max-old-space-size=${heapMb}`, "--max-semi-space-size=1"],
+    });
     this.child.on("message", (value: unknown) => {
       const reply = asRec(value);
       this.pending.get(numberOf(reply["re"]))?.(reply);
@@ -39,10 +41,14 @@
 
 export const post = (address: string, path: string, body: string): Promise<number> =>
   new Promise((resolve) => {
-    const call = request(`http://${address}${path}`, { method: "POST", timeout: 8_000, headers: { "Content-Length": Buffer.byteLength(body) } }, (response) => {
-      response.resume();
-      response.on("end", () => resolve(response.statusCode ?? 0));
-    });
+    const call = request(
+      `http://${address}${path}`,
+      { method: "POST", timeout: 8_000, headers: { "Content-Length": Buffer.byteLength(body) } },
+      (response) => {
+        response.resume();
+        response.on("end", () => resolve(response.statusCode ?? 0));
+      },
+    );
     call.on("timeout", () => call.destroy());
     call.on("error", () => resolve(0));
     call.end(body);
@@ -58,7 +64,11 @@
   then: { service, giveUp: "2000ms", tries: 2 },
 });
 
-export const until = async (what: string, isSo: () => Promise<boolean>, seconds = 90): Promise<number> => {
+export const until = async (
+  what: string,
+  isSo: () => Promise<boolean>,
+  seconds = 90,
+): Promise<number> => {
   const fromUs = machineUs();
   while (machineUs() - fromUs < seconds * SECOND) {
     if (await isSo()) return machineUs() - fromUs;
--- a/testtrack/host.ts
+++ b/testtrack/host.ts
@@ -18,7 +18,13 @@
 const measure = (): Rec => {
   const { user, system } = process.cpuUsage();
   const { rss, heapUsed } = process.memoryUsage();
-  return { atUs: machineUs(), cpuUs: user + system, rssMb: rss / 2 ** 20, heapMb: heapUsed / 2 ** 20, sent: Object.fromEntries([...sentFrames].map(([kind, counts]) => [kind, { ...counts }])) };
+  return {
+    atUs: machineUs(),
+    cpuUs: user + system,
+    rssMb: rss / 2 ** 20,
+    heapMb: heapUsed / 2 ** 20,
+    sent: Object.fromEntries([...sentFrames].map(([kind, counts]) => [kind, { ...counts }])),
+  };
 };
 
 // --- hollow nodes: the real session, relay, news and report code, without a front -------------------------------------
@@ -84,12 +90,31 @@
 let beatsTaken = 0;
 let beatsFailed = 0;
 const beat = (at: number, callCount: number): void => {
-  const body = JSON.stringify({ service: `s${at % services}`, address: `127.43.${Math.floor(at / 250)}.${(at % 250) + 1}:80`, zone: `c${at % cells}`, cell: `c${at % cells}`, version: "v1", capacity: 2, state: "ready", warmLeft: "0ms", callCount });
-  const call = request(`http://${boxAddress(at % boxes)}/workers/w-${at}/heartbeat`, { method: "POST", agent, timeout: SECOND / MS, headers: { "Content-Length": Buffer.byteLength(body) } }, (response) => {
-    response.resume();
-    if (response.statusCode === 200) beatsTaken += 1;
-    else beatsFailed += 1;
+  const body = JSON.stringify({
+    service: `s${at % services}`,
+    address: `127.43.${Math.floor(at / 250)}.${(at % 250) + 1}:80`,
+    zone: `c${at % cells}`,
+    cell: `c${at % cells}`,
+    version: "v1",
+    capacity: 2,
+    state: "ready",
+    warmLeft: "0ms",
+    callCount,
   });
+  const call = request(
+    `http://${boxAddress(at % boxes)}/workers/w-${at}/heartbeat`,
+    {
+      method: "POST",
+      agent,
+      timeout: SECOND / MS,
+      headers: { "Content-Length": Buffer.byteLength(body) },
+    },
+    (response) => {
+      response.resume();
+      if (response.statusCode === 200) beatsTaken += 1;
+      else beatsFailed += 1;
+    },
+  );
   call.on("timeout", () => call.destroy());
   call.on("error", () => (beatsFailed += 1));
   call.end(body);
@@ -111,19 +136,36 @@
   switch (text(order, "what")) {
     case "box": {
       const [at, count] = [whole(order, "at"), whole(order, "boxes")];
-      await runSignalbox(settingsOf(`box-${at}`, boxAddress(at).split(":")[0] ?? "", `c${at}`, count, text(order, "folder")), clock);
+      await runSignalbox(
+        settingsOf(
+          `box-${at}`,
+          boxAddress(at).split(":")[0] ?? "",
+          `c${at}`,
+          count,
+          text(order, "folder"),
+        ),
+        clock,
+      );
       return {};
     }
     case "node":
       await runPointsman(settingsOf("node", nodeIp(0), "c0", whole(order, "boxes"), ""), clock);
       return {};
     case "nodes": {
-      [cells, boxes, services] = [whole(order, "cells"), whole(order, "boxes"), whole(order, "services")];
+      [cells, boxes, services] = [
+        whole(order, "cells"),
+        whole(order, "boxes"),
+        whole(order, "services"),
+      ];
       for (const at of list(order, "numbers", numberOf)) await startHollow(at);
       return {};
     }
     case "workers":
-      [cells, boxes, services] = [whole(order, "cells"), whole(order, "boxes"), whole(order, "services")];
+      [cells, boxes, services] = [
+        whole(order, "cells"),
+        whole(order, "boxes"),
+        whole(order, "services"),
+      ];
       startWorkers(whole(order, "from"), whole(order, "count"));
       return {};
     case "restart": {
@@ -138,7 +180,10 @@
         nodes: all.length,
         fed: all.filter(({ member }) => member.taker.isFed).length,
         standing: all.filter(({ member }) => member.taker.isStanding).length,
-        full: all.filter(({ items, workers }) => items >= whole(order, "items") && workers >= whole(order, "workers")).length,
+        full: all.filter(
+          ({ items, workers }) =>
+            items >= whole(order, "items") && workers >= whole(order, "workers"),
+        ).length,
         marked: all.filter(({ mark }) => mark >= whole(order, "mark")).length,
         lastMarkUs: Math.max(0, ...all.map(({ markUs }) => markUs)),
         beatsTaken,
--- a/testtrack/node.ts
+++ b/testtrack/node.ts
@@ -32,21 +32,59 @@
     yard.take(facts);
   });
   const cpuBefore = process.cpuUsage();
-  board.post(Array.from({ length: workers }, (_none, at) => ({ key: `${WORKER_PREFIX}w-${at}`, version: 1, tie: "", body: { service: `s${at % Math.max(1, Math.floor(workers / A_SERVICE))}`, address: `10.${at % 250}.${Math.floor(at / 250)}.9:80`, cell: `c${at % CELLS}`, capacity: 2, state: "ready", warmUs: 0, release: "v1" } })));
-  board.post(Array.from({ length: routes }, (_none, at) => ({ key: `${PLAN_PREFIX}route/r-${at}`, version: 1, tie: "x", body: { dropped: false, item: JSON.stringify({ host: `h${at % 500}.example`, rule: ruleOf(`r-${at}`, 1, `s${at % 500}`) }) } })));
+  board.post(
+    Array.from({ length: workers }, (_none, at) => ({
+      key: `${WORKER_PREFIX}w-${at}`,
+      version: 1,
+      tie: "",
+      body: {
+        service: `s${at % Math.max(1, Math.floor(workers / A_SERVICE))}`,
+        address: `10.${at % 250}.${Math.floor(at / 250)}.9:80`,
+        cell: `c${at % CELLS}`,
+        capacity: 2,
+        state: "ready",
+        warmUs: 0,
+        release: "v1",
+      },
+    })),
+  );
+  board.post(
+    Array.from({ length: routes }, (_none, at) => ({
+      key: `${PLAN_PREFIX}route/r-${at}`,
+      version: 1,
+      tie: "x",
+      body: {
+        dropped: false,
+        item: JSON.stringify({
+          host: `h${at % 500}.example`,
+          rule: ruleOf(`r-${at}`, 1, `s${at % 500}`),
+        }),
+      },
+    })),
+  );
   await rest(clock, 200 * MS);
   const services = Math.max(1, Math.floor(workers / A_SERVICE));
   for (let service = 0; service < services; service += 1) yard.subset(`s${service}`);
   const { user, system } = process.cpuUsage(cpuBefore);
   collect();
   const after = process.memoryUsage();
-  process.send?.({ workers, routes, heapMb: (after.heapUsed - before.heapUsed) / 2 ** 20, rssMb: after.rss / 2 ** 20, cpuMs: (user + system) / 1_000, held: board.all().length, yard: yard.size });
+  process.send?.({
+    workers,
+    routes,
+    heapMb: (after.heapUsed - before.heapUsed) / 2 ** 20,
+    rssMb: after.rss / 2 ** 20,
+    cpuMs: (user + system) / 1_000,
+    held: board.all().length,
+    yard: yard.size,
+  });
   process.disconnect();
 };
 
 const stateOf = (workers: number, routes: number): Promise<Rec> =>
   new Promise((resolve, reject) => {
-    const child = fork(new URL(import.meta.url), ["hold", String(workers), String(routes)], { execArgv: ["--expose-gc", "--max-semi-space-size=1"] });
+    const child = fork(new URL(import.meta.url), ["hold", String(workers), String(routes)], {
+      execArgv: ["--expose-gc", "--max-semi-space-size=1"],
+    });
     child.on("message", (value: unknown) => resolve(asRec(value)));
     child.on("exit", (code) => reject(new Error(`it ended with ${String(code)}`)));
   });
@@ -58,27 +96,92 @@
   const workers = Array.from({ length: 8 }, (_none, at) => new StandIn(`w-${at}`));
   try {
     await Promise.all(workers.map((worker) => worker.start()));
-    await box.ask({ what: "box", at: 0, boxes: 1, folder: `${tmpdir()}/testtrack-node-${process.pid}` });
-    const plan = { limits: { maxHeaderBytes: 16_384, maxBodyBytes: 1_048_576, headerWait: "3000ms", idle: "15000ms", version: 1 }, listeners: [{ host: "track.example", rules: [ruleOf("mark", 1, "s0")] }], groups: [{ name: "s0", statusPath: "/health", maxConnections: 1_300, version: 1 }] };
-    await until("the plan is taken", async () => (await post(boxAddress(0), "/plan/change", JSON.stringify({ putItems: plan, remove: { routes: [] } }))) === 200);
+    await box.ask({
+      what: "box",
+      at: 0,
+      boxes: 1,
+      folder: `${tmpdir()}/testtrack-node-${process.pid}`,
+    });
+    const plan = {
+      limits: {
+        maxHeaderBytes: 16_384,
+        maxBodyBytes: 1_048_576,
+        headerWait: "3000ms",
+        idle: "15000ms",
+        version: 1,
+      },
+      listeners: [{ host: "track.example", rules: [ruleOf("mark", 1, "s0")] }],
+      groups: [{ name: "s0", statusPath: "/health", maxConnections: 1_300, version: 1 }],
+    };
+    await until(
+      "the plan is taken",
+      async () =>
+        (await post(
+          boxAddress(0),
+          "/plan/change",
+          JSON.stringify({ putItems: plan, remove: { routes: [] } }),
+        )) === 200,
+    );
     let callCount = 0;
     const beatAll = () => {
       callCount += 1;
-      workers.forEach(({ id, address }) => void post(boxAddress(0), `/workers/${id}/heartbeat`, JSON.stringify({ service: "s0", address, cell: "c0", version: "v1", capacity: 8, state: "ready", warmLeft: "0ms", callCount })));
+      workers.forEach(
+        ({ id, address }) =>
+          void post(
+            boxAddress(0),
+            `/workers/${id}/heartbeat`,
+            JSON.stringify({
+              service: "s0",
+              address,
+              cell: "c0",
+              version: "v1",
+              capacity: 8,
+              state: "ready",
+              warmLeft: "0ms",
+              callCount,
+            }),
+          ),
+      );
     };
     beatAll();
     const beats = clock.every(1_500 * MS, beatAll);
     await node.ask({ what: "node", boxes: 1 });
-    await until("the node is ready", async () => (await fetch(`http://${nodeIp(0)}:${READY_PORT}/ready`)).status === 200);
+    await until(
+      "the node is ready",
+      async () => (await fetch(`http://${nodeIp(0)}:${READY_PORT}/ready`)).status === 200,
+    );
     const rows: Rec[] = [];
     for (const ratePerS of rates) {
-      const common = { host: "track.example", path: "/mark/x", method: "GET", body: "", ratePerS, seconds, budgetMs: 2_000 };
-      const direct = reportOf(await shunt({ ...common, targets: workers.map(({ address }) => address) }, clock));
+      const common = {
+        host: "track.example",
+        path: "/mark/x",
+        method: "GET",
+        body: "",
+        ratePerS,
+        seconds,
+        budgetMs: 2_000,
+      };
+      const direct = reportOf(
+        await shunt({ ...common, targets: workers.map(({ address }) => address) }, clock),
+      );
       const [before, fromUs] = [await node.ask({ what: "measure" }), machineUs()];
-      const through = reportOf(await shunt({ ...common, targets: [`${nodeIp(0)}:${FRONT_PORT}`] }, clock));
+      const through = reportOf(
+        await shunt({ ...common, targets: [`${nodeIp(0)}:${FRONT_PORT}`] }, clock),
+      );
       const after = await node.ask({ what: "measure" });
       const cpuUs = whole(after, "cpuUs") - whole(before, "cpuUs");
-      rows.push({ ratePerS, seconds: (machineUs() - fromUs) / SECOND, sent: through.sent, outcomes: through.outcomes, cpuMsARequest: cpuUs / 1_000 / through.sent, rssMb: after["rssMb"], heapMb: after["heapMb"], throughMs: { p50: through.p50Ms, p99: through.p99Ms }, directMs: { p50: direct.p50Ms, p99: direct.p99Ms }, loadAverage: loadavg()[0] });
+      rows.push({
+        ratePerS,
+        seconds: (machineUs() - fromUs) / SECOND,
+        sent: through.sent,
+        outcomes: through.outcomes,
+        cpuMsARequest: cpuUs / 1_000 / through.sent,
+        rssMb: after["rssMb"],
+        heapMb: after["heapMb"],
+        throughMs: { p50: through.p50Ms, p99: through.p99Ms },
+        directMs: { p50: direct.p50Ms, p99: direct.p99Ms },
+        loadAverage: loadavg()[0],
+      });
     }
     beats.stop();
     return rows;
@@ -89,7 +192,9 @@
 };
 
 const cli = new Command("testtrack-node");
-cli.command("hold <workers> <routes>").action((workers: string, routes: string) => holdState(Number(workers), Number(routes)));
+cli
+  .command("hold <workers> <routes>")
+  .action((workers: string, routes: string) => holdState(Number(workers), Number(routes)));
 cli
   .command("measure")
   .requiredOption("--out <file>")
@@ -100,7 +205,10 @@
     for (const routes of [500, 2_000, 4_000, 8_000]) state.push(await stateOf(0, routes));
     state.push(await stateOf(25_000, 8_000));
     const loads = await load([25, 50, 100, 200], 6);
-    await writeFile(out, `${JSON.stringify({ commit, machine: { cores: cpus().length, memoryGb: Math.round(totalmem() / 2 ** 30), node: process.version }, state, loads }, undefined, 1)}\n`);
+    await writeFile(
+      out,
+      `${JSON.stringify({ commit, machine: { cores: cpus().length, memoryGb: Math.round(totalmem() / 2 ** 30), node: process.version }, state, loads }, undefined, 1)}\n`,
+    );
     process.exit(0);
   });
 await cli.parseAsync();
--- a/testtrack/orders.ts
+++ b/testtrack/orders.ts
@@ -15,7 +15,13 @@
 
 const bytesUnder = async (folder: string): Promise<number> => {
   const entries = await readdir(folder, { withFileTypes: true });
-  const sizes = await Promise.all(entries.map((entry) => (entry.isDirectory() ? bytesUnder(join(folder, entry.name)) : stat(join(folder, entry.name)).then(({ size }) => size))));
+  const sizes = await Promise.all(
+    entries.map((entry) =>
+      entry.isDirectory()
+        ? bytesUnder(join(folder, entry.name))
+        : stat(join(folder, entry.name)).then(({ size }) => size),
+    ),
+  );
   return sizes.reduce((sum, size) => sum + size, 0);
 };
 
@@ -28,33 +34,69 @@
 
 const look = async (boxes: readonly Host[]): Promise<Looked> => {
   const told = await Promise.all(boxes.map((box) => box.ask({ what: "measure" })));
-  const sent = told.flatMap((rec) => Object.values(asRec(rec["sent"])).map((counts) => asRec(counts)));
-  const sum = (values: readonly unknown[]): number => values.map(numberOf).reduce((all, value) => all + value, 0);
-  return { cpuUs: sum(told.map((rec) => rec["cpuUs"])), frames: sum(sent.map((counts) => counts["frames"])), bytes: sum(sent.map((counts) => counts["bytes"])), atUs: machineUs() };
+  const sent = told.flatMap((rec) =>
+    Object.values(asRec(rec["sent"])).map((counts) => asRec(counts)),
+  );
+  const sum = (values: readonly unknown[]): number =>
+    values.map(numberOf).reduce((all, value) => all + value, 0);
+  return {
+    cpuUs: sum(told.map((rec) => rec["cpuUs"])),
+    frames: sum(sent.map((counts) => counts["frames"])),
+    bytes: sum(sent.map((counts) => counts["bytes"])),
+    atUs: machineUs(),
+  };
 };
 
 const perBoxSecond = (before: Looked, after: Looked, boxes: number): Rec => {
   const seconds = ((after.atUs - before.atUs) / SECOND) * boxes;
-  return { cpuMs: round((after.cpuUs - before.cpuUs) / MS / seconds), frames: round((after.frames - before.frames) / seconds), bytes: round((after.bytes - before.bytes) / seconds) };
+  return {
+    cpuMs: round((after.cpuUs - before.cpuUs) / MS / seconds),
+    frames: round((after.frames - before.frames) / seconds),
+    bytes: round((after.bytes - before.bytes) / seconds),
+  };
 };
 
 const round = (value: number): number => Math.round(value * 1_000) / 1_000;
 
 const planOf = (routes: number): Rec => ({
   putItems: {
-    limits: { maxHeaderBytes: 16_384, maxBodyBytes: 1_048_576, headerWait: "3000ms", idle: "15000ms", version: 1 },
-    listeners: [{ host: "track.example", rules: Array.from({ length: routes }, (_none, at) => ruleOf(`r-${at}`, 1, "s0")) }],
+    limits: {
+      maxHeaderBytes: 16_384,
+      maxBodyBytes: 1_048_576,
+      headerWait: "3000ms",
+      idle: "15000ms",
+      version: 1,
+    },
+    listeners: [
+      {
+        host: "track.example",
+        rules: Array.from({ length: routes }, (_none, at) => ruleOf(`r-${at}`, 1, "s0")),
+      },
+    ],
     groups: [{ name: "s0", statusPath: "/health", maxConnections: 100, version: 1 }],
   },
   remove: { routes: [] },
 });
 
-const measure = async (count: number, orders: number, routes: number, seconds: number): Promise<Rec> => {
+const measure = async (
+  count: number,
+  orders: number,
+  routes: number,
+  seconds: number,
+): Promise<Rec> => {
   const folder = await mkdtemp(join(tmpdir(), "testtrack-"));
   const boxes = Array.from({ length: count }, () => new Host(300));
   try {
-    await Promise.all(boxes.map((box, at) => box.ask({ what: "box", at, boxes: count, folder: join(folder, String(at)) })));
-    await until("the plan is taken", async () => (await post(boxAddress(0), "/plan/change", JSON.stringify(planOf(routes)))) === 200);
+    await Promise.all(
+      boxes.map((box, at) =>
+        box.ask({ what: "box", at, boxes: count, folder: join(folder, String(at)) }),
+      ),
+    );
+    await until(
+      "the plan is taken",
+      async () =>
+        (await post(boxAddress(0), "/plan/change", JSON.stringify(planOf(routes)))) === 200,
+    );
     await rest(clock, 6 * SECOND);
     const idleFrom = await look(boxes);
     await rest(clock, seconds * SECOND);
@@ -62,7 +104,12 @@
     const times: number[] = [];
     let failed = 0;
     for (let at = 0; at < orders; at += 1) {
-      const change = { putItems: { listeners: [{ host: "track.example", rules: [ruleOf(`r-${at % routes}`, 2 + at, "s0")] }] }, remove: { routes: [] } };
+      const change = {
+        putItems: {
+          listeners: [{ host: "track.example", rules: [ruleOf(`r-${at % routes}`, 2 + at, "s0")] }],
+        },
+        remove: { routes: [] },
+      };
       const fromUs = machineUs();
       const status = await post(boxAddress(at % count), "/plan/change", JSON.stringify(change));
       if (status === 200) times.push((machineUs() - fromUs) / MS);
@@ -92,7 +139,9 @@
     const call = get(`http://${address}/plan/read`, (response) => {
       const chunks: Buffer[] = [];
       response.on("data", (chunk: Buffer) => chunks.push(chunk));
-      response.on("end", () => resolve(response.statusCode === 200 ? Buffer.concat(chunks).toString() : ""));
+      response.on("end", () =>
+        resolve(response.statusCode === 200 ? Buffer.concat(chunks).toString() : ""),
+      );
       response.on("error", () => resolve(""));
     });
     call.on("error", () => resolve(""));
@@ -104,15 +153,35 @@
   const boxes = Array.from({ length: 4 }, () => new Host(300));
   const last = 3;
   let pulse: Pulse | undefined;
-  const startBox = (box: Host, at: number) => box.ask({ what: "box", at, boxes: 4, folder: join(folder, String(at)) });
-  const change = (version: number) => post(boxAddress(0), "/plan/change", JSON.stringify({ putItems: { listeners: [{ host: "track.example", rules: [ruleOf(`r-${version % routes}`, version, "s0")] }] }, remove: { routes: [] } }));
+  const startBox = (box: Host, at: number) =>
+    box.ask({ what: "box", at, boxes: 4, folder: join(folder, String(at)) });
+  const change = (version: number) =>
+    post(
+      boxAddress(0),
+      "/plan/change",
+      JSON.stringify({
+        putItems: {
+          listeners: [
+            { host: "track.example", rules: [ruleOf(`r-${version % routes}`, version, "s0")] },
+          ],
+        },
+        remove: { routes: [] },
+      }),
+    );
   try {
     await Promise.all(boxes.map(startBox));
-    await until("the plan is taken", async () => (await post(boxAddress(0), "/plan/change", JSON.stringify(planOf(routes)))) === 200);
-    await until("the last one holds it", async () => (await readPlan(boxAddress(last))).includes(`"r-${routes - 1}"`));
+    await until(
+      "the plan is taken",
+      async () =>
+        (await post(boxAddress(0), "/plan/change", JSON.stringify(planOf(routes)))) === 200,
+    );
+    await until("the last one holds it", async () =>
+      (await readPlan(boxAddress(last))).includes(`"r-${routes - 1}"`),
+    );
     boxes[last]?.end();
     if (isWiped) await rm(join(folder, String(last)), { recursive: true, force: true });
-    for (let at = 0; at < orders; at += 1) await until("the change is taken", async () => (await change(2 + at)) === 200);
+    for (let at = 0; at < orders; at += 1)
+      await until("the change is taken", async () => (await change(2 + at)) === 200);
     let version = 2 + orders;
     pulse = clock.every(SECOND / 2, () => void change((version += 1)));
     const back = new Host(300);
@@ -120,8 +189,16 @@
     const fromUs = machineUs();
     await startBox(back, last);
     const upUs = machineUs() - fromUs;
-    await until("it holds all", async () => (await readPlan(boxAddress(last))).includes(`"version":${1 + orders}`));
-    return { orders, routes, isWiped, processUpMs: round(upUs / MS), heldAllMs: round((machineUs() - fromUs) / MS) };
+    await until("it holds all", async () =>
+      (await readPlan(boxAddress(last))).includes(`"version":${1 + orders}`),
+    );
+    return {
+      orders,
+      routes,
+      isWiped,
+      processUpMs: round(upUs / MS),
+      heldAllMs: round((machineUs() - fromUs) / MS),
+    };
   } finally {
     pulse?.stop();
     boxes.forEach((box) => box.end());
@@ -130,22 +207,31 @@
 };
 
 const main = async (): Promise<void> => {
-  const cli = new Command("orders").description("measures what an operator's order costs the control side, over loopback");
+  const cli = new Command("orders").description(
+    "measures what an operator's order costs the control side, over loopback",
+  );
   cli
     .option("--boxes <n>", "real signalboxes, a process each", "4")
     .option("--orders <n>", "orders, one after the other, through each box in turn", "200")
     .option("--routes <n>", "routes that stand", "1400")
     .option("--seconds <n>", "for how long it is measured at rest", "10")
-    .option("--down", "measures instead how a signalbox that was down over these orders catches up, with its disk and without")
+    .option(
+      "--down",
+      "measures instead how a signalbox that was down over these orders catches up, with its disk and without",
+    )
     .option("--commit <id>", "the commit that is measured", "")
     .option("--out <file>", "where the result is written")
     .action(async (options: Readonly<Record<string, string | true>>) => {
       const given = (name: string) => Number(options[name]);
       const [orders, routes] = [given("orders"), given("routes")];
-      const measured = options["down"] === true ? { down: [await catchUp(orders, routes, false), await catchUp(orders, routes, true)] } : await measure(given("boxes"), orders, routes, given("seconds"));
+      const measured =
+        options["down"] === true
+          ? { down: [await catchUp(orders, routes, false), await catchUp(orders, routes, true)] }
+          : await measure(given("boxes"), orders, routes, given("seconds"));
       const result = { commit: options["commit"], node: process.version, ...measured };
       process.stdout.write(`${JSON.stringify(result)}\n`);
-      if (typeof options["out"] === "string") await writeFile(options["out"], `${JSON.stringify(result, undefined, 1)}\n`);
+      if (typeof options["out"] === "string")
+        await writeFile(options["out"], `${JSON.stringify(result, undefined, 1)}\n`);
     });
   await cli.parseAsync();
 };
--- a/testtrack/place.ts
+++ b/testtrack/place.ts
@@ -12,10 +12,17 @@
 process.env["TESTTRACK_NET"] = net;
 
 export const boxAddress = (at: number): string => `127.${net}.0.${at + 1}:${CONTROL_PORT}`;
-export const nodeIp = (at: number): string => `127.${net}.${Math.floor(at / 250) + 1}.${(at % 250) + 1}`;
+export const nodeIp = (at: number): string =>
+  `127.${net}.${Math.floor(at / 250) + 1}.${(at % 250) + 1}`;
 
 /** Settings of one program on loopback, with the bounds of a deployment of hundreds of machines. */
-export const settingsOf = (name: string, ip: string, cell: string, boxes: number, dataFolder: string): Settings => ({
+export const settingsOf = (
+  name: string,
+  ip: string,
+  cell: string,
+  boxes: number,
+  dataFolder: string,
+): Settings => ({
   name,
   cell,
   ip,
--- a/testtrack/run.ts
+++ b/testtrack/run.ts
@@ -32,9 +32,30 @@
 const planOf = (size: Size): string =>
   JSON.stringify({
     putItems: {
-      limits: { maxHeaderBytes: 16_384, maxBodyBytes: 1_048_576, headerWait: "3000ms", idle: "15000ms", version: 1 },
-      listeners: [{ host: "track.example", rules: [ruleOf("mark", 1, "s0"), ...Array.from({ length: size.routes - 1 }, (_none, at) => ruleOf(`r-${at}`, 1, `s${at % size.services}`))] }],
-      groups: Array.from({ length: size.services }, (_none, at) => ({ name: `s${at}`, statusPath: "/health", maxConnections: 1_300, version: 1 })),
+      limits: {
+        maxHeaderBytes: 16_384,
+        maxBodyBytes: 1_048_576,
+        headerWait: "3000ms",
+        idle: "15000ms",
+        version: 1,
+      },
+      listeners: [
+        {
+          host: "track.example",
+          rules: [
+            ruleOf("mark", 1, "s0"),
+            ...Array.from({ length: size.routes - 1 }, (_none, at) =>
+              ruleOf(`r-${at}`, 1, `s${at % size.services}`),
+            ),
+          ],
+        },
+      ],
+      groups: Array.from({ length: size.services }, (_none, at) => ({
+        name: `s${at}`,
+        statusPath: "/health",
+        maxConnections: 1_300,
+        version: 1,
+      })),
     },
     remove: { routes: [] },
   });
@@ -47,7 +68,12 @@
 }
 
 const sentOf = (told: Rec): Map<string, { frames: number; bytes: number }> =>
-  new Map(Object.entries(asRec(told["sent"])).map(([kind, counts]) => [kind, { frames: whole(asRec(counts), "frames"), bytes: whole(asRec(counts), "bytes") }]));
+  new Map(
+    Object.entries(asRec(told["sent"])).map(([kind, counts]) => [
+      kind,
+      { frames: whole(asRec(counts), "frames"), bytes: whole(asRec(counts), "bytes") },
+    ]),
+  );
 
 /** What processes did between two looks, all in all; memory as it is at the second. */
 const between = (before: readonly Rec[], after: readonly Rec[]): Sum => {
@@ -59,7 +85,10 @@
     const earlier = was ? sentOf(was) : new Map<string, { frames: number; bytes: number }>();
     sentOf(now).forEach(({ frames, bytes }, kind) => {
       const sum = sent[kind] ?? { frames: 0, bytes: 0 };
-      const rise = { frames: sum.frames + frames - (earlier.get(kind)?.frames ?? 0), bytes: sum.bytes + bytes - (earlier.get(kind)?.bytes ?? 0) };
+      const rise = {
+        frames: sum.frames + frames - (earlier.get(kind)?.frames ?? 0),
+        bytes: sum.bytes + bytes - (earlier.get(kind)?.bytes ?? 0),
+      };
       if (rise.frames > 0) sent[kind] = rise;
     });
   });
@@ -72,31 +101,84 @@
   const folder = await mkdtemp(join(tmpdir(), "testtrack-"));
   const boxes = Array.from({ length: size.boxes }, () => new Host(700));
   const hosts = Array.from({ length: size.hosts }, () => new Host(1_800));
-  const workers = Array.from({ length: size.workers > 0 ? Math.ceil(size.workers / 2_000) : 0 }, () => new Host(500));
+  const workers = Array.from(
+    { length: size.workers > 0 ? Math.ceil(size.workers / 2_000) : 0 },
+    () => new Host(500),
+  );
   try {
-    await Promise.all(boxes.map((box, at) => box.ask({ what: "box", at, boxes: size.boxes, folder: join(folder, String(at)) })));
-    await until("the plan is taken", async () => (await post(boxAddress(0), "/plan/change", planOf(size))) === 200);
-    const place = { cells: Math.min(CELLS, size.boxes), boxes: size.boxes, services: size.services };
+    await Promise.all(
+      boxes.map((box, at) =>
+        box.ask({ what: "box", at, boxes: size.boxes, folder: join(folder, String(at)) }),
+      ),
+    );
+    await until(
+      "the plan is taken",
+      async () => (await post(boxAddress(0), "/plan/change", planOf(size))) === 200,
+    );
+    const place = {
+      cells: Math.min(CELLS, size.boxes),
+      boxes: size.boxes,
+      services: size.services,
+    };
     const each = Math.ceil(size.workers / Math.max(1, workers.length));
-    await Promise.all(workers.map((host, at) => host.ask({ what: "workers", from: at * each, count: Math.min(each, size.workers - at * each), ...place })));
+    await Promise.all(
+      workers.map((host, at) =>
+        host.ask({
+          what: "workers",
+          from: at * each,
+          count: Math.min(each, size.workers - at * each),
+          ...place,
+        }),
+      ),
+    );
     const numbers = Array.from({ length: size.nodes }, (_none, at) => at);
-    await Promise.all(hosts.map((host, at) => host.ask({ what: "nodes", numbers: numbers.filter((number) => number % size.hosts === at), ...place })));
+    await Promise.all(
+      hosts.map((host, at) =>
+        host.ask({
+          what: "nodes",
+          numbers: numbers.filter((number) => number % size.hosts === at),
+          ...place,
+        }),
+      ),
+    );
     const wanted = { items: size.routes + size.services + 1, workers: size.workers };
-    const status = async (mark: number): Promise<{ readonly full: number; readonly marked: number; readonly standing: number; readonly lastMarkUs: number }> => {
-      const told = await Promise.all(hosts.map((host) => host.ask({ what: "status", mark, ...wanted })));
+    const status = async (
+      mark: number,
+    ): Promise<{
+      readonly full: number;
+      readonly marked: number;
+      readonly standing: number;
+      readonly lastMarkUs: number;
+    }> => {
+      const told = await Promise.all(
+        hosts.map((host) => host.ask({ what: "status", mark, ...wanted })),
+      );
       const sum = (field: string) => told.reduce((total, one) => total + whole(one, field), 0);
-      return { full: sum("full"), marked: sum("marked"), standing: sum("standing"), lastMarkUs: Math.max(...told.map((one) => whole(one, "lastMarkUs"))) };
+      return {
+        full: sum("full"),
+        marked: sum("marked"),
+        standing: sum("standing"),
+        lastMarkUs: Math.max(...told.map((one) => whole(one, "lastMarkUs"))),
+      };
     };
-    const joinedUs = await until("every node has all news", async () => (await status(0)).full === size.nodes, 180);
+    const joinedUs = await until(
+      "every node has all news",
+      async () => (await status(0)).full === size.nodes,
+      180,
+    );
     await rest(clock, size.settle * SECOND);
 
-    const look = (of: readonly Host[]) => Promise.all(of.map((host) => host.ask({ what: "measure" })));
+    const look = (of: readonly Host[]) =>
+      Promise.all(of.map((host) => host.ask({ what: "measure" })));
     const [boxesBefore, hostsBefore] = [await look(boxes), await look(hosts)];
     await rest(clock, size.seconds * SECOND);
     const [boxesRest, hostsRest] = [await look(boxes), await look(hosts)];
 
     const changedUs = machineUs();
-    const change = JSON.stringify({ putItems: { listeners: [{ host: "track.example", rules: [ruleOf("mark", 2, "s0")] }] }, remove: { routes: [] } });
+    const change = JSON.stringify({
+      putItems: { listeners: [{ host: "track.example", rules: [ruleOf("mark", 2, "s0")] }] },
+      remove: { routes: [] },
+    });
     const answered = await post(boxAddress(1 % size.boxes), "/plan/change", change);
     const acknowledgedUs = machineUs();
     await until("every node has the change", async () => (await status(2)).marked === size.nodes);
@@ -105,22 +187,46 @@
     const [boxesChanged, hostsChanged] = [await look(boxes), await look(hosts)];
 
     const restartedFromUs = machineUs();
-    const restarted = (await Promise.all(hosts.map((host) => host.ask({ what: "restart", every: 7 })))).reduce((sum, told) => sum + whole(told, "restarted"), 0);
-    await until("every restarted node has all news", async () => (await status(0)).full === size.nodes, 120);
+    const restarted = (
+      await Promise.all(hosts.map((host) => host.ask({ what: "restart", every: 7 })))
+    ).reduce((sum, told) => sum + whole(told, "restarted"), 0);
+    await until(
+      "every restarted node has all news",
+      async () => (await status(0)).full === size.nodes,
+      120,
+    );
     const restartUs = machineUs() - restartedFromUs;
     const boxesRestarted = await look(boxes);
 
     const killedUs = machineUs();
     boxes[boxes.length - 1]?.end();
     await rest(clock, 1_500 * MS);
-    await until("every node has a session again", async () => (await status(0)).standing === size.nodes, 120);
+    await until(
+      "every node has a session again",
+      async () => (await status(0)).standing === size.nodes,
+      120,
+    );
     const killUs = machineUs() - killedUs;
     return {
       size,
       joinedUs,
-      atRest: { seconds: size.seconds, boxes: between(boxesBefore, boxesRest), nodes: between(hostsBefore, hostsRest) },
-      change: { status: answered, acknowledgedUs: acknowledgedUs - changedUs, lastNodeUs: lastMarkUs - acknowledgedUs, boxes: between(boxesRest, boxesChanged), nodes: between(hostsRest, hostsChanged) },
-      restart: { nodes: restarted, tookUs: restartUs, boxes: between(boxesChanged, boxesRestarted) },
+      atRest: {
+        seconds: size.seconds,
+        boxes: between(boxesBefore, boxesRest),
+        nodes: between(hostsBefore, hostsRest),
+      },
+      change: {
+        status: answered,
+        acknowledgedUs: acknowledgedUs - changedUs,
+        lastNodeUs: lastMarkUs - acknowledgedUs,
+        boxes: between(boxesRest, boxesChanged),
+        nodes: between(hostsRest, hostsChanged),
+      },
+      restart: {
+        nodes: restarted,
+        tookUs: restartUs,
+        boxes: between(boxesChanged, boxesRestarted),
+      },
       boxKilled: { tookUs: killUs },
       loadAverage: loadavg()[0] ?? 0,
     };
@@ -134,15 +240,20 @@
 /** What is wrong with the sizes asked for, in one line; undefined if they fit the machine. */
 export const problemOf = (sizes: readonly Size[]): string | undefined => {
   for (const { nodes, workers, routes, services, boxes, hosts } of sizes) {
-    const whole = Object.entries({ nodes, routes, services, boxes, hosts }).find(([, value]) => !Number.isSafeInteger(value) || value < 1);
+    const whole = Object.entries({ nodes, routes, services, boxes, hosts }).find(
+      ([, value]) => !Number.isSafeInteger(value) || value < 1,
+    );
     if (whole) return `${whole[0]} must be a whole number of 1 or more`;
-    if (!Number.isSafeInteger(workers) || workers < 0) return "workers must be a whole number of 0 or more";
+    if (!Number.isSafeInteger(workers) || workers < 0)
+      return "workers must be a whole number of 0 or more";
     if (nodes > MOST_NODES) return `${nodes} nodes are more than ${MOST_NODES}`;
     if (workers > MOST_WORKERS) return `${workers} workers are more than ${MOST_WORKERS}`;
     const processes = boxes + hosts + Math.ceil(workers / 2_000);
     if (processes > MOST_PROCESSES) return `${processes} processes are more than ${MOST_PROCESSES}`;
-    const neededMb = boxes * 150 + hosts * 100 + (nodes * (workers + routes + services) * 1.2) / 1_024;
-    if (neededMb > (totalmem() / 2 ** 20) * MEMORY_PART) return `about ${Math.round(neededMb)} MB are more than half of this machine's memory`;
+    const neededMb =
+      boxes * 150 + hosts * 100 + (nodes * (workers + routes + services) * 1.2) / 1_024;
+    if (neededMb > (totalmem() / 2 ** 20) * MEMORY_PART)
+      return `about ${Math.round(neededMb)} MB are more than half of this machine's memory`;
   }
   return undefined;
 };
@@ -150,7 +261,9 @@
 const FIELDS = ["nodes", "workers", "routes", "services"] as const;
 
 const main = async (): Promise<void> => {
-  const cli = new Command("testtrack").description("measures how the control side grows: real signalboxes, hollow nodes and workers, over loopback");
+  const cli = new Command("testtrack").description(
+    "measures how the control side grows: real signalboxes, hollow nodes and workers, over loopback",
+  );
   cli
     .argument("<what>", `what grows: ${FIELDS.join(", ")}`)
     .argument("<sizes...>", "its sizes, such as 100 300 1000 3000")
@@ -167,16 +280,31 @@
     .action(async (what: string, sizes: string[], options: Readonly<Record<string, string>>) => {
       const field = FIELDS.find((one) => one === what);
       const given = (name: string) => Number(options[name]);
-      const base: Size = { nodes: given("nodes"), workers: given("workers"), routes: given("routes"), services: given("services"), boxes: given("boxes"), hosts: given("hosts"), seconds: given("seconds"), settle: given("settle") };
-      const all = field === undefined ? [] : sizes.map((size): Size => ({ ...base, [field]: Number(size) }));
-      const problem = field === undefined ? `${what} is none of ${FIELDS.join(", ")}` : problemOf(all);
+      const base: Size = {
+        nodes: given("nodes"),
+        workers: given("workers"),
+        routes: given("routes"),
+        services: given("services"),
+        boxes: given("boxes"),
+        hosts: given("hosts"),
+        seconds: given("seconds"),
+        settle: given("settle"),
+      };
+      const all =
+        field === undefined ? [] : sizes.map((size): Size => ({ ...base, [field]: Number(size) }));
+      const problem =
+        field === undefined ? `${what} is none of ${FIELDS.join(", ")}` : problemOf(all);
       if (problem !== undefined) {
         process.stderr.write(`testtrack: ${problem}.\n`);
         process.exitCode = 2;
         return;
       }
       const results: Rec[] = [];
-      const machine = { cores: cpus().length, memoryGb: Math.round(totalmem() / 2 ** 30), node: process.version };
+      const machine = {
+        cores: cpus().length,
+        memoryGb: Math.round(totalmem() / 2 ** 30),
+        node: process.version,
+      };
       for (const size of all) {
         try {
           results.push(await runSize(size));
@@ -184,8 +312,14 @@
           results.push({ size, failed: mishap instanceof Error ? mishap.message : String(mishap) });
         }
         const last = results[results.length - 1];
-        process.stdout.write(`${JSON.stringify(isRec(last) ? { size: last["size"], failed: last["failed"], change: isRec(last["change"]) ? last["change"]["lastNodeUs"] : undefined } : {})}\n`);
-        if (options["out"] !== undefined) await writeFile(options["out"], `${JSON.stringify({ commit: options["commit"], machine, command: process.argv.slice(2).join(" "), what, results }, undefined, 1)}\n`);
+        process.stdout.write(
+          `${JSON.stringify(isRec(last) ? { size: last["size"], failed: last["failed"], change: isRec(last["change"]) ? last["change"]["lastNodeUs"] : undefined } : {})}\n`,
+        );
+        if (options["out"] !== undefined)
+          await writeFile(
+            options["out"],
+            `${JSON.stringify({ commit: options["commit"], machine, command: process.argv.slice(2).join(" "), what, results }, undefined, 1)}\n`,
+          );
       }
     });
   await cli.parseAsync();
--- a/testtrack/table.ts
+++ b/testtrack/table.ts
@@ -11,12 +11,26 @@
 const at = (rec: Rec, path: string): number => {
   const fields = path.split(".");
   const last = fields.pop() ?? "";
-  return whole(fields.reduce<Rec>((inner, field) => asRec(inner[field]), rec), last);
+  return whole(
+    fields.reduce<Rec>((inner, field) => asRec(inner[field]), rec),
+    last,
+  );
 };
 
-const framesOf = (rec: Rec, path: string, what: "frames" | "bytes", kinds?: readonly string[]): number => {
-  const sent = asRec(path.split(".").reduce<Rec>((inner, field) => asRec(inner[field]), rec)["sent"]);
-  return Object.entries(sent).reduce((sum, [kind, counts]) => (kinds && !kinds.includes(kind) ? sum : sum + whole(asRec(counts), what)), 0);
+const framesOf = (
+  rec: Rec,
+  path: string,
+  what: "frames" | "bytes",
+  kinds?: readonly string[],
+): number => {
+  const sent = asRec(
+    path.split(".").reduce<Rec>((inner, field) => asRec(inner[field]), rec)["sent"],
+  );
+  return Object.entries(sent).reduce(
+    (sum, [kind, counts]) =>
+      kinds && !kinds.includes(kind) ? sum : sum + whole(asRec(counts), what),
+    0,
+  );
 };
 
 const perS = (result: Rec): number => at(result, "atRest.seconds");
@@ -25,23 +39,54 @@
 
 /** What is read from each size, with its unit. */
 const FIGURES: readonly (readonly [string, (result: Rec) => number])[] = [
-  ["signalbox, processor at rest, % of a core (mean of all)", (r) => at(r, "atRest.boxes.cpuUs") / 10_000 / perS(r) / boxes(r)],
-  ["signalbox, messages sent a second (mean of all)", (r) => framesOf(r, "atRest.boxes", "frames") / perS(r) / boxes(r)],
-  ["signalbox, KB sent a second (mean of all)", (r) => framesOf(r, "atRest.boxes", "bytes") / 1_024 / perS(r) / boxes(r)],
+  [
+    "signalbox, processor at rest, % of a core (mean of all)",
+    (r) => at(r, "atRest.boxes.cpuUs") / 10_000 / perS(r) / boxes(r),
+  ],
+  [
+    "signalbox, messages sent a second (mean of all)",
+    (r) => framesOf(r, "atRest.boxes", "frames") / perS(r) / boxes(r),
+  ],
+  [
+    "signalbox, KB sent a second (mean of all)",
+    (r) => framesOf(r, "atRest.boxes", "bytes") / 1_024 / perS(r) / boxes(r),
+  ],
   ["signalbox, resident MB (largest)", (r) => at(r, "atRest.boxes.rssMb")],
   ["signalbox, heap MB (largest)", (r) => at(r, "atRest.boxes.heapMb")],
-  ["node, processor at rest, % of a core", (r) => at(r, "atRest.nodes.cpuUs") / 10_000 / perS(r) / nodes(r)],
-  ["node, KB sent a second at rest", (r) => framesOf(r, "atRest.nodes", "bytes") / 1_024 / perS(r) / nodes(r)],
+  [
+    "node, processor at rest, % of a core",
+    (r) => at(r, "atRest.nodes.cpuUs") / 10_000 / perS(r) / nodes(r),
+  ],
+  [
+    "node, KB sent a second at rest",
+    (r) => framesOf(r, "atRest.nodes", "bytes") / 1_024 / perS(r) / nodes(r),
+  ],
   ["one change, ms to its acknowledgement", (r) => at(r, "change.acknowledgedUs") / 1_000],
   ["one change, ms from there to the last node", (r) => at(r, "change.lastNodeUs") / 1_000],
-  ["one change, news frames in all", (r) => framesOf(r, "change.boxes", "frames", ["news"]) + framesOf(r, "change.nodes", "frames", ["news"])],
+  [
+    "one change, news frames in all",
+    (r) =>
+      framesOf(r, "change.boxes", "frames", ["news"]) +
+      framesOf(r, "change.nodes", "frames", ["news"]),
+  ],
   ["all nodes join at once, s", (r) => at(r, "joinedUs") / 1_000_000],
   ["a seventh restarts, s until all have all news", (r) => at(r, "restart.tookUs") / 1_000_000],
-  ["a seventh restarts, signalboxes' processor ms a node", (r) => at(r, "restart.boxes.cpuUs") / 1_000 / at(r, "restart.nodes")],
-  ["a signalbox is killed, s until every node has a session", (r) => at(r, "boxKilled.tookUs") / 1_000_000],
+  [
+    "a seventh restarts, signalboxes' processor ms a node",
+    (r) => at(r, "restart.boxes.cpuUs") / 1_000 / at(r, "restart.nodes"),
+  ],
+  [
+    "a signalbox is killed, s until every node has a session",
+    (r) => at(r, "boxKilled.tookUs") / 1_000_000,
+  ],
 ];
 
-const round = (value: number): string => (Math.abs(value) >= 100 ? value.toFixed(0) : Math.abs(value) >= 1 ? value.toFixed(2) : value.toPrecision(2));
+const round = (value: number): string =>
+  Math.abs(value) >= 100
+    ? value.toFixed(0)
+    : Math.abs(value) >= 1
+      ? value.toFixed(2)
+      : value.toPrecision(2);
 
 const rowOf = (name: string, points: readonly Point[]): string => {
   const pairs = points.map(({ x, y }) => [x, y]);
@@ -55,19 +100,29 @@
   const what = text(file, "what");
   const all = list(file, "results", (value) => asRec(value));
   const good = all.filter((result) => result["failed"] === undefined);
-  const failed = all.filter((result) => result["failed"] !== undefined).map((result) => `${at(result, `size.${what}`)}: ${text(result, "failed")}`);
+  const failed = all
+    .filter((result) => result["failed"] !== undefined)
+    .map((result) => `${at(result, `size.${what}`)}: ${text(result, "failed")}`);
   const sizes = good.map((result) => at(result, `size.${what}`));
   const loads = good.map((result) => round(at(result, "loadAverage")));
-  const others = Object.entries(asRec(good[0]?.["size"] ?? {})).filter(([field]) => field !== what).map(([field, value]) => `${field} ${String(value)}`);
+  const others = Object.entries(asRec(good[0]?.["size"] ?? {}))
+    .filter(([field]) => field !== what)
+    .map(([field, value]) => `${field} ${String(value)}`);
   return [
     `**By ${what}** (${sizes.join(" / ")}; ${others.join(", ")}; commit ${text(file, "commit")}; load of the machine ${loads.join(" / ")})`,
     "",
     `| figure | measured | line through it, x = ${what} | R2 | farthest point from it |`,
     "|---|---|---|---|---|",
-    ...FIGURES.map(([name, read]) => rowOf(name, good.map((result) => ({ x: at(result, `size.${what}`), y: read(result) })))),
+    ...FIGURES.map(([name, read]) =>
+      rowOf(
+        name,
+        good.map((result) => ({ x: at(result, `size.${what}`), y: read(result) })),
+      ),
+    ),
     ...(failed.length > 0 ? ["", ...failed.map((why) => `Failed at ${why}.`)] : []),
     "",
   ].join("\n");
 };
 
-for (const path of process.argv.slice(2)) process.stdout.write(`${tableOf(asRec(parseJson(await readFile(path, "utf8"))))}\n`);
+for (const path of process.argv.slice(2))
+  process.stdout.write(`${tableOf(asRec(parseJson(await readFile(path, "utf8"))))}\n`);
