--- a/features/steps/retries.ts
+++ b/features/steps/retries.ts
@@ -113,12 +113,10 @@
         const [service, kind, tokens] = asList(value);
         const known = KINDS.find((one) => one === textOf(kind));
         assert.ok(known);
-        node.budgets
-          .of(textOf(service), known)
-          .take({
-            tokens: numberOf(tokens) * (isDoubled ? 2 : 1),
-            endUs: askedUs + RETRY_LEASE_US,
-          });
+        node.budgets.of(textOf(service), known).take({
+          tokens: numberOf(tokens) * (isDoubled ? 2 : 1),
+          endUs: askedUs + RETRY_LEASE_US,
+        });
       });
     });
   });
--- a/simulator/checks.ts
+++ b/simulator/checks.ts
@@ -61,15 +61,13 @@
 const oneBody: Check = (outcome) => {
   const { history } = outcome;
   const known = new Map<string, { readonly digest: string; readonly where: string }>();
-  const confirmed = history.attempts
-    .filter(isAcknowledged)
-    .flatMap((attempt) =>
-      (history.orders.get(attempt.order) ?? []).map((register) => ({
-        register,
-        where: `order ${attempt.order} confirmed by ${attempt.box}`,
-        atUs: attempt.toUs,
-      })),
-    );
+  const confirmed = history.attempts.filter(isAcknowledged).flatMap((attempt) =>
+    (history.orders.get(attempt.order) ?? []).map((register) => ({
+      register,
+      where: `order ${attempt.order} confirmed by ${attempt.box}`,
+      atUs: attempt.toUs,
+    })),
+  );
   for (const { register, where, atUs } of [...confirmed, ...inForce(outcome)]) {
     const before = known.get(nameOf(register));
     if (!before)
--- a/src/programs/pointsman.ts
+++ b/src/programs/pointsman.ts
@@ -151,16 +151,14 @@
       act: async () => ({
         outcome: "taken",
         body: {
-          workers: yard
-            .all()
-            .map((worker) => ({
-              id: worker.id,
-              service: worker.service,
-              cell: worker.cell,
-              state: worker.state,
-              usage: worker.usage(0),
-              ejected: yard.isEjected(worker),
-            })),
+          workers: yard.all().map((worker) => ({
+            id: worker.id,
+            service: worker.service,
+            cell: worker.cell,
+            state: worker.state,
+            usage: worker.usage(0),
+            ejected: yard.isEjected(worker),
+          })),
         },
       }),
     },
--- a/src/programs/signalbox.ts
+++ b/src/programs/signalbox.ts
@@ -266,15 +266,13 @@
     isHolder: duty.isHolder,
     workers: () => {
       const ejected = new Set(decisions().ejections.map(({ worker }) => worker));
-      return registry
-        .all()
-        .map((beat) => ({
-          id: beat.id,
-          service: beat.service,
-          cell: beat.cell,
-          capacity: beat.capacity,
-          isUsed: beat.state === "ready" && !ejected.has(beat.id),
-        }));
+      return registry.all().map((beat) => ({
+        id: beat.id,
+        service: beat.service,
+        cell: beat.cell,
+        capacity: beat.capacity,
+        isUsed: beat.state === "ready" && !ejected.has(beat.id),
+      }));
     },
     nodes: () => sessions.crew().pointsmen,
     published: verdicts,
@@ -300,14 +298,12 @@
     setShift: inspector.setShift,
     cells: () => cells(),
     workers: () =>
-      registry
-        .all()
-        .map(({ cell, service, capacity, state }) => ({
-          cell,
-          service,
-          capacity,
-          isReady: state === "ready",
-        })),
+      registry.all().map(({ cell, service, capacity, state }) => ({
+        cell,
+        service,
+        capacity,
+        isReady: state === "ready",
+      })),
     longestBudgetUs: splitRoutes.longestGiveUpUs,
     isBorne: (cell) => {
       const stands = (id: string) => colleagues.stands(id) && colleagues.cellOf(id) !== cell;
