--- a/hunts/days.ts
+++ b/chaos/days.ts
@@ -212,7 +212,7 @@
 /** The day as a file, one entry a line. */
 export const writeDay = (day: Day, site: Site, from: string): string =>
   [
-    `# Drawn for ${site.name} by \`npm run hunts -- days\`, ${from}.`,
+    `# Drawn for ${site.name} by \`npm run chaos -- days\`, ${from}.`,
     `name = ${JSON.stringify(day.name)}`,
     `seed = ${day.seed}`,
     `length_s = ${day.length_s}`,
--- a/hunts/journal.ts
+++ b/chaos/journal.ts
@@ -1,4 +1,4 @@
-import { asRec, flag, isRec, list, text, textOf, whole, type Rec } from "../src/trackbed/shape.js";
+import { asRec, flag, isRec, list, text, textOf, whole, type Rec } from "../src/common/decode.js";
 
 /** A day as one journal entry tells of it. `key` is the same for every play of one day at one size: deployment, name, seed,
  * full or small. `broken` are rules with how often, and what else failed the gate, in the entry's own words. */
--- a/hunts/run.ts
+++ b/chaos/run.ts
@@ -3,7 +3,7 @@
 import { text as textOfStream } from "node:stream/consumers";
 import { Command } from "commander";
 import { parse } from "smol-toml";
-import { asRec, list, parseJson, ShapeMishap, text } from "../src/trackbed/shape.js";
+import { asRec, list, parseJson, ShapeMishap, text } from "../src/common/decode.js";
 import { drawDay, seedsOf, writeDay, type Site } from "./days.js";
 import { readEntry, type Played, type Unplayed } from "./journal.js";
 import { parseKinds } from "./kinds.js";
@@ -157,12 +157,12 @@
     await work;
   } catch (mishap) {
     if (!(mishap instanceof HuntsMishap) && !(mishap instanceof ShapeMishap)) throw mishap;
-    process.stderr.write(`hunts: ${mishap.message}.\n`);
+    process.stderr.write(`chaos: ${mishap.message}.\n`);
     process.exitCode = 2;
   }
 };
 
-const cli = new Command("hunts").description(
+const cli = new Command("chaos").description(
   "days of our own for the bench, and the table of what was hunted",
 );
 cli
@@ -183,7 +183,7 @@
   .command("table")
   .description("makes docs/hunts.md from the journal")
   .option("--journal <folder>", "the journal's folder", "journal")
-  .option("--notes <file>", "what became of broken rules", "hunts/notes.toml")
+  .option("--notes <file>", "what became of broken rules", "chaos/notes.toml")
   .option("--out <file>", "the page", "docs/hunts.md")
   .option("--since <time>", "leaves out runs that began before it", "")
   .option("--json", "tells the sums as JSON")
--- a/hunts/table.ts
+++ b/chaos/table.ts
@@ -1,7 +1,7 @@
-import { asRec, list, text } from "../src/trackbed/shape.js";
+import { asRec, list, text } from "../src/common/decode.js";
 import type { Played, Unplayed } from "./journal.js";
 
-/** What is known of a broken rule, from hunts/notes.toml: which day (its key begins so), which rule, what became of it and where it is told. */
+/** What is known of a broken rule, from chaos/notes.toml: which day (its key begins so), which rule, what became of it and where it is told. */
 export interface Note {
   readonly day: string;
   readonly rule: string;
@@ -165,9 +165,9 @@
   return [
     "# Hunts",
     "",
-    "Made from `journal/` and `hunts/notes.toml` by `npm run hunts -- table`; all figures are simulated. Days are counted once,",
-    "however often they were played, as *full + small twins*; a day with other luck is another day. *Own* are days of `hunts/days/`",
-    "or drawn by `npm run hunts -- days`, *bench's* are those of its hunts, *standard* those of scores, single runs, incidents and",
+    "Made from `journal/` and `chaos/notes.toml` by `npm run chaos -- table`; all figures are simulated. Days are counted once,",
+    "however often they were played, as *full + small twins*; a day with other luck is another day. *Own* are days of `chaos/days/`",
+    "or drawn by `npm run chaos -- days`, *bench's* are those of its hunts, *standard* those of scores, single runs, incidents and",
     "replays. *Unbroken* is how many plays in a row, up to the newest, broke nothing. A broken rule is *mended* only if a note says",
     "so and the same day, played again, holds it; else it is *left*. A day that was given up or played in part is not counted.",
     "*Uncharged* are plays in which processor time cost nothing (`--no-cpu`).",
--- a/eslint.config.js
+++ b/eslint.config.js
@@ -27,10 +27,10 @@
         project: [
           "./tsconfig.json",
           "./features/tsconfig.json",
-          "./testtrack/tsconfig.json",
+          "./scalability/tsconfig.json",
           "./fuzz/tsconfig.json",
           "./simulator/tsconfig.json",
-          "./hunts/tsconfig.json",
+          "./chaos/tsconfig.json",
         ],
         tsconfigRootDir: import.meta.dirname,
       },
@@ -44,20 +44,23 @@
     },
   },
   {
-    files: ["src/traction/**"],
+    files: ["src/proxy/**"],
     rules: {
       "no-restricted-imports": [
         "error",
         {
           patterns: [
-            { group: ["**/interlocking/**"], message: "traction never imports interlocking." },
+            {
+              group: ["**/consensus/**", "**/storage/**"],
+              message: "proxy never imports consensus or storage.",
+            },
           ],
         },
       ],
     },
   },
   {
-    files: ["src/trackbed/**"],
+    files: ["src/common/**"],
     rules: {
       "no-restricted-imports": [
         "error",
@@ -65,12 +68,14 @@
           patterns: [
             {
               group: [
-                "**/interlocking/**",
-                "**/traction/**",
-                "**/signalling/**",
-                "**/inspection/**",
+                "**/consensus/**",
+                "**/storage/**",
+                "**/proxy/**",
+                "**/membership/**",
+                "**/transport/**",
+                "**/health/**",
               ],
-              message: "trackbed imports nothing of the others.",
+              message: "common imports nothing of the other layers.",
             },
           ],
         },
--- a/features/steps/archive.ts
+++ b/features/steps/archive.ts
@@ -12,9 +12,9 @@
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import { After, Given, Then, When } from "@cucumber/cucumber";
-import { Archive, type Loaded } from "../../src/interlocking/archive.js";
-import { FileDisk, type Disk } from "../../src/interlocking/disk.js";
-import type { Rec } from "../../src/trackbed/shape.js";
+import { Archive, type Loaded } from "../../src/storage/write-ahead-log.js";
+import { FileDisk, type Disk } from "../../src/storage/file-system.js";
+import type { Rec } from "../../src/common/decode.js";
 import { FaultyDisk, randomOf } from "../support/faulty-disk.js";
 
 type State = Map<string, Rec>;
--- a/features/steps/contact.ts
+++ b/features/steps/contact.ts
@@ -1,14 +1,14 @@
 import assert from "node:assert/strict";
 import { request as httpRequest } from "node:http";
 import { After, Given, Then, When } from "@cucumber/cucumber";
-import type { Running } from "../../src/programs/running.js";
-import { runSignalbox } from "../../src/programs/signalbox.js";
-import { Board } from "../../src/signalling/board.js";
-import { readBeat, Registry } from "../../src/signalling/registry.js";
-import { Taker } from "../../src/signalling/taker.js";
-import { Asks } from "../../src/trackbed/asks.js";
-import { setLogLevel, silentLog } from "../../src/trackbed/log.js";
-import { checkSettings, splitAddress, type Settings } from "../../src/trackbed/settings.js";
+import type { Running } from "../../src/programs/running-program.js";
+import { runSignalbox } from "../../src/programs/controller/controller.js";
+import { Board } from "../../src/membership/update-store.js";
+import { readBeat, Registry } from "../../src/membership/worker-registry.js";
+import { Taker } from "../../src/membership/update-subscriber.js";
+import { Asks } from "../../src/transport/pending-requests.js";
+import { setLogLevel, silentLog } from "../../src/common/logger.js";
+import { checkSettings, splitAddress, type Settings } from "../../src/common/settings.js";
 import {
   asList,
   asRec,
@@ -17,8 +17,8 @@
   parseJson,
   text,
   type Rec,
-} from "../../src/trackbed/shape.js";
-import { dial, sentFrames, type Message, type Wire } from "../../src/trackbed/wire.js";
+} from "../../src/common/decode.js";
+import { dial, sentFrames, type Message, type Wire } from "../../src/transport/connection.js";
 import { CuttableNet } from "../support/cuttable-net.js";
 import { ManualClock, settle } from "../support/manual-clock.js";
 
--- a/features/steps/forecast.ts
+++ b/features/steps/forecast.ts
@@ -1,10 +1,14 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
-import { Forecaster, FORECAST_TERMS, type ForecastName } from "../../src/inspection/forecast.js";
-import { UsageCounts } from "../../src/inspection/usage-counts.js";
-import { silentLog } from "../../src/trackbed/log.js";
-import { asList, asRec } from "../../src/trackbed/shape.js";
-import type { Message } from "../../src/trackbed/wire.js";
+import {
+  Forecaster,
+  FORECAST_TERMS,
+  type ForecastName,
+} from "../../src/health/capacity-forecast.js";
+import { UsageCounts } from "../../src/health/load-counters.js";
+import { silentLog } from "../../src/common/logger.js";
+import { asList, asRec } from "../../src/common/decode.js";
+import type { Message } from "../../src/transport/connection.js";
 import { ManualClock } from "../support/manual-clock.js";
 
 const seeded = (seed: number): (() => number) => {
--- a/features/steps/goods.ts
+++ b/features/steps/goods.ts
@@ -1,10 +1,10 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
-import { Copies, type Copy } from "../../src/goods/copies.js";
-import { cutOf } from "../../src/goods/range.js";
-import { GRANT_LASTS_US, RateOffice, RateShare } from "../../src/goods/rate.js";
-import { Store, type Found, type Want } from "../../src/goods/store.js";
-import { rest } from "../../src/trackbed/clock.js";
+import { Copies, type Copy } from "../../src/cache/cached-objects.js";
+import { cutOf } from "../../src/cache/byte-range.js";
+import { GRANT_LASTS_US, RateOffice, RateShare } from "../../src/quota/rate-limiter.js";
+import { Store, type Found, type Want } from "../../src/cache/object-store.js";
+import { rest } from "../../src/common/clock.js";
 import { ManualClock } from "../support/manual-clock.js";
 
 interface Asked {
--- a/features/steps/hunts.ts
+++ b/features/steps/hunts.ts
@@ -5,7 +5,7 @@
 import { join } from "node:path";
 import { After, Given, Then, When } from "@cucumber/cucumber";
 import { parse } from "smol-toml";
-import { asRec, list, parseJson, text, textOf, whole, type Rec } from "../../src/trackbed/shape.js";
+import { asRec, list, parseJson, text, textOf, whole, type Rec } from "../../src/common/decode.js";
 
 const KINDS = `Each entry has 'at' and 'kind'. for_s: how long (5).
 For servers, 'how' may also hold across (of all copies) and all (none is spared). For machines, 'how' may also hold leader (the one (of all) that acted last), or seed. After these may stand meet (a change is sent), race (two such), hard (again) and, for roll_term, busy (while it answers).
@@ -45,7 +45,7 @@
   new Promise((resolve) => {
     execFile(
       process.execPath,
-      ["target/hunts/hunts/run.js", ...args],
+      ["target/chaos/chaos/run.js", ...args],
       { maxBuffer: 16 * 2 ** 20 },
       (mishap, out, errorLines) => {
         code = mishap && typeof mishap.code === "number" ? mishap.code : 0;
--- a/features/steps/inspection.ts
+++ b/features/steps/inspection.ts
@@ -7,16 +7,16 @@
   type OutcomeKind,
   type Tally,
   type TrialVerdict,
-} from "../../src/inspection/evidence.js";
-import { Inspector, NO_DECISIONS, type Decisions } from "../../src/inspection/inspector.js";
-import { TERMS } from "../../src/inspection/ranking.js";
+} from "../../src/health/sequential-test.js";
+import { Inspector, NO_DECISIONS, type Decisions } from "../../src/health/outlier-detector.js";
+import { TERMS } from "../../src/health/outlier-ranking.js";
 import {
   NO_ROLLOUTS,
   RolloutInspector,
   type RolloutState,
   type SplitRoute,
-} from "../../src/inspection/rollout-inspector.js";
-import { silentLog } from "../../src/trackbed/log.js";
+} from "../../src/health/canary-analysis.js";
+import { silentLog } from "../../src/common/logger.js";
 import { seeded } from "../support/fleet.js";
 import { ManualClock } from "../support/manual-clock.js";
 
--- a/features/steps/keys.ts
+++ b/features/steps/keys.ts
@@ -2,7 +2,7 @@
 import { appendFile, readdir } from "node:fs/promises";
 import { join } from "node:path";
 import { After, Given, Then, When } from "@cucumber/cucumber";
-import type { KeyVerdict } from "../../src/interlocking/keys.js";
+import type { KeyVerdict } from "../../src/idempotency/key-replication.js";
 import { Copies } from "../support/copies.js";
 
 interface Try {
--- a/features/steps/looks.ts
+++ b/features/steps/looks.ts
@@ -1,11 +1,11 @@
 import assert from "node:assert/strict";
 import { After, Given, Then, When } from "@cucumber/cucumber";
-import { Board } from "../../src/signalling/board.js";
-import { Switchboard } from "../../src/signalling/switchboard.js";
-import { Taker } from "../../src/signalling/taker.js";
-import { silentLog } from "../../src/trackbed/log.js";
-import { MS } from "../../src/trackbed/span.js";
-import type { Wire } from "../../src/trackbed/wire.js";
+import { Board } from "../../src/membership/update-store.js";
+import { Switchboard } from "../../src/transport/listener.js";
+import { Taker } from "../../src/membership/update-subscriber.js";
+import { silentLog } from "../../src/common/logger.js";
+import { MS } from "../../src/common/duration.js";
+import type { Wire } from "../../src/transport/connection.js";
 import { ManualClock } from "../support/manual-clock.js";
 
 const PORT = 17_480;
--- a/features/steps/moves.ts
+++ b/features/steps/moves.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
-import { checkForecast, readKept } from "../../src/programs/backends-check.js";
-import { CallCounts } from "../../src/traction/call-counts.js";
+import { checkForecast, readKept } from "../../src/programs/ctl/forecast-check.js";
+import { CallCounts } from "../../src/proxy/request-counters.js";
 import {
   bandOf,
   forecastMoves,
@@ -9,8 +9,8 @@
   unevennessOf,
   type BackendChange,
   type MoveRow,
-} from "../../src/traction/move-forecast.js";
-import { isRec } from "../../src/trackbed/shape.js";
+} from "../../src/proxy/reassignment-forecast.js";
+import { isRec } from "../../src/common/decode.js";
 import { FLEET_TERMS, SimFleet, type FleetTerms, type SimNode } from "../support/fleet.js";
 
 interface Seen {
--- a/features/steps/plan.ts
+++ b/features/steps/plan.ts
@@ -1,11 +1,11 @@
 import assert from "node:assert/strict";
 import { After, Given, Then, When } from "@cucumber/cucumber";
-import { layOut, readCall, unknownService } from "../../src/interlocking/check.js";
-import { Archive } from "../../src/interlocking/archive.js";
-import { Copy as State } from "../../src/interlocking/copy.js";
-import { makeRegister, type Register } from "../../src/interlocking/register.js";
-import type { LedgerMishap } from "../../src/interlocking/ledger.js";
-import { asRec, parseJson, type Rec } from "../../src/trackbed/shape.js";
+import { layOut, readCall, unknownService } from "../../src/config/validation.js";
+import { Archive } from "../../src/storage/write-ahead-log.js";
+import { Copy as State } from "../../src/consensus/replica.js";
+import { makeRegister, type Register } from "../../src/consensus/register.js";
+import type { LedgerMishap } from "../../src/consensus/replicated-store.js";
+import { asRec, parseJson, type Rec } from "../../src/common/decode.js";
 import { Copies, STATE_FOLDER, type Copy } from "../support/copies.js";
 import { settle } from "../support/manual-clock.js";
 
--- a/features/steps/relay.ts
+++ b/features/steps/relay.ts
@@ -1,12 +1,12 @@
 import assert from "node:assert/strict";
 import { After, Given, Then, When } from "@cucumber/cucumber";
-import { Board } from "../../src/signalling/board.js";
-import { Feeder } from "../../src/signalling/feeder.js";
-import { FAN_OUT, Sessions } from "../../src/signalling/sessions.js";
-import { Switchboard } from "../../src/signalling/switchboard.js";
-import { Taker } from "../../src/signalling/taker.js";
-import { silentLog } from "../../src/trackbed/log.js";
-import type { Message, Wire } from "../../src/trackbed/wire.js";
+import { Board } from "../../src/membership/update-store.js";
+import { Feeder } from "../../src/membership/update-publisher.js";
+import { FAN_OUT, Sessions } from "../../src/membership/node-sessions.js";
+import { Switchboard } from "../../src/transport/listener.js";
+import { Taker } from "../../src/membership/update-subscriber.js";
+import { silentLog } from "../../src/common/logger.js";
+import type { Message, Wire } from "../../src/transport/connection.js";
 import { ManualClock } from "../support/manual-clock.js";
 
 interface Node {
--- a/features/steps/retries.ts
+++ b/features/steps/retries.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
-import { RETRY_LEASE_US, RetryOffice } from "../../src/interlocking/retry-office.js";
-import { RetryBudgets } from "../../src/traction/retry-budget.js";
-import { RetryKeeper } from "../../src/traction/retry-keeper.js";
-import { silentLog } from "../../src/trackbed/log.js";
+import { RETRY_LEASE_US, RetryOffice } from "../../src/quota/retry-allocator.js";
+import { RetryBudgets } from "../../src/proxy/retry-budget.js";
+import { RetryKeeper } from "../../src/quota/retry-lease-renewer.js";
+import { silentLog } from "../../src/common/logger.js";
 import {
   defaultLimits,
   EVERY_SERVICE,
@@ -11,9 +11,9 @@
   withLimit,
   type RetryLimits,
   type RouteKind,
-} from "../../src/trackbed/retry-limits.js";
-import { asList, list, numberOf, textOf } from "../../src/trackbed/shape.js";
-import type { Message } from "../../src/trackbed/wire.js";
+} from "../../src/quota/retry-limits.js";
+import { asList, list, numberOf, textOf } from "../../src/common/decode.js";
+import type { Message } from "../../src/transport/connection.js";
 import { seeded, Timeline } from "../support/fleet.js";
 import { ManualClock, settle } from "../support/manual-clock.js";
 
--- a/features/steps/simulator.ts
+++ b/features/steps/simulator.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { Before, Given, Then, When } from "@cucumber/cucumber";
-import { MS, SECOND } from "../../src/trackbed/span.js";
+import { MS, SECOND } from "../../src/common/duration.js";
 import { REAL_PARTS, type Parts } from "../../simulator/box.js";
 import { faultsOf, type Fault } from "../../simulator/checks.js";
 import { play } from "../../simulator/play.js";
--- a/features/steps/subset.ts
+++ b/features/steps/subset.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
-import { WORKER_PREFIX } from "../../src/signalling/board.js";
-import { Chooser } from "../../src/traction/choose.js";
-import { subsetOf, type NodeCount, type Placed, type Subset } from "../../src/traction/subset.js";
-import { ServiceMean, Worker, Yard } from "../../src/traction/yard.js";
+import { WORKER_PREFIX } from "../../src/membership/update-store.js";
+import { Chooser } from "../../src/proxy/load-balancer.js";
+import { subsetOf, type NodeCount, type Placed, type Subset } from "../../src/proxy/subset.js";
+import { ServiceMean, Worker, Yard } from "../../src/proxy/connection-pool.js";
 import { FLEET_TERMS, seeded, SimFleet, type Sent, type SimWorker } from "../support/fleet.js";
 import { ManualClock } from "../support/manual-clock.js";
 
--- a/features/steps/system.ts
+++ b/features/steps/system.ts
@@ -1,12 +1,12 @@
 import assert from "node:assert/strict";
 import { request as httpRequest } from "node:http";
 import { After, Given, Then, When } from "@cucumber/cucumber";
-import { runPointsman } from "../../src/programs/pointsman.js";
-import type { Running } from "../../src/programs/running.js";
-import { runSignalbox } from "../../src/programs/signalbox.js";
-import { setLogLevel } from "../../src/trackbed/log.js";
-import type { Settings } from "../../src/trackbed/settings.js";
-import { asRec, asList, parseJson, type Rec } from "../../src/trackbed/shape.js";
+import { runPointsman } from "../../src/programs/gateway/gateway.js";
+import type { Running } from "../../src/programs/running-program.js";
+import { runSignalbox } from "../../src/programs/controller/controller.js";
+import { setLogLevel } from "../../src/common/logger.js";
+import type { Settings } from "../../src/common/settings.js";
+import { asRec, asList, parseJson, type Rec } from "../../src/common/decode.js";
 import { ManualClock, settle } from "../support/manual-clock.js";
 import { StandIn } from "../support/stand-in.js";
 
--- a/features/steps/terms.ts
+++ b/features/steps/terms.ts
@@ -2,11 +2,11 @@
 import { Given, Then, When } from "@cucumber/cucumber";
 import { parse } from "csv-parse/sync";
 import { parquetReadObjects } from "hyparquet";
-import { usageAsCsv, usageAsParquet, type UsageRow } from "../../src/programs/usage-export.js";
-import { Board } from "../../src/signalling/board.js";
-import { readBeat, Registry } from "../../src/signalling/registry.js";
-import { checkSettings } from "../../src/trackbed/settings.js";
-import { oncePer } from "../../src/trackbed/clock.js";
+import { usageAsCsv, usageAsParquet, type UsageRow } from "../../src/programs/ctl/usage-export.js";
+import { Board } from "../../src/membership/update-store.js";
+import { readBeat, Registry } from "../../src/membership/worker-registry.js";
+import { checkSettings } from "../../src/common/settings.js";
+import { oncePer } from "../../src/common/clock.js";
 import { ManualClock } from "../support/manual-clock.js";
 
 const RIGHT = `[node]
--- a/features/steps/testtrack.ts
+++ b/features/steps/testtrack.ts
@@ -4,7 +4,7 @@
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import { Then, When } from "@cucumber/cucumber";
-import { asRec, list, parseJson, whole, type Rec } from "../../src/trackbed/shape.js";
+import { asRec, list, parseJson, whole, type Rec } from "../../src/common/decode.js";
 
 let results: readonly Rec[] = [];
 let code = 0;
@@ -14,7 +14,7 @@
   new Promise((resolve) => {
     execFile(
       process.execPath,
-      ["target/track/testtrack/run.js", ...args],
+      ["target/scalability/scalability/run.js", ...args],
       (mishap, _out, errors) => {
         code = mishap && typeof mishap.code === "number" ? mishap.code : 0;
         said = errors;
--- a/features/steps/windows.ts
+++ b/features/steps/windows.ts
@@ -1,14 +1,14 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
-import type { Shift } from "../../src/inspection/inspector.js";
+import type { Shift } from "../../src/health/outlier-detector.js";
 import {
   WINDOW_TERMS,
   Windows,
   type CellWorker,
   type Stage,
   type WindowState,
-} from "../../src/inspection/windows.js";
-import { SECOND } from "../../src/trackbed/span.js";
+} from "../../src/health/maintenance-window.js";
+import { SECOND } from "../../src/common/duration.js";
 import { ManualClock } from "../support/manual-clock.js";
 
 interface Moment {
--- a/features/support/broken-boxes.ts
+++ b/features/support/broken-boxes.ts
@@ -1,10 +1,10 @@
 import { createHash } from "node:crypto";
 import { ok } from "true-myth/result";
-import { NO_BALLOT } from "../../src/interlocking/ballot.js";
-import { Copy } from "../../src/interlocking/copy.js";
-import type { Disk } from "../../src/interlocking/disk.js";
-import { Ledger, type LedgerOptions } from "../../src/interlocking/ledger.js";
-import { asList, isRec } from "../../src/trackbed/shape.js";
+import { NO_BALLOT } from "../../src/consensus/ballot.js";
+import { Copy } from "../../src/consensus/replica.js";
+import type { Disk } from "../../src/storage/file-system.js";
+import { Ledger, type LedgerOptions } from "../../src/consensus/replicated-store.js";
+import { asList, isRec } from "../../src/common/decode.js";
 import { REAL_PARTS, type Parts } from "../../simulator/box.js";
 
 /** A ledger in which some methods are replaced, given the real one's. */
--- a/features/support/copies.ts
+++ b/features/support/copies.ts
@@ -1,14 +1,14 @@
 import { mkdtemp, rm } from "node:fs/promises";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
-import { Archive } from "../../src/interlocking/archive.js";
-import { Duty } from "../../src/interlocking/duty.js";
-import { KeyBook, type Purge } from "../../src/interlocking/keybook.js";
-import { Keys } from "../../src/interlocking/keys.js";
-import { Ledger, LEDGER_KINDS } from "../../src/interlocking/ledger.js";
-import { Copy as State } from "../../src/interlocking/copy.js";
-import { silentLog } from "../../src/trackbed/log.js";
-import type { Message } from "../../src/trackbed/wire.js";
+import { Archive } from "../../src/storage/write-ahead-log.js";
+import { Duty } from "../../src/consensus/leader-lease.js";
+import { KeyBook, type Purge } from "../../src/idempotency/key-table.js";
+import { Keys } from "../../src/idempotency/key-replication.js";
+import { Ledger, LEDGER_KINDS } from "../../src/consensus/replicated-store.js";
+import { Copy as State } from "../../src/consensus/replica.js";
+import { silentLog } from "../../src/common/logger.js";
+import type { Message } from "../../src/transport/connection.js";
 import { ManualClock, settle } from "./manual-clock.js";
 import { MemoryDisk } from "./memory-disk.js";
 
--- a/features/support/faulty-disk.ts
+++ b/features/support/faulty-disk.ts
@@ -1,5 +1,5 @@
 import { dirname } from "node:path";
-import type { Disk } from "../../src/interlocking/disk.js";
+import type { Disk } from "../../src/storage/file-system.js";
 
 /** What a name stands for. Invariant: `written` is what a reader sees; `synced` is what a loss of power leaves for sure. */
 interface Node {
--- a/features/support/fleet.ts
+++ b/features/support/fleet.ts
@@ -1,7 +1,7 @@
-import { Chooser } from "../../src/traction/choose.js";
-import { Yard, type Worker } from "../../src/traction/yard.js";
-import { WORKER_PREFIX, type Fact } from "../../src/signalling/board.js";
-import type { Clock } from "../../src/trackbed/clock.js";
+import { Chooser } from "../../src/proxy/load-balancer.js";
+import { Yard, type Worker } from "../../src/proxy/connection-pool.js";
+import { WORKER_PREFIX, type Fact } from "../../src/membership/update-store.js";
+import type { Clock } from "../../src/common/clock.js";
 
 export const seeded = (seed: number): (() => number) => {
   let state = seed >>> 0;
--- a/features/support/manual-clock.ts
+++ b/features/support/manual-clock.ts
@@ -1,4 +1,4 @@
-import type { Clock, Pulse } from "../../src/trackbed/clock.js";
+import type { Clock, Pulse } from "../../src/common/clock.js";
 
 interface Due {
   readonly atUs: number;
--- a/features/support/memory-disk.ts
+++ b/features/support/memory-disk.ts
@@ -1,4 +1,4 @@
-import type { Disk } from "../../src/interlocking/disk.js";
+import type { Disk } from "../../src/storage/file-system.js";
 
 /** Files in memory, safe at once: for tests that move the clock on by hand, beside which a real disk would seem slow. */
 export class MemoryDisk implements Disk {
--- a/fuzz/rig.ts
+++ b/fuzz/rig.ts
@@ -1,16 +1,16 @@
 import assert from "node:assert/strict";
 import { settle, ManualClock } from "../features/support/manual-clock.js";
-import { readCall } from "../src/interlocking/check.js";
-import { Board, PLAN_PREFIX, WORKER_PREFIX } from "../src/signalling/board.js";
-import { Front } from "../src/traction/front.js";
-import { KeyDesk } from "../src/traction/key-desk.js";
-import { RetryBudgets } from "../src/traction/retry-budget.js";
-import { RouteTable } from "../src/traction/routes.js";
-import { Yard } from "../src/traction/yard.js";
-import type { Clock, Pulse } from "../src/trackbed/clock.js";
-import { silentLog } from "../src/trackbed/log.js";
-import { defaultLimits, type RouteKind } from "../src/trackbed/retry-limits.js";
-import type { Message } from "../src/trackbed/wire.js";
+import { readCall } from "../src/config/validation.js";
+import { Board, PLAN_PREFIX, WORKER_PREFIX } from "../src/membership/update-store.js";
+import { Front } from "../src/proxy/proxy-server.js";
+import { KeyDesk } from "../src/idempotency/key-client.js";
+import { RetryBudgets } from "../src/proxy/retry-budget.js";
+import { RouteTable } from "../src/proxy/route-table.js";
+import { Yard } from "../src/proxy/connection-pool.js";
+import type { Clock, Pulse } from "../src/common/clock.js";
+import { silentLog } from "../src/common/logger.js";
+import { defaultLimits, type RouteKind } from "../src/quota/retry-limits.js";
+import type { Message } from "../src/transport/connection.js";
 import type { ScriptedWorker } from "./scripted-worker.js";
 
 export const HOST = "a.example";
--- a/fuzz/world.ts
+++ b/fuzz/world.ts
@@ -2,7 +2,7 @@
 import { settle } from "../features/support/manual-clock.js";
 import { digestOf, type Arrived, type History, type Produced, type Sent } from "./checks.js";
 import { RawCaller, requestOf } from "./raw-caller.js";
-import { rest, type Clock } from "../src/trackbed/clock.js";
+import { rest, type Clock } from "../src/common/clock.js";
 import { HOST, Rig, type OneBook, type RigOptions } from "./rig.js";
 import type { Act, CallerPlan, DeskAct, RequestPlan, Scenario, WorkerPlan } from "./scenario.js";
 import { answerOf, ScriptedWorker, type Arrival } from "./scripted-worker.js";
--- a/testtrack/host-control.ts
+++ b/scalability/host-control.ts
@@ -1,8 +1,8 @@
 import { fork, type ChildProcess } from "node:child_process";
 import { request } from "node:http";
-import { rest, SteadyClock } from "../src/trackbed/clock.js";
-import { asRec, numberOf, type Rec } from "../src/trackbed/shape.js";
-import { MS, SECOND } from "../src/trackbed/span.js";
+import { rest, SteadyClock } from "../src/common/clock.js";
+import { asRec, numberOf, type Rec } from "../src/common/decode.js";
+import { MS, SECOND } from "../src/common/duration.js";
 import { machineUs } from "./place.js";
 
 const clock = new SteadyClock();
--- a/testtrack/host.ts
+++ b/scalability/host.ts
@@ -1,14 +1,14 @@
 import { Agent, request } from "node:http";
-import { UsageCounts } from "../src/inspection/usage-counts.js";
-import { joinNews, type Member } from "../src/programs/member.js";
-import { runPointsman } from "../src/programs/pointsman.js";
-import { runSignalbox } from "../src/programs/signalbox.js";
-import { PLAN_PREFIX, WORKER_PREFIX } from "../src/signalling/board.js";
-import { SteadyClock, type Pulse } from "../src/trackbed/clock.js";
-import { setLogLevel } from "../src/trackbed/log.js";
-import { asRec, list, numberOf, text, whole, type Rec } from "../src/trackbed/shape.js";
-import { MS, SECOND } from "../src/trackbed/span.js";
-import { sentFrames } from "../src/trackbed/wire.js";
+import { UsageCounts } from "../src/health/load-counters.js";
+import { joinNews, type Member } from "../src/programs/data-plane-node.js";
+import { runPointsman } from "../src/programs/gateway/gateway.js";
+import { runSignalbox } from "../src/programs/controller/controller.js";
+import { PLAN_PREFIX, WORKER_PREFIX } from "../src/membership/update-store.js";
+import { SteadyClock, type Pulse } from "../src/common/clock.js";
+import { setLogLevel } from "../src/common/logger.js";
+import { asRec, list, numberOf, text, whole, type Rec } from "../src/common/decode.js";
+import { MS, SECOND } from "../src/common/duration.js";
+import { sentFrames } from "../src/transport/connection.js";
 import { boxAddress, machineUs, nodeIp, settingsOf } from "./place.js";
 
 /** One process of a run: a signalbox, many hollow nodes, many hollow workers, or one real pointsman. Told what to do by its parent. */
--- a/testtrack/node.ts
+++ b/scalability/node.ts
@@ -3,13 +3,13 @@
 import { cpus, loadavg, tmpdir, totalmem } from "node:os";
 import { Command } from "commander";
 import { StandIn } from "../features/support/stand-in.js";
-import { reportOf, shunt } from "../src/programs/shunter.js";
-import { Board, PLAN_PREFIX, WORKER_PREFIX } from "../src/signalling/board.js";
-import { RouteTable } from "../src/traction/routes.js";
-import { Yard } from "../src/traction/yard.js";
-import { rest, SteadyClock } from "../src/trackbed/clock.js";
-import { asRec, whole, type Rec } from "../src/trackbed/shape.js";
-import { MS, SECOND } from "../src/trackbed/span.js";
+import { reportOf, shunt } from "../src/programs/loadgen/loadgen.js";
+import { Board, PLAN_PREFIX, WORKER_PREFIX } from "../src/membership/update-store.js";
+import { RouteTable } from "../src/proxy/route-table.js";
+import { Yard } from "../src/proxy/connection-pool.js";
+import { rest, SteadyClock } from "../src/common/clock.js";
+import { asRec, whole, type Rec } from "../src/common/decode.js";
+import { MS, SECOND } from "../src/common/duration.js";
 import { Host, post, ruleOf, until } from "./host-control.js";
 import { boxAddress, FRONT_PORT, machineUs, nodeIp, READY_PORT } from "./place.js";
 
@@ -100,7 +100,7 @@
       what: "box",
       at: 0,
       boxes: 1,
-      folder: `${tmpdir()}/testtrack-node-${process.pid}`,
+      folder: `${tmpdir()}/scalability-node-${process.pid}`,
     });
     const plan = {
       limits: {
@@ -191,7 +191,7 @@
   }
 };
 
-const cli = new Command("testtrack-node");
+const cli = new Command("scalability-node");
 cli
   .command("hold <workers> <routes>")
   .action((workers: string, routes: string) => holdState(Number(workers), Number(routes)));
--- a/testtrack/orders.ts
+++ b/scalability/orders.ts
@@ -4,9 +4,9 @@
 import { join } from "node:path";
 import { Command } from "commander";
 import { quantileSorted } from "simple-statistics";
-import { rest, SteadyClock, type Pulse } from "../src/trackbed/clock.js";
-import { asRec, numberOf, type Rec } from "../src/trackbed/shape.js";
-import { MS, SECOND } from "../src/trackbed/span.js";
+import { rest, SteadyClock, type Pulse } from "../src/common/clock.js";
+import { asRec, numberOf, type Rec } from "../src/common/decode.js";
+import { MS, SECOND } from "../src/common/duration.js";
 import { Host, post, ruleOf, until } from "./host-control.js";
 import { boxAddress, machineUs } from "./place.js";
 
@@ -84,7 +84,7 @@
   routes: number,
   seconds: number,
 ): Promise<Rec> => {
-  const folder = await mkdtemp(join(tmpdir(), "testtrack-"));
+  const folder = await mkdtemp(join(tmpdir(), "scalability-"));
   const boxes = Array.from({ length: count }, () => new Host(300));
   try {
     await Promise.all(
@@ -149,7 +149,7 @@
 
 /** A signalbox is down over many changes, with its disk kept or lost; how long it takes to hold them while two more come each second. */
 const catchUp = async (orders: number, routes: number, isWiped: boolean): Promise<Rec> => {
-  const folder = await mkdtemp(join(tmpdir(), "testtrack-"));
+  const folder = await mkdtemp(join(tmpdir(), "scalability-"));
   const boxes = Array.from({ length: 4 }, () => new Host(300));
   const last = 3;
   let pulse: Pulse | undefined;
--- a/testtrack/place.ts
+++ b/scalability/place.ts
@@ -1,5 +1,5 @@
-import type { Settings } from "../src/trackbed/settings.js";
-import { MS, SECOND } from "../src/trackbed/span.js";
+import type { Settings } from "../src/common/settings.js";
+import { MS, SECOND } from "../src/common/duration.js";
 
 export const SIGNAL_PORT = 17_500;
 export const RELAY_PORT = 17_501;
--- a/testtrack/run.ts
+++ b/scalability/run.ts
@@ -2,9 +2,9 @@
 import { cpus, tmpdir, totalmem, loadavg } from "node:os";
 import { join } from "node:path";
 import { Command } from "commander";
-import { rest, SteadyClock } from "../src/trackbed/clock.js";
-import { asRec, isRec, whole, type Rec } from "../src/trackbed/shape.js";
-import { MS, SECOND } from "../src/trackbed/span.js";
+import { rest, SteadyClock } from "../src/common/clock.js";
+import { asRec, isRec, whole, type Rec } from "../src/common/decode.js";
+import { MS, SECOND } from "../src/common/duration.js";
 import { Host, post, ruleOf, until } from "./host-control.js";
 import { boxAddress, machineUs } from "./place.js";
 
@@ -98,7 +98,7 @@
 
 /** One size: start, settle, measure at rest, time one change, restart a seventh of the nodes, kill a signalbox. */
 export const runSize = async (size: Size): Promise<Rec> => {
-  const folder = await mkdtemp(join(tmpdir(), "testtrack-"));
+  const folder = await mkdtemp(join(tmpdir(), "scalability-"));
   const boxes = Array.from({ length: size.boxes }, () => new Host(700));
   const hosts = Array.from({ length: size.hosts }, () => new Host(1_800));
   const workers = Array.from(
@@ -261,7 +261,7 @@
 const FIELDS = ["nodes", "workers", "routes", "services"] as const;
 
 const main = async (): Promise<void> => {
-  const cli = new Command("testtrack").description(
+  const cli = new Command("scalability").description(
     "measures how the control side grows: real signalboxes, hollow nodes and workers, over loopback",
   );
   cli
@@ -295,7 +295,7 @@
       const problem =
         field === undefined ? `${what} is none of ${FIELDS.join(", ")}` : problemOf(all);
       if (problem !== undefined) {
-        process.stderr.write(`testtrack: ${problem}.\n`);
+        process.stderr.write(`scalability: ${problem}.\n`);
         process.exitCode = 2;
         return;
       }
--- a/testtrack/table.ts
+++ b/scalability/table.ts
@@ -1,6 +1,6 @@
 import { readFile } from "node:fs/promises";
 import { linearRegression, linearRegressionLine, rSquared } from "simple-statistics";
-import { asRec, list, parseJson, text, whole, type Rec } from "../src/trackbed/shape.js";
+import { asRec, list, parseJson, text, whole, type Rec } from "../src/common/decode.js";
 
 /** Makes the tables of docs/CAPACITY.md from committed results. */
 interface Point {
--- a/simulator/checks.ts
+++ b/simulator/checks.ts
@@ -1,5 +1,5 @@
-import type { Register } from "../src/interlocking/register.js";
-import type { Roster } from "../src/interlocking/roster.js";
+import type { Register } from "../src/consensus/register.js";
+import type { Roster } from "../src/consensus/voter-set.js";
 import { ACT_KEY } from "./box.js";
 import type { Attempt } from "./history.js";
 import { CONFIRM_US, type Outcome } from "./play.js";
--- a/simulator/disk.ts
+++ b/simulator/disk.ts
@@ -1,5 +1,5 @@
-import type { Disk } from "../src/interlocking/disk.js";
-import { MS } from "../src/trackbed/span.js";
+import type { Disk } from "../src/storage/file-system.js";
+import { MS } from "../src/common/duration.js";
 import type { Chance } from "./chance.js";
 import type { World } from "./world.js";
 
--- a/simulator/history.ts
+++ b/simulator/history.ts
@@ -1,5 +1,5 @@
-import type { Register } from "../src/interlocking/register.js";
-import type { Roster } from "../src/interlocking/roster.js";
+import type { Register } from "../src/consensus/register.js";
+import type { Roster } from "../src/consensus/voter-set.js";
 
 export type AttemptResult = "open" | "ok" | "conflict" | "invalid" | "unclear";
 
--- a/simulator/net.ts
+++ b/simulator/net.ts
@@ -1,6 +1,6 @@
-import { Asks } from "../src/trackbed/asks.js";
-import type { Message } from "../src/trackbed/wire.js";
-import { MS, SECOND } from "../src/trackbed/span.js";
+import { Asks } from "../src/transport/pending-requests.js";
+import type { Message } from "../src/transport/connection.js";
+import { MS, SECOND } from "../src/common/duration.js";
 import type { Box } from "./box.js";
 import type { Chance } from "./chance.js";
 import type { World } from "./world.js";
--- a/simulator/play.ts
+++ b/simulator/play.ts
@@ -1,5 +1,5 @@
-import { makeRegister, type Register } from "../src/interlocking/register.js";
-import { MS, SECOND } from "../src/trackbed/span.js";
+import { makeRegister, type Register } from "../src/consensus/register.js";
+import { MS, SECOND } from "../src/common/duration.js";
 import { Box, REAL_PARTS, type Parts } from "./box.js";
 import { Chance } from "./chance.js";
 import { SimDisk } from "./disk.js";
--- a/simulator/run.ts
+++ b/simulator/run.ts
@@ -1,7 +1,7 @@
 import { availableParallelism } from "node:os";
 import { isMainThread, parentPort, Worker, workerData } from "node:worker_threads";
 import { Command } from "commander";
-import { asRec, flag, list, text, textOf, whole } from "../src/trackbed/shape.js";
+import { asRec, flag, list, text, textOf, whole } from "../src/common/decode.js";
 import { ALWAYS, faultsOf } from "./checks.js";
 import { play } from "./play.js";
 import { DEPLOYMENTS, scheduleOf, troubleKind, type Event } from "./schedule.js";
--- a/simulator/schedule.ts
+++ b/simulator/schedule.ts
@@ -1,4 +1,4 @@
-import { MS, SECOND } from "../src/trackbed/span.js";
+import { MS, SECOND } from "../src/common/duration.js";
 import { Chance } from "./chance.js";
 import type { DiskTrouble } from "./disk.js";
 import type { Noise } from "./net.js";
--- a/src/goods/copies.ts
+++ b/src/cache/cached-objects.ts
@@ -1,6 +1,6 @@
 import { LRUCache } from "lru-cache";
-import type { Clock } from "../trackbed/clock.js";
-import { asRec, list, text, textOf, whole, type Rec } from "../trackbed/shape.js";
+import type { Clock } from "../common/clock.js";
+import { asRec, list, text, textOf, whole, type Rec } from "../common/decode.js";
 
 /** An object as a worker gave it, whole and checked. */
 export interface Copy {
--- a/src/goods/freshness.ts
+++ b/src/cache/freshness.ts
@@ -1,5 +1,5 @@
-import type { Clock } from "../trackbed/clock.js";
-import { MS } from "../trackbed/span.js";
+import type { Clock } from "../common/clock.js";
+import { MS } from "../common/duration.js";
 
 export interface FreshnessOptions {
   readonly clock: Clock;
--- a/src/goods/goods.ts
+++ b/src/cache/object-client.ts
@@ -1,15 +1,15 @@
-import type { Clock } from "../trackbed/clock.js";
-import { isRec, text, whole, type Rec } from "../trackbed/shape.js";
-import { passOn, SEAL } from "../traction/heads.js";
-import type { ObjectRefusal, ObjectVerdict } from "../traction/objects.js";
-import { MS } from "../trackbed/span.js";
-import { Copies, keyOf, type Copy } from "./copies.js";
-import { copyIn, isPermitted, packWant, SMALL_BYTES } from "./counter.js";
-import type { Depots } from "./depots.js";
-import type { Origin } from "./origin.js";
-import { cutOf, type Cut } from "./range.js";
-import type { RateShare } from "./rate.js";
-import { Store, type Found, type Want } from "./store.js";
+import type { Clock } from "../common/clock.js";
+import { isRec, text, whole, type Rec } from "../common/decode.js";
+import { passOn, SEAL } from "../proxy/headers.js";
+import type { ObjectRefusal, ObjectVerdict } from "../proxy/object-source.js";
+import { MS } from "../common/duration.js";
+import { Copies, keyOf, type Copy } from "./cached-objects.js";
+import { copyIn, isPermitted, packWant, SMALL_BYTES } from "./object-server.js";
+import type { Depots } from "./peer-caches.js";
+import type { Origin } from "./origin-fetch.js";
+import { cutOf, type Cut } from "./byte-range.js";
+import type { RateShare } from "../quota/rate-limiter.js";
+import { Store, type Found, type Want } from "./object-store.js";
 
 export interface GoodsOptions {
   readonly clock: Clock;
--- a/src/goods/counter.ts
+++ b/src/cache/object-server.ts
@@ -1,12 +1,12 @@
-import { within, type Clock } from "../trackbed/clock.js";
-import type { Log } from "../trackbed/log.js";
-import { flag, text, whole, type Rec } from "../trackbed/shape.js";
-import { MS } from "../trackbed/span.js";
-import type { Message, Wire } from "../trackbed/wire.js";
-import { packCopy, readCopy, type Copy } from "./copies.js";
-import { cutOf } from "./range.js";
-import type { RateShare } from "./rate.js";
-import type { Store, Want } from "./store.js";
+import { within, type Clock } from "../common/clock.js";
+import type { Log } from "../common/logger.js";
+import { flag, text, whole, type Rec } from "../common/decode.js";
+import { MS } from "../common/duration.js";
+import type { Message, Wire } from "../transport/connection.js";
+import { packCopy, readCopy, type Copy } from "./cached-objects.js";
+import { cutOf } from "./byte-range.js";
+import type { RateShare } from "../quota/rate-limiter.js";
+import type { Store, Want } from "./object-store.js";
 
 /** Larger objects go out cut to the range asked for, and are not kept by who asks. */
 export const SMALL_BYTES = 64 * 1024;
--- a/src/goods/store.ts
+++ b/src/cache/object-store.ts
@@ -1,6 +1,6 @@
-import { within, type Clock } from "../trackbed/clock.js";
-import type { ObjectRefusal, ObjectWant } from "../traction/objects.js";
-import { keyOf, type Copies, type Copy } from "./copies.js";
+import { within, type Clock } from "../common/clock.js";
+import type { ObjectRefusal, ObjectWant } from "../proxy/object-source.js";
+import { keyOf, type Copies, type Copy } from "./cached-objects.js";
 
 export type { ObjectWant as Want };
 
--- a/src/goods/origin.ts
+++ b/src/cache/origin-fetch.ts
@@ -1,14 +1,14 @@
 import { randomBytes } from "node:crypto";
-import { rest, within, type Clock } from "../trackbed/clock.js";
-import { MS } from "../trackbed/span.js";
-import { WorkerCall, type Answer, type CallVerdict } from "../traction/call.js";
-import type { RetryBudgets } from "../traction/retry-budget.js";
-import type { Chooser } from "../traction/choose.js";
-import { headOf, LABELS, passOn, TRY_ID } from "../traction/heads.js";
-import type { Worker, Yard } from "../traction/yard.js";
-import type { Copy } from "./copies.js";
-import type { RateShare } from "./rate.js";
-import type { Found, Want } from "./store.js";
+import { rest, within, type Clock } from "../common/clock.js";
+import { MS } from "../common/duration.js";
+import { WorkerCall, type Answer, type CallVerdict } from "../proxy/upstream-request.js";
+import type { RetryBudgets } from "../proxy/retry-budget.js";
+import type { Chooser } from "../proxy/load-balancer.js";
+import { headOf, LABELS, passOn, TRY_ID } from "../proxy/headers.js";
+import type { Worker, Yard } from "../proxy/connection-pool.js";
+import type { Copy } from "./cached-objects.js";
+import type { RateShare } from "../quota/rate-limiter.js";
+import type { Found, Want } from "./object-store.js";
 
 export interface OriginOptions {
   readonly clock: Clock;
--- a/src/goods/depots.ts
+++ b/src/cache/peer-caches.ts
@@ -1,9 +1,9 @@
 import { crc32 } from "node:zlib";
-import { within, type Clock } from "../trackbed/clock.js";
-import { MS, SECOND } from "../trackbed/span.js";
-import { splitAddress } from "../trackbed/settings.js";
-import type { Message } from "../trackbed/wire.js";
-import { Link } from "../signalling/link.js";
+import { within, type Clock } from "../common/clock.js";
+import { MS, SECOND } from "../common/duration.js";
+import { splitAddress } from "../common/settings.js";
+import type { Message } from "../transport/connection.js";
+import { Link } from "../transport/peer-link.js";
 
 export interface DepotAt {
   readonly address: string;
--- a/src/trackbed/settings.ts
+++ b/src/common/settings.ts
@@ -2,8 +2,8 @@
 import convict from "convict";
 import { parse } from "smol-toml";
 import { err, ok, type Result } from "true-myth/result";
-import { isRec } from "./shape.js";
-import { parseSpan, SECOND } from "./span.js";
+import { isRec } from "./decode.js";
+import { parseSpan, SECOND } from "./duration.js";
 
 export type SettingsMishap = { readonly kind: "unreadable" | "wrong"; readonly sentence: string };
 
--- a/src/trackbed/shares.ts
+++ b/src/common/weighted-split.ts
@@ -1,4 +1,4 @@
-import { asList, asRec, text, whole, type Rec } from "./shape.js";
+import { asList, asRec, text, whole, type Rec } from "./decode.js";
 
 /** A service that a route sends to, and how much of the route's traffic. */
 export interface Share {
--- a/src/interlocking/check.ts
+++ b/src/config/validation.ts
@@ -1,9 +1,9 @@
 import convict from "convict";
 import { err, ok, type Result } from "true-myth/result";
-import { asList, asRec, isRec, parseJson, type Rec } from "../trackbed/shape.js";
-import { readShares } from "../trackbed/shares.js";
-import { parseSpan, SECOND } from "../trackbed/span.js";
-import { makeRegister, type Register } from "./register.js";
+import { asList, asRec, isRec, parseJson, type Rec } from "../common/decode.js";
+import { readShares } from "../common/weighted-split.js";
+import { parseSpan, SECOND } from "../common/duration.js";
+import { makeRegister, type Register } from "../consensus/register.js";
 
 /** What the operator's calls can be wrong in; each is answered by a row of the table of outcomes. */
 export type PlanMishap =
--- a/src/interlocking/ballot.ts
+++ b/src/consensus/ballot.ts
@@ -1,4 +1,4 @@
-import { asList, numberOf, textOf } from "../trackbed/shape.js";
+import { asList, numberOf, textOf } from "../common/decode.js";
 
 /**
  * The number of one try at a register, or at a roster.
--- a/src/interlocking/duty.ts
+++ b/src/consensus/leader-lease.ts
@@ -1,8 +1,8 @@
-import { rest, type Clock, type Pulse } from "../trackbed/clock.js";
-import type { Log } from "../trackbed/log.js";
-import { asRec, flag, isRec, text } from "../trackbed/shape.js";
-import { MS } from "../trackbed/span.js";
-import type { Message } from "../trackbed/wire.js";
+import { rest, type Clock, type Pulse } from "../common/clock.js";
+import type { Log } from "../common/logger.js";
+import { asRec, flag, isRec, text } from "../common/decode.js";
+import { MS } from "../common/duration.js";
+import type { Message } from "../transport/connection.js";
 import {
   GRANT_KEY,
   READ_WAIT_US,
@@ -10,8 +10,8 @@
   STORE_WAIT_US,
   type Ledger,
   type Term,
-} from "./ledger.js";
-import { isJoint, packRoster, readRoster } from "./roster.js";
+} from "./replicated-store.js";
+import { isJoint, packRoster, readRoster } from "./voter-set.js";
 
 const TICK_US = 250 * MS;
 /** A member unseen for so long is replaced by a newcomer that asks to join. */
--- a/src/interlocking/register.ts
+++ b/src/consensus/register.ts
@@ -1,5 +1,5 @@
 import { createHash } from "node:crypto";
-import { asList, asRec, flag, numberOf, text, textOf, whole, type Rec } from "../trackbed/shape.js";
+import { asList, asRec, flag, numberOf, text, textOf, whole, type Rec } from "../common/decode.js";
 
 /**
  * A register is one item with a version of its own, as it was agreed.
--- a/src/interlocking/copy.ts
+++ b/src/consensus/replica.ts
@@ -1,5 +1,5 @@
 import { createHash } from "node:crypto";
-import { asList, asRec, list, textOf, type Rec } from "../trackbed/shape.js";
+import { asList, asRec, list, textOf, type Rec } from "../common/decode.js";
 import {
   higherOf,
   isHigher,
@@ -10,7 +10,7 @@
   type Ballot,
 } from "./ballot.js";
 import { packRegister, readRegister, type Register } from "./register.js";
-import { NO_ROSTER, packRoster, readRoster, type Roster } from "./roster.js";
+import { NO_ROSTER, packRoster, readRoster, type Roster } from "./voter-set.js";
 
 /** What a copy holds under one key. */
 export interface Entry {
--- a/src/interlocking/ledger.ts
+++ b/src/consensus/replicated-store.ts
@@ -1,7 +1,7 @@
 import Emittery from "emittery";
 import { err, ok, type Result } from "true-myth/result";
-import { rest, within, type Clock } from "../trackbed/clock.js";
-import type { Log } from "../trackbed/log.js";
+import { rest, within, type Clock } from "../common/clock.js";
+import type { Log } from "../common/logger.js";
 import {
   asList,
   asRec,
@@ -14,10 +14,10 @@
   textOf,
   whole,
   type Rec,
-} from "../trackbed/shape.js";
-import { MS } from "../trackbed/span.js";
-import type { Message } from "../trackbed/wire.js";
-import type { Archive } from "./archive.js";
+} from "../common/decode.js";
+import { MS } from "../common/duration.js";
+import type { Message } from "../transport/connection.js";
+import type { Archive } from "../storage/write-ahead-log.js";
 import {
   higherOf,
   isHigher,
@@ -38,7 +38,7 @@
   type Entry,
   type Pending,
   type Told,
-} from "./copy.js";
+} from "./replica.js";
 import { applyOrder, makeRegister, packRegister, type Register } from "./register.js";
 import {
   everyoneOf,
@@ -50,8 +50,8 @@
   readRoster,
   setsOf,
   type Roster,
-} from "./roster.js";
-import { Together } from "./together.js";
+} from "./voter-set.js";
+import { Together } from "../common/batcher.js";
 
 export type LedgerMishap =
   | { readonly kind: "no-quorum"; readonly held: number; readonly needed: number }
--- a/src/interlocking/roster.ts
+++ b/src/consensus/voter-set.ts
@@ -1,4 +1,4 @@
-import { asRec, list, textOf, whole, type Rec } from "../trackbed/shape.js";
+import { asRec, list, textOf, whole, type Rec } from "../common/decode.js";
 
 /**
  * The members whose copies count, as decided under this number.
--- a/src/inspection/rollout-inspector.ts
+++ b/src/health/canary-analysis.ts
@@ -1,10 +1,16 @@
-import type { Clock, Pulse } from "../trackbed/clock.js";
-import type { Log } from "../trackbed/log.js";
-import { asList, asRec, list, numberOf, text, textOf, whole, type Rec } from "../trackbed/shape.js";
-import { mainOf, type Share } from "../trackbed/shares.js";
-import { MS } from "../trackbed/span.js";
-import type { Message } from "../trackbed/wire.js";
-import { NO_TALLY, Trial, type Tally, type TrialTerms, type TrialVerdict } from "./evidence.js";
+import type { Clock, Pulse } from "../common/clock.js";
+import type { Log } from "../common/logger.js";
+import { asList, asRec, list, numberOf, text, textOf, whole, type Rec } from "../common/decode.js";
+import { mainOf, type Share } from "../common/weighted-split.js";
+import { MS } from "../common/duration.js";
+import type { Message } from "../transport/connection.js";
+import {
+  NO_TALLY,
+  Trial,
+  type Tally,
+  type TrialTerms,
+  type TrialVerdict,
+} from "./sequential-test.js";
 
 /** A route that sends its traffic to more than one service, as the plan in force has it. */
 export interface SplitRoute {
--- a/src/inspection/rollout-counts.ts
+++ b/src/health/canary-counters.ts
@@ -1,5 +1,5 @@
-import type { Message } from "../trackbed/wire.js";
-import type { OutcomeKind } from "./evidence.js";
+import type { Message } from "../transport/connection.js";
+import type { OutcomeKind } from "./sequential-test.js";
 
 /** "own" are mishaps of the system itself or of this node's links, which are held against nobody. */
 export type RolloutOutcome = OutcomeKind | "own";
--- a/src/inspection/forecast.ts
+++ b/src/health/capacity-forecast.ts
@@ -1,9 +1,9 @@
 import { linearRegression, linearRegressionLine, mean, sampleVariance } from "simple-statistics";
-import type { Clock, Pulse } from "../trackbed/clock.js";
-import type { Log } from "../trackbed/log.js";
-import { asList, isRec, list, numberOf, text, textOf, asRec, type Rec } from "../trackbed/shape.js";
-import { SECOND } from "../trackbed/span.js";
-import type { Message } from "../trackbed/wire.js";
+import type { Clock, Pulse } from "../common/clock.js";
+import type { Log } from "../common/logger.js";
+import { asList, isRec, list, numberOf, text, textOf, asRec, type Rec } from "../common/decode.js";
+import { SECOND } from "../common/duration.js";
+import type { Message } from "../transport/connection.js";
 
 export type ForecastName = "unknown" | "steady" | "nearing" | "overrun";
 
--- a/src/inspection/counts.ts
+++ b/src/health/fault-counters.ts
@@ -1,4 +1,4 @@
-import type { Message } from "../trackbed/wire.js";
+import type { Message } from "../transport/connection.js";
 
 interface Count {
   faults: number;
--- a/src/inspection/usage-counts.ts
+++ b/src/health/load-counters.ts
@@ -1,4 +1,4 @@
-import type { Message } from "../trackbed/wire.js";
+import type { Message } from "../transport/connection.js";
 
 /** Invariant: every figure only rises within a life, so a report that comes twice, late or out of order adds nothing. */
 interface Usage {
--- a/src/inspection/windows.ts
+++ b/src/health/maintenance-window.ts
@@ -1,8 +1,8 @@
-import type { Clock, Pulse } from "../trackbed/clock.js";
-import type { Log } from "../trackbed/log.js";
-import { asRec, list, text, whole, type Rec } from "../trackbed/shape.js";
-import { SECOND } from "../trackbed/span.js";
-import type { Shift } from "./inspector.js";
+import type { Clock, Pulse } from "../common/clock.js";
+import type { Log } from "../common/logger.js";
+import { asRec, list, text, whole, type Rec } from "../common/decode.js";
+import { SECOND } from "../common/duration.js";
+import type { Shift } from "./outlier-detector.js";
 
 /** The stages in their order; a cancelled window goes straight to returning, or to ended before anything moved. */
 export const STAGES = ["announced", "moving", "clear", "open", "returning", "ended"] as const;
--- a/src/inspection/inspector.ts
+++ b/src/health/outlier-detector.ts
@@ -1,9 +1,9 @@
-import type { Clock, Pulse } from "../trackbed/clock.js";
-import type { Log } from "../trackbed/log.js";
-import { asRec, list, text, type Rec } from "../trackbed/shape.js";
-import { SECOND } from "../trackbed/span.js";
-import type { Message } from "../trackbed/wire.js";
-import { FaultWindow, outlier, type Evidence, type InspectionTerms } from "./ranking.js";
+import type { Clock, Pulse } from "../common/clock.js";
+import type { Log } from "../common/logger.js";
+import { asRec, list, text, type Rec } from "../common/decode.js";
+import { SECOND } from "../common/duration.js";
+import type { Message } from "../transport/connection.js";
+import { FaultWindow, outlier, type Evidence, type InspectionTerms } from "./outlier-ranking.js";
 
 export interface InspectedWorker {
   readonly id: string;
--- a/src/inspection/ranking.ts
+++ b/src/health/outlier-ranking.ts
@@ -1,7 +1,7 @@
-import { SECOND } from "../trackbed/span.js";
-import { asList, numberOf, text, textOf } from "../trackbed/shape.js";
-import type { Message } from "../trackbed/wire.js";
-import type { Clock } from "../trackbed/clock.js";
+import { SECOND } from "../common/duration.js";
+import { asList, numberOf, text, textOf } from "../common/decode.js";
+import type { Message } from "../transport/connection.js";
+import type { Clock } from "../common/clock.js";
 
 export interface InspectionTerms {
   readonly windowUs: number;
--- a/src/inspection/split-routes.ts
+++ b/src/health/split-routes.ts
@@ -1,7 +1,7 @@
-import { asRec, parseJson } from "../trackbed/shape.js";
-import { mainOf, readShares } from "../trackbed/shares.js";
-import { parseSpan } from "../trackbed/span.js";
-import type { SplitRoute } from "./rollout-inspector.js";
+import { asRec, parseJson } from "../common/decode.js";
+import { mainOf, readShares } from "../common/weighted-split.js";
+import { parseSpan } from "../common/duration.js";
+import type { SplitRoute } from "./canary-analysis.js";
 
 interface Seen {
   readonly version: number;
--- a/src/traction/key-desk.ts
+++ b/src/idempotency/key-client.ts
@@ -1,7 +1,7 @@
-import { rest, type Clock } from "../trackbed/clock.js";
-import { asRec, isRec, list, textOf, whole } from "../trackbed/shape.js";
-import { MS } from "../trackbed/span.js";
-import type { Message } from "../trackbed/wire.js";
+import { rest, type Clock } from "../common/clock.js";
+import { asRec, isRec, list, textOf, whole } from "../common/decode.js";
+import { MS } from "../common/duration.js";
+import type { Message } from "../transport/connection.js";
 
 /** The answer of a key's first run, as it is kept and given to repeats. */
 export interface KeyAnswer {
--- a/src/interlocking/keys.ts
+++ b/src/idempotency/key-replication.ts
@@ -1,11 +1,11 @@
 import { randomUUID } from "node:crypto";
-import type { Log } from "../trackbed/log.js";
-import { flag, list, text, textOf, type Rec } from "../trackbed/shape.js";
-import { MS } from "../trackbed/span.js";
-import type { Message } from "../trackbed/wire.js";
-import { readAnswer, readPurge, type KeptAnswer, type KeyBook, type Purge } from "./keybook.js";
-import type { Ledger } from "./ledger.js";
-import { quorumOf, readQuorumOf } from "./roster.js";
+import type { Log } from "../common/logger.js";
+import { flag, list, text, textOf, type Rec } from "../common/decode.js";
+import { MS } from "../common/duration.js";
+import type { Message } from "../transport/connection.js";
+import { readAnswer, readPurge, type KeptAnswer, type KeyBook, type Purge } from "./key-table.js";
+import type { Ledger } from "../consensus/replicated-store.js";
+import { quorumOf, readQuorumOf } from "../consensus/voter-set.js";
 
 export type KeyVerdict =
   /** A quorum holds the token: its bearer alone may run the operation. */
--- a/src/interlocking/keybook.ts
+++ b/src/idempotency/key-table.ts
@@ -1,7 +1,7 @@
-import type { Clock } from "../trackbed/clock.js";
-import { asRec, isRec, list, text, textOf, whole, type Rec } from "../trackbed/shape.js";
-import { SECOND } from "../trackbed/span.js";
-import { Segments } from "./segments.js";
+import type { Clock } from "../common/clock.js";
+import { asRec, isRec, list, text, textOf, whole, type Rec } from "../common/decode.js";
+import { SECOND } from "../common/duration.js";
+import { Segments } from "../storage/segment-log.js";
 
 /** What the first run of a key was answered with. Without a body it is kept elsewhere, or was too large to keep. */
 export interface KeptAnswer {
--- a/src/yewreel.ts
+++ b/src/main.ts
@@ -1,11 +1,11 @@
 #!/usr/bin/env node
 import { stat } from "node:fs/promises";
 import { Command } from "commander";
-import type { Running } from "./programs/running.js";
-import { SteadyClock, type Clock } from "./trackbed/clock.js";
-import { logFor, setLogLevel } from "./trackbed/log.js";
-import { readSettings, type Settings } from "./trackbed/settings.js";
-import { SECOND } from "./trackbed/span.js";
+import type { Running } from "./programs/running-program.js";
+import { SteadyClock, type Clock } from "./common/clock.js";
+import { logFor, setLogLevel } from "./common/logger.js";
+import { readSettings, type Settings } from "./common/settings.js";
+import { SECOND } from "./common/duration.js";
 
 const SETTINGS_VARIABLE = "YEWREEL_CONFIG";
 const LOOK_US = 2 * SECOND;
@@ -78,21 +78,23 @@
 cli
   .command("pointsman")
   .description("carry callers' requests to workers (data plane)")
-  .action(() => run(async () => (await import("./programs/pointsman.js")).runPointsman));
+  .action(() => run(async () => (await import("./programs/gateway/gateway.js")).runPointsman));
 cli
   .command("signalbox")
   .description("hold the plan, know workers and nodes, decide (control plane)")
-  .action(() => run(async () => (await import("./programs/signalbox.js")).runSignalbox));
+  .action(() =>
+    run(async () => (await import("./programs/controller/controller.js")).runSignalbox),
+  );
 cli
   .command("depot")
   .description("hold copies of objects for all pointsmen (shared cache)")
-  .action(() => run(async () => (await import("./programs/depot.js")).runDepot));
+  .action(() => run(async () => (await import("./programs/cache/cache.js")).runDepot));
 if (
   process.argv[2] !== "depot" &&
   process.argv[2] !== "pointsman" &&
   process.argv[2] !== "signalbox"
 ) {
-  (await import("./programs/stationmaster.js")).addStationmaster(cli);
-  (await import("./programs/shunter.js")).addShunter(cli);
+  (await import("./programs/ctl/ctl.js")).addStationmaster(cli);
+  (await import("./programs/loadgen/loadgen.js")).addShunter(cli);
 }
 await cli.parseAsync();
--- a/src/signalling/sessions.ts
+++ b/src/membership/node-sessions.ts
@@ -1,10 +1,10 @@
 import Emittery from "emittery";
-import { Asks } from "../trackbed/asks.js";
-import type { Clock } from "../trackbed/clock.js";
-import type { Log } from "../trackbed/log.js";
-import { asRec, list, text, whole, type Rec } from "../trackbed/shape.js";
-import type { Message, Wire } from "../trackbed/wire.js";
-import type { Crew, Feeder } from "./feeder.js";
+import { Asks } from "../transport/pending-requests.js";
+import type { Clock } from "../common/clock.js";
+import type { Log } from "../common/logger.js";
+import { asRec, list, text, whole, type Rec } from "../common/decode.js";
+import type { Message, Wire } from "../transport/connection.js";
+import type { Crew, Feeder } from "./update-publisher.js";
 
 export type Role = "pointsman" | "depot";
 
--- a/src/signalling/colleagues.ts
+++ b/src/membership/peers.ts
@@ -1,9 +1,9 @@
 import Emittery from "emittery";
-import type { Clock } from "../trackbed/clock.js";
-import { list, textOf } from "../trackbed/shape.js";
-import { splitAddress } from "../trackbed/settings.js";
-import type { Message, WireTimes } from "../trackbed/wire.js";
-import { Link } from "./link.js";
+import type { Clock } from "../common/clock.js";
+import { list, textOf } from "../common/decode.js";
+import { splitAddress } from "../common/settings.js";
+import type { Message, WireTimes } from "../transport/connection.js";
+import { Link } from "../transport/peer-link.js";
 
 export interface ColleagueOptions {
   /** This signalbox's id: its control address. */
--- a/src/signalling/feeder.ts
+++ b/src/membership/update-publisher.ts
@@ -1,8 +1,8 @@
-import type { Clock, Pulse } from "../trackbed/clock.js";
-import { MS } from "../trackbed/span.js";
-import type { Message, Wire } from "../trackbed/wire.js";
-import type { Board } from "./board.js";
-import type { DepotAt } from "./sessions.js";
+import type { Clock, Pulse } from "../common/clock.js";
+import { MS } from "../common/duration.js";
+import type { Message, Wire } from "../transport/connection.js";
+import type { Board } from "./update-store.js";
+import type { DepotAt } from "./node-sessions.js";
 
 /** How many live pointsmen there are, all in all and by cell. */
 export interface Crew {
--- a/src/signalling/board.ts
+++ b/src/membership/update-store.ts
@@ -1,6 +1,6 @@
 import Emittery from "emittery";
-import type { Clock } from "../trackbed/clock.js";
-import { asRec, text, whole, type Rec } from "../trackbed/shape.js";
+import type { Clock } from "../common/clock.js";
+import { asRec, text, whole, type Rec } from "../common/decode.js";
 
 /**
  * A fact is what the data plane is told: a plan item held by a quorum, a worker, the ejections.
--- a/src/signalling/taker.ts
+++ b/src/membership/update-subscriber.ts
@@ -1,14 +1,14 @@
 import Emittery from "emittery";
-import { Asks } from "../trackbed/asks.js";
-import { rest, within, type Clock } from "../trackbed/clock.js";
-import type { Log } from "../trackbed/log.js";
-import { splitAddress } from "../trackbed/settings.js";
-import { asList, asRec, flag, list, text, textOf, whole } from "../trackbed/shape.js";
-import { MS } from "../trackbed/span.js";
-import { dial, type Message, type Wire, type WireTimes } from "../trackbed/wire.js";
-import { WORKER_PREFIX, type Board } from "./board.js";
-import type { Crew } from "./feeder.js";
-import { readCrew, type Role } from "./sessions.js";
+import { Asks } from "../transport/pending-requests.js";
+import { rest, within, type Clock } from "../common/clock.js";
+import type { Log } from "../common/logger.js";
+import { splitAddress } from "../common/settings.js";
+import { asList, asRec, flag, list, text, textOf, whole } from "../common/decode.js";
+import { MS } from "../common/duration.js";
+import { dial, type Message, type Wire, type WireTimes } from "../transport/connection.js";
+import { WORKER_PREFIX, type Board } from "./update-store.js";
+import type { Crew } from "./update-publisher.js";
+import { readCrew, type Role } from "./node-sessions.js";
 
 export interface TakerOptions {
   readonly name: string;
--- a/src/signalling/registry.ts
+++ b/src/membership/worker-registry.ts
@@ -1,7 +1,7 @@
-import type { Clock } from "../trackbed/clock.js";
-import { asRec, text, whole, type Rec } from "../trackbed/shape.js";
-import { parseSpan } from "../trackbed/span.js";
-import { WORKER_PREFIX, type Board, type NewFact } from "./board.js";
+import type { Clock } from "../common/clock.js";
+import { asRec, text, whole, type Rec } from "../common/decode.js";
+import { parseSpan } from "../common/duration.js";
+import { WORKER_PREFIX, type Board, type NewFact } from "./update-store.js";
 
 export type WorkerState = "ready" | "missing" | "draining" | "gone";
 
--- a/src/programs/control.ts
+++ b/src/programs/controller/admin-api.ts
@@ -5,14 +5,14 @@
   unknownService,
   isPlanKey,
   type PlanMishap,
-} from "../interlocking/check.js";
-import type { Ledger, LedgerMishap } from "../interlocking/ledger.js";
-import type { Register } from "../interlocking/register.js";
-import { readBeat, type Beat, type Registry } from "../signalling/registry.js";
-import type { OutcomeName } from "../trackbed/outcomes.js";
-import { isRec, parseJson, type Rec } from "../trackbed/shape.js";
-import { parseSpan } from "../trackbed/span.js";
-import type { Call, Entry, Verdict } from "./dispatch.js";
+} from "../../config/validation.js";
+import type { Ledger, LedgerMishap } from "../../consensus/replicated-store.js";
+import type { Register } from "../../consensus/register.js";
+import { readBeat, type Beat, type Registry } from "../../membership/worker-registry.js";
+import type { OutcomeName } from "../../common/http-outcomes.js";
+import { isRec, parseJson, type Rec } from "../../common/decode.js";
+import { parseSpan } from "../../common/duration.js";
+import type { Call, Entry, Verdict } from "../http-api.js";
 
 /** What can go wrong with a call, in this layer's own words. */
 export type CallMishap = { readonly outcome: OutcomeName; readonly sentence: string };
--- a/src/programs/signalbox-backends.ts
+++ b/src/programs/controller/backend-forecast.ts
@@ -1,6 +1,6 @@
-import type { Registry } from "../signalling/registry.js";
-import type { NodeAnswer } from "../signalling/sessions.js";
-import { CALLS_WINDOW_US } from "../traction/call-counts.js";
+import type { Registry } from "../../membership/worker-registry.js";
+import type { NodeAnswer } from "../../membership/node-sessions.js";
+import { CALLS_WINDOW_US } from "../../proxy/request-counters.js";
 import {
   bandOf,
   CONFIDENCE,
@@ -8,12 +8,12 @@
   LEAST_CALLS,
   unevennessOf,
   type BackendChange,
-} from "../traction/move-forecast.js";
-import { asRec, list, numberOf, text, textOf, whole, type Rec } from "../trackbed/shape.js";
-import { SECOND } from "../trackbed/span.js";
-import type { Message } from "../trackbed/wire.js";
-import type { Verdict } from "./dispatch.js";
-import { readBackendChange } from "./pointsman-answers.js";
+} from "../../proxy/reassignment-forecast.js";
+import { asRec, list, numberOf, text, textOf, whole, type Rec } from "../../common/decode.js";
+import { SECOND } from "../../common/duration.js";
+import type { Message } from "../../transport/connection.js";
+import type { Verdict } from "../http-api.js";
+import { readBackendChange } from "../gateway/node-queries.js";
 
 /** A worker whose slots would be in use beyond this part is named. */
 const LOADED_PART = 0.8;
--- a/src/programs/signalbox-content.ts
+++ b/src/programs/controller/content.ts
@@ -1,18 +1,18 @@
 import { join } from "node:path";
-import { GRANT_LASTS_US, RateOffice } from "../goods/rate.js";
-import type { Duty } from "../interlocking/duty.js";
-import { KeyBook, readAnswer } from "../interlocking/keybook.js";
-import { Keys } from "../interlocking/keys.js";
-import { STORE_WAIT_US, type Ledger } from "../interlocking/ledger.js";
-import { PURGE_PREFIX, type Board } from "../signalling/board.js";
-import type { Colleagues } from "../signalling/colleagues.js";
-import type { Feeder } from "../signalling/feeder.js";
-import type { Clock } from "../trackbed/clock.js";
-import { logFor } from "../trackbed/log.js";
-import type { Settings } from "../trackbed/settings.js";
-import { text, whole, type Rec } from "../trackbed/shape.js";
-import { MS, SECOND } from "../trackbed/span.js";
-import type { Message } from "../trackbed/wire.js";
+import { GRANT_LASTS_US, RateOffice } from "../../quota/rate-limiter.js";
+import type { Duty } from "../../consensus/leader-lease.js";
+import { KeyBook, readAnswer } from "../../idempotency/key-table.js";
+import { Keys } from "../../idempotency/key-replication.js";
+import { STORE_WAIT_US, type Ledger } from "../../consensus/replicated-store.js";
+import { PURGE_PREFIX, type Board } from "../../membership/update-store.js";
+import type { Colleagues } from "../../membership/peers.js";
+import type { Feeder } from "../../membership/update-publisher.js";
+import type { Clock } from "../../common/clock.js";
+import { logFor } from "../../common/logger.js";
+import type { Settings } from "../../common/settings.js";
+import { text, whole, type Rec } from "../../common/decode.js";
+import { MS, SECOND } from "../../common/duration.js";
+import type { Message } from "../../transport/connection.js";
 
 export interface ContentOptions {
   readonly settings: Settings;
--- a/src/programs/signalbox.ts
+++ b/src/programs/controller/controller.ts
@@ -1,24 +1,29 @@
 import { randomUUID } from "node:crypto";
 import { join } from "node:path";
-import { Archive } from "../interlocking/archive.js";
-import { isPlanKey, serviceKey } from "../interlocking/check.js";
-import { Copy } from "../interlocking/copy.js";
-import { FileDisk } from "../interlocking/disk.js";
-import { Duty } from "../interlocking/duty.js";
-import { Ledger, LEDGER_KINDS, STORE_WAIT_US } from "../interlocking/ledger.js";
-import type { Register } from "../interlocking/register.js";
-import { everyoneOf, quorumOf } from "../interlocking/roster.js";
-import { Forecaster, FORECAST_TERMS, readVerdicts } from "../inspection/forecast.js";
-import { Inspector, NO_DECISIONS, readDecisions, type Decisions } from "../inspection/inspector.js";
-import { TRIAL_TERMS } from "../inspection/evidence.js";
-import { TERMS } from "../inspection/ranking.js";
+import { Archive } from "../../storage/write-ahead-log.js";
+import { isPlanKey, serviceKey } from "../../config/validation.js";
+import { Copy } from "../../consensus/replica.js";
+import { FileDisk } from "../../storage/file-system.js";
+import { Duty } from "../../consensus/leader-lease.js";
+import { Ledger, LEDGER_KINDS, STORE_WAIT_US } from "../../consensus/replicated-store.js";
+import type { Register } from "../../consensus/register.js";
+import { everyoneOf, quorumOf } from "../../consensus/voter-set.js";
+import { Forecaster, FORECAST_TERMS, readVerdicts } from "../../health/capacity-forecast.js";
+import {
+  Inspector,
+  NO_DECISIONS,
+  readDecisions,
+  type Decisions,
+} from "../../health/outlier-detector.js";
+import { TRIAL_TERMS } from "../../health/sequential-test.js";
+import { TERMS } from "../../health/outlier-ranking.js";
 import {
   NO_ROLLOUTS,
   readRolloutState,
   RolloutInspector,
   type ClearMishap,
   type RolloutState,
-} from "../inspection/rollout-inspector.js";
+} from "../../health/canary-analysis.js";
 import {
   readWindows,
   WINDOW_SENTENCES,
@@ -26,8 +31,8 @@
   Windows,
   type WindowMishap,
   type WindowState,
-} from "../inspection/windows.js";
-import { SplitRoutes } from "../inspection/split-routes.js";
+} from "../../health/maintenance-window.js";
+import { SplitRoutes } from "../../health/split-routes.js";
 import {
   Board,
   EJECTIONS_KEY,
@@ -37,26 +42,26 @@
   ROLLOUTS_KEY,
   WORKER_PREFIX,
   type NewFact,
-} from "../signalling/board.js";
-import { Colleagues } from "../signalling/colleagues.js";
-import { Feeder } from "../signalling/feeder.js";
-import { readSharedBeat, Registry, type Beat } from "../signalling/registry.js";
-import { Sessions } from "../signalling/sessions.js";
-import { Switchboard } from "../signalling/switchboard.js";
-import { oncePer, onceForAll, type Clock, type Pulse } from "../trackbed/clock.js";
-import { logFor } from "../trackbed/log.js";
-import type { OutcomeName } from "../trackbed/outcomes.js";
-import type { Settings } from "../trackbed/settings.js";
-import { flag, list, parseJson, text, asRec, whole, type Rec } from "../trackbed/shape.js";
-import { MS, SECOND } from "../trackbed/span.js";
-import type { Message, Wire } from "../trackbed/wire.js";
-import { TIMES } from "./member.js";
-import { Commands, controlEntries, Queries, type WindowCall } from "./control.js";
-import { readVerdict, serveCalls, type Verdict } from "./dispatch.js";
-import { NodeAnswers } from "./node-answers.js";
-import type { Running } from "./running.js";
-import { openBackends } from "./signalbox-backends.js";
-import { openRetries } from "./signalbox-retries.js";
+} from "../../membership/update-store.js";
+import { Colleagues } from "../../membership/peers.js";
+import { Feeder } from "../../membership/update-publisher.js";
+import { readSharedBeat, Registry, type Beat } from "../../membership/worker-registry.js";
+import { Sessions } from "../../membership/node-sessions.js";
+import { Switchboard } from "../../transport/listener.js";
+import { oncePer, onceForAll, type Clock, type Pulse } from "../../common/clock.js";
+import { logFor } from "../../common/logger.js";
+import type { OutcomeName } from "../../common/http-outcomes.js";
+import type { Settings } from "../../common/settings.js";
+import { flag, list, parseJson, text, asRec, whole, type Rec } from "../../common/decode.js";
+import { MS, SECOND } from "../../common/duration.js";
+import type { Message, Wire } from "../../transport/connection.js";
+import { TIMES } from "../data-plane-node.js";
+import { Commands, controlEntries, Queries, type WindowCall } from "./admin-api.js";
+import { readVerdict, serveCalls, type Verdict } from "../http-api.js";
+import { NodeAnswers } from "./node-queries.js";
+import type { Running } from "../running-program.js";
+import { openBackends } from "./backend-forecast.js";
+import { openRetries } from "./retry-quota.js";
 
 const SWEEP_US = 1 * SECOND;
 const GATHER_JOINS_US = 60 * MS;
@@ -410,7 +415,7 @@
   /** Only a deployment of this kind loads and runs what operation keys, purges and rates need. */
   const content =
     settings.deployment === "content"
-      ? (await import("./signalbox-content.js")).openContent({
+      ? (await import("./content.js")).openContent({
           settings,
           clock,
           ledger,
--- a/src/programs/node-answers.ts
+++ b/src/programs/controller/node-queries.ts
@@ -1,8 +1,8 @@
-import type { Colleagues } from "../signalling/colleagues.js";
-import type { NodeAnswer, Sessions } from "../signalling/sessions.js";
-import { asRec, isRec, list, text } from "../trackbed/shape.js";
-import { MS } from "../trackbed/span.js";
-import type { Message } from "../trackbed/wire.js";
+import type { Colleagues } from "../../membership/peers.js";
+import type { NodeAnswer, Sessions } from "../../membership/node-sessions.js";
+import { asRec, isRec, list, text } from "../../common/decode.js";
+import { MS } from "../../common/duration.js";
+import type { Message } from "../../transport/connection.js";
 
 const NODE_WAIT_US = 1_500 * MS;
 const COLLEAGUE_WAIT_US = 2_000 * MS;
--- a/src/programs/signalbox-retries.ts
+++ b/src/programs/controller/retry-quota.ts
@@ -1,9 +1,9 @@
-import type { Duty } from "../interlocking/duty.js";
-import { STORE_WAIT_US } from "../interlocking/ledger.js";
-import { RetryOffice } from "../interlocking/retry-office.js";
-import type { Colleagues } from "../signalling/colleagues.js";
-import type { NodeAnswer } from "../signalling/sessions.js";
-import type { Clock } from "../trackbed/clock.js";
+import type { Duty } from "../../consensus/leader-lease.js";
+import { STORE_WAIT_US } from "../../consensus/replicated-store.js";
+import { RetryOffice } from "../../quota/retry-allocator.js";
+import type { Colleagues } from "../../membership/peers.js";
+import type { NodeAnswer } from "../../membership/node-sessions.js";
+import type { Clock } from "../../common/clock.js";
 import {
   defaultLimits,
   EVERY_SERVICE,
@@ -13,12 +13,12 @@
   ROUTE_KINDS,
   withLimit,
   type RetryLimits,
-} from "../trackbed/retry-limits.js";
-import type { Settings } from "../trackbed/settings.js";
-import { asRec, list, text, whole, type Rec } from "../trackbed/shape.js";
-import type { Message } from "../trackbed/wire.js";
-import { readVerdict, type Verdict } from "./dispatch.js";
-import { ceilingOf } from "./retries.js";
+} from "../../quota/retry-limits.js";
+import type { Settings } from "../../common/settings.js";
+import { asRec, list, text, whole, type Rec } from "../../common/decode.js";
+import type { Message } from "../../transport/connection.js";
+import { readVerdict, type Verdict } from "../http-api.js";
+import { ceilingOf } from "../gateway/retry-budgets.js";
 
 export interface RetriesOptions {
   readonly settings: Settings;
--- a/src/programs/stationmaster.ts
+++ b/src/programs/ctl/ctl.ts
@@ -2,8 +2,8 @@
 import { request } from "node:http";
 import type { Command } from "commander";
 import { err, ok, type Result } from "true-myth/result";
-import { isRec, parseJson, type Rec } from "../trackbed/shape.js";
-import { parseSpan } from "../trackbed/span.js";
+import { isRec, parseJson, type Rec } from "../../common/decode.js";
+import { parseSpan } from "../../common/duration.js";
 import type { UsageRow } from "./usage-export.js";
 
 /** Exit codes: 0 done, 1 refused by the system, 2 wrong input, 3 nobody reached. */
@@ -306,7 +306,7 @@
 };
 
 const checkBackends = async (options: BackendsCall, file: string): Promise<void> => {
-  const { checkForecast, countsOf, readKept } = await import("./backends-check.js");
+  const { checkForecast, countsOf, readKept } = await import("./forecast-check.js");
   let kept: Rec | string;
   try {
     kept = readKept(parseJson(await readFile(file, "utf8")));
--- a/src/programs/backends-check.ts
+++ b/src/programs/ctl/forecast-check.ts
@@ -1,5 +1,14 @@
-import { LEAST_CALLS } from "../traction/move-forecast.js";
-import { asRec, isRec, list, numberOf, text, textOf, whole, type Rec } from "../trackbed/shape.js";
+import { LEAST_CALLS } from "../../proxy/reassignment-forecast.js";
+import {
+  asRec,
+  isRec,
+  list,
+  numberOf,
+  text,
+  textOf,
+  whole,
+  type Rec,
+} from "../../common/decode.js";
 
 export interface CheckedRow extends Rec {
   readonly node: string;
--- a/src/programs/usage-export.ts
+++ b/src/programs/ctl/usage-export.ts
@@ -1,7 +1,7 @@
 import { writeFile } from "node:fs/promises";
 import { stringify } from "csv-stringify/sync";
 import { parquetWriteBuffer } from "hyparquet-writer";
-import { asRec, text, whole } from "../trackbed/shape.js";
+import { asRec, text, whole } from "../../common/decode.js";
 
 /** One row for each node, route, kind, cell and outcome. Invariant: `count` is cumulative for the node's present life. */
 export interface UsageRow {
--- a/src/programs/member.ts
+++ b/src/programs/data-plane-node.ts
@@ -1,13 +1,13 @@
-import { Board } from "../signalling/board.js";
-import { Feeder } from "../signalling/feeder.js";
-import type { Role } from "../signalling/sessions.js";
-import { Switchboard, type Receiver } from "../signalling/switchboard.js";
-import { Taker, type TakerOptions } from "../signalling/taker.js";
-import type { Clock } from "../trackbed/clock.js";
-import { logFor } from "../trackbed/log.js";
-import type { Settings } from "../trackbed/settings.js";
-import { MS } from "../trackbed/span.js";
-import type { Message, Wire } from "../trackbed/wire.js";
+import { Board } from "../membership/update-store.js";
+import { Feeder } from "../membership/update-publisher.js";
+import type { Role } from "../membership/node-sessions.js";
+import { Switchboard, type Receiver } from "../transport/listener.js";
+import { Taker, type TakerOptions } from "../membership/update-subscriber.js";
+import type { Clock } from "../common/clock.js";
+import { logFor } from "../common/logger.js";
+import type { Settings } from "../common/settings.js";
+import { MS } from "../common/duration.js";
+import type { Message, Wire } from "../transport/connection.js";
 
 export const TIMES = { pulseUs: 300 * MS, silenceUs: 1_000 * MS };
 
--- a/src/programs/pointsman.ts
+++ b/src/programs/gateway/gateway.ts
@@ -1,21 +1,21 @@
-import { FaultCounts } from "../inspection/counts.js";
-import { UsageCounts } from "../inspection/usage-counts.js";
-import { RolloutCounts } from "../inspection/rollout-counts.js";
-import type { Crew } from "../signalling/feeder.js";
-import { CallCounts } from "../traction/call-counts.js";
-import { Front } from "../traction/front.js";
-import { RouteTable } from "../traction/routes.js";
-import { Yard } from "../traction/yard.js";
-import { rest, type Clock } from "../trackbed/clock.js";
-import { logFor } from "../trackbed/log.js";
-import type { Settings } from "../trackbed/settings.js";
-import { MS, SECOND } from "../trackbed/span.js";
-import { serveCalls } from "./dispatch.js";
-import { joinNews } from "./member.js";
-import { answersOf } from "./pointsman-answers.js";
-import type { PointsmanGoods, PointsmanGoodsOptions } from "./pointsman-goods.js";
-import { openRetryBudgets } from "./retries.js";
-import type { Running } from "./running.js";
+import { FaultCounts } from "../../health/fault-counters.js";
+import { UsageCounts } from "../../health/load-counters.js";
+import { RolloutCounts } from "../../health/canary-counters.js";
+import type { Crew } from "../../membership/update-publisher.js";
+import { CallCounts } from "../../proxy/request-counters.js";
+import { Front } from "../../proxy/proxy-server.js";
+import { RouteTable } from "../../proxy/route-table.js";
+import { Yard } from "../../proxy/connection-pool.js";
+import { rest, type Clock } from "../../common/clock.js";
+import { logFor } from "../../common/logger.js";
+import type { Settings } from "../../common/settings.js";
+import { MS, SECOND } from "../../common/duration.js";
+import { serveCalls } from "../http-api.js";
+import { joinNews } from "../data-plane-node.js";
+import { answersOf } from "./node-queries.js";
+import type { PointsmanGoods, PointsmanGoodsOptions } from "./object-cache.js";
+import { openRetryBudgets } from "./retry-budgets.js";
+import type { Running } from "../running-program.js";
 
 const MB = 1024 * 1024;
 const DEFAULT_MEMORY_MB = 256;
@@ -30,7 +30,7 @@
 /** Only a deployment of this kind loads and runs what objects and operation keys need. */
 const CONTENT = "content";
 const openGoods = async (options: PointsmanGoodsOptions): Promise<PointsmanGoods> =>
-  (await import("./pointsman-goods.js")).openPointsmanGoods(options);
+  (await import("./object-cache.js")).openPointsmanGoods(options);
 
 /** Puts the data plane together on one machine. */
 export const runPointsman = async (settings: Settings, clock: Clock): Promise<Running> => {
--- a/src/programs/pointsman-answers.ts
+++ b/src/programs/gateway/node-queries.ts
@@ -1,9 +1,9 @@
-import type { CallCounts } from "../traction/call-counts.js";
-import { forecastMoves, type BackendChange } from "../traction/move-forecast.js";
-import type { RetryBudgets } from "../traction/retry-budget.js";
-import type { Yard } from "../traction/yard.js";
-import { asRec, flag, list, text, textOf, whole } from "../trackbed/shape.js";
-import type { Message } from "../trackbed/wire.js";
+import type { CallCounts } from "../../proxy/request-counters.js";
+import { forecastMoves, type BackendChange } from "../../proxy/reassignment-forecast.js";
+import type { RetryBudgets } from "../../proxy/retry-budget.js";
+import type { Yard } from "../../proxy/connection-pool.js";
+import { asRec, flag, list, text, textOf, whole } from "../../common/decode.js";
+import type { Message } from "../../transport/connection.js";
 
 export interface AnswersOptions {
   readonly node: string;
--- a/src/programs/retries.ts
+++ b/src/programs/gateway/retry-budgets.ts
@@ -1,11 +1,11 @@
-import { RETRIES_KEY, type Board } from "../signalling/board.js";
-import type { Taker } from "../signalling/taker.js";
-import { RetryBudgets } from "../traction/retry-budget.js";
-import { RetryKeeper } from "../traction/retry-keeper.js";
-import type { Clock } from "../trackbed/clock.js";
-import { logFor } from "../trackbed/log.js";
-import { defaultLimits, readRetryLimits, type RetryCeiling } from "../trackbed/retry-limits.js";
-import type { Settings } from "../trackbed/settings.js";
+import { RETRIES_KEY, type Board } from "../../membership/update-store.js";
+import type { Taker } from "../../membership/update-subscriber.js";
+import { RetryBudgets } from "../../proxy/retry-budget.js";
+import { RetryKeeper } from "../../quota/retry-lease-renewer.js";
+import type { Clock } from "../../common/clock.js";
+import { logFor } from "../../common/logger.js";
+import { defaultLimits, readRetryLimits, type RetryCeiling } from "../../quota/retry-limits.js";
+import type { Settings } from "../../common/settings.js";
 
 export const ceilingOf = (settings: Settings): RetryCeiling => ({
   ratio: settings.retryRatio,
--- a/src/programs/dispatch.ts
+++ b/src/programs/http-api.ts
@@ -1,8 +1,8 @@
 import express, { type Request, type Response } from "express";
 import { createServer, type Server } from "node:http";
-import { OUTCOME_NAMES, OUTCOMES, type OutcomeName } from "../trackbed/outcomes.js";
-import { splitAddress } from "../trackbed/settings.js";
-import { asRec, type Rec } from "../trackbed/shape.js";
+import { OUTCOME_NAMES, OUTCOMES, type OutcomeName } from "../common/http-outcomes.js";
+import { splitAddress } from "../common/settings.js";
+import { asRec, type Rec } from "../common/decode.js";
 
 export interface Verdict {
   readonly outcome: OutcomeName;
--- a/src/programs/shunter.ts
+++ b/src/programs/loadgen/loadgen.ts
@@ -1,8 +1,8 @@
 import { Agent, request } from "node:http";
 import { hostname } from "node:os";
 import type { Command } from "commander";
-import { SteadyClock, type Clock } from "../trackbed/clock.js";
-import { MS, SECOND } from "../trackbed/span.js";
+import { SteadyClock, type Clock } from "../../common/clock.js";
+import { MS, SECOND } from "../../common/duration.js";
 
 export interface Load {
   readonly targets: readonly string[];
--- a/src/programs/purges.ts
+++ b/src/programs/purge-subscriber.ts
@@ -1,10 +1,10 @@
-import type { Copies } from "../goods/copies.js";
-import type { Freshness } from "../goods/freshness.js";
-import { PURGE_PREFIX, type Board } from "../signalling/board.js";
-import type { Taker } from "../signalling/taker.js";
-import type { Clock, Pulse } from "../trackbed/clock.js";
-import { text } from "../trackbed/shape.js";
-import { SECOND } from "../trackbed/span.js";
+import type { Copies } from "../cache/cached-objects.js";
+import type { Freshness } from "../cache/freshness.js";
+import { PURGE_PREFIX, type Board } from "../membership/update-store.js";
+import type { Taker } from "../membership/update-subscriber.js";
+import type { Clock, Pulse } from "../common/clock.js";
+import { text } from "../common/decode.js";
+import { SECOND } from "../common/duration.js";
 
 export interface PurgeFollowing {
   readonly clock: Clock;
--- a/src/programs/running.ts
+++ b/src/programs/running-program.ts
@@ -1,4 +1,4 @@
-import type { Settings } from "../trackbed/settings.js";
+import type { Settings } from "../common/settings.js";
 
 /** A program that runs on one machine, as long as it is not told to end in order. */
 export interface Running {
--- a/src/traction/gate.ts
+++ b/src/proxy/admission-queue.ts
@@ -1,6 +1,6 @@
-import type { Clock, Pulse } from "../trackbed/clock.js";
-import type { Trip } from "./trip.js";
-import type { Worker } from "./yard.js";
+import type { Clock, Pulse } from "../common/clock.js";
+import type { Trip } from "./request-context.js";
+import type { Worker } from "./connection-pool.js";
 
 interface Waiting {
   readonly trip: Trip;
--- a/src/traction/yard.ts
+++ b/src/proxy/connection-pool.ts
@@ -1,9 +1,14 @@
 import type { Client } from "undici";
 import OneClient from "undici/lib/dispatcher/client.js";
-import { EJECTIONS_KEY, FORECAST_KEY, WORKER_PREFIX, type Fact } from "../signalling/board.js";
-import type { Clock } from "../trackbed/clock.js";
-import { asRec, list, text, whole } from "../trackbed/shape.js";
-import { MS, SECOND } from "../trackbed/span.js";
+import {
+  EJECTIONS_KEY,
+  FORECAST_KEY,
+  WORKER_PREFIX,
+  type Fact,
+} from "../membership/update-store.js";
+import type { Clock } from "../common/clock.js";
+import { asRec, list, text, whole } from "../common/decode.js";
+import { MS, SECOND } from "../common/duration.js";
 import { subsetOf, type NodeCount, type Subset } from "./subset.js";
 
 /** One connection to a worker, for one request at a time. */
--- a/src/traction/fate.ts
+++ b/src/proxy/delivery-state.ts
@@ -1,4 +1,4 @@
-import { OUTCOMES, type OutcomeName } from "../trackbed/outcomes.js";
+import { OUTCOMES, type OutcomeName } from "../common/http-outcomes.js";
 
 /**
  * What is known of one request.
--- a/src/traction/choose.ts
+++ b/src/proxy/load-balancer.ts
@@ -1,4 +1,4 @@
-import type { Worker, Yard } from "./yard.js";
+import type { Worker, Yard } from "./connection-pool.js";
 
 export interface ChooserOptions {
   readonly yard: Yard;
--- a/src/traction/move-forecast.ts
+++ b/src/proxy/reassignment-forecast.ts
@@ -1,5 +1,5 @@
 import { mean, probit, sampleStandardDeviation } from "simple-statistics";
-import type { CallCount } from "./call-counts.js";
+import type { CallCount } from "./request-counters.js";
 import { subsetOf, type NodeCount, type Placed, type Subset } from "./subset.js";
 
 /** What the planners ask about: backends added, by service and cell, and workers retired. */
--- a/src/traction/trip.ts
+++ b/src/proxy/request-context.ts
@@ -1,9 +1,9 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { Socket } from "node:net";
 import type { Readable } from "node:stream";
-import type { Calling } from "./call.js";
-import type { Fate } from "./fate.js";
-import type { Route } from "./routes.js";
+import type { Calling } from "./upstream-request.js";
+import type { Fate } from "./delivery-state.js";
+import type { Route } from "./route-table.js";
 
 /** The requests of one caller's connection, in the order they came. */
 export interface Line {
--- a/src/traction/call-counts.ts
+++ b/src/proxy/request-counters.ts
@@ -1,5 +1,5 @@
-import type { Clock } from "../trackbed/clock.js";
-import { SECOND } from "../trackbed/span.js";
+import type { Clock } from "../common/clock.js";
+import { SECOND } from "../common/duration.js";
 
 export interface CallCount {
   readonly service: string;
--- a/src/traction/retry-budget.ts
+++ b/src/proxy/retry-budget.ts
@@ -1,13 +1,13 @@
-import type { Clock } from "../trackbed/clock.js";
-import type { Log } from "../trackbed/log.js";
+import type { Clock } from "../common/clock.js";
+import type { Log } from "../common/logger.js";
 import {
   limitOf,
   USED_PART,
   type RetryLimit,
   type RetryLimits,
   type RouteKind,
-} from "../trackbed/retry-limits.js";
-import type { Rec } from "../trackbed/shape.js";
+} from "../quota/retry-limits.js";
+import type { Rec } from "../common/decode.js";
 
 interface Slot {
   readonly sinceUs: number;
--- a/src/traction/routes.ts
+++ b/src/proxy/route-table.ts
@@ -1,7 +1,7 @@
-import { PLAN_PREFIX, ROLLOUTS_KEY, type Fact } from "../signalling/board.js";
-import { asList, asRec, parseJson, text, whole } from "../trackbed/shape.js";
-import { readShares, type Share } from "../trackbed/shares.js";
-import { parseSpan, SECOND } from "../trackbed/span.js";
+import { PLAN_PREFIX, ROLLOUTS_KEY, type Fact } from "../membership/update-store.js";
+import { asList, asRec, parseJson, text, whole } from "../common/decode.js";
+import { readShares, type Share } from "../common/weighted-split.js";
+import { parseSpan, SECOND } from "../common/duration.js";
 
 export interface Route {
   readonly name: string;
--- a/src/traction/call.ts
+++ b/src/proxy/upstream-request.ts
@@ -1,7 +1,7 @@
 import type { Readable } from "node:stream";
 import type { Dispatcher } from "undici";
-import { headOf, isDoubled, NOT_RUN, SEAL, TRY_ID, USAGE, type FlatHeads } from "./heads.js";
-import type { Worker } from "./yard.js";
+import { headOf, isDoubled, NOT_RUN, SEAL, TRY_ID, USAGE, type FlatHeads } from "./headers.js";
+import type { Worker } from "./connection-pool.js";
 
 export interface Order {
   readonly method: string;
--- a/src/interlocking/share-office.ts
+++ b/src/quota/lease-allocator.ts
@@ -1,4 +1,4 @@
-import type { Clock } from "../trackbed/clock.js";
+import type { Clock } from "../common/clock.js";
 
 interface Given {
   readonly share: number;
--- a/src/goods/rate-keeper.ts
+++ b/src/quota/rate-lease-renewer.ts
@@ -1,7 +1,7 @@
-import type { Clock, Pulse } from "../trackbed/clock.js";
-import { MS } from "../trackbed/span.js";
-import type { Message } from "../trackbed/wire.js";
-import type { RateShare } from "./rate.js";
+import type { Clock, Pulse } from "../common/clock.js";
+import { MS } from "../common/duration.js";
+import type { Message } from "../transport/connection.js";
+import type { RateShare } from "./rate-limiter.js";
 
 export interface RateKeeperOptions {
   readonly clock: Clock;
--- a/src/goods/rate.ts
+++ b/src/quota/rate-limiter.ts
@@ -1,5 +1,5 @@
-import { ShareOffice } from "../interlocking/share-office.js";
-import type { Clock } from "../trackbed/clock.js";
+import { ShareOffice } from "./lease-allocator.js";
+import type { Clock } from "../common/clock.js";
 
 export interface Grant {
   readonly share: number;
--- a/src/interlocking/retry-office.ts
+++ b/src/quota/retry-allocator.ts
@@ -1,9 +1,9 @@
-import type { Clock } from "../trackbed/clock.js";
-import { kindOf, limitOf, USED_PART, type RetryLimits } from "../trackbed/retry-limits.js";
-import { asList, list, numberOf, text, textOf } from "../trackbed/shape.js";
-import { SECOND } from "../trackbed/span.js";
-import type { Message } from "../trackbed/wire.js";
-import { ShareOffice } from "./share-office.js";
+import type { Clock } from "../common/clock.js";
+import { kindOf, limitOf, USED_PART, type RetryLimits } from "./retry-limits.js";
+import { asList, list, numberOf, text, textOf } from "../common/decode.js";
+import { SECOND } from "../common/duration.js";
+import type { Message } from "../transport/connection.js";
+import { ShareOffice } from "./lease-allocator.js";
 
 export const RETRY_LEASE_US = 3 * SECOND;
 /** No node gets more of a slack than this part of it, so that the first to ask don't take it all. */
--- a/src/traction/retry-keeper.ts
+++ b/src/quota/retry-lease-renewer.ts
@@ -1,9 +1,9 @@
-import type { Clock } from "../trackbed/clock.js";
-import { kindOf } from "../trackbed/retry-limits.js";
-import { asList, list, numberOf, textOf } from "../trackbed/shape.js";
-import { MS } from "../trackbed/span.js";
-import type { Message } from "../trackbed/wire.js";
-import type { RetryBudgets } from "./retry-budget.js";
+import type { Clock } from "../common/clock.js";
+import { kindOf } from "./retry-limits.js";
+import { asList, list, numberOf, textOf } from "../common/decode.js";
+import { MS } from "../common/duration.js";
+import type { Message } from "../transport/connection.js";
+import type { RetryBudgets } from "../proxy/retry-budget.js";
 
 const SOON_US = 30 * MS;
 const GAP_US = 700 * MS;
--- a/src/trackbed/retry-limits.ts
+++ b/src/quota/retry-limits.ts
@@ -1,6 +1,6 @@
 import convict from "convict";
 import { err, ok, type Result } from "true-myth/result";
-import { isRec, type Rec } from "./shape.js";
+import { isRec, type Rec } from "../common/decode.js";
 
 export const ROUTE_KINDS = ["safe", "unsafe", "keyed", "cached"] as const;
 export type RouteKind = (typeof ROUTE_KINDS)[number];
--- a/src/interlocking/disk.ts
+++ b/src/storage/file-system.ts
@@ -1,6 +1,6 @@
 import { mkdir, open, readdir, readFile, rename, rm } from "node:fs/promises";
 import { dirname } from "node:path";
-import { isRec } from "../trackbed/shape.js";
+import { isRec } from "../common/decode.js";
 
 /**
  * The few calls on files that state on disk needs. Every method rejects with an Error when the disk refuses.
--- a/src/interlocking/segments.ts
+++ b/src/storage/segment-log.ts
@@ -2,10 +2,10 @@
 import { join } from "node:path";
 import { crc32 } from "node:zlib";
 import { err, ok, type Result } from "true-myth/result";
-import type { Clock } from "../trackbed/clock.js";
-import { packValue, unpackValue } from "../trackbed/wire.js";
-import { FileDisk } from "./disk.js";
-import { Together } from "./together.js";
+import type { Clock } from "../common/clock.js";
+import { packValue, unpackValue } from "../transport/connection.js";
+import { FileDisk } from "./file-system.js";
+import { Together } from "../common/batcher.js";
 
 export type SegmentMishap = { readonly kind: "disk" | "full"; readonly sentence: string };
 
--- a/src/interlocking/archive.ts
+++ b/src/storage/write-ahead-log.ts
@@ -1,10 +1,10 @@
 import { createHash } from "node:crypto";
 import { join } from "node:path";
 import { err, ok, type Result } from "true-myth/result";
-import { asList, asRec, flag, text, whole, type Rec } from "../trackbed/shape.js";
-import { packValue, unpackValue } from "../trackbed/wire.js";
-import type { Disk } from "./disk.js";
-import { Together } from "./together.js";
+import { asList, asRec, flag, text, whole, type Rec } from "../common/decode.js";
+import { packValue, unpackValue } from "../transport/connection.js";
+import type { Disk } from "./file-system.js";
+import { Together } from "../common/batcher.js";
 
 export type ArchiveMishap = { readonly kind: "disk"; readonly sentence: string };
 
--- a/src/trackbed/wire.ts
+++ b/src/transport/connection.ts
@@ -1,8 +1,8 @@
 import { connect, type Socket } from "node:net";
 import { deflateRawSync, inflateRawSync } from "node:zlib";
 import { Packr } from "msgpackr";
-import type { Clock, Pulse } from "./clock.js";
-import { asRec, type Rec } from "./shape.js";
+import type { Clock, Pulse } from "../common/clock.js";
+import { asRec, type Rec } from "../common/decode.js";
 
 /** A message between own processes; `kind` says which. */
 export type Message = Rec & { readonly kind: string };
--- a/src/signalling/switchboard.ts
+++ b/src/transport/listener.ts
@@ -1,7 +1,7 @@
 import { createServer, type Server } from "node:net";
-import type { Clock } from "../trackbed/clock.js";
-import type { Log } from "../trackbed/log.js";
-import { Wire, type Message, type WireTimes } from "../trackbed/wire.js";
+import type { Clock } from "../common/clock.js";
+import type { Log } from "../common/logger.js";
+import { Wire, type Message, type WireTimes } from "./connection.js";
 
 /** What serves one kind of caller for as long as its connection stands. */
 export type Receiver = (
--- a/src/signalling/link.ts
+++ b/src/transport/peer-link.ts
@@ -1,7 +1,7 @@
 import Emittery from "emittery";
-import { Asks } from "../trackbed/asks.js";
-import { rest, type Clock } from "../trackbed/clock.js";
-import { dial, type Message, type Wire, type WireTimes } from "../trackbed/wire.js";
+import { Asks } from "./pending-requests.js";
+import { rest, type Clock } from "../common/clock.js";
+import { dial, type Message, type Wire, type WireTimes } from "./connection.js";
 
 export interface LinkOptions {
   readonly ip: string;
--- a/src/trackbed/asks.ts
+++ b/src/transport/pending-requests.ts
@@ -1,5 +1,5 @@
-import { within, type Clock } from "./clock.js";
-import type { Message } from "./wire.js";
+import { within, type Clock } from "../common/clock.js";
+import type { Message } from "./connection.js";
 
 /** Questions asked over one connection and not yet answered. Invariant: each resolves once, at the latest when its wait is over. */
 export class Asks {
