--- a/scalability/run.ts
+++ b/scalability/run.ts
@@ -2,9 +2,9 @@
 import { cpus, tmpdir, totalmem, loadavg } from "node:os";
 import { join } from "node:path";
 import { Command } from "commander";
-import { rest, SteadyClock } from "../src/common/clock.js";
-import { asRec, isRec, whole, type Rec } from "../src/common/decode.js";
-import { MS, SECOND } from "../src/common/duration.js";
+import { sleep, SteadyClock } from "../src/common/clock.js";
+import { asRecord, isRecord, readNumber, type UnknownRecord } from "../src/common/decode.js";
+import { MILLISECOND_US, SECOND_US } from "../src/common/duration.js";
 import { Host, post, ruleOf, until } from "./host-control.js";
 import { boxAddress, machineUs } from "./place.js";
 
@@ -67,21 +67,24 @@
   readonly sent: Readonly<Record<string, { readonly frames: number; readonly bytes: number }>>;
 }
 
-const sentOf = (told: Rec): Map<string, { frames: number; bytes: number }> =>
+const sentOf = (told: UnknownRecord): Map<string, { frames: number; bytes: number }> =>
   new Map(
-    Object.entries(asRec(told["sent"])).map(([kind, counts]) => [
+    Object.entries(asRecord(told["sent"])).map(([kind, counts]) => [
       kind,
-      { frames: whole(asRec(counts), "frames"), bytes: whole(asRec(counts), "bytes") },
+      {
+        frames: readNumber(asRecord(counts), "frames"),
+        bytes: readNumber(asRecord(counts), "bytes"),
+      },
     ]),
   );
 
 /** What processes did between two looks, all in all; memory as it is at the second. */
-const between = (before: readonly Rec[], after: readonly Rec[]): Sum => {
+const between = (before: readonly UnknownRecord[], after: readonly UnknownRecord[]): Sum => {
   const sent: Record<string, { frames: number; bytes: number }> = {};
   let cpuUs = 0;
   after.forEach((now, at) => {
     const was = before[at];
-    cpuUs += whole(now, "cpuUs") - (was ? whole(was, "cpuUs") : 0);
+    cpuUs += readNumber(now, "cpuUs") - (was ? readNumber(was, "cpuUs") : 0);
     const earlier = was ? sentOf(was) : new Map<string, { frames: number; bytes: number }>();
     sentOf(now).forEach(({ frames, bytes }, kind) => {
       const sum = sent[kind] ?? { frames: 0, bytes: 0 };
@@ -92,12 +95,12 @@
       if (rise.frames > 0) sent[kind] = rise;
     });
   });
-  const most = (field: string) => Math.max(...after.map((now) => whole(now, field)));
+  const most = (field: string) => Math.max(...after.map((now) => readNumber(now, field)));
   return { cpuUs, rssMb: most("rssMb"), heapMb: most("heapMb"), sent };
 };
 
 /** One size: start, settle, measure at rest, time one change, restart a seventh of the nodes, kill a signalbox. */
-export const runSize = async (size: Size): Promise<Rec> => {
+export const runSize = async (size: Size): Promise<UnknownRecord> => {
   const folder = await mkdtemp(join(tmpdir(), "scalability-"));
   const boxes = Array.from({ length: size.boxes }, () => new Host(700));
   const hosts = Array.from({ length: size.hosts }, () => new Host(1_800));
@@ -153,12 +156,12 @@
       const told = await Promise.all(
         hosts.map((host) => host.ask({ what: "status", mark, ...wanted })),
       );
-      const sum = (field: string) => told.reduce((total, one) => total + whole(one, field), 0);
+      const sum = (field: string) => told.reduce((total, one) => total + readNumber(one, field), 0);
       return {
         full: sum("full"),
         marked: sum("marked"),
         standing: sum("standing"),
-        lastMarkUs: Math.max(...told.map((one) => whole(one, "lastMarkUs"))),
+        lastMarkUs: Math.max(...told.map((one) => readNumber(one, "lastMarkUs"))),
       };
     };
     const joinedUs = await until(
@@ -166,12 +169,12 @@
       async () => (await status(0)).full === size.nodes,
       180,
     );
-    await rest(clock, size.settle * SECOND);
+    await sleep(clock, size.settle * SECOND_US);
 
     const look = (of: readonly Host[]) =>
       Promise.all(of.map((host) => host.ask({ what: "measure" })));
     const [boxesBefore, hostsBefore] = [await look(boxes), await look(hosts)];
-    await rest(clock, size.seconds * SECOND);
+    await sleep(clock, size.seconds * SECOND_US);
     const [boxesRest, hostsRest] = [await look(boxes), await look(hosts)];
 
     const changedUs = machineUs();
@@ -183,13 +186,13 @@
     const acknowledgedUs = machineUs();
     await until("every node has the change", async () => (await status(2)).marked === size.nodes);
     const { lastMarkUs } = await status(2);
-    await rest(clock, SECOND);
+    await sleep(clock, SECOND_US);
     const [boxesChanged, hostsChanged] = [await look(boxes), await look(hosts)];
 
     const restartedFromUs = machineUs();
     const restarted = (
       await Promise.all(hosts.map((host) => host.ask({ what: "restart", every: 7 })))
-    ).reduce((sum, told) => sum + whole(told, "restarted"), 0);
+    ).reduce((sum, told) => sum + readNumber(told, "restarted"), 0);
     await until(
       "every restarted node has all news",
       async () => (await status(0)).full === size.nodes,
@@ -200,7 +203,7 @@
 
     const killedUs = machineUs();
     boxes[boxes.length - 1]?.end();
-    await rest(clock, 1_500 * MS);
+    await sleep(clock, 1_500 * MILLISECOND_US);
     await until(
       "every node has a session again",
       async () => (await status(0)).standing === size.nodes,
@@ -232,7 +235,7 @@
     };
   } finally {
     [...boxes, ...hosts, ...workers].forEach((host) => host.end());
-    await rest(clock, 300 * MS);
+    await sleep(clock, 300 * MILLISECOND_US);
     await rm(folder, { recursive: true, force: true });
   }
 };
@@ -299,7 +302,7 @@
         process.exitCode = 2;
         return;
       }
-      const results: Rec[] = [];
+      const results: UnknownRecord[] = [];
       const machine = {
         cores: cpus().length,
         memoryGb: Math.round(totalmem() / 2 ** 30),
@@ -308,12 +311,12 @@
       for (const size of all) {
         try {
           results.push(await runSize(size));
-        } catch (mishap) {
-          results.push({ size, failed: mishap instanceof Error ? mishap.message : String(mishap) });
+        } catch (error) {
+          results.push({ size, failed: error instanceof Error ? error.message : String(error) });
         }
         const last = results[results.length - 1];
         process.stdout.write(
-          `${JSON.stringify(isRec(last) ? { size: last["size"], failed: last["failed"], change: isRec(last["change"]) ? last["change"]["lastNodeUs"] : undefined } : {})}\n`,
+          `${JSON.stringify(isRecord(last) ? { size: last["size"], failed: last["failed"], change: isRecord(last["change"]) ? last["change"]["lastNodeUs"] : undefined } : {})}\n`,
         );
         if (options["out"] !== undefined)
           await writeFile(
--- a/scalability/table.ts
+++ b/scalability/table.ts
@@ -1,6 +1,13 @@
 import { readFile } from "node:fs/promises";
 import { linearRegression, linearRegressionLine, rSquared } from "simple-statistics";
-import { asRec, list, parseJson, text, whole, type Rec } from "../src/common/decode.js";
+import {
+  asRecord,
+  readList,
+  parseJson,
+  readString,
+  readNumber,
+  type UnknownRecord,
+} from "../src/common/decode.js";
 
 /** Makes the tables of docs/CAPACITY.md from committed results. */
 interface Point {
@@ -8,37 +15,37 @@
   readonly y: number;
 }
 
-const at = (rec: Rec, path: string): number => {
+const at = (record: UnknownRecord, path: string): number => {
   const fields = path.split(".");
   const last = fields.pop() ?? "";
-  return whole(
-    fields.reduce<Rec>((inner, field) => asRec(inner[field]), rec),
+  return readNumber(
+    fields.reduce<UnknownRecord>((inner, field) => asRecord(inner[field]), record),
     last,
   );
 };
 
 const framesOf = (
-  rec: Rec,
+  record: UnknownRecord,
   path: string,
   what: "frames" | "bytes",
   kinds?: readonly string[],
 ): number => {
-  const sent = asRec(
-    path.split(".").reduce<Rec>((inner, field) => asRec(inner[field]), rec)["sent"],
+  const sent = asRecord(
+    path.split(".").reduce<UnknownRecord>((inner, field) => asRecord(inner[field]), record)["sent"],
   );
   return Object.entries(sent).reduce(
     (sum, [kind, counts]) =>
-      kinds && !kinds.includes(kind) ? sum : sum + whole(asRec(counts), what),
+      kinds && !kinds.includes(kind) ? sum : sum + readNumber(asRecord(counts), what),
     0,
   );
 };
 
-const perS = (result: Rec): number => at(result, "atRest.seconds");
-const boxes = (result: Rec): number => at(result, "size.boxes");
-const nodes = (result: Rec): number => at(result, "size.nodes");
+const perS = (result: UnknownRecord): number => at(result, "atRest.seconds");
+const boxes = (result: UnknownRecord): number => at(result, "size.boxes");
+const nodes = (result: UnknownRecord): number => at(result, "size.nodes");
 
 /** What is read from each size, with its unit. */
-const FIGURES: readonly (readonly [string, (result: Rec) => number])[] = [
+const FIGURES: readonly (readonly [string, (result: UnknownRecord) => number])[] = [
   [
     "signalbox, processor at rest, % of a core (mean of all)",
     (r) => at(r, "atRest.boxes.cpuUs") / 10_000 / perS(r) / boxes(r),
@@ -96,20 +103,20 @@
   return `| ${name} | ${points.map(({ y }) => round(y)).join(" / ")} | ${round(fit.b)} + ${fit.m.toPrecision(2)} x | ${points.length > 2 ? rSquared(pairs, line).toFixed(2) : "-"} | ${round(spread)} |`;
 };
 
-const tableOf = (file: Rec): string => {
-  const what = text(file, "what");
-  const all = list(file, "results", (value) => asRec(value));
+const tableOf = (file: UnknownRecord): string => {
+  const what = readString(file, "what");
+  const all = readList(file, "results", (value) => asRecord(value));
   const good = all.filter((result) => result["failed"] === undefined);
   const failed = all
     .filter((result) => result["failed"] !== undefined)
-    .map((result) => `${at(result, `size.${what}`)}: ${text(result, "failed")}`);
+    .map((result) => `${at(result, `size.${what}`)}: ${readString(result, "failed")}`);
   const sizes = good.map((result) => at(result, `size.${what}`));
   const loads = good.map((result) => round(at(result, "loadAverage")));
-  const others = Object.entries(asRec(good[0]?.["size"] ?? {}))
+  const others = Object.entries(asRecord(good[0]?.["size"] ?? {}))
     .filter(([field]) => field !== what)
     .map(([field, value]) => `${field} ${String(value)}`);
   return [
-    `**By ${what}** (${sizes.join(" / ")}; ${others.join(", ")}; commit ${text(file, "commit")}; load of the machine ${loads.join(" / ")})`,
+    `**By ${what}** (${sizes.join(" / ")}; ${others.join(", ")}; commit ${readString(file, "commit")}; load of the machine ${loads.join(" / ")})`,
     "",
     `| figure | measured | line through it, x = ${what} | R2 | farthest point from it |`,
     "|---|---|---|---|---|",
@@ -125,4 +132,4 @@
 };
 
 for (const path of process.argv.slice(2))
-  process.stdout.write(`${tableOf(asRec(parseJson(await readFile(path, "utf8"))))}\n`);
+  process.stdout.write(`${tableOf(asRecord(parseJson(await readFile(path, "utf8"))))}\n`);
--- a/simulator/box.ts
+++ b/simulator/box.ts
@@ -1,13 +1,17 @@
-import { Archive } from "../src/storage/write-ahead-log.js";
-import { Copy } from "../src/consensus/replica.js";
-import { Duty, type DutyOptions } from "../src/consensus/leader-lease.js";
-import { Ledger, LEDGER_KINDS, type LedgerOptions } from "../src/consensus/replicated-store.js";
+import { WriteAheadLog } from "../src/storage/write-ahead-log.js";
+import { Replica } from "../src/consensus/replica.js";
+import { LeaderLease, type LeaderLeaseOptions } from "../src/consensus/leader-lease.js";
+import {
+  ReplicatedStore,
+  CONSENSUS_MESSAGE_KINDS,
+  type ReplicatedStoreOptions,
+} from "../src/consensus/replicated-store.js";
 import type { Register } from "../src/consensus/register.js";
 import type { Clock } from "../src/common/clock.js";
-import { silentLog } from "../src/common/logger.js";
-import { MS, SECOND } from "../src/common/duration.js";
+import { silentLogger } from "../src/common/logger.js";
+import { MILLISECOND_US, SECOND_US } from "../src/common/duration.js";
 import type { Message } from "../src/transport/connection.js";
-import type { Disk } from "../src/storage/file-system.js";
+import type { FileSystem } from "../src/storage/file-system.js";
 import type { Chance } from "./chance.js";
 import type { SimDisk } from "./disk.js";
 import type { History } from "./history.js";
@@ -16,10 +20,10 @@
 
 /** What a test may replace by something broken. */
 export interface Parts {
-  readonly disk: (disk: Disk) => Disk;
-  readonly copy: () => Copy;
-  readonly ledger: (options: LedgerOptions) => Ledger;
-  readonly duty: (options: DutyOptions) => Duty;
+  readonly disk: (disk: FileSystem) => FileSystem;
+  readonly copy: () => Replica;
+  readonly store: (options: ReplicatedStoreOptions) => ReplicatedStore;
+  readonly lease: (options: LeaderLeaseOptions) => LeaderLease;
   /** Sees every message that a box answers, and may answer in its place. */
   readonly answer: (
     box: Box,
@@ -30,9 +34,9 @@
 
 export const REAL_PARTS: Parts = {
   disk: (disk) => disk,
-  copy: () => new Copy(),
-  ledger: (options) => new Ledger(options),
-  duty: (options) => new Duty(options),
+  copy: () => new Replica(),
+  store: (options) => new ReplicatedStore(options),
+  lease: (options) => new LeaderLease(options),
   answer: (_box, message, answer) => answer(message),
 };
 
@@ -49,10 +53,10 @@
   readonly withstandMachines: number;
 }
 
-const SWEEP_US = 1 * SECOND;
-const EARLY_SWEEP_US = 100 * MS;
-const ACT_US = 900 * MS;
-const LOOK_US = 700 * MS;
+const SWEEP_US = 1 * SECOND_US;
+const EARLY_SWEEP_US = 100 * MILLISECOND_US;
+const ACT_US = 900 * MILLISECOND_US;
+const LOOK_US = 700 * MILLISECOND_US;
 export const ACT_KEY = "duty/act";
 
 /**
@@ -62,8 +66,8 @@
 export class Box {
   readonly id: string;
   readonly clock: Clock;
-  readonly ledger: Ledger;
-  readonly duty: Duty;
+  readonly store: ReplicatedStore;
+  readonly lease: LeaderLease;
   readonly links = new Map<string, Link>();
   isAlive = true;
   isListening = false;
@@ -80,32 +84,32 @@
     this.id = id;
     this.clock = world.clockBehind(this.run);
     const copy = parts.copy();
-    const archive = new Archive({
+    const archive = new WriteAheadLog({
       folder: "disk/plan",
       disk: parts.disk(disk.openFor(this)),
       snapshot: copy.snapshot,
     });
-    this.ledger = parts.ledger({
+    this.store = parts.store({
       self: id,
       archive,
-      copy,
+      replica: copy,
       seeds: () => [...new Set([...seeds, ...this.links.keys()])],
-      asker: { ask: this.ask, send: this.tell },
+      transport: { ask: this.ask, send: this.tell },
       clock: this.clock,
       random: chance.share,
       withstandMachines,
-      log: silentLog,
+      log: silentLogger,
     });
-    this.duty = parts.duty({
+    this.lease = parts.lease({
       self: id,
-      ledger: this.ledger,
+      store: this.store,
       clock: this.clock,
-      log: silentLog,
-      stands: this.stands,
+      log: silentLogger,
+      isConnected: this.stands,
       ask: this.ask,
       hasDisk: true,
       withstandMachines,
-      patienceUs: 500 * MS,
+      holderTimeoutUs: 500 * MILLISECOND_US,
     });
   }
 
@@ -115,14 +119,14 @@
 
   readonly start = async (): Promise<void> => {
     const { firstRun, seeds, history, world } = this.options;
-    this.ledger.events.on("settled", (registers) => {
+    this.store.events.on("settled", (registers) => {
       history.told.push({ atUs: world.nowUs(), box: this.id, registers });
     });
-    this.ledger.events.on("roster", () => this.learn(this.ledger.members()));
-    this.ledger.events.on("behind", () => void this.sweep());
-    await this.ledger.start(firstRun);
+    this.store.events.on("roster", () => this.learn(this.store.members()));
+    this.store.events.on("behind", () => void this.sweep());
+    await this.store.start(firstRun);
     this.isListening = true;
-    this.learn([...seeds, ...this.ledger.members()]);
+    this.learn([...seeds, ...this.store.members()]);
     const early = this.clock.every(EARLY_SWEEP_US, () => {
       if (this.hasMended) early.stop();
       else void this.sweep();
@@ -130,7 +134,7 @@
     this.clock.every(SWEEP_US, () => void this.sweep());
     this.clock.every(ACT_US, () => void this.act());
     this.clock.every(LOOK_US, () => void this.look());
-    this.duty.start();
+    this.lease.start();
   };
 
   readonly run = (act: () => void): void => {
@@ -157,7 +161,7 @@
   };
 
   /** An orderly end. */
-  readonly leave = (): Promise<void> => this.duty.handOver();
+  readonly leave = (): Promise<void> => this.lease.stepDown();
 
   readonly knows = (): readonly string[] => [this.id, ...this.links.keys()];
 
@@ -187,9 +191,9 @@
         if (reply && typeof message["ask"] === "number")
           this.options.net.send(this, from, { ...reply, re: message["ask"] });
       })
-      .catch((mishap: unknown) =>
+      .catch((error: unknown) =>
         this.options.history.mishaps.push(
-          `${this.id} failed on ${message.kind}: ${mishap instanceof Error ? (mishap.stack ?? mishap.message) : String(mishap)}`,
+          `${this.id} failed on ${message.kind}: ${error instanceof Error ? (error.stack ?? error.message) : String(error)}`,
         ),
       );
   };
@@ -205,7 +209,7 @@
     const { needs } = order;
     const problemOf = (get: (key: string) => Register | undefined) =>
       needs === "" || get(needs)?.dropped === false ? undefined : `there is no ${needs}`;
-    const offered = await this.ledger.offer(order.registers, problemOf);
+    const offered = await this.store.propose(order.registers, problemOf);
     attempt.toUs = world.nowUs();
     attempt.result = offered.isOk
       ? "ok"
@@ -219,27 +223,27 @@
   readonly read = async (): Promise<boolean> => {
     const { history, world } = this.options;
     const fromUs = world.nowUs();
-    const read = await this.ledger.read();
+    const read = await this.store.read();
     if (read.isOk)
       history.reads.push({
         box: this.id,
         fromUs,
         toUs: world.nowUs(),
-        registers: this.ledger.all(),
+        registers: this.store.all(),
       });
     return read.isOk;
   };
 
   private readonly sweep = async (): Promise<void> => {
-    const read = await this.ledger.read();
-    if (read.isOk && this.ledger.isCounting) this.hasMended = true;
-    else await this.ledger.contact();
+    const read = await this.store.read();
+    if (read.isOk && this.store.isVoting) this.hasMended = true;
+    else await this.store.confirmQuorum();
   };
 
   /** What a holder does: a change of a register under its term. */
   private readonly act = async (): Promise<void> => {
     const { history, world } = this.options;
-    const term = this.duty.heldTerm();
+    const term = this.lease.heldTerm();
     if (!term) return;
     history.holders.push({
       atUs: world.nowUs(),
@@ -248,7 +252,7 @@
       holder: term.holder,
     });
     const act = { box: this.id, number: term.number, fromUs: world.nowUs(), toUs: -1 };
-    const decided = await this.ledger.decide(
+    const decided = await this.store.decide(
       ACT_KEY,
       () => JSON.stringify({ number: term.number, box: this.id }),
       term,
@@ -260,14 +264,14 @@
   private readonly look = async (): Promise<void> => {
     const { history, world } = this.options;
     const fromUs = world.nowUs();
-    const number = this.duty.heldTerm()?.number ?? 0;
+    const number = this.lease.heldTerm()?.number ?? 0;
     if (number > 0) {
-      if (await this.duty.confirm())
+      if (await this.lease.confirm())
         history.confirms.push({ box: this.id, number, fromUs, toUs: world.nowUs() });
       return;
     }
-    const before = this.ledger.rosters();
-    if (!this.ledger.isCounting || !(await this.ledger.contact())) return;
+    const before = this.store.quorumSets();
+    if (!this.store.isVoting || !(await this.store.confirmQuorum())) return;
     const heard = [
       this.id,
       ...[...this.echoed].filter(([, echoUs]) => echoUs >= fromUs).map(([id]) => id),
@@ -276,20 +280,20 @@
       box: this.id,
       atUs: world.nowUs(),
       heard,
-      rosters: [before, this.ledger.rosters()],
+      rosters: [before, this.store.quorumSets()],
     });
   };
 
   private readonly answer = async (message: Message): Promise<Message | undefined> => {
-    if (LEDGER_KINDS.has(message.kind)) return this.ledger.answer(message);
+    if (CONSENSUS_MESSAGE_KINDS.has(message.kind)) return this.store.answer(message);
     switch (message.kind) {
       case "unseen":
       case "join":
       case "leave":
       case "succeed":
-        return this.duty.answer(message);
+        return this.lease.answer(message);
       case "settled":
-        this.ledger.hearSettled(message);
+        this.store.applyCommitted(message);
         return undefined;
       default:
         throw new Error(`nobody takes ${message.kind}`);
--- a/simulator/checks.ts
+++ b/simulator/checks.ts
@@ -1,5 +1,5 @@
 import type { Register } from "../src/consensus/register.js";
-import type { Roster } from "../src/consensus/voter-set.js";
+import type { VoterSet } from "../src/consensus/voter-set.js";
 import { ACT_KEY } from "./box.js";
 import type { Attempt } from "./history.js";
 import { CONFIRM_US, type Outcome } from "./play.js";
@@ -294,9 +294,9 @@
 };
 
 /** One roster a number; none sinks below what `withstand` needs; the last one names just those that are there. */
-const roster: Check = ({ history, live }, schedule) => {
+const voterSet: Check = ({ history, live }, schedule) => {
   const { boxes, withstandMachines } = deploymentOf(schedule.deployment);
-  const known = new Map<number, Roster>();
+  const known = new Map<number, VoterSet>();
   for (const { box, roster: seen } of history.rosters) {
     const before = known.get(seen.number);
     if (
@@ -329,10 +329,10 @@
     : undefined;
 };
 
-const mishap: Check = ({ history }) => history.mishaps[0];
+const error: Check = ({ history }) => history.mishaps[0];
 
 export const CHECKS: Readonly<Record<CheckName, Check>> = {
-  mishap,
+  mishap: error,
   "one-body": oneBody,
   refused,
   whole,
@@ -341,7 +341,7 @@
   terms,
   contact,
   served,
-  roster,
+  roster: voterSet,
 };
 
 /** What is always checked. `parts` is asked for by name: it does not hold yet (docs/simulator.md). */
--- a/simulator/disk.ts
+++ b/simulator/disk.ts
@@ -1,5 +1,5 @@
-import type { Disk } from "../src/storage/file-system.js";
-import { MS } from "../src/common/duration.js";
+import type { FileSystem } from "../src/storage/file-system.js";
+import { MILLISECOND_US } from "../src/common/duration.js";
 import type { Chance } from "./chance.js";
 import type { World } from "./world.js";
 
@@ -41,7 +41,7 @@
     private readonly chance: Chance,
   ) {}
 
-  readonly openFor = (caller: Caller): Disk => ({
+  readonly openFor = (caller: Caller): FileSystem => ({
     list: (folder) => this.call(caller, false, () => this.list(folder)),
     read: (path) => this.call(caller, false, () => this.names.get(path)?.bytes.slice()),
     write: (path, bytes) => this.write(caller, path, bytes),
@@ -154,11 +154,12 @@
             throw new Error(`the disk is ${this.trouble}`);
           const value = effect();
           caller.run(() => resolve(value));
-        } catch (mishap) {
-          caller.run(() => reject(mishap instanceof Error ? mishap : new Error(String(mishap))));
+        } catch (error) {
+          caller.run(() => reject(error instanceof Error ? error : new Error(String(error))));
         }
       };
-      const slowUs = this.trouble === "slow" ? this.chance.whole(50 * MS, 400 * MS) : 0;
+      const slowUs =
+        this.trouble === "slow" ? this.chance.whole(50 * MILLISECOND_US, 400 * MILLISECOND_US) : 0;
       this.world.after(this.chance.whole(100, 1_500) + slowUs, finish);
     });
 }
--- a/simulator/history.ts
+++ b/simulator/history.ts
@@ -1,5 +1,5 @@
 import type { Register } from "../src/consensus/register.js";
-import type { Roster } from "../src/consensus/voter-set.js";
+import type { VoterSet } from "../src/consensus/voter-set.js";
 
 export type AttemptResult = "open" | "ok" | "conflict" | "invalid" | "unclear";
 
@@ -70,7 +70,8 @@
     readonly holder: string;
   }[] = [];
   readonly contacts: Contact[] = [];
-  readonly rosters: { readonly atUs: number; readonly box: string; readonly roster: Roster }[] = [];
+  readonly rosters: { readonly atUs: number; readonly box: string; readonly roster: VoterSet }[] =
+    [];
   readonly calls: Call[] = [];
   /** Whatever was thrown where nothing should. */
   readonly mishaps: string[] = [];
--- a/simulator/net.ts
+++ b/simulator/net.ts
@@ -1,6 +1,6 @@
-import { Asks } from "../src/transport/pending-requests.js";
+import { PendingRequests } from "../src/transport/pending-requests.js";
 import type { Message } from "../src/transport/connection.js";
-import { MS, SECOND } from "../src/common/duration.js";
+import { MILLISECOND_US, SECOND_US } from "../src/common/duration.js";
 import type { Box } from "./box.js";
 import type { Chance } from "./chance.js";
 import type { World } from "./world.js";
@@ -16,7 +16,7 @@
 
 /** The dialling side of a connection, as src/signalling/link.ts keeps it. */
 export interface Link {
-  readonly asks: Asks;
+  readonly asks: PendingRequests;
   /** The life at the other end; undefined while no connection stands. */
   peer: Box | undefined;
   silentSinceUs: number | undefined;
@@ -32,10 +32,10 @@
   readonly echoUs: number;
 }
 
-const POLL_US = 100 * MS;
-const SILENCE_US = 1 * SECOND;
-const REDIAL_US = 300 * MS;
-const LATE_US = 4 * SECOND;
+const POLL_US = 100 * MILLISECOND_US;
+const SILENCE_US = 1 * SECOND_US;
+const REDIAL_US = 300 * MILLISECOND_US;
+const LATE_US = 4 * SECOND_US;
 /** Of the messages that a cut holds up, this part comes after it. */
 const HELD_PART = 0.5;
 
@@ -57,7 +57,7 @@
   }
 
   readonly newLink = (box: Box): Link => ({
-    asks: new Asks(box.clock),
+    asks: new PendingRequests(box.clock),
     peer: undefined,
     silentSinceUs: undefined,
     readySinceUs: undefined,
--- a/simulator/play.ts
+++ b/simulator/play.ts
@@ -1,5 +1,5 @@
 import { makeRegister, type Register } from "../src/consensus/register.js";
-import { MS, SECOND } from "../src/common/duration.js";
+import { MILLISECOND_US, SECOND_US } from "../src/common/duration.js";
 import { Box, REAL_PARTS, type Parts } from "./box.js";
 import { Chance } from "./chance.js";
 import { SimDisk } from "./disk.js";
@@ -29,15 +29,15 @@
 }
 
 /** The operator's list of machines lags by so much. */
-const LIST_LAG_US = 3 * SECOND;
-const ANSWER_WAIT_US = 1 * SECOND;
+const LIST_LAG_US = 3 * SECOND_US;
+const ANSWER_WAIT_US = 1 * SECOND_US;
 /** An operator gives an order up after so long. */
-const GIVE_UP_US = 6 * SECOND;
-const SAMPLE_US = 500 * MS;
+const GIVE_UP_US = 6 * SECOND_US;
+const SAMPLE_US = 500 * MILLISECOND_US;
 /** After the calm's `catchUp`, an order must be confirmed and a read served in so much time. */
-export const CONFIRM_US = 4 * SECOND;
+export const CONFIRM_US = 4 * SECOND_US;
 /** And the roster must be as it should so long after the last trouble. */
-const ROSTER_US = 4 * SECOND;
+const ROSTER_US = 4 * SECOND_US;
 
 export interface Outcome {
   readonly history: History;
@@ -110,8 +110,8 @@
     machine.box = box;
     void box
       .start()
-      .catch((mishap: unknown) =>
-        history.mishaps.push(`${machine.id} failed at its start: ${String(mishap)}`),
+      .catch((error: unknown) =>
+        history.mishaps.push(`${machine.id} failed at its start: ${String(error)}`),
       );
   };
   const goForGood = (machine: Machine): void => {
@@ -159,7 +159,7 @@
           ? await answerOf(box, () => box.take({ id, registers, needs }))
           : "unclear";
       if (answer !== "unclear" && !chance.hits(lostAnswers)) return answer === "ok";
-      await rest(chance.whole(50 * MS, 500 * MS));
+      await rest(chance.whole(50 * MILLISECOND_US, 500 * MILLISECOND_US));
       at += 1;
     } while (world.nowUs() < untilUs);
     return false;
@@ -280,7 +280,7 @@
                 : event.byPower
                   ? "power"
                   : "kill";
-            stop(machine, event.downUs[slot] ?? 500 * MS, how);
+            stop(machine, event.downUs[slot] ?? 500 * MILLISECOND_US, how);
           });
         break;
       case "noise":
@@ -290,12 +290,14 @@
     }
   };
 
-  slots.forEach((machine) => world.after(chance.whole(0, 300 * MS), () => start(machine, true)));
+  slots.forEach((machine) =>
+    world.after(chance.whole(0, 300 * MILLISECOND_US), () => start(machine, true)),
+  );
   schedule.events.forEach((event) => world.at(event.atUs, () => happen(event)));
   const sample = (): void => {
     machines.forEach(({ id, box }) => {
-      if (box?.isAwake === true && box.ledger.isCounting)
-        history.rosters.push({ atUs: world.nowUs(), box: id, roster: box.ledger.roster() });
+      if (box?.isAwake === true && box.store.isVoting)
+        history.rosters.push({ atUs: world.nowUs(), box: id, roster: box.store.voterSet() });
     });
     world.after(SAMPLE_US, sample);
   };
@@ -326,13 +328,13 @@
         });
         const readOn = async (): Promise<void> => {
           if (box && (await answerOf(box, box.read)) === true) read.servedUs = world.nowUs();
-          else await rest(200 * MS).then(readOn);
+          else await rest(200 * MILLISECOND_US).then(readOn);
         };
         void readOn();
       }),
   );
-  const endUs = calmUs + Math.max(CONFIRM_US, ROSTER_US) + SECOND;
-  world.at(endUs - SECOND, () =>
+  const endUs = calmUs + Math.max(CONFIRM_US, ROSTER_US) + SECOND_US;
+  world.at(endUs - SECOND_US, () =>
     machines.forEach(
       ({ goneUs, box }) =>
         void (goneUs === undefined && box !== undefined ? box.read() : undefined),
--- a/simulator/run.ts
+++ b/simulator/run.ts
@@ -1,7 +1,14 @@
 import { availableParallelism } from "node:os";
 import { isMainThread, parentPort, Worker, workerData } from "node:worker_threads";
 import { Command } from "commander";
-import { asRec, flag, list, text, textOf, whole } from "../src/common/decode.js";
+import {
+  asRecord,
+  readFlag,
+  readList,
+  readString,
+  asString,
+  readNumber,
+} from "../src/common/decode.js";
 import { ALWAYS, faultsOf } from "./checks.js";
 import { play } from "./play.js";
 import { DEPLOYMENTS, scheduleOf, troubleKind, type Event } from "./schedule.js";
@@ -66,16 +73,16 @@
 };
 
 const readTold = (value: unknown): Told => {
-  const rec = asRec(value, "what a thread tells");
-  const number = (field: string) => whole(rec, field);
+  const record = asRecord(value, "what a thread tells");
+  const number = (field: string) => readNumber(record, field);
   return {
     seed: number("seed"),
     events: number("events"),
     orders: number("orders"),
     confirmed: number("confirmed"),
-    faults: list(rec, "faults", textOf),
-    shortest: list(rec, "shortest", textOf),
-    shortestFault: text(rec, "shortestFault"),
+    faults: readList(record, "faults", asString),
+    shortest: readList(record, "shortest", asString),
+    shortestFault: readString(record, "shortestFault"),
   };
 };
 
@@ -124,8 +131,8 @@
         Number(options["from"]),
         Number(options["jobs"]),
       ];
-      const deployment = text(options, "deployment");
-      const favoured = text(options, "favour");
+      const deployment = readString(options, "deployment");
+      const favoured = readString(options, "favour");
       const isRight =
         [seeds, from, jobs].every((number) => Number.isSafeInteger(number) && number > 0) &&
         jobs <= availableParallelism() &&
@@ -146,10 +153,10 @@
         to: from + seeds,
         step: 1,
         deployment,
-        beyond: flag(options, "beyond"),
+        beyond: readFlag(options, "beyond"),
         favoured,
-        withParts: flag(options, "parts"),
-        shrinks: flag(options, "shrink"),
+        withParts: readFlag(options, "parts"),
+        shrinks: readFlag(options, "shrink"),
       };
       await inThreads(range, Math.min(jobs, seeds), (told) => {
         sum.seeds += 1;
@@ -176,7 +183,7 @@
       });
       const seconds = Math.round(performance.now() - beganMs) / 1_000;
       const failed = failures.map(({ seed }) => seed).sort((one, other) => one - other);
-      if (flag(options, "json"))
+      if (readFlag(options, "json"))
         process.stdout.write(
           `${JSON.stringify({ deployment, beyond: range.beyond, from, ...sum, seconds, failed })}\n`,
         );
@@ -190,16 +197,16 @@
 };
 
 const readRange = (value: unknown): Range => {
-  const rec = asRec(value, "range");
+  const record = asRecord(value, "range");
   return {
-    from: whole(rec, "from"),
-    to: whole(rec, "to"),
-    step: whole(rec, "step"),
-    deployment: text(rec, "deployment"),
-    beyond: flag(rec, "beyond"),
-    favoured: text(rec, "favoured"),
-    withParts: flag(rec, "withParts"),
-    shrinks: flag(rec, "shrinks"),
+    from: readNumber(record, "from"),
+    to: readNumber(record, "to"),
+    step: readNumber(record, "step"),
+    deployment: readString(record, "deployment"),
+    beyond: readFlag(record, "beyond"),
+    favoured: readString(record, "favoured"),
+    withParts: readFlag(record, "withParts"),
+    shrinks: readFlag(record, "shrinks"),
   };
 };
 
--- a/simulator/schedule.ts
+++ b/simulator/schedule.ts
@@ -1,4 +1,4 @@
-import { MS, SECOND } from "../src/common/duration.js";
+import { MILLISECOND_US, SECOND_US } from "../src/common/duration.js";
 import { Chance } from "./chance.js";
 import type { DiskTrouble } from "./disk.js";
 import type { Noise } from "./net.js";
@@ -89,14 +89,14 @@
 }
 
 /** For so long after its return a machine still counts as lost. */
-export const CATCH_UP_US = 4 * SECOND;
+export const CATCH_UP_US = 4 * SECOND_US;
 /** An orderly end takes no longer. */
-export const GRACE_US = 6 * SECOND;
-export const EMPTY_COMES_US = 1 * SECOND;
+export const GRACE_US = 6 * SECOND_US;
+export const EMPTY_COMES_US = 1 * SECOND_US;
 /** A successor is up for so long before the machine that it replaces is told to leave. */
-export const SUCCESSOR_UP_US = 5 * SECOND;
+export const SUCCESSOR_UP_US = 5 * SECOND_US;
 
-const TROUBLES_UNTIL_US = 26 * SECOND;
+const TROUBLES_UNTIL_US = 26 * SECOND_US;
 const KEYS = [
   "route/a",
   "route/b",
@@ -128,11 +128,11 @@
   "noise",
 ] as const;
 /** A cut as short as this only makes what is sent late or, where an end is killed, lost; nobody counts as lost by it. */
-const HINDRANCE_US = 20 * MS;
+const HINDRANCE_US = 20 * MILLISECOND_US;
 /** An item that never stands, so that orders that need it are never valid. */
 export const NEVER = "service/never";
 const PAD_BYTES = 12_000;
-const LATEST_CALM_US = 40 * SECOND;
+const LATEST_CALM_US = 40 * SECOND_US;
 export type TroubleKind = (typeof KINDS)[number];
 export const troubleKind = (name: string): TroubleKind | undefined =>
   KINDS.find((kind) => kind === name);
@@ -173,7 +173,7 @@
   const isLost = (slot: number, atUs: number) => (lostUntilUs[slot] ?? 0) > atUs;
   const isDiskLost = (slot: number, atUs: number) => (diskLostUntilUs[slot] ?? 0) > atUs;
   const addNoise = (atUs: number): void => {
-    const forUs = chance.whole(200 * MS, 2_500 * MS);
+    const forUs = chance.whole(200 * MILLISECOND_US, 2_500 * MILLISECOND_US);
     noisyUntilUs = Math.max(noisyUntilUs, atUs + forUs);
     calmUs = Math.max(calmUs, noisyUntilUs);
     slots.filter((slot) => isLost(slot, atUs)).forEach((slot) => lose(slot, noisyUntilUs, false));
@@ -195,7 +195,7 @@
   const readSoonAfter = (atUs: number): void => {
     for (let count = 0; count < 3; count += 1)
       events.push({
-        atUs: atUs + chance.whole(1 * MS, 700 * MS),
+        atUs: atUs + chance.whole(1 * MILLISECOND_US, 700 * MILLISECOND_US),
         kind: "read",
         slot: chance.whole(0, boxes - 1),
       });
@@ -206,15 +206,15 @@
   const noisePart = chance.pick([0, 0.2, 0.8]);
   let atUs = CATCH_UP_US;
   for (;;) {
-    atUs += chance.whole(10 * MS, 1_200 * MS);
+    atUs += chance.whole(10 * MILLISECOND_US, 1_200 * MILLISECOND_US);
     const order = chance.hits(0.6)
       ? orders.find((event) => event.kind === "order" && event.atUs > atUs)
       : undefined;
-    if (order) atUs = order.atUs + chance.whole(0, 60 * MS);
+    if (order) atUs = order.atUs + chance.whole(0, 60 * MILLISECOND_US);
     if (atUs > TROUBLES_UNTIL_US) break;
     const kind = chance.hits(0.4) ? favoured : chance.pick(KINDS);
     if (kind === "noise" || chance.hits(noisePart))
-      addNoise(Math.max(CATCH_UP_US, atUs - chance.whole(0, 500 * MS)));
+      addNoise(Math.max(CATCH_UP_US, atUs - chance.whole(0, 500 * MILLISECOND_US)));
     if (kind === "noise") continue;
     if (kind === "all") {
       if (atUs < leavingUntilUs) continue;
@@ -228,7 +228,7 @@
         : [];
       const wiped = harmed.filter(() => chance.hits(0.5));
       const spoiled = harmed.filter((slot) => !wiped.includes(slot));
-      const downUs = slots.map(() => chance.whole(50 * MS, 1_000 * MS));
+      const downUs = slots.map(() => chance.whole(50 * MILLISECOND_US, 1_000 * MILLISECOND_US));
       slots.forEach((slot) =>
         lose(slot, atUs + (downUs[slot] ?? 0), harmed.includes(slot) || isDiskLost(slot, atUs)),
       );
@@ -252,14 +252,14 @@
     if (!beyond && boxes - free.length >= withstandMachines) {
       // The next one strikes as soon as it may.
       const rising = [...lostUntilUs].sort((one, other) => other - one);
-      atUs = Math.max(atUs, (rising[withstandMachines - 1] ?? 0) + 1 - 10 * MS);
+      atUs = Math.max(atUs, (rising[withstandMachines - 1] ?? 0) + 1 - 10 * MILLISECOND_US);
       continue;
     }
     const slot = chance.pick(beyond ? slots : free);
     if (beyond && DISK_LOSSES.includes(kind) && disksLost >= withstandMachines) continue;
     const forUs = chance.hits(0.4)
-      ? chance.whole(50 * MS, 500 * MS)
-      : chance.whole(500 * MS, 4 * SECOND);
+      ? chance.whole(50 * MILLISECOND_US, 500 * MILLISECOND_US)
+      : chance.whole(500 * MILLISECOND_US, 4 * SECOND_US);
     switch (kind) {
       case "kill":
       case "power":
@@ -339,13 +339,13 @@
     });
     while (chance.hits(0.25))
       events.push({
-        atUs: atUs + chance.whole(50 * MS, 12 * SECOND),
+        atUs: atUs + chance.whole(50 * MILLISECOND_US, 12 * SECOND_US),
         kind: "resend",
         id,
         slot: chance.whole(0, boxes - 1),
       });
   };
-  let atUs = 500 * MS;
+  let atUs = 500 * MILLISECOND_US;
   while (atUs < calmUs) {
     const burst = chance.hits(0.15) ? chance.whole(2, 8) : 1;
     for (let count = 0; count < burst; count += 1) {
@@ -365,18 +365,18 @@
         const rivals = parts.filter(() => chance.hits(0.6));
         if (rivals.length > 0)
           orderAt(
-            atUs + chance.whole(0, 30 * MS),
+            atUs + chance.whole(0, 30 * MILLISECOND_US),
             rivals.map((part) => ({ ...part, body: `{"order":${id + 1}}` })),
           );
       }
     }
     if (chance.hits(0.5))
       events.push({
-        atUs: atUs + chance.whole(0, 800 * MS),
+        atUs: atUs + chance.whole(0, 800 * MILLISECOND_US),
         kind: "read",
         slot: chance.whole(0, boxes - 1),
       });
-    atUs += chance.whole(50 * MS, 1_300 * MS);
+    atUs += chance.whole(50 * MILLISECOND_US, 1_300 * MILLISECOND_US);
   }
   return events;
 };
--- a/simulator/world.ts
+++ b/simulator/world.ts
@@ -1,4 +1,4 @@
-import type { Clock, Pulse } from "../src/common/clock.js";
+import type { Clock, Timer } from "../src/common/clock.js";
 
 interface Due {
   readonly atUs: number;
@@ -62,9 +62,9 @@
         this.time = next.atUs;
         try {
           next.act();
-        } catch (mishap) {
+        } catch (error) {
           over = true;
-          reject(mishap instanceof Error ? mishap : new Error(String(mishap)));
+          reject(error instanceof Error ? error : new Error(String(error)));
         }
       };
       const round = () => {
@@ -77,7 +77,7 @@
 
   /** A clock whose timers run through a gate, which may hold them back or drop them. */
   readonly clockBehind = (gate: (act: () => void) => void): Clock => {
-    const after = (waitUs: number, act: () => void): Pulse => {
+    const after = (waitUs: number, act: () => void): Timer => {
       const due = this.after(waitUs, () =>
         gate(() => {
           if (!due.isOff) act();
@@ -89,19 +89,19 @@
         },
       };
     };
-    const every = (gapUs: number, act: () => void): Pulse => {
-      let pulse: Pulse = { stop: () => undefined };
+    const every = (gapUs: number, act: () => void): Timer => {
+      let timer: Timer = { stop: () => undefined };
       let stopped = false;
       const again = () => {
         if (stopped) return;
-        pulse = after(gapUs, again);
+        timer = after(gapUs, again);
         act();
       };
-      pulse = after(gapUs, again);
+      timer = after(gapUs, again);
       return {
         stop: () => {
           stopped = true;
-          pulse.stop();
+          timer.stop();
         },
       };
     };
--- a/src/cache/cached-objects.ts
+++ b/src/cache/cached-objects.ts
@@ -1,9 +1,16 @@
 import { LRUCache } from "lru-cache";
 import type { Clock } from "../common/clock.js";
-import { asRec, list, text, textOf, whole, type Rec } from "../common/decode.js";
+import {
+  asRecord,
+  readList,
+  readString,
+  asString,
+  readNumber,
+  type UnknownRecord,
+} from "../common/decode.js";
 
 /** An object as a worker gave it, whole and checked. */
-export interface Copy {
+export interface CachedObject {
   readonly service: string;
   readonly host: string;
   /** The path with its query. */
@@ -18,7 +25,7 @@
 }
 
 /** What ends the copies it names. */
-export interface PurgeNote {
+export interface PurgeEntry {
   readonly id: string;
   readonly host: string;
   readonly path: string;
@@ -36,11 +43,11 @@
   readonly url: string;
 }): string => `${what.service}\n${what.host}\n${what.url}`;
 
-const namesUrl = (purge: PurgeNote, host: string, url: string): boolean =>
+const namesUrl = (purge: PurgeEntry, host: string, url: string): boolean =>
   purge.label === "" && purge.host === host && (purge.path === url || purge.path === pathOf(url));
 
 /** Copies travel with their age, to which every hop adds; so it is an upper bound, on steady clocks alone. */
-export const packCopy = (copy: Copy, nowUs: number): Rec => ({
+export const packCachedObject = (copy: CachedObject, nowUs: number): UnknownRecord => ({
   status: copy.status,
   heads: copy.heads,
   etag: copy.etag,
@@ -50,23 +57,23 @@
 });
 
 /** `askedUs` is when it was asked for, so the way counts as age too. */
-export const readCopy = (
+export const readCachedObject = (
   value: unknown,
   what: { readonly service: string; readonly host: string; readonly url: string },
   askedUs: number,
-): Copy => {
-  const rec = asRec(value, "copy");
-  const body = rec["body"];
+): CachedObject => {
+  const record = asRecord(value, "copy");
+  const body = record["body"];
   return {
     service: what.service,
     host: what.host,
     url: what.url,
-    status: whole(rec, "status"),
-    heads: list(rec, "heads", textOf),
-    etag: text(rec, "etag"),
-    labels: list(rec, "labels", textOf),
+    status: readNumber(record, "status"),
+    heads: readList(record, "heads", asString),
+    etag: readString(record, "etag"),
+    labels: readList(record, "labels", asString),
     body: body instanceof Uint8Array ? Buffer.from(body) : Buffer.alloc(0),
-    bornUs: askedUs - whole(rec, "ageUs"),
+    bornUs: askedUs - readNumber(record, "ageUs"),
   };
 };
 
@@ -74,9 +81,9 @@
  * The copies one process keeps, in memory alone, since their age could not be known across a restart.
  * Invariant: none is kept, or taken, that a purge names and that was born before this process learned of the purge.
  */
-export class Copies {
-  private readonly kept: LRUCache<string, Copy>;
-  private readonly purges = new Map<string, PurgeNote>();
+export class CachedObjects {
+  private readonly kept: LRUCache<string, CachedObject>;
+  private readonly purges = new Map<string, PurgeEntry>();
   dropped = 0;
 
   constructor(
@@ -84,7 +91,7 @@
     roomBytes: number,
     private readonly mostBytes = roomBytes / 4,
   ) {
-    this.kept = new LRUCache<string, Copy>({
+    this.kept = new LRUCache<string, CachedObject>({
       maxSize: Math.max(1, Math.floor(roomBytes)),
       sizeCalculation: (copy) => copy.body.length + OVERHEAD_BYTES,
     });
@@ -98,17 +105,17 @@
     return this.kept.calculatedSize;
   }
 
-  readonly get = (key: string): Copy | undefined => this.kept.get(key);
+  readonly get = (key: string): CachedObject | undefined => this.kept.get(key);
 
   /** False if a purge covers it. One too large for the room is not kept, but still good. */
-  readonly put = (copy: Copy): boolean => {
+  readonly put = (copy: CachedObject): boolean => {
     if (this.coveredUs(copy) !== undefined) return false;
     if (copy.etag !== "" && copy.body.length <= this.mostBytes) this.kept.set(keyOf(copy), copy);
     return true;
   };
 
   /** When the last purge was learned that ends this copy, or undefined. */
-  readonly coveredUs = (copy: Copy): number | undefined => {
+  readonly coveredUs = (copy: CachedObject): number | undefined => {
     let lastUs: number | undefined;
     this.purges.forEach((purge) => {
       const names =
@@ -130,7 +137,7 @@
   };
 
   /** False if it is known already. */
-  readonly purge = (purge: Omit<PurgeNote, "learnedUs">): boolean => {
+  readonly purge = (purge: Omit<PurgeEntry, "learnedUs">): boolean => {
     if (this.purges.has(purge.id)) return false;
     this.purges.set(purge.id, { ...purge, learnedUs: this.clock.nowUs() });
     this.kept.forEach((copy, key) => {
--- a/src/cache/freshness.ts
+++ b/src/cache/freshness.ts
@@ -1,5 +1,5 @@
 import type { Clock } from "../common/clock.js";
-import { MS } from "../common/duration.js";
+import { MILLISECOND_US } from "../common/duration.js";
 
 export interface FreshnessOptions {
   readonly clock: Clock;
@@ -11,7 +11,7 @@
 }
 
 /** Kept back of the bound for the ways the news travels, whose time nobody sees. */
-const MARGIN_US = 700 * MS;
+const MARGIN_US = 700 * MILLISECOND_US;
 const STRETCH_PART = 0.5;
 
 /**
--- a/src/cache/object-client.ts
+++ b/src/cache/object-client.ts
@@ -1,24 +1,24 @@
 import type { Clock } from "../common/clock.js";
-import { isRec, text, whole, type Rec } from "../common/decode.js";
-import { passOn, SEAL } from "../proxy/headers.js";
-import type { ObjectRefusal, ObjectVerdict } from "../proxy/object-source.js";
-import { MS } from "../common/duration.js";
-import { Copies, keyOf, type Copy } from "./cached-objects.js";
+import { isRecord, readString, readNumber, type UnknownRecord } from "../common/decode.js";
+import { forwardedHeaders, SEAL } from "../proxy/headers.js";
+import type { ObjectRefusal, ObjectResult } from "../proxy/object-source.js";
+import { MILLISECOND_US } from "../common/duration.js";
+import { CachedObjects, keyOf, type CachedObject } from "./cached-objects.js";
 import { copyIn, isPermitted, packWant, SMALL_BYTES } from "./object-server.js";
-import type { Depots } from "./peer-caches.js";
-import type { Origin } from "./origin-fetch.js";
+import type { PeerCaches } from "./peer-caches.js";
+import type { OriginFetcher } from "./origin-fetch.js";
 import { cutOf, type Cut } from "./byte-range.js";
-import type { RateShare } from "../quota/rate-limiter.js";
-import { Store, type Found, type Want } from "./object-store.js";
+import type { RateLimiter } from "../quota/rate-limiter.js";
+import { ObjectStore, type Found, type Want } from "./object-store.js";
 
-export interface GoodsOptions {
+export interface ObjectClientOptions {
   readonly clock: Clock;
   readonly roomBytes: number;
-  readonly depots: Depots;
+  readonly depots: PeerCaches;
   /** Who gives large objects out in this cell; nobody where a depot stands in it, or this node itself does. */
-  readonly halls: Depots;
-  readonly origin: Origin;
-  readonly rate: RateShare;
+  readonly halls: PeerCaches;
+  readonly origin: OriginFetcher;
+  readonly rate: RateLimiter;
   readonly isFresh: () => boolean;
   readonly slackUs: number;
 }
@@ -29,21 +29,21 @@
 
 const SEALS: ReadonlySet<string> = new Set([SEAL]);
 
-type Got = { readonly copy: Copy; readonly cut: Cut; readonly size: number };
+type Got = { readonly copy: CachedObject; readonly cut: Cut; readonly size: number };
 
 const MOST_ROUNDS = 3;
-const PERMIT_WAIT_US = 100 * MS;
-const FULL: ObjectRefusal = { kind: "none", why: "full", comeBackUs: 100 * MS };
+const PERMIT_WAIT_US = 100 * MILLISECOND_US;
+const FULL: ObjectRefusal = { kind: "none", why: "full", comeBackUs: 100 * MILLISECOND_US };
 
 const readCut = (value: unknown): { readonly cut: Cut; readonly size: number } | undefined => {
-  if (!isRec(value)) return undefined;
-  const size = whole(value, "size");
+  if (!isRecord(value)) return undefined;
+  const size = readNumber(value, "size");
   return {
     size,
     cut:
-      text(value, "kind") === "past"
+      readString(value, "kind") === "past"
         ? { kind: "past" }
-        : { kind: "part", from: whole(value, "from"), to: whole(value, "to") },
+        : { kind: "part", from: readNumber(value, "from"), to: readNumber(value, "to") },
   };
 };
 
@@ -51,21 +51,27 @@
   `${want.service}\n${want.host}\n${want.url.split("/")[1] ?? ""}`;
 
 /** A pointsman's way to objects: a small store of its own, then the depots, and without any of them the origin itself. */
-export class Goods {
-  readonly copies: Copies;
-  private readonly store: Store;
+export class ObjectClient {
+  readonly copies: CachedObjects;
+  private readonly store: ObjectStore;
   /** The mean size of the objects asked for, by service and the first part of the path. */
   private readonly sizes = new Map<string, number>();
 
-  constructor(private readonly options: GoodsOptions) {
+  constructor(private readonly options: ObjectClientOptions) {
     const { clock, roomBytes, isFresh, slackUs } = options;
-    this.copies = new Copies(clock, roomBytes, SMALL_BYTES);
-    this.store = new Store({ clock, copies: this.copies, isFresh, slackUs, source: this.source });
+    this.copies = new CachedObjects(clock, roomBytes, SMALL_BYTES);
+    this.store = new ObjectStore({
+      clock,
+      copies: this.copies,
+      isFresh,
+      slackUs,
+      source: this.source,
+    });
   }
 
   readonly detach = (): void => this.store.detach();
 
-  readonly tell = (): Rec => ({
+  readonly tell = (): UnknownRecord => ({
     ...this.store.counts,
     copies: this.copies.size,
     bytes: this.copies.bytes,
@@ -76,9 +82,9 @@
     share: this.options.rate.share,
   });
 
-  readonly fetch = async (want: Want, range: string | undefined): Promise<ObjectVerdict> => {
+  readonly fetch = async (want: Want, range: string | undefined): Promise<ObjectResult> => {
     const { depots } = this.options;
-    if (range !== undefined && this.store.peek(want) === undefined && depots.anyStands) {
+    if (range !== undefined && this.store.peek(want) === undefined && depots.isAnyConnected) {
       const got = await this.part(want, range);
       return "copy" in got ? this.served(got) : got;
     }
@@ -94,13 +100,13 @@
   /** Whether one more request may go to a service with a rate: of this node's share, or of a depot's. */
   readonly permit = async (service: string): Promise<boolean> => {
     const { depots, rate } = this.options;
-    if (!depots.anyStands) return rate.spend(service).ok;
+    if (!depots.isAnyConnected) return rate.spend(service).ok;
     return isPermitted(await depots.ask(service, { kind: "permit", service }, PERMIT_WAIT_US));
   };
 
-  private readonly source = async (want: Want, old: Copy | undefined): Promise<Found> => {
+  private readonly source = async (want: Want, old: CachedObject | undefined): Promise<Found> => {
     const { depots, origin } = this.options;
-    if (!depots.anyStands) return origin.fetch(want, old);
+    if (!depots.isAnyConnected) return origin.fetch(want, old);
     const got = await this.ask(want, undefined, old);
     return "copy" in got ? { kind: "found", copy: got.copy } : got;
   };
@@ -124,12 +130,12 @@
   private readonly ask = async (
     want: Want,
     range: string | undefined,
-    old?: Copy,
+    old?: CachedObject,
   ): Promise<Got | ObjectRefusal> => {
     const { clock, depots, halls } = this.options;
     const askedUs = clock.nowUs();
     const message = packWant(want, askedUs, range, old);
-    const viaHall = halls.anyStands && this.isLarge(want);
+    const viaHall = halls.isAnyConnected && this.isLarge(want);
     const early = viaHall
       ? await halls.ask(keyOf(want), message, (want.untilUs - askedUs) / 2)
       : undefined;
@@ -168,7 +174,7 @@
     );
   };
 
-  private readonly served = ({ copy, cut, size }: Got): ObjectVerdict => {
+  private readonly served = ({ copy, cut, size }: Got): ObjectResult => {
     if (cut.kind === "whole")
       return { kind: "served", status: copy.status, heads: copy.heads, body: copy.body };
     // No worker answered this with 416, so it bears no worker's seal.
@@ -176,7 +182,7 @@
       return {
         kind: "served",
         status: 416,
-        heads: [...passOn(copy.heads, SEALS), "Content-Range", `bytes */${size}`],
+        heads: [...forwardedHeaders(copy.heads, SEALS), "Content-Range", `bytes */${size}`],
         body: Buffer.alloc(0),
       };
     return {
--- a/src/cache/object-server.ts
+++ b/src/cache/object-server.ts
@@ -1,24 +1,24 @@
-import { within, type Clock } from "../common/clock.js";
-import type { Log } from "../common/logger.js";
-import { flag, text, whole, type Rec } from "../common/decode.js";
-import { MS } from "../common/duration.js";
-import type { Message, Wire } from "../transport/connection.js";
-import { packCopy, readCopy, type Copy } from "./cached-objects.js";
+import { withTimeout, type Clock } from "../common/clock.js";
+import type { Logger } from "../common/logger.js";
+import { readFlag, readString, readNumber, type UnknownRecord } from "../common/decode.js";
+import { MILLISECOND_US } from "../common/duration.js";
+import type { Message, Connection } from "../transport/connection.js";
+import { packCachedObject, readCachedObject, type CachedObject } from "./cached-objects.js";
 import { cutOf } from "./byte-range.js";
-import type { RateShare } from "../quota/rate-limiter.js";
-import type { Store, Want } from "./object-store.js";
+import type { RateLimiter } from "../quota/rate-limiter.js";
+import type { ObjectStore, Want } from "./object-store.js";
 
 /** Larger objects go out cut to the range asked for, and are not kept by who asks. */
 export const SMALL_BYTES = 64 * 1024;
 
 const readWant = (message: Message, nowUs: number): Want => ({
-  service: text(message, "service"),
-  host: text(message, "host"),
-  url: text(message, "url"),
-  cacheForUs: whole(message, "cacheForUs"),
-  mostAgeUs: whole(message, "mostAgeUs"),
-  aimUs: whole(message, "aimUs"),
-  untilUs: nowUs + whole(message, "leftUs"),
+  service: readString(message, "service"),
+  host: readString(message, "host"),
+  url: readString(message, "url"),
+  cacheForUs: readNumber(message, "cacheForUs"),
+  mostAgeUs: readNumber(message, "mostAgeUs"),
+  latencyTargetUs: readNumber(message, "aimUs"),
+  untilUs: nowUs + readNumber(message, "leftUs"),
 });
 
 /** `old` is a copy whose body need not be sent again; `isHop` asks a depot that must not ask on. */
@@ -26,7 +26,7 @@
   want: Want,
   nowUs: number,
   range: string | undefined,
-  old?: Copy,
+  old?: CachedObject,
   isHop = false,
 ): Message => ({
   kind: "want",
@@ -35,51 +35,54 @@
   url: want.url,
   cacheForUs: want.cacheForUs,
   mostAgeUs: want.mostAgeUs,
-  aimUs: want.aimUs,
+  aimUs: want.latencyTargetUs,
   leftUs: Math.max(0, want.untilUs - nowUs),
   ...(range === undefined ? {} : { range }),
   ...(old === undefined || old.etag === "" ? {} : { etag: old.etag }),
   ...(isHop ? { isHop } : {}),
 });
 
-export interface CounterOptions {
+export interface ObjectServerOptions {
   readonly clock: Clock;
-  readonly store: Store;
+  readonly store: ObjectStore;
   /** For those who must not be asked on: the same copies, with the origin behind them. */
-  readonly ownStore?: Store;
-  readonly rate: RateShare;
-  readonly log: Log;
+  readonly ownStore?: ObjectStore;
+  readonly rate: RateLimiter;
+  readonly log: Logger;
 }
 
 /** Where a depot gives objects out to pointsmen. */
-export class Counter {
-  constructor(private readonly options: CounterOptions) {}
+export class ObjectServer {
+  constructor(private readonly options: ObjectServerOptions) {}
 
   readonly serve = async (
-    wire: Wire,
+    connection: Connection,
     _hello: Message,
     incoming: AsyncIterable<Message>,
   ): Promise<void> => {
-    wire.send({ kind: "welcome" });
+    connection.send({ kind: "welcome" });
     for await (const message of incoming) {
-      void this.answer(message, () => wire.send({ kind: "wait" }))
-        .then((reply) => wire.send({ kind: "got", ...reply, re: whole(message, "ask") }))
-        .catch((mishap: unknown) => this.options.log.warn(`A want failed: ${String(mishap)}.`));
+      void this.answer(message, () => connection.send({ kind: "wait" }))
+        .then((reply) => connection.send({ kind: "got", ...reply, re: readNumber(message, "ask") }))
+        .catch((error: unknown) => this.options.log.warn(`A want failed: ${String(error)}.`));
     }
   };
 
-  private readonly answer = async (message: Message, sayWait: () => void): Promise<Rec> => {
+  private readonly answer = async (
+    message: Message,
+    sayWait: () => void,
+  ): Promise<UnknownRecord> => {
     const { clock, store, rate } = this.options;
-    if (message.kind === "permit") return { yes: rate.spend(text(message, "service")).ok };
+    if (message.kind === "permit") return { yes: rate.spend(readString(message, "service")).ok };
     const want = readWant(message, clock.nowUs());
-    const from = flag(message, "isHop") ? (this.options.ownStore ?? store) : store;
+    const from = readFlag(message, "isHop") ? (this.options.ownStore ?? store) : store;
     const kept = from.peek(want);
     const found = kept ? await from.get(want) : await this.fetch(from, want, sayWait);
     if (found.kind === "none") return { none: found.why, comeBackUs: found.comeBackUs };
     const { copy } = found;
     if (copy.etag !== "" && copy.etag === message["etag"])
       return { sameAgeUs: clock.nowUs() - copy.bornUs };
-    const packed = packCopy(copy, clock.nowUs());
+    const packed = packCachedObject(copy, clock.nowUs());
     const cut =
       copy.status === 200 && copy.body.length > SMALL_BYTES
         ? cutOf(
@@ -100,12 +103,12 @@
   };
 
   private readonly fetch = (
-    from: Store,
+    from: ObjectStore,
     want: Want,
     sayWait: () => void,
-  ): ReturnType<Store["get"]> => {
+  ): ReturnType<ObjectStore["get"]> => {
     const found = from.get(want);
-    void within(this.options.clock, 20 * MS, found, undefined).then((early) => {
+    void withTimeout(this.options.clock, 20 * MILLISECOND_US, found, undefined).then((early) => {
       if (!early) sayWait();
     });
     return found;
@@ -116,14 +119,14 @@
 export const copyIn = (
   reply: Message,
   want: Want,
-  old: Copy | undefined,
+  old: CachedObject | undefined,
   askedUs: number,
-): Copy | undefined => {
+): CachedObject | undefined => {
   const sameAgeUs = reply["sameAgeUs"];
   if (old && typeof sameAgeUs === "number")
     return { ...old, bornUs: Math.max(old.bornUs, askedUs - sameAgeUs) };
-  return reply["copy"] === undefined ? undefined : readCopy(reply["copy"], want, askedUs);
+  return reply["copy"] === undefined ? undefined : readCachedObject(reply["copy"], want, askedUs);
 };
 
 export const isPermitted = (reply: Message | undefined): boolean =>
-  reply !== undefined && flag(reply, "yes");
+  reply !== undefined && readFlag(reply, "yes");
--- a/src/cache/object-store.ts
+++ b/src/cache/object-store.ts
@@ -1,17 +1,17 @@
-import { within, type Clock } from "../common/clock.js";
+import { withTimeout, type Clock } from "../common/clock.js";
 import type { ObjectRefusal, ObjectWant } from "../proxy/object-source.js";
-import { keyOf, type Copies, type Copy } from "./cached-objects.js";
+import { keyOf, type CachedObjects, type CachedObject } from "./cached-objects.js";
 
 export type { ObjectWant as Want };
 
-export type Found = { readonly kind: "found"; readonly copy: Copy } | ObjectRefusal;
+export type Found = { readonly kind: "found"; readonly copy: CachedObject } | ObjectRefusal;
 
 /** Where an object comes from on a miss; `old` is a copy that may still be the newest. */
-export type Source = (want: ObjectWant, old: Copy | undefined) => Promise<Found>;
+export type Source = (want: ObjectWant, old: CachedObject | undefined) => Promise<Found>;
 
-export interface StoreOptions {
+export interface ObjectStoreOptions {
   readonly clock: Clock;
-  readonly copies: Copies;
+  readonly copies: CachedObjects;
   /** Whether the news is so new that a copy no purge names may be served. */
   readonly isFresh: () => boolean;
   readonly source: Source;
@@ -19,7 +19,7 @@
   readonly slackUs: number;
 }
 
-export interface StoreCounts {
+export interface ObjectStoreCounts {
   hits: number;
   misses: number;
   joined: number;
@@ -38,14 +38,14 @@
  * Copies with a source behind them. Simultaneous misses share one fetch.
  * Invariant: what `get` gives was born after every purge naming it that was known when `get` was called.
  */
-export class Store {
-  readonly counts: StoreCounts = { hits: 0, misses: 0, joined: 0, refused: 0 };
+export class ObjectStore {
+  readonly counts: ObjectStoreCounts = { hits: 0, misses: 0, joined: 0, refused: 0 };
   private readonly running = new Map<string, Running>();
 
-  constructor(private readonly options: StoreOptions) {}
+  constructor(private readonly options: ObjectStoreOptions) {}
 
   /** A copy that may be given at once. */
-  readonly peek = (want: ObjectWant): Copy | undefined => {
+  readonly peek = (want: ObjectWant): CachedObject | undefined => {
     const { clock, copies, isFresh } = this.options;
     const copy = copies.get(keyOf(want));
     return copy && clock.nowUs() - copy.bornUs <= want.mostAgeUs && isFresh() ? copy : undefined;
@@ -66,7 +66,7 @@
       running.want.mostAgeUs <= want.mostAgeUs;
     if (joins) this.counts.joined += 1;
     else this.counts.misses += 1;
-    const found = await within(
+    const found = await withTimeout(
       clock,
       want.untilUs - clock.nowUs(),
       joins ? running.found : this.begin(key, want),
--- a/src/cache/origin-fetch.ts
+++ b/src/cache/origin-fetch.ts
@@ -1,20 +1,24 @@
 import { randomBytes } from "node:crypto";
-import { rest, within, type Clock } from "../common/clock.js";
-import { MS } from "../common/duration.js";
-import { WorkerCall, type Answer, type CallVerdict } from "../proxy/upstream-request.js";
+import { sleep, withTimeout, type Clock } from "../common/clock.js";
+import { MILLISECOND_US } from "../common/duration.js";
+import {
+  UpstreamRequest,
+  type UpstreamResponse,
+  type UpstreamResult,
+} from "../proxy/upstream-request.js";
 import type { RetryBudgets } from "../proxy/retry-budget.js";
-import type { Chooser } from "../proxy/load-balancer.js";
-import { headOf, LABELS, passOn, TRY_ID } from "../proxy/headers.js";
-import type { Worker, Yard } from "../proxy/connection-pool.js";
-import type { Copy } from "./cached-objects.js";
-import type { RateShare } from "../quota/rate-limiter.js";
+import type { LoadBalancer } from "../proxy/load-balancer.js";
+import { headerValue, LABELS, forwardedHeaders, TRY_ID } from "../proxy/headers.js";
+import type { Worker, ConnectionPool } from "../proxy/connection-pool.js";
+import type { CachedObject } from "./cached-objects.js";
+import type { RateLimiter } from "../quota/rate-limiter.js";
 import type { Found, Want } from "./object-store.js";
 
-export interface OriginOptions {
+export interface OriginFetcherOptions {
   readonly clock: Clock;
-  readonly yard: Yard;
-  readonly chooser: Chooser;
-  readonly rate: RateShare;
+  readonly pool: ConnectionPool;
+  readonly chooser: LoadBalancer;
+  readonly rate: RateLimiter;
   readonly budgets: RetryBudgets;
   readonly countFault: (worker: string, isFault: boolean) => void;
   /** The largest object that is read whole. */
@@ -22,8 +26,8 @@
 }
 
 const TRIES = 3;
-const LOOK_US = 15 * MS;
-const SILENCE_CHECK_US = 120 * MS;
+const LOOK_US = 15 * MILLISECOND_US;
+const SILENCE_CHECK_US = 120 * MILLISECOND_US;
 /** The parts of the aim for which a fetch waits for its turn, and for room at a worker. */
 const TURN_PART = 0.4;
 const ROOM_PART = 0.25;
@@ -35,20 +39,20 @@
 ]);
 
 /** Reads objects from the workers of a service, within this process's share of the service's rate. */
-export class Origin {
+export class OriginFetcher {
   checks = 0;
   fetches = 0;
   noRate = 0;
   /** Who waits for a turn, by service; the first comes first. */
   private readonly lines = new Map<string, number>();
 
-  constructor(private readonly options: OriginOptions) {}
+  constructor(private readonly options: OriginFetcherOptions) {}
 
-  readonly fetch = async (want: Want, old: Copy | undefined): Promise<Found> => {
-    const { clock, budgets } = this.options;
-    const budget = budgets.of(want.service, "cached");
+  readonly fetch = async (want: Want, old: CachedObject | undefined): Promise<Found> => {
+    const { clock, budgets: retryBudgets } = this.options;
+    const budget = retryBudgets.of(want.service, "cached");
     const tried = new Set<string>();
-    let bad: Copy | undefined;
+    let bad: CachedObject | undefined;
     for (let round = 0; round < TRIES; round += 1) {
       if (clock.nowUs() >= want.untilUs || (round > 0 && !budget.spend())) break;
       const turn = await this.turn(want);
@@ -58,11 +62,11 @@
       if (!worker) break;
       tried.add(worker.id);
       const beganUs = clock.nowUs();
-      const verdict = await this.call(want, old, worker);
-      if (verdict.kind !== "answered") continue;
-      const { answer } = verdict;
+      const result = await this.call(want, old, worker);
+      if (result.kind !== "answered") continue;
+      const { answer } = result;
       if (answer.status === 304 && old) return { kind: "found", copy: { ...old, bornUs: beganUs } };
-      const body = await within(
+      const body = await withTimeout(
         clock,
         want.untilUs - clock.nowUs(),
         this.whole(answer),
@@ -79,13 +83,13 @@
     }
     return bad
       ? { kind: "found", copy: bad }
-      : { kind: "none", why: "full", comeBackUs: want.aimUs / 4 };
+      : { kind: "none", why: "full", comeBackUs: want.latencyTargetUs / 4 };
   };
 
   /** Waits for one request's worth of the rate; at once says none where it would come too late. */
   private readonly turn = async (want: Want): Promise<Found | undefined> => {
     const { clock, rate } = this.options;
-    const untilUs = Math.min(clock.nowUs() + want.aimUs * TURN_PART, want.untilUs);
+    const untilUs = Math.min(clock.nowUs() + want.latencyTargetUs * TURN_PART, want.untilUs);
     const before = this.lines.get(want.service) ?? 0;
     const first = before === 0 ? rate.spend(want.service) : rate.delay(want.service);
     if (first.ok) return undefined;
@@ -97,7 +101,7 @@
     this.lines.set(want.service, before + 1);
     try {
       while (clock.nowUs() < untilUs) {
-        await rest(clock, LOOK_US);
+        await sleep(clock, LOOK_US);
         if (rate.spend(want.service).ok) return undefined;
       }
       this.noRate += 1;
@@ -112,23 +116,23 @@
     tried: ReadonlySet<string>,
   ): Promise<Worker | undefined> => {
     const { clock, chooser } = this.options;
-    const untilUs = Math.min(clock.nowUs() + want.aimUs * ROOM_PART, want.untilUs);
+    const untilUs = Math.min(clock.nowUs() + want.latencyTargetUs * ROOM_PART, want.untilUs);
     for (;;) {
-      const worker = chooser.choose(want.service, tried, want.aimUs);
+      const worker = chooser.choose(want.service, tried, want.latencyTargetUs);
       if (worker || clock.nowUs() >= untilUs) return worker;
-      await rest(clock, LOOK_US);
+      await sleep(clock, LOOK_US);
     }
   };
 
   private readonly call = async (
     want: Want,
-    old: Copy | undefined,
+    old: CachedObject | undefined,
     worker: Worker,
-  ): Promise<CallVerdict> => {
-    const { clock, countFault, yard } = this.options;
+  ): Promise<UpstreamResult> => {
+    const { clock, countFault, pool } = this.options;
     const tryId = randomBytes(8).toString("hex");
-    const leftMs = Math.max(1, Math.floor((want.untilUs - clock.nowUs()) / MS));
-    const heads = [
+    const leftMs = Math.max(1, Math.floor((want.untilUs - clock.nowUs()) / MILLISECOND_US));
+    const headers = [
       "Host",
       want.host,
       "Yewreel-Try-Id",
@@ -139,15 +143,15 @@
       worker.id,
     ];
     if (old && old.etag !== "") {
-      heads.push("If-None-Match", old.etag);
+      headers.push("If-None-Match", old.etag);
       this.checks += 1;
     } else this.fetches += 1;
-    const call = new WorkerCall(
+    const call = new UpstreamRequest(
       worker,
       {
         method: "GET",
         path: want.url,
-        heads,
+        heads: headers,
         body: null,
         tryId,
         alone: true,
@@ -156,21 +160,21 @@
       },
       clock.nowUs,
     );
-    let verdict: CallVerdict | undefined;
-    while (verdict === undefined) {
-      verdict = await within(clock, SILENCE_CHECK_US, call.verdict, undefined);
-      if (verdict === undefined && (worker.isSilent() || clock.nowUs() > want.untilUs)) {
+    let result: UpstreamResult | undefined;
+    while (result === undefined) {
+      result = await withTimeout(clock, SILENCE_CHECK_US, call.verdict, undefined);
+      if (result === undefined && (worker.isSilent() || clock.nowUs() > want.untilUs)) {
         call.cancel();
-        verdict = { kind: "lost", why: "silence" };
+        result = { kind: "lost", why: "silence" };
       }
     }
-    if (verdict.kind === "turned-away" && verdict.why === "other-worker") yard.misdirected(worker);
+    if (result.kind === "turned-away" && result.why === "other-worker") pool.misdirected(worker);
     const isOut =
-      verdict.kind === "lost" ||
-      (verdict.kind === "unsent" && (verdict.why === "unreachable" || verdict.why === "refused"));
+      result.kind === "lost" ||
+      (result.kind === "unsent" && (result.why === "unreachable" || result.why === "refused"));
     if (isOut) this.fault(worker);
     else countFault(worker.id, false);
-    return verdict;
+    return result;
   };
 
   private readonly fault = (worker: Worker): void => {
@@ -179,7 +183,7 @@
   };
 
   /** All of the body, unless it broke off or is too large. */
-  private readonly whole = (answer: Answer): Promise<Buffer | "broken" | "too large"> => {
+  private readonly whole = (answer: UpstreamResponse): Promise<Buffer | "broken" | "too large"> => {
     const { rest: more, start } = answer;
     if (!more) return Promise.resolve(start);
     const chunks = [start];
@@ -203,14 +207,19 @@
     });
   };
 
-  private readonly copyOf = (want: Want, answer: Answer, body: Buffer, beganUs: number): Copy => ({
+  private readonly copyOf = (
+    want: Want,
+    answer: UpstreamResponse,
+    body: Buffer,
+    beganUs: number,
+  ): CachedObject => ({
     service: want.service,
     host: want.host,
     url: want.url,
     status: answer.status,
-    heads: passOn(answer.heads, NOT_KEPT),
-    etag: answer.status === 200 ? (headOf(answer.heads, "etag") ?? "") : "",
-    labels: (headOf(answer.heads, LABELS) ?? "").split(" ").filter((label) => label !== ""),
+    heads: forwardedHeaders(answer.heads, NOT_KEPT),
+    etag: answer.status === 200 ? (headerValue(answer.heads, "etag") ?? "") : "",
+    labels: (headerValue(answer.heads, LABELS) ?? "").split(" ").filter((label) => label !== ""),
     body,
     bornUs: beganUs,
   });
--- a/src/cache/peer-caches.ts
+++ b/src/cache/peer-caches.ts
@@ -1,36 +1,36 @@
 import { crc32 } from "node:zlib";
-import { within, type Clock } from "../common/clock.js";
-import { MS, SECOND } from "../common/duration.js";
+import { withTimeout, type Clock } from "../common/clock.js";
+import { MILLISECOND_US, SECOND_US } from "../common/duration.js";
 import { splitAddress } from "../common/settings.js";
 import type { Message } from "../transport/connection.js";
-import { Link } from "../transport/peer-link.js";
+import { PeerLink } from "../transport/peer-link.js";
 
-export interface DepotAt {
+export interface CacheAddress {
   readonly address: string;
   readonly cell: string;
 }
 
 /** Slow pulses, since each ask has a patience of its own and every pointsman holds a link to every depot. */
-const TIMES = { pulseUs: 1_500 * MS, silenceUs: 3_500 * MS };
-const DIAL_US = 500 * MS;
-const REST_US = 300 * MS;
+const TIMES = { heartbeatUs: 1_500 * MILLISECOND_US, timeoutUs: 3_500 * MILLISECOND_US };
+const DIAL_US = 500 * MILLISECOND_US;
+const REST_US = 300 * MILLISECOND_US;
 /** A depot says at once when it has to fetch; one that says nothing for so long is doubtful. */
-const PATIENCE_US = 300 * MS;
-const DOUBT_US = 1 * SECOND;
+const PATIENCE_US = 300 * MILLISECOND_US;
+const DOUBT_US = 1 * SECOND_US;
 
-interface Depot {
-  readonly link: Link;
+interface PeerCache {
+  readonly link: PeerLink;
   readonly cell: string;
   heardUs: number;
   doubtfulUntilUs: number;
 }
 
 /** How far a cell is from another: 0 itself, 1 in the same region, 2 elsewhere. */
-export type Distance = (cell: string) => number;
+export type Distance = (zone: string) => number;
 
-export const distanceFrom = (cell: string, regions: ReadonlyMap<string, string>): Distance => {
-  const region = regions.get(cell);
-  return (other) => (other === cell ? 0 : regions.get(other) === region ? 1 : 2);
+export const distanceFrom = (zone: string, regions: ReadonlyMap<string, string>): Distance => {
+  const region = regions.get(zone);
+  return (other) => (other === zone ? 0 : regions.get(other) === region ? 1 : 2);
 };
 
 /** The owner of an object among these, by rendezvous. */
@@ -41,27 +41,27 @@
  * Links to the depots. Each object has a first depot, a second and so on: the nearer ones first, and among those as near
  * by rendezvous.
  */
-export class Depots {
-  private readonly depots = new Map<string, Depot>();
+export class PeerCaches {
+  private readonly depots = new Map<string, PeerCache>();
 
   constructor(
     private readonly clock: Clock,
     private readonly distance: Distance = () => 0,
   ) {}
 
-  get anyStands(): boolean {
-    return [...this.depots.values()].some(({ link }) => link.stands);
+  get isAnyConnected(): boolean {
+    return [...this.depots.values()].some(({ link }) => link.isConnected);
   }
 
-  readonly learn = (told: readonly DepotAt[]): void => {
-    const wanted = new Map(told.map(({ address, cell }) => [address, cell]));
+  readonly learn = (told: readonly CacheAddress[]): void => {
+    const wanted = new Map(told.map(({ address, cell: zone }) => [address, zone]));
     this.depots.forEach((depot, address) => {
       if (wanted.has(address)) return;
       depot.link.stop();
       this.depots.delete(address);
     });
-    wanted.forEach((cell, address) => {
-      if (!this.depots.has(address)) this.open(address, cell);
+    wanted.forEach((zone, address) => {
+      if (!this.depots.has(address)) this.open(address, zone);
     });
   };
 
@@ -88,7 +88,7 @@
       const askedUs = clock.nowUs();
       if (askedUs >= untilUs) return undefined;
       const reply = depot.link.ask(message, untilUs - askedUs);
-      const early = await within(
+      const early = await withTimeout(
         clock,
         Math.min(PATIENCE_US, untilUs - askedUs),
         reply,
@@ -107,9 +107,9 @@
     return undefined;
   };
 
-  private readonly rank = (key: string): readonly Depot[] => {
+  private readonly rank = (key: string): readonly PeerCache[] => {
     const nowUs = this.clock.nowUs();
-    const standing = [...this.depots].filter(([, { link }]) => link.stands);
+    const standing = [...this.depots].filter(([, { link }]) => link.isConnected);
     const scored = standing.map(([address, depot]) => ({
       depot,
       score:
@@ -119,10 +119,10 @@
     return scored.sort((a, b) => b.score - a.score).map(({ depot }) => depot);
   };
 
-  private readonly open = (address: string, cell: string): void => {
+  private readonly open = (address: string, zone: string): void => {
     const { clock } = this;
     const { ip, port } = splitAddress(address);
-    const link = new Link({
+    const link = new PeerLink({
       ip,
       port,
       clock,
@@ -131,7 +131,7 @@
       restUs: REST_US,
       hello: () => ({ kind: "goods" }),
     });
-    const depot: Depot = { link, cell, heardUs: 0, doubtfulUntilUs: 0 };
+    const depot: PeerCache = { link, cell: zone, heardUs: 0, doubtfulUntilUs: 0 };
     link.events.on("message", () => {
       depot.heardUs = clock.nowUs();
     });
--- a/src/common/batcher.ts
+++ b/src/common/batcher.ts
@@ -7,7 +7,7 @@
  * Does the work of all that came meanwhile at once, one round after the other.
  * Invariant: an item's result is that of a round that began after the item came.
  */
-export class Together<T, R> {
+export class Batcher<T, R> {
   private waiting: Waiting<T, R>[] = [];
   private running = false;
 
--- a/src/common/clock.ts
+++ b/src/common/clock.ts
@@ -1,36 +1,36 @@
 /** A pulse is a timer that can be stopped. */
-export interface Pulse {
+export interface Timer {
   readonly stop: () => void;
 }
 
 /** The only source of time. It never tells the time of day: no decision uses wall time. */
 export interface Clock {
   readonly nowUs: () => number;
-  readonly after: (waitUs: number, act: () => void) => Pulse;
-  readonly every: (gapUs: number, act: () => void) => Pulse;
+  readonly after: (waitUs: number, act: () => void) => Timer;
+  readonly every: (gapUs: number, act: () => void) => Timer;
 }
 
 export class SteadyClock implements Clock {
   readonly nowUs = (): number => Math.round(performance.now() * 1_000);
 
-  readonly after = (waitUs: number, act: () => void): Pulse => {
+  readonly after = (waitUs: number, act: () => void): Timer => {
     const timer = setTimeout(act, Math.max(0, Math.ceil(waitUs / 1_000)));
     return { stop: () => clearTimeout(timer) };
   };
 
-  readonly every = (gapUs: number, act: () => void): Pulse => {
+  readonly every = (gapUs: number, act: () => void): Timer => {
     const timer = setInterval(act, Math.max(1, Math.ceil(gapUs / 1_000)));
     return { stop: () => clearInterval(timer) };
   };
 }
 
-export const rest = (clock: Clock, waitUs: number): Promise<void> =>
+export const sleep = (clock: Clock, waitUs: number): Promise<void> =>
   new Promise((resolve) => {
     clock.after(waitUs, resolve);
   });
 
 /** An act that is put off a little, and done once for all who asked for it meanwhile. */
-export const oncePer = (clock: Clock, gatherUs: number, act: () => void): (() => void) => {
+export const debounce = (clock: Clock, gatherUs: number, act: () => void): (() => void) => {
   let isDue = false;
   return () => {
     if (isDue) return;
@@ -43,14 +43,14 @@
 };
 
 /** Work done once for all who ask within `gatherUs` of the first. It begins after each of them has asked. */
-export const onceForAll = <R>(
+export const coalesce = <R>(
   clock: Clock,
   gatherUs: number,
   work: () => Promise<R>,
 ): (() => Promise<R>) => {
   let due: Promise<R> | undefined;
   return () => {
-    due ??= rest(clock, gatherUs).then(() => {
+    due ??= sleep(clock, gatherUs).then(() => {
       due = undefined;
       return work();
     });
@@ -59,16 +59,16 @@
 };
 
 /** Resolves to the work's value, or to `late` once the wait is over; a rejected work counts as late too. */
-export const within = <T, L>(
+export const withTimeout = <T, L>(
   clock: Clock,
   waitUs: number,
   work: Promise<T>,
   late: L,
 ): Promise<T | L> =>
   new Promise((resolve) => {
-    const pulse = clock.after(waitUs, () => resolve(late));
+    const timer = clock.after(waitUs, () => resolve(late));
     const finish = (value: T | L) => {
-      pulse.stop();
+      timer.stop();
       resolve(value);
     };
     work.then(finish, () => finish(late));
--- a/src/common/decode.ts
+++ b/src/common/decode.ts
@@ -1,5 +1,5 @@
 /** Reading of untyped data without casts: each reader gives the value or throws a ShapeMishap naming the field. */
-export class ShapeMishap extends Error {
+export class DecodeError extends Error {
   constructor(
     readonly field: string,
     wanted: string,
@@ -8,48 +8,52 @@
   }
 }
 
-export type Rec = Readonly<Record<string, unknown>>;
+export type UnknownRecord = Readonly<Record<string, unknown>>;
 
-export const isRec = (value: unknown): value is Rec =>
+export const isRecord = (value: unknown): value is UnknownRecord =>
   typeof value === "object" && value !== null && !Array.isArray(value);
 
-export const asRec = (value: unknown, field = "value"): Rec => {
-  if (!isRec(value)) throw new ShapeMishap(field, "a table");
+export const asRecord = (value: unknown, field = "value"): UnknownRecord => {
+  if (!isRecord(value)) throw new DecodeError(field, "a table");
   return value;
 };
 
 export const asList = (value: unknown, field = "value"): readonly unknown[] => {
-  if (!Array.isArray(value)) throw new ShapeMishap(field, "a list");
+  if (!Array.isArray(value)) throw new DecodeError(field, "a list");
   return value;
 };
 
-export const text = (rec: Rec, field: string): string => {
-  const value = rec[field];
-  if (typeof value !== "string") throw new ShapeMishap(field, "text");
+export const readString = (record: UnknownRecord, field: string): string => {
+  const value = record[field];
+  if (typeof value !== "string") throw new DecodeError(field, "text");
   return value;
 };
 
-export const whole = (rec: Rec, field: string): number => {
-  const value = rec[field];
+export const readNumber = (record: UnknownRecord, field: string): number => {
+  const value = record[field];
   if (typeof value !== "number" || !Number.isFinite(value))
-    throw new ShapeMishap(field, "a number");
+    throw new DecodeError(field, "a number");
   return value;
 };
 
-export const flag = (rec: Rec, field: string): boolean => rec[field] === true;
+export const readFlag = (record: UnknownRecord, field: string): boolean => record[field] === true;
 
-export const list = <T>(rec: Rec, field: string, read: (value: unknown) => T): readonly T[] => {
-  const value = rec[field];
+export const readList = <T>(
+  record: UnknownRecord,
+  field: string,
+  read: (value: unknown) => T,
+): readonly T[] => {
+  const value = record[field];
   return value === undefined ? [] : asList(value, field).map(read);
 };
 
-export const textOf = (value: unknown): string => {
-  if (typeof value !== "string") throw new ShapeMishap("entry", "text");
+export const asString = (value: unknown): string => {
+  if (typeof value !== "string") throw new DecodeError("entry", "text");
   return value;
 };
 
-export const numberOf = (value: unknown): number => {
-  if (typeof value !== "number") throw new ShapeMishap("entry", "a number");
+export const asNumber = (value: unknown): number => {
+  if (typeof value !== "number") throw new DecodeError("entry", "a number");
   return value;
 };
 
--- a/src/common/http-outcomes.ts
+++ b/src/common/http-outcomes.ts
@@ -1,20 +1,20 @@
 /** The one table of outcomes: what each is answered with, to callers, workers and operators alike. */
-export interface Outcome {
+export interface HttpOutcome {
   readonly status: number;
   readonly problem: string;
   /** Whether it promises that the request has not run and never will, and so says when to come back. */
-  readonly comeBack: boolean;
+  readonly retryAfter: boolean;
   readonly closes: boolean;
 }
 
-const row = (status: number, problem: string, comeBack = false, closes = false): Outcome => ({
+const row = (status: number, problem: string, comeBack = false, closes = false): HttpOutcome => ({
   status,
   problem,
-  comeBack,
+  retryAfter: comeBack,
   closes,
 });
 
-export const OUTCOMES = {
+export const HTTP_OUTCOMES = {
   taken: row(200, ""),
   unreadable: row(400, "unreadable"),
   wrong: row(400, "wrong"),
@@ -43,9 +43,9 @@
   headTooLarge: row(431, "the head is too large", false, true),
   lostAnswer: row(502, "the answer was lost"),
   tooLate: row(504, "out of time"),
-} as const satisfies Readonly<Record<string, Outcome>>;
+} as const satisfies Readonly<Record<string, HttpOutcome>>;
 
-export type OutcomeName = keyof typeof OUTCOMES;
+export type OutcomeName = keyof typeof HTTP_OUTCOMES;
 
-const isName = (name: string): name is OutcomeName => name in OUTCOMES;
-export const OUTCOME_NAMES: readonly OutcomeName[] = Object.keys(OUTCOMES).filter(isName);
+const isName = (name: string): name is OutcomeName => name in HTTP_OUTCOMES;
+export const OUTCOME_NAMES: readonly OutcomeName[] = Object.keys(HTTP_OUTCOMES).filter(isName);
--- a/src/common/logger.ts
+++ b/src/common/logger.ts
@@ -1,12 +1,12 @@
-import { destination, pino, type Logger } from "pino";
+import { destination, pino, type Logger as PinoLogger } from "pino";
 
-export interface Log {
+export interface Logger {
   readonly info: (sentence: string) => void;
   readonly warn: (sentence: string) => void;
   readonly debug: (sentence: string) => void;
 }
 
-const root: Logger = pino(
+const root: PinoLogger = pino(
   { base: null, timestamp: false, level: "info" },
   destination({ fd: 1, sync: true }),
 );
@@ -16,13 +16,13 @@
 };
 
 /** Short sentences, each with the fixed prefix of its part. */
-export const logFor = (part: string): Log => ({
+export const loggerFor = (part: string): Logger => ({
   info: (sentence) => root.info(`${part}: ${sentence}`),
   warn: (sentence) => root.warn(`${part}: ${sentence}`),
   debug: (sentence) => root.debug(`${part}: ${sentence}`),
 });
 
-export const silentLog: Log = {
+export const silentLogger: Logger = {
   info: () => undefined,
   warn: () => undefined,
   debug: () => undefined,
--- a/src/common/settings.ts
+++ b/src/common/settings.ts
@@ -2,10 +2,10 @@
 import convict from "convict";
 import { parse } from "smol-toml";
 import { err, ok, type Result } from "true-myth/result";
-import { isRec } from "./decode.js";
-import { parseSpan, SECOND } from "./duration.js";
+import { isRecord } from "./decode.js";
+import { parseDuration, SECOND_US } from "./duration.js";
 
-export type SettingsMishap = { readonly kind: "unreadable" | "wrong"; readonly sentence: string };
+export type SettingsError = { readonly kind: "unreadable" | "wrong"; readonly sentence: string };
 
 convict.addFormat({
   name: "span",
@@ -13,17 +13,18 @@
     if (typeof value !== "number" || !(value >= 0))
       throw new Error("must be a span such as 1500ms");
   },
-  coerce: (value: unknown) => (typeof value === "number" ? value : parseSpan(value).unwrapOr(-1)),
+  coerce: (value: unknown) =>
+    typeof value === "number" ? value : parseDuration(value).unwrapOr(-1),
 });
 const readRegions = (value: unknown): Readonly<Record<string, string>> =>
-  isRec(value)
-    ? Object.fromEntries(Object.entries(value).map(([cell, region]) => [cell, String(region)]))
+  isRecord(value)
+    ? Object.fromEntries(Object.entries(value).map(([zone, region]) => [zone, String(region)]))
     : {};
 
 convict.addFormat({
   name: "regions",
   validate: (value: unknown) => {
-    if (!isRec(value) || !Object.values(value).every((region) => typeof region === "string"))
+    if (!isRecord(value) || !Object.values(value).every((region) => typeof region === "string"))
       throw new Error("must name the region of each cell");
   },
 });
@@ -109,11 +110,11 @@
       retryRatio: { format: Number, default: 0 },
       retryWindow: { format: "span", default: -1 },
       retrySlack: { format: Number, default: 0 },
-      stretch: { format: "span", default: 5 * SECOND },
-      keyWindow: { format: "span", default: 60 * SECOND },
-      purge: { format: "span", default: 2 * SECOND },
-      staleSlack: { format: "span", default: 2 * SECOND },
-      ceilingWindow: { format: "span", default: 5 * SECOND },
+      stretch: { format: "span", default: 5 * SECOND_US },
+      keyWindow: { format: "span", default: 60 * SECOND_US },
+      purge: { format: "span", default: 2 * SECOND_US },
+      staleSlack: { format: "span", default: 2 * SECOND_US },
+      ceilingWindow: { format: "span", default: 5 * SECOND_US },
       ceilingExcess: { format: Number, default: 1.1 },
     },
   });
@@ -121,10 +122,10 @@
 /** What a program is told. Spans are whole microseconds. */
 export interface Settings {
   readonly name: string;
-  readonly cell: string;
+  readonly zone: string;
   readonly ip: string;
   /** Invariant: the first port carries calls between signalboxes and from pointsmen, the second the relays' news. */
-  readonly signalPort: number;
+  readonly peerPort: number;
   readonly relayPort: number;
   readonly seedNodes: readonly string[];
   readonly firstRun: boolean;
@@ -169,7 +170,7 @@
   };
 }
 
-export const checkSettings = (raw: string): Result<Settings, SettingsMishap> => {
+export const parseSettings = (raw: string): Result<Settings, SettingsError> => {
   try {
     const cfg = schema();
     cfg.load(parse(raw));
@@ -177,9 +178,9 @@
     const [firstPort, lastPort] = cfg.get("node.sparePorts");
     return ok({
       name: cfg.get("node.name"),
-      cell: cfg.get("node.cell"),
+      zone: cfg.get("node.cell"),
       ip: cfg.get("node.ip"),
-      signalPort: firstPort ?? 0,
+      peerPort: firstPort ?? 0,
       relayPort: Math.min((firstPort ?? 0) + 1, lastPort ?? 0),
       seedNodes: cfg.get("node.seedNodes"),
       firstRun: cfg.get("node.firstRun"),
@@ -213,18 +214,18 @@
       forecastActs: cfg.get("forecast.acts"),
       rolloutWeights: cfg.get("rollout"),
     });
-  } catch (mishap) {
+  } catch (error) {
     const sentence =
-      (mishap instanceof Error ? mishap.message : String(mishap))
+      (error instanceof Error ? error.message : String(error))
         .split("\n")
         .filter((line) => line.trim() !== "")[0] ?? "";
     return err({ kind: "wrong", sentence });
   }
 };
 
-export const readSettings = async (path: string): Promise<Result<Settings, SettingsMishap>> => {
+export const readSettings = async (path: string): Promise<Result<Settings, SettingsError>> => {
   try {
-    return checkSettings(await readFile(path, "utf8"));
+    return parseSettings(await readFile(path, "utf8"));
   } catch {
     return err({ kind: "unreadable", sentence: `the settings file ${path} cannot be read` });
   }
--- a/src/config/validation.ts
+++ b/src/config/validation.ts
@@ -1,27 +1,27 @@
 import convict from "convict";
 import { err, ok, type Result } from "true-myth/result";
-import { asList, asRec, isRec, parseJson, type Rec } from "../common/decode.js";
-import { readShares } from "../common/weighted-split.js";
-import { parseSpan, SECOND } from "../common/duration.js";
+import { asList, asRecord, isRecord, parseJson, type UnknownRecord } from "../common/decode.js";
+import { readWeightedServices } from "../common/weighted-split.js";
+import { parseDuration, SECOND_US } from "../common/duration.js";
 import { makeRegister, type Register } from "../consensus/register.js";
 
 /** What the operator's calls can be wrong in; each is answered by a row of the table of outcomes. */
-export type PlanMishap =
+export type ConfigError =
   | { readonly kind: "unreadable"; readonly sentence: string }
   | { readonly kind: "wrong"; readonly sentence: string }
   | { readonly kind: "unknown-service"; readonly sentence: string };
 
-const MAX_GIVE_UP_US = 600 * SECOND;
+const MAX_GIVE_UP_US = 600 * SECOND_US;
 
 export const routeKey = (name: string): string => `route/${name}`;
 export const serviceKey = (name: string): string => `service/${name}`;
 export const LIMITS_KEY = "limits";
 
-export const isPlanKey = (key: string): boolean =>
+export const isConfigKey = (key: string): boolean =>
   key === LIMITS_KEY || key.startsWith("route/") || key.startsWith("service/");
 
 const spanOver0 = (value: unknown): void => {
-  if (!(parseSpan(value).unwrapOr(0) > 0))
+  if (!(parseDuration(value).unwrapOr(0) > 0))
     throw new Error("must be a span above 0, such as 1500ms");
 };
 const named = (value: unknown): void => {
@@ -38,7 +38,8 @@
   "span-over-0": { validate: spanOver0 },
   "span-or-none": {
     validate: (value: unknown) => {
-      if (value !== "" && parseSpan(value).isErr) throw new Error("must be a span, such as 1500ms");
+      if (value !== "" && parseDuration(value).isErr)
+        throw new Error("must be a span, such as 1500ms");
     },
   },
   rate: {
@@ -50,7 +51,7 @@
   "give-up": {
     validate: (value: unknown) => {
       spanOver0(value);
-      if (parseSpan(value).unwrapOr(0) > MAX_GIVE_UP_US)
+      if (parseDuration(value).unwrapOr(0) > MAX_GIVE_UP_US)
         throw new Error("must be ten minutes or less");
     },
   },
@@ -63,9 +64,9 @@
   destination: {
     validate: (held: unknown) => {
       const [value] = asList(held);
-      if (!isRec(value)) throw new Error("must be a table");
+      if (!isRecord(value)) throw new Error("must be a table");
       if (value["shares"] === undefined) return named(value["service"]);
-      const shares = asList(value["shares"]).map((share) => asRec(share));
+      const shares = asList(value["shares"]).map((share) => asRecord(share));
       shares.forEach((share) => named(share["service"]));
       const total = shares.reduce(
         (sum, share) =>
@@ -113,7 +114,7 @@
   idle: { format: "span-over-0", default: "" },
 });
 
-const ROUTE_DEFAULTS: Rec = {
+const ROUTE_DEFAULTS: UnknownRecord = {
   name: "",
   host: "",
   version: -1,
@@ -124,7 +125,7 @@
   giveUp: "",
   tries: 1,
 };
-const SERVICE_DEFAULTS: Rec = {
+const SERVICE_DEFAULTS: UnknownRecord = {
   name: "",
   version: -1,
   statusPath: "",
@@ -132,7 +133,7 @@
   ratePerS: 0,
   dropsRepeats: false,
 };
-const LIMITS_DEFAULTS: Rec = {
+const LIMITS_DEFAULTS: UnknownRecord = {
   version: -1,
   maxHeaderBytes: 0,
   maxBodyBytes: 0,
@@ -141,25 +142,25 @@
 };
 
 const check = (
-  schema: { load: (conf: Rec) => unknown; validate: () => unknown },
-  defaults: Rec,
-  value: Rec,
+  schema: { load: (conf: UnknownRecord) => unknown; validate: () => unknown },
+  defaults: UnknownRecord,
+  value: UnknownRecord,
 ): void => {
   schema.load({ ...defaults, ...value });
   schema.validate();
 };
 
-const pick = (rec: Rec, fields: readonly string[]): Rec => {
+const pick = (record: UnknownRecord, fields: readonly string[]): UnknownRecord => {
   const kept = fields
-    .filter((field) => rec[field] !== undefined)
-    .map((field): [string, unknown] => [field, rec[field]]);
+    .filter((field) => record[field] !== undefined)
+    .map((field): [string, unknown] => [field, record[field]]);
   return Object.fromEntries(kept);
 };
 
 const routeRegister = (host: unknown, value: unknown): Register => {
-  const rule = asRec(value, "rule");
-  const then = asRec(rule["then"], "then");
-  const matchOn = asRec(rule["matchOn"], "matchOn");
+  const rule = asRecord(value, "rule");
+  const then = asRecord(rule["then"], "then");
+  const matchOn = asRecord(rule["matchOn"], "matchOn");
   const flat = {
     ...pick(rule, ["name", "version", "routeKind", "target_time", "rank", "cacheFor"]),
     ...pick(then, ["giveUp", "tries"]),
@@ -176,7 +177,7 @@
 };
 
 const serviceRegister = (value: unknown): Register => {
-  const group = asRec(value, "group");
+  const group = asRecord(value, "group");
   check(
     serviceSchema,
     SERVICE_DEFAULTS,
@@ -190,7 +191,7 @@
 };
 
 const limitsRegister = (value: unknown): Register => {
-  const limits = asRec(value, "limits");
+  const limits = asRecord(value, "limits");
   check(
     limitsSchema,
     LIMITS_DEFAULTS,
@@ -202,10 +203,10 @@
 const dropRegister =
   (keyOf: (name: string) => string) =>
   (value: unknown): Register => {
-    const rec = asRec(value, "remove");
-    named(rec["name"]);
-    version(rec["version"]);
-    return makeRegister(keyOf(String(rec["name"])), Number(rec["version"]), "", true);
+    const record = asRecord(value, "remove");
+    named(record["name"]);
+    version(record["version"]);
+    return makeRegister(keyOf(String(record["name"])), Number(record["version"]), "", true);
   };
 
 const listOf = (value: unknown, field: string): readonly unknown[] =>
@@ -214,16 +215,16 @@
 /** Reads a call item by item; it yields between items, so that who reads a large one can let others have their turn. */
 function* reading(
   body: string,
-): Generator<undefined, Result<readonly Register[], PlanMishap>, undefined> {
-  let call: Rec;
+): Generator<undefined, Result<readonly Register[], ConfigError>, undefined> {
+  let call: UnknownRecord;
   try {
-    call = asRec(parseJson(body), "the call");
+    call = asRecord(parseJson(body), "the call");
   } catch {
     return err({ kind: "unreadable", sentence: "the call is no whole JSON table" });
   }
   try {
-    const put = call["putItems"] === undefined ? {} : asRec(call["putItems"], "putItems");
-    const remove = call["remove"] === undefined ? {} : asRec(call["remove"], "remove");
+    const put = call["putItems"] === undefined ? {} : asRecord(call["putItems"], "putItems");
+    const remove = call["remove"] === undefined ? {} : asRecord(call["remove"], "remove");
     const registers: Register[] =
       put["limits"] === undefined ? [] : [limitsRegister(put["limits"])];
     for (const value of listOf(put["groups"], "groups")) {
@@ -231,7 +232,7 @@
       yield;
     }
     for (const value of listOf(put["listeners"], "listeners")) {
-      const listener = asRec(value, "listener");
+      const listener = asRecord(value, "listener");
       named(listener["host"]);
       for (const rule of listOf(listener["rules"], "rules")) {
         registers.push(routeRegister(listener["host"], rule));
@@ -241,14 +242,14 @@
     registers.push(...listOf(remove["routes"], "routes").map(dropRegister(routeKey)));
     registers.push(...listOf(remove["groups"], "groups").map(dropRegister(serviceKey)));
     return ok(registers);
-  } catch (mishap) {
+  } catch (error) {
     const sentence =
-      mishap instanceof Error ? (mishap.message.split("\n")[0] ?? "") : "the call is wrong";
+      error instanceof Error ? (error.message.split("\n")[0] ?? "") : "the call is wrong";
     return err({ kind: "wrong", sentence });
   }
 }
 
-export const readCall = (body: string): Result<readonly Register[], PlanMishap> => {
+export const parseChange = (body: string): Result<readonly Register[], ConfigError> => {
   const items = reading(body);
   for (;;) {
     const next = items.next();
@@ -259,9 +260,9 @@
 const ITEMS_A_TURN = 16;
 
 /** The same, with a turn for everything else after every few items: links must pulse while a large call is read. */
-export const readCallInTurns = async (
+export const parseChangeInTurns = async (
   body: string,
-): Promise<Result<readonly Register[], PlanMishap>> => {
+): Promise<Result<readonly Register[], ConfigError>> => {
   const items = reading(body);
   for (let count = 1; ; count += 1) {
     const next = items.next();
@@ -271,8 +272,8 @@
 };
 
 const servicesOf = (route: Register): readonly string[] => {
-  const then = asRec(asRec(asRec(parseJson(route.body))["rule"])["then"]);
-  return readShares(then).map(({ service }) => service);
+  const then = asRecord(asRecord(asRecord(parseJson(route.body))["rule"])["then"]);
+  return readWeightedServices(then).map(({ service }) => service);
 };
 
 /** The first service that a route of the call names and nobody knows, neither the call nor the copy. */
@@ -299,7 +300,7 @@
 };
 
 /** All that stands, laid out as in the operator's first call. */
-export const layOut = (registers: readonly Register[]): Rec => {
+export const toConfigDocument = (registers: readonly Register[]): UnknownRecord => {
   const standing = registers.filter((register) => !register.dropped);
   const limits = standing.find((register) => register.key === LIMITS_KEY);
   const groups = standing
@@ -309,9 +310,9 @@
   standing
     .filter((register) => register.key.startsWith("route/"))
     .forEach((register) => {
-      const rec = asRec(parseJson(register.body));
-      const host = String(rec["host"]);
-      byHost.set(host, [...(byHost.get(host) ?? []), rec["rule"]]);
+      const record = asRecord(parseJson(register.body));
+      const host = String(record["host"]);
+      byHost.set(host, [...(byHost.get(host) ?? []), record["rule"]]);
     });
   const listeners = [...byHost].map(([host, rules]) => ({ host, rules }));
   return { ...(limits ? { limits: parseJson(limits.body) } : {}), listeners, groups };
--- a/src/consensus/ballot.ts
+++ b/src/consensus/ballot.ts
@@ -1,4 +1,4 @@
-import { asList, numberOf, textOf } from "../common/decode.js";
+import { asList, asNumber, asString } from "../common/decode.js";
 
 /**
  * The number of one try at a register, or at a roster.
@@ -27,5 +27,5 @@
 
 export const readBallot = (value: unknown): Ballot => {
   const [number, by] = asList(value, "ballot");
-  return { number: numberOf(number), by: textOf(by) };
+  return { number: asNumber(number), by: asString(by) };
 };
--- a/src/consensus/leader-lease.ts
+++ b/src/consensus/leader-lease.ts
@@ -1,40 +1,40 @@
-import { rest, type Clock, type Pulse } from "../common/clock.js";
-import type { Log } from "../common/logger.js";
-import { asRec, flag, isRec, text } from "../common/decode.js";
-import { MS } from "../common/duration.js";
+import { sleep, type Clock, type Timer } from "../common/clock.js";
+import type { Logger } from "../common/logger.js";
+import { asRecord, readFlag, isRecord, readString } from "../common/decode.js";
+import { MILLISECOND_US } from "../common/duration.js";
 import type { Message } from "../transport/connection.js";
 import {
-  GRANT_KEY,
-  READ_WAIT_US,
+  LEADER_LEASE_KEY,
+  READ_TIMEOUT_US,
   readTerm,
-  STORE_WAIT_US,
-  type Ledger,
+  WRITE_TIMEOUT_US,
+  type ReplicatedStore,
   type Term,
 } from "./replicated-store.js";
-import { isJoint, packRoster, readRoster } from "./voter-set.js";
+import { isJoint, packVoterSet, readVoterSet } from "./voter-set.js";
 
-const TICK_US = 250 * MS;
+const TICK_US = 250 * MILLISECOND_US;
 /** A member unseen for so long is replaced by a newcomer that asks to join. */
-const REPLACE_US = 1_500 * MS;
+const REPLACE_US = 1_500 * MILLISECOND_US;
 /** How long a box that leaves tries to be let go where nothing else is said, and how often. */
-const LEAVE_US = 5_000 * MS;
-const LEAVE_AGAIN_US = 200 * MS;
+const LEAVE_US = 5_000 * MILLISECOND_US;
+const LEAVE_AGAIN_US = 200 * MILLISECOND_US;
 
-export interface DutyOptions {
+export interface LeaderLeaseOptions {
   readonly self: string;
-  readonly ledger: Ledger;
+  readonly store: ReplicatedStore;
   readonly clock: Clock;
-  readonly log: Log;
-  readonly stands: (id: string) => boolean;
+  readonly log: Logger;
+  readonly isConnected: (id: string) => boolean;
   readonly ask: (id: string, message: Message, waitUs: number) => Promise<Message | undefined>;
   readonly hasDisk: boolean;
   readonly withstandMachines: number;
   /** For how long a holder must be unseen before others propose themselves. */
-  readonly patienceUs: number;
+  readonly holderTimeoutUs: number;
   /** How long this box tries to be let go before it ends. */
   readonly leaveUs?: number;
   /** What else new members must hold before the old ones stop counting. */
-  readonly moveMore?: () => Promise<boolean>;
+  readonly copyOtherState?: () => Promise<boolean>;
 }
 
 /**
@@ -43,15 +43,15 @@
  * holder acts only while it knows of no newer term, and every act carries its term, which no quorum accepts once it has
  * accepted a newer grant.
  */
-export class Duty {
+export class LeaderLease {
   private won: Term | undefined;
   private holderUnseenUs: number | undefined;
   /** Since when each member has been unseen here. */
   private readonly unseenUs = new Map<string, number>();
   private isBusy = false;
-  private pulse: Pulse | undefined;
+  private pulse: Timer | undefined;
 
-  constructor(private readonly options: DutyOptions) {}
+  constructor(private readonly options: LeaderLeaseOptions) {}
 
   readonly start = (): void => {
     this.pulse = this.options.clock.every(TICK_US, () => void this.tick());
@@ -59,15 +59,15 @@
 
   readonly stop = (): void => this.pulse?.stop();
 
-  readonly holder = (): string => this.options.ledger.term()?.holder ?? "";
+  readonly holder = (): string => this.options.store.term()?.holder ?? "";
 
   /** The number of the newest term known here; 0 before the first. */
-  readonly term = (): number => this.options.ledger.newestTerm();
+  readonly term = (): number => this.options.store.newestTerm();
 
   /** The term under which this box may act; undefined unless it holds the duty as far as it knows. */
   readonly heldTerm = (): Term | undefined => {
-    const { ledger } = this.options;
-    return this.won && ledger.newestTerm() <= this.won.number && !ledger.isOvertaken(this.won)
+    const { store } = this.options;
+    return this.won && store.newestTerm() <= this.won.number && !store.isOvertaken(this.won)
       ? this.won
       : undefined;
   };
@@ -76,16 +76,16 @@
 
   /** Whether this box still holds the duty, by the word of a majority asked after this call. */
   readonly confirm = async (): Promise<boolean> =>
-    this.isHolder() && (await this.options.ledger.contact()) && this.isHolder();
+    this.isHolder() && (await this.options.store.confirmQuorum()) && this.isHolder();
 
   /** Whether more than half of each set of the roster stands, this one included if its copy counts; a belief, no proof. */
-  readonly hasMajority = (): boolean => {
-    const { self, ledger, stands } = this.options;
-    return ledger
-      .rosters()
+  readonly seesMajority = (): boolean => {
+    const { self, store, isConnected: stands } = this.options;
+    return store
+      .quorumSets()
       .every(
         (members) =>
-          members.filter((id) => stands(id) && (id !== self || ledger.isCounting)).length >
+          members.filter((id) => stands(id) && (id !== self || store.isVoting)).length >
           members.length / 2,
       );
   };
@@ -96,45 +96,45 @@
       case "unseen":
         return {
           kind: "done",
-          yes: this.isFree(text(message, "holder"), text(message, "namedBy")),
+          yes: this.isFree(readString(message, "holder"), readString(message, "namedBy")),
         };
       case "join":
-        return { kind: "done", ...(await this.join(text(message, "id"))) };
+        return { kind: "done", ...(await this.join(readString(message, "id"))) };
       case "leave":
-        return { kind: "done", ...(await this.leave(text(message, "id"))) };
+        return { kind: "done", ...(await this.leave(readString(message, "id"))) };
       default:
-        return { kind: "done", yes: await this.propose(text(message, "namedBy")) };
+        return { kind: "done", yes: await this.propose(readString(message, "namedBy")) };
     }
   };
 
   /** Gives the duty to a standing member that fits and takes it. */
-  readonly handTo = async (fits: (id: string) => boolean): Promise<boolean> => {
-    const { self, ledger, stands, ask } = this.options;
-    for (const other of ledger.members().filter((id) => id !== self && stands(id) && fits(id))) {
+  readonly transferTo = async (fits: (id: string) => boolean): Promise<boolean> => {
+    const { self, store, isConnected: stands, ask } = this.options;
+    for (const other of store.members().filter((id) => id !== self && stands(id) && fits(id))) {
       if (!this.isHolder()) return false;
-      const reply = await ask(other, { kind: "succeed", namedBy: self }, STORE_WAIT_US);
-      if (reply !== undefined && flag(reply, "yes")) return true;
+      const reply = await ask(other, { kind: "succeed", namedBy: self }, WRITE_TIMEOUT_US);
+      if (reply !== undefined && readFlag(reply, "yes")) return true;
     }
     return false;
   };
 
   /** Before an orderly end: names a successor if this one holds the duty, then asks to be let go until the others hold everything. */
-  readonly handOver = async (): Promise<void> => {
+  readonly stepDown = async (): Promise<void> => {
     this.stop();
-    const { self, ledger, ask, clock, log, leaveUs = LEAVE_US } = this.options;
-    if (!ledger.isMember()) return;
+    const { self, store, ask, clock, log, leaveUs = LEAVE_US } = this.options;
+    if (!store.isMember()) return;
     const beganUs = clock.nowUs();
     let why = "no holder of the duty is in reach";
     while (clock.nowUs() - beganUs < leaveUs) {
-      if (this.isHolder()) await this.handTo(() => true);
+      if (this.isHolder()) await this.transferTo(() => true);
       const holder = this.holder();
       const reply =
         holder === self || holder === ""
           ? undefined
-          : await ask(holder, { kind: "leave", id: self }, STORE_WAIT_US * 2);
-      if (reply && flag(reply, "yes")) return;
+          : await ask(holder, { kind: "leave", id: self }, WRITE_TIMEOUT_US * 2);
+      if (reply && readFlag(reply, "yes")) return;
       if (reply && typeof reply["why"] === "string") why = reply["why"];
-      await rest(clock, LEAVE_AGAIN_US);
+      await sleep(clock, LEAVE_AGAIN_US);
     }
     log.warn(`Ends while still on the roster: ${why}.`);
   };
@@ -145,17 +145,25 @@
     if (this.isBusy) return;
     this.isBusy = true;
     try {
-      const { self, ledger, stands, ask, hasDisk, clock, patienceUs } = this.options;
-      if (!ledger.isCounting) return;
+      const {
+        self,
+        store,
+        isConnected: stands,
+        ask,
+        hasDisk,
+        clock,
+        holderTimeoutUs: patienceUs,
+      } = this.options;
+      if (!store.isVoting) return;
       const holder = this.holder();
-      const members = ledger.members();
-      if (!ledger.isMember()) {
+      const members = store.members();
+      if (!store.isMember()) {
         if (hasDisk && holder !== "" && stands(holder))
-          await ask(holder, { kind: "join", id: self }, STORE_WAIT_US * 3);
+          await ask(holder, { kind: "join", id: self }, WRITE_TIMEOUT_US * 3);
         return;
       }
-      if (this.isHolder() && isJoint(ledger.roster()))
-        await ledger.changeMembers((all) => all, this.options.moveMore);
+      if (this.isHolder() && isJoint(store.voterSet()))
+        await store.changeMembers((all) => all, this.options.copyOtherState);
       const isSeen = holder === self ? this.isHolder() : members.includes(holder) && stands(holder);
       if (isSeen) {
         this.holderUnseenUs = undefined;
@@ -164,7 +172,7 @@
       const nowUs = clock.nowUs();
       this.holderUnseenUs ??= nowUs;
       const isFirst = holder === "" || holder === self;
-      const waitUs = (isFirst ? 0 : patienceUs) + members.indexOf(self) * 300 * MS;
+      const waitUs = (isFirst ? 0 : patienceUs) + members.indexOf(self) * 300 * MILLISECOND_US;
       if (nowUs - this.holderUnseenUs >= waitUs) await this.propose("");
     } finally {
       this.isBusy = false;
@@ -172,8 +180,8 @@
   };
 
   private readonly watch = (): void => {
-    const { ledger, stands, clock } = this.options;
-    const members = ledger.members();
+    const { store, isConnected: stands, clock } = this.options;
+    const members = store.members();
     [...this.unseenUs.keys()]
       .filter((id) => !members.includes(id))
       .forEach((id) => this.unseenUs.delete(id));
@@ -185,27 +193,27 @@
 
   /** Takes the duty by deciding the next term, if a majority doesn't see the holder either. */
   private readonly propose = async (namedBy: string): Promise<boolean> => {
-    const { self, ledger, log } = this.options;
+    const { self, store, log } = this.options;
     // One that is cut off proposes nothing: its terms would rise and unseat the holder once it is joined.
-    if (!ledger.isMember() || !ledger.isCounting || !this.hasMajority()) return false;
+    if (!store.isMember() || !store.isVoting || !this.seesMajority()) return false;
     const question: Message = { kind: "unseen", holder: self, namedBy };
-    const free = await ledger.gather(
+    const free = await store.gather(
       question,
-      (reply) => flag(reply, "yes"),
+      (reply) => readFlag(reply, "yes"),
       async () => this.isFree(self, namedBy),
-      STORE_WAIT_US,
+      WRITE_TIMEOUT_US,
     );
     if (free.isErr) return false;
-    const before = ledger.term()?.number ?? 0;
-    const decided = await ledger.decide(GRANT_KEY, (now) => {
+    const before = store.term()?.number ?? 0;
+    const decided = await store.decide(LEADER_LEASE_KEY, (now) => {
       const known = readTerm(now);
-      const isMine = known?.holder === self && known.life === ledger.lifeName;
+      const isMine = known?.holder === self && known.incarnation === store.incarnation;
       return isMine || (known?.number ?? 0) <= before
-        ? JSON.stringify({ holder: self, life: ledger.lifeName })
+        ? JSON.stringify({ holder: self, life: store.incarnation })
         : undefined;
     });
     const term = decided.isOk ? readTerm(decided.value) : undefined;
-    if (!term || term.holder !== self || term.life !== ledger.lifeName) return false;
+    if (!term || term.holder !== self || term.incarnation !== store.incarnation) return false;
     this.won = term;
     this.holderUnseenUs = undefined;
     log.info(`Took the duty with term ${term.number}.`);
@@ -214,9 +222,9 @@
 
   /** Whether the duty is free for this proposer, as seen from here. */
   private readonly isFree = (proposer: string, namedBy: string): boolean => {
-    const { stands, self, ledger } = this.options;
+    const { isConnected: stands, self, store } = this.options;
     const holder = this.holder();
-    if (!ledger.isCounting) return false;
+    if (!store.isVoting) return false;
     const isSeen = holder !== "" && (holder === self ? this.isHolder() : stands(holder));
     return !isSeen || holder === proposer || namedBy === holder;
   };
@@ -225,28 +233,28 @@
   private readonly join = async (
     id: string,
   ): Promise<{ readonly yes: boolean; readonly why: string }> => {
-    const { ledger, clock, ask } = this.options;
+    const { store, clock, ask } = this.options;
     if (!this.isHolder()) return { yes: false, why: "this box does not hold the duty" };
-    if (ledger.members().includes(id))
-      return { yes: !isJoint(ledger.roster()), why: "the roster is changing" };
+    if (store.members().includes(id))
+      return { yes: !isJoint(store.voterSet()), why: "the roster is changing" };
     // Asked now, so that a request that was long on its way adds nobody who doesn't know that it was let go.
     const reply = await ask(
       id,
-      { kind: "contact", roster: packRoster(ledger.roster()) },
-      STORE_WAIT_US,
+      { kind: "contact", roster: packVoterSet(store.voterSet()) },
+      WRITE_TIMEOUT_US,
     );
     const isReady =
       reply !== undefined &&
-      flag(reply, "counts") &&
-      isRec(reply["roster"]) &&
-      readRoster(asRec(reply["roster"])).number === ledger.roster().number;
+      readFlag(reply, "counts") &&
+      isRecord(reply["roster"]) &&
+      readVoterSet(asRecord(reply["roster"])).number === store.voterSet().number;
     if (!isReady) return { yes: false, why: "the newcomer has not caught up" };
     this.watch();
     const unseenOf = (members: readonly string[]) =>
       [...this.unseenUs]
         .filter(([member]) => members.includes(member))
         .sort(([, a], [, b]) => a - b)[0];
-    const unseen = unseenOf(ledger.members());
+    const unseen = unseenOf(store.members());
     if (unseen && clock.nowUs() - unseen[1] < REPLACE_US)
       return { yes: false, why: `${unseen[0]} may come back` };
     // A link may seem to stand for a while after a thaw or a cut: where all seem to be there, each is asked.
@@ -263,11 +271,11 @@
   };
 
   private readonly silentMember = async (): Promise<string | undefined> => {
-    const { ledger, self, ask } = this.options;
-    const others = ledger.members().filter((id) => id !== self);
+    const { store, self, ask } = this.options;
+    const others = store.members().filter((id) => id !== self);
     const replies = await Promise.all(
       others.map((id) =>
-        ask(id, { kind: "contact", roster: packRoster(ledger.roster()) }, READ_WAIT_US),
+        ask(id, { kind: "contact", roster: packVoterSet(store.voterSet()) }, READ_TIMEOUT_US),
       ),
     );
     return others.find((_id, at) => replies[at] === undefined);
@@ -276,18 +284,18 @@
   private readonly leave = async (
     id: string,
   ): Promise<{ readonly yes: boolean; readonly why: string }> => {
-    const { ledger, withstandMachines } = this.options;
+    const { store, withstandMachines } = this.options;
     if (!this.isHolder()) return { yes: false, why: "this box does not hold the duty" };
-    const { members } = ledger.roster();
+    const { members } = store.voterSet();
     if (!members.includes(id))
-      return { yes: !isJoint(ledger.roster()), why: "the roster is changing" };
+      return { yes: !isJoint(store.voterSet()), why: "the roster is changing" };
     const areTooFew = (all: readonly string[]) => all.length - 1 < 2 * withstandMachines + 1;
     if (areTooFew(members)) return { yes: false, why: "too few would be left" };
     const changed = await this.change((all) =>
       areTooFew(all) ? all : all.filter((member) => member !== id),
     );
     return {
-      yes: changed && !ledger.members().includes(id),
+      yes: changed && !store.members().includes(id),
       why: "the others don't hold everything yet",
     };
   };
@@ -295,9 +303,9 @@
   private readonly change = async (
     to: (members: readonly string[]) => readonly string[],
   ): Promise<boolean> => {
-    const { ledger, moveMore, log } = this.options;
-    const changed = await ledger.changeMembers(to, moveMore);
-    if (changed.isOk) log.info(`The roster is now ${ledger.members().join(", ")}.`);
+    const { store, copyOtherState: moveMore, log } = this.options;
+    const changed = await store.changeMembers(to, moveMore);
+    if (changed.isOk) log.info(`The roster is now ${store.members().join(", ")}.`);
     return changed.isOk;
   };
 }
--- a/src/consensus/register.ts
+++ b/src/consensus/register.ts
@@ -1,5 +1,14 @@
 import { createHash } from "node:crypto";
-import { asList, asRec, flag, numberOf, text, textOf, whole, type Rec } from "../common/decode.js";
+import {
+  asList,
+  asRecord,
+  readFlag,
+  asNumber,
+  readString,
+  asString,
+  readNumber,
+  type UnknownRecord,
+} from "../common/decode.js";
 
 /**
  * A register is one item with a version of its own, as it was agreed.
@@ -43,21 +52,21 @@
 });
 
 export const readRegister = (value: unknown): Register => {
-  const rec = asRec(value, "register");
+  const record = asRecord(value, "register");
   const past =
-    rec["past"] === undefined
+    record["past"] === undefined
       ? []
-      : asList(rec["past"], "past").map((row): Past => [
-          numberOf(asList(row, "past")[0]),
-          textOf(asList(row, "past")[1]),
+      : asList(record["past"], "past").map((row): Past => [
+          asNumber(asList(row, "past")[0]),
+          asString(asList(row, "past")[1]),
         ]);
-  const pastFrom = rec["pastFrom"] === undefined ? 0 : whole(rec, "pastFrom");
+  const pastFrom = record["pastFrom"] === undefined ? 0 : readNumber(record, "pastFrom");
   return {
     ...makeRegister(
-      text(rec, "key"),
-      whole(rec, "version"),
-      text(rec, "body"),
-      flag(rec, "dropped"),
+      readString(record, "key"),
+      readNumber(record, "version"),
+      readString(record, "body"),
+      readFlag(record, "dropped"),
     ),
     past,
     pastFrom,
@@ -65,7 +74,14 @@
 };
 
 /** Registers travel and lie on disk without their digest, which the reader makes anew. */
-export const packRegister = ({ key, version, body, dropped, past, pastFrom }: Register): Rec => ({
+export const packRegister = ({
+  key,
+  version,
+  body,
+  dropped,
+  past,
+  pastFrom,
+}: Register): UnknownRecord => ({
   key,
   version,
   body,
@@ -95,7 +111,7 @@
   /** So old that what its number named is no longer known. */
   | { readonly kind: "forgotten" };
 
-export const applyOrder = (now: Register | undefined, order: Register): Applied => {
+export const applyWrite = (now: Register | undefined, order: Register): Applied => {
   if (!now) return { kind: "fits", next: order };
   const agreed =
     order.version === now.version
--- a/src/consensus/replica.ts
+++ b/src/consensus/replica.ts
@@ -1,5 +1,5 @@
 import { createHash } from "node:crypto";
-import { asList, asRec, list, textOf, type Rec } from "../common/decode.js";
+import { asList, asRecord, readList, asString, type UnknownRecord } from "../common/decode.js";
 import {
   higherOf,
   isHigher,
@@ -10,7 +10,7 @@
   type Ballot,
 } from "./ballot.js";
 import { packRegister, readRegister, type Register } from "./register.js";
-import { NO_ROSTER, packRoster, readRoster, type Roster } from "./voter-set.js";
+import { NO_VOTER_SET, packVoterSet, readVoterSet, type VoterSet } from "./voter-set.js";
 
 /** What a copy holds under one key. */
 export interface Entry {
@@ -21,9 +21,9 @@
   /** Undefined where a ballot settled that nothing stands there. */
   readonly register: Register | undefined;
   /** Whether this copy itself accepted it at that ballot; else it was learned, and counts as no vote. */
-  readonly isVoted: boolean;
+  readonly isAccepted: boolean;
   /** Whether it is known that a quorum accepted it at that ballot. */
-  readonly isAgreed: boolean;
+  readonly isCommitted: boolean;
 }
 
 /** The decision on the roster of one number, as far as this copy has taken part in it. */
@@ -31,7 +31,7 @@
   readonly number: number;
   readonly promised: Ballot;
   readonly ballot: Ballot;
-  readonly roster: Roster | undefined;
+  readonly voterSet: VoterSet | undefined;
 }
 
 export const BUCKETS = 32;
@@ -49,8 +49,8 @@
 const packRow = (entry: Entry): readonly unknown[] => [
   ...packItem(entry),
   packBallot(entry.ballot),
-  entry.isVoted,
-  entry.isAgreed,
+  entry.isAccepted,
+  entry.isCommitted,
   ...(isHigher(entry.promised, entry.ballot) ? [packBallot(entry.promised)] : []),
 ];
 
@@ -62,8 +62,8 @@
   promised: NO_BALLOT,
   ballot: NO_BALLOT,
   register: undefined,
-  isVoted: false,
-  isAgreed: false,
+  isAccepted: false,
+  isCommitted: false,
 });
 
 /**
@@ -71,7 +71,7 @@
  * Invariants: for a key neither `promised` nor `ballot` ever falls; nothing is accepted below what is promised, for
  * that key or, by `floor`, for all; records may be replayed in any order and more than once, and give the same state.
  */
-export class Copy {
+export class Replica {
   private readonly entries = new Map<string, Entry>();
   /** The newest that is known to be agreed; an entry may already hold a later offer. */
   private readonly agreed = new Map<
@@ -87,15 +87,15 @@
   private floor = NO_BALLOT;
   private top = 0;
   private counts = false;
-  private now: Roster = NO_ROSTER;
+  private now: VoterSet = NO_VOTER_SET;
   private next: Pending | undefined;
 
-  get isCounting(): boolean {
+  get isVoting(): boolean {
     return this.counts;
   }
 
   /** The newest decided roster known here. */
-  get roster(): Roster {
+  get voterSet(): VoterSet {
     return this.now;
   }
 
@@ -111,9 +111,9 @@
 
   readonly entry = (key: string): Entry => this.entries.get(key) ?? noEntry(key);
 
-  readonly agreedAt = (key: string): Register | undefined => this.agreed.get(key)?.register;
+  readonly committedAt = (key: string): Register | undefined => this.agreed.get(key)?.register;
 
-  readonly allAgreed = (): readonly Register[] =>
+  readonly allCommitted = (): readonly Register[] =>
     [...this.agreed.values()].flatMap(({ register }) => register ?? []);
 
   readonly unsureKeys = (): readonly string[] => [...this.unsure];
@@ -139,14 +139,14 @@
     this.top = Math.max(this.top, ballot.number);
   };
 
-  readonly raiseFloor = (ballot: Ballot): readonly Rec[] => {
+  readonly raiseFloor = (ballot: Ballot): readonly UnknownRecord[] => {
     this.see(ballot);
     if (!isHigher(ballot, this.floor)) return [];
     this.floor = ballot;
     return [{ t: "floor", at: packBallot(ballot) }];
   };
 
-  readonly promise = (keys: readonly string[], ballot: Ballot): readonly Rec[] => {
+  readonly prepare = (keys: readonly string[], ballot: Ballot): readonly UnknownRecord[] => {
     this.see(ballot);
     keys.forEach((key) => {
       const entry = this.entry(key);
@@ -156,12 +156,12 @@
   };
 
   /** Accepts at a ballot that nothing higher was promised against; the caller has looked. */
-  readonly vote = (
+  readonly accept = (
     ballot: Ballot,
     items: readonly (readonly [string, Register | undefined])[],
-  ): readonly Rec[] => {
+  ): readonly UnknownRecord[] => {
     items.forEach(([key, register]) =>
-      this.put({ key, promised: ballot, ballot, register, isVoted: true, isAgreed: false }),
+      this.put({ key, promised: ballot, ballot, register, isAccepted: true, isCommitted: false }),
     );
     return [
       {
@@ -173,39 +173,41 @@
   };
 
   /** Takes what others hold: agreed, or, for a copy that lost its own, whatever may have been accepted here before. */
-  readonly learn = (entries: readonly Entry[]): readonly Rec[] => {
-    const fresh = entries.filter((entry) => this.put({ ...entry, isVoted: false }));
+  readonly learn = (entries: readonly Entry[]): readonly UnknownRecord[] => {
+    const fresh = entries.filter((entry) => this.put({ ...entry, isAccepted: false }));
     return fresh.length === 0
       ? []
       : [
           {
             t: "learned",
-            rows: fresh.map((entry) => packRow({ ...entry, isVoted: false, promised: NO_BALLOT })),
+            rows: fresh.map((entry) =>
+              packRow({ ...entry, isAccepted: false, promised: NO_BALLOT }),
+            ),
           },
         ];
   };
 
   /** Marks what is held at these ballots as agreed; returns the registers that are news. */
-  readonly markAgreed = (marks: readonly (readonly [string, Ballot])[]): readonly Register[] => {
+  readonly markCommitted = (marks: readonly (readonly [string, Ballot])[]): readonly Register[] => {
     const fresh = marks.flatMap(([key, ballot]) => {
       const entry = this.entry(key);
-      if (entry.isAgreed || ballot.number === 0 || !isSame(entry.ballot, ballot)) return [];
-      this.entries.set(key, { ...entry, isAgreed: true });
+      if (entry.isCommitted || ballot.number === 0 || !isSame(entry.ballot, ballot)) return [];
+      this.entries.set(key, { ...entry, isCommitted: true });
       this.unsure.delete(key);
       return this.knowAgreed(entry) && entry.register ? [entry.register] : [];
     });
     return fresh;
   };
 
-  readonly takeRoster = (roster: Roster): readonly Rec[] => {
-    if (roster.number <= this.now.number) return [];
-    this.now = roster;
-    if (this.next && this.next.number <= roster.number) this.next = undefined;
-    return [{ t: "roster", roster: packRoster(roster) }];
+  readonly adoptVoterSet = (voterSet: VoterSet): readonly UnknownRecord[] => {
+    if (voterSet.number <= this.now.number) return [];
+    this.now = voterSet;
+    if (this.next && this.next.number <= voterSet.number) this.next = undefined;
+    return [{ t: "roster", roster: packVoterSet(voterSet) }];
   };
 
   /** Takes part in deciding the roster of the next number. */
-  readonly takePending = (pending: Pending): readonly Rec[] => {
+  readonly takePending = (pending: Pending): readonly UnknownRecord[] => {
     this.see(pending.promised);
     this.see(pending.ballot);
     if (pending.number !== this.now.number + 1) return [];
@@ -215,7 +217,7 @@
       number: pending.number,
       promised: higherOf(before?.promised ?? NO_BALLOT, pending.promised),
       ballot: isNewer ? pending.ballot : before.ballot,
-      roster: isNewer ? pending.roster : before.roster,
+      voterSet: isNewer ? pending.voterSet : before.voterSet,
     };
     return [packPending(this.next)];
   };
@@ -223,7 +225,7 @@
   readonly promisedForRoster = (number: number): Ballot =>
     higherOf(this.floor, this.next?.number === number ? this.next.promised : NO_BALLOT);
 
-  readonly setCounting = (): readonly Rec[] => {
+  readonly setVoting = (): readonly UnknownRecord[] => {
     this.counts = true;
     return [{ t: "counting" }];
   };
@@ -243,31 +245,38 @@
     const agreed = [...this.agreed];
     this.agreed.clear();
     agreed.forEach(([key, { ballot, register }]) =>
-      this.put({ key, promised: NO_BALLOT, ballot, register, isVoted: false, isAgreed: true }),
+      this.put({
+        key,
+        promised: NO_BALLOT,
+        ballot,
+        register,
+        isAccepted: false,
+        isCommitted: true,
+      }),
     );
   };
 
-  readonly snapshot = (): readonly Rec[] => [
+  readonly snapshot = (): readonly UnknownRecord[] => [
     { t: "floor", at: packBallot(this.floor) },
-    ...(this.now.number > 0 ? [{ t: "roster", roster: packRoster(this.now) }] : []),
+    ...(this.now.number > 0 ? [{ t: "roster", roster: packVoterSet(this.now) }] : []),
     ...(this.next ? [packPending(this.next)] : []),
     { t: "learned", rows: [...this.entries.values()].map(packRow) },
     ...(this.counts ? [{ t: "counting" }] : []),
   ];
 
-  readonly replay = (record: Rec): void => {
+  readonly replay = (record: UnknownRecord): void => {
     switch (record["t"]) {
       case "floor":
         this.raiseFloor(readBallot(record["at"]));
         break;
       case "promise":
-        this.promise(list(record, "keys", textOf), readBallot(record["at"]));
+        this.prepare(readList(record, "keys", asString), readBallot(record["at"]));
         break;
       case "vote":
-        this.vote(readBallot(record["at"]), list(record, "items", readItem));
+        this.accept(readBallot(record["at"]), readList(record, "items", readItem));
         break;
       case "learned":
-        list(record, "rows", asList).forEach((row) => {
+        readList(record, "rows", asList).forEach((row) => {
           const [key, register] = readItem(row);
           const ballot = readBallot(row[2]);
           this.put({
@@ -275,13 +284,13 @@
             register,
             ballot,
             promised: row[5] === undefined ? NO_BALLOT : readBallot(row[5]),
-            isVoted: row[3] === true,
-            isAgreed: row[4] === true,
+            isAccepted: row[3] === true,
+            isCommitted: row[4] === true,
           });
         });
         break;
       case "roster":
-        this.takeRoster(readRoster(record["roster"]));
+        this.adoptVoterSet(readVoterSet(record["roster"]));
         break;
       case "pending": {
         this.takePending(readPending(record));
@@ -302,11 +311,13 @@
     this.see(entry.promised);
     const promised = higherOf(before.promised, entry.promised);
     const isSameBallot = isSame(entry.ballot, before.ballot);
-    if (entry.isAgreed) this.knowAgreed(entry);
+    if (entry.isCommitted) this.knowAgreed(entry);
     if (
       isHigher(before.ballot, entry.ballot) ||
       entry.ballot.number === 0 ||
-      (isSameBallot && (before.isAgreed || !entry.isAgreed) && (before.isVoted || !entry.isVoted))
+      (isSameBallot &&
+        (before.isCommitted || !entry.isCommitted) &&
+        (before.isAccepted || !entry.isAccepted))
     ) {
       if (promised !== before.promised) this.entries.set(entry.key, { ...before, promised });
       return false;
@@ -316,15 +327,15 @@
       promised,
       ballot: entry.ballot,
       register: entry.register,
-      isVoted: entry.isVoted || (isSameBallot && before.isVoted),
-      isAgreed: entry.isAgreed || (isSameBallot && before.isAgreed),
+      isAccepted: entry.isAccepted || (isSameBallot && before.isAccepted),
+      isCommitted: entry.isCommitted || (isSameBallot && before.isCommitted),
     };
     this.entries.set(entry.key, now);
     if (!isSameBallot) {
       this.toggle(before);
       this.toggle(now);
     }
-    if (now.isAgreed) this.unsure.delete(now.key);
+    if (now.isCommitted) this.unsure.delete(now.key);
     else this.unsure.add(now.key);
     return true;
   };
@@ -347,52 +358,52 @@
 
 export const readItem = (value: unknown): readonly [string, Register | undefined] => {
   const [key, content] = asList(value, "item");
-  return [textOf(key), readContent(content)];
+  return [asString(key), readContent(content)];
 };
 
-export const packPending = ({ number, promised, ballot, roster }: Pending): Rec => ({
+export const packPending = ({ number, promised, ballot, voterSet }: Pending): UnknownRecord => ({
   t: "pending",
   number,
   promised: packBallot(promised),
   ballot: packBallot(ballot),
-  ...(roster ? { roster: packRoster(roster) } : {}),
+  ...(voterSet ? { roster: packVoterSet(voterSet) } : {}),
 });
 
 export const readPending = (value: unknown): Pending => {
-  const rec = asRec(value, "pending");
-  const roster = rec["roster"] === undefined ? undefined : readRoster(rec["roster"]);
+  const record = asRecord(value, "pending");
+  const voterSet = record["roster"] === undefined ? undefined : readVoterSet(record["roster"]);
   return {
-    number: Number(rec["number"]),
-    promised: readBallot(rec["promised"]),
-    ballot: readBallot(rec["ballot"]),
-    roster,
+    number: Number(record["number"]),
+    promised: readBallot(record["promised"]),
+    ballot: readBallot(record["ballot"]),
+    voterSet,
   };
 };
 
-export const packTold = (entry: Entry, withRegister: boolean): readonly unknown[] => [
+export const packEntryReport = (entry: Entry, withRegister: boolean): readonly unknown[] => [
   entry.key,
   packBallot(entry.ballot),
-  entry.isVoted,
-  entry.isAgreed,
+  entry.isAccepted,
+  entry.isCommitted,
   ...(withRegister ? [entry.register ? packRegister(entry.register) : null] : []),
 ];
 
 /** What a colleague tells of an entry; `register` is "same" where it is left out since the asker holds that ballot. */
-export interface Told {
+export interface EntryReport {
   readonly key: string;
   readonly ballot: Ballot;
-  readonly isVoted: boolean;
-  readonly isAgreed: boolean;
+  readonly isAccepted: boolean;
+  readonly isCommitted: boolean;
   readonly register: Register | undefined | "same";
 }
 
-export const readTold = (value: unknown): Told => {
+export const readEntryReport = (value: unknown): EntryReport => {
   const row = asList(value, "entry");
   return {
-    key: textOf(row[0]),
+    key: asString(row[0]),
     ballot: readBallot(row[1]),
-    isVoted: row[2] === true,
-    isAgreed: row[3] === true,
+    isAccepted: row[2] === true,
+    isCommitted: row[3] === true,
     register: row.length > 4 ? readContent(row[4]) : "same",
   };
 };
--- a/src/consensus/replicated-store.ts
+++ b/src/consensus/replicated-store.ts
@@ -1,23 +1,23 @@
 import Emittery from "emittery";
 import { err, ok, type Result } from "true-myth/result";
-import { rest, within, type Clock } from "../common/clock.js";
-import type { Log } from "../common/logger.js";
+import { sleep, withTimeout, type Clock } from "../common/clock.js";
+import type { Logger } from "../common/logger.js";
 import {
   asList,
-  asRec,
-  flag,
-  isRec,
-  list,
-  numberOf,
+  asRecord,
+  readFlag,
+  isRecord,
+  readList,
+  asNumber,
   parseJson,
-  text,
-  textOf,
-  whole,
-  type Rec,
+  readString,
+  asString,
+  readNumber,
+  type UnknownRecord,
 } from "../common/decode.js";
-import { MS } from "../common/duration.js";
+import { MILLISECOND_US } from "../common/duration.js";
 import type { Message } from "../transport/connection.js";
-import type { Archive } from "../storage/write-ahead-log.js";
+import type { WriteAheadLog } from "../storage/write-ahead-log.js";
 import {
   higherOf,
   isHigher,
@@ -29,31 +29,31 @@
 } from "./ballot.js";
 import {
   bucketOf,
-  Copy,
+  Replica,
   packPending,
-  packTold,
+  packEntryReport,
   readItem,
   readPending,
-  readTold,
+  readEntryReport,
   type Entry,
   type Pending,
-  type Told,
+  type EntryReport,
 } from "./replica.js";
-import { applyOrder, makeRegister, packRegister, type Register } from "./register.js";
+import { applyWrite, makeRegister, packRegister, type Register } from "./register.js";
 import {
-  everyoneOf,
+  allMembersOf,
   isJoint,
-  majorityOf,
-  packRoster,
-  quorumOf,
-  readQuorumOf,
-  readRoster,
-  setsOf,
-  type Roster,
+  majoritySize,
+  packVoterSet,
+  quorumSize,
+  readQuorumSize,
+  readVoterSet,
+  quorumSetsOf,
+  type VoterSet,
 } from "./voter-set.js";
-import { Together } from "../common/batcher.js";
+import { Batcher } from "../common/batcher.js";
 
-export type LedgerMishap =
+export type ReplicatedStoreError =
   | { readonly kind: "no-quorum"; readonly held: number; readonly needed: number }
   | { readonly kind: "stale"; readonly what: "term" | "roster" }
   /** Another content was agreed under this number; no part of the order is or will be in force. */
@@ -63,23 +63,27 @@
   /** Parts of the order may be in force, or may be so later. */
   | { readonly kind: "unclear"; readonly sentence: string };
 
-export const GRANT_KEY = "duty/grant";
+export const LEADER_LEASE_KEY = "duty/grant";
 
 /** Who holds the duty: a number is granted once, to one life of one box. */
 export interface Term {
   readonly number: number;
   readonly holder: string;
-  readonly life: string;
+  readonly incarnation: string;
 }
 
 export const readTerm = (grant: Register | undefined): Term | undefined => {
   if (!grant) return undefined;
-  const rec = asRec(parseJson(grant.body), "grant");
-  return { number: grant.version, holder: text(rec, "holder"), life: text(rec, "life") };
+  const record = asRecord(parseJson(grant.body), "grant");
+  return {
+    number: grant.version,
+    holder: readString(record, "holder"),
+    incarnation: readString(record, "life"),
+  };
 };
 
 /** The kinds of messages that `answer` takes. */
-export const LEDGER_KINDS: ReadonlySet<string> = new Set([
+export const CONSENSUS_MESSAGE_KINDS: ReadonlySet<string> = new Set([
   "promise",
   "accept",
   "read",
@@ -89,38 +93,38 @@
 ]);
 
 /** How the ledger reaches other copies; the links of signalling fit it, and so does a test's own net. */
-export interface Asker {
+export interface PeerTransport {
   readonly ask: (id: string, message: Message, waitUs: number) => Promise<Message | undefined>;
   readonly send: (message: Message) => void;
 }
 
-export interface LedgerOptions {
+export interface ReplicatedStoreOptions {
   readonly self: string;
-  readonly archive: Archive;
+  readonly archive: WriteAheadLog;
   /** What the archive's snapshots are made of. */
-  readonly copy: Copy;
+  readonly replica: Replica;
   /** The roster of the first start, and whom to ask for as long as no roster is known. */
   readonly seeds: () => readonly string[];
-  readonly asker: Asker;
+  readonly transport: PeerTransport;
   readonly clock: Clock;
   /** From 0 to 1: names this life, and spreads the waits after a collision. */
   readonly random: () => number;
   readonly withstandMachines: number;
-  readonly log: Log;
+  readonly log: Logger;
 }
 
-export const READ_WAIT_US = 350 * MS;
-export const STORE_WAIT_US = 600 * MS;
+export const READ_TIMEOUT_US = 350 * MILLISECOND_US;
+export const WRITE_TIMEOUT_US = 600 * MILLISECOND_US;
 /** After a quorum has answered, so long is waited for the rest, so that all take part where all are well. */
-const GRACE_US = 10 * MS;
+const GRACE_US = 10 * MILLISECOND_US;
 /** No try begins later than this after the call. */
-const TRY_US = 900 * MS;
+const TRY_US = 900 * MILLISECOND_US;
 const TRIES_MOST = 40;
-const PAUSE_US = 8 * MS;
-const PAUSE_MOST_US = 200 * MS;
-const LOOK_AGAIN_US = 30 * MS;
+const PAUSE_US = 8 * MILLISECOND_US;
+const PAUSE_MOST_US = 200 * MILLISECOND_US;
+const LOOK_AGAIN_US = 30 * MILLISECOND_US;
 /** Contact is asked for once for all that came in so long. */
-const CONTACT_GATHER_US = 40 * MS;
+const CONTACT_GATHER_US = 40 * MILLISECOND_US;
 /** A piece of a copy ends with the bucket that fills it. */
 const PIECE_BYTES = 64 * 1024;
 const PIECES_MOST = 64;
@@ -137,8 +141,8 @@
 /** A try that a quorum has promised to. */
 interface Attempt {
   readonly ballot: Ballot;
-  readonly roster: Roster;
-  readonly found: ReadonlyMap<string, Told>;
+  readonly voterSet: VoterSet;
+  readonly found: ReadonlyMap<string, EntryReport>;
   readonly lives: ReadonlyMap<string, string>;
 }
 
@@ -148,7 +152,7 @@
 /** What one copy holds, as told for a reading. */
 interface View {
   readonly counts: boolean;
-  readonly told: ReadonlyMap<string, Told>;
+  readonly told: ReadonlyMap<string, EntryReport>;
   /** Buckets in which it holds the same ballots as the asker held when it asked. */
   readonly same: ReadonlySet<number>;
 }
@@ -168,23 +172,23 @@
  * held is not `counting`, and neither promises nor accepts, until it has caught up from copies that share a member with
  * every quorum, which from then on take no try that began before; only what a quorum accepted is ever shown.
  */
-export class Ledger {
+export class ReplicatedStore {
   readonly events = new Emittery<{
     settled: readonly Register[];
     counting: undefined;
-    roster: Roster;
+    roster: VoterSet;
     behind: undefined;
   }>();
-  private readonly copy: Copy;
-  private readonly life: string;
+  private readonly replica: Replica;
+  private readonly ownIncarnation: string;
   /** What has changed and is not yet on its way to the disk. */
-  private unsaved: readonly Rec[] = [];
+  private unsaved: readonly UnknownRecord[] = [];
   /** Whether the archive still holds what the disk refused; it goes with what is kept next, be that nothing. */
   private wasRefused = false;
   private keeping: Promise<boolean> | undefined;
   private whyNot = "it has not started";
-  private readonly readings: Together<undefined, Result<void, LedgerMishap>>;
-  private readonly contacts: Together<undefined, boolean>;
+  private readonly readings: Batcher<undefined, Result<void, ReplicatedStoreError>>;
+  private readonly contacts: Batcher<undefined, boolean>;
   private changing = false;
   private heardTerm = 0;
   private refusals = 0;
@@ -193,83 +197,84 @@
   /** The last floor raised for each copy that caught up; the further pieces of a reading bear the same one. */
   private readonly raised = new Map<string, Ballot>();
 
-  constructor(private readonly options: LedgerOptions) {
-    this.copy = options.copy;
-    this.life = Math.floor(options.random() * 2 ** 48).toString(36);
-    this.readings = new Together(() => this.readNow());
-    this.contacts = new Together(() => this.contactNow());
+  constructor(private readonly options: ReplicatedStoreOptions) {
+    this.replica = options.replica;
+    this.ownIncarnation = Math.floor(options.random() * 2 ** 48).toString(36);
+    this.readings = new Batcher(() => this.readNow());
+    this.contacts = new Batcher(() => this.contactNow());
   }
 
-  get isCounting(): boolean {
-    return this.copy.isCounting;
+  get isVoting(): boolean {
+    return this.replica.isVoting;
   }
 
   /** Why this copy doesn't count; empty if it does. */
-  get doubt(): string {
-    return this.isCounting ? "" : this.whyNot;
+  get notVotingReason(): string {
+    return this.isVoting ? "" : this.whyNot;
   }
 
   /** This life of this box, as terms and ballots name it. */
-  get lifeName(): string {
-    return this.life;
+  get incarnation(): string {
+    return this.ownIncarnation;
   }
 
   /** What is known to be agreed under the key. */
-  readonly get = (key: string): Register | undefined => this.copy.agreedAt(key);
+  readonly get = (key: string): Register | undefined => this.replica.committedAt(key);
 
-  readonly all = (): readonly Register[] => this.copy.allAgreed();
+  readonly all = (): readonly Register[] => this.replica.allCommitted();
 
   /** The newest decided roster known here. */
-  readonly roster = (): Roster => this.copy.roster;
+  readonly voterSet = (): VoterSet => this.replica.voterSet;
 
-  readonly rosters = (): readonly (readonly string[])[] => setsOf(this.copy.roster);
+  readonly quorumSets = (): readonly (readonly string[])[] => quorumSetsOf(this.replica.voterSet);
 
   /** Everyone whose copy counts, of both sets while the roster is joint. */
-  readonly members = (): readonly string[] => everyoneOf(this.copy.roster);
+  readonly members = (): readonly string[] => allMembersOf(this.replica.voterSet);
 
   readonly isMember = (): boolean => this.members().includes(this.options.self);
 
   /** The newest term that this copy knows to be granted. */
-  readonly term = (): Term | undefined => readTerm(this.get(GRANT_KEY));
+  readonly term = (): Term | undefined => readTerm(this.get(LEADER_LEASE_KEY));
 
   /** Whether this copy holds a term above this one, agreed or only offered. */
   readonly isOvertaken = (term: Term): boolean =>
-    isAbove(this.copy.entry(GRANT_KEY).register, term) || isAbove(this.get(GRANT_KEY), term);
+    isAbove(this.replica.entry(LEADER_LEASE_KEY).register, term) ||
+    isAbove(this.get(LEADER_LEASE_KEY), term);
 
   /** The first start of the whole system, a start with a disk that kept its files, or one that lost them. */
   readonly start = async (firstRun: boolean): Promise<void> => {
     const { self, archive, log } = this.options;
     const seeds = this.options.seeds();
     const loaded = await archive.load();
-    if (loaded.kind !== "empty") loaded.records.forEach(this.copy.replay);
+    if (loaded.kind !== "empty") loaded.records.forEach(this.replica.replay);
     if (loaded.kind === "doubtful") {
-      this.copy.doubt();
+      this.replica.doubt();
       this.whyNot = loaded.why;
       log.warn(`This copy does not count until it has caught up: ${loaded.why}.`);
     } else if (loaded.kind === "empty" && firstRun && seeds.includes(self)) {
-      this.copy.takeRoster({ number: 1, members: [...seeds].sort(), from: [] });
-      this.copy.setCounting();
+      this.replica.adoptVoterSet({ number: 1, members: [...seeds].sort(), from: [] });
+      this.replica.setVoting();
       // One file holds all of it: a first start that is cut short leaves either nothing or the whole.
-      if ((await archive.keepWhole()).isErr) {
-        this.copy.doubt();
+      if ((await archive.writeVerifiedSnapshot()).isErr) {
+        this.replica.doubt();
         this.whyNot = "its disk refused the first state";
       }
-    } else if (this.isCounting && !this.isMember()) {
-      this.copy.doubt();
+    } else if (this.isVoting && !this.isMember()) {
+      this.replica.doubt();
       this.whyNot = "it is not on the roster";
-    } else if (!this.isCounting)
+    } else if (!this.isVoting)
       this.whyNot = loaded.kind === "empty" ? "its disk is empty" : "it never caught up";
   };
 
   /** Resolves to true once everything noted before the call is safe on this machine's disk. */
-  readonly safe = (): Promise<boolean> => {
+  readonly persisted = (): Promise<boolean> => {
     const earlier = this.keeping;
     if (this.unsaved.length === 0 && !this.wasRefused) return earlier ?? Promise.resolve(true);
     const { archive, log } = this.options;
     const records = this.unsaved;
     this.unsaved = [];
     this.wasRefused = false;
-    const mine = archive.keep(records).then((kept) => {
+    const mine = archive.append(records).then((kept) => {
       if (kept.isErr) {
         this.wasRefused = true;
         log.warn(`The disk refused a version: ${kept.error.sentence}.`);
@@ -300,11 +305,11 @@
         return this.answerRoster(message);
       default: {
         this.hearRoster(message);
-        const term = this.get(GRANT_KEY);
+        const term = this.get(LEADER_LEASE_KEY);
         return {
           kind: "here",
-          counts: this.isCounting,
-          roster: packRoster(this.copy.roster),
+          counts: this.isVoting,
+          roster: packVoterSet(this.replica.voterSet),
           ...(term ? { grant: packRegister(term) } : {}),
         };
       }
@@ -312,39 +317,39 @@
   };
 
   /** Hears from a colleague what a quorum has accepted; what this copy does not hold the same way waits for a reading. */
-  readonly hearSettled = (message: Message): void => {
+  readonly applyCommitted = (message: Message): void => {
     this.hearRoster(message);
-    const marks = list(message, "items", asList).map((item): readonly [string, Ballot] => [
-      textOf(item[0]),
+    const marks = readList(message, "items", asList).map((item): readonly [string, Ballot] => [
+      asString(item[0]),
       readBallot(item[1]),
     ]);
-    marks.forEach(([, ballot]) => this.copy.see(ballot));
+    marks.forEach(([, ballot]) => this.replica.see(ballot));
     this.settle(marks);
-    if (marks.some(([key, ballot]) => isHigher(ballot, this.copy.entry(key).ballot)))
+    if (marks.some(([key, ballot]) => isHigher(ballot, this.replica.entry(key).ballot)))
       void this.events.emit("behind");
   };
 
   private readonly answerPromise = async (message: Message): Promise<Message> => {
     const ballot = readBallot(message["ballot"]);
-    const keys = list(message, "keys", textOf);
+    const keys = readList(message, "keys", asString);
     const refusal = this.refusalOf(message) ?? this.lowerThanPromised(keys, ballot);
     if (refusal) return refusal;
-    this.note(this.copy.promise(keys, ballot));
-    const entries = keys.map((key) => this.copy.entry(key));
-    if (!(await this.safe())) return refused("disk");
-    const have = list(message, "have", readBallot);
+    this.note(this.replica.prepare(keys, ballot));
+    const entries = keys.map((key) => this.replica.entry(key));
+    if (!(await this.persisted())) return refused("disk");
+    const have = readList(message, "have", readBallot);
     const rows = entries.flatMap((entry, at) =>
       entry.ballot.number === 0
         ? []
-        : [packTold(entry, !isSame(entry.ballot, have[at] ?? NO_BALLOT))],
+        : [packEntryReport(entry, !isSame(entry.ballot, have[at] ?? NO_BALLOT))],
     );
-    return { kind: "promised", life: this.life, entries: rows };
+    return { kind: "promised", life: this.ownIncarnation, entries: rows };
   };
 
   private readonly answerAccept = async (message: Message): Promise<Message> => {
     const ballot = readBallot(message["ballot"]);
-    const items = list(message, "items", readItem);
-    const isOtherLife = asRec(message["lives"])[this.options.self] !== this.life;
+    const items = readList(message, "items", readItem);
+    const isOtherLife = asRecord(message["lives"])[this.options.self] !== this.ownIncarnation;
     const refusal =
       this.refusalOf(message) ??
       (isOtherLife
@@ -354,134 +359,136 @@
             ballot,
           ));
     if (refusal) return refusal;
-    this.note(this.copy.vote(ballot, items));
-    return (await this.safe()) ? { kind: "accepted" } : refused("disk");
+    this.note(this.replica.accept(ballot, items));
+    return (await this.persisted()) ? { kind: "accepted" } : refused("disk");
   };
 
   private readonly lowerThanPromised = (
     keys: readonly string[],
     ballot: Ballot,
   ): Message | undefined =>
-    keys.some((key) => isHigher(this.copy.promisedFor(key), ballot))
-      ? refused("ballot", this.copy.highest)
+    keys.some((key) => isHigher(this.replica.promisedFor(key), ballot))
+      ? refused("ballot", this.replica.highest)
       : undefined;
 
   /** Why this copy takes part in nothing that the message asks for. */
   private readonly refusalOf = (message: Message): Message | undefined => {
-    if (!this.isCounting) return refused("not-counting");
+    if (!this.isVoting) return refused("not-counting");
     const stale = this.refusalOfRoster(message);
     if (stale) return stale;
-    const term = isRec(message["term"]) ? readPackedTerm(message["term"]) : undefined;
+    const term = isRecord(message["term"]) ? readPackedTerm(message["term"]) : undefined;
     return term && this.isOvertaken(term) ? refused("term") : undefined;
   };
 
   private readonly refusalOfRoster = (message: Message): Message | undefined => {
     this.hearRoster(message);
-    const { roster } = this.copy;
-    return readRoster(message["roster"]).number < roster.number
-      ? { ...refused("roster", this.copy.highest), roster: packRoster(roster) }
+    const { voterSet } = this.replica;
+    return readVoterSet(message["roster"]).number < voterSet.number
+      ? { ...refused("roster", this.replica.highest), roster: packVoterSet(voterSet) }
       : undefined;
   };
 
   private readonly answerRead = async (message: Message): Promise<Message> => {
     const floor = message["floor"] === undefined ? undefined : readBallot(message["floor"]);
-    if (!this.isCounting && floor) return refused("not-counting");
+    if (!this.isVoting && floor) return refused("not-counting");
     const stale = this.refusalOfRoster(message);
     if (stale) return stale;
     if (floor && !isSame(floor, this.raised.get(floor.by) ?? NO_BALLOT)) {
-      if (floor.number <= this.copy.highest) return refused("ballot", this.copy.highest);
-      this.note(this.copy.raiseFloor(floor));
+      if (floor.number <= this.replica.highest) return refused("ballot", this.replica.highest);
+      this.note(this.replica.raiseFloor(floor));
       this.raised.set(floor.by, floor);
     }
-    const sums = this.copy.bucketSums();
-    const theirs = list(message, "sums", textOf);
+    const sums = this.replica.bucketSums();
+    const theirs = readList(message, "sums", asString);
     const same: number[] = [];
     const rows: (readonly unknown[])[] = [];
-    let bucket = whole(message, "from");
+    let bucket = readNumber(message, "from");
     for (let bytes = 0; bucket < sums.length && bytes < PIECE_BYTES; bucket += 1) {
       if (sums[bucket] === theirs[bucket]) same.push(bucket);
       else
-        this.copy.inBucket(bucket).forEach((entry) => {
-          rows.push(packTold(entry, true));
+        this.replica.inBucket(bucket).forEach((entry) => {
+          rows.push(packEntryReport(entry, true));
           bytes += (entry.register?.body.length ?? 0) + 64;
         });
     }
-    const unsure = list(message, "unsure", textOf);
+    const unsure = readList(message, "unsure", asString);
     unsure
       .filter((key) => same.includes(bucketOf(key)))
-      .forEach((key) => rows.push(packTold(this.copy.entry(key), false)));
-    const counts = (await this.safe()) && this.isCounting;
+      .forEach((key) => rows.push(packEntryReport(this.replica.entry(key), false)));
+    const counts = (await this.persisted()) && this.isVoting;
     return {
       kind: "copy",
       counts,
       same,
       entries: rows,
       next: bucket,
-      ...(this.copy.pending ? { pending: packPending(this.copy.pending) } : {}),
+      ...(this.replica.pending ? { pending: packPending(this.replica.pending) } : {}),
     };
   };
 
   private readonly answerRoster = async (message: Message): Promise<Message> => {
-    if (!this.isCounting) return refused("not-counting");
-    const number = whole(message, "number");
+    if (!this.isVoting) return refused("not-counting");
+    const number = readNumber(message, "number");
     this.hearRoster(message);
-    const { roster, pending } = this.copy;
-    if (number <= roster.number)
-      return { ...refused("roster", this.copy.highest), roster: packRoster(roster) };
+    const { voterSet, pending } = this.replica;
+    if (number <= voterSet.number)
+      return { ...refused("roster", this.replica.highest), roster: packVoterSet(voterSet) };
     const ballot = readBallot(message["ballot"]);
-    if (number > roster.number + 1) return refused("roster");
-    if (isHigher(this.copy.promisedForRoster(number), ballot))
-      return refused("ballot", this.copy.highest);
+    if (number > voterSet.number + 1) return refused("roster");
+    if (isHigher(this.replica.promisedForRoster(number), ballot))
+      return refused("ballot", this.replica.highest);
     if (message.kind === "roster-promise") {
       this.note(
-        this.copy.takePending({
+        this.replica.takePending({
           number,
           promised: ballot,
           ballot: pending?.ballot ?? NO_BALLOT,
-          roster: pending?.roster,
+          voterSet: pending?.voterSet,
         }),
       );
-      if (!(await this.safe())) return refused("disk");
+      if (!(await this.persisted())) return refused("disk");
       return {
         kind: "promised",
-        life: this.life,
+        life: this.ownIncarnation,
         pending: packPending(
-          pending ?? { number, promised: ballot, ballot: NO_BALLOT, roster: undefined },
+          pending ?? { number, promised: ballot, ballot: NO_BALLOT, voterSet: undefined },
         ),
       };
     }
-    if (asRec(message["lives"])[this.options.self] !== this.life) return refused("life");
+    if (asRecord(message["lives"])[this.options.self] !== this.ownIncarnation)
+      return refused("life");
     this.note(
-      this.copy.takePending({
+      this.replica.takePending({
         number,
         promised: ballot,
         ballot,
-        roster: readRoster(message["next"]),
+        voterSet: readVoterSet(message["next"]),
       }),
     );
-    return (await this.safe()) ? { kind: "accepted" } : refused("disk");
+    return (await this.persisted()) ? { kind: "accepted" } : refused("disk");
   };
 
   // --- contact ------------------------------------------------------------------------------------------------------
 
   /** True once a majority of counting members has answered a question sent after this call; one round for all that wait. */
-  readonly contact = (): Promise<boolean> => this.contacts.add(undefined);
+  readonly confirmQuorum = (): Promise<boolean> => this.contacts.add(undefined);
 
   private readonly contactNow = async (): Promise<boolean> => {
-    await rest(this.options.clock, CONTACT_GATHER_US);
+    await sleep(this.options.clock, CONTACT_GATHER_US);
     const heard = await this.collect<Message>({
-      sets: this.rosters,
-      needed: majorityOf,
+      sets: this.quorumSets,
+      needed: majoritySize,
       ask: async (id) => {
         const reply = await this.askOne(
           id,
-          { kind: "contact", roster: packRoster(this.copy.roster) },
-          READ_WAIT_US,
+          { kind: "contact", roster: packVoterSet(this.replica.voterSet) },
+          READ_TIMEOUT_US,
         );
         if (!reply) return undefined;
         this.hearRoster(reply);
-        if (reply["grant"] !== undefined && isRec(reply["grant"])) this.hearGrant(reply["grant"]);
-        return flag(reply, "counts") ? reply : undefined;
+        if (reply["grant"] !== undefined && isRecord(reply["grant"]))
+          this.hearGrant(reply["grant"]);
+        return readFlag(reply, "counts") ? reply : undefined;
       },
     });
     return heard.isOk;
@@ -489,8 +496,8 @@
 
   /** A newer grant that a colleague knows is reason enough to read, and to hold the duty no longer. */
   private readonly hearGrant = (packed: unknown): void => {
-    const version = whole(asRec(packed), "version");
-    if (version > (this.get(GRANT_KEY)?.version ?? 0)) void this.events.emit("behind");
+    const version = readNumber(asRecord(packed), "version");
+    if (version > (this.get(LEADER_LEASE_KEY)?.version ?? 0)) void this.events.emit("behind");
     this.heardTerm = Math.max(this.heardTerm, version);
   };
 
@@ -503,13 +510,13 @@
    * Decides one order of an operator, all items at one ballot. Ok: every item is held by a quorum, or was taken before
    * and is, or has since been overtaken. `problemOf` is given what stands, by key, and tells what makes the order invalid.
    */
-  readonly offer = (
+  readonly propose = (
     call: readonly Register[],
     problemOf?: (get: (key: string) => Register | undefined) => string | undefined,
-  ): Promise<Result<void, LedgerMishap>> => {
+  ): Promise<Result<void, ReplicatedStoreError>> => {
     const keys = [...new Set(call.map(({ key }) => key))];
     let wasOffered = false;
-    let verdict: Result<void, LedgerMishap> = ok(undefined);
+    let result: Result<void, ReplicatedStoreError> = ok(undefined);
     return this.tryOften(async () => {
       const attempt = await this.prepare(keys);
       if (attempt.isErr) return err(attempt.error);
@@ -517,54 +524,54 @@
         keys.map((key): readonly [string, Content] => [key, this.contentOf(attempt.value, key)]),
       );
       const next = new Map(stands);
-      let mishap: LedgerMishap | undefined;
+      let error: ReplicatedStoreError | undefined;
       // By what stood before: a call may name an item twice. One known item may be another order's; an order taken before has all.
       const known = call.filter(
-        (order) => applyOrder(stands.get(order.key), order).kind === "known",
+        (order) => applyWrite(stands.get(order.key), order).kind === "known",
       ).length;
       const isSeen = known > 0;
       call.forEach((order) => {
-        const applied = applyOrder(next.get(order.key), order);
+        const applied = applyWrite(next.get(order.key), order);
         if (applied.kind === "fits") next.set(order.key, applied.next);
         if (applied.kind === "conflict")
-          mishap ??= { kind: "conflict", key: order.key, version: order.version };
+          error ??= { kind: "conflict", key: order.key, version: order.version };
         if (applied.kind === "forgotten")
-          mishap ??= {
+          error ??= {
             kind: "unclear",
             sentence: `what ${order.key} was at version ${order.version} is no longer known`,
           };
       });
-      if (!mishap && known < call.length && !wasOffered) {
-        mishap = await this.problemNow(problemOf, stands);
+      if (!error && known < call.length && !wasOffered) {
+        error = await this.problemNow(problemOf, stands);
       }
-      if (mishap) {
-        const isRefusal = mishap.kind === "conflict" || mishap.kind === "invalid";
+      if (error) {
+        const isRefusal = error.kind === "conflict" || error.kind === "invalid";
         if (isRefusal && (wasOffered || isSeen))
-          mishap = {
+          error = {
             kind: "unclear",
             sentence: "another order has one of its numbers, and parts of this one were offered",
           };
-        verdict = err(mishap);
-        if (mishap.kind === "unclear") return ok(undefined);
+        result = err(error);
+        if (error.kind === "unclear") return ok(undefined);
       } else {
-        verdict = ok(undefined);
+        result = ok(undefined);
         wasOffered = true;
       }
       // What stands is always accepted anew beside a refusal: a minority may have accepted parts of an earlier try at this
       // order above the ballot that was agreed, and they must not come up later.
-      const items: Items = [...(mishap ? stands : next)];
+      const items: Items = [...(error ? stands : next)];
       const isDone =
-        !mishap &&
+        !error &&
         items.every(([key, content]) => {
-          const entry = this.copy.entry(key);
+          const entry = this.replica.entry(key);
           return (
             content === stands.get(key) &&
-            entry.isAgreed &&
+            entry.isCommitted &&
             isSame(entry.ballot, attempt.value.found.get(key)?.ballot ?? NO_BALLOT)
           );
         });
       return isDone ? ok(undefined) : this.accept(attempt.value, items);
-    }).then((done) => done.andThen(() => verdict));
+    }).then((done) => done.andThen(() => result));
   };
 
   /** Compares and sets one register; `make` tells the new body, or undefined to leave it. Gives what stands afterwards. */
@@ -572,7 +579,7 @@
     key: string,
     make: (now: Register | undefined) => string | undefined,
     term?: Term,
-  ): Promise<Result<Register | undefined, LedgerMishap>> => {
+  ): Promise<Result<Register | undefined, ReplicatedStoreError>> => {
     let result: Register | undefined;
     const done = await this.tryOften(async () => {
       const attempt = await this.prepare([key], term);
@@ -588,7 +595,7 @@
   private readonly problemNow = async (
     problemOf: ((get: (key: string) => Register | undefined) => string | undefined) | undefined,
     stands: ReadonlyMap<string, Content>,
-  ): Promise<LedgerMishap | undefined> => {
+  ): Promise<ReplicatedStoreError | undefined> => {
     const look = () => problemOf?.((key) => stands.get(key) ?? this.get(key));
     if (look() === undefined) return undefined;
     // This copy may be old: nothing is called unknown, nor let pass, before a quorum was read.
@@ -600,7 +607,7 @@
 
   private readonly tryOften = async (
     work: () => Promise<Result<void, Setback>>,
-  ): Promise<Result<void, LedgerMishap>> => {
+  ): Promise<Result<void, ReplicatedStoreError>> => {
     const { clock, random } = this.options;
     const beganUs = clock.nowUs();
     for (let turn = 0; ; turn += 1) {
@@ -612,13 +619,16 @@
       if (clock.nowUs() - beganUs > TRY_US || turn >= TRIES_MOST)
         return err({ kind: "unclear", sentence: "other orders were in the way" });
       if (setback.soon) continue;
-      await rest(clock, Math.round(random() * Math.min(PAUSE_MOST_US, PAUSE_US * 2 ** turn)));
+      await sleep(clock, Math.round(random() * Math.min(PAUSE_MOST_US, PAUSE_US * 2 ** turn)));
     }
   };
 
   private readonly nextBallot = (): Ballot => {
-    const ballot = { number: this.copy.highest + 1, by: `${this.options.self}/${this.life}` };
-    this.copy.see(ballot);
+    const ballot = {
+      number: this.replica.highest + 1,
+      by: `${this.options.self}/${this.ownIncarnation}`,
+    };
+    this.replica.see(ballot);
     return ballot;
   };
 
@@ -632,32 +642,38 @@
     keys: readonly string[],
     term?: Term,
   ): Promise<Result<Attempt, Setback>> => {
-    const { roster } = this.copy;
+    const { voterSet } = this.replica;
     const ballot = this.nextBallot();
-    const before = keys.map((key) => this.copy.entry(key));
+    const before = keys.map((key) => this.replica.entry(key));
     const message: Message = {
       kind: "promise",
       ballot: packBallot(ballot),
-      roster: packRoster(roster),
+      roster: packVoterSet(voterSet),
       keys,
       have: before.map((entry) => packBallot(entry.ballot)),
-      ...(term ? { term: { ...term } } : {}),
+      ...(term ? { term: packTerm(term) } : {}),
     };
     const lives = new Map<string, string>();
-    const found = new Map<string, Told>();
-    const promised = await this.poll(roster, message, READ_WAIT_US, "promised", (id, reply) => {
-      lives.set(id, text(reply, "life"));
-      list(reply, "entries", readTold).forEach((told) => {
-        const known = found.get(told.key);
-        if (known && !isHigher(told.ballot, known.ballot)) return;
-        const at =
-          told.register === "same"
-            ? before.find((entry) => entry.key === told.key && isSame(entry.ballot, told.ballot))
-            : undefined;
-        found.set(told.key, at ? { ...told, register: at.register } : told);
-      });
-    });
-    return promised.map(() => ({ ballot, roster, found: new Map(found), lives: new Map(lives) }));
+    const found = new Map<string, EntryReport>();
+    const promised = await this.poll(
+      voterSet,
+      message,
+      READ_TIMEOUT_US,
+      "promised",
+      (id, reply) => {
+        lives.set(id, readString(reply, "life"));
+        readList(reply, "entries", readEntryReport).forEach((told) => {
+          const known = found.get(told.key);
+          if (known && !isHigher(told.ballot, known.ballot)) return;
+          const at =
+            told.register === "same"
+              ? before.find((entry) => entry.key === told.key && isSame(entry.ballot, told.ballot))
+              : undefined;
+          found.set(told.key, at ? { ...told, register: at.register } : told);
+        });
+      },
+    );
+    return promised.map(() => ({ ballot, voterSet, found: new Map(found), lives: new Map(lives) }));
   };
 
   /** Asks those that promised to accept; then everyone is told. */
@@ -666,19 +682,19 @@
     items: Items,
     term?: Term,
   ): Promise<Result<void, Setback>> => {
-    const { ballot, roster, lives } = attempt;
+    const { ballot, voterSet, lives } = attempt;
     const message: Message = {
       kind: "accept",
       ballot: packBallot(ballot),
-      roster: packRoster(roster),
+      roster: packVoterSet(voterSet),
       lives: Object.fromEntries(lives),
       items: items.map(([key, content]) => [key, content ? packRegister(content) : null]),
-      ...(term ? { term: { ...term } } : {}),
+      ...(term ? { term: packTerm(term) } : {}),
     };
     const accepted = await this.poll(
-      roster,
+      voterSet,
       message,
-      STORE_WAIT_US,
+      WRITE_TIMEOUT_US,
       "accepted",
       () => undefined,
       (id) => lives.has(id),
@@ -686,14 +702,14 @@
     if (accepted.isErr) return err(accepted.error);
     // A proposer that is no member holds what it has brought about all the same.
     this.note(
-      this.copy.learn(
+      this.replica.learn(
         items.map(([key, register]): Entry => ({
           key,
           promised: NO_BALLOT,
           ballot,
           register,
-          isVoted: false,
-          isAgreed: true,
+          isAccepted: false,
+          isCommitted: true,
         })),
       ),
     );
@@ -704,15 +720,15 @@
   };
 
   private readonly tell = (marks: readonly (readonly [string, Ballot])[]): void =>
-    this.options.asker.send({
+    this.options.transport.send({
       kind: "settled",
-      roster: packRoster(this.copy.roster),
+      roster: packVoterSet(this.replica.voterSet),
       items: marks.map(([key, ballot]) => [key, packBallot(ballot)]),
     });
 
   /** Puts one question to the members of a roster; what stood in the way of a quorum is the setback. */
   private readonly poll = async (
-    roster: Roster,
+    voterSet: VoterSet,
     message: Message,
     waitUs: number,
     wanted: string,
@@ -723,8 +739,8 @@
     let isOpen = true;
     const { withstandMachines } = this.options;
     const polled = await this.collect<Message>({
-      sets: () => setsOf(roster),
-      needed: (members) => quorumOf(members, withstandMachines),
+      sets: () => quorumSetsOf(voterSet),
+      needed: (members) => quorumSize(members, withstandMachines),
       graceUs: GRACE_US,
       ask: async (id) => {
         const reply = isAsked(id) ? await this.askOne(id, message, waitUs) : undefined;
@@ -751,10 +767,10 @@
    * Reads a quorum, adopts what is agreed, finishes what is found half accepted. Ok: everything confirmed before the
    * call is known here. A copy that doesn't count catches up by the same way. Calls made meanwhile share a reading.
    */
-  readonly read = (): Promise<Result<void, LedgerMishap>> => this.readings.add(undefined);
+  readonly read = (): Promise<Result<void, ReplicatedStoreError>> => this.readings.add(undefined);
 
-  private readonly readNow = async (): Promise<Result<void, LedgerMishap>> => {
-    if (!this.isCounting) {
+  private readonly readNow = async (): Promise<Result<void, ReplicatedStoreError>> => {
+    if (!this.isVoting) {
       const caughtUp = await this.catchUp();
       if (caughtUp.isErr) return caughtUp;
     }
@@ -767,12 +783,12 @@
     return read;
   };
 
-  private readonly readQuorum = async (): Promise<Result<void, LedgerMishap>> => {
+  private readonly readQuorum = async (): Promise<Result<void, ReplicatedStoreError>> => {
     const first = await this.look();
     if (first.isErr) return err(first.error);
     if (first.value.length === 0) return ok(undefined);
     // Most of what is not settled is just being settled by whoever offered it.
-    await rest(this.options.clock, Math.round(LOOK_AGAIN_US * (1 + this.options.random())));
+    await sleep(this.options.clock, Math.round(LOOK_AGAIN_US * (1 + this.options.random())));
     const second = await this.look();
     if (second.isErr) return err(second.error);
     return this.finish(second.value);
@@ -781,7 +797,7 @@
   /** Offers anew what stands, so that it is agreed. */
   private readonly finish = async (
     keys: readonly string[],
-  ): Promise<Result<void, LedgerMishap>> => {
+  ): Promise<Result<void, ReplicatedStoreError>> => {
     for (let at = 0; at < keys.length; at += FINISH_AT_ONCE) {
       const part = keys.slice(at, at + FINISH_AT_ONCE);
       const done = await this.tryOften(async () => {
@@ -798,15 +814,15 @@
   };
 
   /** One look at a quorum: adopts what is agreed; gives the keys of which that is not sure. */
-  private readonly look = async (): Promise<Result<readonly string[], LedgerMishap>> => {
+  private readonly look = async (): Promise<Result<readonly string[], ReplicatedStoreError>> => {
     const { self, withstandMachines } = this.options;
-    const before = this.copy.entriesNow();
-    const unsure = this.copy.unsureKeys();
-    const sums = this.copy.bucketSums();
+    const before = this.replica.entriesNow();
+    const unsure = this.replica.unsureKeys();
+    const sums = this.replica.bucketSums();
     const views = new Map<string, View>();
     const read = await this.collect<View>({
-      sets: this.rosters,
-      needed: (members) => quorumOf(members, withstandMachines),
+      sets: this.quorumSets,
+      needed: (members) => quorumSize(members, withstandMachines),
       graceUs: GRACE_US,
       ask: async (id) => {
         const view = id === self ? await this.ownView() : await this.view(id, sums, unsure);
@@ -836,13 +852,13 @@
     keys.forEach((key) => {
       const own = before.get(key);
       const bucket = bucketOf(key);
-      const toldBy = (id: string): Told | undefined => {
+      const toldBy = (id: string): EntryReport | undefined => {
         const view = views.get(id);
         if (id === self && view) return own && { ...own };
         const told = view?.told.get(key);
         if (told) return told;
         return view?.same.has(bucket) && own
-          ? { ...own, isVoted: false, isAgreed: false }
+          ? { ...own, isAccepted: false, isCommitted: false }
           : undefined;
       };
       const tellings = [...views.keys()].flatMap((id) => {
@@ -851,17 +867,17 @@
       });
       const candidates =
         own && !views.has(self)
-          ? [...tellings, { id: "", told: { ...own, isVoted: false } }]
+          ? [...tellings, { id: "", told: { ...own, isAccepted: false } }]
           : tellings;
       const top = candidates.reduce((most, { told }) => higherOf(most, told.ballot), NO_BALLOT);
       if (top.number === 0) return;
       const atTop = candidates.filter(({ told }) => isSame(told.ballot, top));
-      const voters = new Set(atTop.filter(({ told }) => told.isVoted).map(({ id }) => id));
+      const voters = new Set(atTop.filter(({ told }) => told.isAccepted).map(({ id }) => id));
       const isAgreed =
-        atTop.some(({ told }) => told.isAgreed) ||
-        this.rosters().every(
+        atTop.some(({ told }) => told.isCommitted) ||
+        this.quorumSets().every(
           (members) =>
-            members.filter((id) => voters.has(id)).length >= quorumOf(members, withstandMachines),
+            members.filter((id) => voters.has(id)).length >= quorumSize(members, withstandMachines),
         );
       if (!isAgreed) {
         left.push(key);
@@ -879,8 +895,8 @@
           promised: NO_BALLOT,
           ballot: top,
           register: content.register,
-          isVoted: false,
-          isAgreed: true,
+          isAccepted: false,
+          isCommitted: true,
         });
     });
     this.takeAgreed(learned);
@@ -890,14 +906,14 @@
   private readonly takeAgreed = (entries: readonly Entry[]): void => {
     const fresh = entries.filter(
       ({ key, ballot }) =>
-        !(this.copy.entry(key).isAgreed && !isHigher(ballot, this.copy.entry(key).ballot)),
+        !(this.replica.entry(key).isCommitted && !isHigher(ballot, this.replica.entry(key).ballot)),
     );
     const marks = fresh
-      .filter(({ key, ballot }) => isSame(this.copy.entry(key).ballot, ballot))
+      .filter(({ key, ballot }) => isSame(this.replica.entry(key).ballot, ballot))
       .map(({ key, ballot }): readonly [string, Ballot] => [key, ballot]);
     this.note(
-      this.copy.learn(
-        fresh.filter(({ key, ballot }) => !isSame(this.copy.entry(key).ballot, ballot)),
+      this.replica.learn(
+        fresh.filter(({ key, ballot }) => !isSame(this.replica.entry(key).ballot, ballot)),
       ),
     );
     this.settle(marks);
@@ -908,12 +924,12 @@
   };
 
   private readonly settle = (marks: readonly (readonly [string, Ballot])[]): void => {
-    const fresh = this.copy.markAgreed(marks);
+    const fresh = this.replica.markCommitted(marks);
     if (fresh.length > 0) void this.events.emit("settled", fresh);
   };
 
   private readonly ownView = async (): Promise<View> => {
-    const counts = (await this.safe()) && this.isCounting;
+    const counts = (await this.persisted()) && this.isVoting;
     return { counts, told: new Map(), same: new Set() };
   };
 
@@ -924,30 +940,32 @@
     unsure: readonly string[],
     floor?: Ballot,
   ): Promise<View | undefined> => {
-    const told = new Map<string, Told>();
+    const told = new Map<string, EntryReport>();
     const same = new Set<number>();
     let from = 0;
     for (let piece = 0; piece < PIECES_MOST; piece += 1) {
       const message: Message = {
         kind: "read",
-        roster: packRoster(this.copy.roster),
+        roster: packVoterSet(this.replica.voterSet),
         sums,
         unsure,
         from,
         ...(floor ? { floor: packBallot(floor) } : {}),
       };
-      const reply = await this.askOne(id, message, READ_WAIT_US);
+      const reply = await this.askOne(id, message, READ_TIMEOUT_US);
       if (!reply) return undefined;
       if (reply.kind !== "copy") {
         this.hearRefusal(reply);
         return undefined;
       }
-      list(reply, "entries", readTold).forEach((row) => told.set(row.key, row));
-      list(reply, "same", numberOf).forEach((bucket) => same.add(bucket));
+      readList(reply, "entries", readEntryReport).forEach((row) => told.set(row.key, row));
+      readList(reply, "same", asNumber).forEach((bucket) => same.add(bucket));
       if (floor && reply["pending"] !== undefined)
-        this.note(this.copy.takePending({ ...readPending(reply["pending"]), promised: NO_BALLOT }));
-      from = whole(reply, "next");
-      if (from >= sums.length) return { counts: flag(reply, "counts"), told, same };
+        this.note(
+          this.replica.takePending({ ...readPending(reply["pending"]), promised: NO_BALLOT }),
+        );
+      from = readNumber(reply, "next");
+      if (from >= sums.length) return { counts: readFlag(reply, "counts"), told, same };
     }
     return undefined;
   };
@@ -956,7 +974,7 @@
    * What a copy does that may have lost something: it asks as many counting ones as share a member with every quorum to
    * take no try that began before, and holds the highest that any of them holds. From then on it counts.
    */
-  private readonly catchUp = async (): Promise<Result<void, LedgerMishap>> => {
+  private readonly catchUp = async (): Promise<Result<void, ReplicatedStoreError>> => {
     for (let turn = 1; ; turn += 1) {
       const refusals = this.refusals;
       const done = await this.catchUpOnce();
@@ -965,17 +983,17 @@
     }
   };
 
-  private readonly catchUpOnce = async (): Promise<Result<void, LedgerMishap>> => {
+  private readonly catchUpOnce = async (): Promise<Result<void, ReplicatedStoreError>> => {
     const { log, archive, withstandMachines } = this.options;
-    const before = this.copy.entriesNow();
-    const sums = this.copy.bucketSums();
+    const before = this.replica.entriesNow();
+    const sums = this.replica.bucketSums();
     const floor = this.nextBallot();
-    const rosterBefore = this.copy.roster.number;
+    const rosterBefore = this.replica.voterSet.number;
     const views = new Map<string, View>();
     const read = await this.collect<View>({
-      sets: () => (this.copy.roster.number === 0 ? [this.options.seeds()] : this.rosters()),
+      sets: () => (this.replica.voterSet.number === 0 ? [this.options.seeds()] : this.quorumSets()),
       needed: (members) =>
-        this.copy.roster.number === 0 ? Infinity : readQuorumOf(members, withstandMachines),
+        this.replica.voterSet.number === 0 ? Infinity : readQuorumSize(members, withstandMachines),
       ask: async (id) => {
         if (id === this.options.self) return undefined;
         const view = await this.view(id, sums, [], floor);
@@ -985,9 +1003,10 @@
       },
     });
     if (read.isErr) return err(read.error);
-    if (this.copy.roster.number !== rosterBefore) return err({ kind: "stale", what: "roster" });
+    if (this.replica.voterSet.number !== rosterBefore)
+      return err({ kind: "stale", what: "roster" });
     // A copy that is on no roster was one of no quorum that still counts; what it accepted long ago must not come up again.
-    if (!this.isMember()) this.copy.forgetOffers();
+    if (!this.isMember()) this.replica.forgetOffers();
     const keys = new Set([
       ...before.keys(),
       ...[...views.values()].flatMap(({ told }) => [...told.keys()]),
@@ -1003,23 +1022,23 @@
                 promised: NO_BALLOT,
                 ballot: row.ballot,
                 register: row.register,
-                isVoted: false,
-                isAgreed: false,
+                isAccepted: false,
+                isCommitted: false,
               },
             ]
           : [],
       ),
     );
-    this.note(this.copy.learn(held));
-    this.note(this.copy.raiseFloor(floor));
-    if (!(await this.safe()) || (await archive.keepWhole()).isErr)
+    this.note(this.replica.learn(held));
+    this.note(this.replica.raiseFloor(floor));
+    if (!(await this.persisted()) || (await archive.writeVerifiedSnapshot()).isErr)
       return err({ kind: "unclear", sentence: "the disk refused what was caught up" });
-    this.note(this.copy.setCounting());
-    if (!(await this.safe())) {
-      this.copy.doubt();
+    this.note(this.replica.setVoting());
+    if (!(await this.persisted())) {
+      this.replica.doubt();
       return err({ kind: "unclear", sentence: "the disk refused what was caught up" });
     }
-    log.info(`Caught up with ${keys.size} items, by roster ${this.copy.roster.number}.`);
+    log.info(`Caught up with ${keys.size} items, by roster ${this.replica.voterSet.number}.`);
     void this.events.emit("counting");
     return ok(undefined);
   };
@@ -1033,14 +1052,14 @@
   readonly changeMembers = async (
     change: (members: readonly string[]) => readonly string[],
     moveMore: () => Promise<boolean> = async () => true,
-  ): Promise<Result<void, LedgerMishap>> => {
+  ): Promise<Result<void, ReplicatedStoreError>> => {
     if (this.changing)
       return err({ kind: "unclear", sentence: "another change of the roster is under way" });
     this.changing = true;
     try {
       const settled = await this.finishRoster(moveMore);
       if (settled.isErr) return settled;
-      const base = this.copy.roster;
+      const base = this.replica.voterSet;
       const wanted = [...new Set(change(base.members))].sort();
       if (wanted.join() === [...base.members].sort().join()) return ok(undefined);
       const joint = await this.decideRoster(base, {
@@ -1059,38 +1078,40 @@
   /** Ends a joint roster: everything agreed is brought to a quorum of the new members, then they stand alone. */
   private readonly finishRoster = async (
     moveMore: () => Promise<boolean>,
-  ): Promise<Result<void, LedgerMishap>> => {
+  ): Promise<Result<void, ReplicatedStoreError>> => {
     for (let turn = 0; turn < 4; turn += 1) {
-      const { roster } = this.copy;
-      if (!isJoint(roster)) return ok(undefined);
-      const moved = await this.spread(roster);
+      const { voterSet } = this.replica;
+      if (!isJoint(voterSet)) return ok(undefined);
+      const moved = await this.spread(voterSet);
       if (moved.isErr) return moved;
       if (!(await moveMore()))
         return err({ kind: "unclear", sentence: "the new members don't hold everything yet" });
-      await this.decideRoster(roster, {
-        number: roster.number + 1,
-        members: roster.members,
+      await this.decideRoster(voterSet, {
+        number: voterSet.number + 1,
+        members: voterSet.members,
         from: [],
       });
     }
-    return isJoint(this.copy.roster) ? err({ kind: "stale", what: "roster" }) : ok(undefined);
+    return isJoint(this.replica.voterSet) ? err({ kind: "stale", what: "roster" }) : ok(undefined);
   };
 
   /** Ok once a quorum of each set holds all that was agreed before the roster became joint. */
-  private readonly spread = async (roster: Roster): Promise<Result<void, LedgerMishap>> => {
+  private readonly spread = async (
+    voterSet: VoterSet,
+  ): Promise<Result<void, ReplicatedStoreError>> => {
     const { self, withstandMachines } = this.options;
     const read = await this.readNow();
     if (read.isErr) return read;
-    const before = this.copy.entriesNow();
+    const before = this.replica.entriesNow();
     const keys = [...before.values()]
       .filter(({ ballot }) => ballot.number > 0)
       .map(({ key }) => key);
     const missing = new Set(keys);
-    const sums = this.copy.bucketSums();
+    const sums = this.replica.bucketSums();
     const views = new Map<string, View>();
     const looked = await this.collect<View>({
-      sets: () => setsOf(roster),
-      needed: (members) => quorumOf(members, withstandMachines),
+      sets: () => quorumSetsOf(voterSet),
+      needed: (members) => quorumSize(members, withstandMachines),
       graceUs: GRACE_US,
       ask: async (id) => {
         const view = id === self ? await this.ownView() : await this.view(id, sums, []);
@@ -1112,8 +1133,8 @@
         return told !== undefined && !isHigher(own.ballot, told.ballot);
       };
       if (
-        setsOf(roster).every(
-          (members) => members.filter(holds).length >= quorumOf(members, withstandMachines),
+        quorumSetsOf(voterSet).every(
+          (members) => members.filter(holds).length >= quorumSize(members, withstandMachines),
         )
       )
         missing.delete(key);
@@ -1123,12 +1144,12 @@
 
   /** Decides the roster after `base`: the wanted one, or what is already half decided. */
   private readonly decideRoster = async (
-    base: Roster,
-    wanted: Roster,
-  ): Promise<Roster | undefined> => {
+    base: VoterSet,
+    wanted: VoterSet,
+  ): Promise<VoterSet | undefined> => {
     const { withstandMachines, log } = this.options;
     const number = base.number + 1;
-    for (let turn = 0; turn < 6 && this.copy.roster.number === base.number; turn += 1) {
+    for (let turn = 0; turn < 6 && this.replica.voterSet.number === base.number; turn += 1) {
       const ballot = this.nextBallot();
       const lives = new Map<string, string>();
       let found: Pending | undefined;
@@ -1139,10 +1160,10 @@
       ) => {
         let isOpen = true;
         return this.collect<Message>({
-          sets: () => setsOf(base),
-          needed: (members) => quorumOf(members, withstandMachines),
+          sets: () => quorumSetsOf(base),
+          needed: (members) => quorumSize(members, withstandMachines),
           ask: async (id) => {
-            const reply = isAsked(id) ? await this.askOne(id, message, READ_WAIT_US) : undefined;
+            const reply = isAsked(id) ? await this.askOne(id, message, READ_TIMEOUT_US) : undefined;
             if (!reply || !isOpen) return undefined;
             if (reply.kind === "refused") {
               this.hearRefusal(reply);
@@ -1156,29 +1177,29 @@
         });
       };
       const promised = await ask(
-        { kind: "roster-promise", number, ballot: packBallot(ballot), roster: packRoster(base) },
+        { kind: "roster-promise", number, ballot: packBallot(ballot), roster: packVoterSet(base) },
         () => true,
         (id, reply) => {
-          lives.set(id, text(reply, "life"));
+          lives.set(id, readString(reply, "life"));
           const told = readPending(reply["pending"]);
           if (
             told.number === number &&
-            told.roster &&
+            told.voterSet &&
             (!found || isHigher(told.ballot, found.ballot))
           )
             found = told;
         },
       );
-      const next: Roster = found?.roster ?? wanted;
+      const next: VoterSet = found?.voterSet ?? wanted;
       const accepted = promised.isOk
         ? await ask(
             {
               kind: "roster-accept",
               number,
               ballot: packBallot(ballot),
-              roster: packRoster(base),
+              roster: packVoterSet(base),
               lives: Object.fromEntries(lives),
-              next: packRoster(next),
+              next: packVoterSet(next),
             },
             (id) => lives.has(id),
             () => undefined,
@@ -1192,34 +1213,34 @@
         this.tell([]);
         return next;
       }
-      await rest(this.options.clock, Math.round(this.options.random() * PAUSE_US * 2 ** turn));
+      await sleep(this.options.clock, Math.round(this.options.random() * PAUSE_US * 2 ** turn));
     }
-    return this.copy.roster.number > base.number ? this.copy.roster : undefined;
+    return this.replica.voterSet.number > base.number ? this.replica.voterSet : undefined;
   };
 
   private readonly hearRefusal = (reply: Message): void => {
     this.refusals += 1;
     this.hearRoster(reply);
-    if (typeof reply["top"] === "number") this.copy.see({ number: reply["top"], by: "" });
+    if (typeof reply["top"] === "number") this.replica.see({ number: reply["top"], by: "" });
   };
 
   private readonly hearRoster = (message: Message): void => {
-    if (isRec(message["roster"])) this.takeRoster(readRoster(message["roster"]));
+    if (isRecord(message["roster"])) this.takeRoster(readVoterSet(message["roster"]));
   };
 
-  private readonly takeRoster = (roster: Roster): void => {
-    if (roster.number <= this.copy.roster.number) return;
-    this.note(this.copy.takeRoster(roster));
-    if (!this.isMember() && this.isCounting) {
-      this.copy.doubt();
+  private readonly takeRoster = (voterSet: VoterSet): void => {
+    if (voterSet.number <= this.replica.voterSet.number) return;
+    this.note(this.replica.adoptVoterSet(voterSet));
+    if (!this.isMember() && this.isVoting) {
+      this.replica.doubt();
       this.whyNot = "it is not on the roster";
     }
-    void this.events.emit("roster", roster);
+    void this.events.emit("roster", voterSet);
   };
 
   // --- asking -------------------------------------------------------------------------------------------------------
 
-  private readonly note = (records: readonly Rec[]): void => {
+  private readonly note = (records: readonly UnknownRecord[]): void => {
     if (records.length > 0) this.unsaved = [...this.unsaved, ...records];
   };
 
@@ -1228,11 +1249,11 @@
     message: Message,
     waitUs: number,
   ): Promise<Message | undefined> => {
-    const { self, asker, clock } = this.options;
+    const { self, transport, clock } = this.options;
     // Its own disk may stall, and then counts no more than a silent colleague.
     return id === self
-      ? within(clock, waitUs, this.answer(message), undefined)
-      : asker.ask(id, message, waitUs);
+      ? withTimeout(clock, waitUs, this.answer(message), undefined)
+      : transport.ask(id, message, waitUs);
   };
 
   /** Asks every member of the sets; ok as soon as enough of each have answered, and the rest too or a grace is over. */
@@ -1290,14 +1311,14 @@
     accepts: (reply: Message, id: string) => boolean,
     own: () => Promise<boolean>,
     waitUs: number,
-  ): Promise<Result<void, LedgerMishap>> => {
-    const { self, asker, withstandMachines } = this.options;
+  ): Promise<Result<void, ReplicatedStoreError>> => {
+    const { self, transport, withstandMachines } = this.options;
     return this.collect<true>({
-      sets: this.rosters,
-      needed: (members) => quorumOf(members, withstandMachines),
+      sets: this.quorumSets,
+      needed: (members) => quorumSize(members, withstandMachines),
       ask: async (id) => {
         if (id === self) return (await own()) ? true : undefined;
-        const reply = await asker.ask(id, this.tagged(message), waitUs);
+        const reply = await transport.ask(id, this.withVoterSet(message), waitUs);
         if (reply?.kind === "refused") this.hearRoster(reply);
         return reply !== undefined && accepts(reply, id) ? true : undefined;
       },
@@ -1305,14 +1326,17 @@
   };
 
   /** The question with the roster that it is asked under, for other parts of the control state. */
-  readonly tagged = (message: Message): Message => ({ ...message, under: this.copy.roster.number });
+  readonly withVoterSet = (message: Message): Message => ({
+    ...message,
+    under: this.replica.voterSet.number,
+  });
 
   /** Why a question of theirs is not answered well: it is asked under an older roster, whose quorums no longer count. */
-  readonly refusalOfOld = (message: Message): Message | undefined => {
-    const { roster } = this.copy;
+  readonly rejectIfOutdated = (message: Message): Message | undefined => {
+    const { voterSet } = this.replica;
     const { under } = message;
-    return typeof under === "number" && under < roster.number
-      ? { ...refused("roster"), roster: packRoster(roster) }
+    return typeof under === "number" && under < voterSet.number
+      ? { ...refused("roster"), roster: packVoterSet(voterSet) }
       : undefined;
   };
 }
@@ -1323,9 +1347,19 @@
   ...(top === undefined ? {} : { top }),
 });
 
+const packTerm = ({ number, holder, incarnation }: Term): UnknownRecord => ({
+  number,
+  holder,
+  life: incarnation,
+});
+
 const readPackedTerm = (value: unknown): Term => {
-  const rec = asRec(value, "term");
-  return { number: whole(rec, "number"), holder: text(rec, "holder"), life: text(rec, "life") };
+  const record = asRecord(value, "term");
+  return {
+    number: readNumber(record, "number"),
+    holder: readString(record, "holder"),
+    incarnation: readString(record, "life"),
+  };
 };
 
 const isAbove = (grant: Register | undefined, term: Term): boolean => {
@@ -1333,6 +1367,7 @@
   if (!known) return false;
   return (
     known.number > term.number ||
-    (known.number === term.number && (known.holder !== term.holder || known.life !== term.life))
+    (known.number === term.number &&
+      (known.holder !== term.holder || known.incarnation !== term.incarnation))
   );
 };
