--- a/src/health/canary-analysis.ts
+++ b/src/health/canary-analysis.ts
@@ -1,15 +1,24 @@
-import type { Clock, Pulse } from "../common/clock.js";
-import type { Log } from "../common/logger.js";
-import { asList, asRec, list, numberOf, text, textOf, whole, type Rec } from "../common/decode.js";
-import { mainOf, type Share } from "../common/weighted-split.js";
-import { MS } from "../common/duration.js";
+import type { Clock, Timer } from "../common/clock.js";
+import type { Logger } from "../common/logger.js";
+import {
+  asList,
+  asRecord,
+  readList,
+  asNumber,
+  readString,
+  asString,
+  readNumber,
+  type UnknownRecord,
+} from "../common/decode.js";
+import { mainOf, type WeightedService } from "../common/weighted-split.js";
+import { MILLISECOND_US } from "../common/duration.js";
 import type { Message } from "../transport/connection.js";
 import {
   NO_TALLY,
-  Trial,
+  SequentialTest,
   type Tally,
-  type TrialTerms,
-  type TrialVerdict,
+  type SequentialTestTerms,
+  type TestResult,
 } from "./sequential-test.js";
 
 /** A route that sends its traffic to more than one service, as the plan in force has it. */
@@ -17,7 +26,7 @@
   readonly name: string;
   readonly version: number;
   readonly isSafe: boolean;
-  readonly shares: readonly Share[];
+  readonly shares: readonly WeightedService[];
 }
 
 export interface Stop {
@@ -26,14 +35,14 @@
   readonly candidate: string;
   readonly baseline: string;
   readonly reason: string;
-  readonly evidence: Rec;
+  readonly evidence: UnknownRecord;
 }
 
 /**
  * What is published. Invariants: a baseline is settled once for a route's version; a stop holds for that version only,
  * and goes only by the operator's clearing or a newer version.
  */
-export interface RolloutState {
+export interface CanaryState {
   readonly baselines: readonly {
     readonly route: string;
     readonly version: number;
@@ -42,47 +51,47 @@
   readonly stops: readonly Stop[];
 }
 
-export const NO_ROLLOUTS: RolloutState = { baselines: [], stops: [] };
+export const NO_CANARIES: CanaryState = { baselines: [], stops: [] };
 
-export const readRolloutState = (value: unknown): RolloutState => {
-  const rec = asRec(value, "rollouts");
+export const readCanaryState = (value: unknown): CanaryState => {
+  const record = asRecord(value, "rollouts");
   return {
-    baselines: list(rec, "baselines", asRec).map((row) => ({
-      route: text(row, "route"),
-      version: whole(row, "version"),
-      service: text(row, "service"),
+    baselines: readList(record, "baselines", asRecord).map((row) => ({
+      route: readString(row, "route"),
+      version: readNumber(row, "version"),
+      service: readString(row, "service"),
     })),
-    stops: list(rec, "stops", asRec).map((row) => ({
-      route: text(row, "route"),
-      version: whole(row, "version"),
-      candidate: text(row, "candidate"),
-      baseline: text(row, "baseline"),
-      reason: text(row, "reason"),
-      evidence: asRec(row["evidence"], "evidence"),
+    stops: readList(record, "stops", asRecord).map((row) => ({
+      route: readString(row, "route"),
+      version: readNumber(row, "version"),
+      candidate: readString(row, "candidate"),
+      baseline: readString(row, "baseline"),
+      reason: readString(row, "reason"),
+      evidence: asRecord(row["evidence"], "evidence"),
     })),
   };
 };
 
-export interface RolloutInspectorOptions {
+export interface CanaryAnalyzerOptions {
   readonly clock: Clock;
-  readonly log: Log;
-  readonly terms: TrialTerms;
+  readonly log: Logger;
+  readonly terms: SequentialTestTerms;
   readonly random: () => number;
   readonly isHolder: () => boolean;
   readonly term: () => number;
   readonly splitRoutes: () => readonly SplitRoute[];
   /** The service that the item's previous version sent the most to, where that is known here. */
   readonly previousMain: (route: string) => string | undefined;
-  readonly state: () => RolloutState;
-  readonly publish: (state: RolloutState) => Promise<boolean>;
+  readonly state: () => CanaryState;
+  readonly publish: (state: CanaryState) => Promise<boolean>;
 }
 
 interface Comparison {
   readonly route: SplitRoute;
   readonly baseline: string;
-  readonly trials: Map<string, Trial>;
+  readonly trials: Map<string, SequentialTest>;
   readonly sinceUs: number;
-  readonly verdicts: Map<string, TrialVerdict & { readonly afterUs: number }>;
+  readonly verdicts: Map<string, TestResult & { readonly afterUs: number }>;
   own: number;
 }
 
@@ -95,7 +104,7 @@
   readonly own: number;
 }
 
-export type ClearMishap = "unknown-route" | "stale-version" | "not-stopped" | "not-published";
+export type ClearError = "unknown-route" | "stale-version" | "not-stopped" | "not-published";
 
 interface RouteVersion {
   readonly route: string;
@@ -105,13 +114,13 @@
 const isOf = (row: RouteVersion, route: SplitRoute): boolean =>
   row.route === route.name && row.version === route.version;
 
-const stopOf = (state: RolloutState, route: SplitRoute, candidate: string): Stop | undefined =>
+const stopOf = (state: CanaryState, route: SplitRoute, candidate: string): Stop | undefined =>
   state.stops.find((stop) => isOf(stop, route) && stop.candidate === candidate);
 
-const TICK_US = 500 * MS;
+const TICK_US = 500 * MILLISECOND_US;
 
 const count = (value: unknown): number => {
-  const number = numberOf(value);
+  const number = asNumber(value);
   if (!Number.isSafeInteger(number) || number < 0) throw new Error("no count");
   return number;
 };
@@ -119,10 +128,10 @@
 const readRow = (value: unknown): ReportRow => {
   const [route, version, service, stratum, inTime, late, lost, doubled, own] = asList(value, "row");
   return {
-    route: textOf(route),
+    route: asString(route),
     version: count(version),
-    service: textOf(service),
-    stratum: textOf(stratum),
+    service: asString(service),
+    stratum: asString(stratum),
     tally: { inTime: count(inTime), late: count(late), lost: count(lost), doubled: count(doubled) },
     own: count(own),
   };
@@ -139,18 +148,18 @@
 };
 
 /** Compares candidates with their baselines over all nodes, and stops the bad ones; only the duty's holder acts. */
-export class RolloutInspector {
+export class CanaryAnalyzer {
   private readonly comparisons = new Map<string, Comparison>();
   /** Invariant: by node, life and row, what was last counted; a report repeated or out of order raises nothing. */
   private readonly told = new Map<
     string,
     { life: string; readonly rows: Map<string, ReportRow> }
   >();
-  private pulse: Pulse | undefined;
+  private pulse: Timer | undefined;
   private busy = false;
   private dropped = 0;
 
-  constructor(private readonly options: RolloutInspectorOptions) {}
+  constructor(private readonly options: CanaryAnalyzerOptions) {}
 
   readonly start = (): void => {
     this.pulse = this.options.clock.every(TICK_US, () => void this.tick());
@@ -161,9 +170,9 @@
   /** Counts a report; what is malformed, or of an unknown route, service or version, is dropped and counted as such. */
   readonly take = (report: Message): void => {
     try {
-      const node = text(report, "node");
-      const life = text(report, "life");
-      const rows = list(report, "rows", readRow);
+      const node = readString(report, "node");
+      const life = readString(report, "life");
+      const rows = readList(report, "rows", readRow);
       const known = this.told.get(node);
       const told = known?.life === life ? known : { life, rows: new Map<string, ReportRow>() };
       this.told.set(node, told);
@@ -184,12 +193,12 @@
     }
   };
 
-  readonly list = (): readonly Rec[] =>
+  readonly list = (): readonly UnknownRecord[] =>
     [...this.comparisons.values()].flatMap((comparison) =>
       [...comparison.trials.keys()].map((service) => this.row(comparison, service)),
     );
 
-  readonly explain = (): Rec => ({
+  readonly explain = (): UnknownRecord => ({
     holder: this.options.isHolder(),
     term: this.options.term(),
     droppedReports: this.dropped,
@@ -200,7 +209,7 @@
   readonly clear = async (
     route: string,
     version: number | undefined,
-  ): Promise<ClearMishap | undefined> => {
+  ): Promise<ClearError | undefined> => {
     const inForce = this.options.splitRoutes().find((split) => split.name === route);
     if (!inForce) return "unknown-route";
     if (version !== undefined && version !== inForce.version) return "stale-version";
@@ -254,7 +263,7 @@
         .map(({ service }) => service)
         .filter((service) => service !== baseline);
       const trials = new Map(
-        candidates.map((service) => [service, new Trial(route.isSafe, terms, random)]),
+        candidates.map((service) => [service, new SequentialTest(route.isSafe, terms, random)]),
       );
       this.comparisons.set(name, {
         route,
@@ -307,61 +316,63 @@
     );
   };
 
-  private readonly judge = (comparison: Comparison, state: RolloutState): readonly Stop[] => {
+  private readonly judge = (comparison: Comparison, state: CanaryState): readonly Stop[] => {
     const { clock, log, terms } = this.options;
     const { route, baseline, trials, verdicts, sinceUs } = comparison;
     return [...trials].flatMap(([candidate, trial]) => {
-      const verdict = trial.look();
+      const result = trial.look();
       const before = verdicts.get(candidate);
-      if (before?.verdict !== verdict.verdict && verdict.verdict === "pass")
+      if (before?.verdict !== result.verdict && result.verdict === "pass")
         log.info(
-          `${candidate} passed on ${route.name} at version ${route.version}: ${verdict.reason}`,
+          `${candidate} passed on ${route.name} at version ${route.version}: ${result.reason}`,
         );
       verdicts.set(candidate, {
-        ...verdict,
-        afterUs: before?.verdict === verdict.verdict ? before.afterUs : clock.nowUs() - sinceUs,
+        ...result,
+        afterUs: before?.verdict === result.verdict ? before.afterUs : clock.nowUs() - sinceUs,
       });
-      if (verdict.verdict !== "stop" || stopOf(state, route, candidate)) return [];
+      if (result.verdict !== "stop" || stopOf(state, route, candidate)) return [];
       return [
         {
           route: route.name,
           version: route.version,
           candidate,
           baseline,
-          reason: verdict.reason,
-          evidence: evidenceOf(verdict, terms),
+          reason: result.reason,
+          evidence: evidenceOf(result, terms),
         },
       ];
     });
   };
 
-  private readonly row = (comparison: Comparison, candidate: string): Rec => {
+  private readonly row = (comparison: Comparison, candidate: string): UnknownRecord => {
     const { route, baseline, verdicts, trials, own } = comparison;
     const stop = stopOf(this.options.state(), route, candidate);
-    const verdict = verdicts.get(candidate);
+    const result = verdicts.get(candidate);
     const [candidateTally, baselineTally] = trials.get(candidate)?.totals() ?? [NO_TALLY, NO_TALLY];
     return {
       route: route.name,
       version: route.version,
       candidate,
       baseline,
-      verdict: stop ? "stop" : (verdict?.verdict ?? "observing"),
-      reason: stop?.reason ?? verdict?.reason ?? "Not enough has been seen yet.",
+      verdict: stop ? "stop" : (result?.verdict ?? "observing"),
+      reason: stop?.reason ?? result?.reason ?? "Not enough has been seen yet.",
       afterMs:
-        verdict && verdict.verdict !== "observing" ? Math.round(verdict.afterUs / MS) : undefined,
+        result && result.verdict !== "observing"
+          ? Math.round(result.afterUs / MILLISECOND_US)
+          : undefined,
       seen: { candidate: candidateTally, baseline: baselineTally, heldAgainstNobody: own },
-      evidence: stop?.evidence ?? (verdict ? evidenceOf(verdict, this.options.terms) : {}),
+      evidence: stop?.evidence ?? (result ? evidenceOf(result, this.options.terms) : {}),
     };
   };
 }
 
-const evidenceOf = (verdict: TrialVerdict, terms: TrialTerms): Rec => ({
-  candidate: verdict.candidate,
-  baseline: verdict.baseline,
-  difference: verdict.difference,
-  against: verdict.evidenceAgainst,
-  doubled: verdict.evidenceDoubled,
-  sound: verdict.evidenceSound,
+const evidenceOf = (result: TestResult, terms: SequentialTestTerms): UnknownRecord => ({
+  candidate: result.candidate,
+  baseline: result.baseline,
+  difference: result.difference,
+  against: result.evidenceAgainst,
+  doubled: result.evidenceDoubled,
+  sound: result.evidenceSound,
   bounds: {
     against: 1 / terms.falseStop,
     doubled: 1 / terms.falseStopDoubled,
--- a/src/health/canary-counters.ts
+++ b/src/health/canary-counters.ts
@@ -2,7 +2,7 @@
 import type { OutcomeKind } from "./sequential-test.js";
 
 /** "own" are mishaps of the system itself or of this node's links, which are held against nobody. */
-export type RolloutOutcome = OutcomeKind | "own";
+export type CanaryOutcome = OutcomeKind | "own";
 
 interface Row {
   readonly route: string;
@@ -22,7 +22,7 @@
  * What one pointsman saw of routes that send their traffic to more than one service.
  * Invariants: counts only rise within a life; rows exist only for route versions in force, so memory is bounded by them.
  */
-export class RolloutCounts {
+export class CanaryCounters {
   private readonly rows = new Map<string, Row>();
   private readonly changed = new Set<string>();
 
@@ -33,7 +33,7 @@
     version: number,
     service: string,
     stratum: string,
-    outcome: RolloutOutcome,
+    outcome: CanaryOutcome,
   ): void => {
     const key = `${route}\n${version}\n${service}\n${stratum}`;
     const known = this.rows.get(key);
--- a/src/health/capacity-forecast.ts
+++ b/src/health/capacity-forecast.ts
@@ -1,8 +1,17 @@
 import { linearRegression, linearRegressionLine, mean, sampleVariance } from "simple-statistics";
-import type { Clock, Pulse } from "../common/clock.js";
-import type { Log } from "../common/logger.js";
-import { asList, isRec, list, numberOf, text, textOf, asRec, type Rec } from "../common/decode.js";
-import { SECOND } from "../common/duration.js";
+import type { Clock, Timer } from "../common/clock.js";
+import type { Logger } from "../common/logger.js";
+import {
+  asList,
+  isRecord,
+  readList,
+  asNumber,
+  readString,
+  asString,
+  asRecord,
+  type UnknownRecord,
+} from "../common/decode.js";
+import { SECOND_US } from "../common/duration.js";
 import type { Message } from "../transport/connection.js";
 
 export type ForecastName = "unknown" | "steady" | "nearing" | "overrun";
@@ -30,9 +39,9 @@
 }
 
 export const FORECAST_TERMS: ForecastTerms = {
-  tickUs: 2 * SECOND,
+  tickUs: 2 * SECOND_US,
   samples: 15,
-  horizonUs: 30 * SECOND,
+  horizonUs: 30 * SECOND_US,
   nearAt: 0.75,
   calmAt: 0.65,
   overAt: 0.95,
@@ -77,7 +86,7 @@
   reason: string;
 }
 
-const KEEP_NODE_US = 6 * SECOND;
+const KEEP_NODE_US = 6 * SECOND_US;
 
 /** The part in use will reach 1 when, by a straight line through the samples; undefined where noise could say the same. */
 export const trendOf = (
@@ -103,9 +112,9 @@
   };
 };
 
-export interface ForecasterOptions {
+export interface CapacityForecasterOptions {
   readonly clock: Clock;
-  readonly log: Log;
+  readonly log: Logger;
   readonly terms: ForecastTerms;
   readonly isHolder: () => boolean;
   readonly workers: () => readonly ForecastWorker[];
@@ -126,17 +135,17 @@
  * By Little's law the calls in flight are their summed time over the span; over the slots that beats tell, that is the
  * part in use, whether arrivals rise, workers slow down, or workers go.
  */
-export class Forecaster {
+export class CapacityForecaster {
   private readonly told = new Map<string, Told>();
   /** Invariant: the rises since the last tick, by service and workers' cell. */
   private rises = new Map<string, number[]>();
   private readonly watches = new Map<string, Watch>();
-  private pulse: Pulse | undefined;
+  private pulse: Timer | undefined;
   private lastUs: number | undefined;
   private malformed = 0;
   private busy = false;
 
-  constructor(private readonly options: ForecasterOptions) {}
+  constructor(private readonly options: CapacityForecasterOptions) {}
 
   readonly start = (): void => {
     this.pulse = this.options.clock.every(this.options.terms.tickUs, () => void this.tick());
@@ -146,11 +155,11 @@
 
   readonly take = (report: Message): void => {
     try {
-      const life = text(report, "life");
-      const node = text(report, "node");
-      const rows = list(report, "rows", (value) => {
-        const [service, cell, ...figures] = asList(value, "row");
-        return { key: `${textOf(service)}|${textOf(cell)}`, figures: figures.map(numberOf) };
+      const life = readString(report, "life");
+      const node = readString(report, "node");
+      const rows = readList(report, "rows", (value) => {
+        const [service, zone, ...figures] = asList(value, "row");
+        return { key: `${asString(service)}|${asString(zone)}`, figures: figures.map(asNumber) };
       });
       const before = this.told.get(node);
       const isNew = before === undefined;
@@ -177,7 +186,7 @@
   };
 
   readonly verdicts = (): Readonly<Record<string, ForecastName>> =>
-    Object.fromEntries([...this.watches].map(([key, { verdict }]) => [key, verdict]));
+    Object.fromEntries([...this.watches].map(([key, { verdict: result }]) => [key, result]));
 
   /** The calls in flight of each service at the last tick, for those who ask what other cells would have to carry. */
   readonly inFlight = (): ReadonlyMap<string, number> => {
@@ -192,17 +201,17 @@
     );
   };
 
-  readonly explain = (): Rec => ({
+  readonly explain = (): UnknownRecord => ({
     holder: this.options.isHolder(),
     malformedReports: this.malformed,
     nodesHeard: this.heard(),
     services: [...this.watches].map(([key, watch]) => {
-      const [service, cell] = key.split("|");
+      const [service, zone] = key.split("|");
       const last = watch.samples[watch.samples.length - 1];
       const { trend } = watch;
       return {
         service,
-        cell: cell === "" ? "all" : cell,
+        cell: zone === "" ? "all" : zone,
         verdict: watch.verdict,
         perS: round(last?.perS ?? 0),
         usedPart: round(last?.usedPart ?? 0),
@@ -257,8 +266,8 @@
     this.options
       .workers()
       .filter(({ isUsed }) => isUsed)
-      .forEach(({ service, cell, capacity }) => {
-        add(`${service}|${cell}`, capacity);
+      .forEach(({ service, cell: zone, capacity }) => {
+        add(`${service}|${zone}`, capacity);
         add(`${service}|`, capacity);
       });
     return slots;
@@ -267,7 +276,7 @@
   private readonly look = async (): Promise<void> => {
     const { clock, nodes, publish, published } = this.options;
     const nowUs = clock.nowUs();
-    const spanS = (nowUs - (this.lastUs ?? nowUs)) / SECOND;
+    const spanS = (nowUs - (this.lastUs ?? nowUs)) / SECOND_US;
     this.lastUs = nowUs;
     const rises = this.rises;
     this.rises = new Map();
@@ -280,7 +289,7 @@
       ),
     );
     services.forEach((service) => {
-      const cells = [...slots.keys()].filter(
+      const zones = [...slots.keys()].filter(
         (key) => key.startsWith(`${service}|`) && !key.endsWith("|"),
       );
       const called = [...rises]
@@ -291,17 +300,17 @@
         [0, 0, 0, 0],
       );
       this.watch(`${service}|`, nowUs, spanS, total, slots.get(`${service}|`) ?? 0, isHeard);
-      cells.forEach((key) =>
+      zones.forEach((key) =>
         this.watch(key, nowUs, spanS, rises.get(key) ?? [0, 0, 0, 0], slots.get(key) ?? 0, isHeard),
       );
     });
     const pressed = Object.fromEntries(
       [...this.watches]
         .filter(
-          ([key, { verdict }]) =>
-            key.endsWith("|") && (verdict === "nearing" || verdict === "overrun"),
+          ([key, { verdict: result }]) =>
+            key.endsWith("|") && (result === "nearing" || result === "overrun"),
         )
-        .map(([key, { verdict }]) => [key.slice(0, -1), verdict]),
+        .map(([key, { verdict: result }]) => [key.slice(0, -1), result]),
     );
     if (JSON.stringify(sorted(pressed)) !== JSON.stringify(sorted(published())))
       await publish(pressed);
@@ -327,10 +336,10 @@
     };
     this.watches.set(key, watch);
     const perS = Math.max(arrived, answered) / spanS;
-    const usedPart = slots > 0 ? busyUs / SECOND / spanS / slots : 0;
+    const usedPart = slots > 0 ? busyUs / SECOND_US / spanS / slots : 0;
     watch.samples = [
       ...watch.samples,
-      { atS: nowUs / SECOND, perS, usedPart, refusedPart: arrived > 0 ? refused / arrived : 0 },
+      { atS: nowUs / SECOND_US, perS, usedPart, refusedPart: arrived > 0 ? refused / arrived : 0 },
     ].slice(-terms.samples);
     watch.trend = trendOf(watch.samples, terms.slopeErrors);
     const wanted = this.judge(watch, slots, isHeard);
@@ -344,8 +353,8 @@
       before === "overrun" && RANK[wanted] < RANK.nearing && wanted !== "unknown"
         ? "nearing"
         : wanted;
-    const [service, cell] = key.split("|");
-    const sentence = `${service}${cell === "" ? "" : ` in ${cell}`} was ${before}, is ${watch.verdict}: ${watch.reason}`;
+    const [service, zone] = key.split("|");
+    const sentence = `${service}${zone === "" ? "" : ` in ${zone}`} was ${before}, is ${watch.verdict}: ${watch.reason}`;
     if (watch.verdict === "nearing" || watch.verdict === "overrun") log.warn(sentence);
     else if (before !== "unknown") log.info(sentence);
   };
@@ -374,7 +383,7 @@
     const rises =
       trend !== undefined &&
       used >= terms.trendAt &&
-      trend.leftS * SECOND <= terms.horizonUs * (isPressed ? 2 : 1);
+      trend.leftS * SECOND_US <= terms.horizonUs * (isPressed ? 2 : 1);
     if (!rises) return "steady";
     return this.say(
       watch,
@@ -383,9 +392,9 @@
     );
   };
 
-  private readonly say = (watch: Watch, verdict: ForecastName, reason: string): ForecastName => {
+  private readonly say = (watch: Watch, result: ForecastName, reason: string): ForecastName => {
     watch.reason = reason;
-    return verdict;
+    return result;
   };
 }
 
@@ -406,11 +415,11 @@
 const isName = (value: unknown): value is ForecastName =>
   value === "unknown" || value === "steady" || value === "nearing" || value === "overrun";
 
-export const readVerdicts = (value: unknown): Readonly<Record<string, ForecastName>> => {
-  const rec = isRec(value) ? asRec(value) : {};
+export const readForecasts = (value: unknown): Readonly<Record<string, ForecastName>> => {
+  const record = isRecord(value) ? asRecord(value) : {};
   return Object.fromEntries(
-    Object.entries(rec).flatMap(([service, verdict]) =>
-      isName(verdict) ? [[service, verdict] as const] : [],
+    Object.entries(record).flatMap(([service, result]) =>
+      isName(result) ? [[service, result] as const] : [],
     ),
   );
 };
--- a/src/health/fault-counters.ts
+++ b/src/health/fault-counters.ts
@@ -9,7 +9,7 @@
  * What one pointsman saw of each worker: cheap, local, and never waited on.
  * Invariant: counts only rise within a life, so a report that comes twice or late adds nothing.
  */
-export class FaultCounts {
+export class FaultCounters {
   private readonly counts = new Map<string, Count>();
   private readonly changed = new Set<string>();
 
--- a/src/health/load-counters.ts
+++ b/src/health/load-counters.ts
@@ -12,7 +12,7 @@
  * What one pointsman sees arriving and being answered, by service and by the cell of the workers: cheap, local, and
  * never waited on. What arrives and what is refused for want of room has no workers' cell, and stands under "".
  */
-export class UsageCounts {
+export class LoadCounters {
   private readonly counts = new Map<string, Usage>();
   private readonly changed = new Set<string>();
 
@@ -26,8 +26,8 @@
     this.of(service, "").refused += 1;
   };
 
-  readonly answered = (service: string, cell: string, tookUs: number): void => {
-    const usage = this.of(service, cell);
+  readonly answered = (service: string, zone: string, tookUs: number): void => {
+    const usage = this.of(service, zone);
     usage.answered += 1;
     usage.busyUs += tookUs;
   };
@@ -35,16 +35,16 @@
   readonly takeReport = (): Message | undefined => {
     if (this.changed.size === 0) return undefined;
     const rows = [...this.changed].map((key) => {
-      const [service = "", cell = ""] = key.split("|");
+      const [service = "", zone = ""] = key.split("|");
       const { arrived, refused, answered, busyUs } = this.counts.get(key) ?? NONE;
-      return [service, cell, arrived, refused, answered, busyUs];
+      return [service, zone, arrived, refused, answered, busyUs];
     });
     this.changed.clear();
     return { kind: "usage", life: this.life, rows };
   };
 
-  private readonly of = (service: string, cell: string): Usage => {
-    const key = `${service}|${cell}`;
+  private readonly of = (service: string, zone: string): Usage => {
+    const key = `${service}|${zone}`;
     const usage = this.counts.get(key) ?? { ...NONE };
     this.counts.set(key, usage);
     this.changed.add(key);
--- a/src/health/maintenance-window.ts
+++ b/src/health/maintenance-window.ts
@@ -1,7 +1,13 @@
-import type { Clock, Pulse } from "../common/clock.js";
-import type { Log } from "../common/logger.js";
-import { asRec, list, text, whole, type Rec } from "../common/decode.js";
-import { SECOND } from "../common/duration.js";
+import type { Clock, Timer } from "../common/clock.js";
+import type { Logger } from "../common/logger.js";
+import {
+  asRecord,
+  readList,
+  readString,
+  readNumber,
+  type UnknownRecord,
+} from "../common/decode.js";
+import { SECOND_US } from "../common/duration.js";
 import type { Shift } from "./outlier-detector.js";
 
 /** The stages in their order; a cancelled window goes straight to returning, or to ended before anything moved. */
@@ -12,7 +18,7 @@
  * A planned window of a cell. Invariants: stages only go forward, and `remainingUs` is the time left until the window
  * opens (announced, moving, clear) or closes (open), as of when this version was written.
  */
-export interface Window {
+export interface MaintenanceWindow {
   readonly id: string;
   readonly cell: string;
   readonly stage: Stage;
@@ -24,7 +30,7 @@
   readonly note: string;
 }
 
-export type WindowState = readonly Window[];
+export type WindowState = readonly MaintenanceWindow[];
 
 export interface WindowTerms {
   /** How the safe requests leave, and come back: in so many steps of so long. */
@@ -43,16 +49,16 @@
 
 export const WINDOW_TERMS: WindowTerms = {
   steps: 4,
-  stepUs: 3 * SECOND,
-  marginUs: 3 * SECOND,
-  leastLastsUs: 10 * SECOND,
-  mostLastsUs: 24 * 3600 * SECOND,
-  mostAheadUs: 30 * 24 * 3600 * SECOND,
-  noteUs: 30 * SECOND,
+  stepUs: 3 * SECOND_US,
+  marginUs: 3 * SECOND_US,
+  leastLastsUs: 10 * SECOND_US,
+  mostLastsUs: 24 * 3600 * SECOND_US,
+  mostAheadUs: 30 * 24 * 3600 * SECOND_US,
+  noteUs: 30 * SECOND_US,
   carryPart: 0.8,
 };
 
-export type WindowMishap =
+export type WindowError =
   | "unknownCell"
   | "tooLate"
   | "wrongLength"
@@ -62,7 +68,7 @@
   | "windowOver"
   | "noQuorum";
 
-export const WINDOW_SENTENCES: Readonly<Record<WindowMishap, string>> = {
+export const WINDOW_SENTENCES: Readonly<Record<WindowError, string>> = {
   unknownCell: "no worker or node of that cell is known",
   tooLate: "it opens too soon for the cell to be clear by then",
   wrongLength: "its length or its distance is out of range",
@@ -76,17 +82,17 @@
 const isStage = (value: string): value is Stage => STAGES.some((stage) => stage === value);
 
 export const readWindows = (value: unknown): WindowState =>
-  list(asRec(value, "windows"), "windows", asRec).map((rec) => {
-    const stage = text(rec, "stage");
+  readList(asRecord(value, "windows"), "windows", asRecord).map((record) => {
+    const stage = readString(record, "stage");
     return {
-      id: text(rec, "id"),
-      cell: text(rec, "cell"),
+      id: readString(record, "id"),
+      cell: readString(record, "cell"),
       stage: isStage(stage) ? stage : "ended",
-      remainingUs: whole(rec, "remainingUs"),
-      lastsUs: whole(rec, "lastsUs"),
-      safe: whole(rec, "safe"),
-      unsafe: whole(rec, "unsafe"),
-      note: text(rec, "note"),
+      remainingUs: readNumber(record, "remainingUs"),
+      lastsUs: readNumber(record, "lastsUs"),
+      safe: readNumber(record, "safe"),
+      unsafe: readNumber(record, "unsafe"),
+      note: readString(record, "note"),
     };
   });
 
@@ -96,16 +102,16 @@
   readonly lastsUs: number;
 }
 
-export interface CellWorker {
+export interface ZoneWorker {
   readonly cell: string;
   readonly service: string;
   readonly capacity: number;
   readonly isReady: boolean;
 }
 
-export interface WindowsOptions {
+export interface MaintenanceWindowsOptions {
   readonly clock: Clock;
-  readonly log: Log;
+  readonly log: Logger;
   readonly terms: WindowTerms;
   readonly isHolder: () => boolean;
   readonly state: () => WindowState;
@@ -115,21 +121,21 @@
   readonly shift: () => Shift | undefined;
   readonly setShift: (shift: Shift | undefined) => Promise<boolean>;
   readonly cells: () => readonly string[];
-  readonly workers: () => readonly CellWorker[];
+  readonly workers: () => readonly ZoneWorker[];
   readonly longestBudgetUs: () => number;
   /** Whether the signalboxes of other cells make a quorum alone. */
-  readonly isBorne: (cell: string) => boolean;
+  readonly isBorne: (zone: string) => boolean;
   readonly inFlight: () => ReadonlyMap<string, number>;
   /** Gives the duty to a signalbox outside the cell, if this one is inside. */
   readonly leaveDuty: (cell: string) => Promise<void>;
 }
 
-const TICK_US = SECOND / 2;
+const TICK_US = SECOND_US / 2;
 const REASON = "A planned window.";
 
 /** Planned windows of cells: the holder of the duty takes each through its stages, by the same mechanism as a shift. */
-export class Windows {
-  private pulse: Pulse | undefined;
+export class MaintenanceWindows {
+  private pulse: Timer | undefined;
   private busy = false;
   /** Invariant: `opensUs` and `closesUs` of the windows not ended, on this process's clock; made anew with each holding. */
   private readonly marks = new Map<
@@ -145,7 +151,7 @@
   >();
   private wasHolder = false;
 
-  constructor(private readonly options: WindowsOptions) {}
+  constructor(private readonly options: MaintenanceWindowsOptions) {}
 
   readonly start = (): void => {
     this.pulse = this.options.clock.every(TICK_US, () => void this.tick());
@@ -163,10 +169,10 @@
   readonly add = async (
     order: WindowOrder,
     id: string,
-  ): Promise<WindowMishap | readonly string[]> => {
-    const { terms, cells, isBorne, state, publish, isHolder } = this.options;
+  ): Promise<WindowError | readonly string[]> => {
+    const { terms, cells: zones, isBorne, state, publish, isHolder } = this.options;
     if (!isHolder()) return "noQuorum";
-    if (!cells().includes(order.cell)) return "unknownCell";
+    if (!zones().includes(order.cell)) return "unknownCell";
     if (
       !(order.lastsUs >= terms.leastLastsUs && order.lastsUs <= terms.mostLastsUs) ||
       !(order.opensUs >= 0 && order.opensUs <= terms.mostAheadUs)
@@ -176,7 +182,7 @@
     if (!isBorne(order.cell)) return "noQuorumWithout";
     const now = this.current();
     if (now.some((window) => this.meets(window, order))) return "overlap";
-    const window: Window = {
+    const window: MaintenanceWindow = {
       id,
       cell: order.cell,
       stage: "announced",
@@ -195,7 +201,7 @@
     return state().some((held) => held.id === id) ? this.warnings(order.cell) : "noQuorum";
   };
 
-  readonly cancel = (id: string): Promise<WindowMishap | undefined> =>
+  readonly cancel = (id: string): Promise<WindowError | undefined> =>
     this.change(id, (window) =>
       window.stage === "announced"
         ? { ...window, stage: "ended", note: "cancelled" }
@@ -203,7 +209,7 @@
     );
 
   /** Makes an opened or coming window longer. */
-  readonly extend = async (id: string, byUs: number): Promise<WindowMishap | undefined> => {
+  readonly extend = async (id: string, byUs: number): Promise<WindowError | undefined> => {
     const { terms } = this.options;
     const found = this.current().find((window) => window.id === id);
     if (found && !(byUs > 0 && found.lastsUs + byUs <= terms.mostLastsUs)) return "wrongLength";
@@ -232,18 +238,18 @@
     });
   };
 
-  readonly explain = (): Rec => ({
+  readonly explain = (): UnknownRecord => ({
     windows: this.current().map(
-      ({ id, cell, stage, remainingUs, lastsUs, safe, unsafe, note }) => ({
+      ({ id, cell: zone, stage, remainingUs, lastsUs, safe, unsafe, note }) => ({
         id,
-        cell,
+        cell: zone,
         stage,
         [stage === "open" ? "closesInS" : "opensInS"]: Math.max(0, seconds(remainingUs)),
         lastsS: seconds(lastsUs),
         safeMoved: safe,
         unsafeMoved: unsafe,
         note,
-        warnings: stage === "ended" || stage === "returning" ? [] : this.warnings(cell),
+        warnings: stage === "ended" || stage === "returning" ? [] : this.warnings(zone),
       }),
     ),
   });
@@ -286,7 +292,7 @@
     });
   };
 
-  private readonly mark = (window: Window, passedUs: number): void => {
+  private readonly mark = (window: MaintenanceWindow, passedUs: number): void => {
     const nowUs = this.options.clock.nowUs();
     const remainingUs = window.remainingUs - passedUs;
     const opensUs = nowUs + (window.stage === "open" ? 0 : remainingUs);
@@ -301,18 +307,22 @@
     });
   };
 
-  private readonly nextAnnounced = (): Window | undefined =>
+  private readonly nextAnnounced = (): MaintenanceWindow | undefined =>
     [...this.current()]
       .filter(({ stage }) => stage === "announced")
       .sort((a, b) => a.remainingUs - b.remainingUs)[0];
 
-  private readonly step = async (window: Window): Promise<void> => {
+  private readonly step = async (window: MaintenanceWindow): Promise<void> => {
     const { clock, terms, longestBudgetUs, log, shift, leaveDuty } = this.options;
     const mark = this.marks.get(window.id);
     if (!mark) return this.mark(window, 0);
     const nowUs = clock.nowUs();
     const sinceUs = nowUs - mark.stageSinceUs;
-    const parts = (safe: number, unsafe: number): Window => ({ ...window, safe, unsafe });
+    const parts = (safe: number, unsafe: number): MaintenanceWindow => ({
+      ...window,
+      safe,
+      unsafe,
+    });
     switch (window.stage) {
       case "announced": {
         if (window.remainingUs > this.leadUs()) return;
@@ -362,7 +372,7 @@
   };
 
   /** Makes the new state durable first, then shifts by it; if the holder dies between, the next one shifts by it. */
-  private readonly go = async (window: Window): Promise<void> => {
+  private readonly go = async (window: MaintenanceWindow): Promise<void> => {
     const { publish, clock, log, setShift } = this.options;
     const before = this.current();
     const was = before.find(({ id }) => id === window.id);
@@ -422,10 +432,10 @@
     if (mark) mark.notedUs = nowUs;
   };
 
-  private readonly readyIn = (cell: string): number =>
-    this.options.workers().filter((worker) => worker.cell === cell && worker.isReady).length;
+  private readonly readyIn = (zone: string): number =>
+    this.options.workers().filter((worker) => worker.cell === zone && worker.isReady).length;
 
-  private readonly watchCell = (window: Window, mark: { sawGone: boolean }): void => {
+  private readonly watchCell = (window: MaintenanceWindow, mark: { sawGone: boolean }): void => {
     const ready = this.readyIn(window.cell);
     if (ready === 0) mark.sawGone = true;
     else if (mark.sawGone && window.remainingUs > 0)
@@ -436,7 +446,7 @@
   };
 
   /** A cell that is still dark at its window's end stays shifted away from, and the operator is told. */
-  private readonly isBack = (window: Window): boolean => {
+  private readonly isBack = (window: MaintenanceWindow): boolean => {
     if (this.readyIn(window.cell) > 0) return true;
     this.say(
       window.id,
@@ -445,11 +455,11 @@
     return false;
   };
 
-  private readonly warnings = (cell: string): readonly string[] => {
+  private readonly warnings = (zone: string): readonly string[] => {
     const { workers, inFlight, terms } = this.options;
     const slots = new Map<string, number>();
     workers()
-      .filter((worker) => worker.cell !== cell && worker.isReady)
+      .filter((worker) => worker.cell !== zone && worker.isReady)
       .forEach(({ service, capacity }) => slots.set(service, (slots.get(service) ?? 0) + capacity));
     return [...inFlight()].flatMap(([service, usage]) => {
       const others = slots.get(service) ?? 0;
@@ -461,7 +471,7 @@
     });
   };
 
-  private readonly meets = (window: Window, order: WindowOrder): boolean => {
+  private readonly meets = (window: MaintenanceWindow, order: WindowOrder): boolean => {
     if (window.stage === "ended") return false;
     const { steps, stepUs } = this.options.terms;
     const beginUs = (opensUs: number) => opensUs - this.leadUs();
@@ -476,8 +486,8 @@
 
   private readonly change = async (
     id: string,
-    change: (window: Window) => Window | undefined,
-  ): Promise<WindowMishap | undefined> => {
+    change: (window: MaintenanceWindow) => MaintenanceWindow | undefined,
+  ): Promise<WindowError | undefined> => {
     if (!this.options.isHolder()) return "noQuorum";
     const found = this.current().find((window) => window.id === id);
     if (!found) return "unknownWindow";
@@ -503,4 +513,4 @@
 }
 
 const MOST_KEPT = 20;
-const seconds = (us: number): number => Math.round(us / SECOND);
+const seconds = (us: number): number => Math.round(us / SECOND_US);
--- a/src/health/outlier-detector.ts
+++ b/src/health/outlier-detector.ts
@@ -1,11 +1,11 @@
-import type { Clock, Pulse } from "../common/clock.js";
-import type { Log } from "../common/logger.js";
-import { asRec, list, text, type Rec } from "../common/decode.js";
-import { SECOND } from "../common/duration.js";
+import type { Clock, Timer } from "../common/clock.js";
+import type { Logger } from "../common/logger.js";
+import { asRecord, readList, readString, type UnknownRecord } from "../common/decode.js";
+import { SECOND_US } from "../common/duration.js";
 import type { Message } from "../transport/connection.js";
-import { FaultWindow, outlier, type Evidence, type InspectionTerms } from "./outlier-ranking.js";
+import { FaultWindow, outlier, type Evidence, type OutlierTerms } from "./outlier-ranking.js";
 
-export interface InspectedWorker {
+export interface ObservedWorker {
   readonly id: string;
   readonly service: string;
   readonly cell: string;
@@ -15,7 +15,7 @@
 export interface Ejection {
   readonly worker: string;
   readonly reason: string;
-  readonly evidence: Rec;
+  readonly evidence: UnknownRecord;
 }
 
 export interface Shift {
@@ -38,49 +38,53 @@
 
 const readShift = (value: unknown): Shift | undefined => {
   if (value === undefined || value === null) return undefined;
-  const rec = asRec(value, "shift");
-  const why = rec["why"];
-  const { safe, unsafe } = rec;
+  const record = asRecord(value, "shift");
+  const why = record["why"];
+  const { safe, unsafe } = record;
   return {
-    cell: text(rec, "cell"),
+    cell: readString(record, "cell"),
     why: why === "practice" || why === "by hand" || why === "window" ? why : "outlier",
-    reason: text(rec, "reason"),
+    reason: readString(record, "reason"),
     ...(typeof safe === "number" ? { safe } : {}),
     ...(typeof unsafe === "number" ? { unsafe } : {}),
   };
 };
 
 export const readDecisions = (value: unknown): Decisions => {
-  const rec = asRec(value, "decisions");
-  const ejections = list(rec, "ejections", asRec).map((row) => ({
-    worker: text(row, "worker"),
-    reason: text(row, "reason"),
-    evidence: asRec(row["evidence"], "evidence"),
+  const record = asRecord(value, "decisions");
+  const ejections = readList(record, "ejections", asRecord).map((row) => ({
+    worker: readString(row, "worker"),
+    reason: readString(row, "reason"),
+    evidence: asRecord(row["evidence"], "evidence"),
   }));
-  return { removals: Number(rec["removals"] ?? 0), ejections, shift: readShift(rec["shift"]) };
+  return {
+    removals: Number(record["removals"] ?? 0),
+    ejections,
+    shift: readShift(record["shift"]),
+  };
 };
 
-export interface InspectorOptions {
+export interface OutlierDetectorOptions {
   readonly clock: Clock;
-  readonly log: Log;
-  readonly terms: InspectionTerms;
+  readonly log: Logger;
+  readonly terms: OutlierTerms;
   readonly isHolder: () => boolean;
   readonly term: () => number;
-  readonly workers: () => readonly InspectedWorker[];
+  readonly workers: () => readonly ObservedWorker[];
   readonly decisions: () => Decisions;
   /** Makes decisions durable under the holder's term; false if a newer term or no quorum stood in the way. */
   readonly publish: (decisions: Decisions) => Promise<boolean>;
 }
 
-const TICK_US = 5 * SECOND;
-const PRACTICE_GAP_US = 7 * 24 * 3600 * SECOND;
-const PRACTICE_US = 60 * SECOND;
+const TICK_US = 5 * SECOND_US;
+const PRACTICE_GAP_US = 7 * 24 * 3600 * SECOND_US;
+const PRACTICE_US = 60 * SECOND_US;
 const MISSING_WEIGHT = 10;
 
 /** The paper's mechanism: rank by faults, alarm on an outlier, take a token, remove one. */
-export class Inspector {
+export class OutlierDetector {
   private readonly window: FaultWindow;
-  private pulse: Pulse | undefined;
+  private pulse: Timer | undefined;
   private busy = false;
   /** Invariant: set exactly while this one holds the duty. */
   private heldSinceUs: number | undefined;
@@ -92,7 +96,7 @@
   private malformed = 0;
   private lastSaid = "";
 
-  constructor(private readonly options: InspectorOptions) {
+  constructor(private readonly options: OutlierDetectorOptions) {
     this.window = new FaultWindow(options.clock, options.terms.windowUs);
   }
 
@@ -107,7 +111,7 @@
   };
 
   /** Everything that led to what is decided, for the control query. */
-  readonly explain = (): Rec => {
+  readonly explain = (): UnknownRecord => {
     const faults = [...this.window.byWorker()]
       .sort((a, b) => b[1] - a[1])
       .slice(0, 20)
@@ -138,18 +142,20 @@
     this.publish({ ...this.options.decisions(), shift });
 
   /** An operator's shift, or its end when no cell is named. */
-  readonly shiftByHand = async (cell: string): Promise<boolean> => {
+  readonly shiftByHand = async (zone: string): Promise<boolean> => {
     if (this.options.decisions().shift?.why === "window") return false;
     const shift: Shift | undefined =
-      cell === "" ? undefined : { cell, why: "by hand", reason: "The operator asked for it." };
+      zone === ""
+        ? undefined
+        : { cell: zone, why: "by hand", reason: "The operator asked for it." };
     return this.publish({ ...this.options.decisions(), shift });
   };
 
-  readonly practise = async (cell: string): Promise<boolean> =>
+  readonly practise = async (zone: string): Promise<boolean> =>
     this.options.decisions().shift?.why !== "window" &&
     (await this.publish({
       ...this.options.decisions(),
-      shift: { cell, why: "practice", reason: "Practice keeps the path exercised." },
+      shift: { cell: zone, why: "practice", reason: "Practice keeps the path exercised." },
     }));
 
   private readonly publish = async (decisions: Decisions): Promise<boolean> => {
@@ -257,7 +263,7 @@
     const { shift } = decisions();
     const all = workers();
     const faults = this.window.byWorker();
-    const weightOf = (worker: InspectedWorker) =>
+    const weightOf = (worker: ObservedWorker) =>
       (faults.get(worker.id) ?? 0) + (worker.missing ? MISSING_WEIGHT : 0);
     const sums = new Map<string, number>();
     all.forEach((worker) => sums.set(worker.cell, (sums.get(worker.cell) ?? 0) + weightOf(worker)));
@@ -280,11 +286,11 @@
   private readonly practiseWeekly = async (): Promise<void> => {
     const { clock, workers, decisions } = this.options;
     if (decisions().shift || clock.nowUs() - this.lastPracticeUs < PRACTICE_GAP_US) return;
-    const cells = [...new Set(workers().map((worker) => worker.cell))].sort();
-    const cell = cells[this.practised % Math.max(1, cells.length)];
+    const zones = [...new Set(workers().map((worker) => worker.cell))].sort();
+    const zone = zones[this.practised % Math.max(1, zones.length)];
     this.lastPracticeUs = clock.nowUs();
     this.practised += 1;
-    if (cell !== undefined && cells.length > 1) await this.practise(cell);
+    if (zone !== undefined && zones.length > 1) await this.practise(zone);
   };
 
   private readonly say = (sentence: string): boolean => {
--- a/src/health/outlier-ranking.ts
+++ b/src/health/outlier-ranking.ts
@@ -1,9 +1,9 @@
-import { SECOND } from "../common/duration.js";
-import { asList, numberOf, text, textOf } from "../common/decode.js";
+import { SECOND_US } from "../common/duration.js";
+import { asList, asNumber, readString, asString } from "../common/decode.js";
 import type { Message } from "../transport/connection.js";
 import type { Clock } from "../common/clock.js";
 
-export interface InspectionTerms {
+export interface OutlierTerms {
   readonly windowUs: number;
   /** One holder of this share of all faults raises the alarm. */
   readonly alarmShare: number;
@@ -16,17 +16,17 @@
   readonly returnUs: number;
 }
 
-export const TERMS: InspectionTerms = {
-  windowUs: 300 * SECOND,
+export const OUTLIER_TERMS: OutlierTerms = {
+  windowUs: 300 * SECOND_US,
   alarmShare: 0.66,
   floorFaults: 20,
-  tokenGapUs: 600 * SECOND,
+  tokenGapUs: 600 * SECOND_US,
   cellFloorFaults: 200,
   cappedShare: 0.2,
-  returnUs: 600 * SECOND,
+  returnUs: 600 * SECOND_US,
 };
 
-const BUCKET_US = 10 * SECOND;
+const BUCKET_US = 10 * SECOND_US;
 
 /**
  * The faults of the window, summed by worker over the reports of all pointsmen.
@@ -48,11 +48,11 @@
     let node: string;
     let life: string;
     try {
-      node = text(report, "node");
-      life = text(report, "life");
+      node = readString(report, "node");
+      life = readString(report, "life");
       rows = asList(report["workers"], "workers").map((value) => {
         const [id, faults] = asList(value, "row");
-        return [textOf(id), numberOf(faults)];
+        return [asString(id), asNumber(faults)];
       });
     } catch {
       return false;
--- a/src/health/sequential-test.ts
+++ b/src/health/sequential-test.ts
@@ -33,7 +33,7 @@
   readonly doubled: number;
 }
 
-export interface TrialTerms {
+export interface SequentialTestTerms {
   readonly weights: Weights;
   /** The chance at most that a candidate no worse than the baseline is ever stopped by the test of all losses. */
   readonly falseStop: number;
@@ -52,7 +52,7 @@
   readonly horizonRequests: number;
 }
 
-export const TRIAL_TERMS: TrialTerms = {
+export const SEQUENTIAL_TEST_TERMS: SequentialTestTerms = {
   weights: { late: 0.3, lostSafe: 1, lostUnsafe: 2, doubled: 5 },
   falseStop: 0.01,
   falseStopDoubled: 0.01,
@@ -124,10 +124,10 @@
   readonly evidence = (): number => averageOf(this.logs);
 }
 
-export type VerdictName = "observing" | "stop" | "pass" | "inconclusive";
+export type TestResultName = "observing" | "stop" | "pass" | "inconclusive";
 
-export interface TrialVerdict {
-  readonly verdict: VerdictName;
+export interface TestResult {
+  readonly verdict: TestResultName;
   readonly reason: string;
   readonly candidate: Tally;
   readonly baseline: Tally;
@@ -170,7 +170,7 @@
  * so that a far or cold candidate is not condemned for it; all else within the cell of the node that saw it.
  * Invariant: a stop is final; a pass or an inconclusive trial goes on and can only become a stop.
  */
-export class Trial {
+export class SequentialTest {
   private readonly byStratum = new Map<string, Pending>();
   private readonly byCell = new Map<string, Pending>();
   private readonly against: Attribution;
@@ -179,11 +179,11 @@
   private readonly soundDoubled: Soundness;
   private candidate = NO_TALLY;
   private baseline = NO_TALLY;
-  private final: { readonly verdict: VerdictName; readonly reason: string } | undefined;
+  private final: { readonly verdict: TestResultName; readonly reason: string } | undefined;
 
   constructor(
     private readonly isSafe: boolean,
-    private readonly terms: TrialTerms,
+    private readonly terms: SequentialTestTerms,
     private readonly random: () => number,
   ) {
     this.against = new Attribution(terms.leeway);
@@ -205,18 +205,18 @@
   };
 
   /** Weighs what came since the last look, wherever a stratum has requests of both sides, and gives the verdict. */
-  readonly look = (): TrialVerdict => {
+  readonly look = (): TestResult => {
     if (this.final?.verdict !== "stop") {
       takeBothSided(this.byStratum, this.weighLate);
       takeBothSided(this.byCell, this.weigh);
       this.final = this.decide() ?? this.final;
     }
-    const { verdict, reason } = this.final ?? {
+    const { verdict: result, reason } = this.final ?? {
       verdict: "observing" as const,
       reason: "Not enough has been seen yet.",
     };
     return {
-      verdict,
+      verdict: result,
       reason,
       candidate: this.candidate,
       baseline: this.baseline,
@@ -304,7 +304,7 @@
   };
 
   private readonly decide = ():
-    { readonly verdict: VerdictName; readonly reason: string } | undefined => {
+    { readonly verdict: TestResultName; readonly reason: string } | undefined => {
     const { falseStop, falseStopDoubled, falsePass, leastDifference, horizonRequests } = this.terms;
     const size = sizeOf(this.candidate);
     const difference = this.difference();
--- a/src/health/split-routes.ts
+++ b/src/health/split-routes.ts
@@ -1,6 +1,6 @@
-import { asRec, parseJson } from "../common/decode.js";
-import { mainOf, readShares } from "../common/weighted-split.js";
-import { parseSpan } from "../common/duration.js";
+import { asRecord, parseJson } from "../common/decode.js";
+import { mainOf, readWeightedServices } from "../common/weighted-split.js";
+import { parseDuration } from "../common/duration.js";
 import type { SplitRoute } from "./canary-analysis.js";
 
 interface Seen {
@@ -36,10 +36,15 @@
 }
 
 const readSeen = (name: string, version: number, body: string): Seen => {
-  const rule = asRec(asRec(parseJson(body))["rule"], "rule");
-  const then = asRec(rule["then"], "then");
-  const shares = readShares(then);
+  const rule = asRecord(asRecord(parseJson(body))["rule"], "rule");
+  const then = asRecord(rule["then"], "then");
+  const shares = readWeightedServices(then);
   const split =
     shares.length > 1 ? { name, version, isSafe: rule["routeKind"] === "safe", shares } : undefined;
-  return { version, main: mainOf(shares), split, giveUpUs: parseSpan(then["giveUp"]).unwrapOr(0) };
+  return {
+    version,
+    main: mainOf(shares),
+    split,
+    giveUpUs: parseDuration(then["giveUp"]).unwrapOr(0),
+  };
 };
--- a/src/idempotency/key-client.ts
+++ b/src/idempotency/key-client.ts
@@ -1,51 +1,51 @@
-import { rest, type Clock } from "../common/clock.js";
-import { asRec, isRec, list, textOf, whole } from "../common/decode.js";
-import { MS } from "../common/duration.js";
+import { sleep, type Clock } from "../common/clock.js";
+import { asRecord, isRecord, readList, asString, readNumber } from "../common/decode.js";
+import { MILLISECOND_US } from "../common/duration.js";
 import type { Message } from "../transport/connection.js";
 
 /** The answer of a key's first run, as it is kept and given to repeats. */
-export interface KeyAnswer {
+export interface KeyedResponse {
   readonly status: number;
   readonly heads: readonly string[];
   readonly body: Uint8Array;
 }
 
-export type DeskVerdict =
+export type ClaimResult =
   | { readonly kind: "won" }
-  | { readonly kind: "done"; readonly answer: KeyAnswer }
+  | { readonly kind: "done"; readonly answer: KeyedResponse }
   | { readonly kind: "working" }
   | { readonly kind: "split" }
   | { readonly kind: "none" };
 
-const CLAIM_WAIT_US = 600 * MS;
-const KEEP_WAIT_US = 400 * MS;
-const AGAIN_US = 100 * MS;
+const CLAIM_WAIT_US = 600 * MILLISECOND_US;
+const KEEP_WAIT_US = 400 * MILLISECOND_US;
+const AGAIN_US = 100 * MILLISECOND_US;
 
-const readAnswer = (value: unknown): KeyAnswer => {
-  const rec = asRec(value, "answer");
-  const body = rec["body"];
+const readAnswer = (value: unknown): KeyedResponse => {
+  const record = asRecord(value, "answer");
+  const body = record["body"];
   return {
-    status: whole(rec, "status"),
-    heads: list(rec, "heads", textOf),
+    status: readNumber(record, "status"),
+    heads: readList(record, "heads", asString),
     body: body instanceof Uint8Array ? body : Buffer.alloc(0),
   };
 };
 
 /** Where a pointsman claims operation keys: at the signalbox it has its session with. */
-export class KeyDesk {
+export class IdempotencyClient {
   constructor(
     private readonly clock: Clock,
     private readonly ask: (message: Message, waitUs: number) => Promise<Message | undefined>,
     private readonly tell: (message: Message) => void,
   ) {}
 
-  readonly claim = async (key: string, token: string): Promise<DeskVerdict> => {
+  readonly claim = async (key: string, token: string): Promise<ClaimResult> => {
     const reply = await this.ask({ kind: "key-claim", key, token }, CLAIM_WAIT_US);
-    const verdict = reply?.["verdict"];
-    if (verdict === "done" && isRec(reply?.["answer"]))
+    const result = reply?.["verdict"];
+    if (result === "done" && isRecord(reply?.["answer"]))
       return { kind: "done", answer: readAnswer(reply["answer"]) };
     return {
-      kind: verdict === "won" || verdict === "working" || verdict === "split" ? verdict : "none",
+      kind: result === "won" || result === "working" || result === "split" ? result : "none",
     };
   };
 
@@ -56,7 +56,7 @@
   readonly keep = async (
     key: string,
     token: string,
-    answer: KeyAnswer,
+    answer: KeyedResponse,
     waitUs: number,
   ): Promise<boolean> => {
     const untilUs = this.clock.nowUs() + waitUs;
@@ -64,7 +64,7 @@
       const reply = await this.ask({ kind: "key-done", key, token, answer }, KEEP_WAIT_US);
       if (reply?.["kept"] === true) return true;
       if (this.clock.nowUs() + AGAIN_US >= untilUs) return false;
-      await rest(this.clock, AGAIN_US);
+      await sleep(this.clock, AGAIN_US);
     }
   };
 }
--- a/src/idempotency/key-replication.ts
+++ b/src/idempotency/key-replication.ts
@@ -1,41 +1,47 @@
 import { randomUUID } from "node:crypto";
-import type { Log } from "../common/logger.js";
-import { flag, list, text, textOf, type Rec } from "../common/decode.js";
-import { MS } from "../common/duration.js";
+import type { Logger } from "../common/logger.js";
+import { readFlag, readList, readString, asString, type UnknownRecord } from "../common/decode.js";
+import { MILLISECOND_US } from "../common/duration.js";
 import type { Message } from "../transport/connection.js";
-import { readAnswer, readPurge, type KeptAnswer, type KeyBook, type Purge } from "./key-table.js";
-import type { Ledger } from "../consensus/replicated-store.js";
-import { quorumOf, readQuorumOf } from "../consensus/voter-set.js";
+import {
+  readAnswer,
+  readPurge,
+  type StoredResponse,
+  type IdempotencyKeyTable,
+  type Purge,
+} from "./key-table.js";
+import type { ReplicatedStore } from "../consensus/replicated-store.js";
+import { quorumSize, readQuorumSize } from "../consensus/voter-set.js";
 
-export type KeyVerdict =
+export type KeyClaimResult =
   /** A quorum holds the token: its bearer alone may run the operation. */
   | { readonly kind: "won" }
-  | { readonly kind: "done"; readonly answer: KeptAnswer }
+  | { readonly kind: "done"; readonly answer: StoredResponse }
   /** Another try has the key, and may have run. */
   | { readonly kind: "working" }
   /** Two tries came at once and neither won: the token is to be freed, and another tried after a while. */
   | { readonly kind: "split" }
   | { readonly kind: "none" };
 
-export interface KeysOptions {
+export interface IdempotencyKeysOptions {
   readonly self: string;
-  readonly book: KeyBook;
-  readonly ledger: Ledger;
+  readonly book: IdempotencyKeyTable;
+  readonly store: ReplicatedStore;
   readonly ask: (id: string, message: Message, waitUs: number) => Promise<Message | undefined>;
   readonly stands: (id: string) => boolean;
   readonly send: (message: Message) => void;
   readonly withstandMachines: number;
-  readonly log: Log;
+  readonly log: Logger;
   /** Told of every purge that this copy learns. */
   readonly onPurge: (purge: Purge) => void;
 }
 
-const CLAIM_WAIT_US = 400 * MS;
-const KEEP_WAIT_US = 250 * MS;
-const SPREAD_WAIT_US = 1_500 * MS;
+const CLAIM_WAIT_US = 400 * MILLISECOND_US;
+const KEEP_WAIT_US = 250 * MILLISECOND_US;
+const SPREAD_WAIT_US = 1_500 * MILLISECOND_US;
 const SMALL_BYTES = 256;
 
-const packAnswer = (answer: KeptAnswer): Rec => ({
+const packAnswer = (answer: StoredResponse): UnknownRecord => ({
   status: answer.status,
   heads: answer.heads,
   ...(answer.body ? { body: answer.body } : {}),
@@ -46,11 +52,11 @@
  * Invariant: a copy that may have lost claims accepts none until it has read so many of the others that every claim
  * once held by a quorum is among theirs; so within the window no two tokens of a key ever win.
  */
-export class Keys {
+export class IdempotencyKeys {
   private counting = false;
   private reading = false;
 
-  constructor(private readonly options: KeysOptions) {}
+  constructor(private readonly options: IdempotencyKeysOptions) {}
 
   get isCounting(): boolean {
     return this.counting;
@@ -60,14 +66,14 @@
     const found = await this.options.book.load();
     this.options.book.purges().forEach(this.options.onPurge);
     if (found) this.counting = true;
-    else if (firstRun && this.options.ledger.isMember())
+    else if (firstRun && this.options.store.isMember())
       this.counting = await this.options.book.begin();
   };
 
   /** Reads what a lost copy needs; called until it counts. Begins only once this one is seen on the roster. */
   readonly catchUp = async (): Promise<void> => {
-    const { book, ledger, log } = this.options;
-    if (this.counting || this.reading || !ledger.isMember() || !ledger.isCounting) return;
+    const { book, store, log } = this.options;
+    if (this.counting || this.reading || !store.isMember() || !store.isVoting) return;
     this.reading = true;
     const read = await this.refresh();
     this.reading = false;
@@ -79,10 +85,10 @@
 
   /** Brings what a quorum of the old members holds to a quorum of the new ones; true once that is done. */
   readonly spread = async (): Promise<boolean> => {
-    const { ledger } = this.options;
-    const spread = await ledger.gather(
+    const { store } = this.options;
+    const spread = await store.gather(
       { kind: "key-refresh" },
-      (reply) => flag(reply, "kept"),
+      (reply) => readFlag(reply, "kept"),
       this.refresh,
       SPREAD_WAIT_US,
     );
@@ -94,15 +100,15 @@
     const { book } = this.options;
     const merges: Promise<boolean>[] = [];
     const read = await this.gatherToRead({ kind: "key-book" }, (reply) => {
-      if (!flag(reply, "counts")) return false;
+      if (!readFlag(reply, "counts")) return false;
       merges.push(book.unpack(reply));
       return true;
     });
     return (await Promise.all(merges)).every((done) => done) && read;
   };
 
-  readonly claim = async (key: string, token: string): Promise<KeyVerdict> => {
-    const { self, book, ledger, withstandMachines } = this.options;
+  readonly claim = async (key: string, token: string): Promise<KeyClaimResult> => {
+    const { self, book, store, withstandMachines } = this.options;
     const known = book.answerOf(key);
     if (known?.body && book.tokenOf(key) !== token) return { kind: "done", answer: known };
     const takers = new Set<string>();
@@ -111,10 +117,10 @@
     const hear = (id: string, reply: Message): boolean => {
       if (reply["verdict"] === "taken") takers.add(id);
       if (reply["verdict"] === "other") others += 1;
-      if (flag(reply, "done")) isDone = true;
+      if (readFlag(reply, "done")) isDone = true;
       return reply["verdict"] === "taken";
     };
-    const won = await ledger.gather(
+    const won = await store.gather(
       { kind: "key-claim", key, token },
       (reply, id) => hear(id, reply),
       async () => hear(self, await this.answerClaim(key, token)),
@@ -124,11 +130,11 @@
     if (isDone) return this.fetch(key);
     if (others === 0) return { kind: "none" };
     // Unless the others could have won among those that did not answer, nobody has.
-    const couldOthers = ledger
-      .rosters()
+    const couldOthers = store
+      .quorumSets()
       .every(
         (members) =>
-          members.filter((id) => !takers.has(id)).length >= quorumOf(members, withstandMachines),
+          members.filter((id) => !takers.has(id)).length >= quorumSize(members, withstandMachines),
       );
     return couldOthers ? { kind: "working" } : { kind: "split" };
   };
@@ -140,9 +146,9 @@
   };
 
   /** Keeps the answer at a quorum, whole, and tells the rest that there is one. */
-  readonly keep = async (key: string, token: string, answer: KeptAnswer): Promise<boolean> => {
-    const { self, book, ledger, ask, stands, withstandMachines } = this.options;
-    const others = ledger
+  readonly keep = async (key: string, token: string, answer: StoredResponse): Promise<boolean> => {
+    const { self, book, store, ask, stands, withstandMachines } = this.options;
+    const others = store
       .members()
       .filter((id) => id !== self)
       .sort((a, b) => Number(stands(b)) - Number(stands(a)));
@@ -156,18 +162,18 @@
     };
     const kept = new Set<string>();
     const hold = async (id: string): Promise<void> => {
-      if ((await ask(id, ledger.tagged(whole), KEEP_WAIT_US))?.["kept"] === true) kept.add(id);
+      if ((await ask(id, store.withVoterSet(whole), KEEP_WAIT_US))?.["kept"] === true) kept.add(id);
     };
     const isHeld = () =>
-      ledger
-        .rosters()
+      store
+        .quorumSets()
         .every(
           (members) =>
-            members.filter((id) => kept.has(id)).length >= quorumOf(members, withstandMachines),
+            members.filter((id) => kept.has(id)).length >= quorumSize(members, withstandMachines),
         );
     const first = isSmall
       ? others
-      : others.slice(0, quorumOf(ledger.members(), withstandMachines) - 1);
+      : others.slice(0, quorumSize(store.members(), withstandMachines) - 1);
     const rest = others.filter((id) => !first.includes(id));
     if (await book.keep(key, token, answer)) kept.add(self);
     await Promise.all(first.map(hold));
@@ -180,11 +186,11 @@
   };
 
   readonly purge = async (what: Omit<Purge, "id">): Promise<boolean> => {
-    const { ledger } = this.options;
+    const { store } = this.options;
     const purge: Purge = { ...what, id: randomUUID() };
-    const held = await ledger.gather(
+    const held = await store.gather(
       { kind: "key-purge", ...purge },
-      (reply) => flag(reply, "kept"),
+      (reply) => readFlag(reply, "kept"),
       () => this.takePurge(purge),
       CLAIM_WAIT_US,
     );
@@ -197,8 +203,8 @@
     const ids = book.purges().map(({ id }) => id);
     const merges: Promise<boolean>[] = [];
     const read = await this.gatherToRead({ kind: "key-purges", ids }, (reply) => {
-      if (!flag(reply, "counts")) return false;
-      merges.push(...list(reply, "purges", readPurge).map(this.takePurge));
+      if (!readFlag(reply, "counts")) return false;
+      merges.push(...readList(reply, "purges", readPurge).map(this.takePurge));
       return true;
     });
     await Promise.all(merges);
@@ -207,24 +213,24 @@
 
   /** Answers a colleague. */
   readonly answer = async (message: Message): Promise<Message | undefined> => {
-    const { book, ledger } = this.options;
-    const refusal = ledger.refusalOfOld(message);
+    const { book, store } = this.options;
+    const refusal = store.rejectIfOutdated(message);
     if (refusal) return refusal;
     switch (message.kind) {
       case "key-claim":
-        return this.answerClaim(text(message, "key"), text(message, "token"));
+        return this.answerClaim(readString(message, "key"), readString(message, "token"));
       case "key-free":
-        book.free(text(message, "key"), text(message, "token"));
+        book.free(readString(message, "key"), readString(message, "token"));
         return undefined;
       case "key-done": {
         const answer = readAnswer(message["answer"]);
         const kept =
           answer !== undefined &&
-          (await book.keep(text(message, "key"), text(message, "token"), answer));
+          (await book.keep(readString(message, "key"), readString(message, "token"), answer));
         return { kind: "done", kept: kept && this.counting };
       }
       case "key-read": {
-        const answer = book.answerOf(text(message, "key"));
+        const answer = book.answerOf(readString(message, "key"));
         return { kind: "done", ...(answer ? { answer: packAnswer(answer) } : {}) };
       }
       case "key-refresh": {
@@ -234,7 +240,7 @@
       case "key-purge":
         return { kind: "done", kept: await this.takePurge(readPurge(message)) };
       case "key-purges": {
-        const known = new Set(list(message, "ids", textOf));
+        const known = new Set(readList(message, "ids", asString));
         return {
           kind: "done",
           counts: this.counting,
@@ -251,8 +257,8 @@
   private readonly answerClaim = async (key: string, token: string): Promise<Message> => {
     const { book } = this.options;
     if (!this.counting) return { kind: "done", verdict: "full", done: false };
-    const verdict = await book.claim(key, token);
-    return { kind: "done", verdict, done: book.answerOf(key) !== undefined };
+    const result = await book.claim(key, token);
+    return { kind: "done", verdict: result, done: book.answerOf(key) !== undefined };
   };
 
   private readonly takePurge = async (purge: Purge): Promise<boolean> => {
@@ -264,10 +270,10 @@
   };
 
   /** The answer of a key that some copy knows to be done, from whoever has its body. */
-  private readonly fetch = async (key: string): Promise<KeyVerdict> => {
-    const { self, book, ledger, ask } = this.options;
+  private readonly fetch = async (key: string): Promise<KeyClaimResult> => {
+    const { self, book, store, ask } = this.options;
     const replies = await Promise.all(
-      ledger
+      store
         .members()
         .filter((id) => id !== self)
         .map((id) => ask(id, { kind: "key-read", key }, KEEP_WAIT_US)),
@@ -284,15 +290,15 @@
     message: Message,
     accepts: (reply: Message) => boolean,
   ): Promise<boolean> => {
-    const { self, ledger, ask, withstandMachines } = this.options;
-    const sets = ledger.rosters();
+    const { self, store, ask, withstandMachines } = this.options;
+    const sets = store.quorumSets();
     const held = new Set(this.counting ? [self] : []);
-    const others = ledger.members().filter((id) => id !== self);
+    const others = store.members().filter((id) => id !== self);
     if (others.length === 0 && held.size === 0) return false;
     const isEnough = () =>
       sets.every(
         (members) =>
-          members.filter((id) => held.has(id)).length >= readQuorumOf(members, withstandMachines),
+          members.filter((id) => held.has(id)).length >= readQuorumSize(members, withstandMachines),
       );
     return new Promise((resolve) => {
       let open = others.length;
@@ -301,7 +307,7 @@
         else if (open === 0) resolve(false);
       };
       others.forEach((id) => {
-        void ask(id, ledger.tagged(message), CLAIM_WAIT_US).then((reply) => {
+        void ask(id, store.withVoterSet(message), CLAIM_WAIT_US).then((reply) => {
           open -= 1;
           if (reply && accepts(reply)) held.add(id);
           look();
--- a/src/idempotency/key-table.ts
+++ b/src/idempotency/key-table.ts
@@ -1,10 +1,18 @@
 import type { Clock } from "../common/clock.js";
-import { asRec, isRec, list, text, textOf, whole, type Rec } from "../common/decode.js";
-import { SECOND } from "../common/duration.js";
-import { Segments } from "../storage/segment-log.js";
+import {
+  asRecord,
+  isRecord,
+  readList,
+  readString,
+  asString,
+  readNumber,
+  type UnknownRecord,
+} from "../common/decode.js";
+import { SECOND_US } from "../common/duration.js";
+import { SegmentLog } from "../storage/segment-log.js";
 
 /** What the first run of a key was answered with. Without a body it is kept elsewhere, or was too large to keep. */
-export interface KeptAnswer {
+export interface StoredResponse {
   readonly status: number;
   readonly heads: readonly string[];
   readonly body: Uint8Array | undefined;
@@ -13,7 +21,7 @@
 interface Entry {
   readonly token: string;
   readonly sinceUs: number;
-  answer: KeptAnswer | undefined;
+  answer: StoredResponse | undefined;
 }
 
 export interface Purge {
@@ -23,9 +31,9 @@
   readonly label: string;
 }
 
-export type ClaimVerdict = "taken" | "other" | "full";
+export type TableClaimResult = "taken" | "other" | "full";
 
-export interface BookOptions {
+export interface IdempotencyKeyTableOptions {
   readonly folder: string;
   readonly clock: Clock;
   readonly keyWindowUs: number;
@@ -34,27 +42,27 @@
 
 /** How much longer than the window a claim is kept, for all that clocks and hops may add. */
 const MARGIN_PART = 0.1;
-const MARGIN_US = 5 * SECOND;
+const MARGIN_US = 5 * SECOND_US;
 const ROOM_PART = 0.7;
-export const PURGE_KEEP_US = 60 * SECOND;
+export const PURGE_KEEP_US = 60 * SECOND_US;
 
-export const readAnswer = (value: unknown): KeptAnswer | undefined => {
-  if (!isRec(value)) return undefined;
+export const readAnswer = (value: unknown): StoredResponse | undefined => {
+  if (!isRecord(value)) return undefined;
   const body = value["body"];
   return {
-    status: whole(value, "status"),
-    heads: list(value, "heads", textOf),
+    status: readNumber(value, "status"),
+    heads: readList(value, "heads", asString),
     body: body instanceof Uint8Array ? body : undefined,
   };
 };
 
 export const readPurge = (value: unknown): Purge => {
-  const rec = asRec(value, "purge");
+  const record = asRecord(value, "purge");
   return {
-    id: text(rec, "id"),
-    host: text(rec, "host"),
-    path: text(rec, "path"),
-    label: text(rec, "label"),
+    id: readString(record, "id"),
+    host: readString(record, "host"),
+    path: readString(record, "path"),
+    label: readString(record, "label"),
   };
 };
 
@@ -63,17 +71,17 @@
  * Invariants: a key has one token at a time, and another is taken only after that one was freed or its time is over;
  * a token is freed only by who took it, and only if it has not run; what is said to be taken is synced.
  */
-export class KeyBook {
+export class IdempotencyKeyTable {
   private readonly entries = new Map<string, Entry>();
   private readonly held = new Map<string, { readonly purge: Purge; readonly sinceUs: number }>();
-  private readonly segments: Segments;
+  private readonly segments: SegmentLog;
   /** Invariant: true exactly if this copy holds all that it must; each segment begins with how that was then. */
   private hasBegun = false;
   private readonly keepUs: number;
 
-  constructor(private readonly options: BookOptions) {
+  constructor(private readonly options: IdempotencyKeyTableOptions) {
     this.keepUs = options.keyWindowUs * (1 + MARGIN_PART) + MARGIN_US;
-    this.segments = new Segments({
+    this.segments = new SegmentLog({
       folder: options.folder,
       clock: options.clock,
       keepUs: Math.max(this.keepUs, PURGE_KEEP_US),
@@ -93,7 +101,7 @@
   /** False where no log was found, or one that never held all it must: what it once held may be lost. */
   readonly load = async (): Promise<boolean> => {
     const records = await this.segments.load();
-    records?.forEach((record) => this.replay(asRec(record)));
+    records?.forEach((record) => this.replay(asRecord(record)));
     return this.hasBegun;
   };
 
@@ -105,11 +113,11 @@
 
   readonly stop = (): Promise<void> => this.segments.stop();
 
-  readonly answerOf = (key: string): KeptAnswer | undefined => this.entry(key)?.answer;
+  readonly answerOf = (key: string): StoredResponse | undefined => this.entry(key)?.answer;
 
   readonly tokenOf = (key: string): string | undefined => this.entry(key)?.token;
 
-  readonly claim = async (key: string, token: string): Promise<ClaimVerdict> => {
+  readonly claim = async (key: string, token: string): Promise<TableClaimResult> => {
     const before = this.entry(key);
     if (before && before.token !== token) return "other";
     if (before) return (await this.segments.flush()).isOk ? "taken" : "full";
@@ -125,7 +133,7 @@
   };
 
   /** Keeps the answer of the key's run; false if another token has the key, or the disk refuses. */
-  readonly keep = async (key: string, token: string, answer: KeptAnswer): Promise<boolean> => {
+  readonly keep = async (key: string, token: string, answer: StoredResponse): Promise<boolean> => {
     const before = this.entry(key);
     if (before && before.token !== token) return false;
     this.take(key, token, answer);
@@ -143,7 +151,7 @@
   readonly hasPurge = (id: string): boolean => this.held.has(id);
 
   /** Everything but the bodies, for a copy that lost its own. */
-  readonly pack = (): Rec => {
+  readonly pack = (): UnknownRecord => {
     const nowUs = this.options.clock.nowUs();
     const keys = [...this.entries].map(([key, { token, sinceUs, answer }]) => ({
       key,
@@ -155,17 +163,17 @@
   };
 
   /** Takes what a colleague packed; what is held here already stays. */
-  readonly unpack = async (packed: Rec): Promise<boolean> => {
+  readonly unpack = async (packed: UnknownRecord): Promise<boolean> => {
     const nowUs = this.options.clock.nowUs();
-    const kept = list(packed, "keys", asRec).flatMap((row) => {
-      const key = text(row, "key");
-      const token = text(row, "token");
+    const kept = readList(packed, "keys", asRecord).flatMap((row) => {
+      const key = readString(row, "key");
+      const token = readString(row, "token");
       const answer = readAnswer(row["answer"]);
       const before = this.entry(key);
       if (before && (before.token !== token || before.answer || !answer)) return [];
       this.entries.set(key, {
         token,
-        sinceUs: before?.sinceUs ?? nowUs - whole(row, "ageUs"),
+        sinceUs: before?.sinceUs ?? nowUs - readNumber(row, "ageUs"),
         answer,
       });
       return [
@@ -174,7 +182,7 @@
         ),
       ];
     });
-    const noted = list(packed, "purges", readPurge).map((purge) => this.purge(purge));
+    const noted = readList(packed, "purges", readPurge).map((purge) => this.purge(purge));
     return (
       (await Promise.all(kept)).every((result) => result.isOk) &&
       (await Promise.all(noted)).every((done) => done)
@@ -205,14 +213,14 @@
     return entry?.token === token && entry.answer === undefined && this.entries.delete(key);
   };
 
-  private readonly take = (key: string, token: string, answer: KeptAnswer): void => {
+  private readonly take = (key: string, token: string, answer: StoredResponse): void => {
     const before = this.entry(key);
     if (before) before.answer = answer;
     else this.entries.set(key, { token, sinceUs: this.options.clock.nowUs(), answer });
   };
 
   /** A record found on disk; its time counts from now on, since how long the process was gone isn't known. */
-  private readonly replay = (record: Rec): void => {
+  private readonly replay = (record: UnknownRecord): void => {
     const nowUs = this.options.clock.nowUs();
     if (record["kind"] === "purge") {
       const purge = readPurge(record);
@@ -221,8 +229,8 @@
     if (record["kind"] === "begun" || record["kind"] === "unbegun")
       this.hasBegun = record["kind"] === "begun";
     if (typeof record["key"] !== "string") return;
-    const key = text(record, "key");
-    const token = text(record, "token");
+    const key = readString(record, "key");
+    const token = readString(record, "token");
     if (record["kind"] === "claim" && !this.entries.has(key))
       this.entries.set(key, { token, sinceUs: nowUs, answer: undefined });
     else if (record["kind"] === "free") this.forget(key, token);
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,14 +1,14 @@
 #!/usr/bin/env node
 import { stat } from "node:fs/promises";
 import { Command } from "commander";
-import type { Running } from "./programs/running-program.js";
+import type { RunningProgram } from "./programs/running-program.js";
 import { SteadyClock, type Clock } from "./common/clock.js";
-import { logFor, setLogLevel } from "./common/logger.js";
+import { loggerFor, setLogLevel } from "./common/logger.js";
 import { readSettings, type Settings } from "./common/settings.js";
-import { SECOND } from "./common/duration.js";
+import { SECOND_US } from "./common/duration.js";
 
 const SETTINGS_VARIABLE = "YEWREEL_CONFIG";
-const LOOK_US = 2 * SECOND;
+const LOOK_US = 2 * SECOND_US;
 const WRONG_SETTINGS = 2;
 
 const stamp = async (path: string): Promise<number> => {
@@ -25,7 +25,7 @@
   clock: Clock,
   renew: (settings: Settings) => void,
 ): Promise<void> => {
-  const log = logFor("settings");
+  const log = loggerFor("settings");
   let last = await stamp(path);
   const look = async () => {
     const now = await stamp(path);
@@ -41,7 +41,7 @@
   process.on("SIGHUP", () => void look());
 };
 
-type Program = (settings: Settings, clock: Clock) => Promise<Running>;
+type Program = (settings: Settings, clock: Clock) => Promise<RunningProgram>;
 
 /** Each program loads only what it is made of. */
 const run = async (load: () => Promise<Program>): Promise<void> => {
@@ -52,10 +52,10 @@
     process.exit(WRONG_SETTINGS);
   }
   setLogLevel(read.value.logLevel);
-  const log = logFor("yewreel");
-  process.on("unhandledRejection", (mishap) =>
+  const log = loggerFor("yewreel");
+  process.on("unhandledRejection", (error) =>
     log.warn(
-      `A mishap nobody took: ${mishap instanceof Error ? (mishap.stack ?? mishap.message) : String(mishap)}.`,
+      `A mishap nobody took: ${error instanceof Error ? (error.stack ?? error.message) : String(error)}.`,
     ),
   );
   const clock = new SteadyClock();
@@ -78,23 +78,23 @@
 cli
   .command("pointsman")
   .description("carry callers' requests to workers (data plane)")
-  .action(() => run(async () => (await import("./programs/gateway/gateway.js")).runPointsman));
+  .action(() => run(async () => (await import("./programs/gateway/gateway.js")).runGateway));
 cli
   .command("signalbox")
   .description("hold the plan, know workers and nodes, decide (control plane)")
   .action(() =>
-    run(async () => (await import("./programs/controller/controller.js")).runSignalbox),
+    run(async () => (await import("./programs/controller/controller.js")).runController),
   );
 cli
   .command("depot")
   .description("hold copies of objects for all pointsmen (shared cache)")
-  .action(() => run(async () => (await import("./programs/cache/cache.js")).runDepot));
+  .action(() => run(async () => (await import("./programs/cache/cache.js")).runCache));
 if (
   process.argv[2] !== "depot" &&
   process.argv[2] !== "pointsman" &&
   process.argv[2] !== "signalbox"
 ) {
-  (await import("./programs/ctl/ctl.js")).addStationmaster(cli);
+  (await import("./programs/ctl/ctl.js")).addCtlCommands(cli);
   (await import("./programs/loadgen/loadgen.js")).addShunter(cli);
 }
 await cli.parseAsync();
--- a/src/membership/node-sessions.ts
+++ b/src/membership/node-sessions.ts
@@ -1,22 +1,28 @@
 import Emittery from "emittery";
-import { Asks } from "../transport/pending-requests.js";
+import { PendingRequests } from "../transport/pending-requests.js";
 import type { Clock } from "../common/clock.js";
-import type { Log } from "../common/logger.js";
-import { asRec, list, text, whole, type Rec } from "../common/decode.js";
-import type { Message, Wire } from "../transport/connection.js";
-import type { Crew, Feeder } from "./update-publisher.js";
+import type { Logger } from "../common/logger.js";
+import {
+  asRecord,
+  readList,
+  readString,
+  readNumber,
+  type UnknownRecord,
+} from "../common/decode.js";
+import type { Message, Connection } from "../transport/connection.js";
+import type { ClusterSize, UpdatePublisher } from "./update-publisher.js";
 
-export type Role = "pointsman" | "depot";
+export type NodeRole = "pointsman" | "depot";
 
 /** A depot as the crew is told of it. */
-export interface DepotAt {
+export interface CacheAddress {
   readonly address: string;
   readonly cell: string;
 }
 
 interface Node {
   readonly name: string;
-  readonly role: Role;
+  readonly role: NodeRole;
   readonly linkMbps: number;
   readonly cell: string;
   readonly relay: string;
@@ -24,8 +30,8 @@
 
 interface Session {
   readonly node: Node;
-  readonly wire: Wire;
-  readonly asks: Asks;
+  readonly connection: Connection;
+  readonly pendingRequests: PendingRequests;
   /** The relay that feeds this node; empty when the signalbox feeds it itself. */
   parent: string;
 }
@@ -34,7 +40,7 @@
 export interface NodeAnswer {
   readonly node: string;
   readonly cell: string;
-  readonly answer: Rec | undefined;
+  readonly answer: UnknownRecord | undefined;
 }
 
 /** How many children a signalbox feeds itself, as long as none has lost its relay. */
@@ -47,26 +53,26 @@
 const RELAY_MOST = 8;
 
 const readNode = (value: unknown): Node => {
-  const rec = asRec(value, "node");
+  const record = asRecord(value, "node");
   return {
-    name: text(rec, "name"),
-    cell: text(rec, "cell"),
-    relay: text(rec, "relay"),
-    role: rec["role"] === "depot" ? "depot" : "pointsman",
-    linkMbps: typeof rec["linkMbps"] === "number" ? rec["linkMbps"] : 0,
+    name: readString(record, "name"),
+    cell: readString(record, "cell"),
+    relay: readString(record, "relay"),
+    role: record["role"] === "depot" ? "depot" : "pointsman",
+    linkMbps: typeof record["linkMbps"] === "number" ? record["linkMbps"] : 0,
   };
 };
 
-export interface SessionsOptions {
+export interface NodeSessionsOptions {
   readonly clock: Clock;
-  readonly feeder: Feeder;
-  readonly log: Log;
+  readonly publisher: UpdatePublisher;
+  readonly log: Logger;
   /** Whether this signalbox may feed: it has a plan to give, and a majority was heard after the call. */
   readonly isFit: () => Promise<boolean>;
   /** The cell that a planned window empties: it feeds nobody, and its signalbox serves its own nodes only. */
   readonly emptiedCell: () => string;
   readonly cell: string;
-  readonly boxes: () => readonly Rec[];
+  readonly boxes: () => readonly UnknownRecord[];
   /** Answers what a node asks over its session. */
   readonly answer: (message: Message, node: string) => Promise<Message>;
 }
@@ -75,40 +81,45 @@
  * The sessions of pointsmen with this signalbox, and those that colleagues tell of.
  * Invariant: a node is a member exactly while a session of it stands here or at a colleague whose link stands.
  */
-export class Sessions {
+export class NodeSessions {
   readonly events = new Emittery<{ report: Message; own: undefined; changed: undefined }>();
   private readonly own = new Map<string, Session>();
   private readonly told = new Map<string, readonly Node[]>();
 
-  constructor(private readonly options: SessionsOptions) {}
+  constructor(private readonly options: NodeSessionsOptions) {}
 
   readonly serve = async (
-    wire: Wire,
+    connection: Connection,
     hello: Message,
     incoming: AsyncIterable<Message>,
   ): Promise<void> => {
     const node = readNode(hello["node"]);
     if (!(await this.options.isFit()) || this.isElsewhere(node)) {
-      wire.send({ kind: "adrift", boxes: this.options.boxes() });
-      return wire.finish();
+      connection.send({ kind: "adrift", boxes: this.options.boxes() });
+      return connection.finish();
     }
-    if (wire.isClosed) return;
-    const session: Session = { node, wire, asks: new Asks(this.options.clock), parent: "" };
-    this.own.get(node.name)?.wire.close();
+    if (connection.isClosed) return;
+    const session: Session = {
+      node,
+      connection,
+      pendingRequests: new PendingRequests(this.options.clock),
+      parent: "",
+    };
+    this.own.get(node.name)?.connection.close();
     this.own.set(node.name, session);
     this.options.log.info(`${node.name} joined.`);
-    wire.send({ kind: "welcome", boxes: this.options.boxes() });
+    connection.send({ kind: "welcome", boxes: this.options.boxes() });
     this.assign(session, "");
     void this.events.emit("own");
     for await (const message of incoming) {
-      if (session.asks.settle(message)) continue;
+      if (session.pendingRequests.settle(message)) continue;
       if (typeof message["ask"] === "number")
         void this.answerNode(session, message, message["ask"]);
-      else if (message.kind === "lost-news") this.assign(session, text(message, "parent"));
+      else if (message.kind === "lost-news") this.assign(session, readString(message, "parent"));
       else void this.events.emit("report", { ...message, node: node.name });
     }
-    this.options.feeder.release(wire);
-    session.asks.drop();
+    this.options.publisher.removeChild(connection);
+    session.pendingRequests.drop();
     if (this.own.get(node.name) !== session) return;
     this.own.delete(node.name);
     this.options.log.info(`${node.name} left.`);
@@ -119,13 +130,13 @@
   };
 
   /** Ends every session, so that the pointsmen look for a signalbox that has a majority. */
-  readonly dismiss = (): void => this.own.forEach((session) => session.wire.close());
+  readonly closeAll = (): void => this.own.forEach((session) => session.connection.close());
 
   /** Moves everybody off the relays and the signalbox of the emptied cell. */
   readonly leaveEmptied = (): void => {
     const emptied = this.options.emptiedCell();
     this.own.forEach((session) => {
-      if (this.isElsewhere(session.node)) session.wire.close();
+      if (this.isElsewhere(session.node)) session.connection.close();
       else if (
         session.node.cell !== emptied &&
         [...this.own.values()].some(
@@ -136,18 +147,18 @@
     });
   };
 
-  readonly tellBoxes = (): void =>
+  readonly announceControllers = (): void =>
     this.own.forEach((session) =>
-      session.wire.send({ kind: "boxes", boxes: this.options.boxes() }),
+      session.connection.send({ kind: "boxes", boxes: this.options.boxes() }),
     );
 
   /** Asks every node with a session here; who doesn't answer in time is named without an answer. */
   readonly askAll = (question: Message, waitUs: number): Promise<readonly NodeAnswer[]> =>
     Promise.all(
-      [...this.own.values()].map(async ({ node, wire, asks }) => ({
+      [...this.own.values()].map(async ({ node, connection, pendingRequests: asks }) => ({
         node: node.name,
         cell: node.cell,
-        answer: await asks.ask(wire.send, question, waitUs),
+        answer: await asks.ask(connection.send, question, waitUs),
       })),
     );
 
@@ -156,8 +167,8 @@
     nodes: [...this.own.values()].map((session) => ({ ...session.node })),
   });
 
-  readonly hear = (from: string, message: Message): void => {
-    this.told.set(from, list(message, "nodes", readNode));
+  readonly applyPeerSessions = (from: string, message: Message): void => {
+    this.told.set(from, readList(message, "nodes", readNode));
     void this.events.emit("changed");
   };
 
@@ -174,20 +185,20 @@
     return [...all.values()];
   };
 
-  readonly crew = (): Crew => {
-    const cells: Record<string, number> = {};
+  readonly clusterSize = (): ClusterSize => {
+    const zones: Record<string, number> = {};
     const all = this.nodes();
     const nodes = all.filter(({ role }) => role === "pointsman");
     const depots = all
       .filter(({ role }) => role === "depot")
-      .map(({ relay, cell }) => ({ address: relay, cell }));
+      .map(({ relay, cell: zone }) => ({ address: relay, cell: zone }));
     nodes.forEach((node) => {
-      cells[node.cell] = (cells[node.cell] ?? 0) + 1;
+      zones[node.cell] = (zones[node.cell] ?? 0) + 1;
     });
     const halls = depots.length > 0 ? hallsOf(nodes) : [];
     return {
       pointsmen: nodes.length,
-      cells,
+      cells: zones,
       ...(halls.length > 0 ? { halls } : {}),
       ...(depots.length > 0 ? { depots } : {}),
     };
@@ -204,9 +215,12 @@
     ask: number,
   ): Promise<void> => {
     try {
-      session.wire.send({ ...(await this.options.answer(message, session.node.name)), re: ask });
-    } catch (mishap) {
-      this.options.log.warn(`A question of ${session.node.name} failed: ${String(mishap)}.`);
+      session.connection.send({
+        ...(await this.options.answer(message, session.node.name)),
+        re: ask,
+      });
+    } catch (error) {
+      this.options.log.warn(`A question of ${session.node.name} failed: ${String(error)}.`);
     }
   };
 
@@ -226,8 +240,8 @@
 
   /** Feeds the node here while there is room, else below the shallowest relay that has room, and there the one with the fewest children. */
   private readonly assign = (session: Session, failed: string): void => {
-    const { feeder } = this.options;
-    feeder.release(session.wire);
+    const { publisher } = this.options;
+    publisher.removeChild(session.connection);
     const children = new Map<string, number>();
     this.own.forEach(({ parent }) => children.set(parent, (children.get(parent) ?? 0) + 1));
     const byRelay = new Map([...this.own.values()].map((other) => [other.node.relay, other]));
@@ -245,9 +259,9 @@
       bestCost = cost;
     });
     session.parent =
-      feeder.size < (failed === "" ? FAN_OUT : DIRECT_MOST) || !best ? "" : best.node.relay;
-    session.wire.send({ kind: "parent", parent: session.parent });
-    if (session.parent === "") feeder.adopt(session.wire);
+      publisher.size < (failed === "" ? FAN_OUT : DIRECT_MOST) || !best ? "" : best.node.relay;
+    session.connection.send({ kind: "parent", parent: session.parent });
+    if (session.parent === "") publisher.addChild(session.connection);
   };
 }
 
@@ -255,31 +269,31 @@
 const HALL_TIMES = 4;
 
 /** In each cell the first node whose link is far wider than the usual one there, where there is such a node. */
-const hallsOf = (nodes: readonly Node[]): readonly DepotAt[] => {
+const hallsOf = (nodes: readonly Node[]): readonly CacheAddress[] => {
   const byCell = new Map<string, Node[]>();
   nodes.forEach((node) => byCell.set(node.cell, [...(byCell.get(node.cell) ?? []), node]));
-  return [...byCell].flatMap(([cell, all]) => {
+  return [...byCell].flatMap(([zone, all]) => {
     const widths = all.map(({ linkMbps }) => linkMbps).sort((a, b) => a - b);
     const usual = widths[Math.floor(widths.length / 2)] ?? 0;
     const wide = all
       .filter(({ linkMbps }) => usual > 0 && linkMbps >= usual * HALL_TIMES)
       .sort((a, b) => (a.name < b.name ? -1 : 1))[0];
-    return wide ? [{ address: wide.relay, cell }] : [];
+    return wide ? [{ address: wide.relay, cell: zone }] : [];
   });
 };
 
-export const readCrew = (message: Message): Crew => {
-  const cells = asRec(message["cells"], "cells");
+export const readClusterSize = (message: Message): ClusterSize => {
+  const zones = asRecord(message["cells"], "cells");
   const places = (field: string) =>
-    list(message, field, (value) => ({
-      address: text(asRec(value), "address"),
-      cell: text(asRec(value), "cell"),
+    readList(message, field, (value) => ({
+      address: readString(asRecord(value), "address"),
+      cell: readString(asRecord(value), "cell"),
     }));
   const [depots, halls] = [places("depots"), places("halls")];
   return {
     ...(halls.length > 0 ? { halls } : {}),
     ...(depots.length > 0 ? { depots } : {}),
-    pointsmen: whole(message, "pointsmen"),
-    cells: Object.fromEntries(Object.keys(cells).map((cell) => [cell, whole(cells, cell)])),
+    pointsmen: readNumber(message, "pointsmen"),
+    cells: Object.fromEntries(Object.keys(zones).map((zone) => [zone, readNumber(zones, zone)])),
   };
 };
--- a/src/membership/peers.ts
+++ b/src/membership/peers.ts
@@ -1,41 +1,41 @@
 import Emittery from "emittery";
 import type { Clock } from "../common/clock.js";
-import { list, textOf } from "../common/decode.js";
+import { readList, asString } from "../common/decode.js";
 import { splitAddress } from "../common/settings.js";
-import type { Message, WireTimes } from "../transport/connection.js";
-import { Link } from "../transport/peer-link.js";
+import type { Message, KeepAliveTimes } from "../transport/connection.js";
+import { PeerLink } from "../transport/peer-link.js";
 
-export interface ColleagueOptions {
+export interface PeersOptions {
   /** This signalbox's id: its control address. */
   readonly self: string;
   readonly cell: string;
-  readonly signalPort: number;
+  readonly peerPort: number;
   readonly clock: Clock;
-  readonly times: WireTimes;
+  readonly times: KeepAliveTimes;
 }
 
 /** Links to every other signalbox that is known; each tells the others whom it knows. */
-export class Colleagues {
+export class Peers {
   readonly events = new Emittery<{ up: string; down: string; met: string }>();
-  private readonly links = new Map<string, Link>();
-  private readonly cells = new Map<string, string>();
+  private readonly links = new Map<string, PeerLink>();
+  private readonly zones = new Map<string, string>();
 
-  constructor(private readonly options: ColleagueOptions) {
-    this.cells.set(options.self, options.cell);
+  constructor(private readonly options: PeersOptions) {
+    this.zones.set(options.self, options.cell);
   }
 
   readonly known = (): readonly string[] => [...this.links.keys()];
 
-  readonly stands = (id: string): boolean =>
-    id === this.options.self || this.links.get(id)?.stands === true;
+  readonly isConnected = (id: string): boolean =>
+    id === this.options.self || this.links.get(id)?.isConnected === true;
 
-  readonly cellOf = (id: string): string => this.cells.get(id) ?? "";
+  readonly zoneOf = (id: string): string => this.zones.get(id) ?? "";
 
   /** Every standing signalbox with its cell, this one included. */
-  readonly boxes = (): readonly { readonly id: string; readonly cell: string }[] =>
-    [this.options.self, ...this.known().filter(this.stands)].map((id) => ({
+  readonly connectedControllers = (): readonly { readonly id: string; readonly cell: string }[] =>
+    [this.options.self, ...this.known().filter(this.isConnected)].map((id) => ({
       id,
-      cell: this.cellOf(id),
+      cell: this.zoneOf(id),
     }));
 
   readonly hello = (): Message => ({
@@ -48,8 +48,8 @@
   /** Takes what a hello or a welcome of a colleague tells. */
   readonly meet = (hello: Message): void => {
     if (typeof hello["from"] === "string" && typeof hello["cell"] === "string")
-      this.cells.set(hello["from"], hello["cell"]);
-    this.learn(list(hello, "known", textOf));
+      this.zones.set(hello["from"], hello["cell"]);
+    this.learn(readList(hello, "known", asString));
   };
 
   readonly learn = (ids: readonly string[]): void => {
@@ -71,14 +71,14 @@
   readonly stop = (): void => this.links.forEach((link) => link.stop());
 
   private readonly open = (id: string): void => {
-    const { clock, times, signalPort } = this.options;
-    const link = new Link({
+    const { clock, times, peerPort: signalPort } = this.options;
+    const link = new PeerLink({
       ip: splitAddress(id).ip,
       port: signalPort,
       clock,
       times,
-      dialUs: times.silenceUs,
-      restUs: times.pulseUs,
+      dialUs: times.timeoutUs,
+      restUs: times.heartbeatUs,
       hello: this.hello,
     });
     this.links.set(id, link);
--- a/src/membership/update-publisher.ts
+++ b/src/membership/update-publisher.ts
@@ -1,42 +1,42 @@
-import type { Clock, Pulse } from "../common/clock.js";
-import { MS } from "../common/duration.js";
-import type { Message, Wire } from "../transport/connection.js";
-import type { Board } from "./update-store.js";
-import type { DepotAt } from "./node-sessions.js";
+import type { Clock, Timer } from "../common/clock.js";
+import { MILLISECOND_US } from "../common/duration.js";
+import type { Message, Connection } from "../transport/connection.js";
+import type { UpdateStore } from "./update-store.js";
+import type { CacheAddress } from "./node-sessions.js";
 
 /** How many live pointsmen there are, all in all and by cell. */
-export interface Crew {
+export interface ClusterSize {
   readonly pointsmen: number;
   readonly cells: Readonly<Record<string, number>>;
   /** The depots with a session; left out where there are none. */
-  readonly depots?: readonly DepotAt[];
+  readonly depots?: readonly CacheAddress[];
   /** The pointsmen that give large objects out to the others of their cell. */
-  readonly halls?: readonly DepotAt[];
+  readonly halls?: readonly CacheAddress[];
 }
 
-const GATHER_US = 4 * MS;
+const GATHER_US = 4 * MILLISECOND_US;
 
 /**
  * Hands the news on to the children of this node in the relay tree: everything on joining, then what changed.
  * Invariant: a child has been sent every fact of the board, but for those in `changed`, which the next pulse sends.
  */
-export class Feeder {
-  private readonly children = new Set<Wire>();
+export class UpdatePublisher {
+  private readonly children = new Set<Connection>();
   private readonly changed = new Set<string>();
   private readonly forgotten = new Set<string>();
-  private flushPulse: Pulse | undefined;
-  private crew: Crew = { pointsmen: 0, cells: {} };
+  private flushPulse: Timer | undefined;
+  private clusterSize: ClusterSize = { pointsmen: 0, cells: {} };
 
   constructor(
     private readonly clock: Clock,
-    private readonly board: Board,
+    private readonly updates: UpdateStore,
     private readonly isComplete: () => boolean,
   ) {
-    board.events.on("changed", (facts) => {
+    updates.events.on("changed", (facts) => {
       facts.forEach((fact) => this.changed.add(fact.key));
       this.flushSoon();
     });
-    board.events.on("forgotten", (keys) => {
+    updates.events.on("forgotten", (keys) => {
       keys.forEach((key) => this.forgotten.add(key));
       this.flushSoon();
     });
@@ -47,38 +47,38 @@
     return this.children.size;
   }
 
-  readonly adopt = (wire: Wire): void => {
-    this.children.add(wire);
-    wire.send(this.whole());
-    wire.send({ kind: "crew", ...this.crew });
+  readonly addChild = (connection: Connection): void => {
+    this.children.add(connection);
+    connection.send(this.snapshotMessage());
+    connection.send({ kind: "crew", ...this.clusterSize });
   };
 
-  readonly release = (wire: Wire): void => {
-    this.children.delete(wire);
+  readonly removeChild = (connection: Connection): void => {
+    this.children.delete(connection);
   };
 
-  readonly setCrew = (crew: Crew): void => {
-    if (JSON.stringify(crew) === JSON.stringify(this.crew)) return;
-    this.crew = crew;
-    this.sendAll({ kind: "crew", ...crew });
+  readonly setClusterSize = (clusterSize: ClusterSize): void => {
+    if (JSON.stringify(clusterSize) === JSON.stringify(this.clusterSize)) return;
+    this.clusterSize = clusterSize;
+    this.sendAll({ kind: "crew", ...clusterSize });
   };
 
   /** Tells that every purge acknowledged before so long ago is in what has been sent. */
-  readonly setFresh = (ageUs: number): void => {
+  readonly sendFreshness = (ageUs: number): void => {
     if (this.changed.size > 0) this.flush();
     this.sendAll({ kind: "fresh", ageUs });
   };
 
   /** Sends everything again, for instance once the registry has become complete. */
-  readonly sendWhole = (): void => this.sendAll(this.whole());
+  readonly sendSnapshot = (): void => this.sendAll(this.snapshotMessage());
 
-  readonly closeAll = (): void => this.children.forEach((wire) => wire.close());
+  readonly closeAll = (): void => this.children.forEach((connection) => connection.close());
 
-  private readonly whole = (): Message => ({
+  private readonly snapshotMessage = (): Message => ({
     kind: "news",
     whole: true,
     complete: this.isComplete(),
-    facts: this.board.pack(this.board.all()),
+    facts: this.updates.pack(this.updates.all()),
   });
 
   private readonly flushSoon = (): void => {
@@ -88,8 +88,8 @@
   private readonly flush = (): void => {
     this.flushPulse?.stop();
     this.flushPulse = undefined;
-    const facts = [...this.changed].flatMap((key) => this.board.get(key) ?? []);
-    const forget = [...this.forgotten].filter((key) => this.board.get(key) === undefined);
+    const facts = [...this.changed].flatMap((key) => this.updates.get(key) ?? []);
+    const forget = [...this.forgotten].filter((key) => this.updates.get(key) === undefined);
     this.changed.clear();
     this.forgotten.clear();
     if (facts.length + forget.length > 0)
@@ -97,19 +97,19 @@
         kind: "news",
         whole: false,
         complete: false,
-        facts: this.board.pack(facts),
+        facts: this.updates.pack(facts),
         forget,
       });
   };
 
   private readonly sendAll = (message: Message): void => {
     this.prune();
-    this.children.forEach((wire) => wire.send(message));
+    this.children.forEach((connection) => connection.send(message));
   };
 
   private readonly prune = (): void => {
-    this.children.forEach((wire) => {
-      if (wire.isClosed) this.children.delete(wire);
+    this.children.forEach((connection) => {
+      if (connection.isClosed) this.children.delete(connection);
     });
   };
 }
--- a/src/membership/update-store.ts
+++ b/src/membership/update-store.ts
@@ -1,39 +1,42 @@
 import Emittery from "emittery";
 import type { Clock } from "../common/clock.js";
-import { asRec, text, whole, type Rec } from "../common/decode.js";
+import { asRecord, readString, readNumber, type UnknownRecord } from "../common/decode.js";
 
 /**
  * A fact is what the data plane is told: a plan item held by a quorum, a worker, the ejections.
  * Invariant: for a key the higher (version, tie) wins, so facts may come twice, late and by any way.
  */
-export interface Fact {
+export interface Update {
   readonly key: string;
   readonly version: number;
   readonly tie: string;
-  readonly body: Rec;
+  readonly body: UnknownRecord;
   /** When it was first posted, on this process's own steady clock. */
   readonly sinceUs: number;
 }
 
-export type NewFact = Omit<Fact, "sinceUs">;
+export type NewUpdate = Omit<Update, "sinceUs">;
 
-const outranks = (one: NewFact, other: Fact | undefined): boolean =>
+const outranks = (one: NewUpdate, other: Update | undefined): boolean =>
   other === undefined ||
   one.version > other.version ||
   (one.version === other.version && one.tie > other.tie);
 
 /** All facts one process knows; merging only goes upward. */
-export class Board {
-  readonly events = new Emittery<{ changed: readonly Fact[]; forgotten: readonly string[] }>();
-  private readonly facts = new Map<string, Fact>();
+export class UpdateStore {
+  readonly events = new Emittery<{ changed: readonly Update[]; forgotten: readonly string[] }>();
+  private readonly facts = new Map<string, Update>();
 
   constructor(private readonly clock: Clock) {}
 
-  readonly get = (key: string): Fact | undefined => this.facts.get(key);
+  readonly get = (key: string): Update | undefined => this.facts.get(key);
 
-  readonly all = (): readonly Fact[] => [...this.facts.values()];
+  readonly all = (): readonly Update[] => [...this.facts.values()];
 
-  readonly post = (facts: readonly NewFact[], ageUs: (fact: NewFact) => number = () => 0): void => {
+  readonly post = (
+    facts: readonly NewUpdate[],
+    ageUs: (fact: NewUpdate) => number = () => 0,
+  ): void => {
     const nowUs = this.clock.nowUs();
     const changed = facts
       .filter((fact) => outranks(fact, this.facts.get(fact.key)))
@@ -47,7 +50,7 @@
     if (gone.length > 0) void this.events.emit("forgotten", gone);
   };
 
-  readonly pack = (facts: readonly Fact[]): readonly Rec[] => {
+  readonly pack = (facts: readonly Update[]): readonly UnknownRecord[] => {
     const nowUs = this.clock.nowUs();
     return facts.map(({ key, version, tie, body, sinceUs }) => ({
       key,
@@ -59,16 +62,16 @@
   };
 
   readonly take = (packed: readonly unknown[]): void => {
-    const ages = new Map<NewFact, number>();
+    const ages = new Map<NewUpdate, number>();
     const facts = packed.map((value) => {
-      const rec = asRec(value, "fact");
+      const record = asRecord(value, "fact");
       const fact = {
-        key: text(rec, "key"),
-        version: whole(rec, "version"),
-        tie: text(rec, "tie"),
-        body: asRec(rec["body"], "body"),
+        key: readString(record, "key"),
+        version: readNumber(record, "version"),
+        tie: readString(record, "tie"),
+        body: asRecord(record["body"], "body"),
       };
-      ages.set(fact, whole(rec, "ageUs"));
+      ages.set(fact, readNumber(record, "ageUs"));
       return fact;
     });
     this.post(facts, (fact) => ages.get(fact) ?? 0);
--- a/src/membership/update-subscriber.ts
+++ b/src/membership/update-subscriber.ts
@@ -1,35 +1,48 @@
 import Emittery from "emittery";
-import { Asks } from "../transport/pending-requests.js";
-import { rest, within, type Clock } from "../common/clock.js";
-import type { Log } from "../common/logger.js";
+import { PendingRequests } from "../transport/pending-requests.js";
+import { sleep, withTimeout, type Clock } from "../common/clock.js";
+import type { Logger } from "../common/logger.js";
 import { splitAddress } from "../common/settings.js";
-import { asList, asRec, flag, list, text, textOf, whole } from "../common/decode.js";
-import { MS } from "../common/duration.js";
-import { dial, type Message, type Wire, type WireTimes } from "../transport/connection.js";
-import { WORKER_PREFIX, type Board } from "./update-store.js";
-import type { Crew } from "./update-publisher.js";
-import { readCrew, type Role } from "./node-sessions.js";
+import {
+  asList,
+  asRecord,
+  readFlag,
+  readList,
+  readString,
+  asString,
+  readNumber,
+} from "../common/decode.js";
+import { MILLISECOND_US } from "../common/duration.js";
+import {
+  connectTo,
+  type Message,
+  type Connection,
+  type KeepAliveTimes,
+} from "../transport/connection.js";
+import { WORKER_PREFIX, type UpdateStore } from "./update-store.js";
+import type { ClusterSize } from "./update-publisher.js";
+import { readClusterSize, type NodeRole } from "./node-sessions.js";
 
-export interface TakerOptions {
+export interface UpdateSubscriberOptions {
   readonly name: string;
   readonly cell: string;
-  readonly role: Role;
+  readonly role: NodeRole;
   readonly linkMbps?: number;
   readonly relay: string;
   readonly seeds: readonly string[];
-  readonly signalPort: number;
+  readonly peerPort: number;
   readonly clock: Clock;
-  readonly times: WireTimes;
-  readonly board: Board;
-  readonly log: Log;
+  readonly times: KeepAliveTimes;
+  readonly updates: UpdateStore;
+  readonly log: Logger;
   /** Answers what a signalbox asks this node. */
   readonly answer?: (question: Message) => Message | undefined;
 }
 
 export type SessionState = "looking" | "greeting" | "standing";
 
-const LOOK_AGAIN_US = 150 * MS;
-const RELAY_WAIT_US = 600 * MS;
+const LOOK_AGAIN_US = 150 * MILLISECOND_US;
+const RELAY_WAIT_US = 600 * MILLISECOND_US;
 /** How many signalboxes are remembered, those told last first. */
 const MOST_BOXES = 32;
 const OTHERS_EVERY = 3;
@@ -38,9 +51,9 @@
  * A pointsman's way to the news: one session with a signalbox, and the news from it or from the relay it names.
  * Cut off, it goes on with the board as it is.
  */
-export class Taker {
+export class UpdateSubscriber {
   readonly events = new Emittery<{
-    crew: Crew;
+    crew: ClusterSize;
     whole: undefined;
     fresh: number;
     unfed: undefined;
@@ -53,18 +66,18 @@
     readonly isTold: boolean;
   }[] = [];
   private seeds: readonly string[];
-  private wire: Wire | undefined;
+  private connection: Connection | undefined;
   /** Invariant: set exactly while a relay feeds this node. */
-  private relayWire: Wire | undefined;
+  private relayConnection: Connection | undefined;
   private parent = "";
   private tried = new Map<string, number>();
   private stopping = false;
   /** How often a signalbox was looked for since the last session. */
   private looks = 0;
-  private readonly asks: Asks;
+  private readonly pendingRequests: PendingRequests;
 
-  constructor(private readonly options: TakerOptions) {
-    this.asks = new Asks(options.clock);
+  constructor(private readonly options: UpdateSubscriberOptions) {
+    this.pendingRequests = new PendingRequests(options.clock);
     this.seeds = options.seeds;
   }
 
@@ -74,8 +87,8 @@
   };
 
   /** Whether the news comes in, so that children may be fed. */
-  get isFed(): boolean {
-    return this.parent === "" ? this.state === "standing" : this.relayWire !== undefined;
+  get isUpToDate(): boolean {
+    return this.parent === "" ? this.state === "standing" : this.relayConnection !== undefined;
   }
 
   /** The relay that is to feed this node; empty where its signalbox does. */
@@ -84,65 +97,81 @@
   }
 
   /** Whether a session with a signalbox stands. */
-  get isStanding(): boolean {
+  get isConnected(): boolean {
     return this.state === "standing";
   }
 
   readonly run = async (): Promise<void> => {
-    for await (const state of this.life()) this.state = state;
+    for await (const state of this.states()) this.state = state;
   };
 
   readonly stop = (): void => {
     this.stopping = true;
-    this.wire?.close();
-    this.relayWire?.close();
+    this.connection?.close();
+    this.relayConnection?.close();
   };
 
   readonly report = (message: Message): void => {
-    if (this.state === "standing") this.wire?.send(message);
+    if (this.state === "standing") this.connection?.send(message);
   };
 
   /** Asks the signalbox; undefined when the session ends or the wait is over first. */
   readonly ask = (message: Message, waitUs: number): Promise<Message | undefined> => {
-    return this.state === "standing" && this.wire
-      ? this.asks.ask(this.wire.send, message, waitUs)
+    return this.state === "standing" && this.connection
+      ? this.pendingRequests.ask(this.connection.send, message, waitUs)
       : Promise.resolve(undefined);
   };
 
-  private async *life(): AsyncGenerator<SessionState, void, undefined> {
-    const { name, cell, relay, role, linkMbps, signalPort, clock, times, log } = this.options;
+  private async *states(): AsyncGenerator<SessionState, void, undefined> {
+    const {
+      name,
+      cell: zone,
+      relay,
+      role,
+      linkMbps,
+      peerPort: signalPort,
+      clock,
+      times,
+      log,
+    } = this.options;
     while (!this.stopping) {
       yield "looking";
-      const box = this.choose();
-      const wire = await dial(splitAddress(box).ip, signalPort, clock, times.silenceUs / 2, times);
-      if (wire) {
+      const controller = this.choose();
+      const connection = await connectTo(
+        splitAddress(controller).ip,
+        signalPort,
+        clock,
+        times.timeoutUs / 2,
+        times,
+      );
+      if (connection) {
         yield "greeting";
-        this.wire = wire;
-        wire.send({
+        this.connection = connection;
+        connection.send({
           kind: "pointsman",
-          node: { name, cell, relay, role, ...(linkMbps === undefined ? {} : { linkMbps }) },
+          node: { name, cell: zone, relay, role, ...(linkMbps === undefined ? {} : { linkMbps }) },
         });
-        const incoming = wire.incoming();
-        const first = await within(clock, times.silenceUs, incoming.next(), undefined);
+        const incoming = connection.incoming();
+        const first = await withTimeout(clock, times.timeoutUs, incoming.next(), undefined);
         if (first && !first.done) {
           this.learnBoxes(first.value);
           if (first.value.kind === "welcome") {
-            log.info(`Session with ${box} stands.`);
+            log.info(`Session with ${controller} stands.`);
             this.tried.clear();
             this.looks = 0;
             yield "standing";
             for await (const message of incoming) this.take(message);
-            log.info(`Session with ${box} is over.`);
+            log.info(`Session with ${controller} is over.`);
           }
         }
-        wire.close();
-        this.wire = undefined;
-        this.asks.drop();
+        connection.close();
+        this.connection = undefined;
+        this.pendingRequests.drop();
         yield "looking";
         this.sayUnfed();
       }
-      this.tried.set(box, clock.nowUs());
-      if (!this.stopping) await rest(clock, LOOK_AGAIN_US);
+      this.tried.set(controller, clock.nowUs());
+      if (!this.stopping) await sleep(clock, LOOK_AGAIN_US);
     }
   }
 
@@ -154,11 +183,13 @@
     this.looks += 1;
     const told = this.boxes.filter(({ isTold }) => isTold);
     const others = [...new Set([...this.boxes.map(({ id }) => id), ...this.seeds])].filter(
-      (id) => !told.some((box) => box.id === id),
+      (id) => !told.some((controller) => controller.id === id),
     );
     const isOthersTurn =
       told.length === 0 || (others.length > 0 && this.looks % OTHERS_EVERY === 0);
-    const near = new Set(told.filter(({ cell }) => cell === this.options.cell).map(({ id }) => id));
+    const near = new Set(
+      told.filter(({ cell: zone }) => zone === this.options.cell).map(({ id }) => id),
+    );
     const pool = isOthersTurn ? others : told.map(({ id }) => id);
     const scores = new Map(
       pool.map((id) => [
@@ -170,25 +201,25 @@
   };
 
   private readonly learnBoxes = (message: Message): void => {
-    const told = list(message, "boxes", asRec).map((rec) => ({
-      id: text(rec, "id"),
-      cell: text(rec, "cell"),
+    const told = readList(message, "boxes", asRecord).map((record) => ({
+      id: readString(record, "id"),
+      cell: readString(record, "cell"),
       isTold: true,
     }));
     const ids = new Set(told.map(({ id }) => id));
     const others = this.boxes
       .filter(({ id }) => !ids.has(id))
-      .map((box) => ({ ...box, isTold: false }));
+      .map((controller) => ({ ...controller, isTold: false }));
     this.boxes = [...told, ...others].slice(0, MOST_BOXES);
   };
 
   /** Without news of its own a relay feeds nobody. */
   private readonly sayUnfed = (): void => {
-    if (!this.isFed) void this.events.emit("unfed");
+    if (!this.isUpToDate) void this.events.emit("unfed");
   };
 
   private readonly take = (message: Message): void => {
-    if (this.asks.settle(message)) return;
+    if (this.pendingRequests.settle(message)) return;
     if (typeof message["ask"] === "number")
       return this.report({
         ...(this.options.answer?.(message) ?? { kind: "unknown" }),
@@ -198,32 +229,32 @@
       case "boxes":
         return this.learnBoxes(message);
       case "parent":
-        return this.follow(text(message, "parent"));
+        return this.follow(readString(message, "parent"));
       default:
         return this.takeNews(message);
     }
   };
 
   private readonly takeNews = (message: Message): void => {
-    const { board } = this.options;
-    if (message.kind === "crew") void this.events.emit("crew", readCrew(message));
-    if (message.kind === "fresh") void this.events.emit("fresh", whole(message, "ageUs"));
+    const { updates } = this.options;
+    if (message.kind === "crew") void this.events.emit("crew", readClusterSize(message));
+    if (message.kind === "fresh") void this.events.emit("fresh", readNumber(message, "ageUs"));
     if (message.kind !== "news") return;
     const facts = asList(message["facts"], "facts");
-    board.take(facts);
-    board.forget(list(message, "forget", textOf));
-    if (flag(message, "whole")) {
-      if (flag(message, "complete"))
-        this.forgetUntold(new Set(facts.map((fact) => text(asRec(fact), "key"))));
+    updates.take(facts);
+    updates.forget(readList(message, "forget", asString));
+    if (readFlag(message, "whole")) {
+      if (readFlag(message, "complete"))
+        this.forgetUntold(new Set(facts.map((fact) => readString(asRecord(fact), "key"))));
       void this.events.emit("whole");
     }
   };
 
   /** A complete telling names every worker there is; plan items never vanish, since drops stay as tombstones. */
   private readonly forgetUntold = (told: ReadonlySet<string>): void => {
-    const { board } = this.options;
-    board.forget(
-      board
+    const { updates } = this.options;
+    updates.forget(
+      updates
         .all()
         .map((fact) => fact.key)
         .filter((key) => key.startsWith(WORKER_PREFIX) && !told.has(key)),
@@ -232,27 +263,27 @@
 
   private readonly follow = (parent: string): void => {
     this.parent = parent;
-    this.relayWire?.close();
-    this.relayWire = undefined;
+    this.relayConnection?.close();
+    this.relayConnection = undefined;
     if (parent !== "") void this.feedFrom(parent);
   };
 
   private readonly feedFrom = async (parent: string): Promise<void> => {
     const { clock, times, name } = this.options;
     const { ip, port } = splitAddress(parent);
-    const wire = await dial(ip, port, clock, RELAY_WAIT_US, times);
-    if (wire && this.parent === parent) {
-      this.relayWire = wire;
-      wire.send({ kind: "child", name });
-      for await (const message of wire.incoming()) {
+    const connection = await connectTo(ip, port, clock, RELAY_WAIT_US, times);
+    if (connection && this.parent === parent) {
+      this.relayConnection = connection;
+      connection.send({ kind: "child", name });
+      for await (const message of connection.incoming()) {
         if (this.parent === parent) this.takeNews(message);
       }
-      if (this.relayWire === wire) {
-        this.relayWire = undefined;
+      if (this.relayConnection === connection) {
+        this.relayConnection = undefined;
         this.sayUnfed();
       }
     }
-    wire?.close();
+    connection?.close();
     if (this.parent === parent) this.report({ kind: "lost-news", parent });
   };
 }
--- a/src/membership/worker-registry.ts
+++ b/src/membership/worker-registry.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "../common/clock.js";
-import { asRec, text, whole, type Rec } from "../common/decode.js";
-import { parseSpan } from "../common/duration.js";
-import { WORKER_PREFIX, type Board, type NewFact } from "./update-store.js";
+import { asRecord, readString, readNumber, type UnknownRecord } from "../common/decode.js";
+import { parseDuration } from "../common/duration.js";
+import { WORKER_PREFIX, type UpdateStore, type NewUpdate } from "./update-store.js";
 
 export type WorkerState = "ready" | "missing" | "draining" | "gone";
 
@@ -9,7 +9,7 @@
 const RANK: Readonly<Record<WorkerState, number>> = { ready: 0, missing: 1, draining: 2, gone: 3 };
 const RANKS = 4;
 
-export interface Beat {
+export interface Heartbeat {
   readonly id: string;
   readonly service: string;
   readonly address: string;
@@ -27,44 +27,46 @@
   return "ready";
 };
 
-export const readBeat = (id: string, value: unknown): Beat => {
-  const rec = asRec(value, "the beat");
+export const readHeartbeat = (id: string, value: unknown): Heartbeat => {
+  const record = asRecord(value, "the beat");
   return {
     id,
-    service: text(rec, "service"),
-    address: text(rec, "address"),
-    cell: text(rec, "cell"),
-    version: typeof rec["version"] === "string" ? rec["version"] : "",
-    capacity: whole(rec, "capacity"),
-    state: stateOf(text(rec, "state")),
+    service: readString(record, "service"),
+    address: readString(record, "address"),
+    cell: readString(record, "cell"),
+    version: typeof record["version"] === "string" ? record["version"] : "",
+    capacity: readNumber(record, "capacity"),
+    state: stateOf(readString(record, "state")),
     warmUs:
-      typeof rec["warmUs"] === "number" ? rec["warmUs"] : parseSpan(rec["warmLeft"]).unwrapOr(0),
-    callCount: whole(rec, "callCount"),
+      typeof record["warmUs"] === "number"
+        ? record["warmUs"]
+        : parseDuration(record["warmLeft"]).unwrapOr(0),
+    callCount: readNumber(record, "callCount"),
   };
 };
 
-export const readSharedBeat = (value: unknown): Beat => {
-  const rec = asRec(value, "the beat");
-  return readBeat(text(rec, "id"), rec);
+export const readSharedHeartbeat = (value: unknown): Heartbeat => {
+  const record = asRecord(value, "the beat");
+  return readHeartbeat(readString(record, "id"), record);
 };
 
 interface Entry {
-  beat: Beat;
+  beat: Heartbeat;
   heardUs: number;
 }
 
-const factOf = (beat: Beat): NewFact => ({
-  key: WORKER_PREFIX + beat.id,
-  version: beat.callCount * RANKS + RANK[beat.state],
+const factOf = (heartbeat: Heartbeat): NewUpdate => ({
+  key: WORKER_PREFIX + heartbeat.id,
+  version: heartbeat.callCount * RANKS + RANK[heartbeat.state],
   tie: "",
   body: {
-    service: beat.service,
-    address: beat.address,
-    cell: beat.cell,
-    capacity: beat.capacity,
-    state: beat.state,
-    warmUs: beat.warmUs,
-    release: beat.version,
+    service: heartbeat.service,
+    address: heartbeat.address,
+    cell: heartbeat.cell,
+    capacity: heartbeat.capacity,
+    state: heartbeat.state,
+    warmUs: heartbeat.warmUs,
+    release: heartbeat.version,
   },
 });
 
@@ -75,21 +77,21 @@
  * The workers as their beats tell them. Only changes become facts; a beat that changes nothing only freshens.
  * Invariant: for one id the call count held never falls, and a worker that is draining or gone never becomes ready.
  */
-export class Registry {
+export class WorkerRegistry {
   private readonly entries = new Map<string, Entry>();
   /** Since when beats, and what colleagues share of them, have been able to come in. */
   private listeningSinceUs: number;
 
   constructor(
     private readonly clock: Clock,
-    private readonly board: Board,
+    private readonly updates: UpdateStore,
     private readonly heartbeatUs: number,
   ) {
     this.listeningSinceUs = clock.nowUs();
   }
 
   /** After a time in which beats could not come in: their lack says nothing, and workers may have come that aren't known here. */
-  readonly listenAnew = (): void => {
+  readonly restartListening = (): void => {
     this.listeningSinceUs = this.clock.nowUs();
   };
 
@@ -97,54 +99,59 @@
   readonly isComplete = (): boolean =>
     this.clock.nowUs() - this.listeningSinceUs > this.heartbeatUs * MISSING_BEATS;
 
-  readonly all = (): readonly Beat[] => [...this.entries.values()].map((entry) => entry.beat);
+  readonly all = (): readonly Heartbeat[] => [...this.entries.values()].map((entry) => entry.beat);
 
-  readonly get = (id: string): Beat | undefined => this.entries.get(id)?.beat;
+  readonly get = (id: string): Heartbeat | undefined => this.entries.get(id)?.beat;
 
   /** Takes up workers known before this start; those that are not heard soon go missing like any other. */
-  readonly recall = (beats: readonly Beat[]): void =>
-    beats.forEach((beat) => this.take({ ...beat, state: "ready", warmUs: 0 }));
+  readonly restore = (heartbeats: readonly Heartbeat[]): void =>
+    heartbeats.forEach((heartbeat) => this.take({ ...heartbeat, state: "ready", warmUs: 0 }));
 
   /**
    * Takes a beat, heard here or shared after `ageUs` elsewhere; false if it is old. One so old that its worker is missing
    * counts as such at once: a colleague that was cut off tells of workers long gone.
    */
-  readonly take = (told: Beat, ageUs = 0): boolean => {
+  readonly take = (told: Heartbeat, ageUs = 0): boolean => {
     const nowUs = this.clock.nowUs() - ageUs;
-    const beat: Beat =
+    const heartbeat: Heartbeat =
       told.state === "ready" && ageUs > this.heartbeatUs * MISSING_BEATS
         ? { ...told, state: "missing" }
         : told;
-    const before = this.entries.get(beat.id);
+    const before = this.entries.get(heartbeat.id);
     if (!before) {
       if (ageUs > this.heartbeatUs * TOMBSTONE_BEATS) return false;
-      this.entries.set(beat.id, { beat, heardUs: nowUs });
-      this.board.post([factOf(beat)]);
+      this.entries.set(heartbeat.id, { beat: heartbeat, heardUs: nowUs });
+      this.updates.post([factOf(heartbeat)]);
       return true;
     }
     if (before.beat.state === "gone") return false;
-    const rises = beat.callCount > before.beat.callCount;
+    const rises = heartbeat.callCount > before.beat.callCount;
     const sinks =
-      beat.callCount === before.beat.callCount && RANK[beat.state] > RANK[before.beat.state];
+      heartbeat.callCount === before.beat.callCount &&
+      RANK[heartbeat.state] > RANK[before.beat.state];
     if (!rises && !sinks) return false;
     const state =
-      before.beat.state === "draining" && beat.state !== "gone" ? "draining" : beat.state;
+      before.beat.state === "draining" && heartbeat.state !== "gone" ? "draining" : heartbeat.state;
     const changed =
       state !== before.beat.state ||
-      beat.address !== before.beat.address ||
-      beat.service !== before.beat.service;
-    before.beat = { ...beat, state };
+      heartbeat.address !== before.beat.address ||
+      heartbeat.service !== before.beat.service;
+    before.beat = { ...heartbeat, state };
     before.heardUs = Math.max(nowUs, before.heardUs);
-    if (changed) this.board.post([factOf(before.beat)]);
+    if (changed) this.updates.post([factOf(before.beat)]);
     return true;
   };
 
-  readonly leave = (id: string): Beat | undefined => {
+  readonly leave = (id: string): Heartbeat | undefined => {
     const before = this.entries.get(id);
     if (!before) return undefined;
-    const beat: Beat = { ...before.beat, state: "gone", callCount: before.beat.callCount + 1 };
-    this.take(beat);
-    return beat;
+    const heartbeat: Heartbeat = {
+      ...before.beat,
+      state: "gone",
+      callCount: before.beat.callCount + 1,
+    };
+    this.take(heartbeat);
+    return heartbeat;
   };
 
   readonly drop = (id: string): void => {
@@ -152,10 +159,10 @@
     if (entry) this.take({ ...entry.beat, state: "gone" });
   };
 
-  readonly packAll = (): readonly Rec[] => {
+  readonly packAll = (): readonly UnknownRecord[] => {
     const nowUs = this.clock.nowUs();
-    return [...this.entries.values()].map(({ beat, heardUs }) => ({
-      ...beat,
+    return [...this.entries.values()].map(({ beat: heartbeat, heardUs }) => ({
+      ...heartbeat,
       ageUs: nowUs - heardUs,
     }));
   };
@@ -167,10 +174,10 @@
       const silentUs = nowUs - Math.max(entry.heardUs, this.listeningSinceUs);
       if (silentUs > this.heartbeatUs * TOMBSTONE_BEATS) {
         this.entries.delete(id);
-        this.board.forget([WORKER_PREFIX + id]);
+        this.updates.forget([WORKER_PREFIX + id]);
       } else if (silentUs > this.heartbeatUs * MISSING_BEATS && entry.beat.state === "ready") {
         entry.beat = { ...entry.beat, state: "missing" };
-        this.board.post([factOf(entry.beat)]);
+        this.updates.post([factOf(entry.beat)]);
       }
     });
   };
--- a/src/programs/cache/cache.ts
+++ b/src/programs/cache/cache.ts
@@ -1,83 +1,92 @@
-import { FaultCounts } from "../../health/fault-counters.js";
-import { Copies, keyOf, type Copy } from "../../cache/cached-objects.js";
-import { copyIn, Counter, packWant } from "../../cache/object-server.js";
-import { Depots, ownerOf } from "../../cache/peer-caches.js";
+import { FaultCounters } from "../../health/fault-counters.js";
+import { CachedObjects, keyOf, type CachedObject } from "../../cache/cached-objects.js";
+import { copyIn, ObjectServer, packWant } from "../../cache/object-server.js";
+import { PeerCaches, ownerOf } from "../../cache/peer-caches.js";
 import { Freshness } from "../../cache/freshness.js";
-import { Origin } from "../../cache/origin-fetch.js";
-import { RateKeeper } from "../../quota/rate-lease-renewer.js";
-import { RateShare } from "../../quota/rate-limiter.js";
-import { Store, type Found, type Want } from "../../cache/object-store.js";
-import type { Member } from "../data-plane-node.js";
-import { joinNews } from "../data-plane-node.js";
-import { Chooser } from "../../proxy/load-balancer.js";
+import { OriginFetcher } from "../../cache/origin-fetch.js";
+import { RateLeaseRenewer } from "../../quota/rate-lease-renewer.js";
+import { RateLimiter } from "../../quota/rate-limiter.js";
+import { ObjectStore, type Found, type Want } from "../../cache/object-store.js";
+import type { DataPlaneNode } from "../data-plane-node.js";
+import { joinCluster } from "../data-plane-node.js";
+import { LoadBalancer } from "../../proxy/load-balancer.js";
 import { RouteTable } from "../../proxy/route-table.js";
-import { Yard } from "../../proxy/connection-pool.js";
+import { ConnectionPool } from "../../proxy/connection-pool.js";
 import type { Clock } from "../../common/clock.js";
-import { logFor } from "../../common/logger.js";
+import { loggerFor } from "../../common/logger.js";
 import type { Settings } from "../../common/settings.js";
-import { SECOND } from "../../common/duration.js";
-import type { Message, Wire } from "../../transport/connection.js";
+import { SECOND_US } from "../../common/duration.js";
+import type { Message, Connection } from "../../transport/connection.js";
 import { followPurges } from "../purge-subscriber.js";
 import { openRetryBudgets } from "../gateway/retry-budgets.js";
-import type { Running } from "../running-program.js";
+import type { RunningProgram } from "../running-program.js";
 
 const MB = 1024 * 1024;
 const DEFAULT_MEMORY_MB = 512;
 /** The copies take at most this part of the memory. */
 const COPIES_PART = 0.35;
 /** For how long another depot is waited for, before the origin is read instead. */
-const OWNER_WAIT_US = SECOND;
+const OWNER_WAIT_US = SECOND_US;
 const MOST_OBJECT_BYTES = 16 * MB;
-const REPORT_US = 2 * SECOND;
+const REPORT_US = 2 * SECOND_US;
 
 /** Puts the shared cache together on one machine. */
-export const runDepot = async (settings: Settings, clock: Clock): Promise<Running> => {
-  const log = logFor("depot");
-  const serve = (wire: Wire, hello: Message, incoming: AsyncIterable<Message>): Promise<void> =>
-    counter.serve(wire, hello, incoming);
-  const { board, taker, relay }: Member = joinNews(
+export const runCache = async (settings: Settings, clock: Clock): Promise<RunningProgram> => {
+  const log = loggerFor("depot");
+  const serve = (
+    connection: Connection,
+    hello: Message,
+    incoming: AsyncIterable<Message>,
+  ): Promise<void> => counter.serve(connection, hello, incoming);
+  const { updates, subscriber, relay }: DataPlaneNode = joinCluster(
     settings,
     clock,
     "depot",
     { goods: serve },
     (question) =>
-      question.kind === "retries" ? { kind: "retries", rows: budgets.tell() } : undefined,
+      question.kind === "retries" ? { kind: "retries", rows: retryBudgets.tell() } : undefined,
   );
   const table = new RouteTable();
-  const yard = new Yard(clock, settings.name, settings.cell);
+  const pool = new ConnectionPool(clock, settings.name, settings.zone);
   const life = `${process.pid}-${clock.nowUs()}-${Math.random()}`;
-  const counts = new FaultCounts(life);
-  let crew = { depots: 1, here: 1 };
+  const counts = new FaultCounters(life);
+  let clusterSize = { depots: 1, here: 1 };
 
-  const budgets = openRetryBudgets(settings, clock, board, taker, life);
-  const rate = new RateShare(clock, (service) => table.service(service)?.ratePerS ?? 0);
+  const retryBudgets = openRetryBudgets(settings, clock, updates, subscriber, life);
+  const rate = new RateLimiter(clock, (service) => table.service(service)?.ratePerS ?? 0);
   const freshness = new Freshness({
     clock,
     purgeUs: settings.purgeUs,
     stretchUs: settings.stretchUs,
-    isFed: () => taker.isFed,
+    isFed: () => subscriber.isUpToDate,
   });
-  const copies = new Copies(clock, (settings.memoryMb || DEFAULT_MEMORY_MB) * MB * COPIES_PART);
-  const chooser = new Chooser({
-    yard,
-    cell: settings.cell,
+  const copies = new CachedObjects(
+    clock,
+    (settings.memoryMb || DEFAULT_MEMORY_MB) * MB * COPIES_PART,
+  );
+  const chooser = new LoadBalancer({
+    pool,
+    cell: settings.zone,
     random: Math.random,
     connectionShare: (service) =>
-      Math.max(1, Math.floor((table.service(service)?.maxConnections ?? 16) / (2 * crew.depots))),
+      Math.max(
+        1,
+        Math.floor((table.service(service)?.maxConnections ?? 16) / (2 * clusterSize.depots)),
+      ),
   });
-  const origin = new Origin({
+  const origin = new OriginFetcher({
     clock,
-    yard,
+    pool,
     chooser,
     rate,
-    budgets,
+    budgets: retryBudgets,
     countFault: counts.count,
     mostBytes: MOST_OBJECT_BYTES,
   });
   const here = `${settings.ip}:${settings.relayPort}`;
-  const others = new Depots(clock);
+  const others = new PeerCaches(clock);
   let addresses: readonly string[] = [here];
-  const ownStore = new Store({
+  const ownStore = new ObjectStore({
     clock,
     copies,
     isFresh: freshness.isFresh,
@@ -85,7 +94,7 @@
     source: origin.fetch,
   });
   /** The object's owner among all depots reads the origin; another asks it, and sends the body over only once a version. */
-  const fetch = async (want: Want, old: Copy | undefined): Promise<Found> => {
+  const fetch = async (want: Want, old: CachedObject | undefined): Promise<Found> => {
     const owner = ownerOf(keyOf(want), addresses);
     const askedUs = clock.nowUs();
     const isOwn = owner === undefined || owner === here;
@@ -103,30 +112,30 @@
       : {
           kind: "none",
           why: reply["none"] === "rate" ? "rate" : "full",
-          comeBackUs: want.aimUs / 4,
+          comeBackUs: want.latencyTargetUs / 4,
         };
   };
-  const store = new Store({
+  const store = new ObjectStore({
     clock,
     copies,
     isFresh: freshness.isFresh,
     slackUs: settings.staleSlackUs / 2,
     source: fetch,
   });
-  const counter = new Counter({ clock, store, ownStore, rate, log });
+  const counter = new ObjectServer({ clock, store, ownStore, rate, log });
 
-  board.events.on("changed", (facts) => {
+  updates.events.on("changed", (facts) => {
     table.take(facts);
-    yard.take(facts);
+    pool.take(facts);
   });
-  board.events.on("forgotten", (keys) => {
-    yard.forget(keys);
+  updates.events.on("forgotten", (keys) => {
+    pool.forget(keys);
     keys.forEach((key) => counts.forget(key));
   });
   const follow = followPurges({
     clock,
-    board,
-    taker,
+    updates,
+    subscriber,
     freshness,
     copies,
     detach: () => {
@@ -134,34 +143,34 @@
       ownStore.detach();
     },
   });
-  taker.events.on("crew", (told) => {
+  subscriber.events.on("crew", (told) => {
     const depots = told.depots ?? [];
     addresses = [
       here,
       ...depots.map(({ address }) => address).filter((address) => address !== here),
     ];
     others.learn(depots.filter(({ address }) => address !== here));
-    crew = {
+    clusterSize = {
       depots: Math.max(1, depots.length),
-      here: Math.max(1, depots.filter(({ cell }) => cell === settings.cell).length),
+      here: Math.max(1, depots.filter(({ cell: zone }) => zone === settings.zone).length),
     };
-    yard.setNodes({ here: crew.here, everywhere: crew.depots });
+    pool.setNodes({ here: clusterSize.here, everywhere: clusterSize.depots });
   });
-  const keeper = new RateKeeper({
+  const keeper = new RateLeaseRenewer({
     clock,
     rate,
     life,
     who: "depot",
-    ask: taker.ask,
+    ask: subscriber.ask,
     wants: () => true,
   });
   await relay.listen(settings.ip, settings.relayPort);
-  void taker.run();
+  void subscriber.run();
   keeper.start();
   const report = clock.every(REPORT_US, () => {
     const message = counts.takeReport();
-    if (message) taker.report(message);
-    taker.report({
+    if (message) subscriber.report(message);
+    subscriber.report({
       kind: "goods",
       counts: {
         ...store.counts,
@@ -176,18 +185,18 @@
         share: rate.share,
       },
     });
-    yard.trim();
+    pool.trim();
   });
   log.info(`Up at ${settings.ip}:${settings.relayPort}.`);
   return {
-    renew: ({ seedNodes }) => taker.renewSeeds(seedNodes),
+    renew: ({ seedNodes }) => subscriber.renewSeeds(seedNodes),
     stop: async () => {
       log.info("Leaving.");
       report.stop();
       follow.stop();
       keeper.stop();
       others.stop();
-      taker.stop();
+      subscriber.stop();
       relay.close();
     },
   };
--- a/src/programs/controller/admin-api.ts
+++ b/src/programs/controller/admin-api.ts
@@ -1,50 +1,54 @@
 import { err, ok, type Result } from "true-myth/result";
 import {
-  layOut,
-  readCallInTurns,
+  toConfigDocument,
+  parseChangeInTurns,
   unknownService,
-  isPlanKey,
-  type PlanMishap,
+  isConfigKey,
+  type ConfigError,
 } from "../../config/validation.js";
-import type { Ledger, LedgerMishap } from "../../consensus/replicated-store.js";
+import type { ReplicatedStore, ReplicatedStoreError } from "../../consensus/replicated-store.js";
 import type { Register } from "../../consensus/register.js";
-import { readBeat, type Beat, type Registry } from "../../membership/worker-registry.js";
+import {
+  readHeartbeat,
+  type Heartbeat,
+  type WorkerRegistry,
+} from "../../membership/worker-registry.js";
 import type { OutcomeName } from "../../common/http-outcomes.js";
-import { isRec, parseJson, type Rec } from "../../common/decode.js";
-import { parseSpan } from "../../common/duration.js";
-import type { Call, Entry, Verdict } from "../http-api.js";
+import { isRecord, parseJson, type UnknownRecord } from "../../common/decode.js";
+import { parseDuration } from "../../common/duration.js";
+import type { ApiRequest, ApiRoute, ApiResponse } from "../http-api.js";
 
 /** What can go wrong with a call, in this layer's own words. */
-export type CallMishap = { readonly outcome: OutcomeName; readonly sentence: string };
+export type AdminApiError = { readonly outcome: OutcomeName; readonly sentence: string };
 
-const ofPlan = (mishap: PlanMishap): CallMishap => ({
-  outcome: mishap.kind === "unreadable" ? "unreadable" : "wrong",
-  sentence: mishap.sentence,
+const ofPlan = (error: ConfigError): AdminApiError => ({
+  outcome: error.kind === "unreadable" ? "unreadable" : "wrong",
+  sentence: error.sentence,
 });
 
 /** Only what can never be in force is refused; all else has no clear answer. */
-const ofLedger = (mishap: LedgerMishap): CallMishap => {
-  switch (mishap.kind) {
+const ofLedger = (error: ReplicatedStoreError): AdminApiError => {
+  switch (error.kind) {
     case "conflict":
       return {
         outcome: "versionTaken",
-        sentence: `${mishap.key.replace("/", " ")} at version ${mishap.version} is already agreed with another content`,
+        sentence: `${error.key.replace("/", " ")} at version ${error.version} is already agreed with another content`,
       };
     case "invalid":
-      return { outcome: "wrong", sentence: mishap.sentence };
+      return { outcome: "wrong", sentence: error.sentence };
     case "no-quorum":
       return {
         outcome: "noQuorum",
-        sentence: `only ${mishap.held} of ${mishap.needed} copies answered well`,
+        sentence: `only ${error.held} of ${error.needed} copies answered well`,
       };
     case "stale":
-      return { outcome: "noQuorum", sentence: `the ${mishap.what} is stale` };
+      return { outcome: "noQuorum", sentence: `the ${error.what} is stale` };
     case "unclear":
-      return { outcome: "noQuorum", sentence: mishap.sentence };
+      return { outcome: "noQuorum", sentence: error.sentence };
   }
 };
 
-const verdictOf = (result: Result<Rec, CallMishap>): Verdict =>
+const verdictOf = (result: Result<UnknownRecord, AdminApiError>): ApiResponse =>
   result.isOk
     ? { outcome: "taken", body: result.value }
     : { outcome: result.error.outcome, body: { problem: result.error.sentence } };
@@ -53,15 +57,15 @@
 const readPurge = (
   body: string,
 ): Result<{ readonly host: string; readonly path: string; readonly label: string }, string> => {
-  let rec: Rec;
+  let record: UnknownRecord;
   try {
     const value = parseJson(body);
-    if (!isRec(value)) return err("the purge is no JSON table");
-    rec = value;
+    if (!isRecord(value)) return err("the purge is no JSON table");
+    record = value;
   } catch {
     return err("the purge is no whole JSON table");
   }
-  const { host, path, label } = rec;
+  const { host, path, label } = record;
   if (label !== undefined && host === undefined && path === undefined)
     return typeof label === "string" && label !== ""
       ? ok({ host: "", path: "", label })
@@ -72,17 +76,17 @@
   return ok({ host: host.toLowerCase(), path, label: "" });
 };
 
-export interface ControlOptions {
-  readonly ledger: Ledger;
-  readonly registry: Registry;
+export interface AdminApiOptions {
+  readonly store: ReplicatedStore;
+  readonly registry: WorkerRegistry;
   /** Whether this signalbox believes itself cut off: reason enough to refuse at once, while the contrary proves nothing. */
   readonly isAdrift: () => boolean;
   /** True once a majority was heard after the call. */
   readonly hearMajority: () => Promise<boolean>;
   /** Tells the colleagues of beats; true once a majority was heard after the call, or, where it `waits`, once a quorum holds them too. */
-  readonly share: (beats: readonly Beat[], waits: boolean) => Promise<boolean>;
+  readonly share: (heartbeats: readonly Heartbeat[], waits: boolean) => Promise<boolean>;
   /** Where a worker of this cell should send its later beats, if not here: a signalbox that hears a majority too. */
-  readonly reportTo: (cell: string) => Promise<string | undefined>;
+  readonly reportTo: (zone: string) => Promise<string | undefined>;
   /** Makes a purge durable and sends it out; left out where objects are not kept. */
   readonly purge?: (what: {
     readonly host: string;
@@ -93,38 +97,38 @@
 
 /** What changes something. Nothing is acknowledged without a majority heard after the call came. */
 export class Commands {
-  constructor(private readonly options: ControlOptions) {}
+  constructor(private readonly options: AdminApiOptions) {}
 
-  readonly changePlan = async (call: Call): Promise<Verdict> => {
-    const read = await readCallInTurns(call.body);
+  readonly changePlan = async (call: ApiRequest): Promise<ApiResponse> => {
+    const read = await parseChangeInTurns(call.body);
     if (read.isErr) return verdictOf(err(ofPlan(read.error)));
     const written = await this.write(read.value);
     return verdictOf(written);
   };
 
-  readonly beat = async (call: Call): Promise<Verdict> => {
+  readonly beat = async (call: ApiRequest): Promise<ApiResponse> => {
     const { registry, isAdrift, share, reportTo } = this.options;
-    let beat: Beat;
+    let heartbeat: Heartbeat;
     try {
-      beat = readBeat(call.segments[1] ?? "", parseJson(call.body));
-    } catch (mishap) {
+      heartbeat = readHeartbeat(call.segments[1] ?? "", parseJson(call.body));
+    } catch (error) {
       return {
         outcome: "wrong",
-        body: { problem: mishap instanceof Error ? mishap.message : "unreadable" },
+        body: { problem: error instanceof Error ? error.message : "unreadable" },
       };
     }
     if (isAdrift()) return { outcome: "adrift" };
-    registry.take(beat);
-    const held = registry.get(beat.id) ?? beat;
+    registry.take(heartbeat);
+    const held = registry.get(heartbeat.id) ?? heartbeat;
     const [isShared, address] = await Promise.all([
-      share([held], beat.state !== "ready"),
-      reportTo(beat.cell),
+      share([held], heartbeat.state !== "ready"),
+      reportTo(heartbeat.cell),
     ]);
     if (!isShared) return { outcome: "noQuorum" };
     return { outcome: "taken", body: address === undefined ? {} : { reportTo: address } };
   };
 
-  readonly leave = async (call: Call): Promise<Verdict> => {
+  readonly leave = async (call: ApiRequest): Promise<ApiResponse> => {
     const { registry, isAdrift, hearMajority, share } = this.options;
     if (isAdrift()) return { outcome: "adrift" };
     const left = registry.leave(call.segments[1] ?? "");
@@ -133,7 +137,7 @@
       : { outcome: "noQuorum" };
   };
 
-  readonly purge = async (call: Call): Promise<Verdict> => {
+  readonly purge = async (call: ApiRequest): Promise<ApiResponse> => {
     const { purge, hearMajority } = this.options;
     const read = readPurge(call.body);
     if (read.isErr) return { outcome: "wrong", body: { problem: read.error } };
@@ -142,8 +146,10 @@
     return { outcome: isHeld && isHeard ? "taken" : "noQuorum" };
   };
 
-  private readonly write = async (call: readonly Register[]): Promise<Result<Rec, CallMishap>> => {
-    const written = await this.options.ledger.offer(call, (get) => {
+  private readonly write = async (
+    call: readonly Register[],
+  ): Promise<Result<UnknownRecord, AdminApiError>> => {
+    const written = await this.options.store.propose(call, (get) => {
       const unknown = unknownService(call, get);
       return unknown === undefined ? undefined : `a route names the unknown service ${unknown}`;
     });
@@ -156,24 +162,26 @@
 /** What only tells something: of the fleet with a majority heard after the call came, of this copy at any time. */
 export class Queries {
   constructor(
-    private readonly ledger: Ledger,
+    private readonly store: ReplicatedStore,
     private readonly ofFleet: Tellers,
     private readonly ofThisCopy: Tellers,
   ) {}
 
-  readonly readPlan = async (): Promise<Verdict> => {
-    const read = await this.ledger.read();
+  readonly readPlan = async (): Promise<ApiResponse> => {
+    const read = await this.store.read();
     const plan = read
       .mapErr(ofLedger)
-      .map(() => layOut(this.ledger.all().filter((register) => isPlanKey(register.key))));
+      .map(() =>
+        toConfigDocument(this.store.all().filter((register) => isConfigKey(register.key))),
+      );
     return verdictOf(plan);
   };
 
-  readonly tell = async (call: Call): Promise<Verdict> => {
+  readonly tell = async (call: ApiRequest): Promise<ApiResponse> => {
     const what = call.segments[1] ?? "";
     const teller = this.ofThisCopy[what] ?? this.ofFleet[what];
     if (!teller) return { outcome: "unknownCall" };
-    if (this.ofThisCopy[what] === undefined && !(await this.ledger.contact()))
+    if (this.ofThisCopy[what] === undefined && !(await this.store.confirmQuorum()))
       return { outcome: "noMajority" };
     return { outcome: "taken", body: { [what]: await teller() } };
   };
@@ -183,10 +191,10 @@
 export interface Orders {
   readonly shift: (cell: string, why: string) => Promise<boolean>;
   readonly clearRollout: (route: string, version: number | undefined) => Promise<OutcomeName>;
-  readonly window: (order: WindowCall) => Promise<Verdict>;
-  readonly setRetries: (order: Rec) => Promise<Verdict>;
-  readonly forecastBackends: (order: Rec) => Promise<Verdict>;
-  readonly seenBackends: (order: Rec) => Promise<Verdict>;
+  readonly window: (order: WindowCall) => Promise<ApiResponse>;
+  readonly setRetries: (order: UnknownRecord) => Promise<ApiResponse>;
+  readonly forecastBackends: (order: UnknownRecord) => Promise<ApiResponse>;
+  readonly seenBackends: (order: UnknownRecord) => Promise<ApiResponse>;
 }
 
 export type WindowCall =
@@ -199,46 +207,46 @@
   | { readonly what: "cancel"; readonly id: string }
   | { readonly what: "extend"; readonly id: string; readonly byUs: number };
 
-const bodyOf = (call: Call): Rec => {
+const bodyOf = (call: ApiRequest): UnknownRecord => {
   try {
     const value = parseJson(call.body);
-    return isRec(value) ? value : {};
+    return isRecord(value) ? value : {};
   } catch {
     return {};
   }
 };
 
-const shiftCell = async (orders: Orders, call: Call): Promise<Verdict> => {
-  const { cell, why } = bodyOf(call);
-  if (typeof cell !== "string") return { outcome: "wrong", body: { problem: "cell must be text" } };
+const shiftCell = async (orders: Orders, call: ApiRequest): Promise<ApiResponse> => {
+  const { cell: zone, why } = bodyOf(call);
+  if (typeof zone !== "string") return { outcome: "wrong", body: { problem: "cell must be text" } };
   return {
-    outcome: (await orders.shift(cell, why === "practice" ? why : "by hand"))
+    outcome: (await orders.shift(zone, why === "practice" ? why : "by hand"))
       ? "taken"
       : "noQuorum",
   };
 };
 
-const clearRollout = async (orders: Orders, call: Call): Promise<Verdict> => {
+const clearRollout = async (orders: Orders, call: ApiRequest): Promise<ApiResponse> => {
   const { version } = bodyOf(call);
   if (version !== undefined && typeof version !== "number")
     return { outcome: "wrong", body: { problem: "version must be a number" } };
   return { outcome: await orders.clearRollout(call.segments[1] ?? "", version) };
 };
 
-const span = (value: unknown): number => parseSpan(value).unwrapOr(Number.NaN);
+const span = (value: unknown): number => parseDuration(value).unwrapOr(Number.NaN);
 
-const addWindow = async (orders: Orders, call: Call): Promise<Verdict> => {
-  const { cell, opens, lasts } = bodyOf(call);
+const addWindow = async (orders: Orders, call: ApiRequest): Promise<ApiResponse> => {
+  const { cell: zone, opens, lasts } = bodyOf(call);
   const [opensUs, lastsUs] = [span(opens), span(lasts)];
-  if (typeof cell !== "string" || Number.isNaN(opensUs) || Number.isNaN(lastsUs))
+  if (typeof zone !== "string" || Number.isNaN(opensUs) || Number.isNaN(lastsUs))
     return {
       outcome: "wrong",
       body: { problem: "cell must be text, opens and lasts spans such as 90s" },
     };
-  return orders.window({ what: "add", cell, opensUs, lastsUs });
+  return orders.window({ what: "add", cell: zone, opensUs, lastsUs });
 };
 
-const extendWindow = async (orders: Orders, call: Call): Promise<Verdict> => {
+const extendWindow = async (orders: Orders, call: ApiRequest): Promise<ApiResponse> => {
   const byUs = span(bodyOf(call)["by"]);
   if (Number.isNaN(byUs))
     return { outcome: "wrong", body: { problem: "by must be a span such as 90s" } };
@@ -249,7 +257,7 @@
   commands: Commands,
   queries: Queries,
   orders: Orders,
-): readonly Entry[] => [
+): readonly ApiRoute[] => [
   { method: "POST", path: "/plan/change", act: commands.changePlan },
   { method: "GET", path: "/plan/read", act: queries.readPlan },
   { method: "POST", path: "/workers/*/heartbeat", act: commands.beat },
--- a/src/programs/controller/backend-forecast.ts
+++ b/src/programs/controller/backend-forecast.ts
@@ -1,4 +1,4 @@
-import type { Registry } from "../../membership/worker-registry.js";
+import type { WorkerRegistry } from "../../membership/worker-registry.js";
 import type { NodeAnswer } from "../../membership/node-sessions.js";
 import { CALLS_WINDOW_US } from "../../proxy/request-counters.js";
 import {
@@ -9,52 +9,63 @@
   unevennessOf,
   type BackendChange,
 } from "../../proxy/reassignment-forecast.js";
-import { asRec, list, numberOf, text, textOf, whole, type Rec } from "../../common/decode.js";
-import { SECOND } from "../../common/duration.js";
+import {
+  asRecord,
+  readList,
+  asNumber,
+  readString,
+  asString,
+  readNumber,
+  type UnknownRecord,
+} from "../../common/decode.js";
+import { SECOND_US } from "../../common/duration.js";
 import type { Message } from "../../transport/connection.js";
-import type { Verdict } from "../http-api.js";
+import type { ApiResponse } from "../http-api.js";
 import { readBackendChange } from "../gateway/node-queries.js";
 
 /** A worker whose slots would be in use beyond this part is named. */
 const LOADED_PART = 0.8;
 
 export interface BackendsOptions {
-  readonly registry: Registry;
+  readonly registry: WorkerRegistry;
   readonly cells: () => readonly string[];
   readonly askNodes: (question: Message) => Promise<readonly NodeAnswer[]>;
 }
 
 export interface Backends {
-  readonly forecast: (order: Rec) => Promise<Verdict>;
-  readonly seen: (order: Rec) => Promise<Verdict>;
+  readonly forecast: (order: UnknownRecord) => Promise<ApiResponse>;
+  readonly seen: (order: UnknownRecord) => Promise<ApiResponse>;
 }
 
-const wrong = (problem: string): Verdict => ({ outcome: "wrong", body: { problem } });
-const weighted = (rows: readonly Rec[], field: string): number => {
-  const calls = rows.reduce((sum, row) => sum + whole(row, "calls"), 0);
+const wrong = (problem: string): ApiResponse => ({ outcome: "wrong", body: { problem } });
+const weighted = (rows: readonly UnknownRecord[], field: string): number => {
+  const calls = rows.reduce((sum, row) => sum + readNumber(row, "calls"), 0);
   return (
-    rows.reduce((sum, row) => sum + whole(row, field) * whole(row, "calls"), 0) / Math.max(1, calls)
+    rows.reduce((sum, row) => sum + readNumber(row, field) * readNumber(row, "calls"), 0) /
+    Math.max(1, calls)
   );
 };
 
 /** Adds the nodes' rows of one kind up. All nodes see the same quick and slow workers, so their bands don't even out. */
-const fleetRow = (rows: readonly Rec[], unevenness: number): Rec => {
-  const calls = rows.reduce((sum, row) => sum + whole(row, "calls"), 0);
+const fleetRow = (rows: readonly UnknownRecord[], unevenness: number): UnknownRecord => {
+  const calls = rows.reduce((sum, row) => sum + readNumber(row, "calls"), 0);
   const first = rows[0] ?? {};
-  const draws = rows.map((row) => list(row, "draws", numberOf));
+  const draws = rows.map((row) => readList(row, "draws", asNumber));
   const fleetDraws = (draws[0] ?? []).map(
     (_share, at) =>
-      rows.reduce((sum, row, which) => sum + (draws[which]?.[at] ?? 0) * whole(row, "calls"), 0) /
-      Math.max(1, calls),
+      rows.reduce(
+        (sum, row, which) => sum + (draws[which]?.[at] ?? 0) * readNumber(row, "calls"),
+        0,
+      ) / Math.max(1, calls),
   );
   const moved = weighted(rows, "moved");
   const band = fleetDraws.length > 1 ? joinBandOf(moved, calls, unevenness) : bandOf(moved, calls);
   const toCells: Record<string, number> = {};
   rows.forEach((row) =>
-    Object.entries(asRec(row["toCells"])).forEach(
-      ([cell, share]) =>
-        (toCells[cell] =
-          (toCells[cell] ?? 0) + (numberOf(share) * whole(row, "calls")) / Math.max(1, calls)),
+    Object.entries(asRecord(row["toCells"])).forEach(
+      ([zone, share]) =>
+        (toCells[zone] =
+          (toCells[zone] ?? 0) + (asNumber(share) * readNumber(row, "calls")) / Math.max(1, calls)),
     ),
   );
   return {
@@ -62,21 +73,23 @@
     kind: first["kind"],
     ...(first["route"] === "" ? {} : { route: first["route"] }),
     calls,
-    perS: rows.reduce((sum, row) => sum + whole(row, "perS"), 0),
+    perS: rows.reduce((sum, row) => sum + readNumber(row, "perS"), 0),
     moved,
     low: Math.max(0, Math.min(...fleetDraws) - band),
     high: Math.min(1, Math.max(...fleetDraws) + band),
     leave: weighted(rows, "leave"),
     join: weighted(rows, "join"),
     toCells,
-    newConnections: rows.reduce((sum, row) => sum + whole(row, "newConnections"), 0),
+    newConnections: rows.reduce((sum, row) => sum + readNumber(row, "newConnections"), 0),
   };
 };
 
 /** Which calls would move if backends were added or retired, asked of every node. A query: it writes nothing and moves nothing. */
-export const openBackends = ({ registry, cells, askNodes }: BackendsOptions): Backends => {
+export const openBackends = ({ registry, cells: zones, askNodes }: BackendsOptions): Backends => {
   const ready = (service: string) =>
-    registry.all().filter((beat) => beat.service === service && beat.state === "ready");
+    registry
+      .all()
+      .filter((heartbeat) => heartbeat.service === service && heartbeat.state === "ready");
   const membership = (services: readonly string[]) =>
     services
       .flatMap((service) => ready(service).map(({ id }) => id))
@@ -87,17 +100,17 @@
     const services = new Set(registry.all().map(({ service }) => service));
     if (change.add.length + change.retire.length === 0)
       return "name a backend to add or a worker to retire";
-    for (const { service, cell, count } of change.add) {
+    for (const { service, cell: zone, count } of change.add) {
       if (!services.has(service)) return `there is no service ${service}`;
-      if (!cells().includes(cell)) return `there is no cell ${cell}`;
+      if (!zones().includes(zone)) return `there is no cell ${zone}`;
       if (!Number.isSafeInteger(count) || count < 1 || count > 1_000)
         return `${count} is no count of backends from 1 to 1000`;
     }
     if (new Set(change.retire).size < change.retire.length) return "a worker is named twice";
     for (const id of change.retire) {
-      const beat = registry.get(id);
-      if (!beat || beat.state === "gone") return `there is no worker ${id}`;
-      if (beat.state !== "ready") return `worker ${id} is ${beat.state} already`;
+      const heartbeat = registry.get(id);
+      if (!heartbeat || heartbeat.state === "gone") return `there is no worker ${id}`;
+      if (heartbeat.state !== "ready") return `worker ${id} is ${heartbeat.state} already`;
     }
     const emptied = [...services].find(
       (service) =>
@@ -111,8 +124,11 @@
   const unevennessIn = (service: string, answers: readonly NodeAnswer[]): number => {
     const sums = new Map(ready(service).map(({ id }) => [id, 0]));
     answers.forEach(({ answer }) =>
-      list(answer ?? {}, "loads", (value) => {
-        const [id, perS] = [text(asRec(value), "worker"), whole(asRec(value), "perSNow")];
+      readList(answer ?? {}, "loads", (value) => {
+        const [id, perS] = [
+          readString(asRecord(value), "worker"),
+          readNumber(asRecord(value), "perSNow"),
+        ];
         const sum = sums.get(id);
         if (sum !== undefined) sums.set(id, sum + perS);
       }),
@@ -120,29 +136,29 @@
     return unevennessOf([...sums.values()]);
   };
 
-  const loadsOf = (answers: readonly NodeAnswer[]): readonly Rec[] => {
+  const loadsOf = (answers: readonly NodeAnswer[]): readonly UnknownRecord[] => {
     const sums = new Map<string, { now: number; then: number; busy: number }>();
     answers.forEach(({ answer }) =>
-      list(answer ?? {}, "loads", (value) => {
-        const row = asRec(value);
-        const sum = sums.get(text(row, "worker")) ?? { now: 0, then: 0, busy: 0 };
-        const [now, then] = [whole(row, "perSNow"), whole(row, "perSThen")];
-        sums.set(text(row, "worker"), {
+      readList(answer ?? {}, "loads", (value) => {
+        const row = asRecord(value);
+        const sum = sums.get(readString(row, "worker")) ?? { now: 0, then: 0, busy: 0 };
+        const [now, then] = [readNumber(row, "perSNow"), readNumber(row, "perSThen")];
+        sums.set(readString(row, "worker"), {
           now: sum.now + now,
           then: sum.then + then,
-          busy: sum.busy + then * (whole(row, "tookUs") / SECOND),
+          busy: sum.busy + then * (readNumber(row, "tookUs") / SECOND_US),
         });
       }),
     );
     return [...sums].flatMap(([worker, { now, then, busy }]) => {
-      const beat = registry.get(worker);
-      const usedPart = beat ? busy / beat.capacity : 0;
-      return beat && then > now && usedPart >= LOADED_PART
+      const heartbeat = registry.get(worker);
+      const usedPart = heartbeat ? busy / heartbeat.capacity : 0;
+      return heartbeat && then > now && usedPart >= LOADED_PART
         ? [
             {
               worker,
-              service: beat.service,
-              cell: beat.cell,
+              service: heartbeat.service,
+              cell: heartbeat.cell,
               perSNow: now,
               perSThen: then,
               usedPart,
@@ -152,12 +168,12 @@
     });
   };
 
-  const forecast = async (order: Rec): Promise<Verdict> => {
+  const forecast = async (order: UnknownRecord): Promise<ApiResponse> => {
     let change: BackendChange;
     try {
       change = readBackendChange({ kind: "moves", ...order });
-    } catch (mishap) {
-      return wrong(mishap instanceof Error ? mishap.message : "unreadable");
+    } catch (error) {
+      return wrong(error instanceof Error ? error.message : "unreadable");
     }
     const problem = problemOf(change);
     if (problem !== undefined) return wrong(problem);
@@ -175,16 +191,20 @@
       retire: change.retire,
       byRoute: change.byRoute,
     });
-    const rows = answers.flatMap(({ node, cell, answer }) =>
-      list(answer ?? {}, "rows", (value): Rec => ({ node, cell, ...asRec(value) })),
+    const rows = answers.flatMap(({ node, cell: zone, answer }) =>
+      readList(answer ?? {}, "rows", (value): UnknownRecord => ({
+        node,
+        cell: zone,
+        ...asRecord(value),
+      })),
     );
-    const groups = new Map<string, Rec[]>();
+    const groups = new Map<string, UnknownRecord[]>();
     rows.forEach((row) => {
       const key = [row["service"], row["kind"], row["route"]].join("\n");
       groups.set(key, [...(groups.get(key) ?? []), row]);
     });
     const unheard = answers.filter(({ answer }) => answer === undefined).map(({ node }) => node);
-    const few = rows.filter((row) => whole(row, "calls") < LEAST_CALLS).length;
+    const few = rows.filter((row) => readNumber(row, "calls") < LEAST_CALLS).length;
     const warnings = [
       ...(unheard.length > 0
         ? [
@@ -215,7 +235,10 @@
             Object.fromEntries(Object.entries(row).filter(([field]) => field !== "draws")),
           ),
           subsets: answers.flatMap(({ node, answer }) =>
-            list(answer ?? {}, "subsets", (value): Rec => ({ node, ...asRec(value) })),
+            readList(answer ?? {}, "subsets", (value): UnknownRecord => ({
+              node,
+              ...asRecord(value),
+            })),
           ),
           loaded: loadsOf(answers),
           unheard,
@@ -225,10 +248,10 @@
     };
   };
 
-  const seen = async (order: Rec): Promise<Verdict> => {
+  const seen = async (order: UnknownRecord): Promise<ApiResponse> => {
     let services: readonly string[];
     try {
-      services = list(order, "services", textOf);
+      services = readList(order, "services", asString);
     } catch {
       return wrong("services must be a list of texts");
     }
@@ -236,9 +259,9 @@
     return {
       outcome: "taken",
       body: {
-        seen: answers.map(({ node, cell, answer }) => ({
+        seen: answers.map(({ node, cell: zone, answer }) => ({
           node,
-          cell,
+          cell: zone,
           services: answer?.["services"] ?? [],
           heard: answer !== undefined,
         })),
--- a/src/programs/controller/content.ts
+++ b/src/programs/controller/content.ts
@@ -1,27 +1,27 @@
 import { join } from "node:path";
-import { GRANT_LASTS_US, RateOffice } from "../../quota/rate-limiter.js";
-import type { Duty } from "../../consensus/leader-lease.js";
-import { KeyBook, readAnswer } from "../../idempotency/key-table.js";
-import { Keys } from "../../idempotency/key-replication.js";
-import { STORE_WAIT_US, type Ledger } from "../../consensus/replicated-store.js";
-import { PURGE_PREFIX, type Board } from "../../membership/update-store.js";
-import type { Colleagues } from "../../membership/peers.js";
-import type { Feeder } from "../../membership/update-publisher.js";
+import { GRANT_LASTS_US, RateAllocator } from "../../quota/rate-limiter.js";
+import type { LeaderLease } from "../../consensus/leader-lease.js";
+import { IdempotencyKeyTable, readAnswer } from "../../idempotency/key-table.js";
+import { IdempotencyKeys } from "../../idempotency/key-replication.js";
+import { WRITE_TIMEOUT_US, type ReplicatedStore } from "../../consensus/replicated-store.js";
+import { PURGE_PREFIX, type UpdateStore } from "../../membership/update-store.js";
+import type { Peers } from "../../membership/peers.js";
+import type { UpdatePublisher } from "../../membership/update-publisher.js";
 import type { Clock } from "../../common/clock.js";
-import { logFor } from "../../common/logger.js";
+import { loggerFor } from "../../common/logger.js";
 import type { Settings } from "../../common/settings.js";
-import { text, whole, type Rec } from "../../common/decode.js";
-import { MS, SECOND } from "../../common/duration.js";
+import { readString, readNumber, type UnknownRecord } from "../../common/decode.js";
+import { MILLISECOND_US, SECOND_US } from "../../common/duration.js";
 import type { Message } from "../../transport/connection.js";
 
 export interface ContentOptions {
   readonly settings: Settings;
   readonly clock: Clock;
-  readonly ledger: Ledger;
-  readonly colleagues: Colleagues;
-  readonly board: Board;
-  readonly feeder: Feeder;
-  readonly duty: Duty;
+  readonly store: ReplicatedStore;
+  readonly peers: Peers;
+  readonly updates: UpdateStore;
+  readonly publisher: UpdatePublisher;
+  readonly lease: LeaderLease;
 }
 
 export interface Content {
@@ -43,52 +43,56 @@
 }
 
 const MB = 1024 * 1024;
-const READ_US = 300 * MS;
+const READ_US = 300 * MILLISECOND_US;
 
 /** What a signalbox of a content deployment has besides: operation keys, purges, and shares of the rates. */
 export const openContent = ({
   settings,
   clock,
-  ledger,
-  colleagues,
-  board,
-  feeder,
-  duty,
+  store,
+  peers,
+  updates,
+  publisher,
+  lease,
 }: ContentOptions): Content => {
-  const book = new KeyBook({
+  const book = new IdempotencyKeyTable({
     folder: settings.dataFolder === "" ? "" : join(settings.dataFolder, "keys"),
     clock,
     keyWindowUs: settings.keyWindowUs,
     diskBytes: settings.diskMb * MB,
   });
-  const keys = new Keys({
+  const keys = new IdempotencyKeys({
     self: settings.control,
     book,
-    ledger,
-    ask: colleagues.ask,
-    stands: colleagues.stands,
-    send: colleagues.send,
+    store,
+    ask: peers.ask,
+    stands: peers.isConnected,
+    send: peers.send,
     withstandMachines: settings.withstandMachines,
-    log: logFor("keys"),
+    log: loggerFor("keys"),
     onPurge: ({ id, host, path, label }) =>
-      board.post([{ key: PURGE_PREFIX + id, version: 1, tie: "", body: { host, path, label } }]),
+      updates.post([{ key: PURGE_PREFIX + id, version: 1, tie: "", body: { host, path, label } }]),
   });
-  const office = new RateOffice(clock);
-  const depots = new Map<string, Rec>();
+  const office = new RateAllocator(clock);
+  const depots = new Map<string, UnknownRecord>();
 
   /** Only by a holder that a majority has just heard of: one that was cut off or frozen may have a successor. */
   const giveHere = async (message: Message): Promise<Message> =>
-    (await duty.confirm())
+    (await lease.confirm())
       ? {
           kind: "rate",
-          share: office.give(text(message, "life"), text(message, "who"), whole(message, "held")),
+          share: office.give(
+            readString(message, "life"),
+            readString(message, "who"),
+            readNumber(message, "held"),
+          ),
           lastsUs: GRANT_LASTS_US,
         }
       : { kind: "rate" };
   const giveRate = async (message: Message): Promise<Message> =>
-    duty.isHolder()
+    lease.isHolder()
       ? giveHere(message)
-      : ((await colleagues.ask(duty.holder(), message, STORE_WAIT_US)) ?? { kind: "rate" });
+      : ((await peers.ask(lease.holder(), message, WRITE_TIMEOUT_US)) ?? { kind: "rate" });
 
   /** Learns the purges of a reading quorum, and tells the nodes as of when they know them all. */
   let reading = false;
@@ -96,16 +100,17 @@
     if (reading) return;
     reading = true;
     const beganUs = clock.nowUs();
-    if ((await keys.readPurges()) && keys.isCounting) feeder.setFresh(clock.nowUs() - beganUs);
+    if ((await keys.readPurges()) && keys.isCounting)
+      publisher.sendFreshness(clock.nowUs() - beganUs);
     reading = false;
   };
   const reader = clock.every(READ_US, () => {
-    if (!duty.isHolder()) office.lose();
+    if (!lease.isHolder()) office.lose();
     void keys.catchUp();
     void read();
   });
-  const sweeper = clock.every(SECOND, () =>
-    board.forget(book.sweep().map((id) => PURGE_PREFIX + id)),
+  const sweeper = clock.every(SECOND_US, () =>
+    updates.forget(book.sweep().map((id) => PURGE_PREFIX + id)),
   );
 
   return {
@@ -117,11 +122,11 @@
     answerNode: async (message) => {
       switch (message.kind) {
         case "key-claim": {
-          const verdict = await keys.claim(text(message, "key"), text(message, "token"));
+          const result = await keys.claim(readString(message, "key"), readString(message, "token"));
           return {
             kind: "claim",
-            verdict: verdict.kind,
-            ...(verdict.kind === "done" ? { answer: verdict.answer } : {}),
+            verdict: result.kind,
+            ...(result.kind === "done" ? { answer: result.answer } : {}),
           };
         }
         case "key-done": {
@@ -130,7 +135,7 @@
             kind: "claim",
             kept:
               answer !== undefined &&
-              (await keys.keep(text(message, "key"), text(message, "token"), answer)),
+              (await keys.keep(readString(message, "key"), readString(message, "token"), answer)),
           };
         }
         case "rate-ask":
@@ -142,8 +147,9 @@
     answerColleague: async (message) =>
       message.kind === "rate-ask" ? giveHere(message) : keys.answer(message),
     hear: (message) => {
-      if (message.kind === "key-free") keys.free(text(message, "key"), text(message, "token"));
-      if (message.kind === "goods") depots.set(text(message, "node"), { ...message });
+      if (message.kind === "key-free")
+        keys.free(readString(message, "key"), readString(message, "token"));
+      if (message.kind === "goods") depots.set(readString(message, "node"), { ...message });
     },
     spread: keys.spread,
     purge: keys.purge,
