--- a/src/programs/controller/controller.ts
+++ b/src/programs/controller/controller.ts
@@ -1,77 +1,97 @@
 import { randomUUID } from "node:crypto";
 import { join } from "node:path";
-import { Archive } from "../../storage/write-ahead-log.js";
-import { isPlanKey, serviceKey } from "../../config/validation.js";
-import { Copy } from "../../consensus/replica.js";
-import { FileDisk } from "../../storage/file-system.js";
-import { Duty } from "../../consensus/leader-lease.js";
-import { Ledger, LEDGER_KINDS, STORE_WAIT_US } from "../../consensus/replicated-store.js";
+import { WriteAheadLog } from "../../storage/write-ahead-log.js";
+import { isConfigKey, serviceKey } from "../../config/validation.js";
+import { Replica } from "../../consensus/replica.js";
+import { NodeFileSystem } from "../../storage/file-system.js";
+import { LeaderLease } from "../../consensus/leader-lease.js";
+import {
+  ReplicatedStore,
+  CONSENSUS_MESSAGE_KINDS,
+  WRITE_TIMEOUT_US,
+} from "../../consensus/replicated-store.js";
 import type { Register } from "../../consensus/register.js";
-import { everyoneOf, quorumOf } from "../../consensus/voter-set.js";
-import { Forecaster, FORECAST_TERMS, readVerdicts } from "../../health/capacity-forecast.js";
+import { allMembersOf, quorumSize } from "../../consensus/voter-set.js";
+import {
+  CapacityForecaster,
+  FORECAST_TERMS,
+  readForecasts,
+} from "../../health/capacity-forecast.js";
 import {
-  Inspector,
+  OutlierDetector,
   NO_DECISIONS,
   readDecisions,
   type Decisions,
 } from "../../health/outlier-detector.js";
-import { TRIAL_TERMS } from "../../health/sequential-test.js";
-import { TERMS } from "../../health/outlier-ranking.js";
+import { SEQUENTIAL_TEST_TERMS } from "../../health/sequential-test.js";
+import { OUTLIER_TERMS } from "../../health/outlier-ranking.js";
 import {
-  NO_ROLLOUTS,
-  readRolloutState,
-  RolloutInspector,
-  type ClearMishap,
-  type RolloutState,
+  NO_CANARIES,
+  readCanaryState,
+  CanaryAnalyzer,
+  type ClearError,
+  type CanaryState,
 } from "../../health/canary-analysis.js";
 import {
   readWindows,
   WINDOW_SENTENCES,
   WINDOW_TERMS,
-  Windows,
-  type WindowMishap,
+  MaintenanceWindows,
+  type WindowError,
   type WindowState,
 } from "../../health/maintenance-window.js";
 import { SplitRoutes } from "../../health/split-routes.js";
 import {
-  Board,
+  UpdateStore,
   EJECTIONS_KEY,
   FORECAST_KEY,
   PLAN_PREFIX,
   RETRIES_KEY,
   ROLLOUTS_KEY,
   WORKER_PREFIX,
-  type NewFact,
+  type NewUpdate,
 } from "../../membership/update-store.js";
-import { Colleagues } from "../../membership/peers.js";
-import { Feeder } from "../../membership/update-publisher.js";
-import { readSharedBeat, Registry, type Beat } from "../../membership/worker-registry.js";
-import { Sessions } from "../../membership/node-sessions.js";
-import { Switchboard } from "../../transport/listener.js";
-import { oncePer, onceForAll, type Clock, type Pulse } from "../../common/clock.js";
-import { logFor } from "../../common/logger.js";
+import { Peers } from "../../membership/peers.js";
+import { UpdatePublisher } from "../../membership/update-publisher.js";
+import {
+  readSharedHeartbeat,
+  WorkerRegistry,
+  type Heartbeat,
+} from "../../membership/worker-registry.js";
+import { NodeSessions } from "../../membership/node-sessions.js";
+import { Listener } from "../../transport/listener.js";
+import { debounce, coalesce, type Clock, type Timer } from "../../common/clock.js";
+import { loggerFor } from "../../common/logger.js";
 import type { OutcomeName } from "../../common/http-outcomes.js";
 import type { Settings } from "../../common/settings.js";
-import { flag, list, parseJson, text, asRec, whole, type Rec } from "../../common/decode.js";
-import { MS, SECOND } from "../../common/duration.js";
-import type { Message, Wire } from "../../transport/connection.js";
-import { TIMES } from "../data-plane-node.js";
+import {
+  readFlag,
+  readList,
+  parseJson,
+  readString,
+  asRecord,
+  readNumber,
+  type UnknownRecord,
+} from "../../common/decode.js";
+import { MILLISECOND_US, SECOND_US } from "../../common/duration.js";
+import type { Message, Connection } from "../../transport/connection.js";
+import { KEEP_ALIVE } from "../data-plane-node.js";
 import { Commands, controlEntries, Queries, type WindowCall } from "./admin-api.js";
-import { readVerdict, serveCalls, type Verdict } from "../http-api.js";
-import { NodeAnswers } from "./node-queries.js";
-import type { Running } from "../running-program.js";
+import { readApiResponse, serveApi, type ApiResponse } from "../http-api.js";
+import { NodeQueries } from "./node-queries.js";
+import type { RunningProgram } from "../running-program.js";
 import { openBackends } from "./backend-forecast.js";
 import { openRetries } from "./retry-quota.js";
 
-const SWEEP_US = 1 * SECOND;
-const GATHER_JOINS_US = 60 * MS;
-const REMEMBER_US = 500 * MS;
+const SWEEP_US = 1 * SECOND_US;
+const GATHER_JOINS_US = 60 * MILLISECOND_US;
+const REMEMBER_US = 500 * MILLISECOND_US;
 /** Beats that come within this time of each other share a message and a round of contact, which gathers a little itself. */
-const GATHER_BEATS_US = 100 * MS;
+const GATHER_BEATS_US = 100 * MILLISECOND_US;
 /** A signalbox that no majority has answered for so long feeds nobody, also where its links seem to stand. */
-const UNPROVEN_US = 3 * SECOND;
+const UNPROVEN_US = 3 * SECOND_US;
 /** A first feed is no older than this: where the last reading is, another comes first. */
-const FEED_AGE_US = 2 * SECOND;
+const FEED_AGE_US = 2 * SECOND_US;
 const EJECTIONS_REGISTER = "duty/ejections";
 const ROLLOUTS_REGISTER = "duty/rollouts";
 const FORECAST_REGISTER = "duty/forecast";
@@ -85,17 +105,17 @@
   [RETRIES_REGISTER]: RETRIES_KEY,
 };
 /** What is learned so soon after a start may have been so for any time. */
-const YOUNG_US = 10 * SECOND;
+const YOUNG_US = 10 * SECOND_US;
 const ROUTE_PREFIX = "route/";
 
-const CLEAR_OUTCOMES: Readonly<Record<ClearMishap, OutcomeName>> = {
+const CLEAR_OUTCOMES: Readonly<Record<ClearError, OutcomeName>> = {
   "unknown-route": "unknownRollout",
   "stale-version": "staleVersion",
   "not-stopped": "notStopped",
   "not-published": "noQuorum",
 };
 
-const factOf = (register: Register): NewFact => ({
+const factOf = (register: Register): NewUpdate => ({
   key: PLAN_PREFIX + register.key,
   version: register.version,
   tie: register.digest,
@@ -103,114 +123,114 @@
 });
 
 /** Puts the control plane together on one machine. */
-export const runSignalbox = async (settings: Settings, clock: Clock): Promise<Running> => {
-  const log = logFor("signalbox");
+export const runController = async (settings: Settings, clock: Clock): Promise<RunningProgram> => {
+  const log = loggerFor("signalbox");
   const self = settings.control;
-  const board = new Board(clock);
-  const registry = new Registry(clock, board, settings.heartbeatUs);
-  const feeder = new Feeder(clock, board, registry.isComplete);
-  const colleagues = new Colleagues({
+  const updates = new UpdateStore(clock);
+  const registry = new WorkerRegistry(clock, updates, settings.heartbeatUs);
+  const publisher = new UpdatePublisher(clock, updates, registry.isComplete);
+  const peers = new Peers({
     self,
-    cell: settings.cell,
-    signalPort: settings.signalPort,
+    cell: settings.zone,
+    peerPort: settings.peerPort,
     clock,
-    times: TIMES,
+    times: KEEP_ALIVE,
   });
-  const disk = new FileDisk();
-  const copy = new Copy();
-  const archive = new Archive({ folder: settings.dataFolder, disk, snapshot: copy.snapshot });
-  const ledger = new Ledger({
+  const disk = new NodeFileSystem();
+  const copy = new Replica();
+  const archive = new WriteAheadLog({ folder: settings.dataFolder, disk, snapshot: copy.snapshot });
+  const store = new ReplicatedStore({
     self,
     archive,
-    copy,
+    replica: copy,
     // At the first start nobody else is known; later the seeds may all be gone.
-    seeds: () => [...new Set([...settings.seedNodes, ...colleagues.known()])],
-    asker: colleagues,
+    seeds: () => [...new Set([...settings.seedNodes, ...peers.known()])],
+    transport: peers,
     clock,
     random: Math.random,
     withstandMachines: settings.withstandMachines,
-    log: logFor("ledger"),
+    log: loggerFor("ledger"),
   });
-  const duty: Duty = new Duty({
+  const lease: LeaderLease = new LeaderLease({
     self,
-    ledger,
+    store,
     clock,
-    log: logFor("duty"),
-    stands: colleagues.stands,
-    ask: colleagues.ask,
+    log: loggerFor("duty"),
+    isConnected: peers.isConnected,
+    ask: peers.ask,
     hasDisk: archive.hasDisk,
     withstandMachines: settings.withstandMachines,
     // A link has been silent for a second before its box counts as unseen.
-    patienceUs: 500 * MS,
-    leaveUs: Math.max(SECOND, settings.graceUs - SECOND),
-    moveMore: async () => (await content?.spread()) ?? true,
+    holderTimeoutUs: 500 * MILLISECOND_US,
+    leaveUs: Math.max(SECOND_US, settings.graceUs - SECOND_US),
+    copyOtherState: async () => (await content?.spread()) ?? true,
   });
 
   /** The workers last known, so that after a loss of every process they need not all be heard again first. */
-  const memory = new Archive({
+  const memory = new WriteAheadLog({
     folder: settings.dataFolder === "" ? "" : join(settings.dataFolder, "workers"),
     disk,
     snapshot: () =>
       registry
         .all()
-        .filter((beat) => beat.state === "ready")
-        .map((beat): Rec => ({ ...beat })),
+        .filter((heartbeat) => heartbeat.state === "ready")
+        .map((heartbeat): UnknownRecord => ({ ...heartbeat })),
   });
   const remember = async (): Promise<void> => {
     const found = await memory.load();
-    if (found.kind !== "empty") registry.recall(found.records.map(readSharedBeat));
+    if (found.kind !== "empty") registry.restore(found.records.map(readSharedHeartbeat));
   };
 
-  let remembering: Pulse | undefined;
+  let remembering: Timer | undefined;
   const rememberSoon = (): void => {
     remembering ??= clock.after(REMEMBER_US, () => {
       remembering = undefined;
-      void memory.keepWhole();
+      void memory.writeVerifiedSnapshot();
     });
   };
 
-  const isAdrift = (): boolean => !duty.hasMajority();
+  const isAdrift = (): boolean => !lease.seesMajority();
   /** When the last round began that a majority answered, and the last reading of a quorum; the latter is undefined until one was made in this life. */
   let provenUs = clock.nowUs();
   let readUs: number | undefined;
   /** Whether beats couldn't come in since; then their lack says nothing. */
   let wasCutOff = false;
   const prove = (beganUs: number): void => {
-    if (wasCutOff) registry.listenAnew();
+    if (wasCutOff) registry.restartListening();
     wasCutOff = false;
     provenUs = Math.max(provenUs, beganUs);
   };
   /** Beats of workers that go on, not yet shared. */
-  const gathered = new Map<string, Beat>();
+  const gathered = new Map<string, Heartbeat>();
   /** True once a majority was heard after the call; beats gathered meanwhile are shared before. */
-  const hearMajority = onceForAll(clock, GATHER_BEATS_US, () => {
-    if (gathered.size > 0) colleagues.send({ kind: "beats", beats: [...gathered.values()] });
+  const hearMajority = coalesce(clock, GATHER_BEATS_US, () => {
+    if (gathered.size > 0) peers.send({ kind: "beats", beats: [...gathered.values()] });
     gathered.clear();
-    return ledger.contact();
+    return store.confirmQuorum();
   });
   /** What is fed first is no part of the plan and not old, and a majority was heard after the node came. */
   const isFit = async (): Promise<boolean> => {
     if (readUs === undefined || isAdrift()) return false;
-    return clock.nowUs() - readUs < FEED_AGE_US ? ledger.contact() : sweep();
+    return clock.nowUs() - readUs < FEED_AGE_US ? store.confirmQuorum() : sweep();
   };
-  const sessions = new Sessions({
+  const sessions = new NodeSessions({
     clock,
-    feeder,
-    log: logFor("sessions"),
+    publisher,
+    log: loggerFor("sessions"),
     isFit,
-    boxes: colleagues.boxes,
-    cell: settings.cell,
+    boxes: peers.connectedControllers,
+    cell: settings.zone,
     emptiedCell: () => emptiedCell(),
     answer: (message, node) => answerNode(message, node),
   });
 
   /** Makes what the duty's holder decided, on the state as held here, durable under its term; false if that state or the term has been overtaken. */
   const publish = async (key: string, wanted: unknown): Promise<boolean> => {
-    const term = duty.heldTerm();
+    const term = lease.heldTerm();
     if (!term) return false;
-    const before = ledger.get(key)?.digest;
+    const before = store.get(key)?.digest;
     const body = JSON.stringify(wanted);
-    const decided = await ledger.decide(
+    const decided = await store.decide(
       key,
       (now) => (now?.digest === before ? body : undefined),
       term,
@@ -218,39 +238,39 @@
     return decided.isOk && decided.value?.body === body;
   };
   const published = <T>(key: string, read: (value: unknown) => T, none: T): T => {
-    const register = ledger.get(key);
+    const register = store.get(key);
     return register ? read(parseJson(register.body)) : none;
   };
   const decisions = (): Decisions => published(EJECTIONS_REGISTER, readDecisions, NO_DECISIONS);
-  const inspector = new Inspector({
+  const inspector = new OutlierDetector({
     clock,
-    log: logFor("inspection"),
-    terms: TERMS,
-    isHolder: duty.isHolder,
-    term: duty.term,
+    log: loggerFor("inspection"),
+    terms: OUTLIER_TERMS,
+    isHolder: lease.isHolder,
+    term: lease.term,
     workers: () =>
       registry
         .all()
-        .filter((beat) => beat.state !== "gone")
-        .map((beat) => ({
-          id: beat.id,
-          service: beat.service,
-          cell: beat.cell,
-          missing: beat.state === "missing",
+        .filter((heartbeat) => heartbeat.state !== "gone")
+        .map((heartbeat) => ({
+          id: heartbeat.id,
+          service: heartbeat.service,
+          cell: heartbeat.cell,
+          missing: heartbeat.state === "missing",
         })),
     decisions,
     publish: (wanted) => publish(EJECTIONS_REGISTER, wanted),
   });
   const splitRoutes = new SplitRoutes();
-  const rolloutState = (): RolloutState =>
-    published(ROLLOUTS_REGISTER, readRolloutState, NO_ROLLOUTS);
-  const rollouts = new RolloutInspector({
+  const rolloutState = (): CanaryState =>
+    published(ROLLOUTS_REGISTER, readCanaryState, NO_CANARIES);
+  const rollouts = new CanaryAnalyzer({
     clock,
-    log: logFor("rollout"),
-    terms: { ...TRIAL_TERMS, weights: settings.rolloutWeights },
+    log: loggerFor("rollout"),
+    terms: { ...SEQUENTIAL_TEST_TERMS, weights: settings.rolloutWeights },
     random: Math.random,
-    isHolder: duty.isHolder,
-    term: duty.term,
+    isHolder: lease.isHolder,
+    term: lease.term,
     splitRoutes: splitRoutes.all,
     previousMain: splitRoutes.mainBefore,
     state: rolloutState,
@@ -263,23 +283,23 @@
     return shift?.why === "window" && shift.unsafe === 1 ? shift.cell : "";
   };
 
-  const verdicts = () => published(FORECAST_REGISTER, readVerdicts, {});
-  const forecaster = new Forecaster({
+  const verdicts = () => published(FORECAST_REGISTER, readForecasts, {});
+  const forecaster = new CapacityForecaster({
     clock,
-    log: logFor("forecast"),
+    log: loggerFor("forecast"),
     terms: FORECAST_TERMS,
-    isHolder: duty.isHolder,
+    isHolder: lease.isHolder,
     workers: () => {
       const ejected = new Set(decisions().ejections.map(({ worker }) => worker));
-      return registry.all().map((beat) => ({
-        id: beat.id,
-        service: beat.service,
-        cell: beat.cell,
-        capacity: beat.capacity,
-        isUsed: beat.state === "ready" && !ejected.has(beat.id),
+      return registry.all().map((heartbeat) => ({
+        id: heartbeat.id,
+        service: heartbeat.service,
+        cell: heartbeat.cell,
+        capacity: heartbeat.capacity,
+        isUsed: heartbeat.state === "ready" && !ejected.has(heartbeat.id),
       }));
     },
-    nodes: () => sessions.crew().pointsmen,
+    nodes: () => sessions.clusterSize().pointsmen,
     published: verdicts,
     publish: (wanted) => publish(FORECAST_REGISTER, wanted),
   });
@@ -288,11 +308,11 @@
   /** When this process learned of the windows as they stand; not known while they are as found on disk or soon after. */
   let windowsSinceUs: number | undefined;
   const windowState = (): WindowState => published(WINDOWS_REGISTER, readWindows, []);
-  const windows = new Windows({
+  const windows = new MaintenanceWindows({
     clock,
-    log: logFor("window"),
+    log: loggerFor("window"),
     terms: WINDOW_TERMS,
-    isHolder: duty.isHolder,
+    isHolder: lease.isHolder,
     state: windowState,
     knownUs: () =>
       windowsSinceUs === undefined || windowsSinceUs - upUs < YOUNG_US
@@ -301,47 +321,47 @@
     publish: (wanted) => publish(WINDOWS_REGISTER, { windows: wanted }),
     shift: () => decisions().shift,
     setShift: inspector.setShift,
-    cells: () => cells(),
+    cells: () => zones(),
     workers: () =>
-      registry.all().map(({ cell, service, capacity, state }) => ({
-        cell,
+      registry.all().map(({ cell: zone, service, capacity, state }) => ({
+        cell: zone,
         service,
         capacity,
         isReady: state === "ready",
       })),
     longestBudgetUs: splitRoutes.longestGiveUpUs,
-    isBorne: (cell) => {
-      const stands = (id: string) => colleagues.stands(id) && colleagues.cellOf(id) !== cell;
-      return ledger
-        .rosters()
+    isBorne: (zone) => {
+      const stands = (id: string) => peers.isConnected(id) && peers.zoneOf(id) !== zone;
+      return store
+        .quorumSets()
         .every(
           (members) =>
-            members.filter(stands).length >= quorumOf(members, settings.withstandMachines),
+            members.filter(stands).length >= quorumSize(members, settings.withstandMachines),
         );
     },
     inFlight: forecaster.inFlight,
-    leaveDuty: async (cell) => {
-      if (cell === settings.cell) await duty.handTo((id) => colleagues.cellOf(id) !== cell);
+    leaveDuty: async (zone) => {
+      if (zone === settings.zone) await lease.transferTo((id) => peers.zoneOf(id) !== zone);
     },
   });
-  const windowMishap = (mishap: WindowMishap): Verdict => {
+  const windowMishap = (error: WindowError): ApiResponse => {
     const outcome: OutcomeName =
-      mishap === "noQuorum"
+      error === "noQuorum"
         ? "noQuorum"
-        : mishap === "unknownWindow"
+        : error === "unknownWindow"
           ? "unknownWindow"
-          : mishap === "unknownCell" || mishap === "wrongLength"
+          : error === "unknownCell" || error === "wrongLength"
             ? "wrong"
             : "refusedOrder";
-    return { outcome, body: { problem: WINDOW_SENTENCES[mishap] } };
+    return { outcome, body: { problem: WINDOW_SENTENCES[error] } };
   };
-  const windowHere = async (order: WindowCall): Promise<Verdict> => {
-    if (!(await duty.confirm())) return windowMishap("noQuorum");
+  const windowHere = async (order: WindowCall): Promise<ApiResponse> => {
+    if (!(await lease.confirm())) return windowMishap("noQuorum");
     if (order.what !== "add") {
-      const mishap = await (order.what === "cancel"
+      const error = await (order.what === "cancel"
         ? windows.cancel(order.id)
         : windows.extend(order.id, order.byUs));
-      return mishap === undefined ? { outcome: "taken" } : windowMishap(mishap);
+      return error === undefined ? { outcome: "taken" } : windowMishap(error);
     }
     const id = randomUUID().slice(0, 8);
     const added = await windows.add(order, id);
@@ -350,65 +370,66 @@
       : { outcome: "taken", body: { id, warnings: added } };
   };
   const readWindowCall = (message: Message): WindowCall => {
-    const what = text(message, "what");
+    const what = readString(message, "what");
     if (what === "add")
       return {
         what,
-        cell: text(message, "cell"),
-        opensUs: whole(message, "opensUs"),
-        lastsUs: whole(message, "lastsUs"),
+        cell: readString(message, "cell"),
+        opensUs: readNumber(message, "opensUs"),
+        lastsUs: readNumber(message, "lastsUs"),
       };
     return what === "extend"
-      ? { what, id: text(message, "id"), byUs: whole(message, "byUs") }
-      : { what: "cancel", id: text(message, "id") };
+      ? { what, id: readString(message, "id"), byUs: readNumber(message, "byUs") }
+      : { what: "cancel", id: readString(message, "id") };
   };
-  const window = async (order: WindowCall): Promise<Verdict> => {
-    if (duty.isHolder()) return windowHere(order);
-    const reply = await colleagues.ask(
-      duty.holder(),
+  const window = async (order: WindowCall): Promise<ApiResponse> => {
+    if (lease.isHolder()) return windowHere(order);
+    const reply = await peers.ask(
+      lease.holder(),
       { kind: "window", ...order },
-      2 * STORE_WAIT_US,
+      2 * WRITE_TIMEOUT_US,
     );
-    return readVerdict(reply) ?? windowMishap("noQuorum");
+    return readApiResponse(reply) ?? windowMishap("noQuorum");
   };
 
-  const share = async (beats: readonly Beat[], waits: boolean): Promise<boolean> => {
+  const share = async (heartbeats: readonly Heartbeat[], waits: boolean): Promise<boolean> => {
     if (!waits) {
-      beats.forEach((beat) => gathered.set(beat.id, beat));
+      heartbeats.forEach((heartbeat) => gathered.set(heartbeat.id, heartbeat));
       return hearMajority();
     }
-    const message: Message = { kind: "beats", beats };
-    colleagues
+    const message: Message = { kind: "beats", beats: heartbeats };
+    peers
       .known()
-      .filter((id) => !ledger.members().includes(id))
-      .forEach((id) => void colleagues.ask(id, message, STORE_WAIT_US));
+      .filter((id) => !store.members().includes(id))
+      .forEach((id) => void peers.ask(id, message, WRITE_TIMEOUT_US));
     const [held, isHeard] = await Promise.all([
-      ledger.gather(
+      store.gather(
         message,
         (reply) => reply.kind === "took",
         async () => true,
-        STORE_WAIT_US,
+        WRITE_TIMEOUT_US,
       ),
-      ledger.contact(),
+      store.confirmQuorum(),
     ]);
     return held.isOk && isHeard;
   };
 
   /** The signalbox of the cell, if it hears a majority by its own word, asked for now. */
-  const reportTo = async (cell: string): Promise<string | undefined> => {
-    const box = colleagues.boxes().find((candidate) => candidate.cell === cell);
-    if (box === undefined || box.id === self || settings.cell === cell) return undefined;
-    const reply = await colleagues.ask(box.id, { kind: "hear-majority" }, STORE_WAIT_US);
-    return reply !== undefined && flag(reply, "yes") ? box.id : undefined;
+  const reportTo = async (zone: string): Promise<string | undefined> => {
+    const controller = peers.connectedControllers().find((candidate) => candidate.cell === zone);
+    if (controller === undefined || controller.id === self || settings.zone === zone)
+      return undefined;
+    const reply = await peers.ask(controller.id, { kind: "hear-majority" }, WRITE_TIMEOUT_US);
+    return reply !== undefined && readFlag(reply, "yes") ? controller.id : undefined;
   };
 
   const takeBeats = (message: Message): void => {
-    list(message, "beats", (value) => {
-      const rec = asRec(value, "beat");
-      const beat = readSharedBeat(rec);
-      const ageUs = typeof rec["ageUs"] === "number" ? rec["ageUs"] : 0;
-      if (beat.state === "gone" && registry.get(beat.id)) registry.drop(beat.id);
-      else registry.take(beat, ageUs);
+    readList(message, "beats", (value) => {
+      const record = asRecord(value, "beat");
+      const heartbeat = readSharedHeartbeat(record);
+      const ageUs = typeof record["ageUs"] === "number" ? record["ageUs"] : 0;
+      if (heartbeat.state === "gone" && registry.get(heartbeat.id)) registry.drop(heartbeat.id);
+      else registry.take(heartbeat, ageUs);
     });
   };
 
@@ -418,60 +439,66 @@
       ? (await import("./content.js")).openContent({
           settings,
           clock,
-          ledger,
-          colleagues,
-          board,
-          feeder,
-          duty,
+          store,
+          peers,
+          updates,
+          publisher,
+          lease,
         })
       : undefined;
-  const nodeAnswers = new NodeAnswers(sessions, colleagues);
+  const nodeAnswers = new NodeQueries(sessions, peers);
   const retries = openRetries({
     settings,
     clock,
-    duty,
-    colleagues,
+    lease,
+    peers,
     published: () => published<unknown>(RETRIES_REGISTER, (value) => value, undefined),
     publish: (limits) => publish(RETRIES_REGISTER, limits),
-    isService: (name) => ledger.get(serviceKey(name))?.dropped === false,
+    isService: (name) => store.get(serviceKey(name))?.dropped === false,
     askNodes: nodeAnswers.askAll,
   });
-  const cells = () => [
+  const zones = () => [
     ...new Set([
-      ...registry.all().map(({ cell }) => cell),
-      ...sessions.nodes().map(({ cell }) => cell),
+      ...registry.all().map(({ cell: zone }) => zone),
+      ...sessions.nodes().map(({ cell: zone }) => zone),
     ]),
   ];
-  const backends = openBackends({ registry, cells, askNodes: nodeAnswers.askAll });
+  const backends = openBackends({ registry, cells: zones, askNodes: nodeAnswers.askAll });
   const answerNode = async (message: Message, node: string): Promise<Message> =>
     message.kind === "retry-ask"
       ? retries.answerNode(message)
       : ((await content?.answerNode(message, node)) ?? { kind: "unknown" });
 
   /** Joins come in crowds: who has a session here is told to colleagues, and the crew to nodes, once for all that came meanwhile. */
-  const tellCrew = oncePer(clock, GATHER_JOINS_US, () => feeder.setCrew(sessions.crew()));
-  const tellSessions = oncePer(clock, GATHER_JOINS_US, () => colleagues.send(sessions.pack()));
+  const tellCrew = debounce(clock, GATHER_JOINS_US, () =>
+    publisher.setClusterSize(sessions.clusterSize()),
+  );
+  const tellSessions = debounce(clock, GATHER_JOINS_US, () => peers.send(sessions.pack()));
 
-  const shiftHere = async (cell: string, why: string): Promise<boolean> =>
-    (await duty.confirm()) &&
-    (why === "practice" ? inspector.practise(cell) : inspector.shiftByHand(cell));
-  const shift = async (cell: string, why: string): Promise<boolean> => {
-    if (duty.isHolder()) return shiftHere(cell, why);
-    const reply = await colleagues.ask(duty.holder(), { kind: "shift", cell, why }, STORE_WAIT_US);
-    return reply !== undefined && flag(reply, "yes");
+  const shiftHere = async (zone: string, why: string): Promise<boolean> =>
+    (await lease.confirm()) &&
+    (why === "practice" ? inspector.practise(zone) : inspector.shiftByHand(zone));
+  const shift = async (zone: string, why: string): Promise<boolean> => {
+    if (lease.isHolder()) return shiftHere(zone, why);
+    const reply = await peers.ask(
+      lease.holder(),
+      { kind: "shift", cell: zone, why },
+      WRITE_TIMEOUT_US,
+    );
+    return reply !== undefined && readFlag(reply, "yes");
   };
 
   const clearHere = async (route: string, version: number | undefined): Promise<OutcomeName> => {
-    if (!(await duty.confirm())) return "noQuorum";
-    const mishap = await rollouts.clear(route, version);
-    return mishap === undefined ? "taken" : CLEAR_OUTCOMES[mishap];
+    if (!(await lease.confirm())) return "noQuorum";
+    const error = await rollouts.clear(route, version);
+    return error === undefined ? "taken" : CLEAR_OUTCOMES[error];
   };
   const clearRollout = async (route: string, version: number | undefined): Promise<OutcomeName> => {
-    if (duty.isHolder()) return clearHere(route, version);
-    const reply = await colleagues.ask(
-      duty.holder(),
+    if (lease.isHolder()) return clearHere(route, version);
+    const reply = await peers.ask(
+      lease.holder(),
       { kind: "clear", route, ...(version === undefined ? {} : { version }) },
-      STORE_WAIT_US,
+      WRITE_TIMEOUT_US,
     );
     const outcome = ["taken" as const, ...Object.values(CLEAR_OUTCOMES)].find(
       (name) => name === reply?.["outcome"],
@@ -485,24 +512,24 @@
     windows: windows.explain,
   };
   const tellHere = async (what: string): Promise<unknown> =>
-    (await duty.confirm()) ? tellers[what]?.() : undefined;
+    (await lease.confirm()) ? tellers[what]?.() : undefined;
   /** What only the holder knows is asked of the holder. */
   const tellOfHolder = async (what: string): Promise<unknown> =>
     (await tellHere(what)) ??
-    (await colleagues.ask(duty.holder(), { kind: "tell", what }, STORE_WAIT_US))?.["told"] ??
+    (await peers.ask(lease.holder(), { kind: "tell", what }, WRITE_TIMEOUT_US))?.["told"] ??
     tellers[what]?.();
 
   /** What this copy knows by itself, told also while it is cut off; nothing of it speaks for the fleet. */
-  const thisCopy = (): Rec => {
-    const { number, members, from } = ledger.roster();
-    const term = ledger.term();
+  const thisCopy = (): UnknownRecord => {
+    const { number, members, from } = store.voterSet();
+    const term = store.term();
     return {
       view: "this copy's own",
       box: self,
-      counting: ledger.isCounting,
-      why: ledger.doubt,
-      majorityInReach: duty.hasMajority(),
-      unansweredMs: Math.round((clock.nowUs() - provenUs) / MS),
+      counting: store.isVoting,
+      why: store.notVotingReason,
+      majorityInReach: lease.seesMajority(),
+      unansweredMs: Math.round((clock.nowUs() - provenUs) / MILLISECOND_US),
       roster: number,
       members,
       leaving: from.filter((id) => !members.includes(id)),
@@ -512,19 +539,25 @@
     };
   };
   /** The roster, the term, and every box with why it doesn't count; who doesn't answer is named as unseen. */
-  const tellDuty = async (): Promise<Rec> => {
-    const boxes = [...new Set([self, ...ledger.members(), ...colleagues.known()])].sort();
+  const tellDuty = async (): Promise<UnknownRecord> => {
+    const controllers = [...new Set([self, ...store.members(), ...peers.known()])].sort();
     const rows = await Promise.all(
-      boxes.map(async (box): Promise<Rec> => {
+      controllers.map(async (controller): Promise<UnknownRecord> => {
         const told =
-          box === self
+          controller === self
             ? thisCopy()
-            : await colleagues.ask(box, { kind: "tell-copy" }, STORE_WAIT_US);
-        const isMember = ledger.members().includes(box);
+            : await peers.ask(controller, { kind: "tell-copy" }, WRITE_TIMEOUT_US);
+        const isMember = store.members().includes(controller);
         if (!told)
-          return { box, isMember, seen: false, counting: false, why: "it does not answer" };
+          return {
+            box: controller,
+            isMember,
+            seen: false,
+            counting: false,
+            why: "it does not answer",
+          };
         return {
-          box,
+          box: controller,
           isMember,
           seen: true,
           counting: told["counting"],
@@ -535,11 +568,11 @@
         };
       }),
     );
-    const { number, members, from } = ledger.roster();
+    const { number, members, from } = store.voterSet();
     return {
-      holder: duty.holder(),
-      term: duty.term(),
-      here: duty.isHolder(),
+      holder: lease.holder(),
+      term: lease.term(),
+      here: lease.isHolder(),
       roster: { number, is: from.length > 0 ? "joint" : "simple", members, from },
       boxes: rows.filter(({ isMember, seen }) => isMember === true || seen === true),
     };
@@ -554,26 +587,29 @@
 
   /** What a colleague's connection brings; what it asks is answered on the same connection. */
   const answerColleague = async (message: Message): Promise<Message | undefined> => {
-    if (LEDGER_KINDS.has(message.kind)) return ledger.answer(message);
+    if (CONSENSUS_MESSAGE_KINDS.has(message.kind)) return store.answer(message);
     switch (message.kind) {
       case "unseen":
       case "join":
       case "leave":
       case "succeed":
-        return duty.answer(message);
+        return lease.answer(message);
       case "shift":
-        return { kind: "done", yes: await shiftHere(text(message, "cell"), text(message, "why")) };
+        return {
+          kind: "done",
+          yes: await shiftHere(readString(message, "cell"), readString(message, "why")),
+        };
       case "clear":
         return {
           kind: "done",
           outcome: await clearHere(
-            text(message, "route"),
+            readString(message, "route"),
             typeof message["version"] === "number" ? message["version"] : undefined,
           ),
         };
       case "window": {
-        const verdict = await windowHere(readWindowCall(message));
-        return { kind: "done", outcome: verdict.outcome, body: verdict.body ?? {} };
+        const result = await windowHere(readWindowCall(message));
+        return { kind: "done", outcome: result.outcome, body: result.body ?? {} };
       }
       case "faults":
       case "rollout":
@@ -586,66 +622,66 @@
       case "ask-nodes":
         return nodeAnswers.answerColleague(message);
       case "tell":
-        return { kind: "done", told: await tellHere(text(message, "what")) };
+        return { kind: "done", told: await tellHere(readString(message, "what")) };
       case "hear-majority":
         return { kind: "done", yes: await hearMajority() };
       case "tell-copy":
         return { kind: "done", ...thisCopy() };
       case "beats":
         takeBeats(message);
-        return ledger.refusalOfOld(message) ?? { kind: "took" };
+        return store.rejectIfOutdated(message) ?? { kind: "took" };
       case "settled":
-        ledger.hearSettled(message);
+        store.applyCommitted(message);
         return undefined;
       default:
         return content?.answerColleague(message);
     }
   };
   /** The newest connection that each colleague has dialled. */
-  const inbound = new Map<string, Wire>();
+  const inbound = new Map<string, Connection>();
   const serveColleague = async (
-    wire: Wire,
+    connection: Connection,
     hello: Message,
     incoming: AsyncIterable<Message>,
   ): Promise<void> => {
-    const from = text(hello, "from");
-    wire.send({ ...colleagues.hello(), kind: "welcome" });
-    colleagues.meet(hello);
-    inbound.set(from, wire);
+    const from = readString(hello, "from");
+    connection.send({ ...peers.hello(), kind: "welcome" });
+    peers.meet(hello);
+    inbound.set(from, connection);
     // A colleague that dials anew may have forgotten the sessions here while its link was down.
     tellSessions();
     for await (const message of incoming) {
-      if (message.kind === "sessions") sessions.hear(from, message);
+      if (message.kind === "sessions") sessions.applyPeerSessions(from, message);
       else
         void answerColleague(message)
           .then((reply) => {
             if (reply && typeof message["ask"] === "number")
-              wire.send({ ...reply, re: message["ask"] });
+              connection.send({ ...reply, re: message["ask"] });
           })
-          .catch((mishap: unknown) => log.warn(`A colleague's message failed: ${String(mishap)}.`));
+          .catch((error: unknown) => log.warn(`A colleague's message failed: ${String(error)}.`));
     }
-    if (inbound.get(from) !== wire) return;
+    if (inbound.get(from) !== connection) return;
     inbound.delete(from);
-    if (!colleagues.stands(from)) sessions.forget(from);
+    if (!peers.isConnected(from)) sessions.forget(from);
   };
-  const switchboard = new Switchboard(
+  const switchboard = new Listener(
     clock,
-    TIMES,
+    KEEP_ALIVE,
     { colleague: serveColleague, pointsman: sessions.serve },
-    logFor("switchboard"),
+    loggerFor("switchboard"),
   );
 
-  ledger.events.on("settled", (settled) => {
-    const facts = settled.filter((register) => isPlanKey(register.key)).map(factOf);
+  store.events.on("settled", (settled) => {
+    const facts = settled.filter((register) => isConfigKey(register.key)).map(factOf);
     const ejections = settled.find((register) => register.key === EJECTIONS_REGISTER);
-    board.post(facts);
+    updates.post(facts);
     if (ejections) sessions.leaveEmptied();
     if (settled.some((register) => register.key === WINDOWS_REGISTER))
       windowsSinceUs = clock.nowUs();
     settled.forEach(({ key, version, digest, body }) => {
       const told = TOLD_REGISTERS[key];
       if (told !== undefined)
-        board.post([{ key: told, version, tie: digest, body: asRec(parseJson(body)) }]);
+        updates.post([{ key: told, version, tie: digest, body: asRecord(parseJson(body)) }]);
     });
     settled
       .filter((register) => register.key.startsWith(ROUTE_PREFIX))
@@ -653,8 +689,8 @@
         splitRoutes.take(register.key.slice(ROUTE_PREFIX.length), register.version, register.body),
       );
   });
-  ledger.events.on("roster", (roster) => colleagues.learn(everyoneOf(roster)));
-  ledger.events.on("behind", () => void sweep());
+  store.events.on("roster", (voterSet) => peers.learn(allMembersOf(voterSet)));
+  store.events.on("behind", () => void sweep());
   sessions.events.on("own", () => {
     tellSessions();
     tellCrew();
@@ -662,55 +698,55 @@
   sessions.events.on("changed", tellCrew);
   sessions.events.on("report", (message) => {
     content?.hear(message);
-    const taker = reportTakers.get(message.kind);
-    if (!taker) return;
-    if (duty.isHolder()) taker.take(message);
-    else void colleagues.ask(duty.holder(), message, 0);
+    const subscriber = reportTakers.get(message.kind);
+    if (!subscriber) return;
+    if (lease.isHolder()) subscriber.take(message);
+    else void peers.ask(lease.holder(), message, 0);
   });
-  colleagues.events.on("up", (id) => {
+  peers.events.on("up", (id) => {
     log.info(`Link to ${id} stands.`);
-    colleagues.send({ kind: "beats", beats: registry.packAll() });
-    colleagues.send(sessions.pack());
-    sessions.tellBoxes();
+    peers.send({ kind: "beats", beats: registry.packAll() });
+    peers.send(sessions.pack());
+    sessions.announceControllers();
   });
-  colleagues.events.on("down", (id) => {
+  peers.events.on("down", (id) => {
     log.info(`Link to ${id} is down.`);
     sessions.forget(id);
-    sessions.tellBoxes();
-    if (isAdrift()) sessions.dismiss();
+    sessions.announceControllers();
+    if (isAdrift()) sessions.closeAll();
   });
 
   /** Reads a quorum; where that fails, as it may while others write, asks at least whether a majority is there. True after a reading. */
   const sweep = async (): Promise<boolean> => {
     const beganUs = clock.nowUs();
-    const read = await ledger.read();
-    const isRead = read.isOk && ledger.isCounting;
+    const read = await store.read();
+    const isRead = read.isOk && store.isVoting;
     if (isRead) readUs = beganUs;
-    if (isRead || (await ledger.contact())) prove(beganUs);
+    if (isRead || (await store.confirmQuorum())) prove(beganUs);
     return isRead;
   };
   let wasComplete = false;
   const round = (): void => {
     if (isAdrift() || clock.nowUs() - provenUs > UNPROVEN_US) {
       wasCutOff = true;
-      sessions.dismiss();
+      sessions.closeAll();
     } else registry.sweep();
     retries.look();
-    if (!wasComplete && registry.isComplete()) feeder.sendWhole();
+    if (!wasComplete && registry.isComplete()) publisher.sendSnapshot();
     wasComplete = registry.isComplete();
     void sweep();
   };
 
-  await ledger.start(settings.firstRun);
+  await store.start(settings.firstRun);
   await content?.start();
   await remember();
-  board.events.on("changed", (facts) => {
+  updates.events.on("changed", (facts) => {
     if (facts.some((fact) => fact.key.startsWith(WORKER_PREFIX))) rememberSoon();
   });
-  await switchboard.listen(settings.ip, settings.signalPort);
-  colleagues.learn([...settings.seedNodes, ...ledger.members()]);
+  await switchboard.listen(settings.ip, settings.peerPort);
+  peers.learn([...settings.seedNodes, ...store.members()]);
   const commands = new Commands({
-    ledger,
+    store,
     registry,
     isAdrift,
     share,
@@ -729,12 +765,12 @@
     retries: retries.show,
     ...(content?.tellers ?? {}),
   };
-  const queries = new Queries(ledger, ofFleet, { copy: thisCopy });
+  const queries = new Queries(store, ofFleet, { copy: thisCopy });
   const withMajority =
-    (act: (order: Rec) => Promise<Verdict>) =>
-    async (order: Rec): Promise<Verdict> =>
-      (await ledger.contact()) ? act(order) : { outcome: "noMajority" };
-  const server = await serveCalls(
+    (act: (order: UnknownRecord) => Promise<ApiResponse>) =>
+    async (order: UnknownRecord): Promise<ApiResponse> =>
+      (await store.confirmQuorum()) ? act(order) : { outcome: "noMajority" };
+  const server = await serveApi(
     settings.control,
     controlEntries(commands, queries, {
       shift,
@@ -745,12 +781,12 @@
       seenBackends: withMajority(backends.seen),
     }),
   );
-  const early = clock.every(100 * MS, () => {
+  const early = clock.every(100 * MILLISECOND_US, () => {
     if (readUs !== undefined) early.stop();
     else void sweep();
   });
-  const pulse = clock.every(SWEEP_US, round);
-  duty.start();
+  const timer = clock.every(SWEEP_US, round);
+  lease.start();
   inspector.start();
   rollouts.start();
   forecaster.start();
@@ -758,20 +794,20 @@
   log.info(`Up at ${self}.`);
 
   return {
-    renew: ({ seedNodes }) => colleagues.learn(seedNodes),
+    renew: ({ seedNodes }) => peers.learn(seedNodes),
     stop: async () => {
       log.info("Leaving.");
       inspector.stop();
       rollouts.stop();
       forecaster.stop();
       windows.stop();
-      await duty.handOver();
-      pulse.stop();
+      await lease.stepDown();
+      timer.stop();
       content?.stop();
       server.close();
       server.closeIdleConnections();
       switchboard.close();
-      colleagues.stop();
+      peers.stop();
     },
   };
 };
--- a/src/programs/controller/retry-quota.ts
+++ b/src/programs/controller/retry-quota.ts
@@ -1,7 +1,7 @@
-import type { Duty } from "../../consensus/leader-lease.js";
-import { STORE_WAIT_US } from "../../consensus/replicated-store.js";
-import { RetryOffice } from "../../quota/retry-allocator.js";
-import type { Colleagues } from "../../membership/peers.js";
+import type { LeaderLease } from "../../consensus/leader-lease.js";
+import { WRITE_TIMEOUT_US } from "../../consensus/replicated-store.js";
+import { RetryAllocator } from "../../quota/retry-allocator.js";
+import type { Peers } from "../../membership/peers.js";
 import type { NodeAnswer } from "../../membership/node-sessions.js";
 import type { Clock } from "../../common/clock.js";
 import {
@@ -15,16 +15,22 @@
   type RetryLimits,
 } from "../../quota/retry-limits.js";
 import type { Settings } from "../../common/settings.js";
-import { asRec, list, text, whole, type Rec } from "../../common/decode.js";
+import {
+  asRecord,
+  readList,
+  readString,
+  readNumber,
+  type UnknownRecord,
+} from "../../common/decode.js";
 import type { Message } from "../../transport/connection.js";
-import { readVerdict, type Verdict } from "../http-api.js";
+import { readApiResponse, type ApiResponse } from "../http-api.js";
 import { ceilingOf } from "../gateway/retry-budgets.js";
 
 export interface RetriesOptions {
   readonly settings: Settings;
   readonly clock: Clock;
-  readonly duty: Duty;
-  readonly colleagues: Colleagues;
+  readonly lease: LeaderLease;
+  readonly peers: Peers;
   /** The limits as published, or undefined where none were ever written. */
   readonly published: () => unknown;
   readonly publish: (limits: RetryLimits) => Promise<boolean>;
@@ -37,16 +43,16 @@
   /** Answers a node's asking for leases, here or at the duty's holder. */
   readonly answerNode: (message: Message) => Promise<Message>;
   readonly answerColleague: (message: Message) => Promise<Message>;
-  readonly set: (order: Rec) => Promise<Verdict>;
-  readonly show: () => Promise<readonly Rec[]>;
+  readonly set: (order: UnknownRecord) => Promise<ApiResponse>;
+  readonly show: () => Promise<readonly UnknownRecord[]>;
 }
 
 /** The fleet's written limit on retries: kept in a register, leased out by the duty's holder, told to operators. */
 export const openRetries = ({
   settings,
   clock,
-  duty,
-  colleagues,
+  lease,
+  peers,
   published,
   publish,
   isService,
@@ -57,61 +63,61 @@
     const written = published();
     return written === undefined ? defaultLimits(ceiling) : readRetryLimits(written);
   };
-  const office = new RetryOffice({
+  const office = new RetryAllocator({
     clock,
     windowUs: ceiling.windowUs,
-    isHolder: () => duty.isHolder() && duty.hasMajority(),
+    isHolder: () => lease.isHolder() && lease.seesMajority(),
     limits,
   });
 
   /** Only by a holder that a majority has just heard of: one that was cut off or frozen may have a successor. */
   const answer = async (message: Message): Promise<Message> =>
-    (await duty.confirm()) ? office.answer(message) : { kind: "retries" };
-  const setHere = async (order: Rec): Promise<Verdict> => {
-    if (!(await duty.confirm())) return { outcome: "noQuorum" };
-    const service = text(order, "service");
+    (await lease.confirm()) ? office.answer(message) : { kind: "retries" };
+  const setHere = async (order: UnknownRecord): Promise<ApiResponse> => {
+    if (!(await lease.confirm())) return { outcome: "noQuorum" };
+    const service = readString(order, "service");
     if (service !== EVERY_SERVICE && !isService(service))
       return { outcome: "wrong", body: { problem: `there is no service ${service}` } };
-    const changed = withLimit(limits(), ceiling, service, text(order, "kind"), {
+    const changed = withLimit(limits(), ceiling, service, readString(order, "kind"), {
       ratio: order["ratio"],
       slack: order["slack"],
     });
     if (changed.isErr) return { outcome: "wrong", body: { problem: changed.error } };
     return { outcome: (await publish(changed.value)) ? "taken" : "noQuorum" };
   };
-  const set = async (order: Rec): Promise<Verdict> => {
+  const set = async (order: UnknownRecord): Promise<ApiResponse> => {
     if (
       typeof order["service"] !== "string" ||
       order["service"] === "" ||
       typeof order["kind"] !== "string"
     )
       return { outcome: "wrong", body: { problem: "service and kind must be texts" } };
-    if (duty.isHolder()) return setHere(order);
-    const reply = await colleagues.ask(
-      duty.holder(),
+    if (lease.isHolder()) return setHere(order);
+    const reply = await peers.ask(
+      lease.holder(),
       { ...order, kind: "retry-set", order },
-      2 * STORE_WAIT_US,
+      2 * WRITE_TIMEOUT_US,
     );
-    return readVerdict(reply) ?? { outcome: "noQuorum" };
+    return readApiResponse(reply) ?? { outcome: "noQuorum" };
   };
 
   /** What is spent and left, by service and kind over all nodes that answer. */
-  const show = async (): Promise<readonly Rec[]> => {
+  const show = async (): Promise<readonly UnknownRecord[]> => {
     const answers = await askNodes({ kind: "retries" });
     const sums = new Map<
       string,
       { requests: number; retries: number; refused: number; leased: number }
     >();
     answers.forEach(({ answer }) =>
-      list(answer ?? {}, "rows", (value) => {
-        const row = asRec(value);
-        const key = `${text(row, "service")}\n${text(row, "kind")}`;
+      readList(answer ?? {}, "rows", (value) => {
+        const row = asRecord(value);
+        const key = `${readString(row, "service")}\n${readString(row, "kind")}`;
         const sum = sums.get(key) ?? { requests: 0, retries: 0, refused: 0, leased: 0 };
         sums.set(key, {
-          requests: sum.requests + whole(row, "requests"),
-          retries: sum.retries + whole(row, "retries"),
-          refused: sum.refused + whole(row, "refused"),
-          leased: sum.leased + whole(row, "leased"),
+          requests: sum.requests + readNumber(row, "requests"),
+          retries: sum.retries + readNumber(row, "retries"),
+          refused: sum.refused + readNumber(row, "refused"),
+          leased: sum.leased + readNumber(row, "leased"),
         });
       }),
     );
@@ -151,13 +157,13 @@
   return {
     look: office.look,
     answerNode: async (message) =>
-      duty.isHolder()
+      lease.isHolder()
         ? answer(message)
-        : ((await colleagues.ask(duty.holder(), message, STORE_WAIT_US)) ?? { kind: "retries" }),
+        : ((await peers.ask(lease.holder(), message, WRITE_TIMEOUT_US)) ?? { kind: "retries" }),
     answerColleague: async (message) => {
       if (message.kind === "retry-ask") return answer(message);
-      const verdict = await setHere(asRec(message["order"], "order"));
-      return { kind: "done", outcome: verdict.outcome, body: verdict.body ?? {} };
+      const result = await setHere(asRecord(message["order"], "order"));
+      return { kind: "done", outcome: result.outcome, body: result.body ?? {} };
     },
     set,
     show,
--- a/src/programs/ctl/ctl.ts
+++ b/src/programs/ctl/ctl.ts
@@ -2,12 +2,12 @@
 import { request } from "node:http";
 import type { Command } from "commander";
 import { err, ok, type Result } from "true-myth/result";
-import { isRec, parseJson, type Rec } from "../../common/decode.js";
-import { parseSpan } from "../../common/duration.js";
+import { isRecord, parseJson, type UnknownRecord } from "../../common/decode.js";
+import { parseDuration } from "../../common/duration.js";
 import type { UsageRow } from "./usage-export.js";
 
 /** Exit codes: 0 done, 1 refused by the system, 2 wrong input, 3 nobody reached. */
-export type OrderMishap = { readonly code: 1 | 2 | 3; readonly sentence: string };
+export type CommandError = { readonly code: 1 | 2 | 3; readonly sentence: string };
 
 const WAIT_MS = 5_000;
 
@@ -16,7 +16,7 @@
   method: string,
   path: string,
   body: string,
-): Promise<Result<Rec, OrderMishap>> =>
+): Promise<Result<UnknownRecord, CommandError>> =>
   new Promise((resolve) => {
     const call = request(
       `http://${address}${path}`,
@@ -37,7 +37,7 @@
             resolve(
               err({
                 code: status >= 500 ? 3 : 1,
-                sentence: `${address} says ${status}: ${cell(told["problem"] ?? "no reason given")}`,
+                sentence: `${address} says ${status}: ${zone(told["problem"] ?? "no reason given")}`,
               }),
             );
         });
@@ -48,13 +48,13 @@
     call.end(body);
   });
 
-const cell = (value: unknown): string =>
+const zone = (value: unknown): string =>
   typeof value === "string" ? value : value === undefined ? "" : JSON.stringify(value);
 
-const readTold = (body: string): Rec => {
+const readTold = (body: string): UnknownRecord => {
   try {
     const told = parseJson(body);
-    return isRec(told) ? told : {};
+    return isRecord(told) ? told : {};
   } catch {
     return {};
   }
@@ -62,28 +62,28 @@
 
 /** Asks one signalbox after the other, until one of them takes the call or refuses it for good. */
 const askAny = async (
-  boxes: readonly string[],
+  controllers: readonly string[],
   method: string,
   path: string,
   body = "",
-): Promise<Result<Rec, OrderMishap>> => {
-  let last: Result<Rec, OrderMishap> = err({
+): Promise<Result<UnknownRecord, CommandError>> => {
+  let last: Result<UnknownRecord, CommandError> = err({
     code: 2,
     sentence: "no signalbox is named; give --box or set YEWREEL_BOXES",
   });
-  for (const box of boxes) {
-    last = await ask(box, method, path, body);
+  for (const controller of controllers) {
+    last = await ask(controller, method, path, body);
     if (last.isOk || last.error.code !== 3) return last;
   }
   return last;
 };
 
 /** Rows as a table, with the columns that any of them has. */
-const asTable = (rows: readonly Rec[]): string => {
+const asTable = (rows: readonly UnknownRecord[]): string => {
   if (rows.length === 0) return "none";
   const columns = [...new Set(rows.flatMap((row) => Object.keys(row)))];
   const widths = columns.map((column) =>
-    Math.max(column.length, ...rows.map((row) => cell(row[column]).length)),
+    Math.max(column.length, ...rows.map((row) => zone(row[column]).length)),
   );
   const line = (values: readonly string[]) =>
     values
@@ -92,16 +92,16 @@
       .trimEnd();
   return [
     line(columns),
-    ...rows.map((row) => line(columns.map((column) => cell(row[column])))),
+    ...rows.map((row) => line(columns.map((column) => zone(row[column])))),
   ].join("\n");
 };
 
 const rowsOfTexts = (value: unknown): readonly string[] =>
-  Array.isArray(value) ? value.map(cell) : [];
+  Array.isArray(value) ? value.map(zone) : [];
 
-const rowsOf = (value: unknown): readonly Rec[] => {
-  if (Array.isArray(value)) return value.filter(isRec);
-  return isRec(value) ? Object.entries(value).map(([what, is]) => ({ what, is })) : [];
+const rowsOf = (value: unknown): readonly UnknownRecord[] => {
+  if (Array.isArray(value)) return value.filter(isRecord);
+  return isRecord(value) ? Object.entries(value).map(([what, is]) => ({ what, is })) : [];
 };
 
 interface Common {
@@ -110,9 +110,13 @@
 }
 
 const boxesOf = (common: Common): readonly string[] =>
-  common.box ?? (process.env["YEWREEL_BOXES"] ?? "").split(",").filter((box) => box !== "");
+  common.box ??
+  (process.env["YEWREEL_BOXES"] ?? "").split(",").filter((controller) => controller !== "");
 
-const finish = (result: Result<Rec, OrderMishap>, show: (told: Rec) => string): void => {
+const finish = (
+  result: Result<UnknownRecord, CommandError>,
+  show: (told: UnknownRecord) => string,
+): void => {
   if (result.isOk) {
     process.stdout.write(`${show(result.value)}\n`);
     return;
@@ -122,20 +126,20 @@
 };
 
 /** A call that the operator's plan file stands for, or a plain sentence on what is wrong with the file. */
-const readPlanFile = async (path: string): Promise<Result<string, OrderMishap>> => {
+const readPlanFile = async (path: string): Promise<Result<string, CommandError>> => {
   try {
     const body = await readFile(path, "utf8");
     const plan = parseJson(body);
-    if (!isRec(plan)) return err({ code: 2, sentence: `${path} holds no JSON table` });
+    if (!isRecord(plan)) return err({ code: 2, sentence: `${path} holds no JSON table` });
     return ok(
       plan["putItems"] === undefined && plan["remove"] === undefined
         ? JSON.stringify({ putItems: plan, remove: { routes: [] } })
         : body,
     );
-  } catch (mishap) {
+  } catch (error) {
     return err({
       code: 2,
-      sentence: `${path} cannot be read: ${mishap instanceof Error ? mishap.message : "unknown"}`,
+      sentence: `${path} cannot be read: ${error instanceof Error ? error.message : "unknown"}`,
     });
   }
 };
@@ -143,7 +147,7 @@
 const exportUsage = async (
   file: string,
   ready: readonly string[],
-): Promise<Result<Rec, OrderMishap>> => {
+): Promise<Result<UnknownRecord, CommandError>> => {
   const { readUsageRow, writeUsage } = await import("./usage-export.js");
   const rows: UsageRow[] = [];
   for (const address of ready) {
@@ -155,10 +159,10 @@
     return (await writeUsage(file, rows))
       ? ok({ rows: rows.length })
       : err({ code: 2, sentence: `${file} must end in .csv or .parquet` });
-  } catch (mishap) {
+  } catch (error) {
     return err({
       code: 2,
-      sentence: `${file} cannot be written: ${mishap instanceof Error ? mishap.message : "unknown"}`,
+      sentence: `${file} cannot be written: ${error instanceof Error ? error.message : "unknown"}`,
     });
   }
 };
@@ -174,9 +178,14 @@
 const REACHED_NOBODY = 3;
 
 /** The duty, the roster and the term, and below them every signalbox with why it doesn't count. */
-const dutyText = (told: Rec): string => {
-  const { holder, term, roster, boxes } = isRec(told["duty"]) ? told["duty"] : told;
-  const { number, is, members, from } = isRec(roster) ? roster : {};
+const dutyText = (told: UnknownRecord): string => {
+  const {
+    holder,
+    term,
+    roster: voterSet,
+    boxes: controllers,
+  } = isRecord(told["duty"]) ? told["duty"] : told;
+  const { number, is, members, from } = isRecord(voterSet) ? voterSet : {};
   const leaving = rowsOfTexts(from).filter((id) => !rowsOfTexts(members).includes(id));
   return [
     asTable([
@@ -190,18 +199,18 @@
       },
     ]),
     "",
-    asTable(rowsOf(boxes)),
+    asTable(rowsOf(controllers)),
   ].join("\n");
 };
 
 /** What each named signalbox knows by itself; one that is cut off tells too, and its word is its own. */
 const showCopies = async (options: Common): Promise<void> => {
-  const boxes = boxesOf(options);
+  const controllers = boxesOf(options);
   const rows = await Promise.all(
-    boxes.map(async (box): Promise<Rec> => {
-      const told = await ask(box, "GET", "/tell/copy", "");
-      if (told.isErr) return { box, view: told.error.sentence };
-      const copy = isRec(told.value["copy"]) ? told.value["copy"] : {};
+    controllers.map(async (controller): Promise<UnknownRecord> => {
+      const told = await ask(controller, "GET", "/tell/copy", "");
+      if (told.isErr) return { box: controller, view: told.error.sentence };
+      const copy = isRecord(told.value["copy"]) ? told.value["copy"] : {};
       return Object.fromEntries(
         Object.entries(copy).map(([name, value]) => [
           name,
@@ -214,12 +223,12 @@
   process.stdout.write(
     `${options.json === true ? JSON.stringify(rows, undefined, 2) : asTable(rows)}\n`,
   );
-  if (!reached) process.exitCode = boxes.length === 0 ? 2 : REACHED_NOBODY;
+  if (!reached) process.exitCode = controllers.length === 0 ? 2 : REACHED_NOBODY;
 };
 
 /** A span such as 90s, or a moment of the calendar, which is turned into the span until then. */
-const spanUntil = (when: string): Result<string, OrderMishap> => {
-  if (parseSpan(when).isOk) return ok(when);
+const spanUntil = (when: string): Result<string, CommandError> => {
+  if (parseDuration(when).isOk) return ok(when);
   const leftMs = Date.parse(when) - Date.now();
   return leftMs > 0
     ? ok(`${leftMs}ms`)
@@ -240,19 +249,22 @@
   readonly check?: string;
 }
 
-const readAdded = (given: string): Rec | undefined => {
+const readAdded = (given: string): UnknownRecord | undefined => {
   const parts = /^([^@]+)@([^*]+)(?:\*(\d+))?$/.exec(given);
   return parts ? { service: parts[1], cell: parts[2], count: Number(parts[3] ?? 1) } : undefined;
 };
 
-const keepFile = async (path: string, moves: Rec): Promise<Result<Rec, OrderMishap>> => {
+const keepFile = async (
+  path: string,
+  moves: UnknownRecord,
+): Promise<Result<UnknownRecord, CommandError>> => {
   try {
     await writeFile(path, JSON.stringify(moves));
     return ok({});
-  } catch (mishap) {
+  } catch (error) {
     return err({
       code: 2,
-      sentence: `${path} cannot be written: ${mishap instanceof Error ? mishap.message : "unknown"}`,
+      sentence: `${path} cannot be written: ${error instanceof Error ? error.message : "unknown"}`,
     });
   }
 };
@@ -263,7 +275,7 @@
   typeof value === "number" ? Math.round(value * 100) / 100 : value;
 
 /** A forecast as rows for people: shares in percent, cells in one column. */
-const forecastText = (moves: Rec, byNode: boolean): string => {
+const forecastText = (moves: UnknownRecord, byNode: boolean): string => {
   const line = ({
     node,
     service,
@@ -276,7 +288,7 @@
     high,
     toCells,
     newConnections,
-  }: Rec): Rec => ({
+  }: UnknownRecord): UnknownRecord => ({
     ...(node === undefined ? {} : { node }),
     service,
     kind,
@@ -285,7 +297,7 @@
     perS: rounded(perS),
     moved: percent(moved),
     between: `${percent(low)} and ${percent(high)}`,
-    goesTo: isRec(toCells)
+    goesTo: isRecord(toCells)
       ? Object.entries(toCells)
           .map(([to, share]) => `${to} ${percent(share)}`)
           .join(", ")
@@ -307,14 +319,14 @@
 
 const checkBackends = async (options: BackendsCall, file: string): Promise<void> => {
   const { checkForecast, countsOf, readKept } = await import("./forecast-check.js");
-  let kept: Rec | string;
+  let kept: UnknownRecord | string;
   try {
     kept = readKept(parseJson(await readFile(file, "utf8")));
   } catch {
     kept = `${file} cannot be read`;
   }
   if (typeof kept === "string") return finish(err({ code: 2, sentence: kept }), String);
-  const services = [...new Set(rowsOf(kept["subsets"]).map((row) => cell(row["service"])))];
+  const services = [...new Set(rowsOf(kept["subsets"]).map((row) => zone(row["service"])))];
   const told = await askAny(
     boxesOf(options),
     "POST",
@@ -340,7 +352,7 @@
 };
 
 /** The operator's command line. Queries take --json; commands answer with one line. */
-export const addStationmaster = (cli: Command): void => {
+export const addCtlCommands = (cli: Command): void => {
   const station = cli
     .command("stationmaster")
     .description("the operator's command line: talks to any signalbox");
@@ -350,7 +362,7 @@
       "signalboxes to ask, as ip:port (or YEWREEL_BOXES, comma-separated)",
     );
   const query = (command: Command): Command => common(command).option("--json", "print JSON");
-  const show = (options: Common, field: string) => (told: Rec) =>
+  const show = (options: Common, field: string) => (told: UnknownRecord) =>
     options.json === true
       ? JSON.stringify(told[field] ?? told, undefined, 2)
       : asTable(rowsOf(told[field] ?? told));
@@ -429,24 +441,24 @@
       "export usage from pointsmen's ready addresses (ip:port) to FILE.csv or FILE.parquet",
     )
     .action(async (file: string, ready: string[]) =>
-      finish(await exportUsage(file, ready), ({ rows }) => `Wrote ${cell(rows)} rows.`),
+      finish(await exportUsage(file, ready), ({ rows }) => `Wrote ${zone(rows)} rows.`),
     );
 
   const rollout = station
     .command("rollout")
     .description("the comparison of route versions that split their traffic");
-  const rolloutRows = (told: Rec): readonly Rec[] =>
-    isRec(told["rollouts"]) ? rowsOf(told["rollouts"]["rollouts"]) : [];
+  const rolloutRows = (told: UnknownRecord): readonly UnknownRecord[] =>
+    isRecord(told["rollouts"]) ? rowsOf(told["rollouts"]["rollouts"]) : [];
   query(rollout.command("list").description("every candidate with its verdict")).action(
     async (options: Common) => {
-      const brief = (told: Rec) =>
+      const brief = (told: UnknownRecord) =>
         rolloutRows(told).map(
-          ({ route, version, candidate, baseline, verdict, afterMs, reason }) => ({
+          ({ route, version, candidate, baseline, verdict: result, afterMs, reason }) => ({
             route,
             version,
             candidate,
             baseline,
-            verdict,
+            verdict: result,
             afterMs,
             reason,
           }),
@@ -537,7 +549,9 @@
   ).action(async (service: string | undefined, options: Common) => {
     const told = await askAny(boxesOf(options), "GET", "/tell/forecast");
     const rowsAll =
-      told.isOk && isRec(told.value["forecast"]) ? rowsOf(told.value["forecast"]["services"]) : [];
+      told.isOk && isRecord(told.value["forecast"])
+        ? rowsOf(told.value["forecast"]["services"])
+        : [];
     const rows = rowsAll.filter((row) => service === undefined || row["service"] === service);
     if (told.isOk && service !== undefined && rows.length === 0)
       return finish(err({ code: 1, sentence: `nothing is known of a service ${service}` }), String);
@@ -618,7 +632,7 @@
       return finish(
         err({
           code: 2,
-          sentence: `${cell(options.add?.[bad])} is not SERVICE@CELL or SERVICE@CELL*N`,
+          sentence: `${zone(options.add?.[bad])} is not SERVICE@CELL or SERVICE@CELL*N`,
         }),
         String,
       );
@@ -628,7 +642,7 @@
       "/backends/forecast",
       JSON.stringify({ add, retire: options.retire ?? [], byRoute: options.byRoute === true }),
     );
-    const moves = told.isOk && isRec(told.value["moves"]) ? told.value["moves"] : {};
+    const moves = told.isOk && isRecord(told.value["moves"]) ? told.value["moves"] : {};
     if (told.isOk && options.keep !== undefined) {
       const kept = await keepFile(options.keep, moves);
       if (kept.isErr) return finish(kept, String);
@@ -641,8 +655,8 @@
   });
 
   const window = station.command("window").description("planned maintenance windows of cells");
-  const windowRows = (told: Rec): readonly Rec[] =>
-    isRec(told["windows"]) ? rowsOf(told["windows"]["windows"]) : [];
+  const windowRows = (told: UnknownRecord): readonly UnknownRecord[] =>
+    isRecord(told["windows"]) ? rowsOf(told["windows"]["windows"]) : [];
   common(
     window
       .command("add <cell>")
@@ -659,7 +673,7 @@
     ) => {
       const opens = spanUntil(options.opens);
       if (opens.isErr) return finish(err(opens.error), String);
-      if (parseSpan(options.lasts).isErr)
+      if (parseDuration(options.lasts).isErr)
         return finish(err({ code: 2, sentence: "--lasts must be a span such as 1800s" }), String);
       finish(
         await askAny(
@@ -670,7 +684,7 @@
         ),
         (told) =>
           [
-            `Window ${cell(told["id"])} is planned.`,
+            `Window ${zone(told["id"])} is planned.`,
             ...rowsOfTexts(told["warnings"]).map((warning) => `Warning: ${warning}`),
           ].join("\n"),
       );
@@ -710,7 +724,7 @@
       .description("make a window longer")
       .requiredOption("--by <span>", "by how much, such as 600s"),
   ).action(async (id: string, options: Common & { readonly by: string }) => {
-    if (parseSpan(options.by).isErr)
+    if (parseDuration(options.by).isErr)
       return finish(err({ code: 2, sentence: "--by must be a span such as 600s" }), String);
     finish(
       await askAny(
--- a/src/programs/ctl/forecast-check.ts
+++ b/src/programs/ctl/forecast-check.ts
@@ -1,16 +1,16 @@
 import { LEAST_CALLS } from "../../proxy/reassignment-forecast.js";
 import {
-  asRec,
-  isRec,
-  list,
-  numberOf,
-  text,
-  textOf,
-  whole,
-  type Rec,
+  asRecord,
+  isRecord,
+  readList,
+  asNumber,
+  readString,
+  asString,
+  readNumber,
+  type UnknownRecord,
 } from "../../common/decode.js";
 
-export interface CheckedRow extends Rec {
+export interface CheckedRow extends UnknownRecord {
   readonly node: string;
   readonly service: string;
   readonly kind: string;
@@ -33,30 +33,41 @@
  * Sets a kept forecast beside what the nodes have seen since: the share of calls at workers that are new to the node's
  * subset, and at those that were to leave it. To be asked a window after the change, when nothing older is counted.
  */
-export const checkForecast = (kept: Rec, seen: readonly Rec[]): readonly CheckedRow[] => {
+export const checkForecast = (
+  kept: UnknownRecord,
+  seen: readonly UnknownRecord[],
+): readonly CheckedRow[] => {
   const before = new Map<string, ReadonlySet<string>>();
-  list(kept, "subsets", (value) => {
-    const row = asRec(value);
+  readList(kept, "subsets", (value) => {
+    const row = asRecord(value);
     before.set(
-      `${text(row, "node")}\n${text(row, "service")}`,
-      new Set(list(row, "subset", textOf)),
+      `${readString(row, "node")}\n${readString(row, "service")}`,
+      new Set(readList(row, "subset", asString)),
     );
   });
   const heard = new Map(
-    seen.filter((row) => row["heard"] === true).map((row) => [text(row, "node"), row]),
+    seen.filter((row) => row["heard"] === true).map((row) => [readString(row, "node"), row]),
   );
-  return list(kept, "nodes", (value) => {
-    const row = asRec(value);
-    const [node, service, kind] = [text(row, "node"), text(row, "service"), text(row, "kind")];
-    const of = list(heard.get(node) ?? {}, "services", asRec).find(
+  return readList(kept, "nodes", (value) => {
+    const row = asRecord(value);
+    const [node, service, kind] = [
+      readString(row, "node"),
+      readString(row, "service"),
+      readString(row, "kind"),
+    ];
+    const of = readList(heard.get(node) ?? {}, "services", asRecord).find(
       (one) => one["service"] === service,
     );
-    const calls = list(of ?? {}, "calls", (call): SeenCall => {
-      const rec = asRec(call);
-      return { kind: text(rec, "kind"), worker: text(rec, "worker"), count: whole(rec, "count") };
+    const calls = readList(of ?? {}, "calls", (call): SeenCall => {
+      const record = asRecord(call);
+      return {
+        kind: readString(record, "kind"),
+        worker: readString(record, "worker"),
+        count: readNumber(record, "count"),
+      };
     }).filter((call) => call.kind === kind);
     const total = calls.reduce((sum, { count }) => sum + count, 0);
-    const leavers = new Set(list(row, "leavers", textOf));
+    const leavers = new Set(readList(row, "leavers", asString));
     const was = before.get(`${node}\n${service}`) ?? new Set<string>();
     const part = (fits: (worker: string) => boolean) =>
       total === 0
@@ -64,12 +75,12 @@
         : calls.filter(({ worker }) => fits(worker)).reduce((sum, { count }) => sum + count, 0) /
           total;
     const [forecastJoin, low, high] = [
-      whole(row, "join"),
-      whole(row, "joinLow"),
-      whole(row, "joinHigh"),
+      readNumber(row, "join"),
+      readNumber(row, "joinLow"),
+      readNumber(row, "joinHigh"),
     ];
     const seenJoin = part((worker) => !was.has(worker));
-    const verdict =
+    const result =
       of === undefined
         ? "not heard"
         : total < LEAST_CALLS
@@ -87,33 +98,33 @@
       high,
       seenJoin,
       seenLeave: part((worker) => leavers.has(worker)),
-      verdict,
+      verdict: result,
     };
   });
 };
 
 /** A kept forecast as it stands in a file, or a sentence on what is wrong with it. */
-export const readKept = (value: unknown): Rec | string => {
-  if (!isRec(value) || !Array.isArray(value["nodes"]) || !Array.isArray(value["subsets"]))
+export const readKept = (value: unknown): UnknownRecord | string => {
+  if (!isRecord(value) || !Array.isArray(value["nodes"]) || !Array.isArray(value["subsets"]))
     return "the file holds no kept forecast";
   try {
-    list(value, "nodes", (row) =>
+    readList(value, "nodes", (row) =>
       [
-        text(asRec(row), "node"),
-        whole(asRec(row), "join"),
-        whole(asRec(row), "joinLow"),
-        whole(asRec(row), "joinHigh"),
+        readString(asRecord(row), "node"),
+        readNumber(asRecord(row), "join"),
+        readNumber(asRecord(row), "joinLow"),
+        readNumber(asRecord(row), "joinHigh"),
       ].map(String),
     );
-    list(value, "subsets", (row) => list(asRec(row), "subset", textOf));
+    readList(value, "subsets", (row) => readList(asRecord(row), "subset", asString));
     return value;
-  } catch (mishap) {
-    return mishap instanceof Error ? mishap.message : "unreadable";
+  } catch (error) {
+    return error instanceof Error ? error.message : "unreadable";
   }
 };
 
 export const countsOf = (rows: readonly CheckedRow[]): Readonly<Record<string, number>> => {
   const counts: Record<string, number> = {};
-  rows.forEach(({ verdict }) => (counts[verdict] = numberOf(counts[verdict] ?? 0) + 1));
+  rows.forEach(({ verdict: result }) => (counts[result] = asNumber(counts[result] ?? 0) + 1));
   return counts;
 };
--- a/src/programs/ctl/usage-export.ts
+++ b/src/programs/ctl/usage-export.ts
@@ -1,7 +1,7 @@
 import { writeFile } from "node:fs/promises";
 import { stringify } from "csv-stringify/sync";
 import { parquetWriteBuffer } from "hyparquet-writer";
-import { asRec, text, whole } from "../../common/decode.js";
+import { asRecord, readString, readNumber } from "../../common/decode.js";
 
 /** One row for each node, route, kind, cell and outcome. Invariant: `count` is cumulative for the node's present life. */
 export interface UsageRow {
@@ -24,14 +24,14 @@
 ] as const;
 
 export const readUsageRow = (node: string, value: unknown): UsageRow => {
-  const rec = asRec(value, "row");
+  const record = asRecord(value, "row");
   return {
     node,
-    route: text(rec, "route"),
-    kind: text(rec, "kind"),
-    cell: text(rec, "cell"),
-    outcome: text(rec, "outcome"),
-    count: whole(rec, "count"),
+    route: readString(record, "route"),
+    kind: readString(record, "kind"),
+    cell: readString(record, "cell"),
+    outcome: readString(record, "outcome"),
+    count: readNumber(record, "count"),
   };
 };
 
--- a/src/programs/data-plane-node.ts
+++ b/src/programs/data-plane-node.ts
@@ -1,63 +1,63 @@
-import { Board } from "../membership/update-store.js";
-import { Feeder } from "../membership/update-publisher.js";
-import type { Role } from "../membership/node-sessions.js";
-import { Switchboard, type Receiver } from "../transport/listener.js";
-import { Taker, type TakerOptions } from "../membership/update-subscriber.js";
+import { UpdateStore } from "../membership/update-store.js";
+import { UpdatePublisher } from "../membership/update-publisher.js";
+import type { NodeRole } from "../membership/node-sessions.js";
+import { Listener, type Receiver } from "../transport/listener.js";
+import { UpdateSubscriber, type UpdateSubscriberOptions } from "../membership/update-subscriber.js";
 import type { Clock } from "../common/clock.js";
-import { logFor } from "../common/logger.js";
+import { loggerFor } from "../common/logger.js";
 import type { Settings } from "../common/settings.js";
-import { MS } from "../common/duration.js";
-import type { Message, Wire } from "../transport/connection.js";
+import { MILLISECOND_US } from "../common/duration.js";
+import type { Message, Connection } from "../transport/connection.js";
 
-export const TIMES = { pulseUs: 300 * MS, silenceUs: 1_000 * MS };
+export const KEEP_ALIVE = { heartbeatUs: 300 * MILLISECOND_US, timeoutUs: 1_000 * MILLISECOND_US };
 
-export interface Member {
-  readonly board: Board;
-  readonly taker: Taker;
-  readonly relay: Switchboard;
+export interface DataPlaneNode {
+  readonly updates: UpdateStore;
+  readonly subscriber: UpdateSubscriber;
+  readonly relay: Listener;
 }
 
 /** A node of the data plane among the others: its session with a signalbox, and its place in the relay tree. */
-export const joinNews = (
+export const joinCluster = (
   settings: Settings,
   clock: Clock,
-  role: Role,
+  role: NodeRole,
   receivers: Readonly<Record<string, Receiver>> = {},
-  answer?: TakerOptions["answer"],
-): Member => {
-  const log = logFor("relay");
-  const board = new Board(clock);
-  const taker = new Taker({
+  answer?: UpdateSubscriberOptions["answer"],
+): DataPlaneNode => {
+  const log = loggerFor("relay");
+  const updates = new UpdateStore(clock);
+  const subscriber = new UpdateSubscriber({
     name: settings.name,
-    cell: settings.cell,
+    cell: settings.zone,
     role,
     ...(settings.deployment === "" ? {} : { linkMbps: settings.linkMbps }),
     relay: `${settings.ip}:${settings.relayPort}`,
     seeds: settings.seedNodes,
-    signalPort: settings.signalPort,
+    peerPort: settings.peerPort,
     clock,
-    times: TIMES,
-    board,
-    log: logFor("taker"),
+    times: KEEP_ALIVE,
+    updates,
+    log: loggerFor("taker"),
     ...(answer ? { answer } : {}),
   });
-  const feeder = new Feeder(clock, board, () => false);
+  const publisher = new UpdatePublisher(clock, updates, () => false);
   const serveChild = async (
-    wire: Wire,
+    connection: Connection,
     _hello: Message,
     incoming: AsyncIterable<Message>,
   ): Promise<void> => {
-    if (!taker.isFed) return;
-    feeder.adopt(wire);
+    if (!subscriber.isUpToDate) return;
+    publisher.addChild(connection);
     for await (const message of incoming) log.debug(`A child said ${message.kind}.`);
-    feeder.release(wire);
+    publisher.removeChild(connection);
   };
-  taker.events.on("crew", feeder.setCrew);
-  taker.events.on("fresh", feeder.setFresh);
-  taker.events.on("unfed", feeder.closeAll);
+  subscriber.events.on("crew", publisher.setClusterSize);
+  subscriber.events.on("fresh", publisher.sendFreshness);
+  subscriber.events.on("unfed", publisher.closeAll);
   return {
-    board,
-    taker,
-    relay: new Switchboard(clock, TIMES, { child: serveChild, ...receivers }, log),
+    updates,
+    subscriber,
+    relay: new Listener(clock, KEEP_ALIVE, { child: serveChild, ...receivers }, log),
   };
 };
--- a/src/programs/gateway/gateway.ts
+++ b/src/programs/gateway/gateway.ts
@@ -1,41 +1,41 @@
-import { FaultCounts } from "../../health/fault-counters.js";
-import { UsageCounts } from "../../health/load-counters.js";
-import { RolloutCounts } from "../../health/canary-counters.js";
-import type { Crew } from "../../membership/update-publisher.js";
-import { CallCounts } from "../../proxy/request-counters.js";
-import { Front } from "../../proxy/proxy-server.js";
+import { FaultCounters } from "../../health/fault-counters.js";
+import { LoadCounters } from "../../health/load-counters.js";
+import { CanaryCounters } from "../../health/canary-counters.js";
+import type { ClusterSize } from "../../membership/update-publisher.js";
+import { RequestCounters } from "../../proxy/request-counters.js";
+import { ProxyServer } from "../../proxy/proxy-server.js";
 import { RouteTable } from "../../proxy/route-table.js";
-import { Yard } from "../../proxy/connection-pool.js";
-import { rest, type Clock } from "../../common/clock.js";
-import { logFor } from "../../common/logger.js";
+import { ConnectionPool } from "../../proxy/connection-pool.js";
+import { sleep, type Clock } from "../../common/clock.js";
+import { loggerFor } from "../../common/logger.js";
 import type { Settings } from "../../common/settings.js";
-import { MS, SECOND } from "../../common/duration.js";
-import { serveCalls } from "../http-api.js";
-import { joinNews } from "../data-plane-node.js";
-import { answersOf } from "./node-queries.js";
-import type { PointsmanGoods, PointsmanGoodsOptions } from "./object-cache.js";
+import { MILLISECOND_US, SECOND_US } from "../../common/duration.js";
+import { serveApi } from "../http-api.js";
+import { joinCluster } from "../data-plane-node.js";
+import { nodeQueryHandlers } from "./node-queries.js";
+import type { GatewayObjectCache, GatewayObjectCacheOptions } from "./object-cache.js";
 import { openRetryBudgets } from "./retry-budgets.js";
-import type { Running } from "../running-program.js";
+import type { RunningProgram } from "../running-program.js";
 
 const MB = 1024 * 1024;
 const DEFAULT_MEMORY_MB = 256;
 /** Bodies held whole take at most this part of the memory. */
 const ROOM_PART = 4;
-const REPORT_US = 2 * SECOND;
-const ROLLOUT_REPORT_US = 500 * MS;
+const REPORT_US = 2 * SECOND_US;
+const ROLLOUT_REPORT_US = 500 * MILLISECOND_US;
 /** How long after SIGTERM new connections may still come, until everyone has seen that this node is not ready. */
-const NOTICE_US = 2_800 * MS;
-const END_MARGIN_US = 400 * MS;
+const NOTICE_US = 2_800 * MILLISECOND_US;
+const END_MARGIN_US = 400 * MILLISECOND_US;
 
 /** Only a deployment of this kind loads and runs what objects and operation keys need. */
 const CONTENT = "content";
-const openGoods = async (options: PointsmanGoodsOptions): Promise<PointsmanGoods> =>
-  (await import("./object-cache.js")).openPointsmanGoods(options);
+const openGoods = async (options: GatewayObjectCacheOptions): Promise<GatewayObjectCache> =>
+  (await import("./object-cache.js")).openGatewayObjectCache(options);
 
 /** Puts the data plane together on one machine. */
-export const runPointsman = async (settings: Settings, clock: Clock): Promise<Running> => {
-  const log = logFor("pointsman");
-  const { board, taker, relay } = joinNews(
+export const runGateway = async (settings: Settings, clock: Clock): Promise<RunningProgram> => {
+  const log = loggerFor("pointsman");
+  const { updates, subscriber, relay } = joinCluster(
     settings,
     clock,
     "pointsman",
@@ -43,22 +43,30 @@
     (question) => answers(question),
   );
   const table = new RouteTable();
-  const yard = new Yard(clock, settings.name, settings.cell);
+  const pool = new ConnectionPool(clock, settings.name, settings.zone);
   const life = `${process.pid}-${clock.nowUs()}-${Math.random()}`;
-  const counts = new FaultCounts(life);
-  const rollouts = new RolloutCounts(life);
-  const usage = new UsageCounts(life);
-  const calls = new CallCounts(clock);
-  const budgets = openRetryBudgets(settings, clock, board, taker, life);
-  const answers = answersOf({ node: settings.name, cell: settings.cell, yard, calls, budgets });
+  const counts = new FaultCounters(life);
+  const rollouts = new CanaryCounters(life);
+  const usage = new LoadCounters(life);
+  const calls = new RequestCounters(clock);
+  const retryBudgets = openRetryBudgets(settings, clock, updates, subscriber, life);
+  const answers = nodeQueryHandlers({
+    node: settings.name,
+    cell: settings.zone,
+    pool,
+    calls,
+    budgets: retryBudgets,
+  });
   const tallies = new Map<string, number>();
-  let crew: Crew = { pointsmen: 1, cells: {} };
+  let clusterSize: ClusterSize = { pointsmen: 1, cells: {} };
   let leaving = false;
 
   const connectionShare = (service: string): number =>
     Math.max(
       1,
-      Math.floor((table.service(service)?.maxConnections ?? 16) / Math.max(1, crew.pointsmen)),
+      Math.floor(
+        (table.service(service)?.maxConnections ?? 16) / Math.max(1, clusterSize.pointsmen),
+      ),
     );
 
   const goods =
@@ -66,62 +74,62 @@
       ? await openGoods({
           settings,
           clock,
-          board,
-          taker,
+          updates,
+          subscriber,
           table,
-          yard,
+          pool,
           life,
-          budgets,
+          budgets: retryBudgets,
           connectionShare,
           countFault: counts.count,
         })
       : undefined;
-  const front = new Front({
+  const front = new ProxyServer({
     clock,
-    log: logFor("front"),
-    cell: settings.cell,
-    roomBytes: ((settings.memoryMb || DEFAULT_MEMORY_MB) * MB) / ROOM_PART,
+    log: loggerFor("front"),
+    cell: settings.zone,
+    memoryBytes: ((settings.memoryMb || DEFAULT_MEMORY_MB) * MB) / ROOM_PART,
     table,
-    yard,
-    budgets,
+    pool,
+    budgets: retryBudgets,
     connectionShare,
     countFault: counts.count,
     tally: (route, kind, outcome) => {
-      const key = `${route}|${kind}|${settings.cell}|${outcome}`;
+      const key = `${route}|${kind}|${settings.zone}|${outcome}`;
       tallies.set(key, (tallies.get(key) ?? 0) + 1);
     },
     countRollout: (route, service, stratum, outcome) =>
-      rollouts.count(route.name, route.version, service, `${settings.cell}|${stratum}`, outcome),
+      rollouts.count(route.name, route.version, service, `${settings.zone}|${stratum}`, outcome),
     countCall: calls.count,
     random: Math.random,
     usage,
     acts: settings.forecastActs,
-    ...(goods ? { goods: goods.goods, desk: goods.desk } : {}),
+    ...(goods ? { objects: goods.objects, desk: goods.desk } : {}),
   });
 
-  board.events.on("changed", (facts) => {
+  updates.events.on("changed", (facts) => {
     table.take(facts);
-    yard.take(facts);
+    pool.take(facts);
     rollouts.keepOnly(table.isInForce);
     front.takeLimits();
-    front.setEmptied(yard.isEmptied(settings.cell));
+    front.setEmptied(pool.isEmptied(settings.zone));
     front.wake();
   });
-  board.events.on("forgotten", (keys) => {
-    yard.forget(keys);
+  updates.events.on("forgotten", (keys) => {
+    pool.forget(keys);
     keys.forEach((key) => counts.forget(key));
   });
-  taker.events.on("crew", (told) => {
-    crew = told;
-    yard.setNodes({
-      here: Math.max(1, told.cells[settings.cell] ?? 1),
+  subscriber.events.on("crew", (told) => {
+    clusterSize = told;
+    pool.setNodes({
+      here: Math.max(1, told.cells[settings.zone] ?? 1),
       everywhere: Math.max(1, told.pointsmen),
     });
   });
 
   const isReady = (): boolean =>
-    !leaving && !yard.isEmptied(settings.cell) && table.isHeld && yard.size > 0;
-  const ready = await serveCalls(settings.ready, [
+    !leaving && !pool.isEmptied(settings.zone) && table.isLoaded && pool.size > 0;
+  const ready = await serveApi(settings.ready, [
     {
       method: "GET",
       path: "/ready",
@@ -134,8 +142,8 @@
         outcome: "taken",
         body: {
           counts: [...tallies].map(([key, count]) => {
-            const [route, kind, cell, outcome] = key.split("|");
-            return { route, kind, cell, outcome, count };
+            const [route, kind, zone, outcome] = key.split("|");
+            return { route, kind, cell: zone, outcome, count };
           }),
         },
       }),
@@ -143,7 +151,7 @@
     {
       method: "GET",
       path: "/tell/goods",
-      act: async () => ({ outcome: "taken", body: { goods: goods?.goods.tell() ?? {} } }),
+      act: async () => ({ outcome: "taken", body: { goods: goods?.objects.tell() ?? {} } }),
     },
     {
       method: "GET",
@@ -151,13 +159,13 @@
       act: async () => ({
         outcome: "taken",
         body: {
-          workers: yard.all().map((worker) => ({
+          workers: pool.all().map((worker) => ({
             id: worker.id,
             service: worker.service,
             cell: worker.cell,
             state: worker.state,
             usage: worker.usage(0),
-            ejected: yard.isEjected(worker),
+            ejected: pool.isEjected(worker),
           })),
         },
       }),
@@ -165,37 +173,37 @@
   ]);
   await front.listen(settings.front);
   await relay.listen(settings.ip, settings.relayPort);
-  void taker.run();
+  void subscriber.run();
   const rolloutReport = clock.every(ROLLOUT_REPORT_US, () => {
     const message = rollouts.takeReport();
-    if (message) taker.report(message);
+    if (message) subscriber.report(message);
   });
   const report = clock.every(REPORT_US, () => {
     const message = counts.takeReport();
-    if (message) taker.report(message);
+    if (message) subscriber.report(message);
     const used = usage.takeReport();
-    if (used) taker.report(used);
-    yard.trim();
+    if (used) subscriber.report(used);
+    pool.trim();
   });
   log.info(`Up at ${settings.front}.`);
 
   return {
-    renew: ({ seedNodes }) => taker.renewSeeds(seedNodes),
+    renew: ({ seedNodes }) => subscriber.renewSeeds(seedNodes),
     stop: async () => {
       const endUs = clock.nowUs() + settings.graceUs - END_MARGIN_US;
       log.info("Leaving.");
       leaving = true;
       front.beginLeaving();
-      await rest(clock, Math.min(NOTICE_US, (settings.graceUs - END_MARGIN_US) / 2));
+      await sleep(clock, Math.min(NOTICE_US, (settings.graceUs - END_MARGIN_US) / 2));
       front.stopListening();
       while (front.openRequests > 0 && clock.nowUs() < endUs) {
-        await rest(clock, 50 * MS);
+        await sleep(clock, 50 * MILLISECOND_US);
         front.closeIdle();
       }
       report.stop();
       rolloutReport.stop();
       goods?.stop();
-      taker.stop();
+      subscriber.stop();
       relay.close();
       ready.close();
     },
--- a/src/programs/gateway/node-queries.ts
+++ b/src/programs/gateway/node-queries.ts
@@ -1,52 +1,63 @@
-import type { CallCounts } from "../../proxy/request-counters.js";
+import type { RequestCounters } from "../../proxy/request-counters.js";
 import { forecastMoves, type BackendChange } from "../../proxy/reassignment-forecast.js";
 import type { RetryBudgets } from "../../proxy/retry-budget.js";
-import type { Yard } from "../../proxy/connection-pool.js";
-import { asRec, flag, list, text, textOf, whole } from "../../common/decode.js";
+import type { ConnectionPool } from "../../proxy/connection-pool.js";
+import {
+  asRecord,
+  readFlag,
+  readList,
+  readString,
+  asString,
+  readNumber,
+} from "../../common/decode.js";
 import type { Message } from "../../transport/connection.js";
 
 export interface AnswersOptions {
   readonly node: string;
   readonly cell: string;
-  readonly yard: Yard;
-  readonly calls: CallCounts;
+  readonly pool: ConnectionPool;
+  readonly calls: RequestCounters;
   readonly budgets: RetryBudgets;
 }
 
 export const readBackendChange = (message: Message): BackendChange => ({
-  add: list(message, "add", (value) => {
-    const rec = asRec(value);
-    return { service: text(rec, "service"), cell: text(rec, "cell"), count: whole(rec, "count") };
+  add: readList(message, "add", (value) => {
+    const record = asRecord(value);
+    return {
+      service: readString(record, "service"),
+      cell: readString(record, "cell"),
+      count: readNumber(record, "count"),
+    };
   }),
-  retire: list(message, "retire", textOf),
-  byRoute: flag(message, "byRoute"),
+  retire: readList(message, "retire", asString),
+  byRoute: readFlag(message, "byRoute"),
 });
 
 /** What a pointsman answers a signalbox that asks on an operator's behalf. Queries only: they count, and change nothing. */
-export const answersOf = ({
+export const nodeQueryHandlers = ({
   node,
-  cell,
-  yard,
+  cell: zone,
+  pool,
   calls,
-  budgets,
+  budgets: retryBudgets,
 }: AnswersOptions): ((question: Message) => Message | undefined) => {
   const moves = (question: Message): Message => {
     const change = readBackendChange(question);
-    const forecasts = list(question, "services", textOf).map((service) => ({
+    const forecasts = readList(question, "services", asString).map((service) => ({
       service,
       ...forecastMoves({
         node,
-        cell,
-        nodes: yard.nodeCount,
+        cell: zone,
+        nodes: pool.nodeCount,
         service,
-        workers: yard.ready(service),
+        workers: pool.ready(service),
         change,
         ...readCalls(service),
       }),
     }));
     const loads = forecasts
       .flatMap((forecast) => forecast.loads)
-      .map((load) => ({ ...load, tookUs: yard.tookUs(load.worker) }));
+      .map((load) => ({ ...load, tookUs: pool.tookUs(load.worker) }));
     return {
       kind: "moves",
       rows: forecasts.flatMap((forecast) => forecast.rows),
@@ -60,15 +71,15 @@
   };
   const seen = (question: Message): Message => ({
     kind: "seen",
-    services: list(question, "services", (value) => {
-      const service = textOf(value);
+    services: readList(question, "services", (value) => {
+      const service = asString(value);
       return { service, ...readCalls(service) };
     }),
   });
   return (question) => {
     switch (question.kind) {
       case "retries":
-        return { kind: "retries", rows: budgets.tell() };
+        return { kind: "retries", rows: retryBudgets.tell() };
       case "moves":
         return moves(question);
       case "seen":
--- a/src/programs/gateway/object-cache.ts
+++ b/src/programs/gateway/object-cache.ts
@@ -1,41 +1,41 @@
-import { Copies, keyOf } from "../../cache/cached-objects.js";
-import { copyIn, Counter, packWant } from "../../cache/object-server.js";
-import { Depots, distanceFrom } from "../../cache/peer-caches.js";
+import { CachedObjects, keyOf } from "../../cache/cached-objects.js";
+import { copyIn, ObjectServer, packWant } from "../../cache/object-server.js";
+import { PeerCaches, distanceFrom } from "../../cache/peer-caches.js";
 import { Freshness } from "../../cache/freshness.js";
-import { Goods } from "../../cache/object-client.js";
-import { Origin } from "../../cache/origin-fetch.js";
-import { RateKeeper } from "../../quota/rate-lease-renewer.js";
-import { RateShare } from "../../quota/rate-limiter.js";
-import { Store, type Found } from "../../cache/object-store.js";
-import type { Board } from "../../membership/update-store.js";
-import type { Taker } from "../../membership/update-subscriber.js";
-import { Chooser } from "../../proxy/load-balancer.js";
-import { KeyDesk } from "../../idempotency/key-client.js";
+import { ObjectClient } from "../../cache/object-client.js";
+import { OriginFetcher } from "../../cache/origin-fetch.js";
+import { RateLeaseRenewer } from "../../quota/rate-lease-renewer.js";
+import { RateLimiter } from "../../quota/rate-limiter.js";
+import { ObjectStore, type Found } from "../../cache/object-store.js";
+import type { UpdateStore } from "../../membership/update-store.js";
+import type { UpdateSubscriber } from "../../membership/update-subscriber.js";
+import { LoadBalancer } from "../../proxy/load-balancer.js";
+import { IdempotencyClient } from "../../idempotency/key-client.js";
 import type { RetryBudgets } from "../../proxy/retry-budget.js";
 import type { RouteTable } from "../../proxy/route-table.js";
-import type { Yard } from "../../proxy/connection-pool.js";
+import type { ConnectionPool } from "../../proxy/connection-pool.js";
 import type { Clock } from "../../common/clock.js";
-import { logFor } from "../../common/logger.js";
+import { loggerFor } from "../../common/logger.js";
 import type { Receiver } from "../../transport/listener.js";
 import type { Settings } from "../../common/settings.js";
 import { followPurges } from "../purge-subscriber.js";
 
-export interface PointsmanGoodsOptions {
+export interface GatewayObjectCacheOptions {
   readonly settings: Settings;
   readonly clock: Clock;
-  readonly board: Board;
-  readonly taker: Taker;
+  readonly updates: UpdateStore;
+  readonly subscriber: UpdateSubscriber;
   readonly table: RouteTable;
-  readonly yard: Yard;
+  readonly pool: ConnectionPool;
   readonly life: string;
   readonly budgets: RetryBudgets;
   readonly connectionShare: (service: string) => number;
   readonly countFault: (worker: string, isFault: boolean) => void;
 }
 
-export interface PointsmanGoods {
-  readonly goods: Goods;
-  readonly desk: KeyDesk;
+export interface GatewayObjectCache {
+  readonly objects: ObjectClient;
+  readonly desk: IdempotencyClient;
   /** Serves those who ask this node for objects. */
   readonly receiver: Receiver;
   readonly stop: () => void;
@@ -50,30 +50,45 @@
 const MOST_OBJECT_BYTES = 4 * MB;
 
 /** What a pointsman of a content deployment has besides. */
-export const openPointsmanGoods = (options: PointsmanGoodsOptions): PointsmanGoods => {
-  const { settings, clock, board, taker, table, yard, life, budgets, connectionShare, countFault } =
-    options;
-  const distance = distanceFrom(settings.cell, settings.regions);
-  const depots = new Depots(clock, distance);
-  const halls = new Depots(clock);
-  const rate = new RateShare(clock, (service) => table.service(service)?.ratePerS ?? 0);
+export const openGatewayObjectCache = (options: GatewayObjectCacheOptions): GatewayObjectCache => {
+  const {
+    settings,
+    clock,
+    updates,
+    subscriber,
+    table,
+    pool,
+    life,
+    budgets: retryBudgets,
+    connectionShare,
+    countFault,
+  } = options;
+  const distance = distanceFrom(settings.zone, settings.regions);
+  const depots = new PeerCaches(clock, distance);
+  const halls = new PeerCaches(clock);
+  const rate = new RateLimiter(clock, (service) => table.service(service)?.ratePerS ?? 0);
   const freshness = new Freshness({
     clock,
     purgeUs: settings.purgeUs,
     stretchUs: settings.stretchUs,
-    isFed: () => taker.isFed,
+    isFed: () => subscriber.isUpToDate,
   });
-  const chooser = new Chooser({ yard, cell: settings.cell, random: Math.random, connectionShare });
-  const origin = new Origin({
+  const chooser = new LoadBalancer({
+    pool,
+    cell: settings.zone,
+    random: Math.random,
+    connectionShare,
+  });
+  const origin = new OriginFetcher({
     clock,
-    yard,
+    pool,
     chooser,
     rate,
-    budgets,
+    budgets: retryBudgets,
     countFault,
     mostBytes: MOST_OBJECT_BYTES,
   });
-  const goods = new Goods({
+  const goods = new ObjectClient({
     clock,
     roomBytes: ((settings.memoryMb || DEFAULT_MEMORY_MB) * MB) / COPIES_PART,
     depots,
@@ -85,16 +100,19 @@
   });
   const follow = followPurges({
     clock,
-    board,
-    taker,
+    updates,
+    subscriber,
     freshness,
     copies: goods.copies,
     detach: goods.detach,
   });
 
   /** What this node gives out if it is its cell's hall: copies of large objects, kept new without their bodies travelling. */
-  const copies = new Copies(clock, ((settings.memoryMb || DEFAULT_MEMORY_MB) * MB) / HALL_PART);
-  const store = new Store({
+  const copies = new CachedObjects(
+    clock,
+    ((settings.memoryMb || DEFAULT_MEMORY_MB) * MB) / HALL_PART,
+  );
+  const store = new ObjectStore({
     clock,
     copies,
     isFresh: freshness.isFresh,
@@ -112,32 +130,41 @@
         : {
             kind: "none",
             why: reply?.["none"] === "rate" ? "rate" : "full",
-            comeBackUs: want.aimUs / 4,
+            comeBackUs: want.latencyTargetUs / 4,
           };
     },
   });
-  const followToo = followPurges({ clock, board, taker, freshness, copies, detach: store.detach });
-  const counter = new Counter({ clock, store, rate, log: logFor("hall") });
+  const followToo = followPurges({
+    clock,
+    updates,
+    subscriber,
+    freshness,
+    copies,
+    detach: store.detach,
+  });
+  const counter = new ObjectServer({ clock, store, rate, log: loggerFor("hall") });
   const here = `${settings.ip}:${settings.relayPort}`;
-  taker.events.on("crew", (crew) => {
-    depots.learn(crew.depots ?? []);
-    const ofCell = (crew.halls ?? []).filter(
-      ({ cell, address }) => cell === settings.cell && address !== here,
+  subscriber.events.on("crew", (clusterSize) => {
+    depots.learn(clusterSize.depots ?? []);
+    const ofCell = (clusterSize.halls ?? []).filter(
+      ({ cell: zone, address }) => zone === settings.zone && address !== here,
+    );
+    halls.learn(
+      (clusterSize.depots ?? []).some(({ cell: zone }) => zone === settings.zone) ? [] : ofCell,
     );
-    halls.learn((crew.depots ?? []).some(({ cell }) => cell === settings.cell) ? [] : ofCell);
   });
-  const keeper = new RateKeeper({
+  const keeper = new RateLeaseRenewer({
     clock,
     rate,
     life,
     who: "pointsman",
-    ask: taker.ask,
-    wants: () => !depots.anyStands,
+    ask: subscriber.ask,
+    wants: () => !depots.isAnyConnected,
   });
   keeper.start();
   return {
-    goods,
-    desk: new KeyDesk(clock, taker.ask, taker.report),
+    objects: goods,
+    desk: new IdempotencyClient(clock, subscriber.ask, subscriber.report),
     receiver: counter.serve,
     stop: () => {
       keeper.stop();
--- a/src/programs/gateway/retry-budgets.ts
+++ b/src/programs/gateway/retry-budgets.ts
@@ -1,13 +1,13 @@
-import { RETRIES_KEY, type Board } from "../../membership/update-store.js";
-import type { Taker } from "../../membership/update-subscriber.js";
+import { RETRIES_KEY, type UpdateStore } from "../../membership/update-store.js";
+import type { UpdateSubscriber } from "../../membership/update-subscriber.js";
 import { RetryBudgets } from "../../proxy/retry-budget.js";
-import { RetryKeeper } from "../../quota/retry-lease-renewer.js";
+import { RetryLeaseRenewer } from "../../quota/retry-lease-renewer.js";
 import type { Clock } from "../../common/clock.js";
-import { logFor } from "../../common/logger.js";
-import { defaultLimits, readRetryLimits, type RetryCeiling } from "../../quota/retry-limits.js";
+import { loggerFor } from "../../common/logger.js";
+import { defaultLimits, readRetryLimits, type RetryMaximum } from "../../quota/retry-limits.js";
 import type { Settings } from "../../common/settings.js";
 
-export const ceilingOf = (settings: Settings): RetryCeiling => ({
+export const ceilingOf = (settings: Settings): RetryMaximum => ({
   ratio: settings.retryRatio,
   slack: settings.retrySlack,
   windowUs: settings.retryWindowUs,
@@ -17,22 +17,22 @@
 export const openRetryBudgets = (
   settings: Settings,
   clock: Clock,
-  board: Board,
-  taker: Taker,
+  updates: UpdateStore,
+  subscriber: UpdateSubscriber,
   life: string,
 ): RetryBudgets => {
   let limits = defaultLimits(ceilingOf(settings));
-  board.events.on("changed", (facts) => {
+  updates.events.on("changed", (facts) => {
     const written = facts.find(({ key }) => key === RETRIES_KEY);
     if (written) limits = readRetryLimits(written.body);
   });
-  const budgets = new RetryBudgets({
+  const retryBudgets = new RetryBudgets({
     clock,
-    log: logFor("retries"),
+    log: loggerFor("retries"),
     windowUs: settings.retryWindowUs,
     limits: () => limits,
   });
-  const keeper = new RetryKeeper(clock, budgets, life, taker.ask);
+  const keeper = new RetryLeaseRenewer(clock, retryBudgets, life, subscriber.ask);
   keeper.start();
-  return budgets;
+  return retryBudgets;
 };
--- a/src/programs/http-api.ts
+++ b/src/programs/http-api.ts
@@ -1,35 +1,35 @@
 import express, { type Request, type Response } from "express";
 import { createServer, type Server } from "node:http";
-import { OUTCOME_NAMES, OUTCOMES, type OutcomeName } from "../common/http-outcomes.js";
+import { OUTCOME_NAMES, HTTP_OUTCOMES, type OutcomeName } from "../common/http-outcomes.js";
 import { splitAddress } from "../common/settings.js";
-import { asRec, type Rec } from "../common/decode.js";
+import { asRecord, type UnknownRecord } from "../common/decode.js";
 
-export interface Verdict {
+export interface ApiResponse {
   readonly outcome: OutcomeName;
-  readonly body?: Rec;
+  readonly body?: UnknownRecord;
 }
 
 /** The verdict in the reply of a colleague that an order was passed on to; undefined where none came. */
-export const readVerdict = (reply: Rec | undefined): Verdict | undefined => {
+export const readApiResponse = (reply: UnknownRecord | undefined): ApiResponse | undefined => {
   const outcome = OUTCOME_NAMES.find((name) => name === reply?.["outcome"]);
-  return outcome === undefined ? undefined : { outcome, body: asRec(reply?.["body"] ?? {}) };
+  return outcome === undefined ? undefined : { outcome, body: asRecord(reply?.["body"] ?? {}) };
 };
 
-export interface Call {
+export interface ApiRequest {
   readonly segments: readonly string[];
   readonly body: string;
 }
 
 /** A row of the dispatch: "*" stands for any one segment. */
-export interface Entry {
+export interface ApiRoute {
   readonly method: string;
   readonly path: string;
-  readonly act: (call: Call) => Promise<Verdict>;
+  readonly act: (call: ApiRequest) => Promise<ApiResponse>;
 }
 
-export const COME_BACK_S = 0.25;
+export const RETRY_AFTER_S = 0.25;
 
-const matches = (entry: Entry, method: string, segments: readonly string[]): boolean => {
+const matches = (entry: ApiRoute, method: string, segments: readonly string[]): boolean => {
   const wanted = entry.path.split("/").slice(1);
   return (
     entry.method === method &&
@@ -40,11 +40,11 @@
 
 /** The one dispatch on method and path segments, for workers' and operators' calls. */
 export const dispatch = async (
-  entries: readonly Entry[],
+  entries: readonly ApiRoute[],
   method: string,
   path: string,
   body: string,
-): Promise<Verdict> => {
+): Promise<ApiResponse> => {
   const segments = path.split("/").slice(1).map(decodeSegment);
   const entry = entries.find((candidate) => matches(candidate, method, segments));
   return entry ? entry.act({ segments, body }) : { outcome: "unknownCall" };
@@ -77,12 +77,12 @@
   return Buffer.concat(chunks).toString("utf8");
 };
 
-const answer = (response: Response, verdict: Verdict): void => {
-  const outcome = OUTCOMES[verdict.outcome];
-  if (outcome.comeBack) response.setHeader("Retry-After", String(COME_BACK_S));
+const answer = (response: Response, result: ApiResponse): void => {
+  const outcome = HTTP_OUTCOMES[result.outcome];
+  if (outcome.retryAfter) response.setHeader("Retry-After", String(RETRY_AFTER_S));
   if (outcome.closes) response.setHeader("Connection", "close");
   const body = JSON.stringify(
-    verdict.body ?? (outcome.problem === "" ? {} : { problem: outcome.problem }),
+    result.body ?? (outcome.problem === "" ? {} : { problem: outcome.problem }),
   );
   response.writeHead(outcome.status, {
     "Content-Type": "application/json",
@@ -91,7 +91,7 @@
   response.end(body);
 };
 
-export const serveCalls = (address: string, entries: readonly Entry[]): Promise<Server> => {
+export const serveApi = (address: string, entries: readonly ApiRoute[]): Promise<Server> => {
   const app = express();
   app.disable("x-powered-by");
   app.disable("etag");
--- a/src/programs/loadgen/loadgen.ts
+++ b/src/programs/loadgen/loadgen.ts
@@ -2,7 +2,7 @@
 import { hostname } from "node:os";
 import type { Command } from "commander";
 import { SteadyClock, type Clock } from "../../common/clock.js";
-import { MS, SECOND } from "../../common/duration.js";
+import { MILLISECOND_US, SECOND_US } from "../../common/duration.js";
 
 export interface Load {
   readonly targets: readonly string[];
@@ -33,7 +33,7 @@
 
 const sendOne = (load: Load, target: string, tryId: string, agent: Agent): Promise<string> =>
   new Promise((resolve) => {
-    const heads = {
+    const headers = {
       Host: load.host,
       "Yewreel-Try-Id": tryId,
       "Yewreel-Time-Left-Ms": String(load.budgetMs),
@@ -44,7 +44,7 @@
         method: load.method,
         agent,
         timeout: load.budgetMs,
-        headers: { ...heads, "Content-Length": Buffer.byteLength(load.body) },
+        headers: { ...headers, "Content-Length": Buffer.byteLength(load.body) },
       },
       (response) => {
         response.resume();
@@ -53,8 +53,8 @@
       },
     );
     call.on("timeout", () => call.destroy(new Error("out of time")));
-    call.on("error", (mishap) =>
-      resolve(mishap.message === "out of time" ? "out of time" : "no connection"),
+    call.on("error", (error) =>
+      resolve(error.message === "out of time" ? "out of time" : "no connection"),
     );
     call.end(load.body);
   });
@@ -66,7 +66,7 @@
   const count = Math.floor(load.ratePerS * load.seconds);
   const run = `${process.pid}${Math.floor(Math.random() * 1e9).toString(16)}`;
   const all = Array.from({ length: count }, (_, at): Promise<Shunted> => {
-    const dueUs = startUs + Math.round((at * SECOND) / load.ratePerS);
+    const dueUs = startUs + Math.round((at * SECOND_US) / load.ratePerS);
     return new Promise((resolve) => {
       clock.after(dueUs - clock.nowUs(), () => {
         const target = load.targets[at % load.targets.length] ?? "";
@@ -86,7 +86,7 @@
   sorted[Math.max(0, Math.ceil(sorted.length * share) - 1)] ?? 0;
 
 export const reportOf = (shunted: readonly Shunted[]): ShuntReport => {
-  const tookMs = shunted.map(({ tookUs }) => tookUs / MS).sort((a, b) => a - b);
+  const tookMs = shunted.map(({ tookUs }) => tookUs / MILLISECOND_US).sort((a, b) => a - b);
   const outcomes: Record<string, number> = {};
   shunted.forEach(({ outcome }) => {
     outcomes[outcome] = (outcomes[outcome] ?? 0) + 1;
--- a/src/proxy/admission-queue.ts
+++ b/src/proxy/admission-queue.ts
@@ -1,9 +1,9 @@
-import type { Clock, Pulse } from "../common/clock.js";
-import type { Trip } from "./request-context.js";
+import type { Clock, Timer } from "../common/clock.js";
+import type { RequestContext } from "./request-context.js";
 import type { Worker } from "./connection-pool.js";
 
 interface Waiting {
-  readonly trip: Trip;
+  readonly trip: RequestContext;
   readonly rank: number;
   readonly take: (worker: Worker | undefined) => void;
 }
@@ -15,33 +15,33 @@
  * Invariants: nothing waits while a worker would be chosen for it, nothing waits longer than its own short wait, and
  * the line is bounded: when it is full, the last of the lowest rank is refused at once.
  */
-export class Gate {
+export class AdmissionQueue {
   private waiting: Waiting[] = [];
   private scheduled = false;
 
   constructor(
     private readonly clock: Clock,
-    private readonly choose: (trip: Trip) => Worker | undefined,
+    private readonly choose: (context: RequestContext) => Worker | undefined,
   ) {}
 
-  readonly pass = (trip: Trip, waitUs: number): Promise<Worker | undefined> => {
-    const worker = this.choose(trip);
+  readonly pass = (context: RequestContext, waitUs: number): Promise<Worker | undefined> => {
+    const worker = this.choose(context);
     if (worker || waitUs <= 0) return Promise.resolve(worker);
     return new Promise((resolve) => {
-      const rank = trip.route?.rank ?? 0;
+      const rank = context.route?.rank ?? 0;
       const entry: Waiting = {
-        trip,
+        trip: context,
         rank,
         take: (chosen) => {
-          pulse.stop();
+          timer.stop();
           this.waiting = this.waiting.filter((other) => other !== entry);
           resolve(chosen);
         },
       };
-      const pulse: Pulse = this.clock.after(waitUs, () => entry.take(undefined));
+      const timer: Timer = this.clock.after(waitUs, () => entry.take(undefined));
       const at = this.waiting.findIndex((other) => other.rank > rank);
       this.waiting.splice(at < 0 ? this.waiting.length : at, 0, entry);
-      trip.onOver.push(() => entry.take(undefined));
+      context.onOver.push(() => entry.take(undefined));
       if (this.waiting.length > MOST_WAITING)
         this.waiting[this.waiting.length - 1]?.take(undefined);
     });
--- a/src/proxy/connection-pool.ts
+++ b/src/proxy/connection-pool.ts
@@ -4,33 +4,33 @@
   EJECTIONS_KEY,
   FORECAST_KEY,
   WORKER_PREFIX,
-  type Fact,
+  type Update,
 } from "../membership/update-store.js";
 import type { Clock } from "../common/clock.js";
-import { asRec, list, text, whole } from "../common/decode.js";
-import { MS, SECOND } from "../common/duration.js";
+import { asRecord, readList, readString, readNumber } from "../common/decode.js";
+import { MILLISECOND_US, SECOND_US } from "../common/duration.js";
 import { subsetOf, type NodeCount, type Subset } from "./subset.js";
 
 /** One connection to a worker, for one request at a time. */
-export interface Coupling {
+export interface PooledConnection {
   readonly client: Client;
   idleSinceUs: number;
 }
 
-const CONNECT_WAIT_US = 300 * MS;
+const CONNECT_WAIT_US = 300 * MILLISECOND_US;
 const IDLE_UNTOLD_MS = 4_000;
-const SHUN_US = 1 * SECOND;
-const FIRST_GUESS_US = 50 * MS;
+const SHUN_US = 1 * SECOND_US;
+const FIRST_GUESS_US = 50 * MILLISECOND_US;
 /** How many calls the mean of the service stands in for, before a worker's own calls speak for themselves. */
 const PRIOR_CALLS = 3;
 const MOST_CALLS = 20;
 /** What a worker's own calls have shown fades, so that one that was slow is tried again, at first seldom. */
-const FORGET_US = 8 * SECOND;
-const TOLD_FADES_US = 600 * MS;
-const OWN_AVERAGE_US = 1 * SECOND;
+const FORGET_US = 8 * SECOND_US;
+const TOLD_FADES_US = 600 * MILLISECOND_US;
+const OWN_AVERAGE_US = 1 * SECOND_US;
 
 /** How long calls of a service take, over all its workers. */
-export class ServiceMean {
+export class ServiceLatency {
   usuallyUs = FIRST_GUESS_US;
   private learned = 0;
 
@@ -50,7 +50,7 @@
   warmUntilUs = 0;
   /** Invariant: `own` counts the calls of this node now under way; each holds one coupling that is not in `idle`. */
   own = 0;
-  private idle: Coupling[] = [];
+  private idle: PooledConnection[] = [];
   private open = 0;
   private toldOthers = 0;
   private toldUs = 0;
@@ -67,18 +67,18 @@
   constructor(
     readonly id: string,
     private readonly clock: Clock,
-    private readonly mean: ServiceMean,
+    private readonly mean: ServiceLatency,
   ) {}
 
-  readonly takeFact = (fact: Fact): void => {
-    const address = text(fact.body, "address");
+  readonly takeFact = (fact: Update): void => {
+    const address = readString(fact.body, "address");
     if (address !== this.address) this.closeIdle();
-    this.service = text(fact.body, "service");
+    this.service = readString(fact.body, "service");
     this.address = address;
-    this.cell = text(fact.body, "cell");
-    this.capacity = Math.max(1, whole(fact.body, "capacity"));
-    this.state = text(fact.body, "state");
-    this.warmUntilUs = fact.sinceUs + whole(fact.body, "warmUs");
+    this.cell = readString(fact.body, "cell");
+    this.capacity = Math.max(1, readNumber(fact.body, "capacity"));
+    this.state = readString(fact.body, "state");
+    this.warmUntilUs = fact.sinceUs + readNumber(fact.body, "warmUs");
     if (this.state !== "ready") this.closeIdle();
   };
 
@@ -150,7 +150,7 @@
   /** Calls have waited far beyond what is usual, and nothing at all has been heard since. */
   readonly isSilent = (): boolean => {
     const nowUs = this.clock.nowUs();
-    const patienceUs = Math.max(500 * MS, 6 * this.meanUs());
+    const patienceUs = Math.max(500 * MILLISECOND_US, 6 * this.meanUs());
     for (const call of this.waitingSince)
       return this.heardUs < call.sinceUs && nowUs - call.sinceUs > patienceUs;
     return false;
@@ -171,14 +171,14 @@
     if (heard) this.heardUs = this.clock.nowUs();
   };
 
-  readonly couple = (isNew = false): Coupling => {
+  readonly couple = (isNew = false): PooledConnection => {
     const waiting = isNew ? undefined : this.idle.pop();
     if (waiting) return waiting;
     this.open += 1;
     const client = new OneClient(`http://${this.address}`, {
       pipelining: 1,
-      connect: { timeout: CONNECT_WAIT_US / MS },
-      connectTimeout: CONNECT_WAIT_US / MS,
+      connect: { timeout: CONNECT_WAIT_US / MILLISECOND_US },
+      connectTimeout: CONNECT_WAIT_US / MILLISECOND_US,
       keepAliveTimeout: IDLE_UNTOLD_MS,
       keepAliveTimeoutThreshold: 1_000,
       headersTimeout: 0,
@@ -188,7 +188,7 @@
     return { client, idleSinceUs: 0 };
   };
 
-  readonly uncouple = (coupling: Coupling, isSound: boolean): void => {
+  readonly uncouple = (coupling: PooledConnection, isSound: boolean): void => {
     if (isSound && this.state === "ready") {
       coupling.idleSinceUs = this.clock.nowUs();
       this.idle.push(coupling);
@@ -205,26 +205,26 @@
 
   /** Couplings long unused are given back, so that what the worker's limit allows goes to those who need it. */
   readonly trim = (): void => {
-    const oldestUs = this.clock.nowUs() - 15 * SECOND;
+    const oldestUs = this.clock.nowUs() - 15 * SECOND_US;
     const kept = this.idle.filter((coupling) => coupling.idleSinceUs >= oldestUs);
     this.idle.filter((coupling) => coupling.idleSinceUs < oldestUs).forEach(this.scrap);
     this.idle = kept;
   };
 
-  private readonly scrap = (coupling: Coupling): void => {
+  private readonly scrap = (coupling: PooledConnection): void => {
     this.open -= 1;
     coupling.client.destroy().catch(() => undefined);
   };
 }
 
 /** All workers, by id and by service, with what the inspection decided. */
-export class Yard {
+export class ConnectionPool {
   private readonly workers = new Map<string, Worker>();
   private readonly byService = new Map<string, Worker[]>();
   /** Invariant: holds a service only while neither its workers nor the count of nodes has changed since. */
   private readonly subsets = new Map<string, Subset<Worker>>();
   private nodes: NodeCount = { here: 1, everywhere: 1 };
-  private readonly means = new Map<string, ServiceMean>();
+  private readonly means = new Map<string, ServiceLatency>();
   private ejected: ReadonlySet<string> = new Set();
   /** Invariant: the parts of safe and of unsafe requests that go elsewhere are 0 where no cell is shifted away from. */
   private shifted = { cell: "", why: "", safe: 0, unsafe: 0 };
@@ -234,7 +234,7 @@
   constructor(
     private readonly clock: Clock,
     private readonly node: string,
-    private readonly cell: string,
+    private readonly zone: string,
   ) {}
 
   get size(): number {
@@ -257,7 +257,7 @@
   readonly subset = (service: string): Subset<Worker> => {
     const known = this.subsets.get(service);
     if (known) return known;
-    const made = subsetOf(this.node, this.cell, this.ready(service), this.nodes);
+    const made = subsetOf(this.node, this.zone, this.ready(service), this.nodes);
     this.subsets.set(service, made);
     return made;
   };
@@ -274,22 +274,22 @@
 
   /** The cell that one request is to leave alone, or none; of a part it is drawn anew for each. */
   readonly avoidedCell = (isSafe: boolean, random: () => number): string => {
-    const { cell, safe, unsafe } = this.shifted;
+    const { cell: zone, safe, unsafe } = this.shifted;
     const part = isSafe ? safe : unsafe;
-    return cell !== "" && (part >= 1 || random() < part) ? cell : "";
+    return zone !== "" && (part >= 1 || random() < part) ? zone : "";
   };
 
   /** Whether a planned window has everything leave the cell, its callers too. */
-  readonly isEmptied = (cell: string): boolean =>
-    this.shifted.why === "window" && this.shifted.cell === cell && this.shifted.unsafe >= 1;
+  readonly isEmptied = (zone: string): boolean =>
+    this.shifted.why === "window" && this.shifted.cell === zone && this.shifted.unsafe >= 1;
 
   readonly pressure = (service: string): string => this.pressed.get(service) ?? "";
 
-  readonly take = (facts: readonly Fact[]): void => {
+  readonly take = (facts: readonly Update[]): void => {
     facts.forEach((fact) => {
       if (fact.key === FORECAST_KEY)
         this.pressed = new Map(
-          Object.entries(fact.body).map(([service, verdict]) => [service, String(verdict)]),
+          Object.entries(fact.body).map(([service, result]) => [service, String(result)]),
         );
       else if (fact.key === EJECTIONS_KEY) this.takeDecisions(fact);
       else if (fact.key.startsWith(WORKER_PREFIX)) this.takeWorker(fact);
@@ -307,11 +307,12 @@
 
   readonly trim = (): void => this.workers.forEach((worker) => worker.trim());
 
-  private readonly takeWorker = (fact: Fact): void => {
+  private readonly takeWorker = (fact: Update): void => {
     const id = fact.key.slice(WORKER_PREFIX.length);
     if (fact.body["state"] === "gone") return this.remove(id);
     const known = this.workers.get(id);
-    const worker = known ?? new Worker(id, this.clock, this.meanOf(text(fact.body, "service")));
+    const worker =
+      known ?? new Worker(id, this.clock, this.meanOf(readString(fact.body, "service")));
     if (known) this.unlist(known);
     worker.takeFact(fact);
     this.workers.set(id, worker);
@@ -321,23 +322,26 @@
     this.subsets.delete(worker.service);
   };
 
-  private readonly meanOf = (service: string): ServiceMean => {
-    const mean = this.means.get(service) ?? new ServiceMean();
+  private readonly meanOf = (service: string): ServiceLatency => {
+    const mean = this.means.get(service) ?? new ServiceLatency();
     this.means.set(service, mean);
     return mean;
   };
 
-  private readonly takeDecisions = (fact: Fact): void => {
-    this.ejected = new Set(list(fact.body, "ejections", (value) => text(asRec(value), "worker")));
+  private readonly takeDecisions = (fact: Update): void => {
+    this.ejected = new Set(
+      readList(fact.body, "ejections", (value) => readString(asRecord(value), "worker")),
+    );
     const shift = fact.body["shift"];
     if (shift === undefined || shift === null)
       this.shifted = { cell: "", why: "", safe: 0, unsafe: 0 };
     else {
-      const rec = asRec(shift);
-      const part = (field: string) => (typeof rec[field] === "number" ? whole(rec, field) : 1);
+      const record = asRecord(shift);
+      const part = (field: string) =>
+        typeof record[field] === "number" ? readNumber(record, field) : 1;
       this.shifted = {
-        cell: text(rec, "cell"),
-        why: text(rec, "why"),
+        cell: readString(record, "cell"),
+        why: readString(record, "why"),
         safe: part("safe"),
         unsafe: part("unsafe"),
       };
--- a/src/proxy/delivery-state.ts
+++ b/src/proxy/delivery-state.ts
@@ -1,4 +1,4 @@
-import { OUTCOMES, type OutcomeName } from "../common/http-outcomes.js";
+import { HTTP_OUTCOMES, type OutcomeName } from "../common/http-outcomes.js";
 
 /**
  * What is known of one request.
@@ -8,7 +8,7 @@
  * - `not-run`: every worker that bytes have left for has said itself that it turned the request away.
  * - `has-run`: a worker has answered it.
  */
-export type FateState = "unsent" | "may-have-run" | "not-run" | "has-run";
+export type DeliveryPhase = "unsent" | "may-have-run" | "not-run" | "has-run";
 
 /** Statuses that promise that the request has not run and never will. */
 const PROMISES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
@@ -25,46 +25,53 @@
  * Invariant: `unheard` counts the workers that bytes left for and that have not turned the request away; of a request that
  * can't be repeated it never exceeds 1.
  */
-export interface Fate {
-  state: FateState;
+export interface DeliveryState {
+  state: DeliveryPhase;
   unheard: number;
   isClosed: boolean;
 }
 
-export const newFate = (): Fate => ({ state: "unsent", unheard: 0, isClosed: false });
+export const newDeliveryState = (): DeliveryState => ({
+  state: "unsent",
+  unheard: 0,
+  isClosed: false,
+});
 
 /** Whether it is certain that no worker has run it, and that none will unless it is sent again. */
-export const isUnrun = ({ state }: Fate): boolean => state === "unsent" || state === "not-run";
+export const isUnrun = ({ state }: DeliveryState): boolean =>
+  state === "unsent" || state === "not-run";
 
 /** Asked right before the first byte leaves for a worker; false forbids the sending. */
-export const begin = (fate: Fate, isRepeatable: boolean): boolean => {
-  if (fate.isClosed || !(isRepeatable || isUnrun(fate))) return false;
-  fate.unheard += 1;
-  if (fate.state !== "has-run") fate.state = "may-have-run";
+export const begin = (deliveryState: DeliveryState, isRepeatable: boolean): boolean => {
+  if (deliveryState.isClosed || !(isRepeatable || isUnrun(deliveryState))) return false;
+  deliveryState.unheard += 1;
+  if (deliveryState.state !== "has-run") deliveryState.state = "may-have-run";
   return true;
 };
 
 /** A worker that bytes had left for says, in an answer to this try, that it has not run it and won't. */
-export const turnedAway = (fate: Fate): void => {
-  fate.unheard -= 1;
-  if (fate.state === "may-have-run" && fate.unheard === 0) fate.state = "not-run";
+export const markRejected = (deliveryState: DeliveryState): void => {
+  deliveryState.unheard -= 1;
+  if (deliveryState.state === "may-have-run" && deliveryState.unheard === 0)
+    deliveryState.state = "not-run";
 };
 
 /** A worker has answered it. */
-export const ran = (fate: Fate): void => {
-  fate.state = "has-run";
+export const markRun = (deliveryState: DeliveryState): void => {
+  deliveryState.state = "has-run";
 };
 
-export const close = (fate: Fate): void => {
-  fate.isClosed = true;
+export const close = (deliveryState: DeliveryState): void => {
+  deliveryState.isClosed = true;
 };
 
 /** The outcome for the caller where no worker's answer can be given: never a promise that may be untrue. */
-export const tell = (fate: Fate, wanted: OutcomeName): OutcomeName => {
-  if (isUnrun(fate)) return wanted === "tooLate" || wanted === "lostAnswer" ? "full" : wanted;
-  return PROMISES.has(OUTCOMES[wanted].status) ? "lostAnswer" : wanted;
+export const clientOutcome = (deliveryState: DeliveryState, wanted: OutcomeName): OutcomeName => {
+  if (isUnrun(deliveryState))
+    return wanted === "tooLate" || wanted === "lostAnswer" ? "full" : wanted;
+  return PROMISES.has(HTTP_OUTCOMES[wanted].status) ? "lostAnswer" : wanted;
 };
 
 /** Whether a worker's answer may be given on: one without its own word that it turned the request away is no promise. */
-export const mayPass = (status: number, isRepeatable: boolean): boolean =>
+export const mayForward = (status: number, isRepeatable: boolean): boolean =>
   isRepeatable || !PROMISES.has(status);
--- a/src/proxy/headers.ts
+++ b/src/proxy/headers.ts
@@ -1,5 +1,5 @@
 /** Heads of requests and answers, as flat lists of names and values, in the order and case they came in. */
-export type FlatHeads = readonly string[];
+export type FlatHeaders = readonly string[];
 
 export const TRY_ID = "yewreel-try-id";
 export const TIME_LEFT = "yewreel-time-left-ms";
@@ -23,15 +23,15 @@
 ]);
 
 /** All heads but those of one connection, those that Connection names, and the given ones. */
-export const passOn = (heads: FlatHeads, without: ReadonlySet<string>): string[] => {
+export const forwardedHeaders = (headers: FlatHeaders, without: ReadonlySet<string>): string[] => {
   const named = new Set<string>();
-  for (let at = 0; at + 1 < heads.length; at += 2) {
-    if (isNamed(heads[at], "connection"))
-      heads[at + 1]?.split(",").forEach((token) => named.add(token.trim().toLowerCase()));
+  for (let at = 0; at + 1 < headers.length; at += 2) {
+    if (isNamed(headers[at], "connection"))
+      headers[at + 1]?.split(",").forEach((token) => named.add(token.trim().toLowerCase()));
   }
   const passed: string[] = [];
-  for (let at = 0; at + 1 < heads.length; at += 2) {
-    const [name, value] = [heads[at] ?? "", heads[at + 1] ?? ""];
+  for (let at = 0; at + 1 < headers.length; at += 2) {
+    const [name, value] = [headers[at] ?? "", headers[at + 1] ?? ""];
     const lower = name.toLowerCase();
     if (!OF_ONE_CONNECTION.has(lower) && !named.has(lower) && !without.has(lower))
       passed.push(name, value);
@@ -40,16 +40,16 @@
 };
 
 /** The first value under a name, which is given in small letters. */
-export const headOf = (heads: FlatHeads, name: string): string | undefined => {
-  for (let at = 0; at + 1 < heads.length; at += 2)
-    if (isNamed(heads[at], name)) return heads[at + 1];
+export const headerValue = (headers: FlatHeaders, name: string): string | undefined => {
+  for (let at = 0; at + 1 < headers.length; at += 2)
+    if (isNamed(headers[at], name)) return headers[at + 1];
   return undefined;
 };
 
 /** Whether there is more than one value under a name. */
-export const isDoubled = (heads: FlatHeads, name: string): boolean => {
+export const isDoubled = (headers: FlatHeaders, name: string): boolean => {
   let found = 0;
-  for (let at = 0; at + 1 < heads.length; at += 2) if (isNamed(heads[at], name)) found += 1;
+  for (let at = 0; at + 1 < headers.length; at += 2) if (isNamed(headers[at], name)) found += 1;
   return found > 1;
 };
 
--- a/src/proxy/load-balancer.ts
+++ b/src/proxy/load-balancer.ts
@@ -1,7 +1,7 @@
-import type { Worker, Yard } from "./connection-pool.js";
+import type { Worker, ConnectionPool } from "./connection-pool.js";
 
-export interface ChooserOptions {
-  readonly yard: Yard;
+export interface LoadBalancerOptions {
+  readonly pool: ConnectionPool;
   readonly cell: string;
   readonly random: () => number;
   /** How many connections this node may hold to one worker of the service. */
@@ -27,36 +27,36 @@
  * Among the workers of this node's subset the one that would answer soonest, by guess; another cell's where that is
  * plainly quicker or the own one has no room. Invariant: the work for a request is bounded by the subset.
  */
-export class Chooser {
+export class LoadBalancer {
   /** The usage of this node's near workers of late, by service. */
   private readonly nearUsage = new Map<string, number>();
 
-  constructor(private readonly options: ChooserOptions) {}
+  constructor(private readonly options: LoadBalancerOptions) {}
 
   readonly choose = (
     service: string,
     tried: ReadonlySet<string>,
-    aimUs: number,
+    latencyTargetUs: number,
     isSafe = true,
   ): Worker | undefined => {
-    const { yard, connectionShare, random } = this.options;
+    const { pool, connectionShare, random } = this.options;
     const share = connectionShare(service);
-    const avoided = yard.avoidedCell(isSafe, random);
+    const avoided = pool.avoidedCell(isSafe, random);
     const fullAt =
-      isSafe && this.options.acts === true && yard.pressure(service) !== "" ? PRESSED_AT : FULL_AT;
-    const { near, far, spare } = yard.subset(service);
+      isSafe && this.options.acts === true && pool.pressure(service) !== "" ? PRESSED_AT : FULL_AT;
+    const { near, far, spare } = pool.subset(service);
     const isUsable: Fits = (worker, usage) =>
       !tried.has(worker.id) &&
       worker.hasRoom(share) &&
       !worker.isShunned() &&
       usage < worker.capacity * fullAt;
-    const isWanted: Fits = (worker, usage) => isUsable(worker, usage) && !yard.isEjected(worker);
+    const isWanted: Fits = (worker, usage) => isUsable(worker, usage) && !pool.isEjected(worker);
     const isWantedThere: Fits = (worker, usage) =>
       worker.cell !== avoided && isWanted(worker, usage);
     const here = this.quickest(near, isWantedThere);
     const there = this.quickest(far, isWantedThere);
     if (here && there)
-      return this.guessUs(here) <= this.guessUs(there) + aimUs / FAR_PART ? here : there;
+      return this.guessUs(here) <= this.guessUs(there) + latencyTargetUs / FAR_PART ? here : there;
     const all = () => [...near, ...far, ...spare];
     return (
       here ??
@@ -72,10 +72,10 @@
    * it is assumed that it is as busy as a near one, but not that it has calls waiting: a full cell must look elsewhere.
    */
   private readonly usageOf = (worker: Worker): number => {
-    const { yard, cell } = this.options;
+    const { pool, cell: zone } = this.options;
     const usual = this.nearUsage.get(worker.service) ?? 0;
-    if (worker.cell !== cell) return worker.usage(Math.min(usual, worker.capacity));
-    const usage = worker.usage(worker.ownAverage() * (yard.subset(worker.service).holders - 1));
+    if (worker.cell !== zone) return worker.usage(Math.min(usual, worker.capacity));
+    const usage = worker.usage(worker.ownAverage() * (pool.subset(worker.service).holders - 1));
     this.nearUsage.set(worker.service, usual + (usage - usual) * LOOK_WEIGHT);
     return usage;
   };
--- a/src/proxy/memory-budget.ts
+++ b/src/proxy/memory-budget.ts
@@ -2,18 +2,18 @@
  * The memory for bodies that are held whole, over all requests of the process.
  * Invariant: what is taken never exceeds the room, and everything taken for a request is given back when it ends.
  */
-export class Room {
+export class MemoryBudget {
   private taken = 0;
 
   constructor(private readonly roomBytes: number) {}
 
-  readonly take = (bytes: number): boolean => {
+  readonly reserve = (bytes: number): boolean => {
     if (this.taken + bytes > this.roomBytes) return false;
     this.taken += bytes;
     return true;
   };
 
-  readonly give = (bytes: number): void => {
+  readonly release = (bytes: number): void => {
     this.taken -= bytes;
   };
 }
--- a/src/proxy/object-source.ts
+++ b/src/proxy/object-source.ts
@@ -7,7 +7,7 @@
   readonly cacheForUs: number;
   /** Invariant: at most `cacheForUs`. */
   readonly mostAgeUs: number;
-  readonly aimUs: number;
+  readonly latencyTargetUs: number;
   /** Until when an answer is of use, on this process's clock. */
   readonly untilUs: number;
 }
@@ -19,7 +19,7 @@
   readonly comeBackUs: number;
 }
 
-export type ObjectVerdict =
+export type ObjectResult =
   | {
       readonly kind: "served";
       readonly status: number;
@@ -30,7 +30,7 @@
 
 /** Where the front gets objects of cached routes from. */
 export interface ObjectSource {
-  readonly fetch: (want: ObjectWant, range: string | undefined) => Promise<ObjectVerdict>;
+  readonly fetch: (want: ObjectWant, range: string | undefined) => Promise<ObjectResult>;
   /** Whether one more request may go to a service with a bound on its rate. */
   readonly permit: (service: string) => Promise<boolean>;
 }
--- a/src/proxy/proxy-server.ts
+++ b/src/proxy/proxy-server.ts
@@ -2,35 +2,40 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { Socket } from "node:net";
 import { PassThrough, type Readable } from "node:stream";
-import { rest, within, type Clock } from "../common/clock.js";
-import type { Log } from "../common/logger.js";
-import { OUTCOMES, type OutcomeName } from "../common/http-outcomes.js";
+import { sleep, withTimeout, type Clock } from "../common/clock.js";
+import type { Logger } from "../common/logger.js";
+import { HTTP_OUTCOMES, type OutcomeName } from "../common/http-outcomes.js";
 import { kindOf } from "../quota/retry-limits.js";
 import { splitAddress } from "../common/settings.js";
-import { MS, SECOND } from "../common/duration.js";
-import { WorkerCall, type Answer, type CallVerdict, type Calling } from "./upstream-request.js";
-import type { RolloutOutcome } from "../health/canary-counters.js";
-import { Chooser } from "./load-balancer.js";
+import { MILLISECOND_US, SECOND_US } from "../common/duration.js";
+import {
+  UpstreamRequest,
+  type UpstreamResponse,
+  type UpstreamResult,
+  type CancellableRequest,
+} from "./upstream-request.js";
+import type { CanaryOutcome } from "../health/canary-counters.js";
+import { LoadBalancer } from "./load-balancer.js";
 import * as fates from "./delivery-state.js";
-import { Gate } from "./admission-queue.js";
-import { EXPECT_WORKER, OPERATION_KEY, passOn, TIME_LEFT, TRY_ID } from "./headers.js";
-import type { KeyAnswer, KeyDesk } from "../idempotency/key-client.js";
+import { AdmissionQueue } from "./admission-queue.js";
+import { EXPECT_WORKER, OPERATION_KEY, forwardedHeaders, TIME_LEFT, TRY_ID } from "./headers.js";
+import type { KeyedResponse, IdempotencyClient } from "../idempotency/key-client.js";
 import type { ObjectSource } from "./object-source.js";
 import type { Route, RouteTable } from "./route-table.js";
-import { Room } from "./memory-budget.js";
+import { MemoryBudget } from "./memory-budget.js";
 import { Stage } from "./stage.js";
-import type { Line, Trip } from "./request-context.js";
-import type { Worker, Yard } from "./connection-pool.js";
+import type { ClientConnection, RequestContext } from "./request-context.js";
+import type { Worker, ConnectionPool } from "./connection-pool.js";
 import type { RetryBudgets } from "./retry-budget.js";
 
-export interface FrontOptions {
+export interface ProxyServerOptions {
   readonly clock: Clock;
-  readonly log: Log;
+  readonly log: Logger;
   readonly cell: string;
   /** How much memory bodies held whole may take, all in all. */
-  readonly roomBytes: number;
+  readonly memoryBytes: number;
   readonly table: RouteTable;
-  readonly yard: Yard;
+  readonly pool: ConnectionPool;
   readonly budgets: RetryBudgets;
   readonly connectionShare: (service: string) => number;
   readonly countFault: (worker: string, isFault: boolean) => void;
@@ -40,7 +45,7 @@
     route: Route,
     service: string,
     stratum: string,
-    outcome: RolloutOutcome,
+    outcome: CanaryOutcome,
   ) => void;
   /** Counts what is sent to each worker, for the forecast of what would move. */
   readonly countCall?: (service: string, kind: string, route: string, worker: string) => void;
@@ -49,14 +54,14 @@
   readonly usage?: {
     readonly arrived: (service: string) => void;
     readonly refused: (service: string) => void;
-    readonly answered: (service: string, cell: string, tookUs: number) => void;
+    readonly answered: (service: string, zone: string, tookUs: number) => void;
   };
   /** Whether what the forecast says is acted on. */
   readonly acts?: boolean;
   /** Where objects of cached routes come from; without it they are carried like any safe request. */
-  readonly goods?: ObjectSource;
+  readonly objects?: ObjectSource;
   /** Where operation keys are claimed; without it keyed requests are refused. */
-  readonly desk?: KeyDesk;
+  readonly desk?: IdempotencyClient;
 }
 
 /** Bodies up to this size are held, so that they can be sent on again; larger ones are passed on as they come. */
@@ -65,21 +70,21 @@
 const MOST_CARRIED = 1_024;
 const GATE_PART = 8;
 const PATIENCE_PART = 0.8;
-const SILENCE_CHECK_US = 120 * MS;
+const SILENCE_CHECK_US = 120 * MILLISECOND_US;
 const CLAIM_PART = 5;
 const KEEP_PART = 0.5;
 /** Claims are kept 5 s and more beyond the window of their key, so a run begun this soon is covered for all of it. */
-const CLAIM_GOOD_US = 4 * SECOND;
+const CLAIM_GOOD_US = 4 * SECOND_US;
 /** For how long after the time it was given a worker's last word on a keyed request is still waited for. */
-const KEYED_REST_US = 1 * SECOND;
+const KEYED_REST_US = 1 * SECOND_US;
 /** How many workers that can't be reached a request looks for beyond its tries. */
 const MOST_UNREACHED = 2;
 const MOST_KEY = 200;
 /** Caches fill at the origin's rate: who comes back at once after a refusal for it finds the same. */
-const STANDSTILL_US = 250 * MS;
-const RESUMING_US = 50 * MS;
-const RATE_REST_US = 1 * SECOND;
-const SPLIT_REST_US = 30 * MS;
+const STANDSTILL_US = 250 * MILLISECOND_US;
+const RESUMING_US = 50 * MILLISECOND_US;
+const RATE_REST_US = 1 * SECOND_US;
+const SPLIT_REST_US = 30 * MILLISECOND_US;
 const NOT_PASSED_ON: ReadonlySet<string> = new Set([
   TIME_LEFT,
   EXPECT_WORKER,
@@ -89,14 +94,14 @@
 const NONE: ReadonlySet<string> = new Set();
 
 /** The front of a pointsman: the stages that a caller's request passes. */
-export class Front {
+export class ProxyServer {
   private readonly server: Server;
-  private readonly lines = new WeakMap<Socket, Line>();
-  private readonly gate: Gate;
-  private readonly chooser: Chooser;
-  private readonly reading: Stage<Trip>;
-  private readonly carrying: Stage<Trip>;
-  private readonly room: Room;
+  private readonly lines = new WeakMap<Socket, ClientConnection>();
+  private readonly gate: AdmissionQueue;
+  private readonly chooser: LoadBalancer;
+  private readonly reading: Stage<RequestContext>;
+  private readonly carrying: Stage<RequestContext>;
+  private readonly memory: MemoryBudget;
   /** Requests read and not yet answered. */
   private open = 0;
   private leaving = false;
@@ -105,22 +110,22 @@
   /** When requests last came after a time in which none did: this process may have stood still meanwhile. */
   private resumedUs = Number.NEGATIVE_INFINITY;
 
-  constructor(private readonly options: FrontOptions) {
-    const { yard, cell, random, connectionShare, clock, acts } = options;
-    this.room = new Room(options.roomBytes);
-    this.chooser = new Chooser({
-      yard,
-      cell,
+  constructor(private readonly options: ProxyServerOptions) {
+    const { pool, cell: zone, random, connectionShare, clock, acts } = options;
+    this.memory = new MemoryBudget(options.memoryBytes);
+    this.chooser = new LoadBalancer({
+      pool,
+      cell: zone,
       random,
       connectionShare,
       ...(acts === true ? { acts } : {}),
     });
-    this.gate = new Gate(clock, (trip) =>
+    this.gate = new AdmissionQueue(clock, (context) =>
       this.chooser.choose(
-        trip.service,
-        trip.tried,
-        trip.route?.aimUs ?? 0,
-        trip.route?.isSafe ?? true,
+        context.service,
+        context.tried,
+        context.route?.latencyTargetUs ?? 0,
+        context.route?.isSafe ?? true,
       ),
     );
     this.reading = new Stage(MOST_READING, MOST_READING, this.read);
@@ -128,7 +133,7 @@
       MOST_CARRIED,
       MOST_CARRIED,
       this.carry,
-      (trip) => trip.route?.rank ?? 0,
+      (context) => context.route?.rank ?? 0,
     );
     const app = express();
     app.disable("x-powered-by");
@@ -158,8 +163,8 @@
   /** The plan's limits hold for connections and requests that begin from now on. */
   readonly takeLimits = (): void => {
     const { maxHeaderBytes, headerWaitUs, idleUs } = this.options.table.limits;
-    this.server.headersTimeout = headerWaitUs / MS;
-    this.server.keepAliveTimeout = idleUs / MS;
+    this.server.headersTimeout = headerWaitUs / MILLISECOND_US;
+    this.server.keepAliveTimeout = idleUs / MILLISECOND_US;
     Object.assign(this.server, { maxHeaderSize: maxHeaderBytes });
   };
 
@@ -197,15 +202,16 @@
     const arrivedUs = clock.nowUs();
     const left = Number(req.headers[TIME_LEFT]);
     const prior = line.last;
-    const trip: Trip = {
+    const context: RequestContext = {
       req,
       res,
-      line,
+      connection: line,
       prior,
-      place: line.came,
+      position: line.came,
       arrivedUs,
       tryId: String(req.headers[TRY_ID] ?? ""),
-      budgetUs: arrivedUs + (Number.isFinite(left) && left > 0 ? left * MS : 60 * SECOND),
+      deadlineUs:
+        arrivedUs + (Number.isFinite(left) && left > 0 ? left * MILLISECOND_US : 60 * SECOND_US),
       route: undefined,
       service: "",
       body: null,
@@ -213,8 +219,8 @@
       calls: new Set(),
       heldBytes: 0,
       sends: 0,
-      fate: fates.newFate(),
-      linkMishap: false,
+      deliveryState: fates.newDeliveryState(),
+      linkSuspected: false,
       stratum: "near|warm",
       over: false,
       onOver: [],
@@ -230,43 +236,43 @@
         line.socket.off("close", close);
         line.open -= 1;
         this.open -= 1;
-        if (!trip.over) this.abandoned(trip);
-        this.end(trip);
-        this.giveRoom(trip);
+        if (!context.over) this.abandoned(context);
+        this.end(context);
+        this.giveRoom(context);
         resolve();
       };
       res.once("close", close);
       // An answer that waits behind another's never hears that their connection has closed.
       if (line.open > 1) line.socket.once("close", close);
     });
-    if (!this.reading.offer(trip)) this.refuse(trip, "full");
+    if (!this.reading.offer(context)) this.refuse(context, "full");
   };
 
   /** Read: the body, if it is small enough to hold. */
-  private readonly read = async (trip: Trip): Promise<void> => {
+  private readonly read = async (context: RequestContext): Promise<void> => {
     const { table, clock } = this.options;
-    const { req } = trip;
+    const { req } = context;
     const length = Number(req.headers["content-length"] ?? 0);
     const hasBody = length > 0 || req.headers["transfer-encoding"] !== undefined;
-    if (length > table.limits.maxBodyBytes) return this.refuse(trip, "bodyTooLarge");
+    if (length > table.limits.maxBodyBytes) return this.refuse(context, "bodyTooLarge");
     if (!hasBody || length > HELD_BODY_BYTES) {
-      if (hasBody) trip.body = flowOf(req);
+      if (hasBody) context.body = flowOf(req);
       if (this.hasStoodStill()) await turns();
-      return this.direct(trip);
+      return this.direct(context);
     }
-    const held = await within(
+    const held = await withTimeout(
       clock,
-      trip.budgetUs - clock.nowUs(),
-      this.hold(trip),
+      context.deadlineUs - clock.nowUs(),
+      this.hold(context),
       "slowBody" as const,
     );
     if (this.hasStoodStill()) await turns();
-    if (trip.over) return;
+    if (context.over) return;
     if (held === "slowBody" || held === "bodyTooLarge" || held === "full")
-      return this.refuse(trip, held);
-    if (held === "broken") return this.end(trip);
-    trip.body = held;
-    this.direct(trip);
+      return this.refuse(context, held);
+    if (held === "broken") return this.end(context);
+    context.body = held;
+    this.direct(context);
   };
 
   /**
@@ -281,386 +287,413 @@
   };
 
   private readonly hold = async (
-    trip: Trip,
+    context: RequestContext,
   ): Promise<Buffer | "broken" | "bodyTooLarge" | "full"> => {
     const chunks: Buffer[] = [];
     let size = 0;
     try {
-      for await (const chunk of trip.req) {
+      for await (const chunk of context.req) {
         if (!Buffer.isBuffer(chunk)) continue;
         size += chunk.length;
         if (size > this.options.table.limits.maxBodyBytes) return "bodyTooLarge";
-        if (!this.takeRoom(trip, chunk.length)) return "full";
+        if (!this.takeRoom(context, chunk.length)) return "full";
         chunks.push(chunk);
       }
     } catch {
       return "broken";
     }
-    return trip.req.complete ? Buffer.concat(chunks) : "broken";
+    return context.req.complete ? Buffer.concat(chunks) : "broken";
   };
 
   /** After the request's end nothing is taken, but for a keyed run, whose answer is kept: its carrier gives it back. */
-  private readonly takeRoom = (trip: Trip, bytes: number): boolean => {
-    if ((trip.over && !trip.claim) || !this.room.take(bytes)) return false;
-    trip.heldBytes += bytes;
+  private readonly takeRoom = (context: RequestContext, bytes: number): boolean => {
+    if ((context.over && !context.claim) || !this.memory.reserve(bytes)) return false;
+    context.heldBytes += bytes;
     return true;
   };
 
-  private readonly giveRoom = (trip: Trip): void => {
-    this.room.give(trip.heldBytes);
-    trip.heldBytes = 0;
+  private readonly giveRoom = (context: RequestContext): void => {
+    this.memory.release(context.heldBytes);
+    context.heldBytes = 0;
   };
 
   /** Route: the longest prefix of the host, and by its shares a service. */
-  private readonly direct = (trip: Trip): void => {
-    const { table, random, budgets } = this.options;
-    if (trip.over) return;
-    if (!table.isHeld) return this.refuse(trip, "noPlan");
-    const host = (trip.req.headers.host ?? "").toLowerCase().replace(/:\d+$/, "");
-    const path = (trip.req.url ?? "/").split("?")[0] ?? "/";
+  private readonly direct = (context: RequestContext): void => {
+    const { table, random, budgets: retryBudgets } = this.options;
+    if (context.over) return;
+    if (!table.isLoaded) return this.refuse(context, "noPlan");
+    const host = (context.req.headers.host ?? "").toLowerCase().replace(/:\d+$/, "");
+    const path = (context.req.url ?? "/").split("?")[0] ?? "/";
     const route = table.find(host, path);
-    if (!route) return this.refuse(trip, "unknownRoute");
-    trip.route = route;
-    trip.service = table.unlessStopped(route, drawService(route, random()));
-    trip.budgetUs = Math.min(trip.budgetUs, trip.arrivedUs + route.giveUpUs);
-    const { goods } = this.options;
+    if (!route) return this.refuse(context, "unknownRoute");
+    context.route = route;
+    context.service = table.unlessStopped(route, drawService(route, random()));
+    context.deadlineUs = Math.min(context.deadlineUs, context.arrivedUs + route.giveUpUs);
+    const { objects: goods } = this.options;
     if (
       goods &&
       route.kind === "cached" &&
-      (trip.req.method === "GET" || trip.req.method === "HEAD")
+      (context.req.method === "GET" || context.req.method === "HEAD")
     ) {
-      void this.give(trip, route, goods, host);
+      void this.give(context, route, goods, host);
       return;
     }
-    if (trip.tryId === "") return this.refuse(trip, "noTryId");
-    budgets.of(trip.service, kindOf(route.kind)).count();
-    this.options.usage?.arrived(trip.service);
-    if (!this.carrying.offer(trip)) this.refuse(trip, "full");
+    if (context.tryId === "") return this.refuse(context, "noTryId");
+    retryBudgets.of(context.service, kindOf(route.kind)).count();
+    this.options.usage?.arrived(context.service);
+    if (!this.carrying.offer(context)) this.refuse(context, "full");
   };
 
   /** An object of a cached route, from a copy or fetched within the origin's rate. */
   private readonly give = async (
-    trip: Trip,
+    context: RequestContext,
     route: Route,
     goods: ObjectSource,
     host: string,
   ): Promise<void> => {
-    const { cacheForUs, aimUs } = route;
+    const { cacheForUs, latencyTargetUs } = route;
     const want = {
-      service: trip.service,
+      service: context.service,
       host,
-      url: trip.req.url ?? "/",
+      url: context.req.url ?? "/",
       cacheForUs,
       mostAgeUs: cacheForUs,
-      aimUs,
-      untilUs: trip.budgetUs,
+      latencyTargetUs,
+      untilUs: context.deadlineUs,
     };
-    const { range } = trip.req.headers;
-    const got = await goods.fetch(want, trip.req.method === "GET" ? range : undefined);
-    if (trip.over || isBehindClose(trip)) return;
+    const { range } = context.req.headers;
+    const got = await goods.fetch(want, context.req.method === "GET" ? range : undefined);
+    if (context.over || isBehindClose(context)) return;
     if (got.kind === "none")
       this.refuse(
-        trip,
+        context,
         got.why === "rate" ? "noRate" : "full",
         got.why === "rate" ? Math.max(got.comeBackUs, RATE_REST_US) : got.comeBackUs,
       );
-    else this.answerKept(trip, got.status, got.heads, got.body);
+    else this.answerKept(context, got.status, got.heads, got.body);
   };
 
   /** Answers with what was kept of a worker's answer to another request. */
   private readonly answerKept = (
-    trip: Trip,
+    context: RequestContext,
     status: number,
-    heads: readonly string[],
+    headers: readonly string[],
     body: Buffer,
   ): void => {
-    if (trip.over || trip.res.headersSent) return;
-    const all = [...heads, "Yewreel-Try-Id", trip.tryId];
-    this.answer(trip, { status, heads: all, start: body, rest: undefined });
+    if (context.over || context.res.headersSent) return;
+    const all = [...headers, "Yewreel-Try-Id", context.tryId];
+    this.answer(context, { status, heads: all, start: body, rest: undefined });
   };
 
   /** Claims the operation key; false when the request has been answered instead, or its caller is gone. */
-  private readonly claim = async (trip: Trip, route: Route): Promise<boolean> => {
+  private readonly claim = async (context: RequestContext, route: Route): Promise<boolean> => {
     const { clock, desk, random } = this.options;
-    const told = trip.req.headers[OPERATION_KEY];
+    const told = context.req.headers[OPERATION_KEY];
     if (typeof told !== "string" || told === "" || told.length > MOST_KEY) {
-      this.refuse(trip, "noKey");
+      this.refuse(context, "noKey");
       return false;
     }
     const key = `${route.host}\n${told}`;
-    const untilUs = Math.min(trip.arrivedUs + route.aimUs / CLAIM_PART, trip.budgetUs);
+    const untilUs = Math.min(
+      context.arrivedUs + route.latencyTargetUs / CLAIM_PART,
+      context.deadlineUs,
+    );
     let isTaken = false;
-    for (let at = 0; desk && !trip.over && clock.nowUs() < untilUs; at += 1) {
+    for (let at = 0; desk && !context.over && clock.nowUs() < untilUs; at += 1) {
       const askedUs = clock.nowUs();
-      const token = `${trip.tryId}.${at}.${random().toString(36).slice(2)}`;
-      const verdict = await within(clock, untilUs - clock.nowUs(), desk.claim(key, token), {
+      const token = `${context.tryId}.${at}.${random().toString(36).slice(2)}`;
+      const result = await withTimeout(clock, untilUs - clock.nowUs(), desk.claim(key, token), {
         kind: "none" as const,
       });
-      if (verdict.kind === "won") {
-        if (trip.over) {
+      if (result.kind === "won") {
+        if (context.over) {
           desk.free(key, token);
           return false;
         }
-        trip.claim = { key, token, askedUs };
+        context.claim = { key, token, askedUs };
         return true;
       }
-      if (verdict.kind === "done") {
+      if (result.kind === "done") {
         this.answerKept(
-          trip,
-          verdict.answer.status,
-          verdict.answer.heads,
-          Buffer.from(verdict.answer.body),
+          context,
+          result.answer.status,
+          result.answer.heads,
+          Buffer.from(result.answer.body),
         );
         return false;
       }
       desk.free(key, token);
-      isTaken = verdict.kind === "working";
+      isTaken = result.kind === "working";
       if (isTaken) break;
-      await rest(clock, SPLIT_REST_US * (0.5 + random()));
+      await sleep(clock, SPLIT_REST_US * (0.5 + random()));
     }
-    this.refuse(trip, isTaken ? "keyAtWork" : "noQuorum");
+    this.refuse(context, isTaken ? "keyAtWork" : "noQuorum");
     return false;
   };
 
   /** Keeps the answer of a keyed request for its repeats, before its caller gets it. */
-  private readonly keep = async (trip: Trip, answer: Answer): Promise<void> => {
+  private readonly keep = async (
+    context: RequestContext,
+    answer: UpstreamResponse,
+  ): Promise<void> => {
     const { desk, clock } = this.options;
-    if (!desk || !trip.claim || answer.rest) return;
-    const kept: KeyAnswer = {
+    if (!desk || !context.claim || answer.rest) return;
+    const kept: KeyedResponse = {
       status: answer.status,
-      heads: passOn(answer.heads, NOT_KEPT),
+      heads: forwardedHeaders(answer.heads, NOT_KEPT),
       body: answer.start,
     };
-    const aimLeftUs = trip.arrivedUs + (trip.route?.aimUs ?? 0) - clock.nowUs();
+    const aimLeftUs = context.arrivedUs + (context.route?.latencyTargetUs ?? 0) - clock.nowUs();
     await desk.keep(
-      trip.claim.key,
-      trip.claim.token,
+      context.claim.key,
+      context.claim.token,
       kept,
-      Math.max(aimLeftUs * KEEP_PART, 300 * MS),
+      Math.max(aimLeftUs * KEEP_PART, 300 * MILLISECOND_US),
     );
   };
 
   /** Gate, choose and call, again where that is allowed, and at the end the one answer. */
-  private readonly carry = async (trip: Trip): Promise<void> => {
-    const { clock, budgets } = this.options;
-    const { route } = trip;
+  private readonly carry = async (context: RequestContext): Promise<void> => {
+    const { clock, budgets: retryBudgets } = this.options;
+    const { route } = context;
     if (!route) return;
     if (!route.isSafe) {
-      await trip.prior;
-      if (trip.place > 1 && this.hasStoodStill()) await turns();
+      await context.prior;
+      if (context.position > 1 && this.hasStoodStill()) await turns();
     }
-    const budget = clock.after(trip.budgetUs - clock.nowUs(), () => this.runOut(trip));
-    trip.onOver.push(budget.stop);
-    if (route.kind === "keyed" && !(await this.claim(trip, route))) return;
+    const budget = clock.after(context.deadlineUs - clock.nowUs(), () => this.runOut(context));
+    context.onOver.push(budget.stop);
+    if (route.kind === "keyed" && !(await this.claim(context, route))) return;
     if (
-      this.options.goods &&
-      (this.options.table.service(trip.service)?.ratePerS ?? 0) > 0 &&
-      !(await this.options.goods.permit(trip.service))
+      this.options.objects &&
+      (this.options.table.service(context.service)?.ratePerS ?? 0) > 0 &&
+      !(await this.options.objects.permit(context.service))
     )
-      return this.refuse(trip, "noRate");
-    let lastAnswer: Answer | undefined;
-    while (!trip.over && !isBehindClose(trip) && trip.tried.size < route.tries + MOST_UNREACHED) {
+      return this.refuse(context, "noRate");
+    let lastAnswer: UpstreamResponse | undefined;
+    while (
+      !context.over &&
+      !isBehindClose(context) &&
+      context.tried.size < route.tries + MOST_UNREACHED
+    ) {
       if (
-        trip.sends > 0 &&
+        context.sends > 0 &&
         !(
-          trip.sends < route.tries &&
-          isHeldBody(trip) &&
-          !this.isPressed(trip, route) &&
-          budgets.of(trip.service, kindOf(route.kind)).spend()
+          context.sends < route.tries &&
+          isHeldBody(context) &&
+          !this.isPressed(context, route) &&
+          retryBudgets.of(context.service, kindOf(route.kind)).spend()
         )
       )
         break;
-      const worker = await this.gate.pass(trip, this.gateWaitUs(trip, route));
-      if (trip.over || !worker) break;
-      if (this.isPast(trip)) return this.runOut(trip);
-      if (this.wouldBeLate(trip, route, worker)) break;
-      const verdict = await this.call(trip, route, worker);
-      if (verdict.kind === "answered") {
+      const worker = await this.gate.pass(context, this.gateWaitUs(context, route));
+      if (context.over || !worker) break;
+      if (this.isPast(context)) return this.runOut(context);
+      if (this.wouldBeLate(context, route, worker)) break;
+      const result = await this.call(context, route, worker);
+      if (result.kind === "answered") {
         // Where it may not pass, it has run and its status would promise that it has not.
-        const mayPass = fates.mayPass(verdict.answer.status, route.isSafe);
-        if (mayPass && trip.claim) await this.keep(trip, verdict.answer);
-        if (trip.over || !mayPass) {
-          verdict.answer.rest?.stop();
+        const mayPass = fates.mayForward(result.answer.status, route.isSafe);
+        if (mayPass && context.claim) await this.keep(context, result.answer);
+        if (context.over || !mayPass) {
+          result.answer.rest?.stop();
           break;
         }
-        const isOwnMishap = verdict.answer.status >= 500;
-        if (!isOwnMishap || !route.isSafe || trip.sends >= route.tries)
-          return this.answer(trip, verdict.answer);
-        lastAnswer = verdict.answer;
+        const isOwnMishap = result.answer.status >= 500;
+        if (!isOwnMishap || !route.isSafe || context.sends >= route.tries)
+          return this.answer(context, result.answer);
+        lastAnswer = result.answer;
       } else if (
-        trip.over ||
-        verdict.kind === "cancelled" ||
-        (verdict.kind === "lost" && !route.isSafe)
+        context.over ||
+        result.kind === "cancelled" ||
+        (result.kind === "lost" && !route.isSafe)
       )
         break;
-      else if (verdict.kind === "unsent" && verdict.why === "unwritable")
-        return this.refuse(trip, "malformed");
+      else if (result.kind === "unsent" && result.why === "unwritable")
+        return this.refuse(context, "malformed");
     }
-    if (trip.over) {
-      this.freeClaim(trip);
-      this.giveRoom(trip);
-    } else if (lastAnswer) this.answer(trip, lastAnswer);
-    else this.refuse(trip, "lostAnswer");
+    if (context.over) {
+      this.freeClaim(context);
+      this.giveRoom(context);
+    } else if (lastAnswer) this.answer(context, lastAnswer);
+    else this.refuse(context, "lostAnswer");
   };
 
   /** Neither its caller nor the operator wants it any more, whether or not the timer has said so yet. */
-  private readonly isPast = (trip: Trip): boolean => this.options.clock.nowUs() >= trip.budgetUs;
+  private readonly isPast = (context: RequestContext): boolean =>
+    this.options.clock.nowUs() >= context.deadlineUs;
 
   /**
    * The last question before bytes leave for a worker. A connection may have come up only after the time was over, as
    * when this node stood still meanwhile; a caller's leaving is heard of
    * some turns after it was read; a keyed request must hold a claim that is not too old.
    */
-  private readonly mayBegin = (trip: Trip, route: Route): boolean =>
-    !trip.over &&
-    !trip.line.socket.readableEnded &&
-    !isBehindClose(trip) &&
-    !this.isPast(trip) &&
-    (route.kind !== "keyed" || this.isClaimed(trip)) &&
-    fates.begin(trip.fate, route.isSafe);
-
-  private readonly isClaimed = ({ claim }: Trip): boolean =>
+  private readonly mayBegin = (context: RequestContext, route: Route): boolean =>
+    !context.over &&
+    !context.connection.socket.readableEnded &&
+    !isBehindClose(context) &&
+    !this.isPast(context) &&
+    (route.kind !== "keyed" || this.isClaimed(context)) &&
+    fates.begin(context.deliveryState, route.isSafe);
+
+  private readonly isClaimed = ({ claim }: RequestContext): boolean =>
     claim !== undefined && this.options.clock.nowUs() - claim.askedUs <= CLAIM_GOOD_US;
 
   /** Calls one worker; a safe request whose worker has fallen silent is sent to a second one beside it. */
   private readonly call = async (
-    trip: Trip,
+    context: RequestContext,
     route: Route,
     worker: Worker,
-  ): Promise<CallVerdict> => {
-    const { clock, budgets } = this.options;
-    const first = this.start(trip, route, worker);
+  ): Promise<UpstreamResult> => {
+    const { clock, budgets: retryBudgets } = this.options;
+    const first = this.start(context, route, worker);
     if (!route.isSafe) return first.verdict;
     for (;;) {
-      const early = await within(clock, SILENCE_CHECK_US, first.verdict, undefined);
+      const early = await withTimeout(clock, SILENCE_CHECK_US, first.verdict, undefined);
       if (early) return early;
-      if (trip.over) return { kind: "cancelled" };
+      if (context.over) return { kind: "cancelled" };
       if (
         !worker.isSilent() ||
-        this.isPast(trip) ||
-        this.isPressed(trip, route) ||
-        trip.sends >= route.tries ||
-        !isHeldBody(trip)
+        this.isPast(context) ||
+        this.isPressed(context, route) ||
+        context.sends >= route.tries ||
+        !isHeldBody(context)
       )
         continue;
-      const other = this.chooser.choose(trip.service, trip.tried, trip.route?.aimUs ?? 0);
-      if (!other || !budgets.of(trip.service, kindOf(route.kind)).spend()) continue;
-      const second = this.start(trip, route, other);
+      const other = this.chooser.choose(
+        context.service,
+        context.tried,
+        context.route?.latencyTargetUs ?? 0,
+      );
+      if (!other || !retryBudgets.of(context.service, kindOf(route.kind)).spend()) continue;
+      const second = this.start(context, route, other);
       const [quick, slow] = await Promise.race([
         first.verdict.then(() => [first, second] as const),
         second.verdict.then(() => [second, first] as const),
       ]);
-      const verdict = await quick.verdict;
-      if (verdict.kind !== "answered") return slow.verdict;
+      const result = await quick.verdict;
+      if (result.kind !== "answered") return slow.verdict;
       slow.cancel();
-      return verdict;
+      return result;
     }
   };
 
   /** Repeats of safe requests stop before they take room that a pressed service lacks. */
-  private readonly isPressed = (trip: Trip, route: Route): boolean =>
-    this.options.acts === true && route.isSafe && this.options.yard.pressure(trip.service) !== "";
+  private readonly isPressed = (context: RequestContext, route: Route): boolean =>
+    this.options.acts === true &&
+    route.isSafe &&
+    this.options.pool.pressure(context.service) !== "";
 
   /** At a pressed service one that can't be repeated is refused before it is offered, rather than broken off in work. */
-  private readonly wouldBeLate = (trip: Trip, route: Route, worker: Worker): boolean => {
-    const { acts, yard, clock } = this.options;
+  private readonly wouldBeLate = (
+    context: RequestContext,
+    route: Route,
+    worker: Worker,
+  ): boolean => {
+    const { acts, pool, clock } = this.options;
     return (
       acts === true &&
       !route.isSafe &&
-      yard.pressure(trip.service) === "overrun" &&
-      worker.guessUs(worker.usage(0)) > trip.budgetUs - clock.nowUs()
+      pool.pressure(context.service) === "overrun" &&
+      worker.guessUs(worker.usage(0)) > context.deadlineUs - clock.nowUs()
     );
   };
 
-  private readonly start = (trip: Trip, route: Route, worker: Worker): Calling => {
+  private readonly start = (
+    context: RequestContext,
+    route: Route,
+    worker: Worker,
+  ): CancellableRequest => {
     const { clock, countFault, usage } = this.options;
     const startedUs = clock.nowUs();
-    const heads = passOn(trip.req.rawHeaders, NOT_PASSED_ON);
-    const leftMs = Math.max(1, Math.floor((trip.budgetUs - clock.nowUs()) / MS));
-    heads.push("Yewreel-Time-Left-Ms", String(leftMs), "Yewreel-Expect-Worker", worker.id);
-    const length = trip.req.headers["content-length"];
-    if (!isHeldBody(trip) && length !== undefined) heads.push("Content-Length", length);
+    const headers = forwardedHeaders(context.req.rawHeaders, NOT_PASSED_ON);
+    const leftMs = Math.max(1, Math.floor((context.deadlineUs - clock.nowUs()) / MILLISECOND_US));
+    headers.push("Yewreel-Time-Left-Ms", String(leftMs), "Yewreel-Expect-Worker", worker.id);
+    const length = context.req.headers["content-length"];
+    if (!isHeldBody(context) && length !== undefined) headers.push("Content-Length", length);
     const order = {
-      method: trip.req.method ?? "GET",
-      path: trip.req.url ?? "/",
-      heads,
-      body: trip.body,
-      tryId: trip.tryId,
-      hold: (bytes: number) => this.takeRoom(trip, bytes),
-      mayBegin: () => this.mayBegin(trip, route),
+      method: context.req.method ?? "GET",
+      path: context.req.url ?? "/",
+      heads: headers,
+      body: context.body,
+      tryId: context.tryId,
+      hold: (bytes: number) => this.takeRoom(context, bytes),
+      mayBegin: () => this.mayBegin(context, route),
     };
-    const call = new WorkerCall(worker, order, clock.nowUs);
-    if (trip.sends === 0)
-      trip.stratum = `${worker.cell === this.options.cell ? "near" : "far"}|${clock.nowUs() < worker.warmUntilUs ? "cold" : "warm"}`;
-    trip.tried.add(worker.id);
-    trip.sends += 1;
-    this.options.countCall?.(trip.service, route.kind, route.name, worker.id);
-    trip.calls.add(call);
-    void call.verdict.then((verdict) => {
-      trip.calls.delete(call);
-      if (verdict.kind === "answered" || verdict.kind === "lost")
-        usage?.answered(trip.service, worker.cell, clock.nowUs() - startedUs);
-      if (verdict.kind === "answered") fates.ran(trip.fate);
-      if (verdict.kind === "turned-away") fates.turnedAway(trip.fate);
+    const call = new UpstreamRequest(worker, order, clock.nowUs);
+    if (context.sends === 0)
+      context.stratum = `${worker.cell === this.options.cell ? "near" : "far"}|${clock.nowUs() < worker.warmUntilUs ? "cold" : "warm"}`;
+    context.tried.add(worker.id);
+    context.sends += 1;
+    this.options.countCall?.(context.service, route.kind, route.name, worker.id);
+    context.calls.add(call);
+    void call.verdict.then((result) => {
+      context.calls.delete(call);
+      if (result.kind === "answered" || result.kind === "lost")
+        usage?.answered(context.service, worker.cell, clock.nowUs() - startedUs);
+      if (result.kind === "answered") fates.markRun(context.deliveryState);
+      if (result.kind === "turned-away") fates.markRejected(context.deliveryState);
       // Nothing of it arrived anywhere, so what is sent next is no retry.
-      if (verdict.kind === "unsent") trip.sends -= 1;
+      if (result.kind === "unsent") context.sends -= 1;
       const isOut =
-        verdict.kind === "unsent" && (verdict.why === "unreachable" || verdict.why === "refused");
-      if (isOut || verdict.kind === "lost") worker.shun();
-      if (verdict.kind === "unsent" && verdict.why === "unreachable") trip.linkMishap = true;
-      if (verdict.kind === "turned-away" && verdict.why === "other-worker")
-        this.options.yard.misdirected(worker);
+        result.kind === "unsent" && (result.why === "unreachable" || result.why === "refused");
+      if (isOut || result.kind === "lost") worker.shun();
+      if (result.kind === "unsent" && result.why === "unreachable") context.linkSuspected = true;
+      if (result.kind === "turned-away" && result.why === "other-worker")
+        this.options.pool.misdirected(worker);
       if (
-        verdict.kind === "answered" ||
-        verdict.kind === "turned-away" ||
-        verdict.kind === "lost" ||
+        result.kind === "answered" ||
+        result.kind === "turned-away" ||
+        result.kind === "lost" ||
         isOut
       )
-        countFault(worker.id, verdict.kind === "lost" || isOut);
+        countFault(worker.id, result.kind === "lost" || isOut);
       this.gate.wake();
     });
     return call;
   };
 
-  private readonly gateWaitUs = (trip: Trip, route: Route): number => {
+  private readonly gateWaitUs = (context: RequestContext, route: Route): number => {
     const { clock } = this.options;
     const nowUs = clock.nowUs();
-    return Math.min(trip.arrivedUs + route.aimUs / GATE_PART, trip.budgetUs) - nowUs;
+    return (
+      Math.min(context.arrivedUs + route.latencyTargetUs / GATE_PART, context.deadlineUs) - nowUs
+    );
   };
 
   /** The budget is over: whatever a worker still does for it is of no use to anyone. */
-  private readonly runOut = (trip: Trip): void => this.refuse(trip, "tooLate");
+  private readonly runOut = (context: RequestContext): void => this.refuse(context, "tooLate");
 
   /** Answer: the worker's own, unchanged. */
-  private readonly answer = (trip: Trip, answer: Answer): void => {
-    const { res } = trip;
-    if (trip.over || res.headersSent) return answer.rest?.stop();
-    const heads = passOn(answer.heads, answer.rest ? NONE : CONTENT_LENGTH);
+  private readonly answer = (context: RequestContext, answer: UpstreamResponse): void => {
+    const { res } = context;
+    if (context.over || res.headersSent) return answer.rest?.stop();
+    const headers = forwardedHeaders(answer.heads, answer.rest ? NONE : CONTENT_LENGTH);
     if (
       !answer.rest &&
-      trip.req.method !== "HEAD" &&
+      context.req.method !== "HEAD" &&
       answer.status !== 204 &&
       answer.status !== 304
     )
-      heads.push("Content-Length", String(answer.start.length));
-    this.count(trip, answer.status < 400 ? "served" : String(answer.status));
-    this.countSplit(trip, () =>
+      headers.push("Content-Length", String(answer.start.length));
+    this.count(context, answer.status < 400 ? "served" : String(answer.status));
+    this.countSplit(context, () =>
       answer.status >= 500
         ? "lost"
-        : this.waitedUs(trip) <= (trip.route?.aimUs ?? 0)
+        : this.waitedUs(context) <= (context.route?.latencyTargetUs ?? 0)
           ? "inTime"
           : "late",
     );
-    this.markClosing(trip, false);
-    res.writeHead(answer.status, heads);
-    trip.over = true;
-    fates.close(trip.fate);
+    this.markClosing(context, false);
+    res.writeHead(answer.status, headers);
+    context.over = true;
+    fates.close(context.deliveryState);
     if (!answer.rest) {
       res.end(answer.start);
       return;
     }
     const { rest } = answer;
-    trip.onOver.push(rest.stop);
+    context.onOver.push(rest.stop);
     res.write(answer.start);
     res.on("drain", rest.resume);
     rest.flow(
@@ -673,76 +706,84 @@
   };
 
   /** Answer: the gateway's own, by the table of outcomes. */
-  private readonly refuse = (trip: Trip, wanted: OutcomeName, comeBackUs = 0): void => {
-    const { res, route } = trip;
-    if (trip.over || res.headersSent) return;
-    const name = fates.tell(trip.fate, wanted);
-    const outcome = OUTCOMES[name];
-    if (name === "full" && trip.service !== "") this.options.usage?.refused(trip.service);
-    this.count(trip, name);
-    this.countSplit(trip, () =>
-      fates.isUnrun(trip.fate) && trip.linkMishap ? "own" : lossOf(trip),
+  private readonly refuse = (
+    context: RequestContext,
+    wanted: OutcomeName,
+    comeBackUs = 0,
+  ): void => {
+    const { res, route } = context;
+    if (context.over || res.headersSent) return;
+    const name = fates.clientOutcome(context.deliveryState, wanted);
+    const outcome = HTTP_OUTCOMES[name];
+    if (name === "full" && context.service !== "") this.options.usage?.refused(context.service);
+    this.count(context, name);
+    this.countSplit(context, () =>
+      fates.isUnrun(context.deliveryState) && context.linkSuspected ? "own" : lossOf(context),
     );
-    this.markClosing(trip, outcome.closes);
+    this.markClosing(context, outcome.closes);
     const body = JSON.stringify({ problem: outcome.problem });
-    if (outcome.comeBack) res.setHeader("Retry-After", comeBackS(route, comeBackUs));
+    if (outcome.retryAfter) res.setHeader("Retry-After", comeBackS(route, comeBackUs));
     res.writeHead(outcome.status, {
       "Content-Type": "application/json",
       "Content-Length": Buffer.byteLength(body),
     });
     res.end(body);
-    this.end(trip);
+    this.end(context);
   };
 
-  private readonly markClosing = (trip: Trip, closes: boolean): void => {
-    if (!closes && !((this.leaving || this.emptied) && trip.line.open === 1)) return;
-    trip.line.closedBy = trip.place;
-    trip.res.setHeader("Connection", "close");
+  private readonly markClosing = (context: RequestContext, closes: boolean): void => {
+    if (!closes && !((this.leaving || this.emptied) && context.connection.open === 1)) return;
+    context.connection.closedBy = context.position;
+    context.res.setHeader("Connection", "close");
   };
 
-  private readonly count = (trip: Trip, outcome: string): void => {
-    const kind = trip.route?.kind ?? "none";
-    this.options.tally(trip.route?.name ?? "none", kind, outcome);
+  private readonly count = (context: RequestContext, outcome: string): void => {
+    const kind = context.route?.kind ?? "none";
+    this.options.tally(context.route?.name ?? "none", kind, outcome);
   };
 
   /** The caller went away unanswered: at the end of its patience that is the service's doing, sooner it is its own. */
-  private readonly abandoned = (trip: Trip): void => {
-    this.count(trip, "caller left");
-    if (this.waitedUs(trip) < (trip.budgetUs - trip.arrivedUs) * PATIENCE_PART) return;
-    this.countSplit(trip, () => lossOf(trip));
+  private readonly abandoned = (context: RequestContext): void => {
+    this.count(context, "caller left");
+    if (this.waitedUs(context) < (context.deadlineUs - context.arrivedUs) * PATIENCE_PART) return;
+    this.countSplit(context, () => lossOf(context));
   };
 
-  private readonly waitedUs = (trip: Trip): number => this.options.clock.nowUs() - trip.arrivedUs;
+  private readonly waitedUs = (context: RequestContext): number =>
+    this.options.clock.nowUs() - context.arrivedUs;
 
   /** Nothing is worked out for a route that sends to one service only. */
-  private readonly countSplit = (trip: Trip, outcome: () => RolloutOutcome): void => {
-    if (trip.route !== undefined && trip.route.shares.length > 1)
-      this.options.countRollout(trip.route, trip.service, trip.stratum, outcome());
+  private readonly countSplit = (context: RequestContext, outcome: () => CanaryOutcome): void => {
+    if (context.route !== undefined && context.route.shares.length > 1)
+      this.options.countRollout(context.route, context.service, context.stratum, outcome());
   };
 
   /** Whatever still runs for the trip is called off: it has been answered, or its caller is gone. */
-  private readonly end = (trip: Trip): void => {
-    trip.over = true;
-    this.freeClaim(trip);
-    fates.close(trip.fate);
+  private readonly end = (context: RequestContext): void => {
+    context.over = true;
+    this.freeClaim(context);
+    fates.close(context.deliveryState);
     const cancel = () => {
-      trip.calls.forEach((call) => call.cancel());
-      if (trip.body !== null && !Buffer.isBuffer(trip.body)) trip.body.destroy();
+      context.calls.forEach((call) => call.cancel());
+      if (context.body !== null && !Buffer.isBuffer(context.body)) context.body.destroy();
     };
     // A keyed run whose caller is gone goes on while its worker may be at it, so that its answer can be kept for the repeats.
-    if (!trip.claim || trip.res.writableEnded) cancel();
+    if (!context.claim || context.res.writableEnded) cancel();
     else
-      this.options.clock.after(trip.budgetUs - this.options.clock.nowUs() + KEYED_REST_US, cancel);
-    trip.onOver.splice(0).forEach((act) => act());
+      this.options.clock.after(
+        context.deadlineUs - this.options.clock.nowUs() + KEYED_REST_US,
+        cancel,
+      );
+    context.onOver.splice(0).forEach((act) => act());
   };
 
-  private readonly freeClaim = (trip: Trip): void => {
-    if (!trip.claim || !fates.isUnrun(trip.fate)) return;
-    this.options.desk?.free(trip.claim.key, trip.claim.token);
-    trip.claim = undefined;
+  private readonly freeClaim = (context: RequestContext): void => {
+    if (!context.claim || !fates.isUnrun(context.deliveryState)) return;
+    this.options.desk?.free(context.claim.key, context.claim.token);
+    context.claim = undefined;
   };
 
-  private readonly malformed = (mishap: NodeJS.ErrnoException, socket: Socket): void => {
+  private readonly malformed = (error: NodeJS.ErrnoException, socket: Socket): void => {
     const line = this.lines.get(socket);
     if (!socket.writable || (line !== undefined && line.open > 0)) {
       socket.destroy();
@@ -750,13 +791,13 @@
     }
     if (line) line.closedBy = line.came;
     const name: OutcomeName =
-      mishap.code === "HPE_HEADER_OVERFLOW"
+      error.code === "HPE_HEADER_OVERFLOW"
         ? "headTooLarge"
-        : mishap.code === "ERR_HTTP_REQUEST_TIMEOUT"
+        : error.code === "ERR_HTTP_REQUEST_TIMEOUT"
           ? "slowHead"
           : "malformed";
-    const outcome = OUTCOMES[name];
-    if (mishap.code === "ECONNRESET") socket.destroy();
+    const outcome = HTTP_OUTCOMES[name];
+    if (error.code === "ECONNRESET") socket.destroy();
     else
       socket.end(
         `HTTP/1.1 ${outcome.status} ${outcome.problem}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`,
@@ -789,16 +830,23 @@
 };
 
 /** An answer before it closes the connection, so its caller counts it as not read and sends it again. */
-const isBehindClose = (trip: Trip): boolean => trip.place > trip.line.closedBy;
+const isBehindClose = (context: RequestContext): boolean =>
+  context.position > context.connection.closedBy;
 
 /** An unsafe request that may have run may be placed again by its caller. */
-const lossOf = (trip: Trip): RolloutOutcome =>
-  !fates.isUnrun(trip.fate) && trip.route?.isSafe === false ? "doubled" : "lost";
+const lossOf = (context: RequestContext): CanaryOutcome =>
+  !fates.isUnrun(context.deliveryState) && context.route?.isSafe === false ? "doubled" : "lost";
 
-const isHeldBody = (trip: Trip): boolean => trip.body === null || Buffer.isBuffer(trip.body);
+const isHeldBody = (context: RequestContext): boolean =>
+  context.body === null || Buffer.isBuffer(context.body);
 
 const comeBackS = (route: Route | undefined, leastUs: number): string =>
-  (Math.max(leastUs, route ? Math.max(50 * MS, route.aimUs / 4) : 250 * MS) / SECOND).toFixed(3);
+  (
+    Math.max(
+      leastUs,
+      route ? Math.max(50 * MILLISECOND_US, route.latencyTargetUs / 4) : 250 * MILLISECOND_US,
+    ) / SECOND_US
+  ).toFixed(3);
 
 const drawService = (route: Route, random: number): string => {
   const total = route.shares.reduce((sum, { share }) => sum + share, 0);
--- a/src/proxy/reassignment-forecast.ts
+++ b/src/proxy/reassignment-forecast.ts
@@ -1,5 +1,5 @@
 import { mean, probit, sampleStandardDeviation } from "simple-statistics";
-import type { CallCount } from "./request-counters.js";
+import type { RequestCount } from "./request-counters.js";
 import { subsetOf, type NodeCount, type Placed, type Subset } from "./subset.js";
 
 /** What the planners ask about: backends added, by service and cell, and workers retired. */
@@ -13,20 +13,20 @@
   readonly byRoute: boolean;
 }
 
-export interface MoveQuestion {
+export interface ReassignmentQuery {
   readonly node: string;
   readonly cell: string;
   readonly nodes: NodeCount;
   readonly service: string;
   /** The ready workers of the service. */
   readonly workers: readonly Placed[];
-  readonly calls: readonly CallCount[];
+  readonly calls: readonly RequestCount[];
   readonly spanUs: number;
   readonly change: BackendChange;
 }
 
 /** What would move of one node's calls of one kind (and route) to one service. */
-export interface MoveRow {
+export interface ReassignmentRow {
   readonly service: string;
   readonly kind: string;
   readonly route: string;
@@ -56,8 +56,8 @@
   readonly perSThen: number;
 }
 
-export interface MoveForecast {
-  readonly rows: readonly MoveRow[];
+export interface ReassignmentForecast {
+  readonly rows: readonly ReassignmentRow[];
   /** The workers that the node sends to now. */
   readonly subset: readonly string[];
   readonly loads: readonly LoadRow[];
@@ -145,8 +145,8 @@
 };
 
 const sumBy = (
-  calls: readonly CallCount[],
-  keyOf: (call: CallCount) => string,
+  calls: readonly RequestCount[],
+  keyOf: (call: RequestCount) => string,
 ): ReadonlyMap<string, number> => {
   const sums = new Map<string, number>();
   calls.forEach((call) => sums.set(keyOf(call), (sums.get(keyOf(call)) ?? 0) + call.count));
@@ -159,21 +159,21 @@
  */
 export const forecastMoves = ({
   node,
-  cell,
+  cell: zone,
   nodes,
   service,
   workers,
   calls,
   spanUs,
   change,
-}: MoveQuestion): MoveForecast => {
+}: ReassignmentQuery): ReassignmentForecast => {
   const stay = workers.filter(({ id }) => !change.retire.includes(id));
   const added = change.add.filter((one) => one.service === service);
-  const before = subsetOf(node, cell, workers, nodes);
+  const before = subsetOf(node, zone, workers, nodes);
   const afterOf = (draw: number): Subset<Placed> =>
     subsetOf(
       node,
-      cell,
+      zone,
       [
         ...stay,
         ...added.flatMap((one, at) =>
@@ -192,7 +192,7 @@
   const groups = sumBy(calls, (call) =>
     change.byRoute ? `${call.kind}\n${call.route}` : `${call.kind}\n`,
   );
-  const rows = [...groups].map(([key, total]): MoveRow => {
+  const rows = [...groups].map(([key, total]): ReassignmentRow => {
     const [kind = "", route = ""] = key.split("\n");
     const own = calls.filter(
       (call) => call.kind === kind && (!change.byRoute || call.route === route),
--- a/src/proxy/request-context.ts
+++ b/src/proxy/request-context.ts
@@ -1,12 +1,12 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { Socket } from "node:net";
 import type { Readable } from "node:stream";
-import type { Calling } from "./upstream-request.js";
-import type { Fate } from "./delivery-state.js";
+import type { CancellableRequest } from "./upstream-request.js";
+import type { DeliveryState } from "./delivery-state.js";
 import type { Route } from "./route-table.js";
 
 /** The requests of one caller's connection, in the order they came. */
-export interface Line {
+export interface ClientConnection {
   /** A request may lose sight of its connection before it ends; its line doesn't. */
   readonly socket: Socket;
   /** Requests read and not yet answered in full. */
@@ -20,31 +20,31 @@
 }
 
 /** One request on its way through the stages. */
-export interface Trip {
+export interface RequestContext {
   readonly req: IncomingMessage;
   readonly res: ServerResponse;
-  readonly line: Line;
+  readonly connection: ClientConnection;
   readonly prior: Promise<void>;
   /** Its place on the line, from 1. */
-  readonly place: number;
+  readonly position: number;
   readonly arrivedUs: number;
   readonly tryId: string;
   /** When the caller and the operator both have given it up, on this process's clock. */
-  budgetUs: number;
+  deadlineUs: number;
   route: Route | undefined;
   service: string;
   body: Buffer | Readable | null;
   /** Invariant: the workers it was sent to or that proved unreachable; none is asked twice. */
   readonly tried: Set<string>;
-  readonly calls: Set<Calling>;
+  readonly calls: Set<CancellableRequest>;
   /** What was taken of the room for held bodies on behalf of this request. */
   heldBytes: number;
   /** Workers it was offered to, those left out that no byte of it left for. Invariant: never above the route's tries. */
   sends: number;
   /** What is known of whether it has run; what its caller is told follows from it alone. */
-  readonly fate: Fate;
+  readonly deliveryState: DeliveryState;
   /** Set once a worker could not be reached in a way that may be this node's own link's doing. */
-  linkMishap: boolean;
+  linkSuspected: boolean;
   /** Where the first worker asked stands to this node: near or far, warm or cold. */
   stratum: string;
   /** Set once it is answered or its caller is gone. */
--- a/src/proxy/request-counters.ts
+++ b/src/proxy/request-counters.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "../common/clock.js";
-import { SECOND } from "../common/duration.js";
+import { SECOND_US } from "../common/duration.js";
 
-export interface CallCount {
+export interface RequestCount {
   readonly service: string;
   readonly kind: string;
   readonly route: string;
@@ -14,11 +14,11 @@
   readonly counts: Map<string, number>;
 }
 
-export const CALLS_WINDOW_US = 60 * SECOND;
+export const CALLS_WINDOW_US = 60 * SECOND_US;
 const SLOTS = 6;
 
 /** What this node has lately sent to each worker, by service, kind and route. Invariant: nothing older than a window and a slot is held. */
-export class CallCounts {
+export class RequestCounters {
   private slots: Slot[] = [];
   private readonly sinceUs: number;
 
@@ -35,7 +35,7 @@
   /** The calls of a service, and over which span they were counted. */
   readonly of = (
     service: string,
-  ): { readonly spanUs: number; readonly counts: readonly CallCount[] } => {
+  ): { readonly spanUs: number; readonly counts: readonly RequestCount[] } => {
     this.slot();
     const sums = new Map<string, number>();
     this.slots.forEach(({ counts }) =>
--- a/src/proxy/retry-budget.ts
+++ b/src/proxy/retry-budget.ts
@@ -1,5 +1,5 @@
 import type { Clock } from "../common/clock.js";
-import type { Log } from "../common/logger.js";
+import type { Logger } from "../common/logger.js";
 import {
   limitOf,
   USED_PART,
@@ -7,7 +7,7 @@
   type RetryLimits,
   type RouteKind,
 } from "../quota/retry-limits.js";
-import type { Rec } from "../common/decode.js";
+import type { UnknownRecord } from "../common/decode.js";
 
 interface Slot {
   readonly sinceUs: number;
@@ -113,7 +113,7 @@
 
 export interface RetryBudgetsOptions {
   readonly clock: Clock;
-  readonly log: Log;
+  readonly log: Logger;
   readonly windowUs: number;
   /** The written limits, as the news tells them. */
   readonly limits: () => RetryLimits;
@@ -155,7 +155,7 @@
       return want > 0 ? [[service, kind, want, budget.leased()] as const] : [];
     });
 
-  readonly tell = (): readonly Rec[] =>
+  readonly tell = (): readonly UnknownRecord[] =>
     [...this.budgets.values()].map(({ service, kind, budget }) => ({
       service,
       kind,
--- a/src/proxy/route-table.ts
+++ b/src/proxy/route-table.ts
@@ -1,7 +1,7 @@
-import { PLAN_PREFIX, ROLLOUTS_KEY, type Fact } from "../membership/update-store.js";
-import { asList, asRec, parseJson, text, whole } from "../common/decode.js";
-import { readShares, type Share } from "../common/weighted-split.js";
-import { parseSpan, SECOND } from "../common/duration.js";
+import { PLAN_PREFIX, ROLLOUTS_KEY, type Update } from "../membership/update-store.js";
+import { asList, asRecord, parseJson, readString, readNumber } from "../common/decode.js";
+import { readWeightedServices, type WeightedService } from "../common/weighted-split.js";
+import { parseDuration, SECOND_US } from "../common/duration.js";
 
 export interface Route {
   readonly name: string;
@@ -12,11 +12,11 @@
   readonly isSafe: boolean;
   /** How long an answer may be kept; 0 unless the route is cached. */
   readonly cacheForUs: number;
-  readonly aimUs: number;
+  readonly latencyTargetUs: number;
   readonly rank: number;
   readonly version: number;
   /** Invariant: not empty, and the shares add up to more than 0. */
-  readonly shares: readonly Share[];
+  readonly shares: readonly WeightedService[];
   readonly giveUpUs: number;
   readonly tries: number;
 }
@@ -29,7 +29,7 @@
   readonly ratePerS: number;
 }
 
-export interface CallerLimits {
+export interface ClientLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
   readonly headerWaitUs: number;
@@ -39,29 +39,29 @@
 const stopKey = (route: string, version: number, candidate: string): string =>
   `${route}\n${version}\n${candidate}`;
 
-const FIRST_LIMITS: CallerLimits = {
+const FIRST_LIMITS: ClientLimits = {
   maxHeaderBytes: 16_384,
   maxBodyBytes: 64 * 1024 * 1024,
-  headerWaitUs: 5 * SECOND,
-  idleUs: 15 * SECOND,
+  headerWaitUs: 5 * SECOND_US,
+  idleUs: 15 * SECOND_US,
 };
 
 const readRoute = (body: string): Route => {
-  const rec = asRec(parseJson(body));
-  const rule = asRec(rec["rule"], "rule");
-  const then = asRec(rule["then"], "then");
+  const record = asRecord(parseJson(body));
+  const rule = asRecord(record["rule"], "rule");
+  const then = asRecord(rule["then"], "then");
   return {
-    name: text(rule, "name"),
-    host: text(rec, "host").toLowerCase(),
-    pathStart: text(asRec(rule["matchOn"], "matchOn"), "pathStart"),
+    name: readString(rule, "name"),
+    host: readString(record, "host").toLowerCase(),
+    pathStart: readString(asRecord(rule["matchOn"], "matchOn"), "pathStart"),
     kind: typeof rule["routeKind"] === "string" ? rule["routeKind"] : "unsafe",
     isSafe: rule["routeKind"] === "safe" || rule["routeKind"] === "cached",
-    cacheForUs: rule["routeKind"] === "cached" ? parseSpan(rule["cacheFor"]).unwrapOr(0) : 0,
-    aimUs: parseSpan(rule["target_time"]).unwrapOr(SECOND),
+    cacheForUs: rule["routeKind"] === "cached" ? parseDuration(rule["cacheFor"]).unwrapOr(0) : 0,
+    latencyTargetUs: parseDuration(rule["target_time"]).unwrapOr(SECOND_US),
     rank: typeof rule["rank"] === "number" ? rule["rank"] : 0,
-    version: whole(rule, "version"),
-    shares: readShares(then),
-    giveUpUs: parseSpan(then["giveUp"]).unwrapOr(SECOND),
+    version: readNumber(rule, "version"),
+    shares: readWeightedServices(then),
+    giveUpUs: parseDuration(then["giveUp"]).unwrapOr(SECOND_US),
     tries: typeof then["tries"] === "number" ? Math.max(1, then["tries"]) : 1,
   };
 };
@@ -74,10 +74,10 @@
   /** Of a route's version, by its name, version and candidate: the service that a stop gives the share to. */
   private stops: ReadonlyMap<string, string> = new Map();
   private held = false;
-  limits: CallerLimits = FIRST_LIMITS;
+  limits: ClientLimits = FIRST_LIMITS;
 
   /** Whether any plan has come yet; without one nothing may be called unknown. */
-  get isHeld(): boolean {
+  get isLoaded(): boolean {
     return this.held;
   }
 
@@ -90,7 +90,7 @@
   readonly isInForce = (name: string, version: number): boolean =>
     this.routes.get(`route/${name}`)?.version === version;
 
-  readonly take = (facts: readonly Fact[]): void => {
+  readonly take = (facts: readonly Update[]): void => {
     const stopped = facts.find((fact) => fact.key === ROLLOUTS_KEY);
     if (stopped) this.takeStops(stopped);
     const hosts = new Set<string>();
@@ -106,20 +106,20 @@
   readonly find = (host: string, path: string): Route | undefined =>
     this.byHost.get(host)?.find((route) => path.startsWith(route.pathStart));
 
-  private readonly takeStops = (fact: Fact): void => {
-    const rows = asList(fact.body["stops"], "stops").map((value) => asRec(value, "stop"));
+  private readonly takeStops = (fact: Update): void => {
+    const rows = asList(fact.body["stops"], "stops").map((value) => asRecord(value, "stop"));
     this.stops = new Map(
       rows.map((row) => [
-        stopKey(text(row, "route"), whole(row, "version"), text(row, "candidate")),
-        text(row, "baseline"),
+        stopKey(readString(row, "route"), readNumber(row, "version"), readString(row, "candidate")),
+        readString(row, "baseline"),
       ]),
     );
   };
 
-  private readonly takeItem = (fact: Fact, hosts: Set<string>): void => {
+  private readonly takeItem = (fact: Update, hosts: Set<string>): void => {
     const key = fact.key.slice(PLAN_PREFIX.length);
     const dropped = fact.body["dropped"] === true;
-    const item = text(fact.body, "item");
+    const item = readString(fact.body, "item");
     if (key.startsWith("route/")) {
       const before = this.routes.get(key);
       if (before) hosts.add(before.host);
@@ -136,27 +136,27 @@
   };
 
   private readonly takeService = (item: string): void => {
-    const rec = asRec(parseJson(item));
-    const name = text(rec, "name");
+    const record = asRecord(parseJson(item));
+    const name = readString(record, "name");
     const maxConnections =
-      typeof rec["maxConnections"] === "number" && rec["maxConnections"] > 0
-        ? rec["maxConnections"]
+      typeof record["maxConnections"] === "number" && record["maxConnections"] > 0
+        ? record["maxConnections"]
         : 1_000;
     this.services.set(name, {
       name,
-      statusPath: text(rec, "statusPath"),
+      statusPath: readString(record, "statusPath"),
       maxConnections,
-      ratePerS: typeof rec["ratePerS"] === "number" ? rec["ratePerS"] : 0,
+      ratePerS: typeof record["ratePerS"] === "number" ? record["ratePerS"] : 0,
     });
   };
 
   private readonly takeLimits = (item: string): void => {
-    const rec = asRec(parseJson(item));
+    const record = asRecord(parseJson(item));
     this.limits = {
-      maxHeaderBytes: Number(rec["maxHeaderBytes"]) || FIRST_LIMITS.maxHeaderBytes,
-      maxBodyBytes: Number(rec["maxBodyBytes"]) || FIRST_LIMITS.maxBodyBytes,
-      headerWaitUs: parseSpan(rec["headerWait"]).unwrapOr(FIRST_LIMITS.headerWaitUs),
-      idleUs: parseSpan(rec["idle"]).unwrapOr(FIRST_LIMITS.idleUs),
+      maxHeaderBytes: Number(record["maxHeaderBytes"]) || FIRST_LIMITS.maxHeaderBytes,
+      maxBodyBytes: Number(record["maxBodyBytes"]) || FIRST_LIMITS.maxBodyBytes,
+      headerWaitUs: parseDuration(record["headerWait"]).unwrapOr(FIRST_LIMITS.headerWaitUs),
+      idleUs: parseDuration(record["idle"]).unwrapOr(FIRST_LIMITS.idleUs),
     };
   };
 
--- a/src/proxy/stage.ts
+++ b/src/proxy/stage.ts
@@ -7,7 +7,7 @@
   private running = 0;
 
   constructor(
-    private readonly crew: number,
+    private readonly clusterSize: number,
     private readonly room: number,
     private readonly work: (item: T) => Promise<void>,
     private readonly rankOf: (item: T) => number = () => 0,
@@ -15,7 +15,7 @@
 
   /** False when the queue is full; the item is then not taken. */
   readonly offer = (item: T): boolean => {
-    if (this.running < this.crew) {
+    if (this.running < this.clusterSize) {
       void this.run(item);
       return true;
     }
--- a/src/proxy/subset.ts
+++ b/src/proxy/subset.ts
@@ -54,15 +54,15 @@
  */
 export const subsetOf = <W extends Placed>(
   node: string,
-  cell: string,
+  zone: string,
   workers: readonly W[],
   nodes: NodeCount,
 ): Subset<W> => {
   const ranked = workers
     .map((worker) => ({ worker, rank: rankOf(node, worker.id) }))
     .sort((a, b) => b.rank - a.rank || (a.worker.id < b.worker.id ? -1 : 1));
-  const own = ranked.filter(({ worker }) => worker.cell === cell).map(({ worker }) => worker);
-  const others = ranked.filter(({ worker }) => worker.cell !== cell).map(({ worker }) => worker);
+  const own = ranked.filter(({ worker }) => worker.cell === zone).map(({ worker }) => worker);
+  const others = ranked.filter(({ worker }) => worker.cell !== zone).map(({ worker }) => worker);
   if (workers.length <= FEW) return { near: own, far: others, spare: [], holders: nodes.here };
   const near = own.slice(
     0,
