--- a/src/proxy/upstream-request.ts
+++ b/src/proxy/upstream-request.ts
@@ -1,9 +1,17 @@
 import type { Readable } from "node:stream";
 import type { Dispatcher } from "undici";
-import { headOf, isDoubled, NOT_RUN, SEAL, TRY_ID, USAGE, type FlatHeads } from "./headers.js";
+import {
+  headerValue,
+  isDoubled,
+  NOT_RUN,
+  SEAL,
+  TRY_ID,
+  USAGE,
+  type FlatHeaders,
+} from "./headers.js";
 import type { Worker } from "./connection-pool.js";
 
-export interface Order {
+export interface UpstreamRequestOptions {
   readonly method: string;
   readonly path: string;
   readonly heads: string[];
@@ -20,9 +28,9 @@
   readonly mayBegin: () => boolean;
 }
 
-export interface Answer {
+export interface UpstreamResponse {
   readonly status: number;
-  readonly heads: FlatHeads;
+  readonly heads: FlatHeaders;
   /** All of the body, or what had come when it grew too large to hold. */
   readonly start: Buffer;
   /** Set when the body goes on beyond `start`. */
@@ -37,8 +45,8 @@
   readonly stop: () => void;
 }
 
-export type CallVerdict =
-  | { readonly kind: "answered"; readonly answer: Answer }
+export type UpstreamResult =
+  | { readonly kind: "answered"; readonly answer: UpstreamResponse }
   /** The worker says, in an answer to this very try, that it did not run the request. */
   | { readonly kind: "turned-away"; readonly why: "full" | "other-worker" }
   /**
@@ -50,8 +58,8 @@
   | { readonly kind: "lost"; readonly why: string }
   | { readonly kind: "cancelled" };
 
-export interface Calling {
-  readonly verdict: Promise<CallVerdict>;
+export interface CancellableRequest {
+  readonly verdict: Promise<UpstreamResult>;
   readonly cancel: () => void;
 }
 
@@ -67,38 +75,42 @@
 const EMPTY = Buffer.alloc(0);
 
 /** Whether an answer is to this very try. Nothing may be concluded from one that isn't: not even that it did not run. */
-const isOwn = (heads: FlatHeads, { tryId, alone }: Order): boolean => {
-  const told = headOf(heads, TRY_ID);
-  return (told === tryId && !isDoubled(heads, TRY_ID)) || (alone === true && told === undefined);
+const isOwn = (headers: FlatHeaders, { tryId, alone }: UpstreamRequestOptions): boolean => {
+  const told = headerValue(headers, TRY_ID);
+  return (told === tryId && !isDoubled(headers, TRY_ID)) || (alone === true && told === undefined);
 };
 
 /** Whether the worker says that it turned the request away. Only to be asked of an own answer. */
-const isTurnedAway = (status: number, heads: FlatHeads): boolean =>
-  status === 421 || headOf(heads, NOT_RUN) !== undefined;
+const isTurnedAway = (status: number, headers: FlatHeaders): boolean =>
+  status === 421 || headerValue(headers, NOT_RUN) !== undefined;
 
 /** Why an answer can't be this request's whole own answer, or undefined if it can. */
-const doubt = (status: number, heads: FlatHeads, order: Order): string | undefined => {
+const doubt = (
+  status: number,
+  headers: FlatHeaders,
+  order: UpstreamRequestOptions,
+): string | undefined => {
   const { method } = order;
-  if (!isOwn(heads, order)) return "another id";
-  if (isTurnedAway(status, heads)) return status < 400 ? "a success that did not run" : undefined;
-  if (headOf(heads, "content-encoding") !== undefined) return "an encoding";
+  if (!isOwn(headers, order)) return "another id";
+  if (isTurnedAway(status, headers)) return status < 400 ? "a success that did not run" : undefined;
+  if (headerValue(headers, "content-encoding") !== undefined) return "an encoding";
   const isBounded =
-    headOf(heads, "content-length") !== undefined ||
-    headOf(heads, "transfer-encoding")?.trim().toLowerCase() === "chunked";
+    headerValue(headers, "content-length") !== undefined ||
+    headerValue(headers, "transfer-encoding")?.trim().toLowerCase() === "chunked";
   if (!isBounded && status !== 204 && status !== 304 && method !== "HEAD") return "no bound";
-  if (status >= 200 && status < 300 && headOf(heads, SEAL) === undefined) return "no seal";
+  if (status >= 200 && status < 300 && headerValue(headers, SEAL) === undefined) return "no seal";
   return undefined;
 };
 
 /** One request on one connection of a worker. The connection goes back only after a whole answer beyond doubt. */
-export class WorkerCall implements Dispatcher.DispatchHandler, Calling {
-  readonly verdict: Promise<CallVerdict>;
-  private resolve: (verdict: CallVerdict) => void = () => undefined;
+export class UpstreamRequest implements Dispatcher.DispatchHandler, CancellableRequest {
+  readonly verdict: Promise<UpstreamResult>;
+  private resolve: (result: UpstreamResult) => void = () => undefined;
   private controller: Dispatcher.DispatchController | undefined;
   private started = false;
   private over = false;
   private status = 0;
-  private heads: FlatHeads = [];
+  private heads: FlatHeaders = [];
   private readonly chunks: Buffer[] = [];
   private heldBytes = 0;
   private restSinks:
@@ -110,7 +122,7 @@
 
   constructor(
     private readonly worker: Worker,
-    private readonly order: Order,
+    private readonly order: UpstreamRequestOptions,
     private readonly nowUs: () => number,
   ) {
     this.verdict = new Promise((resolve) => {
@@ -118,13 +130,13 @@
     });
     this.mark = worker.begin();
     this.coupling = worker.couple(order.alone === true);
-    const { method, path, heads, body } = order;
+    const { method, path, heads: headers, body } = order;
     try {
       this.coupling.client.dispatch(
         {
           method,
           path,
-          headers: heads,
+          headers,
           body,
           idempotent: false,
           headersTimeout: 0,
@@ -161,7 +173,7 @@
     this.status = statusCode;
     const why = doubt(statusCode, this.heads, this.order);
     if (why !== undefined) return this.finish(true, false, { kind: "lost", why });
-    const usage = usageOf(headOf(this.heads, USAGE));
+    const usage = usageOf(headerValue(this.heads, USAGE));
     if (usage) this.worker.tell(...usage);
   };
 
@@ -186,7 +198,7 @@
     }
     if (this.over) return;
     const isSound =
-      this.order.alone !== true && headOf(this.heads, "connection")?.toLowerCase() !== "close";
+      this.order.alone !== true && headerValue(this.heads, "connection")?.toLowerCase() !== "close";
     if (this.status === 421) this.finish(true, false, { kind: "turned-away", why: "other-worker" });
     else if (isTurnedAway(this.status, this.heads))
       this.finish(true, isSound, { kind: "turned-away", why: "full" });
@@ -199,7 +211,7 @@
     }
   };
 
-  readonly onResponseError = (_controller: Dispatcher.DispatchController, mishap: Error): void => {
+  readonly onResponseError = (_controller: Dispatcher.DispatchController, error: Error): void => {
     if (this.streaming) {
       this.streaming = false;
       this.release(false, false);
@@ -207,8 +219,8 @@
       return;
     }
     if (this.over) return;
-    if (this.started) this.finish(false, false, { kind: "lost", why: mishap.message });
-    else this.finish(false, false, { kind: "unsent", why: whyUnsent(mishap) });
+    if (this.started) this.finish(false, false, { kind: "lost", why: error.message });
+    else this.finish(false, false, { kind: "unsent", why: whyUnsent(error) });
   };
 
   private readonly body = (): Buffer =>
@@ -236,10 +248,10 @@
     });
   };
 
-  private readonly finish = (heard: boolean, isSound: boolean, verdict: CallVerdict): void => {
+  private readonly finish = (heard: boolean, isSound: boolean, result: UpstreamResult): void => {
     this.over = true;
     this.release(heard, isSound);
-    this.resolve(verdict);
+    this.resolve(result);
   };
 
   private readonly release = (heard: boolean, isSound: boolean): void => {
@@ -250,8 +262,8 @@
 }
 
 /** The worker's own machine said no, as against silence, a path that is not there, or a request that is none. */
-const whyUnsent = (mishap: Error): "refused" | "unreachable" | "unwritable" => {
-  const code = "code" in mishap ? mishap.code : undefined;
+const whyUnsent = (error: Error): "refused" | "unreachable" | "unwritable" => {
+  const code = "code" in error ? error.code : undefined;
   if (code === "UND_ERR_INVALID_ARG" || code === "UND_ERR_REQ_CONTENT_LENGTH_MISMATCH")
     return "unwritable";
   return code === "ECONNREFUSED" || code === "ECONNRESET" || code === "UND_ERR_SOCKET"
--- a/src/quota/lease-allocator.ts
+++ b/src/quota/lease-allocator.ts
@@ -5,7 +5,7 @@
   readonly endUs: number;
 }
 
-export interface ShareTerms {
+export interface LeaseTerms {
   /** How long a lease lasts. */
   readonly lastsUs: number;
   /** For how long after its end what was done under a lease still counts. */
@@ -18,13 +18,13 @@
  * that long after taking the duty a holder only renews what its bearers say they have from the one before, since it
  * doesn't know what that one gave.
  */
-export class ShareOffice {
+export class LeaseAllocator {
   private readonly given = new Map<string, Given[]>();
 
   /** Since when the duty is held here; where that isn't told, since the first asking. */
   constructor(
     private readonly clock: Clock,
-    private readonly terms: ShareTerms,
+    private readonly terms: LeaseTerms,
     private sinceUs?: number,
   ) {}
 
--- a/src/quota/rate-lease-renewer.ts
+++ b/src/quota/rate-lease-renewer.ts
@@ -1,11 +1,11 @@
-import type { Clock, Pulse } from "../common/clock.js";
-import { MS } from "../common/duration.js";
+import type { Clock, Timer } from "../common/clock.js";
+import { MILLISECOND_US } from "../common/duration.js";
 import type { Message } from "../transport/connection.js";
-import type { RateShare } from "./rate-limiter.js";
+import type { RateLimiter } from "./rate-limiter.js";
 
-export interface RateKeeperOptions {
+export interface RateLeaseRenewerOptions {
   readonly clock: Clock;
-  readonly rate: RateShare;
+  readonly rate: RateLimiter;
   readonly life: string;
   readonly who: "depot" | "pointsman";
   readonly ask: (message: Message, waitUs: number) => Promise<Message | undefined>;
@@ -13,14 +13,14 @@
   readonly wants: () => boolean;
 }
 
-const GAP_US = 600 * MS;
-const WAIT_US = 500 * MS;
+const GAP_US = 600 * MILLISECOND_US;
+const WAIT_US = 500 * MILLISECOND_US;
 
 /** Renews this process's share of the rates; what isn't renewed ends by itself. */
-export class RateKeeper {
-  private pulse: Pulse | undefined;
+export class RateLeaseRenewer {
+  private pulse: Timer | undefined;
 
-  constructor(private readonly options: RateKeeperOptions) {}
+  constructor(private readonly options: RateLeaseRenewerOptions) {}
 
   readonly start = (): void => {
     this.pulse = this.options.clock.every(GAP_US, () => void this.renew());
--- a/src/quota/rate-limiter.ts
+++ b/src/quota/rate-limiter.ts
@@ -1,7 +1,7 @@
-import { ShareOffice } from "./lease-allocator.js";
+import { LeaseAllocator } from "./lease-allocator.js";
 import type { Clock } from "../common/clock.js";
 
-export interface Grant {
+export interface RateLease {
   readonly share: number;
   readonly endUs: number;
 }
@@ -15,8 +15,8 @@
  * Invariants: nothing is taken without a grant that has not ended; a bucket starts empty and never holds more than its
  * share of the burst, so over all shares that add up to at most 1 a span t sees at most rate * (0.96 t + 0.2 s).
  */
-export class RateShare {
-  private grant: Grant = { share: 0, endUs: 0 };
+export class RateLimiter {
+  private grant: RateLease = { share: 0, endUs: 0 };
   private readonly buckets = new Map<string, { tokens: number; sinceUs: number }>();
 
   constructor(
@@ -28,7 +28,7 @@
     return this.clock.nowUs() < this.grant.endUs ? this.grant.share : 0;
   }
 
-  readonly take = (grant: Grant): void => {
+  readonly take = (grant: RateLease): void => {
     this.buckets.forEach((_bucket, service) => this.fill(service));
     this.grant = grant;
   };
@@ -73,12 +73,12 @@
 const SEEN_US = 2_000_000;
 
 /** The duty's holder gives the rate out in shares: equal ones of the depots, or of the pointsmen while no depot is seen. */
-export class RateOffice {
+export class RateAllocator {
   private readonly seen = new Map<string, { readonly kind: string; readonly atUs: number }>();
-  private readonly office: ShareOffice;
+  private readonly office: LeaseAllocator;
 
   constructor(private readonly clock: Clock) {
-    this.office = new ShareOffice(clock, { lastsUs: GRANT_LASTS_US, restUs: 0 });
+    this.office = new LeaseAllocator(clock, { lastsUs: GRANT_LASTS_US, restUs: 0 });
   }
 
   /** Called whenever the duty is not held here. */
--- a/src/quota/retry-allocator.ts
+++ b/src/quota/retry-allocator.ts
@@ -1,15 +1,15 @@
 import type { Clock } from "../common/clock.js";
 import { kindOf, limitOf, USED_PART, type RetryLimits } from "./retry-limits.js";
-import { asList, list, numberOf, text, textOf } from "../common/decode.js";
-import { SECOND } from "../common/duration.js";
+import { asList, readList, asNumber, readString, asString } from "../common/decode.js";
+import { SECOND_US } from "../common/duration.js";
 import type { Message } from "../transport/connection.js";
-import { ShareOffice } from "./lease-allocator.js";
+import { LeaseAllocator } from "./lease-allocator.js";
 
-export const RETRY_LEASE_US = 3 * SECOND;
+export const RETRY_LEASE_US = 3 * SECOND_US;
 /** No node gets more of a slack than this part of it, so that the first to ask don't take it all. */
 const MOST_PART = 1 / 8;
 
-export interface RetryOfficeOptions {
+export interface RetryAllocatorOptions {
   readonly clock: Clock;
   readonly windowUs: number;
   /** Whether this signalbox holds the duty, and a majority is in reach. */
@@ -22,11 +22,11 @@
  * Invariant: for any window, the tokens of all leases under which something was sent in it add up to at most the slack:
  * a lease's tokens are given anew only a whole window after its end.
  */
-export class RetryOffice {
-  private readonly offices = new Map<string, ShareOffice>();
+export class RetryAllocator {
+  private readonly offices = new Map<string, LeaseAllocator>();
   private sinceUs: number | undefined;
 
-  constructor(private readonly options: RetryOfficeOptions) {}
+  constructor(private readonly options: RetryAllocatorOptions) {}
 
   /** Called every second or so: a new holder's wait begins when it takes the duty, not when it is first asked. */
   readonly look = (): void => {
@@ -44,14 +44,21 @@
   readonly answer = (message: Message): Message => {
     this.look();
     if (this.sinceUs === undefined) return { kind: "retries" };
-    const life = text(message, "life");
+    const life = readString(message, "life");
     const limits = this.options.limits();
-    const rows = list(message, "wants", (value) => {
+    const rows = readList(message, "wants", (value) => {
       const [service, kind, wanted, held] = asList(value, "want");
       return [
-        textOf(service),
-        textOf(kind),
-        this.give(limits, life, textOf(service), textOf(kind), numberOf(wanted), numberOf(held)),
+        asString(service),
+        asString(kind),
+        this.give(
+          limits,
+          life,
+          asString(service),
+          asString(kind),
+          asNumber(wanted),
+          asNumber(held),
+        ),
       ];
     });
     return { kind: "retries", rows, lastsUs: RETRY_LEASE_US };
@@ -70,7 +77,7 @@
     const key = `${service}|${kind}`;
     const office =
       this.offices.get(key) ??
-      new ShareOffice(clock, { lastsUs: RETRY_LEASE_US, restUs: windowUs }, this.sinceUs);
+      new LeaseAllocator(clock, { lastsUs: RETRY_LEASE_US, restUs: windowUs }, this.sinceUs);
     this.offices.set(key, office);
     return office.give(life, Math.min(wanted, Math.max(1, whole * MOST_PART)), held, whole);
   };
--- a/src/quota/retry-lease-renewer.ts
+++ b/src/quota/retry-lease-renewer.ts
@@ -1,27 +1,27 @@
 import type { Clock } from "../common/clock.js";
 import { kindOf } from "./retry-limits.js";
-import { asList, list, numberOf, textOf } from "../common/decode.js";
-import { MS } from "../common/duration.js";
+import { asList, readList, asNumber, asString } from "../common/decode.js";
+import { MILLISECOND_US } from "../common/duration.js";
 import type { Message } from "../transport/connection.js";
 import type { RetryBudgets } from "../proxy/retry-budget.js";
 
-const SOON_US = 30 * MS;
-const GAP_US = 700 * MS;
-const WAIT_US = 500 * MS;
+const SOON_US = 30 * MILLISECOND_US;
+const GAP_US = 700 * MILLISECOND_US;
+const WAIT_US = 500 * MILLISECOND_US;
 
 /** Asks for leases of the slack while some budget is short of retries; while none is, nothing runs and nothing is sent. */
-export class RetryKeeper {
+export class RetryLeaseRenewer {
   private isDue = false;
 
   constructor(
     private readonly clock: Clock,
-    private readonly budgets: RetryBudgets,
+    private readonly retryBudgets: RetryBudgets,
     private readonly life: string,
     private readonly ask: (message: Message, waitUs: number) => Promise<Message | undefined>,
   ) {}
 
   readonly start = (): void => {
-    this.budgets.onShort = () => this.schedule(SOON_US);
+    this.retryBudgets.onShort = () => this.schedule(SOON_US);
   };
 
   private readonly schedule = (waitUs: number): void => {
@@ -32,7 +32,7 @@
 
   /** A lease's end is counted from before the asking, so that it comes here no later than at the giver. */
   private readonly renew = async (): Promise<void> => {
-    const wants = this.budgets.takeWants();
+    const wants = this.retryBudgets.takeWants();
     const askedUs = this.clock.nowUs();
     const reply =
       wants.length === 0
@@ -40,11 +40,11 @@
         : await this.ask({ kind: "retry-ask", life: this.life, wants }, WAIT_US);
     const lastsUs = reply?.["lastsUs"];
     if (reply && typeof lastsUs === "number") {
-      list(reply, "rows", (value) => {
+      readList(reply, "rows", (value) => {
         const [service, kind, tokens] = asList(value, "row");
-        this.budgets
-          .of(textOf(service), kindOf(textOf(kind)))
-          .take({ tokens: numberOf(tokens), endUs: askedUs + lastsUs });
+        this.retryBudgets
+          .of(asString(service), kindOf(asString(kind)))
+          .take({ tokens: asNumber(tokens), endUs: askedUs + lastsUs });
       });
     }
     this.isDue = false;
--- a/src/quota/retry-limits.ts
+++ b/src/quota/retry-limits.ts
@@ -1,6 +1,6 @@
 import convict from "convict";
 import { err, ok, type Result } from "true-myth/result";
-import { isRec, type Rec } from "../common/decode.js";
+import { isRecord, type UnknownRecord } from "../common/decode.js";
 
 export const ROUTE_KINDS = ["safe", "unsafe", "keyed", "cached"] as const;
 export type RouteKind = (typeof ROUTE_KINDS)[number];
@@ -20,7 +20,7 @@
 export const USED_PART = 0.8;
 
 /** What no limit may pass: the deployment's own bound for a service, over all kinds. */
-export interface RetryCeiling {
+export interface RetryMaximum {
   readonly ratio: number;
   readonly slack: number;
   readonly windowUs: number;
@@ -34,7 +34,7 @@
 export const EVERY_SERVICE = "*";
 
 /** Half of the ratio, and a small part of the slack, for what may charge a family twice. */
-export const defaultLimits = ({ ratio, slack }: RetryCeiling): RetryLimits => ({
+export const defaultLimits = ({ ratio, slack }: RetryMaximum): RetryLimits => ({
   [EVERY_SERVICE]: {
     safe: { ratio, slack: slack * 0.6 },
     unsafe: { ratio: ratio / 2, slack: slack * 0.2 },
@@ -61,12 +61,12 @@
 });
 
 const readLimit = (value: unknown): RetryLimit => {
-  limitSchema.load({ ratio: -1, slack: -1, ...(isRec(value) ? value : {}) });
+  limitSchema.load({ ratio: -1, slack: -1, ...(isRecord(value) ? value : {}) });
   limitSchema.validate();
   return { ratio: limitSchema.get("ratio"), slack: limitSchema.get("slack") };
 };
 
-const readKinds = (value: Rec): KindLimits => ({
+const readKinds = (value: UnknownRecord): KindLimits => ({
   safe: readLimit(value["safe"]),
   unsafe: readLimit(value["unsafe"]),
   keyed: readLimit(value["keyed"]),
@@ -74,26 +74,29 @@
 });
 
 export const readRetryLimits = (value: unknown): RetryLimits => {
-  const rec = isRec(value) ? value : {};
+  const record = isRecord(value) ? value : {};
   return Object.fromEntries(
-    Object.entries(rec).map(([service, kinds]) => [service, readKinds(isRec(kinds) ? kinds : {})]),
+    Object.entries(record).map(([service, kinds]) => [
+      service,
+      readKinds(isRecord(kinds) ? kinds : {}),
+    ]),
   );
 };
 
 /** One service's or every service's limit of one kind changed; or a sentence on what is wrong with it. */
 export const withLimit = (
   limits: RetryLimits,
-  ceiling: RetryCeiling,
+  ceiling: RetryMaximum,
   service: string,
   kind: string,
-  value: Rec,
+  value: UnknownRecord,
 ): Result<RetryLimits, string> => {
   if (!isRouteKind(kind)) return err(`the kind must be one of ${ROUTE_KINDS.join(", ")}`);
   let limit: RetryLimit;
   try {
     limit = readLimit(value);
-  } catch (mishap) {
-    return err(mishap instanceof Error ? mishap.message : "the limit is unreadable");
+  } catch (error) {
+    return err(error instanceof Error ? error.message : "the limit is unreadable");
   }
   const before = limits[service] ?? limits[EVERY_SERVICE];
   if (!before) return err("there are no limits yet");
--- a/src/storage/file-system.ts
+++ b/src/storage/file-system.ts
@@ -1,13 +1,13 @@
 import { mkdir, open, readdir, readFile, rename, rm } from "node:fs/promises";
 import { dirname } from "node:path";
-import { isRec } from "../common/decode.js";
+import { isRecord } from "../common/decode.js";
 
 /**
  * The few calls on files that state on disk needs. Every method rejects with an Error when the disk refuses.
  * After a loss of power the bytes of a written file stand as `write` left them; a name that was made, renamed or removed
  * since the last `syncFolder` of its folder may be kept or lost, each by itself.
  */
-export interface Disk {
+export interface FileSystem {
   /** The names in a folder; none if there is no such folder. */
   list(folder: string): Promise<readonly string[]>;
   /** Undefined if there is no such file. */
@@ -22,7 +22,7 @@
   syncFolder(path: string): Promise<void>;
 }
 
-const codeOf = (mishap: unknown): unknown => (isRec(mishap) ? mishap["code"] : undefined);
+const codeOf = (error: unknown): unknown => (isRecord(error) ? error["code"] : undefined);
 
 /** What comes back for a folder that isn't ours, so that we made no name in it either. */
 const NOT_OURS: ReadonlySet<unknown> = new Set(["EACCES", "EPERM", "EROFS"]);
@@ -41,33 +41,33 @@
   try {
     await mkdir(path);
     return true;
-  } catch (mishap) {
-    if (codeOf(mishap) === "ENOENT") return undefined;
-    if (codeOf(mishap) === "EEXIST") return false;
-    throw mishap;
+  } catch (error) {
+    if (codeOf(error) === "ENOENT") return undefined;
+    if (codeOf(error) === "EEXIST") return false;
+    throw error;
   }
 };
 
 /** The machine's own files. */
-export class FileDisk implements Disk {
+export class NodeFileSystem implements FileSystem {
   /** Takes how a folder is synced, so that a test can see the order. */
   constructor(private readonly sync: (folder: string) => Promise<void> = syncOf) {}
 
   readonly list = async (folder: string): Promise<readonly string[]> => {
     try {
       return await readdir(folder);
-    } catch (mishap) {
-      if (codeOf(mishap) === "ENOENT") return [];
-      throw mishap;
+    } catch (error) {
+      if (codeOf(error) === "ENOENT") return [];
+      throw error;
     }
   };
 
   readonly read = async (path: string): Promise<Uint8Array | undefined> => {
     try {
       return await readFile(path);
-    } catch (mishap) {
-      if (codeOf(mishap) === "ENOENT") return undefined;
-      throw mishap;
+    } catch (error) {
+      if (codeOf(error) === "ENOENT") return undefined;
+      throw error;
     }
   };
 
@@ -98,8 +98,8 @@
     }
     try {
       await this.sync(parent);
-    } catch (mishap) {
-      if (isNew !== false || !NOT_OURS.has(codeOf(mishap))) throw mishap;
+    } catch (error) {
+      if (isNew !== false || !NOT_OURS.has(codeOf(error))) throw error;
     }
   };
 
--- a/src/storage/segment-log.ts
+++ b/src/storage/segment-log.ts
@@ -4,12 +4,12 @@
 import { err, ok, type Result } from "true-myth/result";
 import type { Clock } from "../common/clock.js";
 import { packValue, unpackValue } from "../transport/connection.js";
-import { FileDisk } from "./file-system.js";
-import { Together } from "../common/batcher.js";
+import { NodeFileSystem } from "./file-system.js";
+import { Batcher } from "../common/batcher.js";
 
-export type SegmentMishap = { readonly kind: "disk" | "full"; readonly sentence: string };
+export type SegmentLogError = { readonly kind: "disk" | "full"; readonly sentence: string };
 
-export interface SegmentOptions {
+export interface SegmentLogOptions {
   /** Empty on a machine without a disk: then memory is all there is. */
   readonly folder: string;
   readonly clock: Clock;
@@ -57,16 +57,16 @@
  * Invariants: a record is acknowledged only after the sync that covers it; a start never writes behind what it found,
  * but begins a new segment; a segment goes as a whole, and only once all of its records are older than `keepUs`.
  */
-export class Segments {
+export class SegmentLog {
   private file: FileHandle | undefined;
   private number = 0;
   private bytes = 0;
   private openedUs = 0;
   private closed: Closed[] = [];
-  private readonly writes: Together<Buffer, Result<void, SegmentMishap>>;
+  private readonly writes: Batcher<Buffer, Result<void, SegmentLogError>>;
 
-  constructor(private readonly options: SegmentOptions) {
-    this.writes = new Together((frames) => this.write(Buffer.concat(frames)));
+  constructor(private readonly options: SegmentLogOptions) {
+    this.writes = new Batcher((frames) => this.write(Buffer.concat(frames)));
   }
 
   get heldBytes(): number {
@@ -83,7 +83,7 @@
     const { folder, clock } = this.options;
     if (folder === "") return undefined;
     try {
-      await new FileDisk().makeFolder(folder);
+      await new NodeFileSystem().makeFolder(folder);
       const numbers = (await readdir(folder))
         .map((name) => Number(NAME.exec(name)?.[1] ?? 0))
         .filter((number) => number > 0)
@@ -103,7 +103,7 @@
   };
 
   /** Resolves once the record is safe. */
-  readonly append = (record: unknown): Promise<Result<void, SegmentMishap>> => {
+  readonly append = (record: unknown): Promise<Result<void, SegmentLogError>> => {
     if (this.options.folder === "") return Promise.resolve(ok(undefined));
     if (this.heldBytes > this.options.mostBytes)
       return Promise.resolve(err({ kind: "full", sentence: "the room for the log is taken" }));
@@ -111,7 +111,7 @@
   };
 
   /** Resolves once all that was appended before is safe. */
-  readonly flush = (): Promise<Result<void, SegmentMishap>> =>
+  readonly flush = (): Promise<Result<void, SegmentLogError>> =>
     this.options.folder === "" || this.writes.isIdle
       ? Promise.resolve(ok(undefined))
       : this.writes.add(Buffer.alloc(0));
@@ -126,7 +126,7 @@
   private readonly path = (number: number): string =>
     join(this.options.folder, `log-${number}.bin`);
 
-  private readonly write = async (bytes: Buffer): Promise<Result<void, SegmentMishap>> => {
+  private readonly write = async (bytes: Buffer): Promise<Result<void, SegmentLogError>> => {
     try {
       const file = await this.current();
       const all = this.bytes === 0 ? Buffer.concat([frameOf(this.options.head()), bytes]) : bytes;
@@ -134,12 +134,12 @@
       await file.datasync();
       this.bytes += all.length;
       return ok(undefined);
-    } catch (mishap) {
+    } catch (error) {
       // What the failed write left may be torn, so nothing more is appended behind it.
       await this.close().catch(() => undefined);
       return err({
         kind: "disk",
-        sentence: mishap instanceof Error ? mishap.message : "the disk refused",
+        sentence: error instanceof Error ? error.message : "the disk refused",
       });
     }
   };
--- a/src/storage/write-ahead-log.ts
+++ b/src/storage/write-ahead-log.ts
@@ -1,28 +1,35 @@
 import { createHash } from "node:crypto";
 import { join } from "node:path";
 import { err, ok, type Result } from "true-myth/result";
-import { asList, asRec, flag, text, whole, type Rec } from "../common/decode.js";
+import {
+  asList,
+  asRecord,
+  readFlag,
+  readString,
+  readNumber,
+  type UnknownRecord,
+} from "../common/decode.js";
 import { packValue, unpackValue } from "../transport/connection.js";
-import type { Disk } from "./file-system.js";
-import { Together } from "../common/batcher.js";
+import type { FileSystem } from "./file-system.js";
+import { Batcher } from "../common/batcher.js";
 
-export type ArchiveMishap = { readonly kind: "disk"; readonly sentence: string };
+export type WriteAheadLogError = { readonly kind: "disk"; readonly sentence: string };
 
 /**
  * What a start finds. `whole`: proof that nothing is missing that was ever kept. `doubtful`: whatever could be read, and
  * one line why it may not be all. `empty`: nothing was ever kept, or all of it is lost.
  */
-export type Loaded =
-  | { readonly kind: "whole"; readonly records: readonly Rec[] }
-  | { readonly kind: "doubtful"; readonly records: readonly Rec[]; readonly why: string }
+export type Recovery =
+  | { readonly kind: "whole"; readonly records: readonly UnknownRecord[] }
+  | { readonly kind: "doubtful"; readonly records: readonly UnknownRecord[]; readonly why: string }
   | { readonly kind: "empty" };
 
-export interface ArchiveOptions {
+export interface WriteAheadLogOptions {
   /** Empty on a machine without a disk: then memory is all there is. */
   readonly folder: string;
-  readonly disk: Disk;
+  readonly disk: FileSystem;
   /** The whole state as records, taken in one go; holds every record that was handed to `keep` before. */
-  readonly snapshot: () => readonly Rec[];
+  readonly snapshot: () => readonly UnknownRecord[];
 }
 
 type Kind = "snapshot" | "increment";
@@ -32,7 +39,7 @@
   readonly link: string;
   /** Says of a snapshot that nothing ever kept was missing from it. */
   readonly isWhole: boolean;
-  readonly records: readonly Rec[];
+  readonly records: readonly UnknownRecord[];
 }
 
 interface Found {
@@ -51,7 +58,7 @@
 }
 
 interface Call {
-  readonly records: readonly Rec[];
+  readonly records: readonly UnknownRecord[];
   readonly isWhole: boolean;
 }
 
@@ -69,8 +76,8 @@
 /** Past so many records that a refusing disk left unkept, a snapshot takes their place. */
 const MOST_UNKEPT = 2_000;
 
-const sentenceOf = (mishap: unknown): string =>
-  mishap instanceof Error ? mishap.message : "the disk refused";
+const sentenceOf = (error: unknown): string =>
+  error instanceof Error ? error.message : "the disk refused";
 
 const pack = (
   kind: Kind,
@@ -90,12 +97,12 @@
   const body = bytes.subarray(SUM_BYTES);
   const sum = createHash("sha256").update(body).digest();
   if (!sum.equals(bytes.subarray(0, SUM_BYTES))) return undefined;
-  const rec = asRec(unpackValue(body));
-  if (rec["kind"] !== kind || whole(rec, "number") !== number) return undefined;
-  const records = asList(rec["records"], "records").map((record) => asRec(record));
+  const rec = asRecord(unpackValue(body));
+  if (rec["kind"] !== kind || readNumber(rec, "number") !== number) return undefined;
+  const records = asList(rec["records"], "records").map((record) => asRecord(record));
   return {
     sum: sum.toString("base64"),
-    content: { link: text(rec, "link"), isWhole: flag(rec, "isWhole"), records },
+    content: { link: readString(rec, "link"), isWhole: readFlag(rec, "isWhole"), records },
   };
 };
 
@@ -127,7 +134,7 @@
  * never called kept; a file goes only once a newer snapshot's name lasts, so that one that comes back stands below that
  * snapshot and is passed over; `isWhole` is false from a start without proof until `keepWhole`.
  */
-export class Archive {
+export class WriteAheadLog {
   /** Invariant: increment `last`, or a snapshot that stands for it, lasts. */
   private last = 0;
   private link = "";
@@ -138,24 +145,24 @@
   /** The bytes of each increment that no lasting snapshot stands for, by number. */
   private readonly increments = new Map<number, number>();
   /** What a disk that refused left unkept, in order; goes into the next increment. */
-  private unkept: readonly Rec[] = [];
+  private unkept: readonly UnknownRecord[] = [];
   /** The number of a first snapshot that the disk refused, so that the next try takes its place. */
   private claimed: number | undefined;
   private snapshotting: Promise<void> | undefined;
   private nextSnapshotPart = 1;
-  private readonly rounds = new Together((calls: readonly Call[]) => this.round(calls));
+  private readonly rounds = new Batcher((calls: readonly Call[]) => this.round(calls));
 
-  constructor(private readonly options: ArchiveOptions) {}
+  constructor(private readonly options: WriteAheadLogOptions) {}
 
   get hasDisk(): boolean {
     return this.options.folder !== "";
   }
 
   /** To be called once, before anything is kept. What it calls whole lasts from then on. */
-  readonly load = async (): Promise<Loaded> => {
+  readonly load = async (): Promise<Recovery> => {
     if (!this.hasDisk) return { kind: "empty" };
     const { folder, disk } = this.options;
-    let records: readonly Rec[] = [];
+    let records: readonly UnknownRecord[] = [];
     try {
       const files: ReadFile[] = [];
       const named = (await this.find()).filter(({ isAside }) => !isAside);
@@ -173,8 +180,8 @@
       this.goOn(files.slice(from));
       await this.tidy(files[from]?.number ?? 0);
       return { kind: "whole", records };
-    } catch (mishap) {
-      return { kind: "doubtful", records, why: sentenceOf(mishap) };
+    } catch (error) {
+      return { kind: "doubtful", records, why: sentenceOf(error) };
     }
   };
 
@@ -182,14 +189,16 @@
    * Resolves once these records are safe; calls made meanwhile share one file. The order of calls is that of the records.
    * What the disk refused goes into the next file, whatever is kept then: so `keep([])` is a plain second try.
    */
-  readonly keep = (records: readonly Rec[]): Promise<Result<void, ArchiveMishap>> =>
+  readonly append = (
+    records: readonly UnknownRecord[],
+  ): Promise<Result<void, WriteAheadLogError>> =>
     this.hasDisk ? this.rounds.add({ records, isWhole: false }) : Promise.resolve(ok(undefined));
 
   /**
    * Keeps the whole state and vouches that nothing ever kept is missing from it: for the first start of all, and for a
    * copy that has caught up. Until then a later start is doubtful, whatever `keep` has kept.
    */
-  readonly keepWhole = (): Promise<Result<void, ArchiveMishap>> =>
+  readonly writeVerifiedSnapshot = (): Promise<Result<void, WriteAheadLogError>> =>
     this.hasDisk ? this.rounds.add({ records: [], isWhole: true }) : Promise.resolve(ok(undefined));
 
   /** Resolves once nothing is being written. */
@@ -212,7 +221,9 @@
     );
   }
 
-  private readonly round = async (calls: readonly Call[]): Promise<Result<void, ArchiveMishap>> => {
+  private readonly round = async (
+    calls: readonly Call[],
+  ): Promise<Result<void, WriteAheadLogError>> => {
     const isWhole = calls.some((call) => call.isWhole);
     const records = calls.flatMap((call) => call.records);
     if (isWhole || this.unkept.length > MOST_UNKEPT) this.needsSnapshot = true;
@@ -224,8 +235,8 @@
       if (this.needsSnapshot) await this.writeFirst(isWhole || this.isWhole);
       else await this.writeIncrement();
       return ok(undefined);
-    } catch (mishap) {
-      return err({ kind: "disk", sentence: sentenceOf(mishap) });
+    } catch (error) {
+      return err({ kind: "disk", sentence: sentenceOf(error) });
     }
   };
 
@@ -297,10 +308,10 @@
     const aside = join(folder, `${kind}-${number}.tmp`);
     try {
       await disk.write(aside, bytes);
-    } catch (mishap) {
+    } catch (error) {
       // Half a file on a full disk would take the room of the next try.
       await disk.remove(aside).catch(() => undefined);
-      throw mishap;
+      throw error;
     }
     await disk.rename(aside, join(folder, `${kind}-${number}.bin`));
     await disk.syncFolder(folder);
--- a/src/transport/connection.ts
+++ b/src/transport/connection.ts
@@ -1,15 +1,15 @@
 import { connect, type Socket } from "node:net";
 import { deflateRawSync, inflateRawSync } from "node:zlib";
 import { Packr } from "msgpackr";
-import type { Clock, Pulse } from "../common/clock.js";
-import { asRec, type Rec } from "../common/decode.js";
+import type { Clock, Timer } from "../common/clock.js";
+import { asRecord, type UnknownRecord } from "../common/decode.js";
 
 /** A message between own processes; `kind` says which. */
-export type Message = Rec & { readonly kind: string };
+export type Message = UnknownRecord & { readonly kind: string };
 
-export interface WireTimes {
-  readonly pulseUs: number;
-  readonly silenceUs: number;
+export interface KeepAliveTimes {
+  readonly heartbeatUs: number;
+  readonly timeoutUs: number;
 }
 
 const packr = new Packr({ useRecords: false });
@@ -34,10 +34,10 @@
 };
 
 const asMessage = (value: unknown): Message => {
-  const rec = asRec(value, "message");
-  const { kind } = rec;
+  const record = asRecord(value, "message");
+  const { kind } = record;
   if (typeof kind !== "string") throw new Error("a message without a kind");
-  return { ...rec, kind };
+  return { ...record, kind };
 };
 
 /** Set in a frame's length where its body is deflated. Invariant: no body is so long that its length reaches this bit. */
@@ -73,24 +73,24 @@
  * One connection between own processes: length-prefixed msgpack frames, pulses, and a silence after which it is
  * given up, since a cut says nothing.
  */
-export class Wire {
+export class Connection {
   /** Invariant: `closed` never goes back to false; after it nothing is sent and nothing more comes in. */
   private closed = false;
   private heardUs: number;
   private sentUs: number;
-  private readonly watch: Pulse;
+  private readonly watch: Timer;
 
   constructor(
     private readonly socket: Socket,
     private readonly clock: Clock,
-    private readonly times: WireTimes,
+    private readonly times: KeepAliveTimes,
   ) {
     this.heardUs = clock.nowUs();
     this.sentUs = this.heardUs;
     socket.setNoDelay(true);
     socket.on("error", () => this.close());
     socket.on("close", () => this.close());
-    this.watch = clock.every(times.pulseUs, this.beat);
+    this.watch = clock.every(times.heartbeatUs, this.beat);
   }
 
   get isClosed(): boolean {
@@ -164,31 +164,31 @@
 
   private readonly beat = (): void => {
     const nowUs = this.clock.nowUs();
-    if (nowUs - this.heardUs > this.times.silenceUs) this.close();
-    else if (nowUs - this.sentUs >= this.times.pulseUs * 0.9) this.send(PULSE);
+    if (nowUs - this.heardUs > this.times.timeoutUs) this.close();
+    else if (nowUs - this.sentUs >= this.times.heartbeatUs * 0.9) this.send(PULSE);
   };
 }
 
 /** Dials; resolves to undefined when nobody answers in time. */
-export const dial = (
+export const connectTo = (
   ip: string,
   port: number,
   clock: Clock,
   waitUs: number,
-  times: WireTimes,
-): Promise<Wire | undefined> =>
+  times: KeepAliveTimes,
+): Promise<Connection | undefined> =>
   new Promise((resolve) => {
     const socket = connect({ host: ip, port });
-    const pulse = clock.after(waitUs, () => {
+    const timer = clock.after(waitUs, () => {
       socket.destroy();
       resolve(undefined);
     });
     socket.once("error", () => {
-      pulse.stop();
+      timer.stop();
       resolve(undefined);
     });
     socket.once("connect", () => {
-      pulse.stop();
-      resolve(new Wire(socket, clock, times));
+      timer.stop();
+      resolve(new Connection(socket, clock, times));
     });
   });
--- a/src/transport/listener.ts
+++ b/src/transport/listener.ts
@@ -1,31 +1,31 @@
 import { createServer, type Server } from "node:net";
 import type { Clock } from "../common/clock.js";
-import type { Log } from "../common/logger.js";
-import { Wire, type Message, type WireTimes } from "./connection.js";
+import type { Logger } from "../common/logger.js";
+import { Connection, type Message, type KeepAliveTimes } from "./connection.js";
 
 /** What serves one kind of caller for as long as its connection stands. */
 export type Receiver = (
-  wire: Wire,
+  connection: Connection,
   hello: Message,
   incoming: AsyncIterable<Message>,
 ) => Promise<void>;
 
 /** The listening side of sessions: one task for each connection, handed on by what the hello says. */
-export class Switchboard {
+export class Listener {
   private server: Server | undefined;
-  private readonly wires = new Set<Wire>();
+  private readonly wires = new Set<Connection>();
 
   constructor(
     private readonly clock: Clock,
-    private readonly times: WireTimes,
+    private readonly times: KeepAliveTimes,
     private readonly receivers: Readonly<Record<string, Receiver>>,
-    private readonly log: Log,
+    private readonly log: Logger,
   ) {}
 
   readonly listen = (ip: string, port: number): Promise<void> =>
     new Promise((resolve, reject) => {
       this.server = createServer(
-        (socket) => void this.serve(new Wire(socket, this.clock, this.times)),
+        (socket) => void this.serve(new Connection(socket, this.clock, this.times)),
       );
       this.server.once("error", reject);
       this.server.listen(port, ip, resolve);
@@ -33,24 +33,22 @@
 
   readonly close = (): void => {
     this.server?.close();
-    this.wires.forEach((wire) => wire.close());
+    this.wires.forEach((connection) => connection.close());
   };
 
-  private readonly serve = async (wire: Wire): Promise<void> => {
-    this.wires.add(wire);
-    const incoming = wire.incoming();
+  private readonly serve = async (connection: Connection): Promise<void> => {
+    this.wires.add(connection);
+    const incoming = connection.incoming();
     try {
       const first = await incoming.next();
       if (first.done) return;
       const receiver = this.receivers[first.value.kind];
-      if (receiver) await receiver(wire, first.value, incoming);
-    } catch (mishap) {
-      this.log.warn(
-        `A session broke off: ${mishap instanceof Error ? mishap.message : "unknown"}.`,
-      );
+      if (receiver) await receiver(connection, first.value, incoming);
+    } catch (error) {
+      this.log.warn(`A session broke off: ${error instanceof Error ? error.message : "unknown"}.`);
     } finally {
-      this.wires.delete(wire);
-      wire.close();
+      this.wires.delete(connection);
+      connection.close();
     }
   };
 }
--- a/src/transport/peer-link.ts
+++ b/src/transport/peer-link.ts
@@ -1,13 +1,13 @@
 import Emittery from "emittery";
-import { Asks } from "./pending-requests.js";
-import { rest, type Clock } from "../common/clock.js";
-import { dial, type Message, type Wire, type WireTimes } from "./connection.js";
+import { PendingRequests } from "./pending-requests.js";
+import { sleep, type Clock } from "../common/clock.js";
+import { connectTo, type Message, type Connection, type KeepAliveTimes } from "./connection.js";
 
-export interface LinkOptions {
+export interface PeerLinkOptions {
   readonly ip: string;
   readonly port: number;
   readonly clock: Clock;
-  readonly times: WireTimes;
+  readonly times: KeepAliveTimes;
   readonly dialUs: number;
   readonly restUs: number;
   /** Said first on every new connection. */
@@ -17,53 +17,53 @@
 export type LinkState = "dialling" | "greeting" | "standing" | "resting" | "stopped";
 
 /** The dialling side of a session with a colleague: one task that dials, greets, reads, rests and dials again. */
-export class Link {
+export class PeerLink {
   readonly events = new Emittery<{ up: Message; down: undefined; message: Message }>();
   /** Invariant: `wire` is set exactly while greeting or standing. */
-  private wire: Wire | undefined;
+  private connection: Connection | undefined;
   private state: LinkState = "dialling";
-  private readonly asks: Asks;
+  private readonly pendingRequests: PendingRequests;
   private stopping = false;
 
-  constructor(private readonly options: LinkOptions) {
-    this.asks = new Asks(options.clock);
+  constructor(private readonly options: PeerLinkOptions) {
+    this.pendingRequests = new PendingRequests(options.clock);
   }
 
-  get stands(): boolean {
+  get isConnected(): boolean {
     return this.state === "standing";
   }
 
   readonly run = async (): Promise<void> => {
-    for await (const state of this.life()) this.state = state;
+    for await (const state of this.states()) this.state = state;
   };
 
   readonly stop = (): void => {
     this.stopping = true;
-    this.wire?.close();
+    this.connection?.close();
   };
 
   readonly send = (message: Message): void => {
-    if (this.stands) this.wire?.send(message);
+    if (this.isConnected) this.connection?.send(message);
   };
 
   /** Resolves to the reply, or to undefined when the session ends or the wait is over first. */
   readonly ask = (message: Message, waitUs: number): Promise<Message | undefined> => {
-    return this.stands && this.wire
-      ? this.asks.ask(this.wire.send, message, waitUs)
+    return this.isConnected && this.connection
+      ? this.pendingRequests.ask(this.connection.send, message, waitUs)
       : Promise.resolve(undefined);
   };
 
-  private async *life(): AsyncGenerator<LinkState, void, undefined> {
+  private async *states(): AsyncGenerator<LinkState, void, undefined> {
     const { ip, port, clock, dialUs, restUs, times, hello } = this.options;
     while (!this.stopping) {
       yield "dialling";
-      this.wire = await dial(ip, port, clock, dialUs, times);
-      if (this.wire && !this.stopping) {
+      this.connection = await connectTo(ip, port, clock, dialUs, times);
+      if (this.connection && !this.stopping) {
         yield "greeting";
-        this.wire.send(hello());
+        this.connection.send(hello());
         let greeted = false;
-        for await (const message of this.wire.incoming()) {
-          if (this.asks.settle(message)) continue;
+        for await (const message of this.connection.incoming()) {
+          if (this.pendingRequests.settle(message)) continue;
           if (!greeted) {
             greeted = true;
             yield "standing";
@@ -73,14 +73,14 @@
           }
         }
         yield "resting";
-        this.asks.drop();
+        this.pendingRequests.drop();
         if (greeted) void this.events.emit("down");
       }
-      this.wire?.close();
-      this.wire = undefined;
+      this.connection?.close();
+      this.connection = undefined;
       if (this.stopping) break;
       yield "resting";
-      await rest(clock, restUs);
+      await sleep(clock, restUs);
     }
     yield "stopped";
   }
--- a/src/transport/pending-requests.ts
+++ b/src/transport/pending-requests.ts
@@ -1,8 +1,8 @@
-import { within, type Clock } from "../common/clock.js";
+import { withTimeout, type Clock } from "../common/clock.js";
 import type { Message } from "./connection.js";
 
 /** Questions asked over one connection and not yet answered. Invariant: each resolves once, at the latest when its wait is over. */
-export class Asks {
+export class PendingRequests {
   private last = 0;
   private readonly pending = new Map<number, (reply: Message | undefined) => void>();
 
@@ -18,7 +18,7 @@
     const id = this.last;
     const reply = new Promise<Message | undefined>((resolve) => this.pending.set(id, resolve));
     send({ ...message, ask: id });
-    return within(this.clock, waitUs, reply, undefined).finally(() => this.pending.delete(id));
+    return withTimeout(this.clock, waitUs, reply, undefined).finally(() => this.pending.delete(id));
   };
 
   /** Takes a message if it is a reply, whether or not anyone still waits for it. */
