--- a/eslint.config.js
+++ b/eslint.config.js
@@ -1,6 +1,8 @@
+import prettier from "eslint-config-prettier";
+import jsdoc from "eslint-plugin-jsdoc";
 import tseslint from "typescript-eslint";
 
-const arrowsOnly = [
+const noCastsAndArrowsOnly = [
   {
     selector: "FunctionDeclaration[generator=false]",
     message: "Arrow functions only; generators are the one exception.",
@@ -15,12 +17,63 @@
     message: "No casts.",
   },
   { selector: "TSTypeAssertion", message: "No casts." },
-  { selector: "TSNonNullExpression", message: "No casts, and so no non-null signs." },
+  { selector: "TSNonNullExpression", message: "No casts, and so no non-null assertions." },
 ];
 
+/** The layers of `src`, lowest first. A folder imports only from folders of lower rows. */
+const LAYERS = [
+  ["common"],
+  ["transport"],
+  ["storage", "membership", "quota", "health"],
+  ["consensus"],
+  ["config", "idempotency"],
+  ["proxy"],
+  ["cache"],
+  ["programs"],
+];
+
+/** Imports that the order of the layers would allow and that are wrong all the same: the data plane needs no agreement. */
+const FORBIDDEN_BESIDES = { proxy: ["consensus", "storage", "config"] };
+
+const importBoundaries = LAYERS.flatMap((folders, level) =>
+  folders.map((folder) => {
+    const above = [
+      ...LAYERS.slice(level).flat(),
+      ...(FORBIDDEN_BESIDES[folder] ?? []),
+      "main.js",
+    ].filter((other) => other !== folder);
+    return {
+      files: [`src/${folder}/**`],
+      rules: {
+        "no-restricted-imports": [
+          folder === "quota" ? "warn" : "error",
+          {
+            patterns: [
+              {
+                group: above.map((other) => `**/../${other}${other.endsWith(".js") ? "" : "/**"}`),
+                message: `${folder} imports only from the layers below it (see docs/architecture.md).`,
+              },
+            ],
+          },
+        ],
+      },
+    };
+  }),
+);
+
+/** Limits on size and nesting, in all code that ships. */
+const sizeLimits = {
+  "max-lines": ["warn", { max: 400 }],
+  "max-lines-per-function": ["warn", { max: 60 }],
+  "max-depth": ["warn", 3],
+  complexity: ["warn", 12],
+  "no-nested-ternary": "warn",
+};
+
 export default tseslint.config(
   { ignores: ["target/**", "node_modules/**", "src/**/*.cjs"] },
-  ...tseslint.configs.recommendedTypeChecked,
+  ...tseslint.configs.strictTypeChecked,
+  ...tseslint.configs.stylisticTypeChecked,
   {
     languageOptions: {
       parserOptions: {
@@ -36,52 +89,61 @@
       },
     },
     rules: {
-      "no-restricted-syntax": ["error", ...arrowsOnly],
+      "no-restricted-syntax": ["error", ...noCastsAndArrowsOnly],
       "no-useless-rename": "error",
       "object-shorthand": ["error", "properties"],
       "@typescript-eslint/no-explicit-any": "error",
       "@typescript-eslint/consistent-type-assertions": ["error", { assertionStyle: "never" }],
+      // An interface that others implement may be asynchronous where one implementation has nothing to wait for.
       "@typescript-eslint/require-await": "off",
       "@typescript-eslint/no-misused-promises": ["error", { checksVoidReturn: false }],
-    },
-  },
-  {
-    files: ["src/proxy/**"],
-    rules: {
-      "no-restricted-imports": [
-        "error",
+      // Untyped data is read by index signature, where a bracket shows that the field may be missing.
+      "@typescript-eslint/dot-notation": ["warn", { allowIndexSignaturePropertyAccess: true }],
+      "@typescript-eslint/no-confusing-void-expression": ["warn", { ignoreArrowShorthand: true }],
+      "@typescript-eslint/restrict-template-expressions": ["warn", { allowNumber: true }],
+      "@typescript-eslint/consistent-type-definitions": "warn",
+      "@typescript-eslint/no-unnecessary-condition": "warn",
+      "@typescript-eslint/prefer-optional-chain": "warn",
+      "@typescript-eslint/prefer-find": "warn",
+      "@typescript-eslint/prefer-includes": "warn",
+      "@typescript-eslint/no-misused-spread": "warn",
+      "@typescript-eslint/no-meaningless-void-operator": "warn",
+      "@typescript-eslint/no-deprecated": "warn",
+      "@typescript-eslint/restrict-plus-operands": "warn",
+      "@typescript-eslint/naming-convention": [
+        "warn",
+        { selector: "default", format: ["camelCase"], leadingUnderscore: "allow" },
+        { selector: "variable", format: ["camelCase", "UPPER_CASE"] },
+        { selector: "typeLike", format: ["PascalCase"] },
+        // Names of fields may be given by a protocol, names of imports by a library.
         {
-          patterns: [
-            {
-              group: ["**/consensus/**", "**/storage/**"],
-              message: "proxy never imports consensus or storage.",
-            },
-          ],
+          selector: ["objectLiteralProperty", "objectLiteralMethod", "typeProperty", "import"],
+          format: null,
         },
       ],
     },
   },
+  { files: ["src/**"], rules: sizeLimits },
   {
-    files: ["src/common/**"],
+    files: ["src/**"],
+    plugins: { jsdoc },
     rules: {
-      "no-restricted-imports": [
-        "error",
+      "jsdoc/require-jsdoc": [
+        "warn",
         {
-          patterns: [
-            {
-              group: [
-                "**/consensus/**",
-                "**/storage/**",
-                "**/proxy/**",
-                "**/membership/**",
-                "**/transport/**",
-                "**/health/**",
-              ],
-              message: "common imports nothing of the other layers.",
-            },
+          publicOnly: true,
+          enableFixer: false,
+          require: { FunctionDeclaration: false },
+          contexts: [
+            "ExportNamedDeclaration > VariableDeclaration",
+            "ExportNamedDeclaration > ClassDeclaration",
+            "ExportNamedDeclaration > TSInterfaceDeclaration",
+            "ExportNamedDeclaration > TSTypeAliasDeclaration",
           ],
         },
       ],
     },
   },
+  ...importBoundaries,
+  prettier,
 );
