--- a/features/plan.feature
+++ b/features/plan.feature
@@ -35,13 +35,13 @@
   Scenario: Another content under an agreed number is refused, and no part of that order is in force
     Given the operator puts route "r1" at version 9 through box 1
     When the operator puts routes "r1" and "r2" at version 9 through box 2
-    Then the last order is "conflict"
+    Then the last order is "VERSION_CONFLICT"
     And no box has ever shown route "r2"
     And reading through box 3 gives route "r1" as it was put first
 
   Scenario: An invalid order that names an item twice is refused, and no part of it is in force
     When the operator puts route "r1" twice and route "r2" at version 9 through box 1, and "r2" is found wrong
-    Then the last order is "invalid"
+    Then the last order is "INVALID_WRITE"
     And no box has ever shown route "r1"
     And no box has ever shown route "r2"
 
@@ -57,7 +57,7 @@
 
   Scenario: What no quorum took is not shown, and is either agreed as a whole or never in force
     When only box 1 has accepted route "r1" at version 7, offered through box 1
-    Then the last order is "no-quorum"
+    Then the last order is "NO_QUORUM"
     And no box has ever shown route "r1"
     When someone reads through box 2
     Then reading through each box gives the same route "r1", or none
--- a/features/steps/compatibility.ts
+++ b/features/steps/compatibility.ts
@@ -111,7 +111,7 @@
     const byKey = (rows: readonly UnknownRecord[]) =>
       [...rows].sort((one, other) => (readString(one, "key") < readString(other, "key") ? -1 : 1));
     assert.deepEqual(
-      byKey(asList(plain(copies.copy(id).store.all())).map((row) => asRecord(row))),
+      byKey(asList(plain(copies.copy(id).store.committedRegisters())).map((row) => asRecord(row))),
       byKey(asList(registers).map((row) => asRecord(row))),
     );
     assert.deepEqual(plain(copies.copy(id).store.voterSet()), voterSet);
--- a/features/steps/plan.ts
+++ b/features/steps/plan.ts
@@ -4,7 +4,7 @@
 import { WriteAheadLog } from "../../src/storage/write-ahead-log.js";
 import { Replica as State } from "../../src/consensus/replica.js";
 import { makeRegister, type Register } from "../../src/consensus/register.js";
-import type { ReplicatedStoreError } from "../../src/consensus/replicated-store.js";
+import type { ReplicatedStoreError } from "../../src/consensus/errors.js";
 import { asRecord, parseJson, type UnknownRecord } from "../../src/common/decode.js";
 import { Copies, STATE_FOLDER, type Copy } from "../support/copies.js";
 import { settle } from "../support/manual-clock.js";
@@ -22,7 +22,7 @@
 /** What became of each order, in the order they were sent. */
 const outcomes: { readonly body: string; readonly outcome: Outcome }[] = [];
 
-type Outcome = "taken" | ReplicatedStoreError["kind"];
+type Outcome = "taken" | ReplicatedStoreError["code"];
 
 const offer = async (
   name: string,
@@ -36,7 +36,7 @@
       .copy(through)
       .store.propose([makeRegister(key(name), version, dropped ? "" : body, dropped)]),
   );
-  return done.isOk ? "taken" : done.error.kind;
+  return done.isOk ? "taken" : done.error.code;
 };
 
 const put = async (
@@ -127,7 +127,7 @@
     outcomes.filter(({ outcome }) => outcome === "taken").map(({ body }) => body),
   );
   const refused = new Set(
-    outcomes.filter(({ outcome }) => outcome === "conflict").map(({ body }) => body),
+    outcomes.filter(({ outcome }) => outcome === "VERSION_CONFLICT").map(({ body }) => body),
   );
   assert.equal(confirmed.size, 1, JSON.stringify(outcomes));
   assert.ok(
@@ -144,7 +144,7 @@
       makeRegister(key(name), version, `{"together":"${name}"}`),
     );
     const done = await copies.beside(copies.copy(box(number)).store.propose(call));
-    outcomes.push({ body: "", outcome: done.isOk ? "taken" : done.error.kind });
+    outcomes.push({ body: "", outcome: done.isOk ? "taken" : done.error.code });
   },
 );
 
@@ -157,7 +157,7 @@
     const done = await copies.beside(
       copies.copy(box(number)).store.propose(call, () => `${wrong} names an unknown service`),
     );
-    outcomes.push({ body: "", outcome: done.isOk ? "taken" : done.error.kind });
+    outcomes.push({ body: "", outcome: done.isOk ? "taken" : done.error.code });
   },
 );
 
@@ -190,7 +190,9 @@
     );
     const done = await copies.beside(copies.copy(box(1)).store.propose(call));
     copies.deaf = () => false;
-    assert.ok(done.isErr && done.error.kind !== "conflict" && done.error.kind !== "invalid");
+    assert.ok(
+      done.isErr && done.error.code !== "VERSION_CONFLICT" && done.error.code !== "INVALID_WRITE",
+    );
   },
 );
 
--- a/features/support/broken-boxes.ts
+++ b/features/support/broken-boxes.ts
@@ -13,7 +13,7 @@
 /** A ledger in which some methods are replaced, given the real one's. */
 const ledgerWith = (
   broken: (
-    real: Pick<ReplicatedStore, "answer" | "start" | "read" | "propose" | "changeMembers">,
+    real: Pick<ReplicatedStore, "handleRequest" | "start" | "read" | "propose" | "changeMembers">,
     options: ReplicatedStoreOptions,
   ) => Partial<ReplicatedStore>,
 ): Parts => ({
@@ -51,8 +51,8 @@
 /** Boxes that are broken on purpose, by what is wrong with them; each is there for a check to find. */
 export const BROKEN: Readonly<Record<string, Parts>> = {
   "a proposer passes over what was accepted before": ledgerWith((real) => ({
-    answer: async (message) => {
-      const reply = await real.answer(message);
+    handleRequest: async (message) => {
+      const reply = await real.handleRequest(message);
       return reply.kind === "promised" && message.kind === "promise"
         ? { ...reply, entries: [] }
         : reply;
@@ -73,13 +73,13 @@
     read: async () => (copy.isVoting ? ok(undefined) : real.read()),
   })),
   "what was agreed under earlier numbers is forgotten": ledgerWith((real) => ({
-    answer: (message) => {
-      if (message.kind !== "accept") return real.answer(message);
+    handleRequest: (message) => {
+      if (message.kind !== "accept") return real.handleRequest(message);
       const items = asList(message["items"]).map((item) => {
         const [key, register] = asList(item);
         return [key, isRecord(register) ? { ...register, past: [] } : register];
       });
-      return real.answer({ ...message, items });
+      return real.handleRequest({ ...message, items });
     },
   })),
   "only the first item of an order is offered": ledgerWith((real) => ({
@@ -88,16 +88,16 @@
   "an order is taken without a look at what it names": ledgerWith((real) => ({
     propose: (call) => real.propose(call),
   })),
-  "a term is not looked at": ledgerWith(() => ({ isOvertaken: () => false })),
+  "a term is not looked at": ledgerWith(() => ({ isSuperseded: () => false })),
   "contact is taken for granted": ledgerWith(() => ({ confirmQuorum: async () => true })),
   "the roster only grows": ledgerWith((real) => ({
     changeMembers: (change, moveMore) =>
       real.changeMembers((members) => [...new Set([...members, ...change(members)])], moveMore),
   })),
   "nobody lets a wiped one catch up": ledgerWith((real) => ({
-    answer: async (message) =>
+    handleRequest: async (message) =>
       message.kind === "read" && message["floor"] !== undefined
         ? { kind: "refused", why: "not-counting" }
-        : real.answer(message),
+        : real.handleRequest(message),
   })),
 };
--- a/features/support/copies.ts
+++ b/features/support/copies.ts
@@ -5,7 +5,8 @@
 import { LeaderLease } from "../../src/consensus/leader-lease.js";
 import { IdempotencyKeyTable, type Purge } from "../../src/idempotency/key-table.js";
 import { IdempotencyKeys } from "../../src/idempotency/key-replication.js";
-import { ReplicatedStore, CONSENSUS_MESSAGE_KINDS } from "../../src/consensus/replicated-store.js";
+import { CONSENSUS_MESSAGE_KINDS } from "../../src/consensus/messages.js";
+import { ReplicatedStore } from "../../src/consensus/replicated-store.js";
 import { Replica as State } from "../../src/consensus/replica.js";
 import { silentLogger } from "../../src/common/logger.js";
 import type { Message } from "../../src/transport/connection.js";
@@ -59,35 +60,35 @@
       snapshot: state.snapshot,
     });
     const transport = {
-      ask: (to: string, message: Message) => this.carry(id, to, message),
-      send: (message: Message) =>
+      request: (to: string, message: Message) => this.carry(id, to, message),
+      broadcast: (message: Message) =>
         this.ids.filter((to) => to !== id).forEach((to) => void this.carry(id, to, message)),
     };
     const store = new ReplicatedStore({
       self: id,
-      archive,
+      writeAheadLog: archive,
       replica: state,
       seeds: () => this.ids.slice(0, 3),
       transport,
       clock: this.clock,
       random: this.random,
       withstandMachines: this.withstandMachines,
-      log: silentLogger,
+      logger: silentLogger,
     });
     const lease = new LeaderLease({
       self: id,
       store,
       clock: this.clock,
-      log: silentLogger,
+      logger: silentLogger,
       isConnected: (to) => this.reaches(id, to),
-      ask: transport.ask,
+      request: transport.request,
       hasDisk: true,
       withstandMachines: this.withstandMachines,
       holderTimeoutUs: 1_500_000,
       copyOtherState: () => this.copy(id).keys.spread(),
     });
     const told = new Set<string>();
-    store.events.on("settled", (registers) => registers.forEach(({ key }) => told.add(key)));
+    store.events.on("committed", (registers) => registers.forEach(({ key }) => told.add(key)));
     await store.start(firstRun);
     const book = new IdempotencyKeyTable({
       folder: this.diskBytes === 0 ? "" : join(folder, "keys"),
@@ -100,9 +101,9 @@
       self: id,
       book,
       store,
-      ask: transport.ask,
+      ask: transport.request,
       stands: (to) => this.reaches(id, to),
-      send: transport.send,
+      send: transport.broadcast,
       withstandMachines: this.withstandMachines,
       log: silentLogger,
       onPurge: (purge) => learned.push(purge),
@@ -127,8 +128,7 @@
   readonly enrol = async (ids: readonly string[]): Promise<void> => {
     await this.readAll();
     const changed = await this.beside(this.copy(this.ids[0] ?? "").store.changeMembers(() => ids));
-    if (changed.isErr)
-      throw new Error(`the roster was not changed: ${JSON.stringify(changed.error)}`);
+    if (changed.isErr) throw new Error(`the roster was not changed: ${changed.error.message}`);
     await this.readAll();
   };
 
@@ -203,8 +203,8 @@
         return undefined;
       default:
         return CONSENSUS_MESSAGE_KINDS.has(message.kind)
-          ? store.answer(message)
-          : lease.answer(message);
+          ? store.handleRequest(message)
+          : lease.handleRequest(message);
     }
   };
 }
--- a/features/support/golden.ts
+++ b/features/support/golden.ts
@@ -1,6 +1,6 @@
 import { createServer, type Socket } from "node:net";
 import { makeRegister } from "../../src/consensus/register.js";
-import { CONSENSUS_MESSAGE_KINDS } from "../../src/consensus/replicated-store.js";
+import { CONSENSUS_MESSAGE_KINDS } from "../../src/consensus/messages.js";
 import { isRecord } from "../../src/common/decode.js";
 import { connectTo, type Message } from "../../src/transport/connection.js";
 import { STATE_FOLDER, type Copies } from "./copies.js";
@@ -26,6 +26,7 @@
 const FORMER_NAMES: ReadonlyMap<string, string> = new Map([
   ["isAccepted", "isVoted"],
   ["isCommitted", "isAgreed"],
+  ["proposer", "by"],
 ]);
 
 /** The value with the field names that it had in memory when the golden data was written. */
@@ -62,9 +63,9 @@
       makeRegister("service/old", 3, "", true),
     ]),
   );
-  await copies.beside(a.duty.answer({ kind: "succeed", namedBy: "" }));
+  await copies.beside(a.duty.handleRequest({ kind: "succeed", namedBy: "" }));
   await copies.beside(
-    a.store.decide("duty/ejections", () => '{"ejections":[]}', a.duty.heldTerm()),
+    a.store.decide("duty/ejections", () => '{"ejections":[]}', a.duty.activeTerm()),
   );
   await copies.beside(a.store.confirmQuorum());
   await copies.beside(a.keys.claim("key 1", "token 1"));
@@ -79,7 +80,7 @@
   a.keys.free("key 2", "token 2");
   await copies.beside(copies.copy("d").store.read());
   await copies.beside(copies.copy("d").store.read());
-  await copies.beside(a.duty.answer({ kind: "join", id: "d" }));
+  await copies.beside(a.duty.handleRequest({ kind: "join", id: "d" }));
   await copies.beside(a.store.read());
   return said;
 };
@@ -102,8 +103,8 @@
           message.kind.startsWith("key-")
             ? keys.answer(message)
             : CONSENSUS_MESSAGE_KINDS.has(message.kind)
-              ? store.answer(message)
-              : lease.answer(message),
+              ? store.handleRequest(message)
+              : lease.handleRequest(message),
         )) ?? null,
       );
   }
@@ -171,11 +172,11 @@
     const { state, store } = await copies.start(id, false);
     found.push(
       plain({
-        entries: [...state.entriesNow().values()],
+        entries: [...state.copyOfEntries().values()],
         snapshot: state.snapshot(),
-        highest: state.highest,
+        highest: state.highestBallotNumber,
         roster: state.voterSet,
-        pending: state.pending ?? null,
+        pending: state.voterSetProposal ?? null,
         counts: store.isVoting,
         sums: state.bucketSums(),
       }),
--- a/simulator/box.ts
+++ b/simulator/box.ts
@@ -1,11 +1,8 @@
 import { WriteAheadLog } from "../src/storage/write-ahead-log.js";
 import { Replica } from "../src/consensus/replica.js";
 import { LeaderLease, type LeaderLeaseOptions } from "../src/consensus/leader-lease.js";
-import {
-  ReplicatedStore,
-  CONSENSUS_MESSAGE_KINDS,
-  type ReplicatedStoreOptions,
-} from "../src/consensus/replicated-store.js";
+import { CONSENSUS_MESSAGE_KINDS } from "../src/consensus/messages.js";
+import { ReplicatedStore, type ReplicatedStoreOptions } from "../src/consensus/replicated-store.js";
 import type { Register } from "../src/consensus/register.js";
 import type { Clock } from "../src/common/clock.js";
 import { silentLogger } from "../src/common/logger.js";
@@ -91,22 +88,22 @@
     });
     this.store = parts.store({
       self: id,
-      archive,
+      writeAheadLog: archive,
       replica: copy,
       seeds: () => [...new Set([...seeds, ...this.links.keys()])],
-      transport: { ask: this.ask, send: this.tell },
+      transport: { request: this.ask, broadcast: this.tell },
       clock: this.clock,
       random: chance.share,
       withstandMachines,
-      log: silentLogger,
+      logger: silentLogger,
     });
     this.lease = parts.lease({
       self: id,
       store: this.store,
       clock: this.clock,
-      log: silentLogger,
+      logger: silentLogger,
       isConnected: this.stands,
-      ask: this.ask,
+      request: this.ask,
       hasDisk: true,
       withstandMachines,
       holderTimeoutUs: 500 * MILLISECOND_US,
@@ -119,10 +116,10 @@
 
   readonly start = async (): Promise<void> => {
     const { firstRun, seeds, history, world } = this.options;
-    this.store.events.on("settled", (registers) => {
+    this.store.events.on("committed", (registers) => {
       history.told.push({ atUs: world.nowUs(), box: this.id, registers });
     });
-    this.store.events.on("roster", () => this.learn(this.store.members()));
+    this.store.events.on("voterSet", () => this.learn(this.store.members()));
     this.store.events.on("behind", () => void this.sweep());
     await this.store.start(firstRun);
     this.isListening = true;
@@ -213,10 +210,12 @@
     attempt.toUs = world.nowUs();
     attempt.result = offered.isOk
       ? "ok"
-      : offered.error.kind === "conflict" || offered.error.kind === "invalid"
-        ? offered.error.kind
-        : "unclear";
-    attempt.why = offered.isOk ? "" : offered.error.kind;
+      : offered.error.code === "VERSION_CONFLICT"
+        ? "conflict"
+        : offered.error.code === "INVALID_WRITE"
+          ? "invalid"
+          : "unclear";
+    attempt.why = offered.isOk ? "" : offered.error.code;
     return attempt.result;
   };
 
@@ -229,7 +228,7 @@
         box: this.id,
         fromUs,
         toUs: world.nowUs(),
-        registers: this.store.all(),
+        registers: this.store.committedRegisters(),
       });
     return read.isOk;
   };
@@ -243,7 +242,7 @@
   /** What a holder does: a change of a register under its term. */
   private readonly act = async (): Promise<void> => {
     const { history, world } = this.options;
-    const term = this.lease.heldTerm();
+    const term = this.lease.activeTerm();
     if (!term) return;
     history.holders.push({
       atUs: world.nowUs(),
@@ -264,7 +263,7 @@
   private readonly look = async (): Promise<void> => {
     const { history, world } = this.options;
     const fromUs = world.nowUs();
-    const number = this.lease.heldTerm()?.number ?? 0;
+    const number = this.lease.activeTerm()?.number ?? 0;
     if (number > 0) {
       if (await this.lease.confirm())
         history.confirms.push({ box: this.id, number, fromUs, toUs: world.nowUs() });
@@ -285,13 +284,13 @@
   };
 
   private readonly answer = async (message: Message): Promise<Message | undefined> => {
-    if (CONSENSUS_MESSAGE_KINDS.has(message.kind)) return this.store.answer(message);
+    if (CONSENSUS_MESSAGE_KINDS.has(message.kind)) return this.store.handleRequest(message);
     switch (message.kind) {
       case "unseen":
       case "join":
       case "leave":
       case "succeed":
-        return this.lease.answer(message);
+        return this.lease.handleRequest(message);
       case "settled":
         this.store.applyCommitted(message);
         return undefined;
--- a/src/consensus/ballot.ts
+++ b/src/consensus/ballot.ts
@@ -6,26 +6,26 @@
  */
 export interface Ballot {
   readonly number: number;
-  readonly by: string;
+  readonly proposer: string;
 }
 
 /** On disk and between boxes. */
-export type PackedBallot = readonly [number, string];
+export type EncodedBallot = readonly [number, string];
 
-export const NO_BALLOT: Ballot = { number: 0, by: "" };
+export const NO_BALLOT: Ballot = { number: 0, proposer: "" };
 
-export const isHigher = (one: Ballot, other: Ballot): boolean =>
-  one.number > other.number || (one.number === other.number && one.by > other.by);
+export const isHigherBallot = (one: Ballot, other: Ballot): boolean =>
+  one.number > other.number || (one.number === other.number && one.proposer > other.proposer);
 
-export const isSame = (one: Ballot, other: Ballot): boolean =>
-  one.number === other.number && one.by === other.by;
+export const isSameBallot = (one: Ballot, other: Ballot): boolean =>
+  one.number === other.number && one.proposer === other.proposer;
 
-export const higherOf = (one: Ballot, other: Ballot): Ballot =>
-  isHigher(other, one) ? other : one;
+export const higherBallot = (one: Ballot, other: Ballot): Ballot =>
+  isHigherBallot(other, one) ? other : one;
 
-export const packBallot = ({ number, by }: Ballot): PackedBallot => [number, by];
+export const encodeBallot = ({ number, proposer: by }: Ballot): EncodedBallot => [number, by];
 
-export const readBallot = (value: unknown): Ballot => {
+export const decodeBallot = (value: unknown): Ballot => {
   const [number, by] = asList(value, "ballot");
-  return { number: asNumber(number), by: asString(by) };
+  return { number: asNumber(number), proposer: asString(by) };
 };
--- a/src/consensus/leader-lease.ts
+++ b/src/consensus/leader-lease.ts
@@ -3,15 +3,10 @@
 import { asRecord, readFlag, isRecord, readString } from "../common/decode.js";
 import { MILLISECOND_US } from "../common/duration.js";
 import type { Message } from "../transport/connection.js";
-import {
-  LEADER_LEASE_KEY,
-  READ_TIMEOUT_US,
-  readTerm,
-  WRITE_TIMEOUT_US,
-  type ReplicatedStore,
-  type Term,
-} from "./replicated-store.js";
-import { isJoint, packVoterSet, readVoterSet } from "./voter-set.js";
+import { encodeGrant, LEADER_LEASE_KEY, termOf, type Term } from "./term.js";
+import { READ_TIMEOUT_US, WRITE_TIMEOUT_US } from "./timeouts.js";
+import type { ReplicatedStore } from "./replicated-store.js";
+import { isJoint, encodeVoterSet, decodeVoterSet } from "./voter-set.js";
 
 const TICK_US = 250 * MILLISECOND_US;
 /** A member unseen for so long is replaced by a newcomer that asks to join. */
@@ -24,15 +19,15 @@
   readonly self: string;
   readonly store: ReplicatedStore;
   readonly clock: Clock;
-  readonly log: Logger;
+  readonly logger: Logger;
   readonly isConnected: (id: string) => boolean;
-  readonly ask: (id: string, message: Message, waitUs: number) => Promise<Message | undefined>;
+  readonly request: (id: string, message: Message, waitUs: number) => Promise<Message | undefined>;
   readonly hasDisk: boolean;
   readonly withstandMachines: number;
   /** For how long a holder must be unseen before others propose themselves. */
   readonly holderTimeoutUs: number;
   /** How long this box tries to be let go before it ends. */
-  readonly leaveUs?: number;
+  readonly leaveTimeoutUs?: number;
   /** What else new members must hold before the old ones stop counting. */
   readonly copyOtherState?: () => Promise<boolean>;
 }
@@ -65,14 +60,14 @@
   readonly term = (): number => this.options.store.newestTerm();
 
   /** The term under which this box may act; undefined unless it holds the duty as far as it knows. */
-  readonly heldTerm = (): Term | undefined => {
+  readonly activeTerm = (): Term | undefined => {
     const { store } = this.options;
-    return this.won && store.newestTerm() <= this.won.number && !store.isOvertaken(this.won)
+    return this.won && store.newestTerm() <= this.won.number && !store.isSuperseded(this.won)
       ? this.won
       : undefined;
   };
 
-  readonly isHolder = (): boolean => this.heldTerm() !== undefined;
+  readonly isHolder = (): boolean => this.activeTerm() !== undefined;
 
   /** Whether this box still holds the duty, by the word of a majority asked after this call. */
   readonly confirm = async (): Promise<boolean> =>
@@ -91,7 +86,7 @@
   };
 
   /** Answers what colleagues ask of the duty: whether its holder is seen here, to join, to leave, to succeed. */
-  readonly answer = async (message: Message): Promise<Message> => {
+  readonly handleRequest = async (message: Message): Promise<Message> => {
     switch (message.kind) {
       case "unseen":
         return {
@@ -109,7 +104,7 @@
 
   /** Gives the duty to a standing member that fits and takes it. */
   readonly transferTo = async (fits: (id: string) => boolean): Promise<boolean> => {
-    const { self, store, isConnected: stands, ask } = this.options;
+    const { self, store, isConnected: stands, request: ask } = this.options;
     for (const other of store.members().filter((id) => id !== self && stands(id) && fits(id))) {
       if (!this.isHolder()) return false;
       const reply = await ask(other, { kind: "succeed", namedBy: self }, WRITE_TIMEOUT_US);
@@ -121,7 +116,14 @@
   /** Before an orderly end: names a successor if this one holds the duty, then asks to be let go until the others hold everything. */
   readonly stepDown = async (): Promise<void> => {
     this.stop();
-    const { self, store, ask, clock, log, leaveUs = LEAVE_US } = this.options;
+    const {
+      self,
+      store,
+      request: ask,
+      clock,
+      logger: log,
+      leaveTimeoutUs: leaveUs = LEAVE_US,
+    } = this.options;
     if (!store.isMember()) return;
     const beganUs = clock.nowUs();
     let why = "no holder of the duty is in reach";
@@ -149,7 +151,7 @@
         self,
         store,
         isConnected: stands,
-        ask,
+        request: ask,
         hasDisk,
         clock,
         holderTimeoutUs: patienceUs,
@@ -193,11 +195,11 @@
 
   /** Takes the duty by deciding the next term, if a majority doesn't see the holder either. */
   private readonly propose = async (namedBy: string): Promise<boolean> => {
-    const { self, store, log } = this.options;
+    const { self, store, logger: log } = this.options;
     // One that is cut off proposes nothing: its terms would rise and unseat the holder once it is joined.
     if (!store.isMember() || !store.isVoting || !this.seesMajority()) return false;
     const question: Message = { kind: "unseen", holder: self, namedBy };
-    const free = await store.gather(
+    const free = await store.callQuorum(
       question,
       (reply) => readFlag(reply, "yes"),
       async () => this.isFree(self, namedBy),
@@ -206,13 +208,13 @@
     if (free.isErr) return false;
     const before = store.term()?.number ?? 0;
     const decided = await store.decide(LEADER_LEASE_KEY, (now) => {
-      const known = readTerm(now);
+      const known = termOf(now);
       const isMine = known?.holder === self && known.incarnation === store.incarnation;
       return isMine || (known?.number ?? 0) <= before
-        ? JSON.stringify({ holder: self, life: store.incarnation })
+        ? encodeGrant(self, store.incarnation)
         : undefined;
     });
-    const term = decided.isOk ? readTerm(decided.value) : undefined;
+    const term = decided.isOk ? termOf(decided.value) : undefined;
     if (!term || term.holder !== self || term.incarnation !== store.incarnation) return false;
     this.won = term;
     this.holderUnseenUs = undefined;
@@ -233,21 +235,21 @@
   private readonly join = async (
     id: string,
   ): Promise<{ readonly yes: boolean; readonly why: string }> => {
-    const { store, clock, ask } = this.options;
+    const { store, clock, request: ask } = this.options;
     if (!this.isHolder()) return { yes: false, why: "this box does not hold the duty" };
     if (store.members().includes(id))
       return { yes: !isJoint(store.voterSet()), why: "the roster is changing" };
     // Asked now, so that a request that was long on its way adds nobody who doesn't know that it was let go.
     const reply = await ask(
       id,
-      { kind: "contact", roster: packVoterSet(store.voterSet()) },
+      { kind: "contact", roster: encodeVoterSet(store.voterSet()) },
       WRITE_TIMEOUT_US,
     );
     const isReady =
       reply !== undefined &&
       readFlag(reply, "counts") &&
       isRecord(reply["roster"]) &&
-      readVoterSet(asRecord(reply["roster"])).number === store.voterSet().number;
+      decodeVoterSet(asRecord(reply["roster"])).number === store.voterSet().number;
     if (!isReady) return { yes: false, why: "the newcomer has not caught up" };
     this.watch();
     const unseenOf = (members: readonly string[]) =>
@@ -271,11 +273,11 @@
   };
 
   private readonly silentMember = async (): Promise<string | undefined> => {
-    const { store, self, ask } = this.options;
+    const { store, self, request: ask } = this.options;
     const others = store.members().filter((id) => id !== self);
     const replies = await Promise.all(
       others.map((id) =>
-        ask(id, { kind: "contact", roster: packVoterSet(store.voterSet()) }, READ_TIMEOUT_US),
+        ask(id, { kind: "contact", roster: encodeVoterSet(store.voterSet()) }, READ_TIMEOUT_US),
       ),
     );
     return others.find((_id, at) => replies[at] === undefined);
@@ -303,7 +305,7 @@
   private readonly change = async (
     to: (members: readonly string[]) => readonly string[],
   ): Promise<boolean> => {
-    const { store, copyOtherState: moveMore, log } = this.options;
+    const { store, copyOtherState: moveMore, logger: log } = this.options;
     const changed = await store.changeMembers(to, moveMore);
     if (changed.isOk) log.info(`The roster is now ${store.members().join(", ")}.`);
     return changed.isOk;
--- a/src/consensus/register.ts
+++ b/src/consensus/register.ts
@@ -31,7 +31,7 @@
 export type Past = readonly [version: number, digest: string];
 
 /** How many earlier numbers are kept for each item. */
-const PAST_MOST = 256;
+const MAX_PAST_VERSIONS = 256;
 
 export const makeRegister = (
   key: string,
@@ -51,7 +51,7 @@
   pastFrom: 0,
 });
 
-export const readRegister = (value: unknown): Register => {
+export const decodeRegister = (value: unknown): Register => {
   const record = asRecord(value, "register");
   const past =
     record["past"] === undefined
@@ -74,7 +74,7 @@
 };
 
 /** Registers travel and lie on disk without their digest, which the reader makes anew. */
-export const packRegister = ({
+export const encodeRegister = ({
   key,
   version,
   body,
@@ -92,7 +92,7 @@
 
 const withPast = (register: Register, past: readonly Past[], pastFrom: number): Register => {
   const rising = [...past].sort(([a], [b]) => a - b);
-  const kept = rising.slice(-PAST_MOST);
+  const kept = rising.slice(-MAX_PAST_VERSIONS);
   return {
     ...register,
     past: kept,
@@ -101,7 +101,7 @@
 };
 
 /** What an order comes to, given what stands. */
-export type Applied =
+export type WriteOutcome =
   /** It is taken: `next` is to be agreed. An order overtaken by a newer one changes only `past`. */
   | { readonly kind: "fits"; readonly next: Register }
   /** The same order was taken before. */
@@ -111,7 +111,7 @@
   /** So old that what its number named is no longer known. */
   | { readonly kind: "forgotten" };
 
-export const applyWrite = (now: Register | undefined, order: Register): Applied => {
+export const applyWrite = (now: Register | undefined, order: Register): WriteOutcome => {
   if (!now) return { kind: "fits", next: order };
   const agreed =
     order.version === now.version
--- a/src/consensus/replica.ts
+++ b/src/consensus/replica.ts
@@ -1,16 +1,16 @@
 import { createHash } from "node:crypto";
 import { asList, asRecord, readList, asString, type UnknownRecord } from "../common/decode.js";
 import {
-  higherOf,
-  isHigher,
-  isSame,
+  higherBallot,
+  isHigherBallot,
+  isSameBallot,
   NO_BALLOT,
-  packBallot,
-  readBallot,
+  encodeBallot,
+  decodeBallot,
   type Ballot,
 } from "./ballot.js";
-import { packRegister, readRegister, type Register } from "./register.js";
-import { NO_VOTER_SET, packVoterSet, readVoterSet, type VoterSet } from "./voter-set.js";
+import { encodeRegister, decodeRegister, type Register } from "./register.js";
+import { NO_VOTER_SET, encodeVoterSet, decodeVoterSet, type VoterSet } from "./voter-set.js";
 
 /** What a copy holds under one key. */
 export interface Entry {
@@ -27,7 +27,7 @@
 }
 
 /** The decision on the roster of one number, as far as this copy has taken part in it. */
-export interface Pending {
+export interface VoterSetProposal {
   readonly number: number;
   readonly promised: Ballot;
   readonly ballot: Ballot;
@@ -44,18 +44,18 @@
 
 const packItem = ({ key, register }: Entry): readonly unknown[] => [
   key,
-  register ? packRegister(register) : null,
+  register ? encodeRegister(register) : null,
 ];
 const packRow = (entry: Entry): readonly unknown[] => [
   ...packItem(entry),
-  packBallot(entry.ballot),
+  encodeBallot(entry.ballot),
   entry.isAccepted,
   entry.isCommitted,
-  ...(isHigher(entry.promised, entry.ballot) ? [packBallot(entry.promised)] : []),
+  ...(isHigherBallot(entry.promised, entry.ballot) ? [encodeBallot(entry.promised)] : []),
 ];
 
 const readContent = (value: unknown): Register | undefined =>
-  value === null || value === undefined ? undefined : readRegister(value);
+  value === null || value === undefined ? undefined : decodeRegister(value);
 
 const noEntry = (key: string): Entry => ({
   key,
@@ -74,85 +74,86 @@
 export class Replica {
   private readonly entries = new Map<string, Entry>();
   /** The newest that is known to be agreed; an entry may already hold a later offer. */
-  private readonly agreed = new Map<
+  private readonly committed = new Map<
     string,
     { readonly ballot: Ballot; readonly register: Register | undefined }
   >();
   /** Invariant: the keys whose entry is not known to be agreed. */
-  private readonly unsure = new Set<string>();
+  private readonly uncommitted = new Set<string>();
   /** Invariant: each pair is the exclusive-or of the hashes of the ballots of that bucket's entries. */
-  private readonly sums: (readonly [number, number])[] = new Array<readonly [number, number]>(
-    BUCKETS,
-  ).fill([0, 0]);
+  private readonly bucketHashes: (readonly [number, number])[] = new Array<
+    readonly [number, number]
+  >(BUCKETS).fill([0, 0]);
   private floor = NO_BALLOT;
-  private top = 0;
-  private counts = false;
-  private now: VoterSet = NO_VOTER_SET;
-  private next: Pending | undefined;
+  private highestNumber = 0;
+  private voting = false;
+  private currentVoterSet: VoterSet = NO_VOTER_SET;
+  private proposal: VoterSetProposal | undefined;
 
   get isVoting(): boolean {
-    return this.counts;
+    return this.voting;
   }
 
   /** The newest decided roster known here. */
   get voterSet(): VoterSet {
-    return this.now;
+    return this.currentVoterSet;
   }
 
   /** The decision after it, if this copy has taken part in it. */
-  get pending(): Pending | undefined {
-    return this.next;
+  get voterSetProposal(): VoterSetProposal | undefined {
+    return this.proposal;
   }
 
   /** The highest number of any ballot seen. */
-  get highest(): number {
-    return this.top;
+  get highestBallotNumber(): number {
+    return this.highestNumber;
   }
 
   readonly entry = (key: string): Entry => this.entries.get(key) ?? noEntry(key);
 
-  readonly committedAt = (key: string): Register | undefined => this.agreed.get(key)?.register;
+  readonly committedAt = (key: string): Register | undefined => this.committed.get(key)?.register;
 
   readonly allCommitted = (): readonly Register[] =>
-    [...this.agreed.values()].flatMap(({ register }) => register ?? []);
+    [...this.committed.values()].flatMap(({ register }) => register ?? []);
 
-  readonly unsureKeys = (): readonly string[] => [...this.unsure];
+  readonly uncommittedKeys = (): readonly string[] => [...this.uncommitted];
 
   /** Below this nothing is accepted: what was promised, and what is held. */
   readonly promisedFor = (key: string): Ballot => {
     const { promised, ballot } = this.entry(key);
-    return higherOf(this.floor, higherOf(promised, ballot));
+    return higherBallot(this.floor, higherBallot(promised, ballot));
   };
 
   readonly bucketSums = (): readonly string[] =>
-    this.sums.map(([high, low]) => `${high.toString(36)}.${low.toString(36)}`);
+    this.bucketHashes.map(([high, low]) => `${high.toString(36)}.${low.toString(36)}`);
 
-  readonly inBucket = (bucket: number): readonly Entry[] =>
+  readonly entriesInBucket = (bucket: number): readonly Entry[] =>
     [...this.entries.values()].filter(
       ({ key, ballot }) => ballot.number > 0 && bucketOf(key) === bucket,
     );
 
   /** The entries by key, as they stand now. */
-  readonly entriesNow = (): ReadonlyMap<string, Entry> => new Map(this.entries);
+  readonly copyOfEntries = (): ReadonlyMap<string, Entry> => new Map(this.entries);
 
-  readonly see = (ballot: Ballot): void => {
-    this.top = Math.max(this.top, ballot.number);
+  readonly observe = (ballot: Ballot): void => {
+    this.highestNumber = Math.max(this.highestNumber, ballot.number);
   };
 
   readonly raiseFloor = (ballot: Ballot): readonly UnknownRecord[] => {
-    this.see(ballot);
-    if (!isHigher(ballot, this.floor)) return [];
+    this.observe(ballot);
+    if (!isHigherBallot(ballot, this.floor)) return [];
     this.floor = ballot;
-    return [{ t: "floor", at: packBallot(ballot) }];
+    return [{ t: "floor", at: encodeBallot(ballot) }];
   };
 
   readonly prepare = (keys: readonly string[], ballot: Ballot): readonly UnknownRecord[] => {
-    this.see(ballot);
+    this.observe(ballot);
     keys.forEach((key) => {
       const entry = this.entry(key);
-      if (isHigher(ballot, entry.promised)) this.entries.set(key, { ...entry, promised: ballot });
+      if (isHigherBallot(ballot, entry.promised))
+        this.entries.set(key, { ...entry, promised: ballot });
     });
-    return [{ t: "promise", at: packBallot(ballot), keys }];
+    return [{ t: "promise", at: encodeBallot(ballot), keys }];
   };
 
   /** Accepts at a ballot that nothing higher was promised against; the caller has looked. */
@@ -166,8 +167,8 @@
     return [
       {
         t: "vote",
-        at: packBallot(ballot),
-        items: items.map(([key, register]) => [key, register ? packRegister(register) : null]),
+        at: encodeBallot(ballot),
+        items: items.map(([key, register]) => [key, register ? encodeRegister(register) : null]),
       },
     ];
   };
@@ -191,59 +192,60 @@
   readonly markCommitted = (marks: readonly (readonly [string, Ballot])[]): readonly Register[] => {
     const fresh = marks.flatMap(([key, ballot]) => {
       const entry = this.entry(key);
-      if (entry.isCommitted || ballot.number === 0 || !isSame(entry.ballot, ballot)) return [];
+      if (entry.isCommitted || ballot.number === 0 || !isSameBallot(entry.ballot, ballot))
+        return [];
       this.entries.set(key, { ...entry, isCommitted: true });
-      this.unsure.delete(key);
-      return this.knowAgreed(entry) && entry.register ? [entry.register] : [];
+      this.uncommitted.delete(key);
+      return this.recordCommitted(entry) && entry.register ? [entry.register] : [];
     });
     return fresh;
   };
 
   readonly adoptVoterSet = (voterSet: VoterSet): readonly UnknownRecord[] => {
-    if (voterSet.number <= this.now.number) return [];
-    this.now = voterSet;
-    if (this.next && this.next.number <= voterSet.number) this.next = undefined;
-    return [{ t: "roster", roster: packVoterSet(voterSet) }];
+    if (voterSet.number <= this.currentVoterSet.number) return [];
+    this.currentVoterSet = voterSet;
+    if (this.proposal && this.proposal.number <= voterSet.number) this.proposal = undefined;
+    return [{ t: "roster", roster: encodeVoterSet(voterSet) }];
   };
 
   /** Takes part in deciding the roster of the next number. */
-  readonly takePending = (pending: Pending): readonly UnknownRecord[] => {
-    this.see(pending.promised);
-    this.see(pending.ballot);
-    if (pending.number !== this.now.number + 1) return [];
-    const before = this.next?.number === pending.number ? this.next : undefined;
-    const isNewer = !before || !isHigher(before.ballot, pending.ballot);
-    this.next = {
+  readonly recordProposal = (pending: VoterSetProposal): readonly UnknownRecord[] => {
+    this.observe(pending.promised);
+    this.observe(pending.ballot);
+    if (pending.number !== this.currentVoterSet.number + 1) return [];
+    const before = this.proposal?.number === pending.number ? this.proposal : undefined;
+    const isNewer = !before || !isHigherBallot(before.ballot, pending.ballot);
+    this.proposal = {
       number: pending.number,
-      promised: higherOf(before?.promised ?? NO_BALLOT, pending.promised),
+      promised: higherBallot(before?.promised ?? NO_BALLOT, pending.promised),
       ballot: isNewer ? pending.ballot : before.ballot,
       voterSet: isNewer ? pending.voterSet : before.voterSet,
     };
-    return [packPending(this.next)];
+    return [encodeProposal(this.proposal)];
   };
 
-  readonly promisedForRoster = (number: number): Ballot =>
-    higherOf(this.floor, this.next?.number === number ? this.next.promised : NO_BALLOT);
+  readonly promisedForVoterSet = (number: number): Ballot =>
+    higherBallot(this.floor, this.proposal?.number === number ? this.proposal.promised : NO_BALLOT);
 
   readonly setVoting = (): readonly UnknownRecord[] => {
-    this.counts = true;
+    this.voting = true;
     return [{ t: "counting" }];
   };
 
   /** Nothing on the disk proves that all is there that was accepted. */
-  readonly doubt = (): void => {
-    this.counts = false;
+  readonly setUnverified = (): void => {
+    this.voting = false;
   };
 
   /** Leaves only what is known to be agreed, with no promise for single keys; a whole snapshot must follow. */
-  readonly forgetOffers = (): void => {
+  readonly dropUncommitted = (): void => {
     [...this.entries.values()].forEach((entry) => {
-      this.toggle(entry);
+      this.toggleBucketHash(entry);
       this.entries.delete(entry.key);
-      this.unsure.delete(entry.key);
+      this.uncommitted.delete(entry.key);
     });
-    const agreed = [...this.agreed];
-    this.agreed.clear();
+    const agreed = [...this.committed];
+    this.committed.clear();
     agreed.forEach(([key, { ballot, register }]) =>
       this.put({
         key,
@@ -257,47 +259,49 @@
   };
 
   readonly snapshot = (): readonly UnknownRecord[] => [
-    { t: "floor", at: packBallot(this.floor) },
-    ...(this.now.number > 0 ? [{ t: "roster", roster: packVoterSet(this.now) }] : []),
-    ...(this.next ? [packPending(this.next)] : []),
+    { t: "floor", at: encodeBallot(this.floor) },
+    ...(this.currentVoterSet.number > 0
+      ? [{ t: "roster", roster: encodeVoterSet(this.currentVoterSet) }]
+      : []),
+    ...(this.proposal ? [encodeProposal(this.proposal)] : []),
     { t: "learned", rows: [...this.entries.values()].map(packRow) },
-    ...(this.counts ? [{ t: "counting" }] : []),
+    ...(this.voting ? [{ t: "counting" }] : []),
   ];
 
   readonly replay = (record: UnknownRecord): void => {
     switch (record["t"]) {
       case "floor":
-        this.raiseFloor(readBallot(record["at"]));
+        this.raiseFloor(decodeBallot(record["at"]));
         break;
       case "promise":
-        this.prepare(readList(record, "keys", asString), readBallot(record["at"]));
+        this.prepare(readList(record, "keys", asString), decodeBallot(record["at"]));
         break;
       case "vote":
-        this.accept(readBallot(record["at"]), readList(record, "items", readItem));
+        this.accept(decodeBallot(record["at"]), readList(record, "items", decodeItem));
         break;
       case "learned":
         readList(record, "rows", asList).forEach((row) => {
-          const [key, register] = readItem(row);
-          const ballot = readBallot(row[2]);
+          const [key, register] = decodeItem(row);
+          const ballot = decodeBallot(row[2]);
           this.put({
             key,
             register,
             ballot,
-            promised: row[5] === undefined ? NO_BALLOT : readBallot(row[5]),
+            promised: row[5] === undefined ? NO_BALLOT : decodeBallot(row[5]),
             isAccepted: row[3] === true,
             isCommitted: row[4] === true,
           });
         });
         break;
       case "roster":
-        this.adoptVoterSet(readVoterSet(record["roster"]));
+        this.adoptVoterSet(decodeVoterSet(record["roster"]));
         break;
       case "pending": {
-        this.takePending(readPending(record));
+        this.recordProposal(decodeProposal(record));
         break;
       }
       case "counting":
-        this.counts = true;
+        this.voting = true;
         break;
       default:
         break;
@@ -307,15 +311,15 @@
   /** Holds the entry unless a higher one is held; true if anything but a promise changed. */
   private readonly put = (entry: Entry): boolean => {
     const before = this.entry(entry.key);
-    this.see(entry.ballot);
-    this.see(entry.promised);
-    const promised = higherOf(before.promised, entry.promised);
-    const isSameBallot = isSame(entry.ballot, before.ballot);
-    if (entry.isCommitted) this.knowAgreed(entry);
+    this.observe(entry.ballot);
+    this.observe(entry.promised);
+    const promised = higherBallot(before.promised, entry.promised);
+    const isUnchanged = isSameBallot(entry.ballot, before.ballot);
+    if (entry.isCommitted) this.recordCommitted(entry);
     if (
-      isHigher(before.ballot, entry.ballot) ||
+      isHigherBallot(before.ballot, entry.ballot) ||
       entry.ballot.number === 0 ||
-      (isSameBallot &&
+      (isUnchanged &&
         (before.isCommitted || !entry.isCommitted) &&
         (before.isAccepted || !entry.isAccepted))
     ) {
@@ -327,65 +331,73 @@
       promised,
       ballot: entry.ballot,
       register: entry.register,
-      isAccepted: entry.isAccepted || (isSameBallot && before.isAccepted),
-      isCommitted: entry.isCommitted || (isSameBallot && before.isCommitted),
+      isAccepted: entry.isAccepted || (isUnchanged && before.isAccepted),
+      isCommitted: entry.isCommitted || (isUnchanged && before.isCommitted),
     };
     this.entries.set(entry.key, now);
-    if (!isSameBallot) {
-      this.toggle(before);
-      this.toggle(now);
+    if (!isUnchanged) {
+      this.toggleBucketHash(before);
+      this.toggleBucketHash(now);
     }
-    if (now.isCommitted) this.unsure.delete(now.key);
-    else this.unsure.add(now.key);
+    if (now.isCommitted) this.uncommitted.delete(now.key);
+    else this.uncommitted.add(now.key);
     return true;
   };
 
-  private readonly knowAgreed = ({ key, ballot, register }: Entry): boolean => {
-    const known = this.agreed.get(key);
-    if (known && !isHigher(ballot, known.ballot)) return false;
-    this.agreed.set(key, { ballot, register });
+  private readonly recordCommitted = ({ key, ballot, register }: Entry): boolean => {
+    const known = this.committed.get(key);
+    if (known && !isHigherBallot(ballot, known.ballot)) return false;
+    this.committed.set(key, { ballot, register });
     return true;
   };
 
-  private readonly toggle = ({ key, ballot }: Entry): void => {
+  private readonly toggleBucketHash = ({ key, ballot }: Entry): void => {
     if (ballot.number === 0) return;
     const at = bucketOf(key);
-    const hash = createHash("sha1").update(`${key}\n${ballot.number}\n${ballot.by}`).digest();
-    const [high, low] = this.sums[at] ?? [0, 0];
-    this.sums[at] = [(high ^ hash.readUInt32BE(0)) >>> 0, (low ^ hash.readUInt32BE(4)) >>> 0];
+    const hash = createHash("sha1").update(`${key}\n${ballot.number}\n${ballot.proposer}`).digest();
+    const [high, low] = this.bucketHashes[at] ?? [0, 0];
+    this.bucketHashes[at] = [
+      (high ^ hash.readUInt32BE(0)) >>> 0,
+      (low ^ hash.readUInt32BE(4)) >>> 0,
+    ];
   };
 }
 
-export const readItem = (value: unknown): readonly [string, Register | undefined] => {
+export const decodeItem = (value: unknown): readonly [string, Register | undefined] => {
   const [key, content] = asList(value, "item");
   return [asString(key), readContent(content)];
 };
 
-export const packPending = ({ number, promised, ballot, voterSet }: Pending): UnknownRecord => ({
+export const encodeProposal = ({
+  number,
+  promised,
+  ballot,
+  voterSet,
+}: VoterSetProposal): UnknownRecord => ({
   t: "pending",
   number,
-  promised: packBallot(promised),
-  ballot: packBallot(ballot),
-  ...(voterSet ? { roster: packVoterSet(voterSet) } : {}),
+  promised: encodeBallot(promised),
+  ballot: encodeBallot(ballot),
+  ...(voterSet ? { roster: encodeVoterSet(voterSet) } : {}),
 });
 
-export const readPending = (value: unknown): Pending => {
+export const decodeProposal = (value: unknown): VoterSetProposal => {
   const record = asRecord(value, "pending");
-  const voterSet = record["roster"] === undefined ? undefined : readVoterSet(record["roster"]);
+  const voterSet = record["roster"] === undefined ? undefined : decodeVoterSet(record["roster"]);
   return {
     number: Number(record["number"]),
-    promised: readBallot(record["promised"]),
-    ballot: readBallot(record["ballot"]),
+    promised: decodeBallot(record["promised"]),
+    ballot: decodeBallot(record["ballot"]),
     voterSet,
   };
 };
 
-export const packEntryReport = (entry: Entry, withRegister: boolean): readonly unknown[] => [
+export const encodeEntryReport = (entry: Entry, withRegister: boolean): readonly unknown[] => [
   entry.key,
-  packBallot(entry.ballot),
+  encodeBallot(entry.ballot),
   entry.isAccepted,
   entry.isCommitted,
-  ...(withRegister ? [entry.register ? packRegister(entry.register) : null] : []),
+  ...(withRegister ? [entry.register ? encodeRegister(entry.register) : null] : []),
 ];
 
 /** What a colleague tells of an entry; `register` is "same" where it is left out since the asker holds that ballot. */
@@ -397,11 +409,11 @@
   readonly register: Register | undefined | "same";
 }
 
-export const readEntryReport = (value: unknown): EntryReport => {
+export const decodeEntryReport = (value: unknown): EntryReport => {
   const row = asList(value, "entry");
   return {
     key: asString(row[0]),
-    ballot: readBallot(row[1]),
+    ballot: decodeBallot(row[1]),
     isAccepted: row[2] === true,
     isCommitted: row[3] === true,
     register: row.length > 4 ? readContent(row[4]) : "same",
--- a/src/consensus/replicated-store.ts
+++ b/src/consensus/replicated-store.ts
@@ -9,7 +9,6 @@
   isRecord,
   readList,
   asNumber,
-  parseJson,
   readString,
   asString,
   readNumber,
@@ -19,88 +18,60 @@
 import type { Message } from "../transport/connection.js";
 import type { WriteAheadLog } from "../storage/write-ahead-log.js";
 import {
-  higherOf,
-  isHigher,
-  isSame,
+  higherBallot,
+  isHigherBallot,
+  isSameBallot,
   NO_BALLOT,
-  packBallot,
-  readBallot,
+  encodeBallot,
+  decodeBallot,
   type Ballot,
 } from "./ballot.js";
 import {
   bucketOf,
   Replica,
-  packPending,
-  packEntryReport,
-  readItem,
-  readPending,
-  readEntryReport,
+  encodeProposal,
+  encodeEntryReport,
+  decodeItem,
+  decodeProposal,
+  decodeEntryReport,
   type Entry,
-  type Pending,
+  type VoterSetProposal,
   type EntryReport,
 } from "./replica.js";
-import { applyWrite, makeRegister, packRegister, type Register } from "./register.js";
+import { applyWrite, makeRegister, encodeRegister, type Register } from "./register.js";
 import {
   allMembersOf,
   isJoint,
   majoritySize,
-  packVoterSet,
+  encodeVoterSet,
   quorumSize,
   readQuorumSize,
-  readVoterSet,
+  decodeVoterSet,
   quorumSetsOf,
   type VoterSet,
 } from "./voter-set.js";
 import { Batcher } from "../common/batcher.js";
-
-export type ReplicatedStoreError =
-  | { readonly kind: "no-quorum"; readonly held: number; readonly needed: number }
-  | { readonly kind: "stale"; readonly what: "term" | "roster" }
-  /** Another content was agreed under this number; no part of the order is or will be in force. */
-  | { readonly kind: "conflict"; readonly key: string; readonly version: number }
-  /** The order names what isn't there; no part of it is or will be in force. */
-  | { readonly kind: "invalid"; readonly sentence: string }
-  /** Parts of the order may be in force, or may be so later. */
-  | { readonly kind: "unclear"; readonly sentence: string };
-
-export const LEADER_LEASE_KEY = "duty/grant";
-
-/** Who holds the duty: a number is granted once, to one life of one box. */
-export interface Term {
-  readonly number: number;
-  readonly holder: string;
-  readonly incarnation: string;
-}
-
-export const readTerm = (grant: Register | undefined): Term | undefined => {
-  if (!grant) return undefined;
-  const record = asRecord(parseJson(grant.body), "grant");
-  return {
-    number: grant.version,
-    holder: readString(record, "holder"),
-    incarnation: readString(record, "life"),
-  };
-};
-
-/** The kinds of messages that `answer` takes. */
-export const CONSENSUS_MESSAGE_KINDS: ReadonlySet<string> = new Set([
-  "promise",
-  "accept",
-  "read",
-  "contact",
-  "roster-promise",
-  "roster-accept",
-]);
+import {
+  InvalidWriteError,
+  NoQuorumError,
+  StaleTermError,
+  StaleVoterSetError,
+  UnclearOutcomeError,
+  VersionConflictError,
+  type ReplicatedStoreError,
+} from "./errors.js";
+import { decodeTerm, encodeTerm, LEADER_LEASE_KEY, supersedes, termOf, type Term } from "./term.js";
+import { READ_TIMEOUT_US, WRITE_TIMEOUT_US } from "./timeouts.js";
 
 /** How the ledger reaches other copies; the links of signalling fit it, and so does a test's own net. */
 export interface PeerTransport {
-  readonly ask: (id: string, message: Message, waitUs: number) => Promise<Message | undefined>;
-  readonly send: (message: Message) => void;
+  readonly request: (id: string, message: Message, waitUs: number) => Promise<Message | undefined>;
+  readonly broadcast: (message: Message) => void;
 }
 
 export interface ReplicatedStoreOptions {
   readonly self: string;
-  readonly archive: WriteAheadLog;
+  readonly writeAheadLog: WriteAheadLog;
   /** What the archive's snapshots are made of. */
   readonly replica: Replica;
   /** The roster of the first start, and whom to ask for as long as no roster is known. */
@@ -110,11 +81,9 @@
   /** From 0 to 1: names this life, and spreads the waits after a collision. */
   readonly random: () => number;
   readonly withstandMachines: number;
-  readonly log: Logger;
+  readonly logger: Logger;
 }
 
-export const READ_TIMEOUT_US = 350 * MILLISECOND_US;
-export const WRITE_TIMEOUT_US = 600 * MILLISECOND_US;
 /** After a quorum has answered, so long is waited for the rest, so that all take part where all are well. */
 const GRACE_US = 10 * MILLISECOND_US;
 /** No try begins later than this after the call. */
@@ -133,7 +102,7 @@
 
 /** Why a try failed. */
 type Setback =
-  | { readonly kind: "no-quorum"; readonly held: number; readonly needed: number }
+  | { readonly kind: "no-quorum"; readonly error: NoQuorumError }
   /** Another try was promised more, or the roster has moved on: worth another try at once or soon. */
   | { readonly kind: "again"; readonly soon: boolean }
   | { readonly kind: "term" };
@@ -174,9 +143,9 @@
  */
 export class ReplicatedStore {
   readonly events = new Emittery<{
-    settled: readonly Register[];
-    counting: undefined;
-    roster: VoterSet;
+    committed: readonly Register[];
+    voting: undefined;
+    voterSet: VoterSet;
     behind: undefined;
   }>();
   private readonly replica: Replica;
@@ -221,7 +190,7 @@
   /** What is known to be agreed under the key. */
   readonly get = (key: string): Register | undefined => this.replica.committedAt(key);
 
-  readonly all = (): readonly Register[] => this.replica.allCommitted();
+  readonly committedRegisters = (): readonly Register[] => this.replica.allCommitted();
 
   /** The newest decided roster known here. */
   readonly voterSet = (): VoterSet => this.replica.voterSet;
@@ -234,21 +203,21 @@
   readonly isMember = (): boolean => this.members().includes(this.options.self);
 
   /** The newest term that this copy knows to be granted. */
-  readonly term = (): Term | undefined => readTerm(this.get(LEADER_LEASE_KEY));
+  readonly term = (): Term | undefined => termOf(this.get(LEADER_LEASE_KEY));
 
   /** Whether this copy holds a term above this one, agreed or only offered. */
-  readonly isOvertaken = (term: Term): boolean =>
-    isAbove(this.replica.entry(LEADER_LEASE_KEY).register, term) ||
-    isAbove(this.get(LEADER_LEASE_KEY), term);
+  readonly isSuperseded = (term: Term): boolean =>
+    supersedes(this.replica.entry(LEADER_LEASE_KEY).register, term) ||
+    supersedes(this.get(LEADER_LEASE_KEY), term);
 
   /** The first start of the whole system, a start with a disk that kept its files, or one that lost them. */
   readonly start = async (firstRun: boolean): Promise<void> => {
-    const { self, archive, log } = this.options;
+    const { self, writeAheadLog: archive, logger: log } = this.options;
     const seeds = this.options.seeds();
     const loaded = await archive.load();
     if (loaded.kind !== "empty") loaded.records.forEach(this.replica.replay);
     if (loaded.kind === "doubtful") {
-      this.replica.doubt();
+      this.replica.setUnverified();
       this.whyNot = loaded.why;
       log.warn(`This copy does not count until it has caught up: ${loaded.why}.`);
     } else if (loaded.kind === "empty" && firstRun && seeds.includes(self)) {
@@ -256,11 +225,11 @@
       this.replica.setVoting();
       // One file holds all of it: a first start that is cut short leaves either nothing or the whole.
       if ((await archive.writeVerifiedSnapshot()).isErr) {
-        this.replica.doubt();
+        this.replica.setUnverified();
         this.whyNot = "its disk refused the first state";
       }
     } else if (this.isVoting && !this.isMember()) {
-      this.replica.doubt();
+      this.replica.setUnverified();
       this.whyNot = "it is not on the roster";
     } else if (!this.isVoting)
       this.whyNot = loaded.kind === "empty" ? "its disk is empty" : "it never caught up";
@@ -270,7 +239,7 @@
   readonly persisted = (): Promise<boolean> => {
     const earlier = this.keeping;
     if (this.unsaved.length === 0 && !this.wasRefused) return earlier ?? Promise.resolve(true);
-    const { archive, log } = this.options;
+    const { writeAheadLog: archive, logger: log } = this.options;
     const records = this.unsaved;
     this.unsaved = [];
     this.wasRefused = false;
@@ -292,7 +261,7 @@
   // --- what colleagues ask ------------------------------------------------------------------------------------------
 
   /** Answers a colleague's question of one of LEDGER_KINDS. */
-  readonly answer = async (message: Message): Promise<Message> => {
+  readonly handleRequest = async (message: Message): Promise<Message> => {
     switch (message.kind) {
       case "promise":
         return this.answerPromise(message);
@@ -309,8 +278,8 @@
         return {
           kind: "here",
           counts: this.isVoting,
-          roster: packVoterSet(this.replica.voterSet),
-          ...(term ? { grant: packRegister(term) } : {}),
+          roster: encodeVoterSet(this.replica.voterSet),
+          ...(term ? { grant: encodeRegister(term) } : {}),
         };
       }
     }
@@ -321,34 +290,34 @@
     this.hearRoster(message);
     const marks = readList(message, "items", asList).map((item): readonly [string, Ballot] => [
       asString(item[0]),
-      readBallot(item[1]),
+      decodeBallot(item[1]),
     ]);
-    marks.forEach(([, ballot]) => this.replica.see(ballot));
+    marks.forEach(([, ballot]) => this.replica.observe(ballot));
     this.settle(marks);
-    if (marks.some(([key, ballot]) => isHigher(ballot, this.replica.entry(key).ballot)))
+    if (marks.some(([key, ballot]) => isHigherBallot(ballot, this.replica.entry(key).ballot)))
       void this.events.emit("behind");
   };
 
   private readonly answerPromise = async (message: Message): Promise<Message> => {
-    const ballot = readBallot(message["ballot"]);
+    const ballot = decodeBallot(message["ballot"]);
     const keys = readList(message, "keys", asString);
     const refusal = this.refusalOf(message) ?? this.lowerThanPromised(keys, ballot);
     if (refusal) return refusal;
     this.note(this.replica.prepare(keys, ballot));
     const entries = keys.map((key) => this.replica.entry(key));
     if (!(await this.persisted())) return refused("disk");
-    const have = readList(message, "have", readBallot);
+    const have = readList(message, "have", decodeBallot);
     const rows = entries.flatMap((entry, at) =>
       entry.ballot.number === 0
         ? []
-        : [packEntryReport(entry, !isSame(entry.ballot, have[at] ?? NO_BALLOT))],
+        : [encodeEntryReport(entry, !isSameBallot(entry.ballot, have[at] ?? NO_BALLOT))],
     );
     return { kind: "promised", life: this.ownIncarnation, entries: rows };
   };
 
   private readonly answerAccept = async (message: Message): Promise<Message> => {
-    const ballot = readBallot(message["ballot"]);
-    const items = readList(message, "items", readItem);
+    const ballot = decodeBallot(message["ballot"]);
+    const items = readList(message, "items", decodeItem);
     const isOtherLife = asRecord(message["lives"])[this.options.self] !== this.ownIncarnation;
     const refusal =
       this.refusalOf(message) ??
@@ -367,8 +336,8 @@
     keys: readonly string[],
     ballot: Ballot,
   ): Message | undefined =>
-    keys.some((key) => isHigher(this.replica.promisedFor(key), ballot))
-      ? refused("ballot", this.replica.highest)
+    keys.some((key) => isHigherBallot(this.replica.promisedFor(key), ballot))
+      ? refused("ballot", this.replica.highestBallotNumber)
       : undefined;
 
   /** Why this copy takes part in nothing that the message asks for. */
@@ -376,27 +345,28 @@
     if (!this.isVoting) return refused("not-counting");
     const stale = this.refusalOfRoster(message);
     if (stale) return stale;
-    const term = isRecord(message["term"]) ? readPackedTerm(message["term"]) : undefined;
-    return term && this.isOvertaken(term) ? refused("term") : undefined;
+    const term = isRecord(message["term"]) ? decodeTerm(message["term"]) : undefined;
+    return term && this.isSuperseded(term) ? refused("term") : undefined;
   };
 
   private readonly refusalOfRoster = (message: Message): Message | undefined => {
     this.hearRoster(message);
     const { voterSet } = this.replica;
-    return readVoterSet(message["roster"]).number < voterSet.number
-      ? { ...refused("roster", this.replica.highest), roster: packVoterSet(voterSet) }
+    return decodeVoterSet(message["roster"]).number < voterSet.number
+      ? { ...refused("roster", this.replica.highestBallotNumber), roster: encodeVoterSet(voterSet) }
       : undefined;
   };
 
   private readonly answerRead = async (message: Message): Promise<Message> => {
-    const floor = message["floor"] === undefined ? undefined : readBallot(message["floor"]);
+    const floor = message["floor"] === undefined ? undefined : decodeBallot(message["floor"]);
     if (!this.isVoting && floor) return refused("not-counting");
     const stale = this.refusalOfRoster(message);
     if (stale) return stale;
-    if (floor && !isSame(floor, this.raised.get(floor.by) ?? NO_BALLOT)) {
-      if (floor.number <= this.replica.highest) return refused("ballot", this.replica.highest);
+    if (floor && !isSameBallot(floor, this.raised.get(floor.proposer) ?? NO_BALLOT)) {
+      if (floor.number <= this.replica.highestBallotNumber)
+        return refused("ballot", this.replica.highestBallotNumber);
       this.note(this.replica.raiseFloor(floor));
-      this.raised.set(floor.by, floor);
+      this.raised.set(floor.proposer, floor);
     }
     const sums = this.replica.bucketSums();
     const theirs = readList(message, "sums", asString);
@@ -406,15 +376,15 @@
     for (let bytes = 0; bucket < sums.length && bytes < PIECE_BYTES; bucket += 1) {
       if (sums[bucket] === theirs[bucket]) same.push(bucket);
       else
-        this.replica.inBucket(bucket).forEach((entry) => {
-          rows.push(packEntryReport(entry, true));
+        this.replica.entriesInBucket(bucket).forEach((entry) => {
+          rows.push(encodeEntryReport(entry, true));
           bytes += (entry.register?.body.length ?? 0) + 64;
         });
     }
     const unsure = readList(message, "unsure", asString);
     unsure
       .filter((key) => same.includes(bucketOf(key)))
-      .forEach((key) => rows.push(packEntryReport(this.replica.entry(key), false)));
+      .forEach((key) => rows.push(encodeEntryReport(this.replica.entry(key), false)));
     const counts = (await this.persisted()) && this.isVoting;
     return {
       kind: "copy",
@@ -422,7 +392,9 @@
       same,
       entries: rows,
       next: bucket,
-      ...(this.replica.pending ? { pending: packPending(this.replica.pending) } : {}),
+      ...(this.replica.voterSetProposal
+        ? { pending: encodeProposal(this.replica.voterSetProposal) }
+        : {}),
     };
   };
 
@@ -430,16 +402,19 @@
     if (!this.isVoting) return refused("not-counting");
     const number = readNumber(message, "number");
     this.hearRoster(message);
-    const { voterSet, pending } = this.replica;
+    const { voterSet, voterSetProposal: pending } = this.replica;
     if (number <= voterSet.number)
-      return { ...refused("roster", this.replica.highest), roster: packVoterSet(voterSet) };
-    const ballot = readBallot(message["ballot"]);
+      return {
+        ...refused("roster", this.replica.highestBallotNumber),
+        roster: encodeVoterSet(voterSet),
+      };
+    const ballot = decodeBallot(message["ballot"]);
     if (number > voterSet.number + 1) return refused("roster");
-    if (isHigher(this.replica.promisedForRoster(number), ballot))
-      return refused("ballot", this.replica.highest);
+    if (isHigherBallot(this.replica.promisedForVoterSet(number), ballot))
+      return refused("ballot", this.replica.highestBallotNumber);
     if (message.kind === "roster-promise") {
       this.note(
-        this.replica.takePending({
+        this.replica.recordProposal({
           number,
           promised: ballot,
           ballot: pending?.ballot ?? NO_BALLOT,
@@ -450,7 +425,7 @@
       return {
         kind: "promised",
         life: this.ownIncarnation,
-        pending: packPending(
+        pending: encodeProposal(
           pending ?? { number, promised: ballot, ballot: NO_BALLOT, voterSet: undefined },
         ),
       };
@@ -458,11 +433,11 @@
     if (asRecord(message["lives"])[this.options.self] !== this.ownIncarnation)
       return refused("life");
     this.note(
-      this.replica.takePending({
+      this.replica.recordProposal({
         number,
         promised: ballot,
         ballot,
-        voterSet: readVoterSet(message["next"]),
+        voterSet: decodeVoterSet(message["next"]),
       }),
     );
     return (await this.persisted()) ? { kind: "accepted" } : refused("disk");
@@ -481,7 +456,7 @@
       ask: async (id) => {
         const reply = await this.askOne(
           id,
-          { kind: "contact", roster: packVoterSet(this.replica.voterSet) },
+          { kind: "contact", roster: encodeVoterSet(this.replica.voterSet) },
           READ_TIMEOUT_US,
         );
         if (!reply) return undefined;
@@ -534,25 +509,24 @@
         const applied = applyWrite(next.get(order.key), order);
         if (applied.kind === "fits") next.set(order.key, applied.next);
         if (applied.kind === "conflict")
-          error ??= { kind: "conflict", key: order.key, version: order.version };
+          error ??= new VersionConflictError(order.key, order.version);
         if (applied.kind === "forgotten")
-          error ??= {
-            kind: "unclear",
-            sentence: `what ${order.key} was at version ${order.version} is no longer known`,
-          };
+          error ??= new UnclearOutcomeError(
+            `what ${order.key} was at version ${order.version} is no longer known`,
+          );
       });
       if (!error && known < call.length && !wasOffered) {
         error = await this.problemNow(problemOf, stands);
       }
       if (error) {
-        const isRefusal = error.kind === "conflict" || error.kind === "invalid";
+        const isRefusal =
+          error instanceof VersionConflictError || error instanceof InvalidWriteError;
         if (isRefusal && (wasOffered || isSeen))
-          error = {
-            kind: "unclear",
-            sentence: "another order has one of its numbers, and parts of this one were offered",
-          };
+          error = new UnclearOutcomeError(
+            "another order has one of its numbers, and parts of this one were offered",
+          );
         result = err(error);
-        if (error.kind === "unclear") return ok(undefined);
+        if (error instanceof UnclearOutcomeError) return ok(undefined);
       } else {
         result = ok(undefined);
         wasOffered = true;
@@ -567,7 +541,7 @@
           return (
             content === stands.get(key) &&
             entry.isCommitted &&
-            isSame(entry.ballot, attempt.value.found.get(key)?.ballot ?? NO_BALLOT)
+            isSameBallot(entry.ballot, attempt.value.found.get(key)?.ballot ?? NO_BALLOT)
           );
         });
       return isDone ? ok(undefined) : this.accept(attempt.value, items);
@@ -600,9 +574,9 @@
     if (look() === undefined) return undefined;
     // This copy may be old: nothing is called unknown, nor let pass, before a quorum was read.
     if ((await this.read()).isErr)
-      return { kind: "unclear", sentence: "no quorum could be read for what the order names" };
+      return new UnclearOutcomeError("no quorum could be read for what the order names");
     const sentence = look();
-    return sentence === undefined ? undefined : { kind: "invalid", sentence };
+    return sentence === undefined ? undefined : new InvalidWriteError(sentence);
   };
 
   private readonly tryOften = async (
@@ -614,10 +588,10 @@
       const done = await work();
       if (done.isOk) return ok(undefined);
       const setback = done.error;
-      if (setback.kind === "no-quorum") return err(setback);
-      if (setback.kind === "term") return err({ kind: "stale", what: "term" });
+      if (setback.kind === "no-quorum") return err(setback.error);
+      if (setback.kind === "term") return err(new StaleTermError());
       if (clock.nowUs() - beganUs > TRY_US || turn >= TRIES_MOST)
-        return err({ kind: "unclear", sentence: "other orders were in the way" });
+        return err(new UnclearOutcomeError("other orders were in the way"));
       if (setback.soon) continue;
       await sleep(clock, Math.round(random() * Math.min(PAUSE_MOST_US, PAUSE_US * 2 ** turn)));
     }
@@ -625,10 +599,10 @@
 
   private readonly nextBallot = (): Ballot => {
     const ballot = {
-      number: this.replica.highest + 1,
-      by: `${this.options.self}/${this.ownIncarnation}`,
+      number: this.replica.highestBallotNumber + 1,
+      proposer: `${this.options.self}/${this.ownIncarnation}`,
     };
-    this.replica.see(ballot);
+    this.replica.observe(ballot);
     return ballot;
   };
 
@@ -647,11 +621,11 @@
     const before = keys.map((key) => this.replica.entry(key));
     const message: Message = {
       kind: "promise",
-      ballot: packBallot(ballot),
-      roster: packVoterSet(voterSet),
+      ballot: encodeBallot(ballot),
+      roster: encodeVoterSet(voterSet),
       keys,
-      have: before.map((entry) => packBallot(entry.ballot)),
-      ...(term ? { term: packTerm(term) } : {}),
+      have: before.map((entry) => encodeBallot(entry.ballot)),
+      ...(term ? { term: encodeTerm(term) } : {}),
     };
     const lives = new Map<string, string>();
     const found = new Map<string, EntryReport>();
@@ -662,12 +636,14 @@
       "promised",
       (id, reply) => {
         lives.set(id, readString(reply, "life"));
-        readList(reply, "entries", readEntryReport).forEach((told) => {
+        readList(reply, "entries", decodeEntryReport).forEach((told) => {
           const known = found.get(told.key);
-          if (known && !isHigher(told.ballot, known.ballot)) return;
+          if (known && !isHigherBallot(told.ballot, known.ballot)) return;
           const at =
             told.register === "same"
-              ? before.find((entry) => entry.key === told.key && isSame(entry.ballot, told.ballot))
+              ? before.find(
+                  (entry) => entry.key === told.key && isSameBallot(entry.ballot, told.ballot),
+                )
               : undefined;
           found.set(told.key, at ? { ...told, register: at.register } : told);
         });
@@ -685,11 +661,11 @@
     const { ballot, voterSet, lives } = attempt;
     const message: Message = {
       kind: "accept",
-      ballot: packBallot(ballot),
-      roster: packVoterSet(voterSet),
+      ballot: encodeBallot(ballot),
+      roster: encodeVoterSet(voterSet),
       lives: Object.fromEntries(lives),
-      items: items.map(([key, content]) => [key, content ? packRegister(content) : null]),
-      ...(term ? { term: packTerm(term) } : {}),
+      items: items.map(([key, content]) => [key, content ? encodeRegister(content) : null]),
+      ...(term ? { term: encodeTerm(term) } : {}),
     };
     const accepted = await this.poll(
       voterSet,
@@ -714,16 +690,16 @@
       ),
     );
     const fresh = items.flatMap(([, register]) => register ?? []);
-    if (fresh.length > 0) void this.events.emit("settled", fresh);
+    if (fresh.length > 0) void this.events.emit("committed", fresh);
     this.tell(items.map(([key]): readonly [string, Ballot] => [key, ballot]));
     return ok(undefined);
   };
 
   private readonly tell = (marks: readonly (readonly [string, Ballot])[]): void =>
-    this.options.transport.send({
+    this.options.transport.broadcast({
       kind: "settled",
-      roster: packVoterSet(this.replica.voterSet),
-      items: marks.map(([key, ballot]) => [key, packBallot(ballot)]),
+      roster: encodeVoterSet(this.replica.voterSet),
+      items: marks.map(([key, ballot]) => [key, encodeBallot(ballot)]),
     });
 
   /** Puts one question to the members of a roster; what stood in the way of a quorum is the setback. */
@@ -758,7 +734,7 @@
       },
     });
     isOpen = false;
-    return polled.isOk ? ok(undefined) : err(setback ?? polled.error);
+    return polled.isOk ? ok(undefined) : err(setback ?? { kind: "no-quorum", error: polled.error });
   };
 
   // --- reading ------------------------------------------------------------------------------------------------------
@@ -778,7 +754,7 @@
     if (read.isOk && !this.hasRead) {
       // What the disk already told to be agreed may be old until now, and is news to whoever listens.
       this.hasRead = true;
-      await this.events.emit("settled", this.all());
+      await this.events.emit("committed", this.committedRegisters());
     }
     return read;
   };
@@ -816,8 +792,8 @@
   /** One look at a quorum: adopts what is agreed; gives the keys of which that is not sure. */
   private readonly look = async (): Promise<Result<readonly string[], ReplicatedStoreError>> => {
     const { self, withstandMachines } = this.options;
-    const before = this.replica.entriesNow();
-    const unsure = this.replica.unsureKeys();
+    const before = this.replica.copyOfEntries();
+    const unsure = this.replica.uncommittedKeys();
     const sums = this.replica.bucketSums();
     const views = new Map<string, View>();
     const read = await this.collect<View>({
@@ -869,9 +845,9 @@
         own && !views.has(self)
           ? [...tellings, { id: "", told: { ...own, isAccepted: false } }]
           : tellings;
-      const top = candidates.reduce((most, { told }) => higherOf(most, told.ballot), NO_BALLOT);
+      const top = candidates.reduce((most, { told }) => higherBallot(most, told.ballot), NO_BALLOT);
       if (top.number === 0) return;
-      const atTop = candidates.filter(({ told }) => isSame(told.ballot, top));
+      const atTop = candidates.filter(({ told }) => isSameBallot(told.ballot, top));
       const voters = new Set(atTop.filter(({ told }) => told.isAccepted).map(({ id }) => id));
       const isAgreed =
         atTop.some(({ told }) => told.isCommitted) ||
@@ -884,7 +860,7 @@
         return;
       }
       const content =
-        own && isSame(own.ballot, top)
+        own && isSameBallot(own.ballot, top)
           ? { register: own.register }
           : atTop.flatMap(({ told }) =>
               told.register === "same" ? [] : [{ register: told.register }],
@@ -906,26 +882,29 @@
   private readonly takeAgreed = (entries: readonly Entry[]): void => {
     const fresh = entries.filter(
       ({ key, ballot }) =>
-        !(this.replica.entry(key).isCommitted && !isHigher(ballot, this.replica.entry(key).ballot)),
+        !(
+          this.replica.entry(key).isCommitted &&
+          !isHigherBallot(ballot, this.replica.entry(key).ballot)
+        ),
     );
     const marks = fresh
-      .filter(({ key, ballot }) => isSame(this.replica.entry(key).ballot, ballot))
+      .filter(({ key, ballot }) => isSameBallot(this.replica.entry(key).ballot, ballot))
       .map(({ key, ballot }): readonly [string, Ballot] => [key, ballot]);
     this.note(
       this.replica.learn(
-        fresh.filter(({ key, ballot }) => !isSame(this.replica.entry(key).ballot, ballot)),
+        fresh.filter(({ key, ballot }) => !isSameBallot(this.replica.entry(key).ballot, ballot)),
       ),
     );
     this.settle(marks);
     const news = fresh
       .filter(({ key }) => !marks.some(([marked]) => marked === key))
       .flatMap(({ register }) => register ?? []);
-    if (news.length > 0) void this.events.emit("settled", news);
+    if (news.length > 0) void this.events.emit("committed", news);
   };
 
   private readonly settle = (marks: readonly (readonly [string, Ballot])[]): void => {
     const fresh = this.replica.markCommitted(marks);
-    if (fresh.length > 0) void this.events.emit("settled", fresh);
+    if (fresh.length > 0) void this.events.emit("committed", fresh);
   };
 
   private readonly ownView = async (): Promise<View> => {
@@ -946,11 +925,11 @@
     for (let piece = 0; piece < PIECES_MOST; piece += 1) {
       const message: Message = {
         kind: "read",
-        roster: packVoterSet(this.replica.voterSet),
+        roster: encodeVoterSet(this.replica.voterSet),
         sums,
         unsure,
         from,
-        ...(floor ? { floor: packBallot(floor) } : {}),
+        ...(floor ? { floor: encodeBallot(floor) } : {}),
       };
       const reply = await this.askOne(id, message, READ_TIMEOUT_US);
       if (!reply) return undefined;
@@ -958,11 +937,11 @@
         this.hearRefusal(reply);
         return undefined;
       }
-      readList(reply, "entries", readEntryReport).forEach((row) => told.set(row.key, row));
+      readList(reply, "entries", decodeEntryReport).forEach((row) => told.set(row.key, row));
       readList(reply, "same", asNumber).forEach((bucket) => same.add(bucket));
       if (floor && reply["pending"] !== undefined)
         this.note(
-          this.replica.takePending({ ...readPending(reply["pending"]), promised: NO_BALLOT }),
+          this.replica.recordProposal({ ...decodeProposal(reply["pending"]), promised: NO_BALLOT }),
         );
       from = readNumber(reply, "next");
       if (from >= sums.length) return { counts: readFlag(reply, "counts"), told, same };
@@ -984,8 +963,8 @@
   };
 
   private readonly catchUpOnce = async (): Promise<Result<void, ReplicatedStoreError>> => {
-    const { log, archive, withstandMachines } = this.options;
-    const before = this.replica.entriesNow();
+    const { logger: log, writeAheadLog: archive, withstandMachines } = this.options;
+    const before = this.replica.copyOfEntries();
     const sums = this.replica.bucketSums();
     const floor = this.nextBallot();
     const rosterBefore = this.replica.voterSet.number;
@@ -1003,10 +982,9 @@
       },
     });
     if (read.isErr) return err(read.error);
-    if (this.replica.voterSet.number !== rosterBefore)
-      return err({ kind: "stale", what: "roster" });
+    if (this.replica.voterSet.number !== rosterBefore) return err(new StaleVoterSetError());
     // A copy that is on no roster was one of no quorum that still counts; what it accepted long ago must not come up again.
-    if (!this.isMember()) this.replica.forgetOffers();
+    if (!this.isMember()) this.replica.dropUncommitted();
     const keys = new Set([
       ...before.keys(),
       ...[...views.values()].flatMap(({ told }) => [...told.keys()]),
@@ -1032,14 +1010,14 @@
     this.note(this.replica.learn(held));
     this.note(this.replica.raiseFloor(floor));
     if (!(await this.persisted()) || (await archive.writeVerifiedSnapshot()).isErr)
-      return err({ kind: "unclear", sentence: "the disk refused what was caught up" });
+      return err(new UnclearOutcomeError("the disk refused what was caught up"));
     this.note(this.replica.setVoting());
     if (!(await this.persisted())) {
-      this.replica.doubt();
-      return err({ kind: "unclear", sentence: "the disk refused what was caught up" });
+      this.replica.setUnverified();
+      return err(new UnclearOutcomeError("the disk refused what was caught up"));
     }
     log.info(`Caught up with ${keys.size} items, by roster ${this.replica.voterSet.number}.`);
-    void this.events.emit("counting");
+    void this.events.emit("voting");
     return ok(undefined);
   };
 
@@ -1054,7 +1032,7 @@
     moveMore: () => Promise<boolean> = async () => true,
   ): Promise<Result<void, ReplicatedStoreError>> => {
     if (this.changing)
-      return err({ kind: "unclear", sentence: "another change of the roster is under way" });
+      return err(new UnclearOutcomeError("another change of the roster is under way"));
     this.changing = true;
     try {
       const settled = await this.finishRoster(moveMore);
@@ -1067,8 +1045,7 @@
         from: base.members,
         members: wanted,
       });
-      if (!joint || joint.members.join() !== wanted.join())
-        return err({ kind: "stale", what: "roster" });
+      if (!joint || joint.members.join() !== wanted.join()) return err(new StaleVoterSetError());
       return await this.finishRoster(moveMore);
     } finally {
       this.changing = false;
@@ -1085,14 +1062,14 @@
       const moved = await this.spread(voterSet);
       if (moved.isErr) return moved;
       if (!(await moveMore()))
-        return err({ kind: "unclear", sentence: "the new members don't hold everything yet" });
+        return err(new UnclearOutcomeError("the new members don't hold everything yet"));
       await this.decideRoster(voterSet, {
         number: voterSet.number + 1,
         members: voterSet.members,
         from: [],
       });
     }
-    return isJoint(this.replica.voterSet) ? err({ kind: "stale", what: "roster" }) : ok(undefined);
+    return isJoint(this.replica.voterSet) ? err(new StaleVoterSetError()) : ok(undefined);
   };
 
   /** Ok once a quorum of each set holds all that was agreed before the roster became joint. */
@@ -1102,7 +1079,7 @@
     const { self, withstandMachines } = this.options;
     const read = await this.readNow();
     if (read.isErr) return read;
-    const before = this.replica.entriesNow();
+    const before = this.replica.copyOfEntries();
     const keys = [...before.values()]
       .filter(({ ballot }) => ballot.number > 0)
       .map(({ key }) => key);
@@ -1130,7 +1107,7 @@
         if (!view) return false;
         if (id === self || view.same.has(bucketOf(key))) return true;
         const told = view.told.get(key);
-        return told !== undefined && !isHigher(own.ballot, told.ballot);
+        return told !== undefined && !isHigherBallot(own.ballot, told.ballot);
       };
       if (
         quorumSetsOf(voterSet).every(
@@ -1147,12 +1124,12 @@
     base: VoterSet,
     wanted: VoterSet,
   ): Promise<VoterSet | undefined> => {
-    const { withstandMachines, log } = this.options;
+    const { withstandMachines, logger: log } = this.options;
     const number = base.number + 1;
     for (let turn = 0; turn < 6 && this.replica.voterSet.number === base.number; turn += 1) {
       const ballot = this.nextBallot();
       const lives = new Map<string, string>();
-      let found: Pending | undefined;
+      let found: VoterSetProposal | undefined;
       const ask = (
         message: Message,
         isAsked: (id: string) => boolean,
@@ -1177,15 +1154,20 @@
         });
       };
       const promised = await ask(
-        { kind: "roster-promise", number, ballot: packBallot(ballot), roster: packVoterSet(base) },
+        {
+          kind: "roster-promise",
+          number,
+          ballot: encodeBallot(ballot),
+          roster: encodeVoterSet(base),
+        },
         () => true,
         (id, reply) => {
           lives.set(id, readString(reply, "life"));
-          const told = readPending(reply["pending"]);
+          const told = decodeProposal(reply["pending"]);
           if (
             told.number === number &&
             told.voterSet &&
-            (!found || isHigher(told.ballot, found.ballot))
+            (!found || isHigherBallot(told.ballot, found.ballot))
           )
             found = told;
         },
@@ -1196,10 +1178,10 @@
             {
               kind: "roster-accept",
               number,
-              ballot: packBallot(ballot),
-              roster: packVoterSet(base),
+              ballot: encodeBallot(ballot),
+              roster: encodeVoterSet(base),
               lives: Object.fromEntries(lives),
-              next: packVoterSet(next),
+              next: encodeVoterSet(next),
             },
             (id) => lives.has(id),
             () => undefined,
@@ -1221,21 +1203,22 @@
   private readonly hearRefusal = (reply: Message): void => {
     this.refusals += 1;
     this.hearRoster(reply);
-    if (typeof reply["top"] === "number") this.replica.see({ number: reply["top"], by: "" });
+    if (typeof reply["top"] === "number")
+      this.replica.observe({ number: reply["top"], proposer: "" });
   };
 
   private readonly hearRoster = (message: Message): void => {
-    if (isRecord(message["roster"])) this.takeRoster(readVoterSet(message["roster"]));
+    if (isRecord(message["roster"])) this.takeRoster(decodeVoterSet(message["roster"]));
   };
 
   private readonly takeRoster = (voterSet: VoterSet): void => {
     if (voterSet.number <= this.replica.voterSet.number) return;
     this.note(this.replica.adoptVoterSet(voterSet));
     if (!this.isMember() && this.isVoting) {
-      this.replica.doubt();
+      this.replica.setUnverified();
       this.whyNot = "it is not on the roster";
     }
-    void this.events.emit("roster", voterSet);
+    void this.events.emit("voterSet", voterSet);
   };
 
   // --- asking -------------------------------------------------------------------------------------------------------
@@ -1252,8 +1235,8 @@
     const { self, transport, clock } = this.options;
     // Its own disk may stall, and then counts no more than a silent colleague.
     return id === self
-      ? withTimeout(clock, waitUs, this.answer(message), undefined)
-      : transport.ask(id, message, waitUs);
+      ? withTimeout(clock, waitUs, this.handleRequest(message), undefined)
+      : transport.request(id, message, waitUs);
   };
 
   /** Asks every member of the sets; ok as soon as enough of each have answered, and the rest too or a grace is over. */
@@ -1262,9 +1245,7 @@
     needed,
     ask,
     graceUs = 0,
-  }: Gathering<T>): Promise<
-    Result<void, { readonly kind: "no-quorum"; readonly held: number; readonly needed: number }>
-  > => {
+  }: Gathering<T>): Promise<Result<void, NoQuorumError>> => {
     const held = new Set<string>();
     const asked = new Set<string>();
     const missing = () =>
@@ -1278,8 +1259,7 @@
       const look = () => {
         const members = missing();
         if (members) {
-          if (open === 0)
-            resolve(err({ kind: "no-quorum", held: held.size, needed: needed(members) }));
+          if (open === 0) resolve(err(new NoQuorumError(held.size, needed(members))));
         } else if (open === 0 || graceUs === 0) resolve(ok(undefined));
         else if (!isWaiting) {
           isWaiting = true;
@@ -1306,7 +1286,7 @@
   };
 
   /** Puts a question to every member for other parts of the control state; ok once a quorum of each set has given an accepted answer. */
-  readonly gather = (
+  readonly callQuorum = (
     message: Message,
     accepts: (reply: Message, id: string) => boolean,
     own: () => Promise<boolean>,
@@ -1318,7 +1298,7 @@
       needed: (members) => quorumSize(members, withstandMachines),
       ask: async (id) => {
         if (id === self) return (await own()) ? true : undefined;
-        const reply = await transport.ask(id, this.withVoterSet(message), waitUs);
+        const reply = await transport.request(id, this.withVoterSet(message), waitUs);
         if (reply?.kind === "refused") this.hearRoster(reply);
         return reply !== undefined && accepts(reply, id) ? true : undefined;
       },
@@ -1336,7 +1316,7 @@
     const { voterSet } = this.replica;
     const { under } = message;
     return typeof under === "number" && under < voterSet.number
-      ? { ...refused("roster"), roster: packVoterSet(voterSet) }
+      ? { ...refused("roster"), roster: encodeVoterSet(voterSet) }
       : undefined;
   };
 }
@@ -1346,28 +1326,3 @@
   why,
   ...(top === undefined ? {} : { top }),
 });
-
-const packTerm = ({ number, holder, incarnation }: Term): UnknownRecord => ({
-  number,
-  holder,
-  life: incarnation,
-});
-
-const readPackedTerm = (value: unknown): Term => {
-  const record = asRecord(value, "term");
-  return {
-    number: readNumber(record, "number"),
-    holder: readString(record, "holder"),
-    incarnation: readString(record, "life"),
-  };
-};
-
-const isAbove = (grant: Register | undefined, term: Term): boolean => {
-  const known = readTerm(grant);
-  if (!known) return false;
-  return (
-    known.number > term.number ||
-    (known.number === term.number &&
-      (known.holder !== term.holder || known.incarnation !== term.incarnation))
-  );
-};
--- a/src/consensus/voter-set.ts
+++ b/src/consensus/voter-set.ts
@@ -23,13 +23,13 @@
   ...new Set([...voterSet.from, ...voterSet.members]),
 ];
 
-export const packVoterSet = ({ number, members, from }: VoterSet): UnknownRecord => ({
+export const encodeVoterSet = ({ number, members, from }: VoterSet): UnknownRecord => ({
   number,
   members,
   from,
 });
 
-export const readVoterSet = (value: unknown): VoterSet => {
+export const decodeVoterSet = (value: unknown): VoterSet => {
   const record = asRecord(value, "roster");
   return {
     number: readNumber(record, "number"),
--- a/src/idempotency/key-replication.ts
+++ b/src/idempotency/key-replication.ts
@@ -86,7 +86,7 @@
   /** Brings what a quorum of the old members holds to a quorum of the new ones; true once that is done. */
   readonly spread = async (): Promise<boolean> => {
     const { store } = this.options;
-    const spread = await store.gather(
+    const spread = await store.callQuorum(
       { kind: "key-refresh" },
       (reply) => readFlag(reply, "kept"),
       this.refresh,
@@ -120,7 +120,7 @@
       if (readFlag(reply, "done")) isDone = true;
       return reply["verdict"] === "taken";
     };
-    const won = await store.gather(
+    const won = await store.callQuorum(
       { kind: "key-claim", key, token },
       (reply, id) => hear(id, reply),
       async () => hear(self, await this.answerClaim(key, token)),
@@ -188,7 +188,7 @@
   readonly purge = async (what: Omit<Purge, "id">): Promise<boolean> => {
     const { store } = this.options;
     const purge: Purge = { ...what, id: randomUUID() };
-    const held = await store.gather(
+    const held = await store.callQuorum(
       { kind: "key-purge", ...purge },
       (reply) => readFlag(reply, "kept"),
       () => this.takePurge(purge),
--- a/src/programs/controller/admin-api.ts
+++ b/src/programs/controller/admin-api.ts
@@ -6,7 +6,8 @@
   isConfigKey,
   type ConfigError,
 } from "../../config/validation.js";
-import type { ReplicatedStore, ReplicatedStoreError } from "../../consensus/replicated-store.js";
+import type { ReplicatedStoreError } from "../../consensus/errors.js";
+import type { ReplicatedStore } from "../../consensus/replicated-store.js";
 import type { Register } from "../../consensus/register.js";
 import {
   readHeartbeat,
@@ -28,23 +29,25 @@
 
 /** Only what can never be in force is refused; all else has no clear answer. */
 const ofLedger = (error: ReplicatedStoreError): AdminApiError => {
-  switch (error.kind) {
-    case "conflict":
+  switch (error.code) {
+    case "VERSION_CONFLICT":
       return {
         outcome: "versionTaken",
         sentence: `${error.key.replace("/", " ")} at version ${error.version} is already agreed with another content`,
       };
-    case "invalid":
-      return { outcome: "wrong", sentence: error.sentence };
-    case "no-quorum":
+    case "INVALID_WRITE":
+      return { outcome: "wrong", sentence: error.message };
+    case "NO_QUORUM":
       return {
         outcome: "noQuorum",
-        sentence: `only ${error.held} of ${error.needed} copies answered well`,
+        sentence: `only ${error.responded} of ${error.needed} copies answered well`,
       };
-    case "stale":
-      return { outcome: "noQuorum", sentence: `the ${error.what} is stale` };
-    case "unclear":
-      return { outcome: "noQuorum", sentence: error.sentence };
+    case "STALE_TERM":
+      return { outcome: "noQuorum", sentence: "the term is stale" };
+    case "STALE_VOTER_SET":
+      return { outcome: "noQuorum", sentence: "the roster is stale" };
+    case "UNCLEAR_OUTCOME":
+      return { outcome: "noQuorum", sentence: error.message };
   }
 };
 
@@ -172,7 +175,9 @@
     const plan = read
       .mapErr(ofLedger)
       .map(() =>
-        toConfigDocument(this.store.all().filter((register) => isConfigKey(register.key))),
+        toConfigDocument(
+          this.store.committedRegisters().filter((register) => isConfigKey(register.key)),
+        ),
       );
     return verdictOf(plan);
   };
--- a/src/programs/controller/controller.ts
+++ b/src/programs/controller/controller.ts
@@ -5,11 +5,9 @@
 import { Replica } from "../../consensus/replica.js";
 import { NodeFileSystem } from "../../storage/file-system.js";
 import { LeaderLease } from "../../consensus/leader-lease.js";
-import {
-  ReplicatedStore,
-  CONSENSUS_MESSAGE_KINDS,
-  WRITE_TIMEOUT_US,
-} from "../../consensus/replicated-store.js";
+import { CONSENSUS_MESSAGE_KINDS } from "../../consensus/messages.js";
+import { ReplicatedStore } from "../../consensus/replicated-store.js";
+import { WRITE_TIMEOUT_US } from "../../consensus/timeouts.js";
 import type { Register } from "../../consensus/register.js";
 import { allMembersOf, quorumSize } from "../../consensus/voter-set.js";
 import {
@@ -141,28 +139,28 @@
   const archive = new WriteAheadLog({ folder: settings.dataFolder, disk, snapshot: copy.snapshot });
   const store = new ReplicatedStore({
     self,
-    archive,
+    writeAheadLog: archive,
     replica: copy,
     // At the first start nobody else is known; later the seeds may all be gone.
     seeds: () => [...new Set([...settings.seedNodes, ...peers.known()])],
-    transport: peers,
+    transport: { request: peers.ask, broadcast: peers.send },
     clock,
     random: Math.random,
     withstandMachines: settings.withstandMachines,
-    log: loggerFor("ledger"),
+    logger: loggerFor("ledger"),
   });
   const lease: LeaderLease = new LeaderLease({
     self,
     store,
     clock,
-    log: loggerFor("duty"),
+    logger: loggerFor("duty"),
     isConnected: peers.isConnected,
-    ask: peers.ask,
+    request: peers.ask,
     hasDisk: archive.hasDisk,
     withstandMachines: settings.withstandMachines,
     // A link has been silent for a second before its box counts as unseen.
     holderTimeoutUs: 500 * MILLISECOND_US,
-    leaveUs: Math.max(SECOND_US, settings.graceUs - SECOND_US),
+    leaveTimeoutUs: Math.max(SECOND_US, settings.graceUs - SECOND_US),
     copyOtherState: async () => (await content?.spread()) ?? true,
   });
 
@@ -226,7 +224,7 @@
 
   /** Makes what the duty's holder decided, on the state as held here, durable under its term; false if that state or the term has been overtaken. */
   const publish = async (key: string, wanted: unknown): Promise<boolean> => {
-    const term = lease.heldTerm();
+    const term = lease.activeTerm();
     if (!term) return false;
     const before = store.get(key)?.digest;
     const body = JSON.stringify(wanted);
@@ -403,7 +401,7 @@
       .filter((id) => !store.members().includes(id))
       .forEach((id) => void peers.ask(id, message, WRITE_TIMEOUT_US));
     const [held, isHeard] = await Promise.all([
-      store.gather(
+      store.callQuorum(
         message,
         (reply) => reply.kind === "took",
         async () => true,
@@ -587,13 +585,13 @@
 
   /** What a colleague's connection brings; what it asks is answered on the same connection. */
   const answerColleague = async (message: Message): Promise<Message | undefined> => {
-    if (CONSENSUS_MESSAGE_KINDS.has(message.kind)) return store.answer(message);
+    if (CONSENSUS_MESSAGE_KINDS.has(message.kind)) return store.handleRequest(message);
     switch (message.kind) {
       case "unseen":
       case "join":
       case "leave":
       case "succeed":
-        return lease.answer(message);
+        return lease.handleRequest(message);
       case "shift":
         return {
           kind: "done",
@@ -671,7 +669,7 @@
     loggerFor("switchboard"),
   );
 
-  store.events.on("settled", (settled) => {
+  store.events.on("committed", (settled) => {
     const facts = settled.filter((register) => isConfigKey(register.key)).map(factOf);
     const ejections = settled.find((register) => register.key === EJECTIONS_REGISTER);
     updates.post(facts);
@@ -689,7 +687,7 @@
         splitRoutes.take(register.key.slice(ROUTE_PREFIX.length), register.version, register.body),
       );
   });
-  store.events.on("roster", (voterSet) => peers.learn(allMembersOf(voterSet)));
+  store.events.on("voterSet", (voterSet) => peers.learn(allMembersOf(voterSet)));
   store.events.on("behind", () => void sweep());
   sessions.events.on("own", () => {
     tellSessions();
