--- a/features/steps/answers.ts
+++ b/features/steps/answers.ts
@@ -694,9 +694,9 @@
         host: "a.example",
         url: `/safe/${tries}`,
         cacheForUs: 40_000_000,
-        mostAgeUs: 40_000_000,
+        maxAgeUs: 40_000_000,
         latencyTargetUs: 500_000,
-        untilUs: nowUs + 2_000_000,
+        deadlineUs: nowUs + 2_000_000,
       },
       range,
     )
--- a/features/steps/goods.ts
+++ b/features/steps/goods.ts
@@ -36,11 +36,11 @@
 
 const source = async (want: Want, old: CachedObject | undefined): Promise<Found> => {
   asked.push({ want, old });
-  if (refuses) return { kind: "none", why: "rate", comeBackUs: 1 };
+  if (refuses) return { kind: "none", reason: "rate", retryAfterUs: 1 };
   const beganUs = clock.nowUs();
   const copy = copyOf(
     want.url,
-    lateDepot && want.mostAgeUs > 5_000_000 ? beganUs - 5_000_000 : beganUs,
+    lateDepot && want.maxAgeUs > 5_000_000 ? beganUs - 5_000_000 : beganUs,
   );
   await sleep(clock, 100_000);
   return { kind: "found", copy };
@@ -63,9 +63,9 @@
     host: "h",
     url,
     cacheForUs: 40_000_000,
-    mostAgeUs: 40_000_000,
+    maxAgeUs: 40_000_000,
     latencyTargetUs: 500_000,
-    untilUs: clock.nowUs() + 2_000_000,
+    deadlineUs: clock.nowUs() + 2_000_000,
   };
   let found: Found | undefined;
   void store.get(want).then((told) => {
@@ -77,7 +77,7 @@
 };
 
 const versionOf = (found: Found): string =>
-  found.kind === "found" ? found.copy.body.toString() : found.why;
+  found.kind === "found" ? found.copy.body.toString() : found.reason;
 
 const learn = (kind: string, name: string): void => {
   purges += 1;
@@ -144,7 +144,7 @@
 );
 Then("the depot was asked for a copy no older than the purge", () => {
   const last = asked[asked.length - 1];
-  assert.ok(last && last.want.mostAgeUs <= 1_100_000, `${last?.want.mostAgeUs}`);
+  assert.ok(last && last.want.maxAgeUs <= 1_100_000, `${last?.want.maxAgeUs}`);
 });
 Then(
   "the range {string} of {int} bytes is {string}",
--- a/features/steps/traffic.ts
+++ b/features/steps/traffic.ts
@@ -115,17 +115,17 @@
   front = new ProxyServer({
     clock,
     log: silentLogger,
-    cell: "c1",
-    memoryBytes: 64 * 1024,
-    table,
+    zone: "c1",
+    bufferMemoryBytes: 64 * 1024,
+    routes: table,
     pool,
-    budgets,
+    retryBudgets: budgets,
     connectionShare: () => 10,
     countFault: () => undefined,
-    tally: () => undefined,
-    countRollout: (...counted) => rolloutCounts.push(counted[3]),
+    countOutcome: () => undefined,
+    countCanaryOutcome: (...counted) => rolloutCounts.push(counted[3]),
     random: Math.random,
-    desk: new IdempotencyClient(clock, askDesk, (message) => {
+    idempotency: new IdempotencyClient(clock, askDesk, (message) => {
       if (message.kind !== "key-free") return;
       freed.push(String(message["token"]));
       if (claims.get(String(message["key"]))?.token === message["token"])
@@ -136,7 +136,7 @@
       fetch: async (want, range) => {
         wants.push(`${want.url} ${range ?? ""}`.trim());
         return isRateSpent
-          ? { kind: "none", why: "rate", comeBackUs: 400_000 }
+          ? { kind: "none", reason: "rate", retryAfterUs: 400_000 }
           : {
               kind: "served",
               status: 200,
@@ -353,7 +353,7 @@
   },
 );
 When("the front begins to leave and a caller gets {string}", async (path: string) => {
-  front.beginLeaving();
+  front.startDraining();
   got.push(await during(send("GET", path), 1_000));
 });
 When("a caller sends a head that is too large", async () => {
--- a/fuzz/rig.ts
+++ b/fuzz/rig.ts
@@ -131,18 +131,18 @@
     this.front = new ProxyServer({
       clock,
       log: silentLogger,
-      cell: "c1",
-      memoryBytes: 4 * 1024 * 1024,
-      table,
+      zone: "c1",
+      bufferMemoryBytes: 4 * 1024 * 1024,
+      routes: table,
       pool: this.pool,
-      budgets,
+      retryBudgets: budgets,
       connectionShare: () => 10,
       countFault: () => undefined,
-      tally: () => undefined,
-      countRollout: () => undefined,
-      countCall: () => this.onCall(),
+      countOutcome: () => undefined,
+      countCanaryOutcome: () => undefined,
+      countAttempt: () => this.onCall(),
       random,
-      desk: new IdempotencyClient(clock, desk.ask, desk.tell),
+      idempotency: new IdempotencyClient(clock, desk.ask, desk.tell),
     });
     this.updates.events.on("changed", (facts) => {
       table.take(facts);
--- a/src/cache/object-client.ts
+++ b/src/cache/object-client.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "../common/clock.js";
 import { isRecord, readString, readNumber, type UnknownRecord } from "../common/decode.js";
-import { forwardedHeaders, SEAL } from "../proxy/headers.js";
-import type { ObjectRefusal, ObjectResult } from "../proxy/object-source.js";
+import { forwardedHeaders, SERVER_SEAL_HEADER } from "../proxy/headers.js";
+import type { ObjectUnavailable, ObjectResult } from "../proxy/object-source.js";
 import { MILLISECOND_US } from "../common/duration.js";
 import { CachedObjects, keyOf, type CachedObject } from "./cached-objects.js";
 import { copyIn, isPermitted, packWant, SMALL_BYTES } from "./object-server.js";
@@ -27,13 +27,17 @@
 const LARGE_BYTES = 32 * 1024;
 const SIZE_WEIGHT = 0.1;
 
-const SEALS: ReadonlySet<string> = new Set([SEAL]);
+const SEALS: ReadonlySet<string> = new Set([SERVER_SEAL_HEADER]);
 
 type Got = { readonly copy: CachedObject; readonly cut: Cut; readonly size: number };
 
 const MOST_ROUNDS = 3;
 const PERMIT_WAIT_US = 100 * MILLISECOND_US;
-const FULL: ObjectRefusal = { kind: "none", why: "full", comeBackUs: 100 * MILLISECOND_US };
+const FULL: ObjectUnavailable = {
+  kind: "none",
+  reason: "full",
+  retryAfterUs: 100 * MILLISECOND_US,
+};
 
 const readCut = (value: unknown): { readonly cut: Cut; readonly size: number } | undefined => {
   if (!isRecord(value)) return undefined;
@@ -112,17 +116,17 @@
   };
 
   /** A part comes straight from a depot; whatever a purge covers meanwhile is asked for anew. */
-  private readonly part = async (want: Want, range: string): Promise<Got | ObjectRefusal> => {
+  private readonly part = async (want: Want, range: string): Promise<Got | ObjectUnavailable> => {
     const { clock } = this.options;
-    let { mostAgeUs } = want;
+    let { maxAgeUs } = want;
     for (let round = 0; round < MOST_ROUNDS; round += 1) {
       const purgedUs = this.copies.purgedUs(want.host, want.url);
-      if (purgedUs !== undefined) mostAgeUs = Math.min(mostAgeUs, clock.nowUs() - purgedUs);
-      const got = await this.ask({ ...want, mostAgeUs }, range);
+      if (purgedUs !== undefined) maxAgeUs = Math.min(maxAgeUs, clock.nowUs() - purgedUs);
+      const got = await this.ask({ ...want, maxAgeUs }, range);
       if (!("copy" in got)) return got;
       const coveredUs = this.copies.coveredUs(got.copy);
       if (coveredUs === undefined) return got;
-      mostAgeUs = Math.min(mostAgeUs, clock.nowUs() - coveredUs);
+      maxAgeUs = Math.min(maxAgeUs, clock.nowUs() - coveredUs);
     }
     return FULL;
   };
@@ -131,22 +135,24 @@
     want: Want,
     range: string | undefined,
     old?: CachedObject,
-  ): Promise<Got | ObjectRefusal> => {
+  ): Promise<Got | ObjectUnavailable> => {
     const { clock, depots, halls } = this.options;
     const askedUs = clock.nowUs();
     const message = packWant(want, askedUs, range, old);
     const viaHall = halls.isAnyConnected && this.isLarge(want);
     const early = viaHall
-      ? await halls.ask(keyOf(want), message, (want.untilUs - askedUs) / 2)
+      ? await halls.ask(keyOf(want), message, (want.deadlineUs - askedUs) / 2)
       : undefined;
-    const reply = early ?? (await depots.ask(keyOf(want), message, want.untilUs - clock.nowUs()));
+    const reply =
+      early ?? (await depots.ask(keyOf(want), message, want.deadlineUs - clock.nowUs()));
     if (!reply) return FULL;
     const copy = copyIn(reply, want, old, askedUs);
     if (copy === undefined) {
       return {
         kind: "none",
-        why: reply["none"] === "rate" ? "rate" : "full",
-        comeBackUs: typeof reply["comeBackUs"] === "number" ? reply["comeBackUs"] : FULL.comeBackUs,
+        reason: reply["none"] === "rate" ? "rate" : "full",
+        retryAfterUs:
+          typeof reply["comeBackUs"] === "number" ? reply["comeBackUs"] : FULL.retryAfterUs,
       };
     }
     const told = readCut(reply["cut"]);
--- a/src/cache/object-server.ts
+++ b/src/cache/object-server.ts
@@ -16,9 +16,9 @@
   host: readString(message, "host"),
   url: readString(message, "url"),
   cacheForUs: readNumber(message, "cacheForUs"),
-  mostAgeUs: readNumber(message, "mostAgeUs"),
+  maxAgeUs: readNumber(message, "mostAgeUs"),
   latencyTargetUs: readNumber(message, "aimUs"),
-  untilUs: nowUs + readNumber(message, "leftUs"),
+  deadlineUs: nowUs + readNumber(message, "leftUs"),
 });
 
 /** `old` is a copy whose body need not be sent again; `isHop` asks a depot that must not ask on. */
@@ -34,9 +34,9 @@
   host: want.host,
   url: want.url,
   cacheForUs: want.cacheForUs,
-  mostAgeUs: want.mostAgeUs,
+  mostAgeUs: want.maxAgeUs,
   aimUs: want.latencyTargetUs,
-  leftUs: Math.max(0, want.untilUs - nowUs),
+  leftUs: Math.max(0, want.deadlineUs - nowUs),
   ...(range === undefined ? {} : { range }),
   ...(old === undefined || old.etag === "" ? {} : { etag: old.etag }),
   ...(isHop ? { isHop } : {}),
@@ -78,7 +78,7 @@
     const from = readFlag(message, "isHop") ? (this.options.ownStore ?? store) : store;
     const kept = from.peek(want);
     const found = kept ? await from.get(want) : await this.fetch(from, want, sayWait);
-    if (found.kind === "none") return { none: found.why, comeBackUs: found.comeBackUs };
+    if (found.kind === "none") return { none: found.reason, comeBackUs: found.retryAfterUs };
     const { copy } = found;
     if (copy.etag !== "" && copy.etag === message["etag"])
       return { sameAgeUs: clock.nowUs() - copy.bornUs };
--- a/src/cache/object-store.ts
+++ b/src/cache/object-store.ts
@@ -1,13 +1,13 @@
 import { withTimeout, type Clock } from "../common/clock.js";
-import type { ObjectRefusal, ObjectWant } from "../proxy/object-source.js";
+import type { ObjectUnavailable, ObjectRequest } from "../proxy/object-source.js";
 import { keyOf, type CachedObjects, type CachedObject } from "./cached-objects.js";
 
-export type { ObjectWant as Want };
+export type { ObjectRequest as Want };
 
-export type Found = { readonly kind: "found"; readonly copy: CachedObject } | ObjectRefusal;
+export type Found = { readonly kind: "found"; readonly copy: CachedObject } | ObjectUnavailable;
 
 /** Where an object comes from on a miss; `old` is a copy that may still be the newest. */
-export type Source = (want: ObjectWant, old: CachedObject | undefined) => Promise<Found>;
+export type Source = (want: ObjectRequest, old: CachedObject | undefined) => Promise<Found>;
 
 export interface ObjectStoreOptions {
   readonly clock: Clock;
@@ -27,7 +27,7 @@
 }
 
 interface Running {
-  readonly want: ObjectWant;
+  readonly want: ObjectRequest;
   readonly beganUs: number;
   readonly found: Promise<Found>;
 }
@@ -45,13 +45,13 @@
   constructor(private readonly options: ObjectStoreOptions) {}
 
   /** A copy that may be given at once. */
-  readonly peek = (want: ObjectWant): CachedObject | undefined => {
+  readonly peek = (want: ObjectRequest): CachedObject | undefined => {
     const { clock, copies, isFresh } = this.options;
     const copy = copies.get(keyOf(want));
-    return copy && clock.nowUs() - copy.bornUs <= want.mostAgeUs && isFresh() ? copy : undefined;
+    return copy && clock.nowUs() - copy.bornUs <= want.maxAgeUs && isFresh() ? copy : undefined;
   };
 
-  readonly get = async (want: ObjectWant): Promise<Found> => {
+  readonly get = async (want: ObjectRequest): Promise<Found> => {
     const { clock } = this.options;
     const copy = this.peek(want);
     if (copy) {
@@ -62,13 +62,13 @@
     const running = this.running.get(key);
     const joins =
       running !== undefined &&
-      clock.nowUs() - running.beganUs <= want.mostAgeUs &&
-      running.want.mostAgeUs <= want.mostAgeUs;
+      clock.nowUs() - running.beganUs <= want.maxAgeUs &&
+      running.want.maxAgeUs <= want.maxAgeUs;
     if (joins) this.counts.joined += 1;
     else this.counts.misses += 1;
     const found = await withTimeout(
       clock,
-      want.untilUs - clock.nowUs(),
+      want.deadlineUs - clock.nowUs(),
       joins ? running.found : this.begin(key, want),
       late,
     );
@@ -80,7 +80,7 @@
   /** On learning of a purge: what runs already serves who waits for it, and nobody who comes later. */
   readonly detach = (): void => this.running.clear();
 
-  private readonly begin = (key: string, want: ObjectWant): Promise<Found> => {
+  private readonly begin = (key: string, want: ObjectRequest): Promise<Found> => {
     const running: Running = { want, beganUs: this.options.clock.nowUs(), found: this.fetch(want) };
     this.running.set(key, running);
     const over = () => {
@@ -90,30 +90,30 @@
     return running.found;
   };
 
-  private readonly fetch = async (want: ObjectWant): Promise<Found> => {
+  private readonly fetch = async (want: ObjectRequest): Promise<Found> => {
     const { copies, source, clock } = this.options;
-    let mostAgeUs = want.mostAgeUs;
+    let maxAgeUs = want.maxAgeUs;
     for (let round = 0; round < MOST_ROUNDS; round += 1) {
       const purgedUs = copies.purgedUs(want.host, want.url);
-      if (purgedUs !== undefined) mostAgeUs = Math.min(mostAgeUs, clock.nowUs() - purgedUs);
-      const found = await source({ ...want, mostAgeUs }, copies.get(keyOf(want)));
+      if (purgedUs !== undefined) maxAgeUs = Math.min(maxAgeUs, clock.nowUs() - purgedUs);
+      const found = await source({ ...want, maxAgeUs }, copies.get(keyOf(want)));
       if (found.kind === "none" || copies.put(found.copy)) return found;
-      mostAgeUs = Math.min(mostAgeUs, clock.nowUs() - (copies.coveredUs(found.copy) ?? 0));
+      maxAgeUs = Math.min(maxAgeUs, clock.nowUs() - (copies.coveredUs(found.copy) ?? 0));
     }
     return late;
   };
 
   /** A copy a little beyond its age, where the bound on staleness still has room for it. */
-  private readonly lastResort = (want: ObjectWant): Found | undefined => {
+  private readonly lastResort = (want: ObjectRequest): Found | undefined => {
     const { clock, copies, isFresh, slackUs } = this.options;
     const copy = copies.get(keyOf(want));
     const usable =
       copy &&
       isFresh() &&
-      want.mostAgeUs === want.cacheForUs &&
+      want.maxAgeUs === want.cacheForUs &&
       clock.nowUs() - copy.bornUs <= want.cacheForUs + slackUs;
     return usable ? { kind: "found", copy } : undefined;
   };
 }
 
-const late: Found = { kind: "none", why: "late", comeBackUs: 100_000 };
+const late: Found = { kind: "none", reason: "late", retryAfterUs: 100_000 };
--- a/src/cache/origin-fetch.ts
+++ b/src/cache/origin-fetch.ts
@@ -8,7 +8,12 @@
 } from "../proxy/upstream-request.js";
 import type { RetryBudgets } from "../proxy/retry-budget.js";
 import type { LoadBalancer } from "../proxy/load-balancer.js";
-import { headerValue, LABELS, forwardedHeaders, TRY_ID } from "../proxy/headers.js";
+import {
+  headerValue,
+  LABELS_HEADER,
+  forwardedHeaders,
+  ATTEMPT_ID_HEADER,
+} from "../proxy/headers.js";
 import type { Worker, ConnectionPool } from "../proxy/connection-pool.js";
 import type { CachedObject } from "./cached-objects.js";
 import type { RateLimiter } from "../quota/rate-limiter.js";
@@ -32,7 +37,7 @@
 const TURN_PART = 0.4;
 const ROOM_PART = 0.25;
 const NOT_KEPT: ReadonlySet<string> = new Set([
-  TRY_ID,
+  ATTEMPT_ID_HEADER,
   "content-length",
   "date",
   "yewreel-worker-load",
@@ -54,7 +59,7 @@
     const tried = new Set<string>();
     let bad: CachedObject | undefined;
     for (let round = 0; round < TRIES; round += 1) {
-      if (clock.nowUs() >= want.untilUs || (round > 0 && !budget.spend())) break;
+      if (clock.nowUs() >= want.deadlineUs || (round > 0 && !budget.spend())) break;
       const turn = await this.turn(want);
       if (turn !== undefined) return bad ? { kind: "found", copy: bad } : turn;
       if (round === 0) budget.count();
@@ -64,16 +69,16 @@
       const beganUs = clock.nowUs();
       const result = await this.call(want, old, worker);
       if (result.kind !== "answered") continue;
-      const { answer } = result;
+      const { response: answer } = result;
       if (answer.status === 304 && old) return { kind: "found", copy: { ...old, bornUs: beganUs } };
       const body = await withTimeout(
         clock,
-        want.untilUs - clock.nowUs(),
+        want.deadlineUs - clock.nowUs(),
         this.whole(answer),
         "broken" as const,
       );
       if (!Buffer.isBuffer(body)) {
-        answer.rest?.stop();
+        answer.remainder?.abort();
         if (body === "broken") this.fault(worker);
         continue;
       }
@@ -83,17 +88,17 @@
     }
     return bad
       ? { kind: "found", copy: bad }
-      : { kind: "none", why: "full", comeBackUs: want.latencyTargetUs / 4 };
+      : { kind: "none", reason: "full", retryAfterUs: want.latencyTargetUs / 4 };
   };
 
   /** Waits for one request's worth of the rate; at once says none where it would come too late. */
   private readonly turn = async (want: Want): Promise<Found | undefined> => {
     const { clock, rate } = this.options;
-    const untilUs = Math.min(clock.nowUs() + want.latencyTargetUs * TURN_PART, want.untilUs);
+    const untilUs = Math.min(clock.nowUs() + want.latencyTargetUs * TURN_PART, want.deadlineUs);
     const before = this.lines.get(want.service) ?? 0;
     const first = before === 0 ? rate.spend(want.service) : rate.delay(want.service);
     if (first.ok) return undefined;
-    const none: Found = { kind: "none", why: "rate", comeBackUs: first.waitUs * (before + 1) };
+    const none: Found = { kind: "none", reason: "rate", retryAfterUs: first.waitUs * (before + 1) };
     if (clock.nowUs() + first.waitUs * (before + 1) > untilUs) {
       this.noRate += 1;
       return none;
@@ -116,7 +121,7 @@
     tried: ReadonlySet<string>,
   ): Promise<Worker | undefined> => {
     const { clock, chooser } = this.options;
-    const untilUs = Math.min(clock.nowUs() + want.latencyTargetUs * ROOM_PART, want.untilUs);
+    const untilUs = Math.min(clock.nowUs() + want.latencyTargetUs * ROOM_PART, want.deadlineUs);
     for (;;) {
       const worker = chooser.choose(want.service, tried, want.latencyTargetUs);
       if (worker || clock.nowUs() >= untilUs) return worker;
@@ -130,13 +135,13 @@
     worker: Worker,
   ): Promise<UpstreamResult> => {
     const { clock, countFault, pool } = this.options;
-    const tryId = randomBytes(8).toString("hex");
-    const leftMs = Math.max(1, Math.floor((want.untilUs - clock.nowUs()) / MILLISECOND_US));
+    const attemptId = randomBytes(8).toString("hex");
+    const leftMs = Math.max(1, Math.floor((want.deadlineUs - clock.nowUs()) / MILLISECOND_US));
     const headers = [
       "Host",
       want.host,
       "Yewreel-Try-Id",
-      tryId,
+      attemptId,
       "Yewreel-Time-Left-Ms",
       String(leftMs),
       "Yewreel-Expect-Worker",
@@ -151,27 +156,28 @@
       {
         method: "GET",
         path: want.url,
-        heads: headers,
+        headers,
         body: null,
-        tryId,
-        alone: true,
-        hold: () => true,
-        mayBegin: () => clock.nowUs() < want.untilUs,
+        attemptId,
+        usesOwnConnection: true,
+        reserveMemory: () => true,
+        maySend: () => clock.nowUs() < want.deadlineUs,
       },
       clock.nowUs,
     );
     let result: UpstreamResult | undefined;
     while (result === undefined) {
-      result = await withTimeout(clock, SILENCE_CHECK_US, call.verdict, undefined);
-      if (result === undefined && (worker.isSilent() || clock.nowUs() > want.untilUs)) {
+      result = await withTimeout(clock, SILENCE_CHECK_US, call.result, undefined);
+      if (result === undefined && (worker.isSilent() || clock.nowUs() > want.deadlineUs)) {
         call.cancel();
-        result = { kind: "lost", why: "silence" };
+        result = { kind: "lost", reason: "silence" };
       }
     }
-    if (result.kind === "turned-away" && result.why === "other-worker") pool.misdirected(worker);
+    if (result.kind === "rejected" && result.reason === "wrong-worker") pool.misdirected(worker);
     const isOut =
       result.kind === "lost" ||
-      (result.kind === "unsent" && (result.why === "unreachable" || result.why === "refused"));
+      (result.kind === "not-sent" &&
+        (result.reason === "unreachable" || result.reason === "connection-refused"));
     if (isOut) this.fault(worker);
     else countFault(worker.id, false);
     return result;
@@ -184,12 +190,12 @@
 
   /** All of the body, unless it broke off or is too large. */
   private readonly whole = (answer: UpstreamResponse): Promise<Buffer | "broken" | "too large"> => {
-    const { rest: more, start } = answer;
+    const { remainder: more, body: start } = answer;
     if (!more) return Promise.resolve(start);
     const chunks = [start];
     let size = start.length;
     return new Promise((resolve) => {
-      more.flow(
+      more.read(
         (chunk) => {
           size += chunk.length;
           if (size <= this.options.mostBytes) chunks.push(chunk);
@@ -217,9 +223,11 @@
     host: want.host,
     url: want.url,
     status: answer.status,
-    heads: forwardedHeaders(answer.heads, NOT_KEPT),
-    etag: answer.status === 200 ? (headerValue(answer.heads, "etag") ?? "") : "",
-    labels: (headerValue(answer.heads, LABELS) ?? "").split(" ").filter((label) => label !== ""),
+    heads: forwardedHeaders(answer.headers, NOT_KEPT),
+    etag: answer.status === 200 ? (headerValue(answer.headers, "etag") ?? "") : "",
+    labels: (headerValue(answer.headers, LABELS_HEADER) ?? "")
+      .split(" ")
+      .filter((label) => label !== ""),
     body,
     bornUs: beganUs,
   });
--- a/src/programs/cache/cache.ts
+++ b/src/programs/cache/cache.ts
@@ -103,7 +103,7 @@
       : await others.askOne(
           owner,
           packWant(want, askedUs, undefined, old, true),
-          Math.min(OWNER_WAIT_US, want.untilUs - askedUs),
+          Math.min(OWNER_WAIT_US, want.deadlineUs - askedUs),
         );
     if (!reply) return ownStore.get(want);
     const copy = copyIn(reply, want, old, askedUs);
@@ -111,8 +111,8 @@
       ? { kind: "found", copy }
       : {
           kind: "none",
-          why: reply["none"] === "rate" ? "rate" : "full",
-          comeBackUs: want.latencyTargetUs / 4,
+          reason: reply["none"] === "rate" ? "rate" : "full",
+          retryAfterUs: want.latencyTargetUs / 4,
         };
   };
   const store = new ObjectStore({
--- a/src/programs/gateway/gateway.ts
+++ b/src/programs/gateway/gateway.ts
@@ -87,32 +87,32 @@
   const front = new ProxyServer({
     clock,
     log: loggerFor("front"),
-    cell: settings.zone,
-    memoryBytes: ((settings.memoryMb || DEFAULT_MEMORY_MB) * MB) / ROOM_PART,
-    table,
+    zone: settings.zone,
+    bufferMemoryBytes: ((settings.memoryMb || DEFAULT_MEMORY_MB) * MB) / ROOM_PART,
+    routes: table,
     pool,
-    budgets: retryBudgets,
+    retryBudgets,
     connectionShare,
     countFault: counts.count,
-    tally: (route, kind, outcome) => {
+    countOutcome: (route, kind, outcome) => {
       const key = `${route}|${kind}|${settings.zone}|${outcome}`;
       tallies.set(key, (tallies.get(key) ?? 0) + 1);
     },
-    countRollout: (route, service, stratum, outcome) =>
+    countCanaryOutcome: (route, service, stratum, outcome) =>
       rollouts.count(route.name, route.version, service, `${settings.zone}|${stratum}`, outcome),
-    countCall: calls.count,
+    countAttempt: calls.count,
     random: Math.random,
-    usage,
-    acts: settings.forecastActs,
-    ...(goods ? { objects: goods.objects, desk: goods.desk } : {}),
+    loadCounters: usage,
+    actsOnForecast: settings.forecastActs,
+    ...(goods ? { objects: goods.objects, idempotency: goods.desk } : {}),
   });
 
   updates.events.on("changed", (facts) => {
     table.take(facts);
     pool.take(facts);
     rollouts.keepOnly(table.isInForce);
-    front.takeLimits();
-    front.setEmptied(pool.isEmptied(settings.zone));
+    front.applyLimits();
+    front.setZoneDrained(pool.isEmptied(settings.zone));
     front.wake();
   });
   updates.events.on("forgotten", (keys) => {
@@ -193,12 +193,12 @@
       const endUs = clock.nowUs() + settings.graceUs - END_MARGIN_US;
       log.info("Leaving.");
       leaving = true;
-      front.beginLeaving();
+      front.startDraining();
       await sleep(clock, Math.min(NOTICE_US, (settings.graceUs - END_MARGIN_US) / 2));
       front.stopListening();
       while (front.openRequests > 0 && clock.nowUs() < endUs) {
         await sleep(clock, 50 * MILLISECOND_US);
-        front.closeIdle();
+        front.closeIdleConnections();
       }
       report.stop();
       rolloutReport.stop();
--- a/src/programs/gateway/object-cache.ts
+++ b/src/programs/gateway/object-cache.ts
@@ -122,15 +122,15 @@
       const reply = await depots.ask(
         keyOf(want),
         packWant(want, askedUs, undefined, old),
-        want.untilUs - askedUs,
+        want.deadlineUs - askedUs,
       );
       const copy = reply && copyIn(reply, want, old, askedUs);
       return copy
         ? { kind: "found", copy }
         : {
             kind: "none",
-            why: reply?.["none"] === "rate" ? "rate" : "full",
-            comeBackUs: want.latencyTargetUs / 4,
+            reason: reply?.["none"] === "rate" ? "rate" : "full",
+            retryAfterUs: want.latencyTargetUs / 4,
           };
     },
   });
--- a/src/proxy/admission-queue.ts
+++ b/src/proxy/admission-queue.ts
@@ -41,7 +41,7 @@
       const timer: Timer = this.clock.after(waitUs, () => entry.take(undefined));
       const at = this.waiting.findIndex((other) => other.rank > rank);
       this.waiting.splice(at < 0 ? this.waiting.length : at, 0, entry);
-      context.onOver.push(() => entry.take(undefined));
+      context.onFinished.push(() => entry.take(undefined));
       if (this.waiting.length > MOST_WAITING)
         this.waiting[this.waiting.length - 1]?.take(undefined);
     });
--- a/src/proxy/delivery-state.ts
+++ b/src/proxy/delivery-state.ts
@@ -26,39 +26,39 @@
  * can't be repeated it never exceeds 1.
  */
 export interface DeliveryState {
-  state: DeliveryPhase;
-  unheard: number;
+  phase: DeliveryPhase;
+  unconfirmed: number;
   isClosed: boolean;
 }
 
 export const newDeliveryState = (): DeliveryState => ({
-  state: "unsent",
-  unheard: 0,
+  phase: "unsent",
+  unconfirmed: 0,
   isClosed: false,
 });
 
 /** Whether it is certain that no worker has run it, and that none will unless it is sent again. */
-export const isUnrun = ({ state }: DeliveryState): boolean =>
+export const hasNotRun = ({ phase: state }: DeliveryState): boolean =>
   state === "unsent" || state === "not-run";
 
 /** Asked right before the first byte leaves for a worker; false forbids the sending. */
-export const begin = (deliveryState: DeliveryState, isRepeatable: boolean): boolean => {
-  if (deliveryState.isClosed || !(isRepeatable || isUnrun(deliveryState))) return false;
-  deliveryState.unheard += 1;
-  if (deliveryState.state !== "has-run") deliveryState.state = "may-have-run";
+export const beginAttempt = (deliveryState: DeliveryState, isRepeatable: boolean): boolean => {
+  if (deliveryState.isClosed || !(isRepeatable || hasNotRun(deliveryState))) return false;
+  deliveryState.unconfirmed += 1;
+  if (deliveryState.phase !== "has-run") deliveryState.phase = "may-have-run";
   return true;
 };
 
 /** A worker that bytes had left for says, in an answer to this try, that it has not run it and won't. */
 export const markRejected = (deliveryState: DeliveryState): void => {
-  deliveryState.unheard -= 1;
-  if (deliveryState.state === "may-have-run" && deliveryState.unheard === 0)
-    deliveryState.state = "not-run";
+  deliveryState.unconfirmed -= 1;
+  if (deliveryState.phase === "may-have-run" && deliveryState.unconfirmed === 0)
+    deliveryState.phase = "not-run";
 };
 
 /** A worker has answered it. */
 export const markRun = (deliveryState: DeliveryState): void => {
-  deliveryState.state = "has-run";
+  deliveryState.phase = "has-run";
 };
 
 export const close = (deliveryState: DeliveryState): void => {
@@ -67,11 +67,11 @@
 
 /** The outcome for the caller where no worker's answer can be given: never a promise that may be untrue. */
 export const clientOutcome = (deliveryState: DeliveryState, wanted: OutcomeName): OutcomeName => {
-  if (isUnrun(deliveryState))
+  if (hasNotRun(deliveryState))
     return wanted === "tooLate" || wanted === "lostAnswer" ? "full" : wanted;
   return PROMISES.has(HTTP_OUTCOMES[wanted].status) ? "lostAnswer" : wanted;
 };
 
 /** Whether a worker's answer may be given on: one without its own word that it turned the request away is no promise. */
-export const mayForward = (status: number, isRepeatable: boolean): boolean =>
+export const mayForwardStatus = (status: number, isRepeatable: boolean): boolean =>
   isRepeatable || !PROMISES.has(status);
--- a/src/proxy/headers.ts
+++ b/src/proxy/headers.ts
@@ -1,14 +1,14 @@
 /** Heads of requests and answers, as flat lists of names and values, in the order and case they came in. */
 export type FlatHeaders = readonly string[];
 
-export const TRY_ID = "yewreel-try-id";
-export const TIME_LEFT = "yewreel-time-left-ms";
-export const EXPECT_WORKER = "yewreel-expect-worker";
-export const SEAL = "yewreel-server-seal";
-export const USAGE = "yewreel-worker-load";
-export const LABELS = "yewreel-labels";
-export const OPERATION_KEY = "yewreel-operation-key";
-export const NOT_RUN = "yewreel-not-run";
+export const ATTEMPT_ID_HEADER = "yewreel-try-id";
+export const TIME_LEFT_HEADER = "yewreel-time-left-ms";
+export const EXPECTED_WORKER_HEADER = "yewreel-expect-worker";
+export const SERVER_SEAL_HEADER = "yewreel-server-seal";
+export const WORKER_LOAD_HEADER = "yewreel-worker-load";
+export const LABELS_HEADER = "yewreel-labels";
+export const IDEMPOTENCY_KEY_HEADER = "yewreel-operation-key";
+export const NOT_RUN_HEADER = "yewreel-not-run";
 
 const OF_ONE_CONNECTION = new Set([
   "connection",
@@ -47,7 +47,7 @@
 };
 
 /** Whether there is more than one value under a name. */
-export const isDoubled = (headers: FlatHeaders, name: string): boolean => {
+export const isRepeated = (headers: FlatHeaders, name: string): boolean => {
   let found = 0;
   for (let at = 0; at + 1 < headers.length; at += 2) if (isNamed(headers[at], name)) found += 1;
   return found > 1;
--- a/src/proxy/object-source.ts
+++ b/src/proxy/object-source.ts
@@ -1,22 +1,22 @@
 /** An object that is asked for, and how old a copy of it may be. */
-export interface ObjectWant {
+export interface ObjectRequest {
   readonly service: string;
   readonly host: string;
   /** The path with its query. */
   readonly url: string;
   readonly cacheForUs: number;
   /** Invariant: at most `cacheForUs`. */
-  readonly mostAgeUs: number;
+  readonly maxAgeUs: number;
   readonly latencyTargetUs: number;
   /** Until when an answer is of use, on this process's clock. */
-  readonly untilUs: number;
+  readonly deadlineUs: number;
 }
 
 /** Nobody ran it, and it may be asked for again after a while. */
-export interface ObjectRefusal {
+export interface ObjectUnavailable {
   readonly kind: "none";
-  readonly why: "rate" | "full" | "late";
-  readonly comeBackUs: number;
+  readonly reason: "rate" | "full" | "late";
+  readonly retryAfterUs: number;
 }
 
 export type ObjectResult =
@@ -26,11 +26,11 @@
       readonly heads: readonly string[];
       readonly body: Buffer;
     }
-  | ObjectRefusal;
+  | ObjectUnavailable;
 
 /** Where the front gets objects of cached routes from. */
 export interface ObjectSource {
-  readonly fetch: (want: ObjectWant, range: string | undefined) => Promise<ObjectResult>;
+  readonly fetch: (want: ObjectRequest, range: string | undefined) => Promise<ObjectResult>;
   /** Whether one more request may go to a service with a bound on its rate. */
   readonly permit: (service: string) => Promise<boolean>;
 }
--- a/src/proxy/proxy-server.ts
+++ b/src/proxy/proxy-server.ts
@@ -18,7 +18,13 @@
 import { LoadBalancer } from "./load-balancer.js";
 import * as fates from "./delivery-state.js";
 import { AdmissionQueue } from "./admission-queue.js";
-import { EXPECT_WORKER, OPERATION_KEY, forwardedHeaders, TIME_LEFT, TRY_ID } from "./headers.js";
+import {
+  EXPECTED_WORKER_HEADER,
+  IDEMPOTENCY_KEY_HEADER,
+  forwardedHeaders,
+  TIME_LEFT_HEADER,
+  ATTEMPT_ID_HEADER,
+} from "./headers.js";
 import type { KeyedResponse, IdempotencyClient } from "../idempotency/key-client.js";
 import type { ObjectSource } from "./object-source.js";
 import type { Route, RouteTable } from "./route-table.js";
@@ -31,37 +37,37 @@
 export interface ProxyServerOptions {
   readonly clock: Clock;
   readonly log: Logger;
-  readonly cell: string;
+  readonly zone: string;
   /** How much memory bodies held whole may take, all in all. */
-  readonly memoryBytes: number;
-  readonly table: RouteTable;
+  readonly bufferMemoryBytes: number;
+  readonly routes: RouteTable;
   readonly pool: ConnectionPool;
-  readonly budgets: RetryBudgets;
+  readonly retryBudgets: RetryBudgets;
   readonly connectionShare: (service: string) => number;
   readonly countFault: (worker: string, isFault: boolean) => void;
-  readonly tally: (route: string, kind: string, outcome: string) => void;
+  readonly countOutcome: (route: string, kind: string, outcome: string) => void;
   /** Counts an outcome of a route that sends to more than one service. */
-  readonly countRollout: (
+  readonly countCanaryOutcome: (
     route: Route,
     service: string,
     stratum: string,
     outcome: CanaryOutcome,
   ) => void;
   /** Counts what is sent to each worker, for the forecast of what would move. */
-  readonly countCall?: (service: string, kind: string, route: string, worker: string) => void;
+  readonly countAttempt?: (service: string, kind: string, route: string, worker: string) => void;
   readonly random: () => number;
   /** Counts what arrives and is answered, for the forecast. */
-  readonly usage?: {
+  readonly loadCounters?: {
     readonly arrived: (service: string) => void;
     readonly refused: (service: string) => void;
     readonly answered: (service: string, zone: string, tookUs: number) => void;
   };
   /** Whether what the forecast says is acted on. */
-  readonly acts?: boolean;
+  readonly actsOnForecast?: boolean;
   /** Where objects of cached routes come from; without it they are carried like any safe request. */
   readonly objects?: ObjectSource;
   /** Where operation keys are claimed; without it keyed requests are refused. */
-  readonly desk?: IdempotencyClient;
+  readonly idempotency?: IdempotencyClient;
 }
 
 /** Bodies up to this size are held, so that they can be sent on again; larger ones are passed on as they come. */
@@ -86,8 +92,8 @@
 const RATE_REST_US = 1 * SECOND_US;
 const SPLIT_REST_US = 30 * MILLISECOND_US;
 const NOT_PASSED_ON: ReadonlySet<string> = new Set([
-  TIME_LEFT,
-  EXPECT_WORKER,
+  TIME_LEFT_HEADER,
+  EXPECTED_WORKER_HEADER,
   "content-length",
   "expect",
 ]);
@@ -111,8 +117,8 @@
   private resumedUs = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly options: ProxyServerOptions) {
-    const { pool, cell: zone, random, connectionShare, clock, acts } = options;
-    this.memory = new MemoryBudget(options.memoryBytes);
+    const { pool, zone, random, connectionShare, clock, actsOnForecast: acts } = options;
+    this.memory = new MemoryBudget(options.bufferMemoryBytes);
     this.chooser = new LoadBalancer({
       pool,
       cell: zone,
@@ -123,7 +129,7 @@
     this.gate = new AdmissionQueue(clock, (context) =>
       this.chooser.choose(
         context.service,
-        context.tried,
+        context.triedWorkers,
         context.route?.latencyTargetUs ?? 0,
         context.route?.isSafe ?? true,
       ),
@@ -153,7 +159,7 @@
 
   readonly listen = (address: string): Promise<void> => {
     const { ip, port } = splitAddress(address);
-    this.takeLimits();
+    this.applyLimits();
     return new Promise((resolve, reject) => {
       this.server.once("error", reject);
       this.server.listen({ host: ip, port, backlog: 1_024 }, resolve);
@@ -161,8 +167,8 @@
   };
 
   /** The plan's limits hold for connections and requests that begin from now on. */
-  readonly takeLimits = (): void => {
-    const { maxHeaderBytes, headerWaitUs, idleUs } = this.options.table.limits;
+  readonly applyLimits = (): void => {
+    const { maxHeaderBytes, headerWaitUs, idleUs } = this.options.routes.limits;
     this.server.headersTimeout = headerWaitUs / MILLISECOND_US;
     this.server.keepAliveTimeout = idleUs / MILLISECOND_US;
     Object.assign(this.server, { maxHeaderSize: maxHeaderBytes });
@@ -171,12 +177,12 @@
   readonly wake = (): void => this.gate.wake();
 
   /** From now on answers close their connections; what is read is still carried to its end. */
-  readonly beginLeaving = (): void => {
+  readonly startDraining = (): void => {
     this.leaving = true;
   };
 
   /** While its cell is emptied for a window, answers close their connections, so that callers go elsewhere. */
-  readonly setEmptied = (emptied: boolean): void => {
+  readonly setZoneDrained = (emptied: boolean): void => {
     this.emptied = emptied;
   };
 
@@ -185,72 +191,72 @@
     this.server.closeIdleConnections();
   };
 
-  readonly closeIdle = (): void => this.server.closeIdleConnections();
+  readonly closeIdleConnections = (): void => this.server.closeIdleConnections();
 
   private readonly arrive = (req: IncomingMessage, res: ServerResponse): void => {
     const { clock } = this.options;
     const line = this.lines.get(req.socket) ?? {
       socket: req.socket,
-      open: 0,
-      last: Promise.resolve(),
-      came: 0,
-      closedBy: Infinity,
+      openRequests: 0,
+      lastAnswered: Promise.resolve(),
+      received: 0,
+      closedAfter: Infinity,
     };
     this.lines.set(req.socket, line);
-    if (line.closedBy !== Infinity) return;
-    line.came += 1;
+    if (line.closedAfter !== Infinity) return;
+    line.received += 1;
     const arrivedUs = clock.nowUs();
-    const left = Number(req.headers[TIME_LEFT]);
-    const prior = line.last;
+    const left = Number(req.headers[TIME_LEFT_HEADER]);
+    const prior = line.lastAnswered;
     const context: RequestContext = {
       req,
       res,
       connection: line,
-      prior,
-      position: line.came,
+      previousAnswered: prior,
+      position: line.received,
       arrivedUs,
-      tryId: String(req.headers[TRY_ID] ?? ""),
+      attemptId: String(req.headers[ATTEMPT_ID_HEADER] ?? ""),
       deadlineUs:
         arrivedUs + (Number.isFinite(left) && left > 0 ? left * MILLISECOND_US : 60 * SECOND_US),
       route: undefined,
       service: "",
       body: null,
-      tried: new Set(),
-      calls: new Set(),
-      heldBytes: 0,
-      sends: 0,
+      triedWorkers: new Set(),
+      upstreamRequests: new Set(),
+      bufferedBytes: 0,
+      attempts: 0,
       deliveryState: fates.newDeliveryState(),
-      linkSuspected: false,
+      isOwnLinkSuspected: false,
       stratum: "near|warm",
-      over: false,
-      onOver: [],
+      isFinished: false,
+      onFinished: [],
       claim: undefined,
     };
-    line.open += 1;
+    line.openRequests += 1;
     this.open += 1;
-    line.last = new Promise((resolve) => {
+    line.lastAnswered = new Promise((resolve) => {
       let isOpen = true;
       const close = () => {
         if (!isOpen) return;
         isOpen = false;
         line.socket.off("close", close);
-        line.open -= 1;
+        line.openRequests -= 1;
         this.open -= 1;
-        if (!context.over) this.abandoned(context);
+        if (!context.isFinished) this.abandoned(context);
         this.end(context);
         this.giveRoom(context);
         resolve();
       };
       res.once("close", close);
       // An answer that waits behind another's never hears that their connection has closed.
-      if (line.open > 1) line.socket.once("close", close);
+      if (line.openRequests > 1) line.socket.once("close", close);
     });
     if (!this.reading.offer(context)) this.refuse(context, "full");
   };
 
   /** Read: the body, if it is small enough to hold. */
   private readonly read = async (context: RequestContext): Promise<void> => {
-    const { table, clock } = this.options;
+    const { routes: table, clock } = this.options;
     const { req } = context;
     const length = Number(req.headers["content-length"] ?? 0);
     const hasBody = length > 0 || req.headers["transfer-encoding"] !== undefined;
@@ -267,7 +273,7 @@
       "slowBody" as const,
     );
     if (this.hasStoodStill()) await turns();
-    if (context.over) return;
+    if (context.isFinished) return;
     if (held === "slowBody" || held === "bodyTooLarge" || held === "full")
       return this.refuse(context, held);
     if (held === "broken") return this.end(context);
@@ -295,7 +301,7 @@
       for await (const chunk of context.req) {
         if (!Buffer.isBuffer(chunk)) continue;
         size += chunk.length;
-        if (size > this.options.table.limits.maxBodyBytes) return "bodyTooLarge";
+        if (size > this.options.routes.limits.maxBodyBytes) return "bodyTooLarge";
         if (!this.takeRoom(context, chunk.length)) return "full";
         chunks.push(chunk);
       }
@@ -307,20 +313,20 @@
 
   /** After the request's end nothing is taken, but for a keyed run, whose answer is kept: its carrier gives it back. */
   private readonly takeRoom = (context: RequestContext, bytes: number): boolean => {
-    if ((context.over && !context.claim) || !this.memory.reserve(bytes)) return false;
-    context.heldBytes += bytes;
+    if ((context.isFinished && !context.claim) || !this.memory.reserve(bytes)) return false;
+    context.bufferedBytes += bytes;
     return true;
   };
 
   private readonly giveRoom = (context: RequestContext): void => {
-    this.memory.release(context.heldBytes);
-    context.heldBytes = 0;
+    this.memory.release(context.bufferedBytes);
+    context.bufferedBytes = 0;
   };
 
   /** Route: the longest prefix of the host, and by its shares a service. */
   private readonly direct = (context: RequestContext): void => {
-    const { table, random, budgets: retryBudgets } = this.options;
-    if (context.over) return;
+    const { routes: table, random, retryBudgets } = this.options;
+    if (context.isFinished) return;
     if (!table.isLoaded) return this.refuse(context, "noPlan");
     const host = (context.req.headers.host ?? "").toLowerCase().replace(/:\d+$/, "");
     const path = (context.req.url ?? "/").split("?")[0] ?? "/";
@@ -338,9 +344,9 @@
       void this.give(context, route, goods, host);
       return;
     }
-    if (context.tryId === "") return this.refuse(context, "noTryId");
+    if (context.attemptId === "") return this.refuse(context, "noTryId");
     retryBudgets.of(context.service, kindOf(route.kind)).count();
-    this.options.usage?.arrived(context.service);
+    this.options.loadCounters?.arrived(context.service);
     if (!this.carrying.offer(context)) this.refuse(context, "full");
   };
 
@@ -357,18 +363,18 @@
       host,
       url: context.req.url ?? "/",
       cacheForUs,
-      mostAgeUs: cacheForUs,
+      maxAgeUs: cacheForUs,
       latencyTargetUs,
-      untilUs: context.deadlineUs,
+      deadlineUs: context.deadlineUs,
     };
     const { range } = context.req.headers;
     const got = await goods.fetch(want, context.req.method === "GET" ? range : undefined);
-    if (context.over || isBehindClose(context)) return;
+    if (context.isFinished || isBehindClose(context)) return;
     if (got.kind === "none")
       this.refuse(
         context,
-        got.why === "rate" ? "noRate" : "full",
-        got.why === "rate" ? Math.max(got.comeBackUs, RATE_REST_US) : got.comeBackUs,
+        got.reason === "rate" ? "noRate" : "full",
+        got.reason === "rate" ? Math.max(got.retryAfterUs, RATE_REST_US) : got.retryAfterUs,
       );
     else this.answerKept(context, got.status, got.heads, got.body);
   };
@@ -380,15 +386,15 @@
     headers: readonly string[],
     body: Buffer,
   ): void => {
-    if (context.over || context.res.headersSent) return;
-    const all = [...headers, "Yewreel-Try-Id", context.tryId];
-    this.answer(context, { status, heads: all, start: body, rest: undefined });
+    if (context.isFinished || context.res.headersSent) return;
+    const all = [...headers, "Yewreel-Try-Id", context.attemptId];
+    this.answer(context, { status, headers: all, body, remainder: undefined });
   };
 
   /** Claims the operation key; false when the request has been answered instead, or its caller is gone. */
   private readonly claim = async (context: RequestContext, route: Route): Promise<boolean> => {
-    const { clock, desk, random } = this.options;
-    const told = context.req.headers[OPERATION_KEY];
+    const { clock, idempotency: desk, random } = this.options;
+    const told = context.req.headers[IDEMPOTENCY_KEY_HEADER];
     if (typeof told !== "string" || told === "" || told.length > MOST_KEY) {
       this.refuse(context, "noKey");
       return false;
@@ -399,14 +405,14 @@
       context.deadlineUs,
     );
     let isTaken = false;
-    for (let at = 0; desk && !context.over && clock.nowUs() < untilUs; at += 1) {
+    for (let at = 0; desk && !context.isFinished && clock.nowUs() < untilUs; at += 1) {
       const askedUs = clock.nowUs();
-      const token = `${context.tryId}.${at}.${random().toString(36).slice(2)}`;
+      const token = `${context.attemptId}.${at}.${random().toString(36).slice(2)}`;
       const result = await withTimeout(clock, untilUs - clock.nowUs(), desk.claim(key, token), {
         kind: "none" as const,
       });
       if (result.kind === "won") {
-        if (context.over) {
+        if (context.isFinished) {
           desk.free(key, token);
           return false;
         }
@@ -436,12 +442,12 @@
     context: RequestContext,
     answer: UpstreamResponse,
   ): Promise<void> => {
-    const { desk, clock } = this.options;
-    if (!desk || !context.claim || answer.rest) return;
+    const { idempotency: desk, clock } = this.options;
+    if (!desk || !context.claim || answer.remainder) return;
     const kept: KeyedResponse = {
       status: answer.status,
-      heads: forwardedHeaders(answer.heads, NOT_KEPT),
-      body: answer.start,
+      heads: forwardedHeaders(answer.headers, NOT_KEPT),
+      body: answer.body,
     };
     const aimLeftUs = context.arrivedUs + (context.route?.latencyTargetUs ?? 0) - clock.nowUs();
     await desk.keep(
@@ -454,32 +460,32 @@
 
   /** Gate, choose and call, again where that is allowed, and at the end the one answer. */
   private readonly carry = async (context: RequestContext): Promise<void> => {
-    const { clock, budgets: retryBudgets } = this.options;
+    const { clock, retryBudgets } = this.options;
     const { route } = context;
     if (!route) return;
     if (!route.isSafe) {
-      await context.prior;
+      await context.previousAnswered;
       if (context.position > 1 && this.hasStoodStill()) await turns();
     }
     const budget = clock.after(context.deadlineUs - clock.nowUs(), () => this.runOut(context));
-    context.onOver.push(budget.stop);
+    context.onFinished.push(budget.stop);
     if (route.kind === "keyed" && !(await this.claim(context, route))) return;
     if (
       this.options.objects &&
-      (this.options.table.service(context.service)?.ratePerS ?? 0) > 0 &&
+      (this.options.routes.service(context.service)?.ratePerS ?? 0) > 0 &&
       !(await this.options.objects.permit(context.service))
     )
       return this.refuse(context, "noRate");
     let lastAnswer: UpstreamResponse | undefined;
     while (
-      !context.over &&
+      !context.isFinished &&
       !isBehindClose(context) &&
-      context.tried.size < route.tries + MOST_UNREACHED
+      context.triedWorkers.size < route.tries + MOST_UNREACHED
     ) {
       if (
-        context.sends > 0 &&
+        context.attempts > 0 &&
         !(
-          context.sends < route.tries &&
+          context.attempts < route.tries &&
           isHeldBody(context) &&
           !this.isPressed(context, route) &&
           retryBudgets.of(context.service, kindOf(route.kind)).spend()
@@ -487,32 +493,32 @@
       )
         break;
       const worker = await this.gate.pass(context, this.gateWaitUs(context, route));
-      if (context.over || !worker) break;
+      if (context.isFinished || !worker) break;
       if (this.isPast(context)) return this.runOut(context);
       if (this.wouldBeLate(context, route, worker)) break;
       const result = await this.call(context, route, worker);
       if (result.kind === "answered") {
         // Where it may not pass, it has run and its status would promise that it has not.
-        const mayPass = fates.mayForward(result.answer.status, route.isSafe);
-        if (mayPass && context.claim) await this.keep(context, result.answer);
-        if (context.over || !mayPass) {
-          result.answer.rest?.stop();
+        const mayPass = fates.mayForwardStatus(result.response.status, route.isSafe);
+        if (mayPass && context.claim) await this.keep(context, result.response);
+        if (context.isFinished || !mayPass) {
+          result.response.remainder?.abort();
           break;
         }
-        const isOwnMishap = result.answer.status >= 500;
-        if (!isOwnMishap || !route.isSafe || context.sends >= route.tries)
-          return this.answer(context, result.answer);
-        lastAnswer = result.answer;
+        const isOwnMishap = result.response.status >= 500;
+        if (!isOwnMishap || !route.isSafe || context.attempts >= route.tries)
+          return this.answer(context, result.response);
+        lastAnswer = result.response;
       } else if (
-        context.over ||
+        context.isFinished ||
         result.kind === "cancelled" ||
         (result.kind === "lost" && !route.isSafe)
       )
         break;
-      else if (result.kind === "unsent" && result.why === "unwritable")
+      else if (result.kind === "not-sent" && result.reason === "invalid-request")
         return this.refuse(context, "malformed");
     }
-    if (context.over) {
+    if (context.isFinished) {
       this.freeClaim(context);
       this.giveRoom(context);
     } else if (lastAnswer) this.answer(context, lastAnswer);
@@ -529,12 +535,12 @@
    * some turns after it was read; a keyed request must hold a claim that is not too old.
    */
   private readonly mayBegin = (context: RequestContext, route: Route): boolean =>
-    !context.over &&
+    !context.isFinished &&
     !context.connection.socket.readableEnded &&
     !isBehindClose(context) &&
     !this.isPast(context) &&
     (route.kind !== "keyed" || this.isClaimed(context)) &&
-    fates.begin(context.deliveryState, route.isSafe);
+    fates.beginAttempt(context.deliveryState, route.isSafe);
 
   private readonly isClaimed = ({ claim }: RequestContext): boolean =>
     claim !== undefined && this.options.clock.nowUs() - claim.askedUs <= CLAIM_GOOD_US;
@@ -545,34 +551,34 @@
     route: Route,
     worker: Worker,
   ): Promise<UpstreamResult> => {
-    const { clock, budgets: retryBudgets } = this.options;
+    const { clock, retryBudgets } = this.options;
     const first = this.start(context, route, worker);
-    if (!route.isSafe) return first.verdict;
+    if (!route.isSafe) return first.result;
     for (;;) {
-      const early = await withTimeout(clock, SILENCE_CHECK_US, first.verdict, undefined);
+      const early = await withTimeout(clock, SILENCE_CHECK_US, first.result, undefined);
       if (early) return early;
-      if (context.over) return { kind: "cancelled" };
+      if (context.isFinished) return { kind: "cancelled" };
       if (
         !worker.isSilent() ||
         this.isPast(context) ||
         this.isPressed(context, route) ||
-        context.sends >= route.tries ||
+        context.attempts >= route.tries ||
         !isHeldBody(context)
       )
         continue;
       const other = this.chooser.choose(
         context.service,
-        context.tried,
+        context.triedWorkers,
         context.route?.latencyTargetUs ?? 0,
       );
       if (!other || !retryBudgets.of(context.service, kindOf(route.kind)).spend()) continue;
       const second = this.start(context, route, other);
       const [quick, slow] = await Promise.race([
-        first.verdict.then(() => [first, second] as const),
-        second.verdict.then(() => [second, first] as const),
+        first.result.then(() => [first, second] as const),
+        second.result.then(() => [second, first] as const),
       ]);
-      const result = await quick.verdict;
-      if (result.kind !== "answered") return slow.verdict;
+      const result = await quick.result;
+      if (result.kind !== "answered") return slow.result;
       slow.cancel();
       return result;
     }
@@ -580,7 +586,7 @@
 
   /** Repeats of safe requests stop before they take room that a pressed service lacks. */
   private readonly isPressed = (context: RequestContext, route: Route): boolean =>
-    this.options.acts === true &&
+    this.options.actsOnForecast === true &&
     route.isSafe &&
     this.options.pool.pressure(context.service) !== "";
 
@@ -590,7 +596,7 @@
     route: Route,
     worker: Worker,
   ): boolean => {
-    const { acts, pool, clock } = this.options;
+    const { actsOnForecast: acts, pool, clock } = this.options;
     return (
       acts === true &&
       !route.isSafe &&
@@ -604,7 +610,7 @@
     route: Route,
     worker: Worker,
   ): CancellableRequest => {
-    const { clock, countFault, usage } = this.options;
+    const { clock, countFault, loadCounters: usage } = this.options;
     const startedUs = clock.nowUs();
     const headers = forwardedHeaders(context.req.rawHeaders, NOT_PASSED_ON);
     const leftMs = Math.max(1, Math.floor((context.deadlineUs - clock.nowUs()) / MILLISECOND_US));
@@ -614,36 +620,38 @@
     const order = {
       method: context.req.method ?? "GET",
       path: context.req.url ?? "/",
-      heads: headers,
+      headers,
       body: context.body,
-      tryId: context.tryId,
-      hold: (bytes: number) => this.takeRoom(context, bytes),
-      mayBegin: () => this.mayBegin(context, route),
+      attemptId: context.attemptId,
+      reserveMemory: (bytes: number) => this.takeRoom(context, bytes),
+      maySend: () => this.mayBegin(context, route),
     };
     const call = new UpstreamRequest(worker, order, clock.nowUs);
-    if (context.sends === 0)
-      context.stratum = `${worker.cell === this.options.cell ? "near" : "far"}|${clock.nowUs() < worker.warmUntilUs ? "cold" : "warm"}`;
-    context.tried.add(worker.id);
-    context.sends += 1;
-    this.options.countCall?.(context.service, route.kind, route.name, worker.id);
-    context.calls.add(call);
-    void call.verdict.then((result) => {
-      context.calls.delete(call);
+    if (context.attempts === 0)
+      context.stratum = `${worker.cell === this.options.zone ? "near" : "far"}|${clock.nowUs() < worker.warmUntilUs ? "cold" : "warm"}`;
+    context.triedWorkers.add(worker.id);
+    context.attempts += 1;
+    this.options.countAttempt?.(context.service, route.kind, route.name, worker.id);
+    context.upstreamRequests.add(call);
+    void call.result.then((result) => {
+      context.upstreamRequests.delete(call);
       if (result.kind === "answered" || result.kind === "lost")
         usage?.answered(context.service, worker.cell, clock.nowUs() - startedUs);
       if (result.kind === "answered") fates.markRun(context.deliveryState);
-      if (result.kind === "turned-away") fates.markRejected(context.deliveryState);
+      if (result.kind === "rejected") fates.markRejected(context.deliveryState);
       // Nothing of it arrived anywhere, so what is sent next is no retry.
-      if (result.kind === "unsent") context.sends -= 1;
+      if (result.kind === "not-sent") context.attempts -= 1;
       const isOut =
-        result.kind === "unsent" && (result.why === "unreachable" || result.why === "refused");
+        result.kind === "not-sent" &&
+        (result.reason === "unreachable" || result.reason === "connection-refused");
       if (isOut || result.kind === "lost") worker.shun();
-      if (result.kind === "unsent" && result.why === "unreachable") context.linkSuspected = true;
-      if (result.kind === "turned-away" && result.why === "other-worker")
+      if (result.kind === "not-sent" && result.reason === "unreachable")
+        context.isOwnLinkSuspected = true;
+      if (result.kind === "rejected" && result.reason === "wrong-worker")
         this.options.pool.misdirected(worker);
       if (
         result.kind === "answered" ||
-        result.kind === "turned-away" ||
+        result.kind === "rejected" ||
         result.kind === "lost" ||
         isOut
       )
@@ -667,15 +675,15 @@
   /** Answer: the worker's own, unchanged. */
   private readonly answer = (context: RequestContext, answer: UpstreamResponse): void => {
     const { res } = context;
-    if (context.over || res.headersSent) return answer.rest?.stop();
-    const headers = forwardedHeaders(answer.heads, answer.rest ? NONE : CONTENT_LENGTH);
+    if (context.isFinished || res.headersSent) return answer.remainder?.abort();
+    const headers = forwardedHeaders(answer.headers, answer.remainder ? NONE : CONTENT_LENGTH);
     if (
-      !answer.rest &&
+      !answer.remainder &&
       context.req.method !== "HEAD" &&
       answer.status !== 204 &&
       answer.status !== 304
     )
-      headers.push("Content-Length", String(answer.start.length));
+      headers.push("Content-Length", String(answer.body.length));
     this.count(context, answer.status < 400 ? "served" : String(answer.status));
     this.countSplit(context, () =>
       answer.status >= 500
@@ -686,17 +694,17 @@
     );
     this.markClosing(context, false);
     res.writeHead(answer.status, headers);
-    context.over = true;
+    context.isFinished = true;
     fates.close(context.deliveryState);
-    if (!answer.rest) {
-      res.end(answer.start);
+    if (!answer.remainder) {
+      res.end(answer.body);
       return;
     }
-    const { rest } = answer;
-    context.onOver.push(rest.stop);
-    res.write(answer.start);
+    const { remainder: rest } = answer;
+    context.onFinished.push(rest.abort);
+    res.write(answer.body);
     res.on("drain", rest.resume);
-    rest.flow(
+    rest.read(
       (chunk) => res.write(chunk),
       (isWhole) => {
         if (isWhole) res.end();
@@ -712,13 +720,16 @@
     comeBackUs = 0,
   ): void => {
     const { res, route } = context;
-    if (context.over || res.headersSent) return;
+    if (context.isFinished || res.headersSent) return;
     const name = fates.clientOutcome(context.deliveryState, wanted);
     const outcome = HTTP_OUTCOMES[name];
-    if (name === "full" && context.service !== "") this.options.usage?.refused(context.service);
+    if (name === "full" && context.service !== "")
+      this.options.loadCounters?.refused(context.service);
     this.count(context, name);
     this.countSplit(context, () =>
-      fates.isUnrun(context.deliveryState) && context.linkSuspected ? "own" : lossOf(context),
+      fates.hasNotRun(context.deliveryState) && context.isOwnLinkSuspected
+        ? "own"
+        : lossOf(context),
     );
     this.markClosing(context, outcome.closes);
     const body = JSON.stringify({ problem: outcome.problem });
@@ -732,14 +743,15 @@
   };
 
   private readonly markClosing = (context: RequestContext, closes: boolean): void => {
-    if (!closes && !((this.leaving || this.emptied) && context.connection.open === 1)) return;
-    context.connection.closedBy = context.position;
+    if (!closes && !((this.leaving || this.emptied) && context.connection.openRequests === 1))
+      return;
+    context.connection.closedAfter = context.position;
     context.res.setHeader("Connection", "close");
   };
 
   private readonly count = (context: RequestContext, outcome: string): void => {
     const kind = context.route?.kind ?? "none";
-    this.options.tally(context.route?.name ?? "none", kind, outcome);
+    this.options.countOutcome(context.route?.name ?? "none", kind, outcome);
   };
 
   /** The caller went away unanswered: at the end of its patience that is the service's doing, sooner it is its own. */
@@ -755,16 +767,16 @@
   /** Nothing is worked out for a route that sends to one service only. */
   private readonly countSplit = (context: RequestContext, outcome: () => CanaryOutcome): void => {
     if (context.route !== undefined && context.route.shares.length > 1)
-      this.options.countRollout(context.route, context.service, context.stratum, outcome());
+      this.options.countCanaryOutcome(context.route, context.service, context.stratum, outcome());
   };
 
   /** Whatever still runs for the trip is called off: it has been answered, or its caller is gone. */
   private readonly end = (context: RequestContext): void => {
-    context.over = true;
+    context.isFinished = true;
     this.freeClaim(context);
     fates.close(context.deliveryState);
     const cancel = () => {
-      context.calls.forEach((call) => call.cancel());
+      context.upstreamRequests.forEach((call) => call.cancel());
       if (context.body !== null && !Buffer.isBuffer(context.body)) context.body.destroy();
     };
     // A keyed run whose caller is gone goes on while its worker may be at it, so that its answer can be kept for the repeats.
@@ -774,22 +786,22 @@
         context.deadlineUs - this.options.clock.nowUs() + KEYED_REST_US,
         cancel,
       );
-    context.onOver.splice(0).forEach((act) => act());
+    context.onFinished.splice(0).forEach((act) => act());
   };
 
   private readonly freeClaim = (context: RequestContext): void => {
-    if (!context.claim || !fates.isUnrun(context.deliveryState)) return;
-    this.options.desk?.free(context.claim.key, context.claim.token);
+    if (!context.claim || !fates.hasNotRun(context.deliveryState)) return;
+    this.options.idempotency?.free(context.claim.key, context.claim.token);
     context.claim = undefined;
   };
 
   private readonly malformed = (error: NodeJS.ErrnoException, socket: Socket): void => {
     const line = this.lines.get(socket);
-    if (!socket.writable || (line !== undefined && line.open > 0)) {
+    if (!socket.writable || (line !== undefined && line.openRequests > 0)) {
       socket.destroy();
       return;
     }
-    if (line) line.closedBy = line.came;
+    if (line) line.closedAfter = line.received;
     const name: OutcomeName =
       error.code === "HPE_HEADER_OVERFLOW"
         ? "headTooLarge"
@@ -806,7 +818,7 @@
 }
 
 const NOT_KEPT: ReadonlySet<string> = new Set([
-  TRY_ID,
+  ATTEMPT_ID_HEADER,
   "content-length",
   "date",
   "yewreel-worker-load",
@@ -831,11 +843,11 @@
 
 /** An answer before it closes the connection, so its caller counts it as not read and sends it again. */
 const isBehindClose = (context: RequestContext): boolean =>
-  context.position > context.connection.closedBy;
+  context.position > context.connection.closedAfter;
 
 /** An unsafe request that may have run may be placed again by its caller. */
 const lossOf = (context: RequestContext): CanaryOutcome =>
-  !fates.isUnrun(context.deliveryState) && context.route?.isSafe === false ? "doubled" : "lost";
+  !fates.hasNotRun(context.deliveryState) && context.route?.isSafe === false ? "doubled" : "lost";
 
 const isHeldBody = (context: RequestContext): boolean =>
   context.body === null || Buffer.isBuffer(context.body);
--- a/src/proxy/upstream-request.ts
+++ b/src/proxy/upstream-request.ts
@@ -2,11 +2,11 @@
 import type { Dispatcher } from "undici";
 import {
   headerValue,
-  isDoubled,
-  NOT_RUN,
-  SEAL,
-  TRY_ID,
-  USAGE,
+  isRepeated,
+  NOT_RUN_HEADER,
+  SERVER_SEAL_HEADER,
+  ATTEMPT_ID_HEADER,
+  WORKER_LOAD_HEADER,
   type FlatHeaders,
 } from "./headers.js";
 import type { Worker } from "./connection-pool.js";
@@ -14,52 +14,55 @@
 export interface UpstreamRequestOptions {
   readonly method: string;
   readonly path: string;
-  readonly heads: string[];
+  readonly headers: string[];
   readonly body: Buffer | Readable | null;
-  readonly tryId: string;
+  readonly attemptId: string;
   /**
    * Set where the worker need not give the id back, as with reads of the system's own: an answer then can't be told from
    * another's that comes late, so the connection serves this one request only.
    */
-  readonly alone?: boolean;
+  readonly usesOwnConnection?: boolean;
   /** Takes room for a part of the answer; when there is none left, the answer flows on without being held. */
-  readonly hold: (bytes: number) => boolean;
+  readonly reserveMemory: (bytes: number) => boolean;
   /** Asked once, right before the first byte leaves; false keeps it all from leaving, and the verdict is `withheld`. */
-  readonly mayBegin: () => boolean;
+  readonly maySend: () => boolean;
 }
 
 export interface UpstreamResponse {
   readonly status: number;
-  readonly heads: FlatHeaders;
+  readonly headers: FlatHeaders;
   /** All of the body, or what had come when it grew too large to hold. */
-  readonly start: Buffer;
+  readonly body: Buffer;
   /** Set when the body goes on beyond `start`. */
-  readonly rest: Rest | undefined;
+  readonly remainder: BodyStream | undefined;
 }
 
 /** The part of a large body that is passed on as it comes; a false `end` means that it broke off. */
-export interface Rest {
-  readonly flow: (onData: (chunk: Buffer) => boolean, onEnd: (isWhole: boolean) => void) => void;
+export interface BodyStream {
+  readonly read: (onData: (chunk: Buffer) => boolean, onEnd: (isWhole: boolean) => void) => void;
   readonly resume: () => void;
   /** Nobody wants the rest any more: the connection is given up. */
-  readonly stop: () => void;
+  readonly abort: () => void;
 }
 
 export type UpstreamResult =
-  | { readonly kind: "answered"; readonly answer: UpstreamResponse }
+  | { readonly kind: "answered"; readonly response: UpstreamResponse }
   /** The worker says, in an answer to this very try, that it did not run the request. */
-  | { readonly kind: "turned-away"; readonly why: "full" | "other-worker" }
+  | { readonly kind: "rejected"; readonly reason: "overloaded" | "wrong-worker" }
   /**
    * No byte of the request has left: the worker refused the connection or could not be reached, the sending was
    * withheld, or the request is one that can't be written.
    */
-  | { readonly kind: "unsent"; readonly why: "refused" | "unreachable" | "withheld" | "unwritable" }
+  | {
+      readonly kind: "not-sent";
+      readonly reason: "connection-refused" | "unreachable" | "withheld" | "invalid-request";
+    }
   /** It may have run: a broken answer, another request's answer or one without an id, one without its seal, a reset. */
-  | { readonly kind: "lost"; readonly why: string }
+  | { readonly kind: "lost"; readonly reason: string }
   | { readonly kind: "cancelled" };
 
 export interface CancellableRequest {
-  readonly verdict: Promise<UpstreamResult>;
+  readonly result: Promise<UpstreamResult>;
   readonly cancel: () => void;
 }
 
@@ -75,14 +78,20 @@
 const EMPTY = Buffer.alloc(0);
 
 /** Whether an answer is to this very try. Nothing may be concluded from one that isn't: not even that it did not run. */
-const isOwn = (headers: FlatHeaders, { tryId, alone }: UpstreamRequestOptions): boolean => {
-  const told = headerValue(headers, TRY_ID);
-  return (told === tryId && !isDoubled(headers, TRY_ID)) || (alone === true && told === undefined);
+const isOwn = (
+  headers: FlatHeaders,
+  { attemptId: tryId, usesOwnConnection: alone }: UpstreamRequestOptions,
+): boolean => {
+  const told = headerValue(headers, ATTEMPT_ID_HEADER);
+  return (
+    (told === tryId && !isRepeated(headers, ATTEMPT_ID_HEADER)) ||
+    (alone === true && told === undefined)
+  );
 };
 
 /** Whether the worker says that it turned the request away. Only to be asked of an own answer. */
 const isTurnedAway = (status: number, headers: FlatHeaders): boolean =>
-  status === 421 || headerValue(headers, NOT_RUN) !== undefined;
+  status === 421 || headerValue(headers, NOT_RUN_HEADER) !== undefined;
 
 /** Why an answer can't be this request's whole own answer, or undefined if it can. */
 const doubt = (
@@ -98,13 +107,14 @@
     headerValue(headers, "content-length") !== undefined ||
     headerValue(headers, "transfer-encoding")?.trim().toLowerCase() === "chunked";
   if (!isBounded && status !== 204 && status !== 304 && method !== "HEAD") return "no bound";
-  if (status >= 200 && status < 300 && headerValue(headers, SEAL) === undefined) return "no seal";
+  if (status >= 200 && status < 300 && headerValue(headers, SERVER_SEAL_HEADER) === undefined)
+    return "no seal";
   return undefined;
 };
 
 /** One request on one connection of a worker. The connection goes back only after a whole answer beyond doubt. */
 export class UpstreamRequest implements Dispatcher.DispatchHandler, CancellableRequest {
-  readonly verdict: Promise<UpstreamResult>;
+  readonly result: Promise<UpstreamResult>;
   private resolve: (result: UpstreamResult) => void = () => undefined;
   private controller: Dispatcher.DispatchController | undefined;
   private started = false;
@@ -125,12 +135,12 @@
     private readonly order: UpstreamRequestOptions,
     private readonly nowUs: () => number,
   ) {
-    this.verdict = new Promise((resolve) => {
+    this.result = new Promise((resolve) => {
       this.resolve = resolve;
     });
     this.mark = worker.begin();
-    this.coupling = worker.couple(order.alone === true);
-    const { method, path, heads: headers, body } = order;
+    this.coupling = worker.couple(order.usesOwnConnection === true);
+    const { method, path, headers, body } = order;
     try {
       this.coupling.client.dispatch(
         {
@@ -145,7 +155,7 @@
         this,
       );
     } catch {
-      this.finish(false, false, { kind: "unsent", why: "unwritable" });
+      this.finish(false, false, { kind: "not-sent", reason: "invalid-request" });
     }
   }
 
@@ -156,8 +166,8 @@
   readonly onRequestStart = (controller: Dispatcher.DispatchController): void => {
     this.controller = controller;
     if (this.over) return controller.abort(new Error("cancelled"));
-    if (!this.order.mayBegin())
-      return this.finish(false, false, { kind: "unsent", why: "withheld" });
+    if (!this.order.maySend())
+      return this.finish(false, false, { kind: "not-sent", reason: "withheld" });
     this.started = true;
   };
 
@@ -171,9 +181,9 @@
       ? raw.map((entry) => (typeof entry === "string" ? entry : entry.toString("latin1")))
       : [];
     this.status = statusCode;
-    const why = doubt(statusCode, this.heads, this.order);
-    if (why !== undefined) return this.finish(true, false, { kind: "lost", why });
-    const usage = usageOf(headerValue(this.heads, USAGE));
+    const reason = doubt(statusCode, this.heads, this.order);
+    if (reason !== undefined) return this.finish(true, false, { kind: "lost", reason });
+    const usage = usageOf(headerValue(this.heads, WORKER_LOAD_HEADER));
     if (usage) this.worker.tell(...usage);
   };
 
@@ -185,28 +195,34 @@
     }
     this.chunks.push(chunk);
     this.heldBytes += chunk.length;
-    if (!this.order.hold(chunk.length) || this.heldBytes > HELD_BYTES)
+    if (!this.order.reserveMemory(chunk.length) || this.heldBytes > HELD_BYTES)
       this.startStreaming(controller);
   };
 
   readonly onResponseEnd = (): void => {
     if (this.streaming) {
       this.streaming = false;
-      this.release(true, this.order.alone !== true);
+      this.release(true, this.order.usesOwnConnection !== true);
       this.restSinks?.onEnd(true);
       return;
     }
     if (this.over) return;
     const isSound =
-      this.order.alone !== true && headerValue(this.heads, "connection")?.toLowerCase() !== "close";
-    if (this.status === 421) this.finish(true, false, { kind: "turned-away", why: "other-worker" });
+      this.order.usesOwnConnection !== true &&
+      headerValue(this.heads, "connection")?.toLowerCase() !== "close";
+    if (this.status === 421) this.finish(true, false, { kind: "rejected", reason: "wrong-worker" });
     else if (isTurnedAway(this.status, this.heads))
-      this.finish(true, isSound, { kind: "turned-away", why: "full" });
+      this.finish(true, isSound, { kind: "rejected", reason: "overloaded" });
     else {
       this.worker.learn(this.nowUs() - this.mark.sinceUs);
       this.finish(true, isSound, {
         kind: "answered",
-        answer: { status: this.status, heads: this.heads, start: this.body(), rest: undefined },
+        response: {
+          status: this.status,
+          headers: this.heads,
+          body: this.body(),
+          remainder: undefined,
+        },
       });
     }
   };
@@ -219,8 +235,8 @@
       return;
     }
     if (this.over) return;
-    if (this.started) this.finish(false, false, { kind: "lost", why: error.message });
-    else this.finish(false, false, { kind: "unsent", why: whyUnsent(error) });
+    if (this.started) this.finish(false, false, { kind: "lost", reason: error.message });
+    else this.finish(false, false, { kind: "not-sent", reason: whyUnsent(error) });
   };
 
   private readonly body = (): Buffer =>
@@ -230,13 +246,13 @@
     this.streaming = true;
     this.over = true;
     controller.pause();
-    const rest: Rest = {
-      flow: (onData, onEnd) => {
+    const rest: BodyStream = {
+      read: (onData, onEnd) => {
         this.restSinks = { onData, onEnd };
         controller.resume();
       },
       resume: () => controller.resume(),
-      stop: () => {
+      abort: () => {
         if (!this.streaming) return;
         this.streaming = false;
         this.release(true, false);
@@ -244,7 +260,7 @@
     };
     this.resolve({
       kind: "answered",
-      answer: { status: this.status, heads: this.heads, start: this.body(), rest },
+      response: { status: this.status, headers: this.heads, body: this.body(), remainder: rest },
     });
   };
 
@@ -262,11 +278,11 @@
 }
 
 /** The worker's own machine said no, as against silence, a path that is not there, or a request that is none. */
-const whyUnsent = (error: Error): "refused" | "unreachable" | "unwritable" => {
+const whyUnsent = (error: Error): "connection-refused" | "unreachable" | "invalid-request" => {
   const code = "code" in error ? error.code : undefined;
   if (code === "UND_ERR_INVALID_ARG" || code === "UND_ERR_REQ_CONTENT_LENGTH_MISMATCH")
-    return "unwritable";
+    return "invalid-request";
   return code === "ECONNREFUSED" || code === "ECONNRESET" || code === "UND_ERR_SOCKET"
-    ? "refused"
+    ? "connection-refused"
     : "unreachable";
 };
