--- a/features/steps/compatibility.ts
+++ b/features/steps/compatibility.ts
@@ -10,11 +10,15 @@
 import { UpdateStore } from "../../src/membership/update-store.js";
 import { UpdatePublisher } from "../../src/membership/update-publisher.js";
 import {
+  packClusterSize,
+  packHeartbeat,
+  packNode,
+  readClusterSize,
   readHeartbeat,
   readSharedHeartbeat,
-  WorkerRegistry,
-} from "../../src/membership/worker-registry.js";
-import { readClusterSize, NodeSessions } from "../../src/membership/node-sessions.js";
+} from "../../src/membership/messages.js";
+import { WorkerRegistry } from "../../src/membership/worker-registry.js";
+import { NodeSessions } from "../../src/membership/node-sessions.js";
 import { silentLogger } from "../../src/common/logger.js";
 import {
   asList,
@@ -135,10 +139,9 @@
   });
   const loaded = await archive.load();
   const { kept } = await goldenRec("workers.json");
-  assert.deepEqual(
-    plain(loaded.kind === "whole" ? loaded.records.map(readSharedHeartbeat) : loaded.kind),
-    kept,
-  );
+  const heartbeats = loaded.kind === "whole" ? loaded.records.map(readSharedHeartbeat) : [];
+  assert.deepEqual(plain(withFormerNames(heartbeats)), kept, loaded.kind);
+  assert.deepEqual(plain(heartbeats.map(packHeartbeat)), kept);
 });
 
 Then(
@@ -152,10 +155,16 @@
       registry.take(readHeartbeat(asString(asList(call)[0]), asList(call)[1])),
     );
     assert.deepEqual(
-      [plain(registry.all()), plain(registry.packAll()), plain(updates.pack(updates.all()))],
+      [
+        plain(withFormerNames(registry.all())),
+        plain(registry.packAll()),
+        plain(updates.pack(updates.all())),
+      ],
       [heartbeats, shared, facts],
     );
-    assert.deepEqual(plain(asList(shared).map(readSharedHeartbeat)), heartbeats);
+    const read = asList(shared).map(readSharedHeartbeat);
+    assert.deepEqual(plain(withFormerNames(read)), heartbeats);
+    assert.deepEqual(plain(read.map(packHeartbeat)), heartbeats);
   },
 );
 
@@ -224,7 +233,9 @@
       const clock = new ManualClock();
       const updates = new UpdateStore(clock);
       if (message.kind === "crew") {
-        assert.deepEqual({ kind: "crew", ...readClusterSize(message) }, message);
+        const size = readClusterSize(message);
+        assert.deepEqual({ kind: "crew", ...asRecord(withFormerNames(size)) }, message);
+        assert.deepEqual(packClusterSize(size), message);
         taken.crew += 1;
       } else if (message.kind === "news") {
         updates.take(asList(message["facts"]));
@@ -235,20 +246,21 @@
           clock,
           publisher: new UpdatePublisher(clock, updates, () => true),
           log: silentLogger,
-          isFit: async () => true,
-          emptiedCell: () => "",
-          cell: "",
-          boxes: () => [],
+          mayServe: async () => true,
+          drainedZone: () => "",
+          zone: "",
+          controllers: () => [],
           answer: async (question) => question,
         });
         sessions.applyPeerSessions("a", message);
-        assert.deepEqual(plain(sessions.nodes()), plain(message["nodes"]));
+        assert.deepEqual(plain(sessions.nodes().map(packNode)), plain(message["nodes"]));
         taken.sessions += 1;
       } else if (message.kind === "beats") {
         readList(message, "beats", (value) => {
           const { ageUs, ...heartbeat } = asRecord(value);
           assert.ok(ageUs === undefined || typeof ageUs === "number");
-          assert.deepEqual(readSharedHeartbeat(value), heartbeat);
+          assert.deepEqual(withFormerNames(readSharedHeartbeat(value)), heartbeat);
+          assert.deepEqual(packHeartbeat(readSharedHeartbeat(value)), heartbeat);
         });
         taken.beats += 1;
       }
--- a/features/steps/contact.ts
+++ b/features/steps/contact.ts
@@ -4,7 +4,8 @@
 import type { RunningProgram } from "../../src/programs/running-program.js";
 import { runController } from "../../src/programs/controller/controller.js";
 import { UpdateStore } from "../../src/membership/update-store.js";
-import { readHeartbeat, WorkerRegistry } from "../../src/membership/worker-registry.js";
+import { readHeartbeat } from "../../src/membership/messages.js";
+import { WorkerRegistry } from "../../src/membership/worker-registry.js";
 import { UpdateSubscriber } from "../../src/membership/update-subscriber.js";
 import { PendingRequests } from "../../src/transport/pending-requests.js";
 import { setLogLevel, silentLogger } from "../../src/common/logger.js";
@@ -443,8 +444,8 @@
   };
   const subscriber = new UpdateSubscriber({
     name: "n1",
-    cell: "c3",
-    role: "pointsman",
+    zone: "c3",
+    role: "gateway",
     relay: `127.6.0.2:${base + 1}`,
     seeds,
     peerPort: base,
--- a/features/steps/looks.ts
+++ b/features/steps/looks.ts
@@ -48,8 +48,8 @@
 When("a node has looked for one {int} times", async (count: number) => {
   subscriber = new UpdateSubscriber({
     name: "n",
-    cell: "c0",
-    role: "pointsman",
+    zone: "c0",
+    role: "gateway",
     relay: "127.9.0.99:1",
     seeds,
     peerPort: PORT,
--- a/features/steps/relay.ts
+++ b/features/steps/relay.ts
@@ -39,8 +39,8 @@
   const ip = `127.3.1.${number}`;
   const subscriber = new UpdateSubscriber({
     name: `n${number}`,
-    cell: "c1",
-    role: "pointsman",
+    zone: "c1",
+    role: "gateway",
     relay: `${ip}:${port + 1}`,
     seeds: [boxId],
     peerPort: port,
@@ -82,11 +82,11 @@
       clock,
       publisher: topFeeder,
       log: silentLogger,
-      isFit: async () => true,
-      boxes: () => [{ id: boxId, cell: "c1" }],
+      mayServe: async () => true,
+      controllers: () => [{ id: boxId, zone: "c1" }],
       answer: async (message) => message,
-      emptiedCell: () => "",
-      cell: "c1",
+      drainedZone: () => "",
+      zone: "c1",
     });
     box = new Listener(clock, TIMES, { pointsman: sessions.serve }, silentLogger);
     await box.listen("127.3.0.1", port);
--- a/features/support/golden.ts
+++ b/features/support/golden.ts
@@ -27,6 +27,11 @@
   ["isAccepted", "isVoted"],
   ["isCommitted", "isAgreed"],
   ["proposer", "by"],
+  ["zone", "cell"],
+  ["gateways", "pointsmen"],
+  ["zones", "cells"],
+  ["caches", "depots"],
+  ["zoneDistributors", "halls"],
 ]);
 
 /** The value with the field names that it had in memory when the golden data was written. */
--- a/scalability/host.ts
+++ b/scalability/host.ts
@@ -54,7 +54,7 @@
 
 const startHollow = async (at: number): Promise<void> => {
   const settings = settingsOf(`node-${at}`, nodeIp(at), `c${at % zones}`, boxes, "");
-  const member = joinCluster(settings, clock, "pointsman");
+  const member = joinCluster(settings, clock, "gateway");
   const usage = new LoadCounters(`${at}-${machineUs()}`);
   const report = clock.every(2 * SECOND_US, () => {
     for (let service = 0; service < services; service += 1) {
--- a/src/cache/peer-caches.ts
+++ b/src/cache/peer-caches.ts
@@ -4,11 +4,7 @@
 import { splitAddress } from "../common/settings.js";
 import type { Message } from "../transport/connection.js";
 import { PeerLink } from "../transport/peer-link.js";
-
-export interface CacheAddress {
-  readonly address: string;
-  readonly cell: string;
-}
+import type { CacheAddress } from "../membership/cluster.js";
 
 /** Slow pulses, since each ask has a patience of its own and every pointsman holds a link to every depot. */
 const TIMES = { heartbeatUs: 1_500 * MILLISECOND_US, timeoutUs: 3_500 * MILLISECOND_US };
@@ -54,7 +50,7 @@
   }
 
   readonly learn = (told: readonly CacheAddress[]): void => {
-    const wanted = new Map(told.map(({ address, cell: zone }) => [address, zone]));
+    const wanted = new Map(told.map(({ address, zone }) => [address, zone]));
     this.depots.forEach((depot, address) => {
       if (wanted.has(address)) return;
       depot.link.stop();
--- a/src/membership/peers.ts
+++ b/src/membership/peers.ts
@@ -4,11 +4,13 @@
 import { splitAddress } from "../common/settings.js";
 import type { Message, KeepAliveTimes } from "../transport/connection.js";
 import { PeerLink } from "../transport/peer-link.js";
+import type { ControllerAddress } from "./cluster.js";
+import { packPeerHello, readPeerZone } from "./messages.js";
 
 export interface PeersOptions {
   /** This signalbox's id: its control address. */
   readonly self: string;
-  readonly cell: string;
+  readonly zone: string;
   readonly peerPort: number;
   readonly clock: Clock;
   readonly times: KeepAliveTimes;
@@ -21,7 +23,7 @@
   private readonly zones = new Map<string, string>();
 
   constructor(private readonly options: PeersOptions) {
-    this.zones.set(options.self, options.cell);
+    this.zones.set(options.self, options.zone);
   }
 
   readonly known = (): readonly string[] => [...this.links.keys()];
@@ -32,23 +34,22 @@
   readonly zoneOf = (id: string): string => this.zones.get(id) ?? "";
 
   /** Every standing signalbox with its cell, this one included. */
-  readonly connectedControllers = (): readonly { readonly id: string; readonly cell: string }[] =>
+  readonly connectedControllers = (): readonly ControllerAddress[] =>
     [this.options.self, ...this.known().filter(this.isConnected)].map((id) => ({
       id,
-      cell: this.zoneOf(id),
+      zone: this.zoneOf(id),
     }));
 
-  readonly hello = (): Message => ({
-    kind: "colleague",
-    from: this.options.self,
-    cell: this.options.cell,
-    known: [this.options.self, ...this.known()],
-  });
+  readonly hello = (): Message => {
+    const { self, zone } = this.options;
+    return packPeerHello({ id: self, zone }, [self, ...this.known()]);
+  };
 
   /** Takes what a hello or a welcome of a colleague tells. */
   readonly meet = (hello: Message): void => {
-    if (typeof hello["from"] === "string" && typeof hello["cell"] === "string")
-      this.zones.set(hello["from"], hello["cell"]);
+    const zone = readPeerZone(hello);
+    if (typeof hello["from"] === "string" && zone !== undefined)
+      this.zones.set(hello["from"], zone);
     this.learn(readList(hello, "known", asString));
   };
 
--- a/src/membership/update-publisher.ts
+++ b/src/membership/update-publisher.ts
@@ -2,19 +2,10 @@
 import { MILLISECOND_US } from "../common/duration.js";
 import type { Message, Connection } from "../transport/connection.js";
 import type { UpdateStore } from "./update-store.js";
-import type { CacheAddress } from "./node-sessions.js";
+import type { ClusterSize } from "./cluster.js";
+import { MessageKind, packClusterSize } from "./messages.js";
 
-/** How many live pointsmen there are, all in all and by cell. */
-export interface ClusterSize {
-  readonly pointsmen: number;
-  readonly cells: Readonly<Record<string, number>>;
-  /** The depots with a session; left out where there are none. */
-  readonly depots?: readonly CacheAddress[];
-  /** The pointsmen that give large objects out to the others of their cell. */
-  readonly halls?: readonly CacheAddress[];
-}
-
-const GATHER_US = 4 * MILLISECOND_US;
+const FLUSH_DELAY_US = 4 * MILLISECOND_US;
 
 /**
  * Hands the news on to the children of this node in the relay tree: everything on joining, then what changed.
@@ -24,8 +15,8 @@
   private readonly children = new Set<Connection>();
   private readonly changed = new Set<string>();
   private readonly forgotten = new Set<string>();
-  private flushPulse: Timer | undefined;
-  private clusterSize: ClusterSize = { pointsmen: 0, cells: {} };
+  private flushTimer: Timer | undefined;
+  private clusterSize: ClusterSize = { gateways: 0, zones: {} };
 
   constructor(
     private readonly clock: Clock,
@@ -50,7 +41,7 @@
   readonly addChild = (connection: Connection): void => {
     this.children.add(connection);
     connection.send(this.snapshotMessage());
-    connection.send({ kind: "crew", ...this.clusterSize });
+    connection.send(packClusterSize(this.clusterSize));
   };
 
   readonly removeChild = (connection: Connection): void => {
@@ -60,13 +51,13 @@
   readonly setClusterSize = (clusterSize: ClusterSize): void => {
     if (JSON.stringify(clusterSize) === JSON.stringify(this.clusterSize)) return;
     this.clusterSize = clusterSize;
-    this.sendAll({ kind: "crew", ...clusterSize });
+    this.sendAll(packClusterSize(clusterSize));
   };
 
   /** Tells that every purge acknowledged before so long ago is in what has been sent. */
   readonly sendFreshness = (ageUs: number): void => {
     if (this.changed.size > 0) this.flush();
-    this.sendAll({ kind: "fresh", ageUs });
+    this.sendAll({ kind: MessageKind.freshness, ageUs });
   };
 
   /** Sends everything again, for instance once the registry has become complete. */
@@ -75,26 +66,26 @@
   readonly closeAll = (): void => this.children.forEach((connection) => connection.close());
 
   private readonly snapshotMessage = (): Message => ({
-    kind: "news",
+    kind: MessageKind.updates,
     whole: true,
     complete: this.isComplete(),
     facts: this.updates.pack(this.updates.all()),
   });
 
   private readonly flushSoon = (): void => {
-    this.flushPulse ??= this.clock.after(GATHER_US, this.flush);
+    this.flushTimer ??= this.clock.after(FLUSH_DELAY_US, this.flush);
   };
 
   private readonly flush = (): void => {
-    this.flushPulse?.stop();
-    this.flushPulse = undefined;
+    this.flushTimer?.stop();
+    this.flushTimer = undefined;
     const facts = [...this.changed].flatMap((key) => this.updates.get(key) ?? []);
     const forget = [...this.forgotten].filter((key) => this.updates.get(key) === undefined);
     this.changed.clear();
     this.forgotten.clear();
     if (facts.length + forget.length > 0)
       this.sendAll({
-        kind: "news",
+        kind: MessageKind.updates,
         whole: false,
         complete: false,
         facts: this.updates.pack(facts),
--- a/src/membership/update-subscriber.ts
+++ b/src/membership/update-subscriber.ts
@@ -20,12 +20,12 @@
   type KeepAliveTimes,
 } from "../transport/connection.js";
 import { WORKER_PREFIX, type UpdateStore } from "./update-store.js";
-import type { ClusterSize } from "./update-publisher.js";
-import { readClusterSize, type NodeRole } from "./node-sessions.js";
+import type { ClusterSize, ControllerAddress, NodeRole } from "./cluster.js";
+import { MessageKind, packNodeHello, readClusterSize, readControllers } from "./messages.js";
 
 export interface UpdateSubscriberOptions {
   readonly name: string;
-  readonly cell: string;
+  readonly zone: string;
   readonly role: NodeRole;
   readonly linkMbps?: number;
   readonly relay: string;
@@ -60,11 +60,7 @@
   }>();
   private state: SessionState = "looking";
   /** Every signalbox that was told of, those told last first; who is no longer told of is kept behind, since a teller may be cut off. */
-  private boxes: readonly {
-    readonly id: string;
-    readonly cell: string;
-    readonly isTold: boolean;
-  }[] = [];
+  private boxes: readonly (ControllerAddress & { readonly isTold: boolean })[] = [];
   private seeds: readonly string[];
   private connection: Connection | undefined;
   /** Invariant: set exactly while a relay feeds this node. */
@@ -125,7 +121,7 @@
   private async *states(): AsyncGenerator<SessionState, void, undefined> {
     const {
       name,
-      cell: zone,
+      zone,
       relay,
       role,
       linkMbps,
@@ -147,15 +143,20 @@
       if (connection) {
         yield "greeting";
         this.connection = connection;
-        connection.send({
-          kind: "pointsman",
-          node: { name, cell: zone, relay, role, ...(linkMbps === undefined ? {} : { linkMbps }) },
-        });
+        connection.send(
+          packNodeHello({
+            name,
+            zone,
+            relay,
+            role,
+            ...(linkMbps === undefined ? {} : { linkMbps }),
+          }),
+        );
         const incoming = connection.incoming();
         const first = await withTimeout(clock, times.timeoutUs, incoming.next(), undefined);
         if (first && !first.done) {
           this.learnBoxes(first.value);
-          if (first.value.kind === "welcome") {
+          if (first.value.kind === MessageKind.welcome) {
             log.info(`Session with ${controller} stands.`);
             this.tried.clear();
             this.looks = 0;
@@ -187,9 +188,7 @@
     );
     const isOthersTurn =
       told.length === 0 || (others.length > 0 && this.looks % OTHERS_EVERY === 0);
-    const near = new Set(
-      told.filter(({ cell: zone }) => zone === this.options.cell).map(({ id }) => id),
-    );
+    const near = new Set(told.filter(({ zone }) => zone === this.options.zone).map(({ id }) => id));
     const pool = isOthersTurn ? others : told.map(({ id }) => id);
     const scores = new Map(
       pool.map((id) => [
@@ -201,11 +200,7 @@
   };
 
   private readonly learnBoxes = (message: Message): void => {
-    const told = readList(message, "boxes", asRecord).map((record) => ({
-      id: readString(record, "id"),
-      cell: readString(record, "cell"),
-      isTold: true,
-    }));
+    const told = readControllers(message).map(({ id, zone }) => ({ id, zone, isTold: true }));
     const ids = new Set(told.map(({ id }) => id));
     const others = this.boxes
       .filter(({ id }) => !ids.has(id))
@@ -222,13 +217,13 @@
     if (this.pendingRequests.settle(message)) return;
     if (typeof message["ask"] === "number")
       return this.report({
-        ...(this.options.answer?.(message) ?? { kind: "unknown" }),
+        ...(this.options.answer?.(message) ?? { kind: MessageKind.unknown }),
         re: message["ask"],
       });
     switch (message.kind) {
-      case "boxes":
+      case MessageKind.controllers:
         return this.learnBoxes(message);
-      case "parent":
+      case MessageKind.parent:
         return this.follow(readString(message, "parent"));
       default:
         return this.takeNews(message);
@@ -237,9 +232,11 @@
 
   private readonly takeNews = (message: Message): void => {
     const { updates } = this.options;
-    if (message.kind === "crew") void this.events.emit("crew", readClusterSize(message));
-    if (message.kind === "fresh") void this.events.emit("fresh", readNumber(message, "ageUs"));
-    if (message.kind !== "news") return;
+    if (message.kind === MessageKind.clusterSize)
+      void this.events.emit("crew", readClusterSize(message));
+    if (message.kind === MessageKind.freshness)
+      void this.events.emit("fresh", readNumber(message, "ageUs"));
+    if (message.kind !== MessageKind.updates) return;
     const facts = asList(message["facts"], "facts");
     updates.take(facts);
     updates.forget(readList(message, "forget", asString));
@@ -274,7 +271,7 @@
     const connection = await connectTo(ip, port, clock, RELAY_WAIT_US, times);
     if (connection && this.parent === parent) {
       this.relayConnection = connection;
-      connection.send({ kind: "child", name });
+      connection.send({ kind: MessageKind.childHello, name });
       for await (const message of connection.incoming()) {
         if (this.parent === parent) this.takeNews(message);
       }
@@ -284,6 +281,6 @@
       }
     }
     connection?.close();
-    if (this.parent === parent) this.report({ kind: "lost-news", parent });
+    if (this.parent === parent) this.report({ kind: MessageKind.parentLost, parent });
   };
 }
--- a/src/membership/worker-registry.ts
+++ b/src/membership/worker-registry.ts
@@ -1,77 +1,27 @@
 import type { Clock } from "../common/clock.js";
-import { asRecord, readString, readNumber, type UnknownRecord } from "../common/decode.js";
-import { parseDuration } from "../common/duration.js";
+import type { UnknownRecord } from "../common/decode.js";
+import type { Heartbeat, WorkerState } from "./cluster.js";
+import { packHeartbeat, packWorkerUpdate } from "./messages.js";
 import { WORKER_PREFIX, type UpdateStore, type NewUpdate } from "./update-store.js";
 
-export type WorkerState = "ready" | "missing" | "draining" | "gone";
-
 /** Later states of one call count win over earlier ones; a gone worker stays gone. */
 const RANK: Readonly<Record<WorkerState, number>> = { ready: 0, missing: 1, draining: 2, gone: 3 };
 const RANKS = 4;
 
-export interface Heartbeat {
-  readonly id: string;
-  readonly service: string;
-  readonly address: string;
-  readonly cell: string;
-  readonly version: string;
-  readonly capacity: number;
-  readonly state: WorkerState;
-  readonly warmUs: number;
-  readonly callCount: number;
-}
-
-const stateOf = (value: string): WorkerState => {
-  if (value === "ready" || value === "missing" || value === "draining" || value === "gone")
-    return value;
-  return "ready";
-};
-
-export const readHeartbeat = (id: string, value: unknown): Heartbeat => {
-  const record = asRecord(value, "the beat");
-  return {
-    id,
-    service: readString(record, "service"),
-    address: readString(record, "address"),
-    cell: readString(record, "cell"),
-    version: typeof record["version"] === "string" ? record["version"] : "",
-    capacity: readNumber(record, "capacity"),
-    state: stateOf(readString(record, "state")),
-    warmUs:
-      typeof record["warmUs"] === "number"
-        ? record["warmUs"]
-        : parseDuration(record["warmLeft"]).unwrapOr(0),
-    callCount: readNumber(record, "callCount"),
-  };
-};
-
-export const readSharedHeartbeat = (value: unknown): Heartbeat => {
-  const record = asRecord(value, "the beat");
-  return readHeartbeat(readString(record, "id"), record);
-};
-
 interface Entry {
-  beat: Heartbeat;
+  heartbeat: Heartbeat;
   heardUs: number;
 }
 
-const factOf = (heartbeat: Heartbeat): NewUpdate => ({
+const updateOf = (heartbeat: Heartbeat): NewUpdate => ({
   key: WORKER_PREFIX + heartbeat.id,
   version: heartbeat.callCount * RANKS + RANK[heartbeat.state],
   tie: "",
-  body: {
-    service: heartbeat.service,
-    address: heartbeat.address,
-    cell: heartbeat.cell,
-    capacity: heartbeat.capacity,
-    state: heartbeat.state,
-    warmUs: heartbeat.warmUs,
-    release: heartbeat.version,
-  },
+  body: packWorkerUpdate(heartbeat),
 });
 
-const TOMBSTONE_BEATS = 40;
-const MISSING_BEATS = 3;
+const TOMBSTONE_HEARTBEATS = 40;
+const MISSING_HEARTBEATS = 3;
 
 /**
  * The workers as their beats tell them. Only changes become facts; a beat that changes nothing only freshens.
@@ -97,11 +47,12 @@
 
   /** Whether every worker that lives has had time to be heard here. */
   readonly isComplete = (): boolean =>
-    this.clock.nowUs() - this.listeningSinceUs > this.heartbeatUs * MISSING_BEATS;
+    this.clock.nowUs() - this.listeningSinceUs > this.heartbeatUs * MISSING_HEARTBEATS;
 
-  readonly all = (): readonly Heartbeat[] => [...this.entries.values()].map((entry) => entry.beat);
+  readonly all = (): readonly Heartbeat[] =>
+    [...this.entries.values()].map((entry) => entry.heartbeat);
 
-  readonly get = (id: string): Heartbeat | undefined => this.entries.get(id)?.beat;
+  readonly get = (id: string): Heartbeat | undefined => this.entries.get(id)?.heartbeat;
 
   /** Takes up workers known before this start; those that are not heard soon go missing like any other. */
   readonly restore = (heartbeats: readonly Heartbeat[]): void =>
@@ -114,31 +65,33 @@
   readonly take = (told: Heartbeat, ageUs = 0): boolean => {
     const nowUs = this.clock.nowUs() - ageUs;
     const heartbeat: Heartbeat =
-      told.state === "ready" && ageUs > this.heartbeatUs * MISSING_BEATS
+      told.state === "ready" && ageUs > this.heartbeatUs * MISSING_HEARTBEATS
         ? { ...told, state: "missing" }
         : told;
     const before = this.entries.get(heartbeat.id);
     if (!before) {
-      if (ageUs > this.heartbeatUs * TOMBSTONE_BEATS) return false;
-      this.entries.set(heartbeat.id, { beat: heartbeat, heardUs: nowUs });
-      this.updates.post([factOf(heartbeat)]);
+      if (ageUs > this.heartbeatUs * TOMBSTONE_HEARTBEATS) return false;
+      this.entries.set(heartbeat.id, { heartbeat, heardUs: nowUs });
+      this.updates.post([updateOf(heartbeat)]);
       return true;
     }
-    if (before.beat.state === "gone") return false;
-    const rises = heartbeat.callCount > before.beat.callCount;
+    if (before.heartbeat.state === "gone") return false;
+    const rises = heartbeat.callCount > before.heartbeat.callCount;
     const sinks =
-      heartbeat.callCount === before.beat.callCount &&
-      RANK[heartbeat.state] > RANK[before.beat.state];
+      heartbeat.callCount === before.heartbeat.callCount &&
+      RANK[heartbeat.state] > RANK[before.heartbeat.state];
     if (!rises && !sinks) return false;
     const state =
-      before.beat.state === "draining" && heartbeat.state !== "gone" ? "draining" : heartbeat.state;
+      before.heartbeat.state === "draining" && heartbeat.state !== "gone"
+        ? "draining"
+        : heartbeat.state;
     const changed =
-      state !== before.beat.state ||
-      heartbeat.address !== before.beat.address ||
-      heartbeat.service !== before.beat.service;
-    before.beat = { ...heartbeat, state };
+      state !== before.heartbeat.state ||
+      heartbeat.address !== before.heartbeat.address ||
+      heartbeat.service !== before.heartbeat.service;
+    before.heartbeat = { ...heartbeat, state };
     before.heardUs = Math.max(nowUs, before.heardUs);
-    if (changed) this.updates.post([factOf(before.beat)]);
+    if (changed) this.updates.post([updateOf(before.heartbeat)]);
     return true;
   };
 
@@ -146,9 +99,9 @@
     const before = this.entries.get(id);
     if (!before) return undefined;
     const heartbeat: Heartbeat = {
-      ...before.beat,
+      ...before.heartbeat,
       state: "gone",
-      callCount: before.beat.callCount + 1,
+      callCount: before.heartbeat.callCount + 1,
     };
     this.take(heartbeat);
     return heartbeat;
@@ -156,13 +109,13 @@
 
   readonly drop = (id: string): void => {
     const entry = this.entries.get(id);
-    if (entry) this.take({ ...entry.beat, state: "gone" });
+    if (entry) this.take({ ...entry.heartbeat, state: "gone" });
   };
 
   readonly packAll = (): readonly UnknownRecord[] => {
     const nowUs = this.clock.nowUs();
-    return [...this.entries.values()].map(({ beat: heartbeat, heardUs }) => ({
-      ...heartbeat,
+    return [...this.entries.values()].map(({ heartbeat, heardUs }) => ({
+      ...packHeartbeat(heartbeat),
       ageUs: nowUs - heardUs,
     }));
   };
@@ -172,12 +125,15 @@
     const nowUs = this.clock.nowUs();
     this.entries.forEach((entry, id) => {
       const silentUs = nowUs - Math.max(entry.heardUs, this.listeningSinceUs);
-      if (silentUs > this.heartbeatUs * TOMBSTONE_BEATS) {
+      if (silentUs > this.heartbeatUs * TOMBSTONE_HEARTBEATS) {
         this.entries.delete(id);
         this.updates.forget([WORKER_PREFIX + id]);
-      } else if (silentUs > this.heartbeatUs * MISSING_BEATS && entry.beat.state === "ready") {
-        entry.beat = { ...entry.beat, state: "missing" };
-        this.updates.post([factOf(entry.beat)]);
+      } else if (
+        silentUs > this.heartbeatUs * MISSING_HEARTBEATS &&
+        entry.heartbeat.state === "ready"
+      ) {
+        entry.heartbeat = { ...entry.heartbeat, state: "missing" };
+        this.updates.post([updateOf(entry.heartbeat)]);
       }
     });
   };
--- a/src/programs/cache/cache.ts
+++ b/src/programs/cache/cache.ts
@@ -41,7 +41,7 @@
   const { updates, subscriber, relay }: DataPlaneNode = joinCluster(
     settings,
     clock,
-    "depot",
+    "cache",
     { goods: serve },
     (question) =>
       question.kind === "retries" ? { kind: "retries", rows: retryBudgets.tell() } : undefined,
@@ -144,7 +144,7 @@
     },
   });
   subscriber.events.on("crew", (told) => {
-    const depots = told.depots ?? [];
+    const depots = told.caches ?? [];
     addresses = [
       here,
       ...depots.map(({ address }) => address).filter((address) => address !== here),
@@ -152,7 +152,7 @@
     others.learn(depots.filter(({ address }) => address !== here));
     clusterSize = {
       depots: Math.max(1, depots.length),
-      here: Math.max(1, depots.filter(({ cell: zone }) => zone === settings.zone).length),
+      here: Math.max(1, depots.filter(({ zone }) => zone === settings.zone).length),
     };
     pool.setNodes({ here: clusterSize.here, everywhere: clusterSize.depots });
   });
--- a/src/programs/controller/admin-api.ts
+++ b/src/programs/controller/admin-api.ts
@@ -9,11 +9,9 @@
 import type { ReplicatedStoreError } from "../../consensus/errors.js";
 import type { ReplicatedStore } from "../../consensus/replicated-store.js";
 import type { Register } from "../../consensus/register.js";
-import {
-  readHeartbeat,
-  type Heartbeat,
-  type WorkerRegistry,
-} from "../../membership/worker-registry.js";
+import type { Heartbeat } from "../../membership/cluster.js";
+import { readHeartbeat } from "../../membership/messages.js";
+import type { WorkerRegistry } from "../../membership/worker-registry.js";
 import type { OutcomeName } from "../../common/http-outcomes.js";
 import { isRecord, parseJson, type UnknownRecord } from "../../common/decode.js";
 import { parseDuration } from "../../common/duration.js";
@@ -125,7 +123,7 @@
     const held = registry.get(heartbeat.id) ?? heartbeat;
     const [isShared, address] = await Promise.all([
       share([held], heartbeat.state !== "ready"),
-      reportTo(heartbeat.cell),
+      reportTo(heartbeat.zone),
     ]);
     if (!isShared) return { outcome: "noQuorum" };
     return { outcome: "taken", body: address === undefined ? {} : { reportTo: address } };
--- a/src/programs/controller/backend-forecast.ts
+++ b/src/programs/controller/backend-forecast.ts
@@ -1,5 +1,5 @@
 import type { WorkerRegistry } from "../../membership/worker-registry.js";
-import type { NodeAnswer } from "../../membership/node-sessions.js";
+import type { NodeAnswer } from "../../membership/cluster.js";
 import { CALLS_WINDOW_US } from "../../proxy/request-counters.js";
 import {
   bandOf,
@@ -158,7 +158,7 @@
             {
               worker,
               service: heartbeat.service,
-              cell: heartbeat.cell,
+              cell: heartbeat.zone,
               perSNow: now,
               perSThen: then,
               usedPart,
@@ -191,7 +191,7 @@
       retire: change.retire,
       byRoute: change.byRoute,
     });
-    const rows = answers.flatMap(({ node, cell: zone, answer }) =>
+    const rows = answers.flatMap(({ node, zone, answer }) =>
       readList(answer ?? {}, "rows", (value): UnknownRecord => ({
         node,
         cell: zone,
@@ -259,7 +259,7 @@
     return {
       outcome: "taken",
       body: {
-        seen: answers.map(({ node, cell: zone, answer }) => ({
+        seen: answers.map(({ node, zone, answer }) => ({
           node,
           cell: zone,
           services: answer?.["services"] ?? [],
--- a/src/programs/controller/controller.ts
+++ b/src/programs/controller/controller.ts
@@ -51,11 +51,9 @@
 } from "../../membership/update-store.js";
 import { Peers } from "../../membership/peers.js";
 import { UpdatePublisher } from "../../membership/update-publisher.js";
-import {
-  readSharedHeartbeat,
-  WorkerRegistry,
-  type Heartbeat,
-} from "../../membership/worker-registry.js";
+import type { Heartbeat } from "../../membership/cluster.js";
+import { packHeartbeat, packNode, readSharedHeartbeat } from "../../membership/messages.js";
+import { WorkerRegistry } from "../../membership/worker-registry.js";
 import { NodeSessions } from "../../membership/node-sessions.js";
 import { Listener } from "../../transport/listener.js";
 import { debounce, coalesce, type Clock, type Timer } from "../../common/clock.js";
@@ -129,7 +127,7 @@
   const publisher = new UpdatePublisher(clock, updates, registry.isComplete);
   const peers = new Peers({
     self,
-    cell: settings.zone,
+    zone: settings.zone,
     peerPort: settings.peerPort,
     clock,
     times: KEEP_ALIVE,
@@ -172,7 +170,7 @@
       registry
         .all()
         .filter((heartbeat) => heartbeat.state === "ready")
-        .map((heartbeat): UnknownRecord => ({ ...heartbeat })),
+        .map(packHeartbeat),
   });
   const remember = async (): Promise<void> => {
     const found = await memory.load();
@@ -202,7 +200,8 @@
   const gathered = new Map<string, Heartbeat>();
   /** True once a majority was heard after the call; beats gathered meanwhile are shared before. */
   const hearMajority = coalesce(clock, GATHER_BEATS_US, () => {
-    if (gathered.size > 0) peers.send({ kind: "beats", beats: [...gathered.values()] });
+    if (gathered.size > 0)
+      peers.send({ kind: "beats", beats: [...gathered.values()].map(packHeartbeat) });
     gathered.clear();
     return store.confirmQuorum();
   });
@@ -215,10 +214,10 @@
     clock,
     publisher,
     log: loggerFor("sessions"),
-    isFit,
-    boxes: peers.connectedControllers,
-    cell: settings.zone,
-    emptiedCell: () => emptiedCell(),
+    mayServe: isFit,
+    controllers: peers.connectedControllers,
+    zone: settings.zone,
+    drainedZone: () => emptiedCell(),
     answer: (message, node) => answerNode(message, node),
   });
 
@@ -253,7 +252,7 @@
         .map((heartbeat) => ({
           id: heartbeat.id,
           service: heartbeat.service,
-          cell: heartbeat.cell,
+          cell: heartbeat.zone,
           missing: heartbeat.state === "missing",
         })),
     decisions,
@@ -292,12 +291,12 @@
       return registry.all().map((heartbeat) => ({
         id: heartbeat.id,
         service: heartbeat.service,
-        cell: heartbeat.cell,
+        cell: heartbeat.zone,
         capacity: heartbeat.capacity,
         isUsed: heartbeat.state === "ready" && !ejected.has(heartbeat.id),
       }));
     },
-    nodes: () => sessions.clusterSize().pointsmen,
+    nodes: () => sessions.clusterSize().gateways,
     published: verdicts,
     publish: (wanted) => publish(FORECAST_REGISTER, wanted),
   });
@@ -321,7 +320,7 @@
     setShift: inspector.setShift,
     cells: () => zones(),
     workers: () =>
-      registry.all().map(({ cell: zone, service, capacity, state }) => ({
+      registry.all().map(({ zone, service, capacity, state }) => ({
         cell: zone,
         service,
         capacity,
@@ -395,7 +394,7 @@
       heartbeats.forEach((heartbeat) => gathered.set(heartbeat.id, heartbeat));
       return hearMajority();
     }
-    const message: Message = { kind: "beats", beats: heartbeats };
+    const message: Message = { kind: "beats", beats: heartbeats.map(packHeartbeat) };
     peers
       .known()
       .filter((id) => !store.members().includes(id))
@@ -414,7 +413,7 @@
 
   /** The signalbox of the cell, if it hears a majority by its own word, asked for now. */
   const reportTo = async (zone: string): Promise<string | undefined> => {
-    const controller = peers.connectedControllers().find((candidate) => candidate.cell === zone);
+    const controller = peers.connectedControllers().find((candidate) => candidate.zone === zone);
     if (controller === undefined || controller.id === self || settings.zone === zone)
       return undefined;
     const reply = await peers.ask(controller.id, { kind: "hear-majority" }, WRITE_TIMEOUT_US);
@@ -457,8 +456,8 @@
   });
   const zones = () => [
     ...new Set([
-      ...registry.all().map(({ cell: zone }) => zone),
-      ...sessions.nodes().map(({ cell: zone }) => zone),
+      ...registry.all().map(({ zone }) => zone),
+      ...sessions.nodes().map(({ zone }) => zone),
     ]),
   ];
   const backends = openBackends({ registry, cells: zones, askNodes: nodeAnswers.askAll });
@@ -673,7 +672,7 @@
     const facts = settled.filter((register) => isConfigKey(register.key)).map(factOf);
     const ejections = settled.find((register) => register.key === EJECTIONS_REGISTER);
     updates.post(facts);
-    if (ejections) sessions.leaveEmptied();
+    if (ejections) sessions.leaveDrainedZone();
     if (settled.some((register) => register.key === WINDOWS_REGISTER))
       windowsSinceUs = clock.nowUs();
     settled.forEach(({ key, version, digest, body }) => {
@@ -753,8 +752,8 @@
     ...(content ? { purge: content.purge } : {}),
   });
   const ofFleet = {
-    nodes: sessions.nodes,
-    workers: registry.all,
+    nodes: () => sessions.nodes().map(packNode),
+    workers: () => registry.all().map(packHeartbeat),
     duty: tellDuty,
     inspection: () => tellOfHolder("inspection"),
     rollouts: () => tellOfHolder("rollouts"),
--- a/src/programs/controller/retry-quota.ts
+++ b/src/programs/controller/retry-quota.ts
@@ -2,7 +2,7 @@
 import { WRITE_TIMEOUT_US } from "../../consensus/timeouts.js";
 import { RetryAllocator } from "../../quota/retry-allocator.js";
 import type { Peers } from "../../membership/peers.js";
-import type { NodeAnswer } from "../../membership/node-sessions.js";
+import type { NodeAnswer } from "../../membership/cluster.js";
 import type { Clock } from "../../common/clock.js";
 import {
   defaultLimits,
--- a/src/programs/data-plane-node.ts
+++ b/src/programs/data-plane-node.ts
@@ -1,6 +1,6 @@
 import { UpdateStore } from "../membership/update-store.js";
 import { UpdatePublisher } from "../membership/update-publisher.js";
-import type { NodeRole } from "../membership/node-sessions.js";
+import type { NodeRole } from "../membership/cluster.js";
 import { Listener, type Receiver } from "../transport/listener.js";
 import { UpdateSubscriber, type UpdateSubscriberOptions } from "../membership/update-subscriber.js";
 import type { Clock } from "../common/clock.js";
@@ -29,7 +29,7 @@
   const updates = new UpdateStore(clock);
   const subscriber = new UpdateSubscriber({
     name: settings.name,
-    cell: settings.zone,
+    zone: settings.zone,
     role,
     ...(settings.deployment === "" ? {} : { linkMbps: settings.linkMbps }),
     relay: `${settings.ip}:${settings.relayPort}`,
--- a/src/programs/gateway/gateway.ts
+++ b/src/programs/gateway/gateway.ts
@@ -1,7 +1,7 @@
 import { FaultCounters } from "../../health/fault-counters.js";
 import { LoadCounters } from "../../health/load-counters.js";
 import { CanaryCounters } from "../../health/canary-counters.js";
-import type { ClusterSize } from "../../membership/update-publisher.js";
+import type { ClusterSize } from "../../membership/cluster.js";
 import { RequestCounters } from "../../proxy/request-counters.js";
 import { ProxyServer } from "../../proxy/proxy-server.js";
 import { RouteTable } from "../../proxy/route-table.js";
@@ -38,7 +38,7 @@
   const { updates, subscriber, relay } = joinCluster(
     settings,
     clock,
-    "pointsman",
+    "gateway",
     { goods: (...session) => goods?.receiver(...session) ?? Promise.resolve() },
     (question) => answers(question),
   );
@@ -58,14 +58,14 @@
     budgets: retryBudgets,
   });
   const tallies = new Map<string, number>();
-  let clusterSize: ClusterSize = { pointsmen: 1, cells: {} };
+  let clusterSize: ClusterSize = { gateways: 1, zones: {} };
   let leaving = false;
 
   const connectionShare = (service: string): number =>
     Math.max(
       1,
       Math.floor(
-        (table.service(service)?.maxConnections ?? 16) / Math.max(1, clusterSize.pointsmen),
+        (table.service(service)?.maxConnections ?? 16) / Math.max(1, clusterSize.gateways),
       ),
     );
 
@@ -122,8 +122,8 @@
   subscriber.events.on("crew", (told) => {
     clusterSize = told;
     pool.setNodes({
-      here: Math.max(1, told.cells[settings.zone] ?? 1),
-      everywhere: Math.max(1, told.pointsmen),
+      here: Math.max(1, told.zones[settings.zone] ?? 1),
+      everywhere: Math.max(1, told.gateways),
     });
   });
 
--- a/src/programs/gateway/object-cache.ts
+++ b/src/programs/gateway/object-cache.ts
@@ -145,12 +145,12 @@
   const counter = new ObjectServer({ clock, store, rate, log: loggerFor("hall") });
   const here = `${settings.ip}:${settings.relayPort}`;
   subscriber.events.on("crew", (clusterSize) => {
-    depots.learn(clusterSize.depots ?? []);
-    const ofCell = (clusterSize.halls ?? []).filter(
-      ({ cell: zone, address }) => zone === settings.zone && address !== here,
+    depots.learn(clusterSize.caches ?? []);
+    const ofCell = (clusterSize.zoneDistributors ?? []).filter(
+      ({ zone, address }) => zone === settings.zone && address !== here,
     );
     halls.learn(
-      (clusterSize.depots ?? []).some(({ cell: zone }) => zone === settings.zone) ? [] : ofCell,
+      (clusterSize.caches ?? []).some(({ zone }) => zone === settings.zone) ? [] : ofCell,
     );
   });
   const keeper = new RateLeaseRenewer({
