--- a/src/main.ts
+++ b/src/main.ts
@@ -95,6 +95,6 @@
   process.argv[2] !== "signalbox"
 ) {
   (await import("./programs/ctl/ctl.js")).addCtlCommands(cli);
-  (await import("./programs/loadgen/loadgen.js")).addShunter(cli);
+  (await import("./programs/loadgen/loadgen.js")).addLoadgenCommand(cli);
 }
 await cli.parseAsync();
--- a/src/programs/ctl/ctl.ts
+++ b/src/programs/ctl/ctl.ts
@@ -69,7 +69,7 @@
 ): Promise<Result<UnknownRecord, CommandError>> => {
   let last: Result<UnknownRecord, CommandError> = err({
     code: 2,
-    sentence: "no signalbox is named; give --box or set YEWREEL_BOXES",
+    sentence: "no controller is named; give --controller or set YEWREEL_CONTROLLERS",
   });
   for (const controller of controllers) {
     last = await ask(controller, method, path, body);
@@ -105,13 +105,13 @@
 };
 
 interface Common {
-  readonly box?: readonly string[];
+  readonly controller?: readonly string[];
   readonly json?: boolean;
 }
 
 const boxesOf = (common: Common): readonly string[] =>
-  common.box ??
-  (process.env["YEWREEL_BOXES"] ?? "").split(",").filter((controller) => controller !== "");
+  common.controller ??
+  (process.env["YEWREEL_CONTROLLERS"] ?? "").split(",").filter((controller) => controller !== "");
 
 const finish = (
   result: Result<UnknownRecord, CommandError>,
@@ -121,7 +121,7 @@
     process.stdout.write(`${show(result.value)}\n`);
     return;
   }
-  process.stderr.write(`stationmaster: ${result.error.sentence}.\n`);
+  process.stderr.write(`ctl: ${result.error.sentence}.\n`);
   process.exitCode = result.error.code;
 };
 
@@ -354,12 +354,12 @@
 /** The operator's command line. Queries take --json; commands answer with one line. */
 export const addCtlCommands = (cli: Command): void => {
   const station = cli
-    .command("stationmaster")
+    .command("ctl")
     .description("the operator's command line: talks to any signalbox");
   const common = (command: Command): Command =>
     command.option(
-      "-b, --box <address...>",
-      "signalboxes to ask, as ip:port (or YEWREEL_BOXES, comma-separated)",
+      "-c, --controller <address...>",
+      "signalboxes to ask, as ip:port (or YEWREEL_CONTROLLERS, comma-separated)",
     );
   const query = (command: Command): Command => common(command).option("--json", "print JSON");
   const show = (options: Common, field: string) => (told: UnknownRecord) =>
