--- a/features/steps/forecast.ts
+++ b/features/steps/forecast.ts
@@ -2,8 +2,8 @@
 import { Given, Then, When } from "@cucumber/cucumber";
 import {
   CapacityForecaster,
-  FORECAST_TERMS,
-  type ForecastName,
+  FORECAST_SETTINGS,
+  type CapacityState,
 } from "../../src/health/capacity-forecast.js";
 import { LoadCounters } from "../../src/health/load-counters.js";
 import { silentLogger } from "../../src/common/logger.js";
@@ -22,11 +22,11 @@
 const NODES = 20;
 const SLOTS = 40;
 const CALL_US = 200_000;
-const CELLS = ["c1", "c2", "c3", "c4"];
+const ZONES = ["c1", "c2", "c3", "c4"];
 
 interface Run {
   /** Seconds into the run at which each verdict was entered. */
-  readonly entered: readonly { readonly atS: number; readonly verdict: ForecastName }[];
+  readonly entered: readonly { readonly atS: number; readonly verdict: CapacityState }[];
   /** When the slots were first all wanted. */
   readonly fullS: number;
 }
@@ -42,21 +42,21 @@
   readonly counts = Array.from({ length: NODES }, (_, at) => new LoadCounters(`life-${at}`));
   slots = SLOTS;
   holds = true;
-  published: Readonly<Record<string, ForecastName>> = {};
+  published: Readonly<Record<string, CapacityState>> = {};
   publishes = 0;
   readonly forecaster = new CapacityForecaster({
     clock: this.clock,
     log: silentLogger,
-    terms: FORECAST_TERMS,
-    isHolder: () => this.holds,
+    settings: FORECAST_SETTINGS,
+    isLeader: () => this.holds,
     nodes: () => NODES,
     workers: () =>
       Array.from({ length: this.slots / 2 }, (_, at) => ({
         id: `w${at}`,
         service: "s",
-        cell: CELLS[at % 4] ?? "",
+        zone: ZONES[at % 4] ?? "",
         capacity: 2,
-        isUsed: true,
+        isRoutable: true,
       })),
     published: () => this.published,
     publish: async (verdicts) => {
@@ -66,7 +66,7 @@
     },
   });
 
-  readonly verdict = (): ForecastName => this.forecaster.verdicts()["s|"] ?? "unknown";
+  readonly verdict = (): CapacityState => this.forecaster.states()["s|"] ?? "unknown";
 
   /** Two seconds: a number of calls that scatters as independent arrivals do, over all nodes. */
   readonly tick = async (random: () => number, { part, slots, slower }: Moment): Promise<void> => {
@@ -81,11 +81,11 @@
       counts?.arrived("s");
       counts?.answered(
         "s",
-        CELLS[Math.floor(random() * 4)] ?? "",
+        ZONES[Math.floor(random() * 4)] ?? "",
         CALL_US * slower * (0.5 + random()),
       );
     }
-    this.reports().forEach(this.forecaster.take);
+    this.reports().forEach(this.forecaster.receive);
     await this.pass();
   };
 
@@ -108,7 +108,7 @@
 ): Promise<Run> => {
   const simulation = new Simulation();
   const random = seeded(seed * 7_919 + 13);
-  const entered: { atS: number; verdict: ForecastName }[] = [];
+  const entered: { atS: number; verdict: CapacityState }[] = [];
   let fullS = Number.POSITIVE_INFINITY;
   for (let atS = 0; atS < seconds; atS += 2) {
     const moment = momentAt(atS);
@@ -224,7 +224,7 @@
     const report = counts?.takeReport();
     if (!report) continue;
     for (let time = 0; time < repeats; time += 1)
-      simulation.forecaster.take({ ...report, node: `n${at}` });
+      simulation.forecaster.receive({ ...report, node: `n${at}` });
   }
 };
 
@@ -241,7 +241,7 @@
     let before: readonly Message[] = [];
     for (let time = 0; time < 8; time += 1) {
       level(percent / 100, NODES, 2);
-      before.forEach(simulation.forecaster.take);
+      before.forEach(simulation.forecaster.receive);
       before = simulation.reports();
       await simulation.pass();
     }
--- a/features/steps/inspection.ts
+++ b/features/steps/inspection.ts
@@ -1,19 +1,19 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import {
-  NO_TALLY,
+  NO_OUTCOMES,
   SequentialTest,
-  SEQUENTIAL_TEST_TERMS,
+  SEQUENTIAL_TEST_SETTINGS,
   type OutcomeKind,
-  type Tally,
+  type OutcomeCounts,
   type TestResult,
 } from "../../src/health/sequential-test.js";
 import {
   OutlierDetector,
   NO_DECISIONS,
-  type Decisions,
+  type HealthDecisions,
 } from "../../src/health/outlier-detector.js";
-import { OUTLIER_TERMS } from "../../src/health/outlier-ranking.js";
+import { OUTLIER_SETTINGS } from "../../src/health/outlier-ranking.js";
 import {
   NO_CANARIES,
   CanaryAnalyzer,
@@ -46,29 +46,33 @@
 /** One run: 27 baseline and 3 candidate requests a second over four cells, looked at every second. */
 const playRun = (isSafe: boolean, baseline: Rates, candidate: Rates, seed: number): TestResult => {
   const random = seeded(seed);
-  const trial = new SequentialTest(isSafe, SEQUENTIAL_TEST_TERMS, random);
+  const trial = new SequentialTest(isSafe, SEQUENTIAL_TEST_SETTINGS, random);
   for (let second = 0; second < SECONDS; second += 1) {
     for (let request = 0; request < 30; request += 1) {
       const stratum = `c${Math.floor(random() * 4)}|near|warm`;
       const isCandidate = random() < 0.1;
-      const rise: Tally = { ...NO_TALLY, [draw(isCandidate ? candidate : baseline, random)]: 1 };
-      if (isCandidate) trial.takeCandidate(stratum, rise);
-      else trial.takeBaseline(stratum, rise);
+      const rise: OutcomeCounts = {
+        ...NO_OUTCOMES,
+        [draw(isCandidate ? candidate : baseline, random)]: 1,
+      };
+      if (isCandidate) trial.addCandidate(stratum, rise);
+      else trial.addBaseline(stratum, rise);
     }
-    const result = trial.look();
-    if (result.verdict !== "observing") return result;
+    const result = trial.evaluate();
+    if (result.decision !== "observing") return result;
   }
-  return trial.look();
+  return trial.evaluate();
 };
 
 let isSafe = true;
 let baselineRates = ratesOf(0, 0, 0);
 let verdicts: readonly TestResult[] = [];
-const sizeOf = (tally: Tally): number => tally.inTime + tally.late + tally.lost + tally.doubled;
+const sizeOf = (tally: OutcomeCounts): number =>
+  tally.inTime + tally.late + tally.lost + tally.doubled;
 const median = (numbers: readonly number[]): number =>
   [...numbers].sort((a, b) => a - b)[Math.floor(numbers.length / 2)] ?? Number.NaN;
 const having = (name: string): readonly TestResult[] =>
-  verdicts.filter(({ verdict: result }) => result === name);
+  verdicts.filter(({ decision: result }) => result === name);
 
 Given(
   "runs of a {word} route whose baseline is late {float} and lost {float} and doubled {float}",
@@ -130,12 +134,12 @@
   new CanaryAnalyzer({
     clock,
     log: silentLogger,
-    terms: SEQUENTIAL_TEST_TERMS,
+    settings: SEQUENTIAL_TEST_SETTINGS,
     random: seeded(5),
-    isHolder: () => holds,
+    isLeader: () => holds,
     term: () => 256,
     splitRoutes: () => [route],
-    previousMain: () => "old",
+    previousPrimary: () => "old",
     state: () => state,
     publish: async (wanted) => {
       state = wanted;
@@ -145,13 +149,13 @@
 
 const report = (
   service: string,
-  tally: Partial<Tally>,
+  tally: Partial<OutcomeCounts>,
   stratum = "c1|near|warm",
   version = 7,
   name = "r1",
   life = "a",
 ) => {
-  const { inTime, late, lost, doubled } = { ...NO_TALLY, ...tally };
+  const { inTime, late, lost, doubled } = { ...NO_OUTCOMES, ...tally };
   return {
     kind: "rollout",
     node: "n1",
@@ -189,36 +193,36 @@
 When(
   "{string} answers {int} requests late on cold workers while {string} answers {int} in time on warm ones",
   async (fresh: string, late: number, old: string, inTime: number) => {
-    rollouts.take(report(old, { inTime }));
-    rollouts.take(report(fresh, { late }, "c1|near|cold"));
+    rollouts.receive(report(old, { inTime }));
+    rollouts.receive(report(fresh, { late }, "c1|near|cold"));
     await rollouts.tick();
   },
 );
 When(
   "{string} possibly doubles {int} of {int} requests and {string} none of {int}",
   async (fresh: string, doubled: number, requests: number, old: string, size: number) => {
-    rollouts.take(report(old, { inTime: size }));
-    rollouts.take(report(fresh, { inTime: requests - doubled, doubled }));
+    rollouts.receive(report(old, { inTime: size }));
+    rollouts.receive(report(fresh, { inTime: requests - doubled, doubled }));
     await rollouts.tick();
   },
 );
 When(
   "the same report of {int} requests of {string} comes {int} times, and then an older one",
   async (size: number, fresh: string, times: number) => {
-    for (let time = 0; time < times; time += 1) rollouts.take(report(fresh, { inTime: size }));
-    rollouts.take(report(fresh, { inTime: size - 10 }));
+    for (let time = 0; time < times; time += 1) rollouts.receive(report(fresh, { inTime: size }));
+    rollouts.receive(report(fresh, { inTime: size - 10 }));
     await rollouts.tick();
   },
 );
 When("a malformed report, one of an unknown route and one of a stale version come", async () => {
-  rollouts.take({
+  rollouts.receive({
     kind: "rollout",
     node: "n1",
     life: "a",
     rows: [["r1", 7, "new", "c1|near|warm", -4, 0, 0, 0, 0]],
   });
-  rollouts.take(report("new", { inTime: 5 }, "c1|near|warm", 7, "nowhere"));
-  rollouts.take(report("new", { inTime: 5 }, "c1|near|warm", 6));
+  rollouts.receive(report("new", { inTime: 5 }, "c1|near|warm", 7, "nowhere"));
+  rollouts.receive(report("new", { inTime: 5 }, "c1|near|warm", 6));
   await rollouts.tick();
 });
 When("another inspector takes over", async () => {
@@ -226,7 +230,7 @@
   await rollouts.tick();
 });
 When("the operator clears {string}", async (name: string) => {
-  assert.equal(await rollouts.clear(name, 7), undefined);
+  assert.equal(await rollouts.clearStop(name, 7), undefined);
 });
 
 Then("nothing is stopped", () => assert.deepEqual(state.stops, []));
@@ -255,8 +259,8 @@
   assert.match(JSON.stringify(rollouts.list()[0]?.["seen"]), /"candidate":{"inTime":0,/);
 });
 Then("clearing an unknown route or a stale version says so", async () => {
-  assert.equal(await rollouts.clear("nowhere", undefined), "unknown-route");
-  assert.equal(await rollouts.clear("r1", 6), "stale-version");
+  assert.equal(await rollouts.clearStop("nowhere", undefined), "unknown-route");
+  assert.equal(await rollouts.clearStop("r1", 6), "stale-version");
 });
 
 // --- the inspector --------------------------------------------------------------------------------------------------
@@ -264,12 +268,12 @@
 interface OneWorker {
   readonly id: string;
   readonly service: string;
-  readonly cell: string;
-  readonly missing: boolean;
+  readonly zone: string;
+  readonly isMissing: boolean;
 }
 
 let workers: readonly OneWorker[] = [];
-let decisions: Decisions = NO_DECISIONS;
+let decisions: HealthDecisions = NO_DECISIONS;
 let inspector: OutlierDetector;
 let isFenced = false;
 let practices = 0;
@@ -279,8 +283,8 @@
   new OutlierDetector({
     clock,
     log: silentLogger,
-    terms: OUTLIER_TERMS,
-    isHolder: () => true,
+    settings: OUTLIER_SETTINGS,
+    isLeader: () => true,
     term: () => 256,
     workers: () => workers,
     decisions: () => decisions,
@@ -293,8 +297,8 @@
   });
 
 const tell = async (faultsOf: (id: string, zone: string) => number): Promise<void> => {
-  workers.forEach(({ id, cell: zone }) => told.set(id, (told.get(id) ?? 0) + faultsOf(id, zone)));
-  inspector.take({ kind: "faults", node: "n1", life: "a", workers: [...told] });
+  workers.forEach(({ id, zone }) => told.set(id, (told.get(id) ?? 0) + faultsOf(id, zone)));
+  inspector.receive({ kind: "faults", node: "n1", life: "a", workers: [...told] });
   for (let look = 0; look < 3; look += 1) {
     await inspector.tick();
     await clock.pass(5_000_000);
@@ -319,8 +323,8 @@
     workers = Array.from({ length: count }, (_, at) => ({
       id: `w${at + 1}`,
       service: "s1",
-      cell: `c${(at % zones) + 1}`,
-      missing: false,
+      zone: `c${(at % zones) + 1}`,
+      isMissing: false,
     }));
     inspector = newInspector();
     await inspector.tick();
@@ -362,7 +366,7 @@
   "the report of {int} faults of worker {int} comes twice",
   async (faults: number, bad: number) => {
     for (let time = 0; time < 2; time += 1)
-      inspector.take({ kind: "faults", node: "n1", life: "a", workers: [[`w${bad}`, faults]] });
+      inspector.receive({ kind: "faults", node: "n1", life: "a", workers: [[`w${bad}`, faults]] });
     await inspector.tick();
   },
 );
@@ -405,8 +409,8 @@
 When(
   "{string} answers {int} requests in time and {string} {int}",
   async (fresh: string, size: number, old: string, oldSize: number) => {
-    rollouts.take(report(old, { inTime: oldSize }));
-    rollouts.take(report(fresh, { inTime: size }));
+    rollouts.receive(report(old, { inTime: oldSize }));
+    rollouts.receive(report(fresh, { inTime: size }));
     await rollouts.tick();
   },
 );
--- a/features/steps/traffic.ts
+++ b/features/steps/traffic.ts
@@ -9,7 +9,7 @@
 import { IdempotencyClient } from "../../src/idempotency/key-client.js";
 import { RouteTable } from "../../src/proxy/route-table.js";
 import { ConnectionPool } from "../../src/proxy/connection-pool.js";
-import { reportOf, shunt, type ShuntReport } from "../../src/programs/loadgen/loadgen.js";
+import { summarize, generateLoad, type LoadReport } from "../../src/programs/loadgen/loadgen.js";
 import type { Message } from "../../src/transport/connection.js";
 import { silentLogger } from "../../src/common/logger.js";
 import { defaultLimits, type RouteKind } from "../../src/quota/retry-limits.js";
@@ -437,7 +437,7 @@
   );
 });
 
-let shuntReport: ShuntReport | undefined;
+let shuntReport: LoadReport | undefined;
 
 When(
   "the load generator sends {int} requests a second for {int} seconds to {string}",
@@ -452,8 +452,8 @@
       seconds,
       budgetMs: 1_500,
     };
-    const work = shunt(load, clock).then((shunted) => {
-      shuntReport = reportOf(shunted);
+    const work = generateLoad(load, clock).then((shunted) => {
+      shuntReport = summarize(shunted);
       return { status: 0, heads: {}, body: "" };
     });
     await during(work, 20_000);
--- a/features/steps/windows.ts
+++ b/features/steps/windows.ts
@@ -1,11 +1,11 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
-import type { Shift } from "../../src/health/outlier-detector.js";
+import type { ZonalShift } from "../../src/health/outlier-detector.js";
 import {
-  WINDOW_TERMS,
+  WINDOW_SETTINGS,
   MaintenanceWindows,
   type ZoneWorker,
-  type Stage,
+  type WindowStage,
   type WindowState,
 } from "../../src/health/maintenance-window.js";
 import { SECOND_US } from "../../src/common/duration.js";
@@ -13,16 +13,16 @@
 
 interface Moment {
   readonly atS: number;
-  readonly stage: Stage;
+  readonly stage: WindowStage;
   readonly safe: number;
   readonly unsafe: number;
-  readonly shift: Shift | undefined;
+  readonly shift: ZonalShift | undefined;
 }
 
 let clock = new ManualClock();
 let state: WindowState = [];
 let stateSinceUs = 0;
-let shift: Shift | undefined;
+let shift: ZonalShift | undefined;
 let zones: readonly string[] = [];
 let dark = new Set<string>();
 let inFlight = new Map<string, number>();
@@ -35,7 +35,7 @@
 
 const workers = (): readonly ZoneWorker[] =>
   zones.flatMap((zone) =>
-    [1, 2].map(() => ({ cell: zone, service: "s", capacity: 2, isReady: !dark.has(zone) })),
+    [1, 2].map(() => ({ zone, service: "s", capacity: 2, isReady: !dark.has(zone) })),
   );
 
 /** A holder; `knows` says whether its process has been up since the state was written. */
@@ -43,10 +43,10 @@
   windows = new MaintenanceWindows({
     clock,
     log: { info: () => undefined, debug: () => undefined, warn: (sentence) => said.push(sentence) },
-    terms: WINDOW_TERMS,
-    isHolder: () => true,
+    settings: WINDOW_SETTINGS,
+    isLeader: () => true,
     state: () => state,
-    knownUs: () => (knows ? clock.nowUs() - stateSinceUs : undefined),
+    stateAgeUs: () => (knows ? clock.nowUs() - stateSinceUs : undefined),
     publish: async (wanted) => {
       state = wanted;
       stateSinceUs = clock.nowUs();
@@ -57,12 +57,12 @@
       shift = wanted;
       return true;
     },
-    cells: () => zones,
+    zones: () => zones,
     workers,
-    longestBudgetUs: () => deadlineUs,
-    isBorne: (zone) => zone !== "c1",
+    longestDeadlineUs: () => deadlineUs,
+    hasQuorumWithout: (zone) => zone !== "c1",
     inFlight: () => inFlight,
-    leaveDuty: async () => undefined,
+    moveLeadershipOutOf: async () => undefined,
   });
 };
 let said: string[] = [];
@@ -87,11 +87,11 @@
 const passS = async (seconds: number): Promise<void> => {
   for (let at = 0; at < seconds * 2; at += 1) await step();
 };
-const until = async (stage: Stage): Promise<void> => {
+const until = async (stage: WindowStage): Promise<void> => {
   for (let at = 0; at < 600 && windowOf()?.stage !== stage; at += 1) await step();
   assert.equal(windowOf()?.stage, stage);
 };
-const firstOf = (stage: Stage): Moment => {
+const firstOf = (stage: WindowStage): Moment => {
   const found = history.find((moment) => moment.stage === stage);
   assert.ok(found, `it never was ${stage}`);
   return found;
@@ -103,7 +103,7 @@
   addedUs = clock.nowUs();
   history = [];
   addedWith = await windows.add(
-    { cell: zone, opensUs: opensS * SECOND_US, lastsUs: lastsS * SECOND_US },
+    { zone, opensInUs: opensS * SECOND_US, durationUs: lastsS * SECOND_US },
     `w${number}`,
   );
 };
@@ -168,7 +168,7 @@
   dark.add("c2");
 });
 
-const WINDOW_STAGE = (name: string): Stage => {
+const WINDOW_STAGE = (name: string): WindowStage => {
   const stage = (["announced", "moving", "clear", "open", "returning", "ended"] as const).find(
     (other) => other === name,
   );
--- a/scalability/node.ts
+++ b/scalability/node.ts
@@ -3,7 +3,7 @@
 import { cpus, loadavg, tmpdir, totalmem } from "node:os";
 import { Command } from "commander";
 import { StandIn } from "../features/support/stand-in.js";
-import { reportOf, shunt } from "../src/programs/loadgen/loadgen.js";
+import { summarize, generateLoad } from "../src/programs/loadgen/loadgen.js";
 import { UpdateStore, PLAN_PREFIX, WORKER_PREFIX } from "../src/membership/update-store.js";
 import { RouteTable } from "../src/proxy/route-table.js";
 import { ConnectionPool } from "../src/proxy/connection-pool.js";
@@ -164,12 +164,12 @@
         seconds,
         budgetMs: 2_000,
       };
-      const direct = reportOf(
-        await shunt({ ...common, targets: workers.map(({ address }) => address) }, clock),
+      const direct = summarize(
+        await generateLoad({ ...common, targets: workers.map(({ address }) => address) }, clock),
       );
       const [before, fromUs] = [await node.ask({ what: "measure" }), machineUs()];
-      const through = reportOf(
-        await shunt({ ...common, targets: [`${nodeIp(0)}:${FRONT_PORT}`] }, clock),
+      const through = summarize(
+        await generateLoad({ ...common, targets: [`${nodeIp(0)}:${FRONT_PORT}`] }, clock),
       );
       const after = await node.ask({ what: "measure" });
       const cpuUs = readNumber(after, "cpuUs") - readNumber(before, "cpuUs");
--- a/src/health/canary-analysis.ts
+++ b/src/health/canary-analysis.ts
@@ -14,10 +14,10 @@
 import { MILLISECOND_US } from "../common/duration.js";
 import type { Message } from "../transport/connection.js";
 import {
-  NO_TALLY,
+  NO_OUTCOMES,
   SequentialTest,
-  type Tally,
-  type SequentialTestTerms,
+  type OutcomeCounts,
+  type SequentialTestSettings,
   type TestResult,
 } from "./sequential-test.js";
 
@@ -29,7 +29,7 @@
   readonly shares: readonly WeightedService[];
 }
 
-export interface Stop {
+export interface CanaryStop {
   readonly route: string;
   readonly version: number;
   readonly candidate: string;
@@ -48,7 +48,7 @@
     readonly version: number;
     readonly service: string;
   }[];
-  readonly stops: readonly Stop[];
+  readonly stops: readonly CanaryStop[];
 }
 
 export const NO_CANARIES: CanaryState = { baselines: [], stops: [] };
@@ -75,13 +75,13 @@
 export interface CanaryAnalyzerOptions {
   readonly clock: Clock;
   readonly log: Logger;
-  readonly terms: SequentialTestTerms;
+  readonly settings: SequentialTestSettings;
   readonly random: () => number;
-  readonly isHolder: () => boolean;
+  readonly isLeader: () => boolean;
   readonly term: () => number;
   readonly splitRoutes: () => readonly SplitRoute[];
   /** The service that the item's previous version sent the most to, where that is known here. */
-  readonly previousMain: (route: string) => string | undefined;
+  readonly previousPrimary: (route: string) => string | undefined;
   readonly state: () => CanaryState;
   readonly publish: (state: CanaryState) => Promise<boolean>;
 }
@@ -100,7 +100,7 @@
   readonly version: number;
   readonly service: string;
   readonly stratum: string;
-  readonly tally: Tally;
+  readonly tally: OutcomeCounts;
   readonly own: number;
 }
 
@@ -114,7 +114,7 @@
 const isOf = (row: RouteVersion, route: SplitRoute): boolean =>
   row.route === route.name && row.version === route.version;
 
-const stopOf = (state: CanaryState, route: SplitRoute, candidate: string): Stop | undefined =>
+const stopOf = (state: CanaryState, route: SplitRoute, candidate: string): CanaryStop | undefined =>
   state.stops.find((stop) => isOf(stop, route) && stop.candidate === candidate);
 
 const TICK_US = 500 * MILLISECOND_US;
@@ -137,14 +137,14 @@
   };
 };
 
-const rise = (now: Tally, before: Tally): Tally | undefined => {
-  const tally = {
+const increase = (now: OutcomeCounts, before: OutcomeCounts): OutcomeCounts | undefined => {
+  const counts = {
     inTime: now.inTime - before.inTime,
     late: now.late - before.late,
     lost: now.lost - before.lost,
     doubled: now.doubled - before.doubled,
   };
-  return Object.values(tally).every((number) => number >= 0) ? tally : undefined;
+  return Object.values(counts).every((number) => number >= 0) ? counts : undefined;
 };
 
 /** Compares candidates with their baselines over all nodes, and stops the bad ones; only the duty's holder acts. */
@@ -155,28 +155,31 @@
     string,
     { life: string; readonly rows: Map<string, ReportRow> }
   >();
-  private pulse: Timer | undefined;
+  private timer: Timer | undefined;
   private busy = false;
   private dropped = 0;
 
   constructor(private readonly options: CanaryAnalyzerOptions) {}
 
   readonly start = (): void => {
-    this.pulse = this.options.clock.every(TICK_US, () => void this.tick());
+    this.timer = this.options.clock.every(TICK_US, () => void this.tick());
   };
 
-  readonly stop = (): void => this.pulse?.stop();
+  readonly stop = (): void => this.timer?.stop();
 
   /** Counts a report; what is malformed, or of an unknown route, service or version, is dropped and counted as such. */
-  readonly take = (report: Message): void => {
+  readonly receive = (report: Message): void => {
     try {
       const node = readString(report, "node");
-      const life = readString(report, "life");
+      const incarnation = readString(report, "life");
       const rows = readList(report, "rows", readRow);
       const known = this.told.get(node);
-      const told = known?.life === life ? known : { life, rows: new Map<string, ReportRow>() };
-      this.told.set(node, told);
-      rows.forEach((row) => this.takeRow(told.rows, row));
+      const reported =
+        known?.life === incarnation
+          ? known
+          : { life: incarnation, rows: new Map<string, ReportRow>() };
+      this.told.set(node, reported);
+      rows.forEach((row) => this.takeRow(reported.rows, row));
     } catch {
       this.dropped += 1;
     }
@@ -187,7 +190,7 @@
     this.busy = true;
     try {
       this.follow();
-      if (this.options.isHolder()) await this.decide();
+      if (this.options.isLeader()) await this.decide();
     } finally {
       this.busy = false;
     }
@@ -199,14 +202,14 @@
     );
 
   readonly explain = (): UnknownRecord => ({
-    holder: this.options.isHolder(),
+    holder: this.options.isLeader(),
     term: this.options.term(),
     droppedReports: this.dropped,
     rollouts: this.list(),
   });
 
   /** The operator lifts a stop; the comparison begins anew with what comes from now on. */
-  readonly clear = async (
+  readonly clearStop = async (
     route: string,
     version: number | undefined,
   ): Promise<ClearError | undefined> => {
@@ -236,18 +239,18 @@
     }
     const key = `${row.route}\n${row.version}\n${row.service}\n${row.stratum}`;
     const before = rows.get(key);
-    const risen = rise(row.tally, before?.tally ?? NO_TALLY);
+    const risen = increase(row.tally, before?.tally ?? NO_OUTCOMES);
     if (!risen) return;
     rows.set(key, row);
     comparison.own += Math.max(0, row.own - (before?.own ?? 0));
     if (row.service === comparison.baseline)
-      comparison.trials.forEach((trial) => trial.takeBaseline(row.stratum, risen));
-    else comparison.trials.get(row.service)?.takeCandidate(row.stratum, risen);
+      comparison.trials.forEach((test) => test.addBaseline(row.stratum, risen));
+    else comparison.trials.get(row.service)?.addCandidate(row.stratum, risen);
   };
 
   /** The wanted state is one comparison for each split route in force; what is no longer in force is let go. */
   private readonly follow = (): void => {
-    const { splitRoutes, clock, terms, random } = this.options;
+    const { splitRoutes, clock, settings: terms, random } = this.options;
     const inForce = new Map(splitRoutes().map((route) => [route.name, route]));
     this.comparisons.forEach((comparison, name) => {
       if (inForce.get(name)?.version === comparison.route.version) return;
@@ -262,13 +265,13 @@
       const candidates = route.shares
         .map(({ service }) => service)
         .filter((service) => service !== baseline);
-      const trials = new Map(
+      const tests = new Map(
         candidates.map((service) => [service, new SequentialTest(route.isSafe, terms, random)]),
       );
       this.comparisons.set(name, {
         route,
         baseline,
-        trials,
+        trials: tests,
         sinceUs: clock.nowUs(),
         verdicts: new Map(),
         own: 0,
@@ -277,7 +280,7 @@
   };
 
   private readonly baselineOf = (route: SplitRoute): string => {
-    const { state, previousMain } = this.options;
+    const { state, previousPrimary: previousMain } = this.options;
     const settled = state().baselines.find((row) => isOf(row, route));
     const known = settled?.service ?? previousMain(route.name);
     if (known !== undefined && route.shares.some(({ service }) => service === known)) return known;
@@ -316,21 +319,21 @@
     );
   };
 
-  private readonly judge = (comparison: Comparison, state: CanaryState): readonly Stop[] => {
-    const { clock, log, terms } = this.options;
-    const { route, baseline, trials, verdicts, sinceUs } = comparison;
-    return [...trials].flatMap(([candidate, trial]) => {
-      const result = trial.look();
-      const before = verdicts.get(candidate);
-      if (before?.verdict !== result.verdict && result.verdict === "pass")
+  private readonly judge = (comparison: Comparison, state: CanaryState): readonly CanaryStop[] => {
+    const { clock, log, settings: terms } = this.options;
+    const { route, baseline, trials: tests, verdicts: results, sinceUs } = comparison;
+    return [...tests].flatMap(([candidate, test]) => {
+      const result = test.evaluate();
+      const before = results.get(candidate);
+      if (before?.decision !== result.decision && result.decision === "pass")
         log.info(
           `${candidate} passed on ${route.name} at version ${route.version}: ${result.reason}`,
         );
-      verdicts.set(candidate, {
+      results.set(candidate, {
         ...result,
-        afterUs: before?.verdict === result.verdict ? before.afterUs : clock.nowUs() - sinceUs,
+        afterUs: before?.decision === result.decision ? before.afterUs : clock.nowUs() - sinceUs,
       });
-      if (result.verdict !== "stop" || stopOf(state, route, candidate)) return [];
+      if (result.decision !== "stop" || stopOf(state, route, candidate)) return [];
       return [
         {
           route: route.name,
@@ -345,37 +348,40 @@
   };
 
   private readonly row = (comparison: Comparison, candidate: string): UnknownRecord => {
-    const { route, baseline, verdicts, trials, own } = comparison;
+    const { route, baseline, verdicts: results, trials: tests, own } = comparison;
     const stop = stopOf(this.options.state(), route, candidate);
-    const result = verdicts.get(candidate);
-    const [candidateTally, baselineTally] = trials.get(candidate)?.totals() ?? [NO_TALLY, NO_TALLY];
+    const result = results.get(candidate);
+    const [candidateTally, baselineTally] = tests.get(candidate)?.totals() ?? [
+      NO_OUTCOMES,
+      NO_OUTCOMES,
+    ];
     return {
       route: route.name,
       version: route.version,
       candidate,
       baseline,
-      verdict: stop ? "stop" : (result?.verdict ?? "observing"),
+      verdict: stop ? "stop" : (result?.decision ?? "observing"),
       reason: stop?.reason ?? result?.reason ?? "Not enough has been seen yet.",
       afterMs:
-        result && result.verdict !== "observing"
+        result && result.decision !== "observing"
           ? Math.round(result.afterUs / MILLISECOND_US)
           : undefined,
       seen: { candidate: candidateTally, baseline: baselineTally, heldAgainstNobody: own },
-      evidence: stop?.evidence ?? (result ? evidenceOf(result, this.options.terms) : {}),
+      evidence: stop?.evidence ?? (result ? evidenceOf(result, this.options.settings) : {}),
     };
   };
 }
 
-const evidenceOf = (result: TestResult, terms: SequentialTestTerms): UnknownRecord => ({
+const evidenceOf = (result: TestResult, terms: SequentialTestSettings): UnknownRecord => ({
   candidate: result.candidate,
   baseline: result.baseline,
   difference: result.difference,
-  against: result.evidenceAgainst,
-  doubled: result.evidenceDoubled,
-  sound: result.evidenceSound,
+  against: result.inferiorityEvidence,
+  doubled: result.duplicationEvidence,
+  sound: result.nonInferiorityEvidence,
   bounds: {
-    against: 1 / terms.falseStop,
-    doubled: 1 / terms.falseStopDoubled,
-    sound: 1 / terms.falsePass,
+    against: 1 / terms.maxFalseStopProbability,
+    doubled: 1 / terms.maxFalseDuplicationStopProbability,
+    sound: 1 / terms.maxFalsePassProbability,
   },
 });
--- a/src/health/canary-counters.ts
+++ b/src/health/canary-counters.ts
@@ -26,7 +26,7 @@
   private readonly rows = new Map<string, Row>();
   private readonly changed = new Set<string>();
 
-  constructor(private readonly life: string) {}
+  constructor(private readonly incarnation: string) {}
 
   readonly count = (
     route: string,
@@ -55,7 +55,7 @@
   };
 
   /** Forgets what is no longer in force. */
-  readonly keepOnly = (isInForce: (route: string, version: number) => boolean): void => {
+  readonly retain = (isInForce: (route: string, version: number) => boolean): void => {
     this.rows.forEach((row, key) => {
       if (isInForce(row.route, row.version)) return;
       this.rows.delete(key);
@@ -79,6 +79,6 @@
         row.own,
       ]);
     this.changed.clear();
-    return { kind: "rollout", life: this.life, rows };
+    return { kind: "rollout", life: this.incarnation, rows };
   };
 }
--- a/src/health/capacity-forecast.ts
+++ b/src/health/capacity-forecast.ts
@@ -14,53 +14,53 @@
 import { SECOND_US } from "../common/duration.js";
 import type { Message } from "../transport/connection.js";
 
-export type ForecastName = "unknown" | "steady" | "nearing" | "overrun";
+export type CapacityState = "unknown" | "steady" | "nearing" | "overrun";
 
-export interface ForecastTerms {
-  readonly tickUs: number;
+export interface ForecastSettings {
+  readonly intervalUs: number;
   /** How many ticks the trend is taken over. */
-  readonly samples: number;
+  readonly trendSamples: number;
   /** How far ahead a trend warns. */
   readonly horizonUs: number;
   /** Parts of the slots in use: where a warning begins and ends by level, and where a service counts as overrun. */
-  readonly nearAt: number;
-  readonly calmAt: number;
-  readonly overAt: number;
-  readonly relieveAt: number;
+  readonly nearingUtilization: number;
+  readonly nearingExitUtilization: number;
+  readonly overrunUtilization: number;
+  readonly overrunExitUtilization: number;
   /** The least part in use for which a trend warns. */
-  readonly trendAt: number;
+  readonly minTrendUtilization: number;
   /** How many standard errors above 0 a slope must be to be told from noise. */
   readonly slopeErrors: number;
   /** For how many ticks in a row a verdict must hold before it is entered, and left. */
   readonly enterTicks: number;
   readonly leaveTicks: number;
-  readonly leastPerS: number;
-  readonly refusedPart: number;
+  readonly minPerS: number;
+  readonly overrunRejectedShare: number;
 }
 
-export const FORECAST_TERMS: ForecastTerms = {
-  tickUs: 2 * SECOND_US,
-  samples: 15,
+export const FORECAST_SETTINGS: ForecastSettings = {
+  intervalUs: 2 * SECOND_US,
+  trendSamples: 15,
   horizonUs: 30 * SECOND_US,
-  nearAt: 0.75,
-  calmAt: 0.65,
-  overAt: 0.95,
-  relieveAt: 0.85,
-  trendAt: 0.5,
+  nearingUtilization: 0.75,
+  nearingExitUtilization: 0.65,
+  overrunUtilization: 0.95,
+  overrunExitUtilization: 0.85,
+  minTrendUtilization: 0.5,
   slopeErrors: 4,
   enterTicks: 2,
   leaveTicks: 3,
-  leastPerS: 1,
-  refusedPart: 0.01,
+  minPerS: 1,
+  overrunRejectedShare: 0.01,
 };
 
 export interface ForecastWorker {
   readonly id: string;
   readonly service: string;
-  readonly cell: string;
+  readonly zone: string;
   readonly capacity: number;
   /** Ready, and not ejected, so that requests go to it. */
-  readonly isUsed: boolean;
+  readonly isRoutable: boolean;
 }
 
 interface Sample {
@@ -72,15 +72,15 @@
 
 export interface Trend {
   /** Expected time until the slots are all in use, and its band; undefined where it isn't rising beyond noise. */
-  readonly leftS: number;
-  readonly soonestS: number;
+  readonly expectedS: number;
+  readonly earliestS: number;
   readonly latestS: number;
 }
 
 interface Watch {
-  verdict: ForecastName;
+  verdict: CapacityState;
   samples: Sample[];
-  wanted: ForecastName;
+  wanted: CapacityState;
   heldTicks: number;
   trend: Trend | undefined;
   reason: string;
@@ -89,7 +89,7 @@
 const KEEP_NODE_US = 6 * SECOND_US;
 
 /** The part in use will reach 1 when, by a straight line through the samples; undefined where noise could say the same. */
-export const trendOf = (
+export const fitTrend = (
   samples: readonly { readonly atS: number; readonly usedPart: number }[],
   slopeErrors: number,
 ): Trend | undefined => {
@@ -106,8 +106,8 @@
   if (fit.m <= slopeErrors * slopeError) return undefined;
   const left = Math.max(0, 1 - line(last.atS));
   return {
-    leftS: left / fit.m,
-    soonestS: left / (fit.m + 2 * slopeError),
+    expectedS: left / fit.m,
+    earliestS: left / (fit.m + 2 * slopeError),
     latestS: left / (fit.m - 2 * slopeError),
   };
 };
@@ -115,13 +115,13 @@
 export interface CapacityForecasterOptions {
   readonly clock: Clock;
   readonly log: Logger;
-  readonly terms: ForecastTerms;
-  readonly isHolder: () => boolean;
+  readonly settings: ForecastSettings;
+  readonly isLeader: () => boolean;
   readonly workers: () => readonly ForecastWorker[];
   readonly nodes: () => number;
   /** Tells the pointsmen which services are pressed; asynchronous, and never waited on by forwarding. */
-  readonly publish: (verdicts: Readonly<Record<string, ForecastName>>) => Promise<boolean>;
-  readonly published: () => Readonly<Record<string, ForecastName>>;
+  readonly publish: (verdicts: Readonly<Record<string, CapacityState>>) => Promise<boolean>;
+  readonly published: () => Readonly<Record<string, CapacityState>>;
 }
 
 interface Told {
@@ -140,7 +140,7 @@
   /** Invariant: the rises since the last tick, by service and workers' cell. */
   private rises = new Map<string, number[]>();
   private readonly watches = new Map<string, Watch>();
-  private pulse: Timer | undefined;
+  private timer: Timer | undefined;
   private lastUs: number | undefined;
   private malformed = 0;
   private busy = false;
@@ -148,14 +148,14 @@
   constructor(private readonly options: CapacityForecasterOptions) {}
 
   readonly start = (): void => {
-    this.pulse = this.options.clock.every(this.options.terms.tickUs, () => void this.tick());
+    this.timer = this.options.clock.every(this.options.settings.intervalUs, () => void this.tick());
   };
 
-  readonly stop = (): void => this.pulse?.stop();
+  readonly stop = (): void => this.timer?.stop();
 
-  readonly take = (report: Message): void => {
+  readonly receive = (report: Message): void => {
     try {
-      const life = readString(report, "life");
+      const incarnation = readString(report, "life");
       const node = readString(report, "node");
       const rows = readList(report, "rows", (value) => {
         const [service, zone, ...figures] = asList(value, "row");
@@ -164,7 +164,9 @@
       const before = this.told.get(node);
       const isNew = before === undefined;
       const now: Told =
-        before && before.life === life ? before : { life, heardUs: 0, rows: new Map() };
+        before && before.life === incarnation
+          ? before
+          : { life: incarnation, heardUs: 0, rows: new Map() };
       now.heardUs = this.options.clock.nowUs();
       this.told.set(node, now);
       rows.forEach(({ key, figures }) => {
@@ -185,7 +187,7 @@
     }
   };
 
-  readonly verdicts = (): Readonly<Record<string, ForecastName>> =>
+  readonly states = (): Readonly<Record<string, CapacityState>> =>
     Object.fromEntries([...this.watches].map(([key, { verdict: result }]) => [key, result]));
 
   /** The calls in flight of each service at the last tick, for those who ask what other cells would have to carry. */
@@ -202,7 +204,7 @@
   };
 
   readonly explain = (): UnknownRecord => ({
-    holder: this.options.isHolder(),
+    holder: this.options.isLeader(),
     malformedReports: this.malformed,
     nodesHeard: this.heard(),
     services: [...this.watches].map(([key, watch]) => {
@@ -218,8 +220,8 @@
         refusedPart: round(last?.refusedPart ?? 0),
         ...(trend
           ? {
-              leftS: round(trend.leftS),
-              soonestS: round(trend.soonestS),
+              leftS: round(trend.expectedS),
+              soonestS: round(trend.earliestS),
               latestS: round(trend.latestS),
             }
           : {}),
@@ -232,7 +234,7 @@
     if (this.busy) return;
     this.busy = true;
     try {
-      if (this.options.isHolder()) await this.look();
+      if (this.options.isLeader()) await this.look();
       else this.reset();
     } finally {
       this.busy = false;
@@ -265,8 +267,8 @@
     const add = (key: string, capacity: number) => slots.set(key, (slots.get(key) ?? 0) + capacity);
     this.options
       .workers()
-      .filter(({ isUsed }) => isUsed)
-      .forEach(({ service, cell: zone, capacity }) => {
+      .filter(({ isRoutable: isUsed }) => isUsed)
+      .forEach(({ service, zone, capacity }) => {
         add(`${service}|${zone}`, capacity);
         add(`${service}|`, capacity);
       });
@@ -324,7 +326,7 @@
     slots: number,
     isHeard: boolean,
   ): void => {
-    const { terms, log } = this.options;
+    const { settings: terms, log } = this.options;
     const [arrived = 0, refused = 0, answered = 0, busyUs = 0] = figures;
     const watch: Watch = this.watches.get(key) ?? {
       verdict: "unknown",
@@ -340,8 +342,8 @@
     watch.samples = [
       ...watch.samples,
       { atS: nowUs / SECOND_US, perS, usedPart, refusedPart: arrived > 0 ? refused / arrived : 0 },
-    ].slice(-terms.samples);
-    watch.trend = trendOf(watch.samples, terms.slopeErrors);
+    ].slice(-terms.trendSamples);
+    watch.trend = fitTrend(watch.samples, terms.slopeErrors);
     const wanted = this.judge(watch, slots, isHeard);
     watch.heldTicks = wanted === watch.wanted ? watch.heldTicks + 1 : 1;
     watch.wanted = wanted;
@@ -359,8 +361,8 @@
     else if (before !== "unknown") log.info(sentence);
   };
 
-  private readonly judge = (watch: Watch, slots: number, isHeard: boolean): ForecastName => {
-    const { terms } = this.options;
+  private readonly judge = (watch: Watch, slots: number, isHeard: boolean): CapacityState => {
+    const { settings: terms } = this.options;
     const recent = watch.samples.slice(-terms.enterTicks);
     const used = mean(recent.map(({ usedPart }) => usedPart));
     const perS = mean(recent.map((sample) => sample.perS));
@@ -368,37 +370,37 @@
     const now = `${Math.round(used * 100)}% of ${slots} slots in use at ${perS.toFixed(1)} a second, ${(refusedPart * 100).toFixed(1)}% refused.`;
     watch.reason = now;
     if (!isHeard) return this.say(watch, "unknown", "Too few nodes are heard.");
-    if (slots > 0 && perS < terms.leastPerS)
-      return this.say(watch, "unknown", "Too little traffic.");
+    if (slots > 0 && perS < terms.minPerS) return this.say(watch, "unknown", "Too little traffic.");
     const isOver = watch.verdict === "overrun";
     const isPressed = isOver || watch.verdict === "nearing";
     if (
       slots === 0 ||
-      used >= (isOver ? terms.relieveAt : terms.overAt) ||
-      refusedPart > terms.refusedPart
+      used >= (isOver ? terms.overrunExitUtilization : terms.overrunUtilization) ||
+      refusedPart > terms.overrunRejectedShare
     )
       return "overrun";
-    if (used >= (isPressed ? terms.calmAt : terms.nearAt)) return "nearing";
+    if (used >= (isPressed ? terms.nearingExitUtilization : terms.nearingUtilization))
+      return "nearing";
     const { trend } = watch;
     const rises =
       trend !== undefined &&
-      used >= terms.trendAt &&
-      trend.leftS * SECOND_US <= terms.horizonUs * (isPressed ? 2 : 1);
+      used >= terms.minTrendUtilization &&
+      trend.expectedS * SECOND_US <= terms.horizonUs * (isPressed ? 2 : 1);
     if (!rises) return "steady";
     return this.say(
       watch,
       "nearing",
-      `${now} All in use in ${Math.round(trend.leftS)} s (${Math.round(trend.soonestS)} to ${Math.round(trend.latestS)} s).`,
+      `${now} All in use in ${Math.round(trend.expectedS)} s (${Math.round(trend.earliestS)} to ${Math.round(trend.latestS)} s).`,
     );
   };
 
-  private readonly say = (watch: Watch, result: ForecastName, reason: string): ForecastName => {
+  private readonly say = (watch: Watch, result: CapacityState, reason: string): CapacityState => {
     watch.reason = reason;
     return result;
   };
 }
 
-const RANK: Readonly<Record<ForecastName, number>> = {
+const RANK: Readonly<Record<CapacityState, number>> = {
   unknown: 0,
   steady: 1,
   nearing: 2,
@@ -408,14 +410,14 @@
 const round = (value: number): number => Math.round(value * 1_000) / 1_000;
 
 const sorted = (
-  verdicts: Readonly<Record<string, ForecastName>>,
+  verdicts: Readonly<Record<string, CapacityState>>,
 ): readonly (readonly [string, string])[] =>
   Object.entries(verdicts).sort(([a], [b]) => (a < b ? -1 : 1));
 
-const isName = (value: unknown): value is ForecastName =>
+const isName = (value: unknown): value is CapacityState =>
   value === "unknown" || value === "steady" || value === "nearing" || value === "overrun";
 
-export const readForecasts = (value: unknown): Readonly<Record<string, ForecastName>> => {
+export const readCapacityStates = (value: unknown): Readonly<Record<string, CapacityState>> => {
   const record = isRecord(value) ? asRecord(value) : {};
   return Object.fromEntries(
     Object.entries(record).flatMap(([service, result]) =>
--- a/src/health/fault-counters.ts
+++ b/src/health/fault-counters.ts
@@ -13,7 +13,7 @@
   private readonly counts = new Map<string, Count>();
   private readonly changed = new Set<string>();
 
-  constructor(private readonly life: string) {}
+  constructor(private readonly incarnation: string) {}
 
   readonly count = (worker: string, fault: boolean): void => {
     const count = this.counts.get(worker) ?? { faults: 0, calls: 0 };
@@ -25,7 +25,7 @@
     this.counts.set(worker, count);
   };
 
-  readonly forget = (worker: string): void => {
+  readonly remove = (worker: string): void => {
     this.counts.delete(worker);
     this.changed.delete(worker);
   };
@@ -35,6 +35,6 @@
     if (this.changed.size === 0) return undefined;
     const workers = [...this.changed].map((id) => [id, this.counts.get(id)?.faults ?? 0]);
     this.changed.clear();
-    return { kind: "faults", life: this.life, workers };
+    return { kind: "faults", life: this.incarnation, workers };
   };
 }
--- a/src/health/load-counters.ts
+++ b/src/health/load-counters.ts
@@ -16,7 +16,7 @@
   private readonly counts = new Map<string, Usage>();
   private readonly changed = new Set<string>();
 
-  constructor(private readonly life: string) {}
+  constructor(private readonly incarnation: string) {}
 
   readonly arrived = (service: string): void => {
     this.of(service, "").arrived += 1;
@@ -40,7 +40,7 @@
       return [service, zone, arrived, refused, answered, busyUs];
     });
     this.changed.clear();
-    return { kind: "usage", life: this.life, rows };
+    return { kind: "usage", life: this.incarnation, rows };
   };
 
   private readonly of = (service: string, zone: string): Usage => {
--- a/src/health/maintenance-window.ts
+++ b/src/health/maintenance-window.ts
@@ -8,11 +8,18 @@
   type UnknownRecord,
 } from "../common/decode.js";
 import { SECOND_US } from "../common/duration.js";
-import type { Shift } from "./outlier-detector.js";
+import type { ZonalShift } from "./outlier-detector.js";
 
 /** The stages in their order; a cancelled window goes straight to returning, or to ended before anything moved. */
-export const STAGES = ["announced", "moving", "clear", "open", "returning", "ended"] as const;
-export type Stage = (typeof STAGES)[number];
+export const WINDOW_STAGES = [
+  "announced",
+  "moving",
+  "clear",
+  "open",
+  "returning",
+  "ended",
+] as const;
+export type WindowStage = (typeof WINDOW_STAGES)[number];
 
 /**
  * A planned window of a cell. Invariants: stages only go forward, and `remainingUs` is the time left until the window
@@ -21,7 +28,7 @@
 export interface MaintenanceWindow {
   readonly id: string;
   readonly cell: string;
-  readonly stage: Stage;
+  readonly stage: WindowStage;
   readonly remainingUs: number;
   readonly lastsUs: number;
   /** The parts of safe and of unsafe requests that go elsewhere. */
@@ -32,30 +39,30 @@
 
 export type WindowState = readonly MaintenanceWindow[];
 
-export interface WindowTerms {
+export interface WindowSettings {
   /** How the safe requests leave, and come back: in so many steps of so long. */
   readonly steps: number;
   readonly stepUs: number;
   /** How long the new unsafe ones are gone before the cell counts as clear, beyond the longest budget. */
   readonly marginUs: number;
-  readonly leastLastsUs: number;
-  readonly mostLastsUs: number;
-  readonly mostAheadUs: number;
+  readonly minDurationUs: number;
+  readonly maxDurationUs: number;
+  readonly maxOpensInUs: number;
   /** How often the remaining time is written down; after the loss of every process as much is taken off it. */
-  readonly noteUs: number;
+  readonly saveIntervalUs: number;
   /** Beyond this part of the other cells' slots the operator is warned. */
-  readonly carryPart: number;
+  readonly maxUtilization: number;
 }
 
-export const WINDOW_TERMS: WindowTerms = {
+export const WINDOW_SETTINGS: WindowSettings = {
   steps: 4,
   stepUs: 3 * SECOND_US,
   marginUs: 3 * SECOND_US,
-  leastLastsUs: 10 * SECOND_US,
-  mostLastsUs: 24 * 3600 * SECOND_US,
-  mostAheadUs: 30 * 24 * 3600 * SECOND_US,
-  noteUs: 30 * SECOND_US,
-  carryPart: 0.8,
+  minDurationUs: 10 * SECOND_US,
+  maxDurationUs: 24 * 3600 * SECOND_US,
+  maxOpensInUs: 30 * 24 * 3600 * SECOND_US,
+  saveIntervalUs: 30 * SECOND_US,
+  maxUtilization: 0.8,
 };
 
 export type WindowError =
@@ -79,7 +86,8 @@
   noQuorum: "no quorum, or no holder of the duty is reached",
 };
 
-const isStage = (value: string): value is Stage => STAGES.some((stage) => stage === value);
+const isStage = (value: string): value is WindowStage =>
+  WINDOW_STAGES.some((stage) => stage === value);
 
 export const readWindows = (value: unknown): WindowState =>
   readList(asRecord(value, "windows"), "windows", asRecord).map((record) => {
@@ -96,14 +104,14 @@
     };
   });
 
-export interface WindowOrder {
-  readonly cell: string;
-  readonly opensUs: number;
-  readonly lastsUs: number;
+export interface WindowRequest {
+  readonly zone: string;
+  readonly opensInUs: number;
+  readonly durationUs: number;
 }
 
 export interface ZoneWorker {
-  readonly cell: string;
+  readonly zone: string;
   readonly service: string;
   readonly capacity: number;
   readonly isReady: boolean;
@@ -112,22 +120,22 @@
 export interface MaintenanceWindowsOptions {
   readonly clock: Clock;
   readonly log: Logger;
-  readonly terms: WindowTerms;
-  readonly isHolder: () => boolean;
+  readonly settings: WindowSettings;
+  readonly isLeader: () => boolean;
   readonly state: () => WindowState;
   /** For how long this process has known the present version of the state; undefined after a start from disk. */
-  readonly knownUs: () => number | undefined;
+  readonly stateAgeUs: () => number | undefined;
   readonly publish: (state: WindowState) => Promise<boolean>;
-  readonly shift: () => Shift | undefined;
-  readonly setShift: (shift: Shift | undefined) => Promise<boolean>;
-  readonly cells: () => readonly string[];
+  readonly shift: () => ZonalShift | undefined;
+  readonly setShift: (shift: ZonalShift | undefined) => Promise<boolean>;
+  readonly zones: () => readonly string[];
   readonly workers: () => readonly ZoneWorker[];
-  readonly longestBudgetUs: () => number;
+  readonly longestDeadlineUs: () => number;
   /** Whether the signalboxes of other cells make a quorum alone. */
-  readonly isBorne: (zone: string) => boolean;
+  readonly hasQuorumWithout: (zone: string) => boolean;
   readonly inFlight: () => ReadonlyMap<string, number>;
   /** Gives the duty to a signalbox outside the cell, if this one is inside. */
-  readonly leaveDuty: (cell: string) => Promise<void>;
+  readonly moveLeadershipOutOf: (cell: string) => Promise<void>;
 }
 
 const TICK_US = SECOND_US / 2;
@@ -135,7 +143,7 @@
 
 /** Planned windows of cells: the holder of the duty takes each through its stages, by the same mechanism as a shift. */
 export class MaintenanceWindows {
-  private pulse: Timer | undefined;
+  private timer: Timer | undefined;
   private busy = false;
   /** Invariant: `opensUs` and `closesUs` of the windows not ended, on this process's clock; made anew with each holding. */
   private readonly marks = new Map<
@@ -154,40 +162,47 @@
   constructor(private readonly options: MaintenanceWindowsOptions) {}
 
   readonly start = (): void => {
-    this.pulse = this.options.clock.every(TICK_US, () => void this.tick());
+    this.timer = this.options.clock.every(TICK_US, () => void this.tick());
   };
 
-  readonly stop = (): void => this.pulse?.stop();
+  readonly stop = (): void => this.timer?.stop();
 
   /** How long before its opening a window begins to move the cell's requests. */
   readonly leadUs = (): number => {
-    const { steps, stepUs, marginUs } = this.options.terms;
-    return steps * stepUs + this.options.longestBudgetUs() + marginUs;
+    const { steps, stepUs, marginUs } = this.options.settings;
+    return steps * stepUs + this.options.longestDeadlineUs() + marginUs;
   };
 
   /** Takes a window; warnings don't refuse it. */
   readonly add = async (
-    order: WindowOrder,
+    order: WindowRequest,
     id: string,
   ): Promise<WindowError | readonly string[]> => {
-    const { terms, cells: zones, isBorne, state, publish, isHolder } = this.options;
+    const {
+      settings: terms,
+      zones,
+      hasQuorumWithout: isBorne,
+      state,
+      publish,
+      isLeader: isHolder,
+    } = this.options;
     if (!isHolder()) return "noQuorum";
-    if (!zones().includes(order.cell)) return "unknownCell";
+    if (!zones().includes(order.zone)) return "unknownCell";
     if (
-      !(order.lastsUs >= terms.leastLastsUs && order.lastsUs <= terms.mostLastsUs) ||
-      !(order.opensUs >= 0 && order.opensUs <= terms.mostAheadUs)
+      !(order.durationUs >= terms.minDurationUs && order.durationUs <= terms.maxDurationUs) ||
+      !(order.opensInUs >= 0 && order.opensInUs <= terms.maxOpensInUs)
     )
       return "wrongLength";
-    if (order.opensUs < this.leadUs()) return "tooLate";
-    if (!isBorne(order.cell)) return "noQuorumWithout";
+    if (order.opensInUs < this.leadUs()) return "tooLate";
+    if (!isBorne(order.zone)) return "noQuorumWithout";
     const now = this.current();
     if (now.some((window) => this.meets(window, order))) return "overlap";
     const window: MaintenanceWindow = {
       id,
-      cell: order.cell,
+      cell: order.zone,
       stage: "announced",
-      remainingUs: order.opensUs,
-      lastsUs: order.lastsUs,
+      remainingUs: order.opensInUs,
+      lastsUs: order.durationUs,
       safe: 0,
       unsafe: 0,
       note: "",
@@ -196,9 +211,9 @@
     if (!(await publish([...kept, window]))) return "noQuorum";
     this.mark(window, 0);
     this.options.log.info(
-      `Window ${id} of ${order.cell} opens in ${seconds(order.opensUs)} s for ${seconds(order.lastsUs)} s.`,
+      `Window ${id} of ${order.zone} opens in ${seconds(order.opensInUs)} s for ${seconds(order.durationUs)} s.`,
     );
-    return state().some((held) => held.id === id) ? this.warnings(order.cell) : "noQuorum";
+    return state().some((held) => held.id === id) ? this.warnings(order.zone) : "noQuorum";
   };
 
   readonly cancel = (id: string): Promise<WindowError | undefined> =>
@@ -210,18 +225,18 @@
 
   /** Makes an opened or coming window longer. */
   readonly extend = async (id: string, byUs: number): Promise<WindowError | undefined> => {
-    const { terms } = this.options;
+    const { settings: terms } = this.options;
     const found = this.current().find((window) => window.id === id);
-    if (found && !(byUs > 0 && found.lastsUs + byUs <= terms.mostLastsUs)) return "wrongLength";
+    if (found && !(byUs > 0 && found.lastsUs + byUs <= terms.maxDurationUs)) return "wrongLength";
     if (
       found &&
       this.current().some(
         (other) =>
           other.id !== id &&
           this.meets(other, {
-            cell: found.cell,
-            opensUs: found.stage === "open" ? 0 : found.remainingUs,
-            lastsUs: found.lastsUs + byUs,
+            zone: found.cell,
+            opensInUs: found.stage === "open" ? 0 : found.remainingUs,
+            durationUs: found.lastsUs + byUs,
           }),
       )
     )
@@ -258,7 +273,7 @@
     if (this.busy) return;
     this.busy = true;
     try {
-      const { isHolder, state, knownUs } = this.options;
+      const { isLeader: isHolder, state, stateAgeUs: knownUs } = this.options;
       if (!isHolder()) {
         this.wasHolder = false;
         this.marks.clear();
@@ -266,7 +281,9 @@
       }
       if (!this.wasHolder) {
         // How long every process was gone isn't known: what may have passed since the last note is taken off.
-        state().forEach((window) => this.mark(window, knownUs() ?? this.options.terms.noteUs));
+        state().forEach((window) =>
+          this.mark(window, knownUs() ?? this.options.settings.saveIntervalUs),
+        );
         this.wasHolder = true;
       }
       const next =
@@ -313,7 +330,14 @@
       .sort((a, b) => a.remainingUs - b.remainingUs)[0];
 
   private readonly step = async (window: MaintenanceWindow): Promise<void> => {
-    const { clock, terms, longestBudgetUs, log, shift, leaveDuty } = this.options;
+    const {
+      clock,
+      settings: terms,
+      longestDeadlineUs: longestBudgetUs,
+      log,
+      shift,
+      moveLeadershipOutOf: leaveDuty,
+    } = this.options;
     const mark = this.marks.get(window.id);
     if (!mark) return this.mark(window, 0);
     const nowUs = clock.nowUs();
@@ -398,7 +422,7 @@
 
   /** Writes the remaining time down now and then, and mends a shift that isn't as the stage wants it. */
   private readonly note = async (): Promise<void> => {
-    const { clock, terms, publish, shift, setShift } = this.options;
+    const { clock, settings: terms, publish, shift, setShift } = this.options;
     const nowUs = clock.nowUs();
     const all = this.current();
     const moved = all.find(({ stage }) => stage !== "ended" && stage !== "announced");
@@ -421,7 +445,7 @@
     const live = all.filter(({ stage }) => stage !== "ended");
     if (
       live.length === 0 ||
-      live.every(({ id }) => nowUs - (this.marks.get(id)?.notedUs ?? nowUs) < terms.noteUs)
+      live.every(({ id }) => nowUs - (this.marks.get(id)?.notedUs ?? nowUs) < terms.saveIntervalUs)
     )
       return;
     if (await publish(all)) live.forEach(({ id }) => this.renote(id, nowUs));
@@ -433,7 +457,7 @@
   };
 
   private readonly readyIn = (zone: string): number =>
-    this.options.workers().filter((worker) => worker.cell === zone && worker.isReady).length;
+    this.options.workers().filter((worker) => worker.zone === zone && worker.isReady).length;
 
   private readonly watchCell = (window: MaintenanceWindow, mark: { sawGone: boolean }): void => {
     const ready = this.readyIn(window.cell);
@@ -456,14 +480,14 @@
   };
 
   private readonly warnings = (zone: string): readonly string[] => {
-    const { workers, inFlight, terms } = this.options;
+    const { workers, inFlight, settings: terms } = this.options;
     const slots = new Map<string, number>();
     workers()
-      .filter((worker) => worker.cell !== zone && worker.isReady)
+      .filter((worker) => worker.zone !== zone && worker.isReady)
       .forEach(({ service, capacity }) => slots.set(service, (slots.get(service) ?? 0) + capacity));
     return [...inFlight()].flatMap(([service, usage]) => {
       const others = slots.get(service) ?? 0;
-      return usage > others * terms.carryPart
+      return usage > others * terms.maxUtilization
         ? [
             `${service} has ${usage.toFixed(1)} calls in flight, and the other cells have ${others} slots.`,
           ]
@@ -471,16 +495,16 @@
     });
   };
 
-  private readonly meets = (window: MaintenanceWindow, order: WindowOrder): boolean => {
+  private readonly meets = (window: MaintenanceWindow, order: WindowRequest): boolean => {
     if (window.stage === "ended") return false;
-    const { steps, stepUs } = this.options.terms;
+    const { steps, stepUs } = this.options.settings;
     const beginUs = (opensUs: number) => opensUs - this.leadUs();
     const endUs = (opensUs: number, lastsUs: number) => opensUs + lastsUs + (steps + 1) * stepUs;
     const opensUs =
       window.stage === "open" ? window.remainingUs - window.lastsUs : window.remainingUs;
     return (
-      beginUs(order.opensUs) < endUs(opensUs, window.lastsUs) &&
-      beginUs(opensUs) < endUs(order.opensUs, order.lastsUs)
+      beginUs(order.opensInUs) < endUs(opensUs, window.lastsUs) &&
+      beginUs(opensUs) < endUs(order.opensInUs, order.durationUs)
     );
   };
 
@@ -488,7 +512,7 @@
     id: string,
     change: (window: MaintenanceWindow) => MaintenanceWindow | undefined,
   ): Promise<WindowError | undefined> => {
-    if (!this.options.isHolder()) return "noQuorum";
+    if (!this.options.isLeader()) return "noQuorum";
     const found = this.current().find((window) => window.id === id);
     if (!found) return "unknownWindow";
     const changed = found.stage === "ended" ? undefined : change(found);
--- a/src/health/outlier-detector.ts
+++ b/src/health/outlier-detector.ts
@@ -3,13 +3,13 @@
 import { asRecord, readList, readString, type UnknownRecord } from "../common/decode.js";
 import { SECOND_US } from "../common/duration.js";
 import type { Message } from "../transport/connection.js";
-import { FaultWindow, outlier, type Evidence, type OutlierTerms } from "./outlier-ranking.js";
+import { FaultWindow, findOutlier, type Outlier, type OutlierSettings } from "./outlier-ranking.js";
 
 export interface ObservedWorker {
   readonly id: string;
   readonly service: string;
-  readonly cell: string;
-  readonly missing: boolean;
+  readonly zone: string;
+  readonly isMissing: boolean;
 }
 
 export interface Ejection {
@@ -18,7 +18,7 @@
   readonly evidence: UnknownRecord;
 }
 
-export interface Shift {
+export interface ZonalShift {
   readonly cell: string;
   readonly why: "outlier" | "practice" | "by hand" | "window";
   readonly reason: string;
@@ -28,15 +28,15 @@
 }
 
 /** What the inspection wants of the data plane. Invariant: at most one cell is shifted away from at a time. */
-export interface Decisions {
+export interface HealthDecisions {
   readonly removals: number;
   readonly ejections: readonly Ejection[];
-  readonly shift: Shift | undefined;
+  readonly shift: ZonalShift | undefined;
 }
 
-export const NO_DECISIONS: Decisions = { removals: 0, ejections: [], shift: undefined };
+export const NO_DECISIONS: HealthDecisions = { removals: 0, ejections: [], shift: undefined };
 
-const readShift = (value: unknown): Shift | undefined => {
+const readShift = (value: unknown): ZonalShift | undefined => {
   if (value === undefined || value === null) return undefined;
   const record = asRecord(value, "shift");
   const why = record["why"];
@@ -50,7 +50,7 @@
   };
 };
 
-export const readDecisions = (value: unknown): Decisions => {
+export const readHealthDecisions = (value: unknown): HealthDecisions => {
   const record = asRecord(value, "decisions");
   const ejections = readList(record, "ejections", asRecord).map((row) => ({
     worker: readString(row, "worker"),
@@ -67,13 +67,13 @@
 export interface OutlierDetectorOptions {
   readonly clock: Clock;
   readonly log: Logger;
-  readonly terms: OutlierTerms;
-  readonly isHolder: () => boolean;
+  readonly settings: OutlierSettings;
+  readonly isLeader: () => boolean;
   readonly term: () => number;
   readonly workers: () => readonly ObservedWorker[];
-  readonly decisions: () => Decisions;
+  readonly decisions: () => HealthDecisions;
   /** Makes decisions durable under the holder's term; false if a newer term or no quorum stood in the way. */
-  readonly publish: (decisions: Decisions) => Promise<boolean>;
+  readonly publish: (decisions: HealthDecisions) => Promise<boolean>;
 }
 
 const TICK_US = 5 * SECOND_US;
@@ -84,7 +84,7 @@
 /** The paper's mechanism: rank by faults, alarm on an outlier, take a token, remove one. */
 export class OutlierDetector {
   private readonly window: FaultWindow;
-  private pulse: Timer | undefined;
+  private timer: Timer | undefined;
   private busy = false;
   /** Invariant: set exactly while this one holds the duty. */
   private heldSinceUs: number | undefined;
@@ -97,17 +97,17 @@
   private lastSaid = "";
 
   constructor(private readonly options: OutlierDetectorOptions) {
-    this.window = new FaultWindow(options.clock, options.terms.windowUs);
+    this.window = new FaultWindow(options.clock, options.settings.windowUs);
   }
 
   readonly start = (): void => {
-    this.pulse = this.options.clock.every(TICK_US, () => void this.tick());
+    this.timer = this.options.clock.every(TICK_US, () => void this.tick());
   };
 
-  readonly stop = (): void => this.pulse?.stop();
+  readonly stop = (): void => this.timer?.stop();
 
-  readonly take = (report: Message): void => {
-    if (!this.window.take(report)) this.malformed += 1;
+  readonly receive = (report: Message): void => {
+    if (!this.window.receive(report)) this.malformed += 1;
   };
 
   /** Everything that led to what is decided, for the control query. */
@@ -117,7 +117,7 @@
       .slice(0, 20)
       .map(([worker, count]) => ({ worker, faults: count }));
     return {
-      holder: this.options.isHolder(),
+      holder: this.options.isLeader(),
       term: this.options.term(),
       token: this.hasToken() ? "here" : "spent",
       faults,
@@ -130,7 +130,7 @@
     if (this.busy) return;
     this.busy = true;
     try {
-      if (this.options.isHolder()) await this.decide();
+      if (this.options.isLeader()) await this.decide();
       else this.heldSinceUs = undefined;
     } finally {
       this.busy = false;
@@ -138,28 +138,28 @@
   };
 
   /** A planned window's shift, which goes before a practice; undefined ends it. */
-  readonly setShift = (shift: Shift | undefined): Promise<boolean> =>
+  readonly setShift = (shift: ZonalShift | undefined): Promise<boolean> =>
     this.publish({ ...this.options.decisions(), shift });
 
   /** An operator's shift, or its end when no cell is named. */
-  readonly shiftByHand = async (zone: string): Promise<boolean> => {
+  readonly shiftManually = async (zone: string): Promise<boolean> => {
     if (this.options.decisions().shift?.why === "window") return false;
-    const shift: Shift | undefined =
+    const shift: ZonalShift | undefined =
       zone === ""
         ? undefined
         : { cell: zone, why: "by hand", reason: "The operator asked for it." };
     return this.publish({ ...this.options.decisions(), shift });
   };
 
-  readonly practise = async (zone: string): Promise<boolean> =>
+  readonly startPractice = async (zone: string): Promise<boolean> =>
     this.options.decisions().shift?.why !== "window" &&
     (await this.publish({
       ...this.options.decisions(),
       shift: { cell: zone, why: "practice", reason: "Practice keeps the path exercised." },
     }));
 
-  private readonly publish = async (decisions: Decisions): Promise<boolean> => {
-    if (!this.options.isHolder()) return false;
+  private readonly publish = async (decisions: HealthDecisions): Promise<boolean> => {
+    if (!this.options.isLeader()) return false;
     const published = await this.options.publish(decisions);
     if (published) this.shiftSinceUs = decisions.shift ? this.options.clock.nowUs() : undefined;
     return published;
@@ -167,9 +167,9 @@
 
   /** The age of a removal isn't known to a new holder, so where one was ever made it starts with the token spent. */
   private readonly hasToken = (): boolean => {
-    const { clock, terms, decisions } = this.options;
+    const { clock, settings: terms, decisions } = this.options;
     const sinceUs = this.lastRemovalUs ?? (decisions().removals > 0 ? this.heldSinceUs : undefined);
-    return sinceUs === undefined || clock.nowUs() - sinceUs >= terms.tokenGapUs;
+    return sinceUs === undefined || clock.nowUs() - sinceUs >= terms.removalIntervalUs;
   };
 
   private readonly decide = async (): Promise<void> => {
@@ -188,16 +188,16 @@
   };
 
   private readonly returnSome = async (): Promise<boolean> => {
-    const { clock, terms, decisions, workers, log } = this.options;
+    const { clock, settings: terms, decisions, workers, log } = this.options;
     const nowUs = clock.nowUs();
-    const living = new Set(workers().map((worker) => worker.id));
+    const live = new Set(workers().map((worker) => worker.id));
     const now = decisions();
     now.ejections
       .filter(({ worker }) => !this.ejectedSinceUs.has(worker))
       .forEach(({ worker }) => this.ejectedSinceUs.set(worker, nowUs));
     const kept = now.ejections.filter(
       ({ worker }) =>
-        living.has(worker) && nowUs - (this.ejectedSinceUs.get(worker) ?? nowUs) < terms.returnUs,
+        live.has(worker) && nowUs - (this.ejectedSinceUs.get(worker) ?? nowUs) < terms.ejectionUs,
     );
     if (kept.length === now.ejections.length) return false;
     const returned = now.ejections
@@ -211,11 +211,11 @@
   };
 
   private readonly endShift = async (): Promise<boolean> => {
-    const { clock, terms, decisions, log } = this.options;
+    const { clock, settings: terms, decisions, log } = this.options;
     const { shift } = decisions();
     if (!shift || shift.why === "by hand" || shift.why === "window") return false;
     this.shiftSinceUs ??= clock.nowUs();
-    const lastsUs = shift.why === "practice" ? PRACTICE_US : terms.returnUs;
+    const lastsUs = shift.why === "practice" ? PRACTICE_US : terms.ejectionUs;
     if (clock.nowUs() - this.shiftSinceUs < lastsUs) return false;
     if (await this.publish({ ...decisions(), shift: undefined }))
       log.info(`The shift away from ${shift.cell} is over.`);
@@ -223,74 +223,72 @@
   };
 
   private readonly ejectWorst = async (): Promise<boolean> => {
-    const { terms, workers, decisions, log, clock, term } = this.options;
-    const living = new Map(workers().map((worker) => [worker.id, worker]));
+    const { settings: terms, workers, decisions, log, clock, term } = this.options;
+    const live = new Map(workers().map((worker) => [worker.id, worker]));
     const now = decisions();
     const ejected = new Set(now.ejections.map(({ worker }) => worker));
     const sums = new Map(
-      [...this.window.byWorker()].filter(([id]) => living.has(id) && !ejected.has(id)),
+      [...this.window.byWorker()].filter(([id]) => live.has(id) && !ejected.has(id)),
     );
-    const found = outlier(sums, terms.floorFaults, terms.alarmShare);
-    const worker = found && living.get(found.who);
-    if (!found || !worker || worker.missing) return false;
+    const found = findOutlier(sums, terms.minFaults, terms.alarmShare);
+    const worker = found && live.get(found.id);
+    if (!found || !worker || worker.isMissing) return false;
     if (!this.hasToken())
-      return this.say(
-        `${found.who} holds ${percent(found)} of the faults, but the token is spent.`,
-      );
-    const ofService = [...living.values()].filter((other) => other.service === worker.service);
-    const out = ofService.filter((other) => ejected.has(other.id) || other.missing).length;
-    if (out + 1 > ofService.length * terms.cappedShare)
-      return this.say(`${found.who} stands out, but ${worker.service} may lose no more workers.`);
-    const reason = `${found.who} holds ${found.faults} of ${found.ofFaults} faults (${percent(found)}).`;
+      return this.say(`${found.id} holds ${percent(found)} of the faults, but the token is spent.`);
+    const ofService = [...live.values()].filter((other) => other.service === worker.service);
+    const out = ofService.filter((other) => ejected.has(other.id) || other.isMissing).length;
+    if (out + 1 > ofService.length * terms.maxEjectedShare)
+      return this.say(`${found.id} stands out, but ${worker.service} may lose no more workers.`);
+    const reason = `${found.id} holds ${found.faults} of ${found.totalFaults} faults (${percent(found)}).`;
     const evidence = {
       faults: found.faults,
-      ofFaults: found.ofFaults,
+      ofFaults: found.totalFaults,
       share: found.share,
       token: "taken",
       term: term(),
     };
-    const ejections = [...now.ejections, { worker: found.who, reason, evidence }];
+    const ejections = [...now.ejections, { worker: found.id, reason, evidence }];
     if (await this.options.publish({ ...now, removals: now.removals + 1, ejections })) {
       this.lastRemovalUs = clock.nowUs();
-      this.ejectedSinceUs.set(found.who, clock.nowUs());
-      log.warn(`Ejected ${found.who} of ${worker.service}: ${reason}`);
+      this.ejectedSinceUs.set(found.id, clock.nowUs());
+      log.warn(`Ejected ${found.id} of ${worker.service}: ${reason}`);
     }
     return true;
   };
 
   private readonly shiftWorst = async (): Promise<boolean> => {
-    const { terms, workers, decisions, log } = this.options;
+    const { settings: terms, workers, decisions, log } = this.options;
     const { shift } = decisions();
     const all = workers();
     const faults = this.window.byWorker();
     const weightOf = (worker: ObservedWorker) =>
-      (faults.get(worker.id) ?? 0) + (worker.missing ? MISSING_WEIGHT : 0);
+      (faults.get(worker.id) ?? 0) + (worker.isMissing ? MISSING_WEIGHT : 0);
     const sums = new Map<string, number>();
-    all.forEach((worker) => sums.set(worker.cell, (sums.get(worker.cell) ?? 0) + weightOf(worker)));
-    const found = outlier(sums, terms.cellFloorFaults, terms.alarmShare);
+    all.forEach((worker) => sums.set(worker.zone, (sums.get(worker.zone) ?? 0) + weightOf(worker)));
+    const found = findOutlier(sums, terms.minZoneFaults, terms.alarmShare);
     if (!found || sums.size < 3) return false;
-    const ofCell = all.filter((worker) => worker.cell === found.who);
-    if (ofCell.filter((worker) => weightOf(worker) > 0).length * 2 < ofCell.length) return false;
-    const reason = `${found.who} holds ${found.faults} of ${found.ofFaults} faults (${percent(found)}).`;
+    const ofZone = all.filter((worker) => worker.zone === found.id);
+    if (ofZone.filter((worker) => weightOf(worker) > 0).length * 2 < ofZone.length) return false;
+    const reason = `${found.id} holds ${found.faults} of ${found.totalFaults} faults (${percent(found)}).`;
     if (shift)
-      return shift.cell === found.who
+      return shift.cell === found.id
         ? false
         : this.say(
             `${reason} It is not shifted away from: ${shift.cell} is, and one cell goes at a time.`,
           );
-    if (await this.publish({ ...decisions(), shift: { cell: found.who, why: "outlier", reason } }))
-      log.warn(`Shifted away from ${found.who}: ${reason}`);
+    if (await this.publish({ ...decisions(), shift: { cell: found.id, why: "outlier", reason } }))
+      log.warn(`Shifted away from ${found.id}: ${reason}`);
     return true;
   };
 
   private readonly practiseWeekly = async (): Promise<void> => {
     const { clock, workers, decisions } = this.options;
     if (decisions().shift || clock.nowUs() - this.lastPracticeUs < PRACTICE_GAP_US) return;
-    const zones = [...new Set(workers().map((worker) => worker.cell))].sort();
+    const zones = [...new Set(workers().map((worker) => worker.zone))].sort();
     const zone = zones[this.practised % Math.max(1, zones.length)];
     this.lastPracticeUs = clock.nowUs();
     this.practised += 1;
-    if (zone !== undefined && zones.length > 1) await this.practise(zone);
+    if (zone !== undefined && zones.length > 1) await this.startPractice(zone);
   };
 
   private readonly say = (sentence: string): boolean => {
@@ -300,4 +298,4 @@
   };
 }
 
-const percent = (evidence: Evidence): string => `${Math.round(evidence.share * 100)}%`;
+const percent = (evidence: Outlier): string => `${Math.round(evidence.share * 100)}%`;
--- a/src/health/outlier-ranking.ts
+++ b/src/health/outlier-ranking.ts
@@ -3,27 +3,27 @@
 import type { Message } from "../transport/connection.js";
 import type { Clock } from "../common/clock.js";
 
-export interface OutlierTerms {
+export interface OutlierSettings {
   readonly windowUs: number;
   /** One holder of this share of all faults raises the alarm. */
   readonly alarmShare: number;
   /** Below this many faults in the window there is no alarm. */
-  readonly floorFaults: number;
-  readonly tokenGapUs: number;
-  readonly cellFloorFaults: number;
+  readonly minFaults: number;
+  readonly removalIntervalUs: number;
+  readonly minZoneFaults: number;
   /** At most this share of a service's workers is ever ejected at once. */
-  readonly cappedShare: number;
-  readonly returnUs: number;
+  readonly maxEjectedShare: number;
+  readonly ejectionUs: number;
 }
 
-export const OUTLIER_TERMS: OutlierTerms = {
+export const OUTLIER_SETTINGS: OutlierSettings = {
   windowUs: 300 * SECOND_US,
   alarmShare: 0.66,
-  floorFaults: 20,
-  tokenGapUs: 600 * SECOND_US,
-  cellFloorFaults: 200,
-  cappedShare: 0.2,
-  returnUs: 600 * SECOND_US,
+  minFaults: 20,
+  removalIntervalUs: 600 * SECOND_US,
+  minZoneFaults: 200,
+  maxEjectedShare: 0.2,
+  ejectionUs: 600 * SECOND_US,
 };
 
 const BUCKET_US = 10 * SECOND_US;
@@ -43,13 +43,13 @@
   ) {}
 
   /** False if the report is malformed, and then nothing of it counts. */
-  readonly take = (report: Message): boolean => {
+  readonly receive = (report: Message): boolean => {
     let rows: readonly (readonly [string, number])[];
     let node: string;
-    let life: string;
+    let incarnation: string;
     try {
       node = readString(report, "node");
-      life = readString(report, "life");
+      incarnation = readString(report, "life");
       rows = asList(report["workers"], "workers").map((value) => {
         const [id, faults] = asList(value, "row");
         return [asString(id), asNumber(faults)];
@@ -57,17 +57,17 @@
     } catch {
       return false;
     }
-    if (this.lives.get(node) !== life) {
-      this.lives.set(node, life);
+    if (this.lives.get(node) !== incarnation) {
+      this.lives.set(node, incarnation);
       this.told.set(node, new Map());
     }
     const before = this.told.get(node) ?? new Map<string, number>();
     const bucket = this.bucket();
     rows.forEach(([worker, faults]) => {
-      const rise = faults - (before.get(worker) ?? 0);
-      if (rise <= 0) return;
+      const increase = faults - (before.get(worker) ?? 0);
+      if (increase <= 0) return;
       before.set(worker, faults);
-      bucket.set(worker, (bucket.get(worker) ?? 0) + rise);
+      bucket.set(worker, (bucket.get(worker) ?? 0) + increase);
     });
     return true;
   };
@@ -98,23 +98,23 @@
   };
 }
 
-export interface Evidence {
-  readonly who: string;
+export interface Outlier {
+  readonly id: string;
   readonly faults: number;
-  readonly ofFaults: number;
+  readonly totalFaults: number;
   readonly share: number;
 }
 
 /** The one that stands out: it holds the alarm's share of all faults, and there are enough of them to tell. */
-export const outlier = (
+export const findOutlier = (
   sums: ReadonlyMap<string, number>,
   floorFaults: number,
   alarmShare: number,
-): Evidence | undefined => {
+): Outlier | undefined => {
   const ofFaults = [...sums.values()].reduce((sum, faults) => sum + faults, 0);
   const [who, faults] = [...sums].sort((a, b) => b[1] - a[1])[0] ?? ["", 0];
   const share = ofFaults === 0 ? 0 : faults / ofFaults;
   return ofFaults >= floorFaults && share >= alarmShare
-    ? { who, faults, ofFaults, share }
+    ? { id: who, faults, totalFaults: ofFaults, share }
     : undefined;
 };
--- a/src/health/sequential-test.ts
+++ b/src/health/sequential-test.ts
@@ -7,61 +7,61 @@
 export const OUTCOME_KINDS = ["inTime", "late", "lost", "doubled"] as const;
 export type OutcomeKind = (typeof OUTCOME_KINDS)[number];
 
-export interface Tally {
+export interface OutcomeCounts {
   readonly inTime: number;
   readonly late: number;
   readonly lost: number;
   readonly doubled: number;
 }
 
-export const NO_TALLY: Tally = { inTime: 0, late: 0, lost: 0, doubled: 0 };
+export const NO_OUTCOMES: OutcomeCounts = { inTime: 0, late: 0, lost: 0, doubled: 0 };
 
-export const sizeOf = (tally: Tally): number =>
-  tally.inTime + tally.late + tally.lost + tally.doubled;
+export const countRequests = (counts: OutcomeCounts): number =>
+  counts.inTime + counts.late + counts.lost + counts.doubled;
 
-export const add = (one: Tally, other: Tally): Tally => ({
+export const addCounts = (one: OutcomeCounts, other: OutcomeCounts): OutcomeCounts => ({
   inTime: one.inTime + other.inTime,
   late: one.late + other.late,
   lost: one.lost + other.lost,
   doubled: one.doubled + other.doubled,
 });
 
-export interface Weights {
+export interface LossWeights {
   readonly late: number;
   readonly lostSafe: number;
   readonly lostUnsafe: number;
   readonly doubled: number;
 }
 
-export interface SequentialTestTerms {
-  readonly weights: Weights;
+export interface SequentialTestSettings {
+  readonly weights: LossWeights;
   /** The chance at most that a candidate no worse than the baseline is ever stopped by the test of all losses. */
-  readonly falseStop: number;
+  readonly maxFalseStopProbability: number;
   /** The same for the stricter test of possibly doubled requests alone. */
-  readonly falseStopDoubled: number;
+  readonly maxFalseDuplicationStopProbability: number;
   /** The chance at most that a candidate worse by the tolerance or more ever passes. */
-  readonly falsePass: number;
+  readonly maxFalsePassProbability: number;
   /** How many times the baseline's rate of a loss a candidate may have and still count as no worse. */
-  readonly leeway: number;
+  readonly maxRateRatio: number;
   /** The difference in weighted loss for each request below which nobody is stopped, but for doubled ones. */
-  readonly leastDifference: number;
+  readonly minStopDifference: number;
   /** The difference in weighted loss for each request that a pass rules out, as a part of the heaviest loss. */
-  readonly tolerance: number;
+  readonly nonInferiorityMargin: number;
   /** The difference in the rate of possibly doubled requests that a pass rules out besides. */
-  readonly toleranceDoubled: number;
-  readonly horizonRequests: number;
+  readonly duplicationMargin: number;
+  readonly maxRequests: number;
 }
 
-export const SEQUENTIAL_TEST_TERMS: SequentialTestTerms = {
+export const SEQUENTIAL_TEST_SETTINGS: SequentialTestSettings = {
   weights: { late: 0.3, lostSafe: 1, lostUnsafe: 2, doubled: 5 },
-  falseStop: 0.01,
-  falseStopDoubled: 0.01,
-  falsePass: 0.05,
-  leeway: 1.25,
-  leastDifference: 0.02,
-  tolerance: 0.05,
-  toleranceDoubled: 0.02,
-  horizonRequests: 20_000,
+  maxFalseStopProbability: 0.01,
+  maxFalseDuplicationStopProbability: 0.01,
+  maxFalsePassProbability: 0.05,
+  maxRateRatio: 1.25,
+  minStopDifference: 0.02,
+  nonInferiorityMargin: 0.05,
+  duplicationMargin: 0.02,
+  maxRequests: 20_000,
 };
 
 /** The average of products given by their logarithms. */
@@ -75,7 +75,7 @@
  * the candidate's with a chance of at most its part of the concurrent requests. The bets say that it is 2, 5 or 15
  * times that, and are averaged, since an average of such products is one too.
  */
-export class Attribution {
+export class InferiorityTest {
   /** Invariant: one logarithm of a product for each of WORSE_BY. */
   private readonly logs = WORSE_BY.map(() => 0);
 
@@ -109,7 +109,7 @@
  * Is the candidate worse by the tolerance or more? Each candidate's loss, of 0 to 1, is set against the mean loss of
  * concurrent baseline requests; while it is that much worse, the bets on the opposite have a mean of at most 1.
  */
-export class Soundness {
+export class NonInferiorityTest {
   private readonly logs = PARTS.map(() => 0);
 
   constructor(private readonly tolerance: number) {}
@@ -124,27 +124,27 @@
   readonly evidence = (): number => averageOf(this.logs);
 }
 
-export type TestResultName = "observing" | "stop" | "pass" | "inconclusive";
+export type TestDecision = "observing" | "stop" | "pass" | "inconclusive";
 
 export interface TestResult {
-  readonly verdict: TestResultName;
+  readonly decision: TestDecision;
   readonly reason: string;
-  readonly candidate: Tally;
-  readonly baseline: Tally;
+  readonly candidate: OutcomeCounts;
+  readonly baseline: OutcomeCounts;
   /** Weighted loss for each request: the candidate's less the baseline's. */
   readonly difference: number;
-  readonly evidenceAgainst: number;
-  readonly evidenceDoubled: number;
-  readonly evidenceSound: number;
+  readonly inferiorityEvidence: number;
+  readonly duplicationEvidence: number;
+  readonly nonInferiorityEvidence: number;
 }
 
 interface Pending {
-  candidate: Tally;
-  baseline: Tally;
+  candidate: OutcomeCounts;
+  baseline: OutcomeCounts;
 }
 
 const pendingAt = (map: Map<string, Pending>, key: string): Pending => {
-  const pending = map.get(key) ?? { candidate: NO_TALLY, baseline: NO_TALLY };
+  const pending = map.get(key) ?? { candidate: NO_OUTCOMES, baseline: NO_OUTCOMES };
   map.set(key, pending);
   return pending;
 };
@@ -152,18 +152,19 @@
 /** Hands over what both sides have something of, and keeps the rest until they do. */
 const takeBothSided = (
   map: Map<string, Pending>,
-  take: (candidate: Tally, baseline: Tally) => void,
+  take: (candidate: OutcomeCounts, baseline: OutcomeCounts) => void,
 ): void =>
   map.forEach(({ candidate, baseline }, key) => {
-    if (sizeOf(candidate) === 0 || sizeOf(baseline) === 0) return;
+    if (countRequests(candidate) === 0 || countRequests(baseline) === 0) return;
     map.delete(key);
     take(candidate, baseline);
   });
 
-const sum = (tallies: readonly Tally[]): Tally => tallies.reduce(add, NO_TALLY);
+const sum = (tallies: readonly OutcomeCounts[]): OutcomeCounts =>
+  tallies.reduce(addCounts, NO_OUTCOMES);
 
 /** A stratum's name begins with the cell of the node that saw it. */
-const cellOf = (stratum: string): string => stratum.split("|")[0] ?? "";
+const zoneOf = (stratum: string): string => stratum.split("|")[0] ?? "";
 
 /**
  * One candidate against the baseline. Being late is compared within the full stratum (cell, near or far, warm or cold),
@@ -173,39 +174,39 @@
 export class SequentialTest {
   private readonly byStratum = new Map<string, Pending>();
   private readonly byCell = new Map<string, Pending>();
-  private readonly against: Attribution;
-  private readonly doubled: Attribution;
-  private readonly sound: Soundness;
-  private readonly soundDoubled: Soundness;
-  private candidate = NO_TALLY;
-  private baseline = NO_TALLY;
-  private final: { readonly verdict: TestResultName; readonly reason: string } | undefined;
+  private readonly against: InferiorityTest;
+  private readonly doubled: InferiorityTest;
+  private readonly sound: NonInferiorityTest;
+  private readonly soundDoubled: NonInferiorityTest;
+  private candidate = NO_OUTCOMES;
+  private baseline = NO_OUTCOMES;
+  private final: { readonly verdict: TestDecision; readonly reason: string } | undefined;
 
   constructor(
     private readonly isSafe: boolean,
-    private readonly terms: SequentialTestTerms,
+    private readonly terms: SequentialTestSettings,
     private readonly random: () => number,
   ) {
-    this.against = new Attribution(terms.leeway);
-    this.doubled = new Attribution(1);
-    this.sound = new Soundness(terms.tolerance);
-    this.soundDoubled = new Soundness(terms.toleranceDoubled);
+    this.against = new InferiorityTest(terms.maxRateRatio);
+    this.doubled = new InferiorityTest(1);
+    this.sound = new NonInferiorityTest(terms.nonInferiorityMargin);
+    this.soundDoubled = new NonInferiorityTest(terms.duplicationMargin);
   }
 
-  readonly takeCandidate = (stratum: string, rise: Tally): void => {
+  readonly addCandidate = (stratum: string, increase: OutcomeCounts): void => {
     this.at(stratum).forEach((pending) => {
-      pending.candidate = add(pending.candidate, rise);
+      pending.candidate = addCounts(pending.candidate, increase);
     });
   };
 
-  readonly takeBaseline = (stratum: string, rise: Tally): void => {
+  readonly addBaseline = (stratum: string, increase: OutcomeCounts): void => {
     this.at(stratum).forEach((pending) => {
-      pending.baseline = add(pending.baseline, rise);
+      pending.baseline = addCounts(pending.baseline, increase);
     });
   };
 
   /** Weighs what came since the last look, wherever a stratum has requests of both sides, and gives the verdict. */
-  readonly look = (): TestResult => {
+  readonly evaluate = (): TestResult => {
     if (this.final?.verdict !== "stop") {
       takeBothSided(this.byStratum, this.weighLate);
       takeBothSided(this.byCell, this.weigh);
@@ -216,20 +217,20 @@
       reason: "Not enough has been seen yet.",
     };
     return {
-      verdict: result,
+      decision: result,
       reason,
       candidate: this.candidate,
       baseline: this.baseline,
       difference: this.difference(),
-      evidenceAgainst: this.against.evidence(),
-      evidenceDoubled: this.doubled.evidence(),
-      evidenceSound: this.soundness(),
+      inferiorityEvidence: this.against.evidence(),
+      duplicationEvidence: this.doubled.evidence(),
+      nonInferiorityEvidence: this.soundness(),
     };
   };
 
   private readonly at = (stratum: string): readonly Pending[] => [
     pendingAt(this.byStratum, stratum),
-    pendingAt(this.byCell, cellOf(stratum)),
+    pendingAt(this.byCell, zoneOf(stratum)),
   ];
 
   private readonly weightOf = (kind: OutcomeKind): number => {
@@ -245,11 +246,11 @@
 
   private readonly heaviest = (): number => Math.max(...OUTCOME_KINDS.map(this.weightOf));
 
-  private readonly lossOf = (tally: Tally): number => {
-    const size = sizeOf(tally);
+  private readonly lossOf = (counts: OutcomeCounts): number => {
+    const size = countRequests(counts);
     return size === 0
       ? 0
-      : OUTCOME_KINDS.reduce((loss, kind) => loss + tally[kind] * this.weightOf(kind), 0) / size;
+      : OUTCOME_KINDS.reduce((loss, kind) => loss + counts[kind] * this.weightOf(kind), 0) / size;
   };
 
   /** A pass of an unsafe route needs both, and so the weaker of the two counts. */
@@ -261,17 +262,17 @@
   private readonly difference = (): number =>
     this.lossOf(this.candidate) - this.lossOf(this.baseline);
 
-  private readonly weighLate = (candidate: Tally, baseline: Tally): void =>
+  private readonly weighLate = (candidate: OutcomeCounts, baseline: OutcomeCounts): void =>
     this.against.take(
       candidate.late,
       baseline.late,
-      sizeOf(candidate),
-      sizeOf(baseline),
+      countRequests(candidate),
+      countRequests(baseline),
       Math.min(1, this.weightOf("late")),
     );
 
-  private readonly weigh = (candidate: Tally, baseline: Tally): void => {
-    const sizes = [sizeOf(candidate), sizeOf(baseline)] as const;
+  private readonly weigh = (candidate: OutcomeCounts, baseline: OutcomeCounts): void => {
+    const sizes = [countRequests(candidate), countRequests(baseline)] as const;
     (["lost", "doubled"] as const).forEach((kind) => {
       this.against.take(
         candidate[kind],
@@ -283,18 +284,18 @@
     if (!this.isSafe) this.doubled.take(candidate.doubled, baseline.doubled, ...sizes, 1);
     const heaviest = this.heaviest();
     const baselineLoss = this.lossOf(baseline) / heaviest;
-    const baselineDoubled = baseline.doubled / sizeOf(baseline);
+    const baselineDoubled = baseline.doubled / countRequests(baseline);
     this.shuffled(candidate).forEach((kind) => {
       this.sound.take(this.weightOf(kind) / heaviest, baselineLoss);
       this.soundDoubled.take(kind === "doubled" ? 1 : 0, baselineDoubled);
     });
-    this.candidate = add(this.candidate, candidate);
-    this.baseline = add(this.baseline, baseline);
+    this.candidate = addCounts(this.candidate, candidate);
+    this.baseline = addCounts(this.baseline, baseline);
   };
 
   /** The outcomes one by one in random order, which under any null is as good as the order they came in. */
-  private readonly shuffled = (tally: Tally): readonly OutcomeKind[] => {
-    const kinds = OUTCOME_KINDS.flatMap((kind) => new Array<OutcomeKind>(tally[kind]).fill(kind));
+  private readonly shuffled = (counts: OutcomeCounts): readonly OutcomeKind[] => {
+    const kinds = OUTCOME_KINDS.flatMap((kind) => new Array<OutcomeKind>(counts[kind]).fill(kind));
     for (let at = kinds.length - 1; at > 0; at -= 1) {
       const other = Math.floor(this.random() * (at + 1));
       const [one, two] = [kinds[at], kinds[other]];
@@ -304,12 +305,18 @@
   };
 
   private readonly decide = ():
-    { readonly verdict: TestResultName; readonly reason: string } | undefined => {
-    const { falseStop, falseStopDoubled, falsePass, leastDifference, horizonRequests } = this.terms;
-    const size = sizeOf(this.candidate);
+    { readonly verdict: TestDecision; readonly reason: string } | undefined => {
+    const {
+      maxFalseStopProbability: falseStop,
+      maxFalseDuplicationStopProbability: falseStopDoubled,
+      maxFalsePassProbability: falsePass,
+      minStopDifference: leastDifference,
+      maxRequests: horizonRequests,
+    } = this.terms;
+    const size = countRequests(this.candidate);
     const difference = this.difference();
     if (this.doubled.evidence() >= 1 / falseStopDoubled) {
-      const reason = `${this.candidate.doubled} of the candidate's ${size} requests may be placed twice, against ${this.baseline.doubled} of ${sizeOf(this.baseline)} of the baseline's.`;
+      const reason = `${this.candidate.doubled} of the candidate's ${size} requests may be placed twice, against ${this.baseline.doubled} of ${countRequests(this.baseline)} of the baseline's.`;
       return { verdict: "stop", reason };
     }
     if (this.against.evidence() >= 1 / falseStop && difference >= leastDifference) {
@@ -330,11 +337,11 @@
     return undefined;
   };
 
-  readonly totals = (): readonly [Tally, Tally] => {
+  readonly totals = (): readonly [OutcomeCounts, OutcomeCounts] => {
     const waiting = [...this.byCell.values()];
     return [
-      add(this.candidate, sum(waiting.map((one) => one.candidate))),
-      add(this.baseline, sum(waiting.map((one) => one.baseline))),
+      addCounts(this.candidate, sum(waiting.map((one) => one.candidate))),
+      addCounts(this.baseline, sum(waiting.map((one) => one.baseline))),
     ];
   };
 }
--- a/src/health/split-routes.ts
+++ b/src/health/split-routes.ts
@@ -15,7 +15,7 @@
   private readonly seen = new Map<string, Seen>();
   private readonly mainsBefore = new Map<string, string>();
 
-  readonly take = (name: string, version: number, body: string): void => {
+  readonly applyRoute = (name: string, version: number, body: string): void => {
     const before = this.seen.get(name);
     if (before && before.version >= version) return;
     if (before) this.mainsBefore.set(name, before.main);
@@ -29,10 +29,10 @@
     [...this.seen.values()].flatMap((seen) => seen.split ?? []);
 
   /** For how long a request may be under way, by the longest of all routes. */
-  readonly longestGiveUpUs = (): number =>
+  readonly longestDeadlineUs = (): number =>
     [...this.seen.values()].reduce((longest, { giveUpUs }) => Math.max(longest, giveUpUs), 0);
 
-  readonly mainBefore = (name: string): string | undefined => this.mainsBefore.get(name);
+  readonly previousPrimary = (name: string): string | undefined => this.mainsBefore.get(name);
 }
 
 const readSeen = (name: string, version: number, body: string): Seen => {
--- a/src/programs/cache/cache.ts
+++ b/src/programs/cache/cache.ts
@@ -130,7 +130,7 @@
   });
   updates.events.on("forgotten", (keys) => {
     pool.forget(keys);
-    keys.forEach((key) => counts.forget(key));
+    keys.forEach((key) => counts.remove(key));
   });
   const follow = followPurges({
     clock,
--- a/src/programs/controller/controller.ts
+++ b/src/programs/controller/controller.ts
@@ -12,17 +12,17 @@
 import { allMembersOf, quorumSize } from "../../consensus/voter-set.js";
 import {
   CapacityForecaster,
-  FORECAST_TERMS,
-  readForecasts,
+  FORECAST_SETTINGS,
+  readCapacityStates,
 } from "../../health/capacity-forecast.js";
 import {
   OutlierDetector,
   NO_DECISIONS,
-  readDecisions,
-  type Decisions,
+  readHealthDecisions,
+  type HealthDecisions,
 } from "../../health/outlier-detector.js";
-import { SEQUENTIAL_TEST_TERMS } from "../../health/sequential-test.js";
-import { OUTLIER_TERMS } from "../../health/outlier-ranking.js";
+import { SEQUENTIAL_TEST_SETTINGS } from "../../health/sequential-test.js";
+import { OUTLIER_SETTINGS } from "../../health/outlier-ranking.js";
 import {
   NO_CANARIES,
   readCanaryState,
@@ -33,7 +33,7 @@
 import {
   readWindows,
   WINDOW_SENTENCES,
-  WINDOW_TERMS,
+  WINDOW_SETTINGS,
   MaintenanceWindows,
   type WindowError,
   type WindowState,
@@ -238,12 +238,13 @@
     const register = store.get(key);
     return register ? read(parseJson(register.body)) : none;
   };
-  const decisions = (): Decisions => published(EJECTIONS_REGISTER, readDecisions, NO_DECISIONS);
+  const decisions = (): HealthDecisions =>
+    published(EJECTIONS_REGISTER, readHealthDecisions, NO_DECISIONS);
   const inspector = new OutlierDetector({
     clock,
     log: loggerFor("inspection"),
-    terms: OUTLIER_TERMS,
-    isHolder: lease.isHolder,
+    settings: OUTLIER_SETTINGS,
+    isLeader: lease.isHolder,
     term: lease.term,
     workers: () =>
       registry
@@ -252,8 +253,8 @@
         .map((heartbeat) => ({
           id: heartbeat.id,
           service: heartbeat.service,
-          cell: heartbeat.zone,
-          missing: heartbeat.state === "missing",
+          zone: heartbeat.zone,
+          isMissing: heartbeat.state === "missing",
         })),
     decisions,
     publish: (wanted) => publish(EJECTIONS_REGISTER, wanted),
@@ -264,12 +265,12 @@
   const rollouts = new CanaryAnalyzer({
     clock,
     log: loggerFor("rollout"),
-    terms: { ...SEQUENTIAL_TEST_TERMS, weights: settings.rolloutWeights },
+    settings: { ...SEQUENTIAL_TEST_SETTINGS, weights: settings.rolloutWeights },
     random: Math.random,
-    isHolder: lease.isHolder,
+    isLeader: lease.isHolder,
     term: lease.term,
     splitRoutes: splitRoutes.all,
-    previousMain: splitRoutes.mainBefore,
+    previousPrimary: splitRoutes.previousPrimary,
     state: rolloutState,
     publish: (wanted) => publish(ROLLOUTS_REGISTER, wanted),
   });
@@ -280,20 +281,20 @@
     return shift?.why === "window" && shift.unsafe === 1 ? shift.cell : "";
   };
 
-  const verdicts = () => published(FORECAST_REGISTER, readForecasts, {});
+  const verdicts = () => published(FORECAST_REGISTER, readCapacityStates, {});
   const forecaster = new CapacityForecaster({
     clock,
     log: loggerFor("forecast"),
-    terms: FORECAST_TERMS,
-    isHolder: lease.isHolder,
+    settings: FORECAST_SETTINGS,
+    isLeader: lease.isHolder,
     workers: () => {
       const ejected = new Set(decisions().ejections.map(({ worker }) => worker));
       return registry.all().map((heartbeat) => ({
         id: heartbeat.id,
         service: heartbeat.service,
-        cell: heartbeat.zone,
+        zone: heartbeat.zone,
         capacity: heartbeat.capacity,
-        isUsed: heartbeat.state === "ready" && !ejected.has(heartbeat.id),
+        isRoutable: heartbeat.state === "ready" && !ejected.has(heartbeat.id),
       }));
     },
     nodes: () => sessions.clusterSize().gateways,
@@ -308,26 +309,26 @@
   const windows = new MaintenanceWindows({
     clock,
     log: loggerFor("window"),
-    terms: WINDOW_TERMS,
-    isHolder: lease.isHolder,
+    settings: WINDOW_SETTINGS,
+    isLeader: lease.isHolder,
     state: windowState,
-    knownUs: () =>
+    stateAgeUs: () =>
       windowsSinceUs === undefined || windowsSinceUs - upUs < YOUNG_US
         ? undefined
         : clock.nowUs() - windowsSinceUs,
     publish: (wanted) => publish(WINDOWS_REGISTER, { windows: wanted }),
     shift: () => decisions().shift,
     setShift: inspector.setShift,
-    cells: () => zones(),
+    zones: () => zones(),
     workers: () =>
       registry.all().map(({ zone, service, capacity, state }) => ({
-        cell: zone,
+        zone,
         service,
         capacity,
         isReady: state === "ready",
       })),
-    longestBudgetUs: splitRoutes.longestGiveUpUs,
-    isBorne: (zone) => {
+    longestDeadlineUs: splitRoutes.longestDeadlineUs,
+    hasQuorumWithout: (zone) => {
       const stands = (id: string) => peers.isConnected(id) && peers.zoneOf(id) !== zone;
       return store
         .quorumSets()
@@ -337,7 +338,7 @@
         );
     },
     inFlight: forecaster.inFlight,
-    leaveDuty: async (zone) => {
+    moveLeadershipOutOf: async (zone) => {
       if (zone === settings.zone) await lease.transferTo((id) => peers.zoneOf(id) !== zone);
     },
   });
@@ -361,7 +362,8 @@
       return error === undefined ? { outcome: "taken" } : windowMishap(error);
     }
     const id = randomUUID().slice(0, 8);
-    const added = await windows.add(order, id);
+    const { cell: zone, opensUs: opensInUs, lastsUs: durationUs } = order;
+    const added = await windows.add({ zone, opensInUs, durationUs }, id);
     return typeof added === "string"
       ? windowMishap(added)
       : { outcome: "taken", body: { id, warnings: added } };
@@ -474,7 +476,7 @@
 
   const shiftHere = async (zone: string, why: string): Promise<boolean> =>
     (await lease.confirm()) &&
-    (why === "practice" ? inspector.practise(zone) : inspector.shiftByHand(zone));
+    (why === "practice" ? inspector.startPractice(zone) : inspector.shiftManually(zone));
   const shift = async (zone: string, why: string): Promise<boolean> => {
     if (lease.isHolder()) return shiftHere(zone, why);
     const reply = await peers.ask(
@@ -487,7 +489,7 @@
 
   const clearHere = async (route: string, version: number | undefined): Promise<OutcomeName> => {
     if (!(await lease.confirm())) return "noQuorum";
-    const error = await rollouts.clear(route, version);
+    const error = await rollouts.clearStop(route, version);
     return error === undefined ? "taken" : CLEAR_OUTCOMES[error];
   };
   const clearRollout = async (route: string, version: number | undefined): Promise<OutcomeName> => {
@@ -576,7 +578,7 @@
   };
 
   /** Who takes what nodes report, at the duty's holder; the others pass it on. */
-  const reportTakers = new Map<string, { readonly take: (report: Message) => void }>([
+  const reportReceivers = new Map<string, { readonly receive: (report: Message) => void }>([
     ["faults", inspector],
     ["rollout", rollouts],
     ["usage", forecaster],
@@ -611,7 +613,7 @@
       case "faults":
       case "rollout":
       case "usage":
-        reportTakers.get(message.kind)?.take(message);
+        reportReceivers.get(message.kind)?.receive(message);
         return undefined;
       case "retry-ask":
       case "retry-set":
@@ -683,7 +685,11 @@
     settled
       .filter((register) => register.key.startsWith(ROUTE_PREFIX))
       .forEach((register) =>
-        splitRoutes.take(register.key.slice(ROUTE_PREFIX.length), register.version, register.body),
+        splitRoutes.applyRoute(
+          register.key.slice(ROUTE_PREFIX.length),
+          register.version,
+          register.body,
+        ),
       );
   });
   store.events.on("voterSet", (voterSet) => peers.learn(allMembersOf(voterSet)));
@@ -695,9 +701,9 @@
   sessions.events.on("changed", tellCrew);
   sessions.events.on("report", (message) => {
     content?.hear(message);
-    const subscriber = reportTakers.get(message.kind);
-    if (!subscriber) return;
-    if (lease.isHolder()) subscriber.take(message);
+    const receiver = reportReceivers.get(message.kind);
+    if (!receiver) return;
+    if (lease.isHolder()) receiver.receive(message);
     else void peers.ask(lease.holder(), message, 0);
   });
   peers.events.on("up", (id) => {
--- a/src/programs/gateway/gateway.ts
+++ b/src/programs/gateway/gateway.ts
@@ -110,14 +110,14 @@
   updates.events.on("changed", (facts) => {
     table.take(facts);
     pool.take(facts);
-    rollouts.keepOnly(table.isInForce);
+    rollouts.retain(table.isInForce);
     front.applyLimits();
     front.setZoneDrained(pool.isEmptied(settings.zone));
     front.wake();
   });
   updates.events.on("forgotten", (keys) => {
     pool.forget(keys);
-    keys.forEach((key) => counts.forget(key));
+    keys.forEach((key) => counts.remove(key));
   });
   subscriber.events.on("crew", (told) => {
     clusterSize = told;
--- a/src/programs/loadgen/loadgen.ts
+++ b/src/programs/loadgen/loadgen.ts
@@ -4,7 +4,7 @@
 import { SteadyClock, type Clock } from "../../common/clock.js";
 import { MILLISECOND_US, SECOND_US } from "../../common/duration.js";
 
-export interface Load {
+export interface LoadSettings {
   readonly targets: readonly string[];
   readonly host: string;
   readonly path: string;
@@ -15,13 +15,13 @@
   readonly budgetMs: number;
 }
 
-export interface Shunted {
+export interface RequestResult {
   readonly outcome: string;
   /** From the moment at which it was meant to be sent, so that a target that stalls cannot hide its stall. */
   readonly tookUs: number;
 }
 
-export interface ShuntReport {
+export interface LoadReport {
   readonly takenOn: string;
   readonly sent: number;
   readonly outcomes: Readonly<Record<string, number>>;
@@ -31,7 +31,12 @@
   readonly mostMs: number;
 }
 
-const sendOne = (load: Load, target: string, tryId: string, agent: Agent): Promise<string> =>
+const sendOne = (
+  load: LoadSettings,
+  target: string,
+  tryId: string,
+  agent: Agent,
+): Promise<string> =>
   new Promise((resolve) => {
     const headers = {
       Host: load.host,
@@ -60,12 +65,15 @@
   });
 
 /** Open loop: each request has its moment, and is sent then whatever became of the ones before. */
-export const shunt = async (load: Load, clock: Clock): Promise<readonly Shunted[]> => {
+export const generateLoad = async (
+  load: LoadSettings,
+  clock: Clock,
+): Promise<readonly RequestResult[]> => {
   const agent = new Agent({ keepAlive: true });
   const startUs = clock.nowUs();
   const count = Math.floor(load.ratePerS * load.seconds);
   const run = `${process.pid}${Math.floor(Math.random() * 1e9).toString(16)}`;
-  const all = Array.from({ length: count }, (_, at): Promise<Shunted> => {
+  const all = Array.from({ length: count }, (_, at): Promise<RequestResult> => {
     const dueUs = startUs + Math.round((at * SECOND_US) / load.ratePerS);
     return new Promise((resolve) => {
       clock.after(dueUs - clock.nowUs(), () => {
@@ -85,7 +93,7 @@
 const percentile = (sorted: readonly number[], share: number): number =>
   sorted[Math.max(0, Math.ceil(sorted.length * share) - 1)] ?? 0;
 
-export const reportOf = (shunted: readonly Shunted[]): ShuntReport => {
+export const summarize = (shunted: readonly RequestResult[]): LoadReport => {
   const tookMs = shunted.map(({ tookUs }) => tookUs / MILLISECOND_US).sort((a, b) => a - b);
   const outcomes: Record<string, number> = {};
   shunted.forEach(({ outcome }) => {
@@ -102,7 +110,7 @@
   };
 };
 
-const show = (report: ShuntReport): string =>
+const show = (report: LoadReport): string =>
   [
     `sent      ${report.sent}, measured on ${report.takenOn} with its own clock`,
     ...Object.entries(report.outcomes).map(([outcome, count]) => `${outcome.padEnd(14)} ${count}`),
@@ -123,9 +131,9 @@
 const WRONG_INPUT = 2;
 
 /** The load generator; its targets are fronts of pointsmen. */
-export const addShunter = (cli: Command): void => {
+export const addLoadgenCommand = (cli: Command): void => {
   cli
-    .command("shunter <target...>")
+    .command("loadgen <target...>")
     .description(
       "send an open-loop load to fronts (ip:port) and report latency from the intended send time",
     )
@@ -145,14 +153,14 @@
       ];
       if (![ratePerS, seconds, budgetMs].every((number) => Number.isFinite(number) && number > 0)) {
         process.stderr.write(
-          "shunter: --rate, --seconds and --budget-ms must be numbers above 0.\n",
+          "loadgen: --rate, --seconds and --budget-ms must be numbers above 0.\n",
         );
         process.exitCode = WRONG_INPUT;
         return;
       }
       const { host, path, method, body } = flags;
-      const report = reportOf(
-        await shunt(
+      const report = summarize(
+        await generateLoad(
           { targets, host, path, method, body, ratePerS, seconds, budgetMs },
           new SteadyClock(),
         ),
