--- a/features/compatibility.feature
+++ b/features/compatibility.feature
@@ -27,3 +27,13 @@
 
   Scenario: The crew, the news and the beats that nodes and boxes are sent are taken as before
     Then what is taken from the crew, the news, the sessions and the beats of before is what was sent
+
+  Scenario Outline: What the health subsystem reports, stores and answers is what it was before
+    Then the reports, registers and answers of the "<part>" are word for word those of before
+
+    Examples:
+      | part                |
+      | outlier detector    |
+      | canary analysis     |
+      | capacity forecast   |
+      | maintenance windows |
