--- a/features/steps/archive.ts
+++ b/features/steps/archive.ts
@@ -52,7 +52,7 @@
     ]),
   );
 const opened = (): WriteAheadLog =>
-  new WriteAheadLog({ folder, disk, snapshot: () => [...state.values()] });
+  new WriteAheadLog({ folder, fileSystem: disk, snapshot: () => [...state.values()] });
 const heldBytes = async (): Promise<number> => {
   const sizes = await Promise.all(
     (await readdir(folder)).map((name) => stat(join(folder, name)).catch(() => undefined)),
@@ -118,7 +118,11 @@
   copyFile(join(folder, name), join(folder, other)),
 );
 When("{string} is that of another chain", async (name: string) => {
-  const other = new WriteAheadLog({ folder: join(folder, "other"), disk, snapshot: () => [] });
+  const other = new WriteAheadLog({
+    folder: join(folder, "other"),
+    fileSystem: disk,
+    snapshot: () => [],
+  });
   await other.writeVerifiedSnapshot();
   for (let at = 0; at < 5; at += 1) await other.append([{ key: "route/0", n: at }]);
   await copyFile(join(folder, "other", name), join(folder, name));
@@ -147,7 +151,7 @@
 );
 Then("a start finds exactly the state", async () => {
   const loaded = await opened().load();
-  assert.equal(loaded.kind, "whole");
+  assert.equal(loaded.kind, "verified");
   assert.deepEqual(replay(loaded), state);
 });
 Then("a start finds it {word}", async (kind: string) => {
@@ -155,17 +159,17 @@
   const loaded = await archive.load();
   found = loaded.kind;
   assert.equal(found, kind);
-  assert.ok(loaded.kind !== "doubtful" || loaded.why !== "");
+  assert.ok(loaded.kind !== "unverified" || loaded.reason !== "");
 });
 Then(
   "once a caught-up copy has vouched for the whole, a start finds exactly the state",
   async () => {
     await change();
-    assert.equal((await opened().load()).kind, found === "whole" ? "whole" : "doubtful");
+    assert.equal((await opened().load()).kind, found === "verified" ? "verified" : "unverified");
     assert.ok((await archive.writeVerifiedSnapshot()).isOk);
     await change();
     const loaded = await opened().load();
-    assert.equal(loaded.kind, "whole");
+    assert.equal(loaded.kind, "verified");
     assert.deepEqual(replay(loaded), state);
   },
 );
@@ -197,7 +201,7 @@
   state = new Map([["big", { key: "big", n: 0, body: "x".repeat(60_000) }]]);
   archive = new WriteAheadLog({
     folder: BOX,
-    disk: room.open(),
+    fileSystem: room.open(),
     snapshot: () => [...state.values()],
   });
   assert.ok((await archive.writeVerifiedSnapshot()).isOk);
@@ -229,20 +233,20 @@
     room.losePower();
     const loaded = await new WriteAheadLog({
       folder: BOX,
-      disk: room.open(),
+      fileSystem: room.open(),
       snapshot: () => [],
     }).load();
-    assert.equal(loaded.kind, "whole");
+    assert.equal(loaded.kind, "verified");
     assert.deepEqual(replay(loaded), state);
   },
 );
 
 type Fault =
-  "none" | "a load that falls back and calls it whole" | "a disk that forgets to sync folders";
+  "none" | "a load that falls back and calls it verified" | "a disk that forgets to sync folders";
 
 interface Played {
   readonly wholeStarts: number;
-  /** Starts that found it whole and lacked something kept. */
+  /** Starts that found it verified and lacked something kept. */
   readonly missing: readonly string[];
   /** Starts without proof where there was no cause for doubt, and keeps refused by a disk that was well again. */
   readonly needless: readonly string[];
@@ -266,7 +270,7 @@
     const numberOf = (key: string): number => Number(memory.get(key)?.["n"] ?? 0);
     const copy = new WriteAheadLog({
       folder: BOX,
-      disk: box.open(),
+      fileSystem: box.open(),
       snapshot: () => [...memory.values()],
     });
     const handed: [string, number][] = [];
@@ -291,8 +295,8 @@
     const loaded = await copy.load();
     memory = replay(loaded);
     const isWhole =
-      loaded.kind === "whole" ||
-      (fault === "a load that falls back and calls it whole" && memory.size > 0);
+      loaded.kind === "verified" ||
+      (fault === "a load that falls back and calls it verified" && memory.size > 0);
     if (isWhole) {
       wholeStarts += 1;
       for (const [key, n] of kept)
@@ -302,7 +306,7 @@
       for (const key of memory.keys()) kept.set(key, Math.max(numberOf(key), kept.get(key) ?? 0));
     } else if (isVouched && box.isUp && box.refusing === 0)
       needless.push(
-        `seed ${seed}, life ${life}: ${loaded.kind === "doubtful" ? loaded.why : loaded.kind}`,
+        `seed ${seed}, life ${life}: ${loaded.kind === "unverified" ? loaded.reason : loaded.kind}`,
       );
     if (!isWhole && box.isUp) isVouched = false;
     if (!isWhole && random() < 0.8) {
@@ -358,10 +362,10 @@
   (count: number, from: number) => playAll(count, from, true, "none"),
 );
 When(
-  "{int} histories with spoiled files are played by seed, from {int}, with a load that falls back and calls it whole",
+  "{int} histories with spoiled files are played by seed, from {int}, with a load that falls back and calls it verified",
   { timeout: LONG_MS },
   (count: number, from: number) =>
-    playAll(count, from, true, "a load that falls back and calls it whole"),
+    playAll(count, from, true, "a load that falls back and calls it verified"),
 );
 When(
   "{int} histories with spoiled files are played by seed, from {int}, with a disk that forgets to sync folders",
@@ -369,10 +373,10 @@
   (count: number, from: number) =>
     playAll(count, from, true, "a disk that forgets to sync folders"),
 );
-Then("every start that found it whole held all that was kept", () => {
+Then("every start that found it verified held all that was kept", () => {
   assert.ok(
     played.reduce((sum, { wholeStarts }) => sum + wholeStarts, 0) > played.length,
-    "hardly a start found it whole",
+    "hardly a start found it verified",
   );
   assert.deepEqual(
     played.flatMap(({ missing }) => missing),
@@ -380,7 +384,7 @@
   );
 });
 Then(
-  "no start was doubtful once the whole was vouched for, but where the disk refused to be read or was wiped",
+  "no start was unverified once the whole was vouched for, but where the disk refused to be read or was wiped",
   () => {
     assert.deepEqual(
       played.flatMap(({ needless }) => needless),
@@ -388,6 +392,6 @@
     );
   },
 );
-Then("some start that found it whole lacked what was kept", () => {
+Then("some start that found it verified lacked what was kept", () => {
   assert.ok(played.some(({ missing }) => missing.length > 0));
 });
--- a/features/steps/compatibility.ts
+++ b/features/steps/compatibility.ts
@@ -134,12 +134,12 @@
 Then("the workers remembered before are read as they were", async () => {
   const archive = new WriteAheadLog({
     folder: await aside("workers"),
-    disk: new NodeFileSystem(),
+    fileSystem: new NodeFileSystem(),
     snapshot: () => [],
   });
   const loaded = await archive.load();
   const { kept } = await goldenRec("workers.json");
-  const heartbeats = loaded.kind === "whole" ? loaded.records.map(readSharedHeartbeat) : [];
+  const heartbeats = loaded.kind === "verified" ? loaded.records.map(readSharedHeartbeat) : [];
   assert.deepEqual(plain(withFormerNames(heartbeats)), kept, loaded.kind);
   assert.deepEqual(plain(heartbeats.map(packHeartbeat)), kept);
 });
@@ -178,14 +178,14 @@
   });
   assert.equal(await book.load(), true);
   assert.deepEqual(plain(book.pack()), pack);
-  assert.equal(Buffer.from(book.answerOf("k1")?.body ?? []).toString(), body);
+  assert.equal(Buffer.from(book.findResponse("k1")?.body ?? []).toString(), body);
   const other = new IdempotencyKeyTable({
     folder: "",
     clock: new ManualClock(),
     keyWindowUs: 60_000_000,
     diskBytes: 1_000_000,
   });
-  assert.equal(await other.unpack(asRecord(live(pack))), true);
+  assert.equal(await other.merge(asRecord(live(pack))), true);
   assert.deepEqual(plain(other.pack()), pack);
 });
 
--- a/features/steps/goods.ts
+++ b/features/steps/goods.ts
@@ -2,7 +2,7 @@
 import { Given, Then, When } from "@cucumber/cucumber";
 import { CachedObjects, type CachedObject } from "../../src/cache/cached-objects.js";
 import { cutOf } from "../../src/cache/byte-range.js";
-import { GRANT_LASTS_US, RateAllocator, RateLimiter } from "../../src/quota/rate-limiter.js";
+import { RATE_LEASE_US, RateAllocator, RateLimiter } from "../../src/quota/rate-limiter.js";
 import { ObjectStore, type Found, type Want } from "../../src/cache/object-store.js";
 import { sleep } from "../../src/common/clock.js";
 import { ManualClock } from "../support/manual-clock.js";
@@ -178,13 +178,13 @@
 const renew = (depot: Depot): void => {
   if (!depot.isUp || depot.isCut) return;
   const askedUs = clock.nowUs();
-  depot.share.take({
-    share: office.give(depot.name, "depot", depot.share.share),
-    endUs: askedUs + GRANT_LASTS_US,
+  depot.share.applyLease({
+    share: office.allocate(depot.name, "depot", depot.share.share),
+    expiresAtUs: askedUs + RATE_LEASE_US,
   });
 };
 const spendAll = (depot: Depot): void => {
-  while (depot.isUp && depot.share.spend("s").ok)
+  while (depot.isUp && depot.share.takeToken("s").ok)
     history.push({ atUs: clock.nowUs(), depot: depot.name });
 };
 
@@ -241,12 +241,12 @@
 Then("it sends nothing once its grant has ended, and the other then gets the whole rate", () => {
   const cutUs = 1_000_000 + 301 * 50_000;
   assert.equal(
-    history.filter(({ depot, atUs }) => depot === "one" && atUs > cutUs + GRANT_LASTS_US).length,
+    history.filter(({ depot, atUs }) => depot === "one" && atUs > cutUs + RATE_LEASE_US).length,
     0,
   );
   const late = history.filter(
-    ({ depot, atUs }) => depot === "two" && atUs > cutUs + 2 * GRANT_LASTS_US,
+    ({ depot, atUs }) => depot === "two" && atUs > cutUs + 2 * RATE_LEASE_US,
   );
-  const spanS = (clock.nowUs() - cutUs - 2 * GRANT_LASTS_US) / 1_000_000;
+  const spanS = (clock.nowUs() - cutUs - 2 * RATE_LEASE_US) / 1_000_000;
   assert.ok(late.length / spanS > rate * 0.9, `${late.length / spanS}`);
 });
--- a/features/steps/keys.ts
+++ b/features/steps/keys.ts
@@ -81,7 +81,7 @@
   },
 );
 When("try {string} takes its token back at box {int}", async (name: string, box: number) => {
-  net().copy(`b${box}`).keys.free("k", name);
+  net().copy(`b${box}`).keys.release("k", name);
   await net().clock.pass(10_000);
 });
 When(
@@ -89,7 +89,7 @@
   async (name: string, key: string, box: number) => {
     history
       .filter(({ verdict: result }) => result.kind !== "won")
-      .forEach((entry) => net().copy("b2").keys.free(key, entry.name));
+      .forEach((entry) => net().copy("b2").keys.release(key, entry.name));
     await net().clock.pass(10_000);
     await claim(name, key, `b${box}`);
   },
@@ -100,7 +100,7 @@
     const kept = await beside(
       net()
         .copy(`b${box}`)
-        .keys.keep("k", name, {
+        .keys.complete("k", name, {
           status: 200,
           heads: ["Yewreel-Server-Seal", "s"],
           body: Buffer.from(body),
@@ -168,7 +168,7 @@
       .copy("b2")
       .store.changeMembers(
         (members) => members.filter((id) => id !== "b1" && id !== "b5"),
-        net().copy("b2").keys.spread,
+        net().copy("b2").keys.replicateToNewMembers,
       ),
   );
   assert.ok(changed.isOk);
@@ -219,5 +219,5 @@
   await restart(ids);
 });
 Then("box {int} takes no claims before it has caught up", (box: number) =>
-  assert.equal(net().copy(`b${box}`).keys.isCounting, false),
+  assert.equal(net().copy(`b${box}`).keys.isVoting, false),
 );
--- a/features/steps/plan.ts
+++ b/features/steps/plan.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { After, Given, Then, When } from "@cucumber/cucumber";
-import { toConfigDocument, parseChange, unknownService } from "../../src/config/validation.js";
+import { toConfigDocument, parseChange, findUnknownService } from "../../src/config/validation.js";
 import { WriteAheadLog } from "../../src/storage/write-ahead-log.js";
 import { Replica as State } from "../../src/consensus/replica.js";
 import { makeRegister, type Register } from "../../src/consensus/register.js";
@@ -382,7 +382,7 @@
       BOXES.map((id) =>
         new WriteAheadLog({
           folder: STATE_FOLDER,
-          disk: copies.diskOf(id),
+          fileSystem: copies.diskOf(id),
           snapshot: () => [],
         }).load(),
       ),
@@ -390,7 +390,7 @@
     const holding = loaded.filter((found) => {
       const state = new State();
       if (found.kind !== "empty") found.records.forEach(state.replay);
-      return found.kind === "whole" && state.entry(key(name)).register?.version === version;
+      return found.kind === "verified" && state.entry(key(name)).register?.version === version;
     });
     assert.ok(holding.length >= count, `${holding.length} copies hold it`);
   },
@@ -652,7 +652,7 @@
 Then("the unknown service is {string}", (name: string) => {
   assert.ok(call?.isOk);
   assert.equal(
-    unknownService(call.value, () => undefined),
+    findUnknownService(call.value, () => undefined),
     name,
   );
 });
@@ -660,7 +660,7 @@
 Then("no service is unknown", () => {
   assert.ok(call?.isOk);
   assert.equal(
-    unknownService(call.value, () => undefined),
+    findUnknownService(call.value, () => undefined),
     undefined,
   );
 });
--- a/features/steps/retries.ts
+++ b/features/steps/retries.ts
@@ -7,7 +7,7 @@
 import {
   defaultLimits,
   EVERY_SERVICE,
-  limitOf,
+  findLimit,
   withLimit,
   type RetryLimits,
   type RouteKind,
@@ -58,10 +58,10 @@
   const office = new RetryAllocator({
     clock: timeline,
     windowUs: WINDOW_US,
-    isHolder: () => true,
+    isLeader: () => true,
     limits: () => limits,
   });
-  office.look();
+  office.refresh();
   offices.push({ office, isUp: true });
 };
 
@@ -109,7 +109,7 @@
   ];
   const message: Message = { kind: "retry-ask", life: node.life, wants };
   timeline.after(random() * 100_000, () => {
-    const reply = reached?.office.answer(message);
+    const reply = reached?.office.handleRequest(message);
     if (!reply || random() < 0.1) return;
     const waitUs = random() < 0.1 ? 450_000 : 50_000 * random();
     timeline.after(waitUs, () => {
@@ -193,7 +193,7 @@
       while ((again[to] ?? Infinity) < fromUs + WINDOW_US) to += 1;
       while ((asked[askedFrom] ?? Infinity) < fromUs) askedFrom += 1;
       while ((asked[askedTo] ?? Infinity) < fromUs + WINDOW_US) askedTo += 1;
-      const { ratio, slack } = limitOf(by(fromUs), "s", kind);
+      const { ratio, slack } = findLimit(by(fromUs), "s", kind);
       worst = Math.max(worst, to - from - (ratio * (askedTo - askedFrom) + slack));
     });
   });
@@ -228,7 +228,11 @@
 
 let office: RetryAllocator;
 const ask = (life: string, wanted: number, held: number): number => {
-  const reply = office.answer({ kind: "retry-ask", life, wants: [["s", "safe", wanted, held]] });
+  const reply = office.handleRequest({
+    kind: "retry-ask",
+    life,
+    wants: [["s", "safe", wanted, held]],
+  });
   const [row] = readList(reply, "rows", (value) => asList(value));
   return asNumber(row?.[2]);
 };
--- a/features/support/copies.ts
+++ b/features/support/copies.ts
@@ -4,7 +4,7 @@
 import { WriteAheadLog } from "../../src/storage/write-ahead-log.js";
 import { LeaderLease } from "../../src/consensus/leader-lease.js";
 import { IdempotencyKeyTable, type Purge } from "../../src/idempotency/key-table.js";
-import { IdempotencyKeys } from "../../src/idempotency/key-replication.js";
+import { IdempotencyKeyReplication } from "../../src/idempotency/key-replication.js";
 import { CONSENSUS_MESSAGE_KINDS } from "../../src/consensus/messages.js";
 import { ReplicatedStore } from "../../src/consensus/replicated-store.js";
 import { Replica as State } from "../../src/consensus/replica.js";
@@ -19,7 +19,7 @@
   readonly state: State;
   readonly store: ReplicatedStore;
   readonly duty: LeaderLease;
-  readonly keys: IdempotencyKeys;
+  readonly keys: IdempotencyKeyReplication;
   readonly book: IdempotencyKeyTable;
   readonly learned: Purge[];
   /** The keys of all that its listeners were told. */
@@ -56,7 +56,7 @@
     const state = new State();
     const archive = new WriteAheadLog({
       folder: STATE_FOLDER,
-      disk: this.diskOf(id),
+      fileSystem: this.diskOf(id),
       snapshot: state.snapshot,
     });
     const transport = {
@@ -85,7 +85,7 @@
       hasDisk: true,
       withstandMachines: this.withstandMachines,
       holderTimeoutUs: 1_500_000,
-      copyOtherState: () => this.copy(id).keys.spread(),
+      copyOtherState: () => this.copy(id).keys.replicateToNewMembers(),
     });
     const told = new Set<string>();
     store.events.on("committed", (registers) => registers.forEach(({ key }) => told.add(key)));
@@ -97,15 +97,15 @@
       diskBytes: this.diskBytes,
     });
     const learned: Purge[] = [];
-    const keys = new IdempotencyKeys({
+    const keys = new IdempotencyKeyReplication({
       self: id,
-      book,
+      table: book,
       store,
-      ask: transport.request,
-      stands: (to) => this.reaches(id, to),
+      request: transport.request,
+      isConnected: (to) => this.reaches(id, to),
       send: transport.broadcast,
       withstandMachines: this.withstandMachines,
-      log: silentLogger,
+      logger: silentLogger,
       onPurge: (purge) => learned.push(purge),
     });
     await keys.start(firstRun);
@@ -156,7 +156,7 @@
     this.running.delete(id);
     await copy?.store.persisted();
     await copy?.archive.idle();
-    await copy?.book.stop();
+    await copy?.book.close();
     await settle(4);
   };
 
@@ -196,7 +196,7 @@
   ): Promise<Message | undefined> => {
     if (!this.reaches(from, to) || this.deaf(to, message)) return undefined;
     const { store, duty: lease, keys } = this.copy(to);
-    if (message.kind.startsWith("key-")) return keys.answer(message);
+    if (message.kind.startsWith("key-")) return keys.handleRequest(message);
     switch (message.kind) {
       case "settled":
         store.applyCommitted(message);
--- a/features/support/golden.ts
+++ b/features/support/golden.ts
@@ -75,14 +75,14 @@
   await copies.beside(a.store.confirmQuorum());
   await copies.beside(a.keys.claim("key 1", "token 1"));
   await copies.beside(
-    a.keys.keep("key 1", "token 1", {
+    a.keys.complete("key 1", "token 1", {
       status: 200,
       heads: ["X-A", "b"],
       body: Buffer.from("answered"),
     }),
   );
   await copies.beside(a.keys.claim("key 1", "token 2"));
-  a.keys.free("key 2", "token 2");
+  a.keys.release("key 2", "token 2");
   await copies.beside(copies.copy("d").store.read());
   await copies.beside(copies.copy("d").store.read());
   await copies.beside(a.duty.handleRequest({ kind: "join", id: "d" }));
@@ -106,7 +106,7 @@
       answers.push(
         (await copies.beside(
           message.kind.startsWith("key-")
-            ? keys.answer(message)
+            ? keys.handleRequest(message)
             : CONSENSUS_MESSAGE_KINDS.has(message.kind)
               ? store.handleRequest(message)
               : lease.handleRequest(message),
--- a/simulator/box.ts
+++ b/simulator/box.ts
@@ -83,7 +83,7 @@
     const copy = parts.copy();
     const archive = new WriteAheadLog({
       folder: "disk/plan",
-      disk: parts.disk(disk.openFor(this)),
+      fileSystem: parts.disk(disk.openFor(this)),
       snapshot: copy.snapshot,
     });
     this.store = parts.store({
--- a/src/cache/object-client.ts
+++ b/src/cache/object-client.ts
@@ -104,7 +104,7 @@
   /** Whether one more request may go to a service with a rate: of this node's share, or of a depot's. */
   readonly permit = async (service: string): Promise<boolean> => {
     const { depots, rate } = this.options;
-    if (!depots.isAnyConnected) return rate.spend(service).ok;
+    if (!depots.isAnyConnected) return rate.takeToken(service).ok;
     return isPermitted(await depots.ask(service, { kind: "permit", service }, PERMIT_WAIT_US));
   };
 
--- a/src/cache/object-server.ts
+++ b/src/cache/object-server.ts
@@ -73,7 +73,8 @@
     sayWait: () => void,
   ): Promise<UnknownRecord> => {
     const { clock, store, rate } = this.options;
-    if (message.kind === "permit") return { yes: rate.spend(readString(message, "service")).ok };
+    if (message.kind === "permit")
+      return { yes: rate.takeToken(readString(message, "service")).ok };
     const want = readWant(message, clock.nowUs());
     const from = readFlag(message, "isHop") ? (this.options.ownStore ?? store) : store;
     const kept = from.peek(want);
--- a/src/cache/origin-fetch.ts
+++ b/src/cache/origin-fetch.ts
@@ -96,7 +96,7 @@
     const { clock, rate } = this.options;
     const untilUs = Math.min(clock.nowUs() + want.latencyTargetUs * TURN_PART, want.deadlineUs);
     const before = this.lines.get(want.service) ?? 0;
-    const first = before === 0 ? rate.spend(want.service) : rate.delay(want.service);
+    const first = before === 0 ? rate.takeToken(want.service) : rate.delayToNextToken(want.service);
     if (first.ok) return undefined;
     const none: Found = { kind: "none", reason: "rate", retryAfterUs: first.waitUs * (before + 1) };
     if (clock.nowUs() + first.waitUs * (before + 1) > untilUs) {
@@ -107,7 +107,7 @@
     try {
       while (clock.nowUs() < untilUs) {
         await sleep(clock, LOOK_US);
-        if (rate.spend(want.service).ok) return undefined;
+        if (rate.takeToken(want.service).ok) return undefined;
       }
       this.noRate += 1;
       return none;
--- a/src/config/validation.ts
+++ b/src/config/validation.ts
@@ -277,7 +277,7 @@
 };
 
 /** The first service that a route of the call names and nobody knows, neither the call nor the copy. */
-export const unknownService = (
+export const findUnknownService = (
   call: readonly Register[],
   held: (key: string) => Register | undefined,
 ): string | undefined => {
--- a/src/consensus/replicated-store.ts
+++ b/src/consensus/replicated-store.ts
@@ -216,10 +216,10 @@
     const seeds = this.options.seeds();
     const loaded = await archive.load();
     if (loaded.kind !== "empty") loaded.records.forEach(this.replica.replay);
-    if (loaded.kind === "doubtful") {
+    if (loaded.kind === "unverified") {
       this.replica.setUnverified();
-      this.whyNot = loaded.why;
-      log.warn(`This copy does not count until it has caught up: ${loaded.why}.`);
+      this.whyNot = loaded.reason;
+      log.warn(`This copy does not count until it has caught up: ${loaded.reason}.`);
     } else if (loaded.kind === "empty" && firstRun && seeds.includes(self)) {
       this.replica.adoptVoterSet({ number: 1, members: [...seeds].sort(), from: [] });
       this.replica.setVoting();
--- a/src/idempotency/key-client.ts
+++ b/src/idempotency/key-client.ts
@@ -35,12 +35,12 @@
 export class IdempotencyClient {
   constructor(
     private readonly clock: Clock,
-    private readonly ask: (message: Message, waitUs: number) => Promise<Message | undefined>,
+    private readonly request: (message: Message, waitUs: number) => Promise<Message | undefined>,
     private readonly tell: (message: Message) => void,
   ) {}
 
   readonly claim = async (key: string, token: string): Promise<ClaimResult> => {
-    const reply = await this.ask({ kind: "key-claim", key, token }, CLAIM_WAIT_US);
+    const reply = await this.request({ kind: "key-claim", key, token }, CLAIM_WAIT_US);
     const result = reply?.["verdict"];
     if (result === "done" && isRecord(reply?.["answer"]))
       return { kind: "done", answer: readAnswer(reply["answer"]) };
@@ -50,10 +50,11 @@
   };
 
   /** Takes back a token that has not run; it must never be used again. */
-  readonly free = (key: string, token: string): void => this.tell({ kind: "key-free", key, token });
+  readonly release = (key: string, token: string): void =>
+    this.tell({ kind: "key-free", key, token });
 
   /** Keeps the answer; false if nobody confirmed it in time. */
-  readonly keep = async (
+  readonly complete = async (
     key: string,
     token: string,
     answer: KeyedResponse,
@@ -61,7 +62,7 @@
   ): Promise<boolean> => {
     const untilUs = this.clock.nowUs() + waitUs;
     for (;;) {
-      const reply = await this.ask({ kind: "key-done", key, token, answer }, KEEP_WAIT_US);
+      const reply = await this.request({ kind: "key-done", key, token, answer }, KEEP_WAIT_US);
       if (reply?.["kept"] === true) return true;
       if (this.clock.nowUs() + AGAIN_US >= untilUs) return false;
       await sleep(this.clock, AGAIN_US);
--- a/src/idempotency/key-replication.ts
+++ b/src/idempotency/key-replication.ts
@@ -4,7 +4,7 @@
 import { MILLISECOND_US } from "../common/duration.js";
 import type { Message } from "../transport/connection.js";
 import {
-  readAnswer,
+  readStoredResponse,
   readPurge,
   type StoredResponse,
   type IdempotencyKeyTable,
@@ -23,15 +23,15 @@
   | { readonly kind: "split" }
   | { readonly kind: "none" };
 
-export interface IdempotencyKeysOptions {
+export interface IdempotencyKeyReplicationOptions {
   readonly self: string;
-  readonly book: IdempotencyKeyTable;
+  readonly table: IdempotencyKeyTable;
   readonly store: ReplicatedStore;
-  readonly ask: (id: string, message: Message, waitUs: number) => Promise<Message | undefined>;
-  readonly stands: (id: string) => boolean;
+  readonly request: (id: string, message: Message, waitUs: number) => Promise<Message | undefined>;
+  readonly isConnected: (id: string) => boolean;
   readonly send: (message: Message) => void;
   readonly withstandMachines: number;
-  readonly log: Logger;
+  readonly logger: Logger;
   /** Told of every purge that this copy learns. */
   readonly onPurge: (purge: Purge) => void;
 }
@@ -52,39 +52,39 @@
  * Invariant: a copy that may have lost claims accepts none until it has read so many of the others that every claim
  * once held by a quorum is among theirs; so within the window no two tokens of a key ever win.
  */
-export class IdempotencyKeys {
+export class IdempotencyKeyReplication {
   private counting = false;
   private reading = false;
 
-  constructor(private readonly options: IdempotencyKeysOptions) {}
+  constructor(private readonly options: IdempotencyKeyReplicationOptions) {}
 
-  get isCounting(): boolean {
+  get isVoting(): boolean {
     return this.counting;
   }
 
   readonly start = async (firstRun: boolean): Promise<void> => {
-    const found = await this.options.book.load();
-    this.options.book.purges().forEach(this.options.onPurge);
+    const found = await this.options.table.load();
+    this.options.table.purges().forEach(this.options.onPurge);
     if (found) this.counting = true;
     else if (firstRun && this.options.store.isMember())
-      this.counting = await this.options.book.begin();
+      this.counting = await this.options.table.markInitialized();
   };
 
   /** Reads what a lost copy needs; called until it counts. Begins only once this one is seen on the roster. */
   readonly catchUp = async (): Promise<void> => {
-    const { book, store, log } = this.options;
+    const { table: keyTable, store, logger } = this.options;
     if (this.counting || this.reading || !store.isMember() || !store.isVoting) return;
     this.reading = true;
     const read = await this.refresh();
     this.reading = false;
-    if (!read || !(await book.begin())) return;
+    if (!read || !(await keyTable.markInitialized())) return;
     this.counting = true;
-    book.purges().forEach(this.options.onPurge);
-    log.info(`Caught up with ${book.size} operation keys.`);
+    keyTable.purges().forEach(this.options.onPurge);
+    logger.info(`Caught up with ${keyTable.size} operation keys.`);
   };
 
   /** Brings what a quorum of the old members holds to a quorum of the new ones; true once that is done. */
-  readonly spread = async (): Promise<boolean> => {
+  readonly replicateToNewMembers = async (): Promise<boolean> => {
     const { store } = this.options;
     const spread = await store.callQuorum(
       { kind: "key-refresh" },
@@ -97,20 +97,20 @@
 
   /** Reads a reading quorum's books into this one; true once all of it is safe here. */
   private readonly refresh = async (): Promise<boolean> => {
-    const { book } = this.options;
+    const { table: keyTable } = this.options;
     const merges: Promise<boolean>[] = [];
     const read = await this.gatherToRead({ kind: "key-book" }, (reply) => {
       if (!readFlag(reply, "counts")) return false;
-      merges.push(book.unpack(reply));
+      merges.push(keyTable.merge(reply));
       return true;
     });
     return (await Promise.all(merges)).every((done) => done) && read;
   };
 
   readonly claim = async (key: string, token: string): Promise<KeyClaimResult> => {
-    const { self, book, store, withstandMachines } = this.options;
-    const known = book.answerOf(key);
-    if (known?.body && book.tokenOf(key) !== token) return { kind: "done", answer: known };
+    const { self, table: keyTable, store, withstandMachines } = this.options;
+    const known = keyTable.findResponse(key);
+    if (known?.body && keyTable.findToken(key) !== token) return { kind: "done", answer: known };
     const takers = new Set<string>();
     let others = 0;
     let isDone = known !== undefined;
@@ -140,18 +140,22 @@
   };
 
   /** Takes back a token that has not run and never will. */
-  readonly free = (key: string, token: string): void => {
-    this.options.book.free(key, token);
+  readonly release = (key: string, token: string): void => {
+    this.options.table.release(key, token);
     this.options.send({ kind: "key-free", key, token });
   };
 
   /** Keeps the answer at a quorum, whole, and tells the rest that there is one. */
-  readonly keep = async (key: string, token: string, answer: StoredResponse): Promise<boolean> => {
-    const { self, book, store, ask, stands, withstandMachines } = this.options;
+  readonly complete = async (
+    key: string,
+    token: string,
+    answer: StoredResponse,
+  ): Promise<boolean> => {
+    const { self, table: keyTable, store, request, isConnected, withstandMachines } = this.options;
     const others = store
       .members()
       .filter((id) => id !== self)
-      .sort((a, b) => Number(stands(b)) - Number(stands(a)));
+      .sort((a, b) => Number(isConnected(b)) - Number(isConnected(a)));
     const whole: Message = { kind: "key-done", key, token, answer: packAnswer(answer) };
     const isSmall = (answer.body?.length ?? 0) <= SMALL_BYTES;
     const note: Message = {
@@ -162,7 +166,8 @@
     };
     const kept = new Set<string>();
     const hold = async (id: string): Promise<void> => {
-      if ((await ask(id, store.withVoterSet(whole), KEEP_WAIT_US))?.["kept"] === true) kept.add(id);
+      if ((await request(id, store.withVoterSet(whole), KEEP_WAIT_US))?.["kept"] === true)
+        kept.add(id);
     };
     const isHeld = () =>
       store
@@ -175,10 +180,10 @@
       ? others
       : others.slice(0, quorumSize(store.members(), withstandMachines) - 1);
     const rest = others.filter((id) => !first.includes(id));
-    if (await book.keep(key, token, answer)) kept.add(self);
+    if (await keyTable.complete(key, token, answer)) kept.add(self);
     await Promise.all(first.map(hold));
     if (isHeld()) {
-      rest.forEach((id) => void ask(id, note, 0));
+      rest.forEach((id) => void request(id, note, 0));
       return true;
     }
     await Promise.all(rest.map(hold));
@@ -199,8 +204,8 @@
 
   /** Learns the purges that a reading quorum holds; true if every purge acknowledged before the call is known now. */
   readonly readPurges = async (): Promise<boolean> => {
-    const { book } = this.options;
-    const ids = book.purges().map(({ id }) => id);
+    const { table: keyTable } = this.options;
+    const ids = keyTable.purges().map(({ id }) => id);
     const merges: Promise<boolean>[] = [];
     const read = await this.gatherToRead({ kind: "key-purges", ids }, (reply) => {
       if (!readFlag(reply, "counts")) return false;
@@ -212,25 +217,29 @@
   };
 
   /** Answers a colleague. */
-  readonly answer = async (message: Message): Promise<Message | undefined> => {
-    const { book, store } = this.options;
+  readonly handleRequest = async (message: Message): Promise<Message | undefined> => {
+    const { table: keyTable, store } = this.options;
     const refusal = store.rejectIfOutdated(message);
     if (refusal) return refusal;
     switch (message.kind) {
       case "key-claim":
         return this.answerClaim(readString(message, "key"), readString(message, "token"));
       case "key-free":
-        book.free(readString(message, "key"), readString(message, "token"));
+        keyTable.release(readString(message, "key"), readString(message, "token"));
         return undefined;
       case "key-done": {
-        const answer = readAnswer(message["answer"]);
+        const answer = readStoredResponse(message["answer"]);
         const kept =
           answer !== undefined &&
-          (await book.keep(readString(message, "key"), readString(message, "token"), answer));
+          (await keyTable.complete(
+            readString(message, "key"),
+            readString(message, "token"),
+            answer,
+          ));
         return { kind: "done", kept: kept && this.counting };
       }
       case "key-read": {
-        const answer = book.answerOf(readString(message, "key"));
+        const answer = keyTable.findResponse(readString(message, "key"));
         return { kind: "done", ...(answer ? { answer: packAnswer(answer) } : {}) };
       }
       case "key-refresh": {
@@ -244,43 +253,43 @@
         return {
           kind: "done",
           counts: this.counting,
-          purges: book.purges().filter(({ id }) => !known.has(id)),
+          purges: keyTable.purges().filter(({ id }) => !known.has(id)),
         };
       }
       case "key-book":
-        return { kind: "done", counts: this.counting, ...book.pack() };
+        return { kind: "done", counts: this.counting, ...keyTable.pack() };
       default:
         return undefined;
     }
   };
 
   private readonly answerClaim = async (key: string, token: string): Promise<Message> => {
-    const { book } = this.options;
+    const { table: keyTable } = this.options;
     if (!this.counting) return { kind: "done", verdict: "full", done: false };
-    const result = await book.claim(key, token);
-    return { kind: "done", verdict: result, done: book.answerOf(key) !== undefined };
+    const result = await keyTable.claim(key, token);
+    return { kind: "done", verdict: result, done: keyTable.findResponse(key) !== undefined };
   };
 
   private readonly takePurge = async (purge: Purge): Promise<boolean> => {
-    const { book, onPurge } = this.options;
-    const isNew = !book.hasPurge(purge.id);
-    const kept = book.purge(purge);
+    const { table: keyTable, onPurge } = this.options;
+    const isNew = !keyTable.hasPurge(purge.id);
+    const kept = keyTable.addPurge(purge);
     if (isNew) onPurge(purge);
     return (await kept) && this.counting;
   };
 
   /** The answer of a key that some copy knows to be done, from whoever has its body. */
   private readonly fetch = async (key: string): Promise<KeyClaimResult> => {
-    const { self, book, store, ask } = this.options;
+    const { self, table: keyTable, store, request } = this.options;
     const replies = await Promise.all(
       store
         .members()
         .filter((id) => id !== self)
-        .map((id) => ask(id, { kind: "key-read", key }, KEEP_WAIT_US)),
+        .map((id) => request(id, { kind: "key-read", key }, KEEP_WAIT_US)),
     );
     const found = [
-      book.answerOf(key),
-      ...replies.map((reply) => readAnswer(reply?.["answer"])),
+      keyTable.findResponse(key),
+      ...replies.map((reply) => readStoredResponse(reply?.["answer"])),
     ].find((answer) => answer?.body !== undefined);
     return found ? { kind: "done", answer: found } : { kind: "working" };
   };
@@ -290,7 +299,7 @@
     message: Message,
     accepts: (reply: Message) => boolean,
   ): Promise<boolean> => {
-    const { self, store, ask, withstandMachines } = this.options;
+    const { self, store, request, withstandMachines } = this.options;
     const sets = store.quorumSets();
     const held = new Set(this.counting ? [self] : []);
     const others = store.members().filter((id) => id !== self);
@@ -307,7 +316,7 @@
         else if (open === 0) resolve(false);
       };
       others.forEach((id) => {
-        void ask(id, store.withVoterSet(message), CLAIM_WAIT_US).then((reply) => {
+        void request(id, store.withVoterSet(message), CLAIM_WAIT_US).then((reply) => {
           open -= 1;
           if (reply && accepts(reply)) held.add(id);
           look();
--- a/src/idempotency/key-table.ts
+++ b/src/idempotency/key-table.ts
@@ -44,9 +44,9 @@
 const MARGIN_PART = 0.1;
 const MARGIN_US = 5 * SECOND_US;
 const ROOM_PART = 0.7;
-export const PURGE_KEEP_US = 60 * SECOND_US;
+export const PURGE_RETENTION_US = 60 * SECOND_US;
 
-export const readAnswer = (value: unknown): StoredResponse | undefined => {
+export const readStoredResponse = (value: unknown): StoredResponse | undefined => {
   if (!isRecord(value)) return undefined;
   const body = value["body"];
   return {
@@ -84,9 +84,9 @@
     this.segments = new SegmentLog({
       folder: options.folder,
       clock: options.clock,
-      keepUs: Math.max(this.keepUs, PURGE_KEEP_US),
-      mostBytes: options.diskBytes * ROOM_PART,
-      head: () => ({ kind: this.hasBegun ? "begun" : "unbegun" }),
+      retentionUs: Math.max(this.keepUs, PURGE_RETENTION_US),
+      maxBytes: options.diskBytes * ROOM_PART,
+      makeHeader: () => ({ kind: this.hasBegun ? "begun" : "unbegun" }),
     });
   }
 
@@ -94,8 +94,8 @@
     return this.entries.size;
   }
 
-  get heldBytes(): number {
-    return this.segments.heldBytes;
+  get sizeBytes(): number {
+    return this.segments.sizeBytes;
   }
 
   /** False where no log was found, or one that never held all it must: what it once held may be lost. */
@@ -106,16 +106,16 @@
   };
 
   /** Leaves a mark on the disk, so that a later start knows that nothing was lost. */
-  readonly begin = async (): Promise<boolean> => {
+  readonly markInitialized = async (): Promise<boolean> => {
     this.hasBegun = (await this.segments.append({ kind: "begun" })).isOk;
     return this.hasBegun;
   };
 
-  readonly stop = (): Promise<void> => this.segments.stop();
+  readonly close = (): Promise<void> => this.segments.close();
 
-  readonly answerOf = (key: string): StoredResponse | undefined => this.entry(key)?.answer;
+  readonly findResponse = (key: string): StoredResponse | undefined => this.entry(key)?.answer;
 
-  readonly tokenOf = (key: string): string | undefined => this.entry(key)?.token;
+  readonly findToken = (key: string): string | undefined => this.entry(key)?.token;
 
   readonly claim = async (key: string, token: string): Promise<TableClaimResult> => {
     const before = this.entry(key);
@@ -128,19 +128,23 @@
     return kept.isOk ? "taken" : "full";
   };
 
-  readonly free = (key: string, token: string): void => {
+  readonly release = (key: string, token: string): void => {
     if (this.forget(key, token)) void this.segments.append({ kind: "free", key, token });
   };
 
   /** Keeps the answer of the key's run; false if another token has the key, or the disk refuses. */
-  readonly keep = async (key: string, token: string, answer: StoredResponse): Promise<boolean> => {
+  readonly complete = async (
+    key: string,
+    token: string,
+    answer: StoredResponse,
+  ): Promise<boolean> => {
     const before = this.entry(key);
     if (before && before.token !== token) return false;
     this.take(key, token, answer);
     return (await this.segments.append({ kind: "done", key, token, ...answer })).isOk;
   };
 
-  readonly purge = async (purge: Purge): Promise<boolean> => {
+  readonly addPurge = async (purge: Purge): Promise<boolean> => {
     if (this.held.has(purge.id)) return (await this.segments.flush()).isOk;
     this.held.set(purge.id, { purge, sinceUs: this.options.clock.nowUs() });
     return (await this.segments.append({ kind: "purge", ...purge })).isOk;
@@ -163,12 +167,12 @@
   };
 
   /** Takes what a colleague packed; what is held here already stays. */
-  readonly unpack = async (packed: UnknownRecord): Promise<boolean> => {
+  readonly merge = async (packed: UnknownRecord): Promise<boolean> => {
     const nowUs = this.options.clock.nowUs();
     const kept = readList(packed, "keys", asRecord).flatMap((row) => {
       const key = readString(row, "key");
       const token = readString(row, "token");
-      const answer = readAnswer(row["answer"]);
+      const answer = readStoredResponse(row["answer"]);
       const before = this.entry(key);
       if (before && (before.token !== token || before.answer || !answer)) return [];
       this.entries.set(key, {
@@ -182,7 +186,7 @@
         ),
       ];
     });
-    const noted = readList(packed, "purges", readPurge).map((purge) => this.purge(purge));
+    const noted = readList(packed, "purges", readPurge).map((purge) => this.addPurge(purge));
     return (
       (await Promise.all(kept)).every((result) => result.isOk) &&
       (await Promise.all(noted)).every((done) => done)
@@ -190,14 +194,14 @@
   };
 
   /** Forgets what is over; entries lie in the order they came. Returns the purges forgotten. */
-  readonly sweep = (): readonly string[] => {
+  readonly removeExpired = (): readonly string[] => {
     const nowUs = this.options.clock.nowUs();
     for (const [key, entry] of this.entries) {
       if (nowUs - entry.sinceUs <= this.keepUs) break;
       this.entries.delete(key);
     }
     const old = [...this.held]
-      .filter(([, { sinceUs }]) => nowUs - sinceUs > PURGE_KEEP_US)
+      .filter(([, { sinceUs }]) => nowUs - sinceUs > PURGE_RETENTION_US)
       .map(([id]) => id);
     old.forEach((id) => this.held.delete(id));
     return old;
@@ -235,7 +239,7 @@
       this.entries.set(key, { token, sinceUs: nowUs, answer: undefined });
     else if (record["kind"] === "free") this.forget(key, token);
     else if (record["kind"] === "done") {
-      const answer = readAnswer(record);
+      const answer = readStoredResponse(record);
       if (answer) this.take(key, token, answer);
     }
   };
--- a/src/programs/cache/cache.ts
+++ b/src/programs/cache/cache.ts
@@ -158,11 +158,11 @@
   });
   const keeper = new RateLeaseRenewer({
     clock,
-    rate,
-    life,
-    who: "depot",
-    ask: subscriber.ask,
-    wants: () => true,
+    limiter: rate,
+    incarnation: life,
+    role: "depot",
+    request: subscriber.ask,
+    isNeeded: () => true,
   });
   await relay.listen(settings.ip, settings.relayPort);
   void subscriber.run();
--- a/src/programs/controller/admin-api.ts
+++ b/src/programs/controller/admin-api.ts
@@ -2,7 +2,7 @@
 import {
   toConfigDocument,
   parseChangeInTurns,
-  unknownService,
+  findUnknownService,
   isConfigKey,
   type ConfigError,
 } from "../../config/validation.js";
@@ -151,7 +151,7 @@
     call: readonly Register[],
   ): Promise<Result<UnknownRecord, AdminApiError>> => {
     const written = await this.options.store.propose(call, (get) => {
-      const unknown = unknownService(call, get);
+      const unknown = findUnknownService(call, get);
       return unknown === undefined ? undefined : `a route names the unknown service ${unknown}`;
     });
     return written.mapErr(ofLedger).map(() => ({}));
--- a/src/programs/controller/content.ts
+++ b/src/programs/controller/content.ts
@@ -1,8 +1,8 @@
 import { join } from "node:path";
-import { GRANT_LASTS_US, RateAllocator } from "../../quota/rate-limiter.js";
+import { RATE_LEASE_US, RateAllocator } from "../../quota/rate-limiter.js";
 import type { LeaderLease } from "../../consensus/leader-lease.js";
-import { IdempotencyKeyTable, readAnswer } from "../../idempotency/key-table.js";
-import { IdempotencyKeys } from "../../idempotency/key-replication.js";
+import { IdempotencyKeyTable, readStoredResponse } from "../../idempotency/key-table.js";
+import { IdempotencyKeyReplication } from "../../idempotency/key-replication.js";
 import type { ReplicatedStore } from "../../consensus/replicated-store.js";
 import { WRITE_TIMEOUT_US } from "../../consensus/timeouts.js";
 import { PURGE_PREFIX, type UpdateStore } from "../../membership/update-store.js";
@@ -56,25 +56,25 @@
   publisher,
   lease,
 }: ContentOptions): Content => {
-  const book = new IdempotencyKeyTable({
+  const keyTable = new IdempotencyKeyTable({
     folder: settings.dataFolder === "" ? "" : join(settings.dataFolder, "keys"),
     clock,
     keyWindowUs: settings.keyWindowUs,
     diskBytes: settings.diskMb * MB,
   });
-  const keys = new IdempotencyKeys({
+  const keys = new IdempotencyKeyReplication({
     self: settings.control,
-    book,
+    table: keyTable,
     store,
-    ask: peers.ask,
-    stands: peers.isConnected,
+    request: peers.ask,
+    isConnected: peers.isConnected,
     send: peers.send,
     withstandMachines: settings.withstandMachines,
-    log: loggerFor("keys"),
+    logger: loggerFor("keys"),
     onPurge: ({ id, host, path, label }) =>
       updates.post([{ key: PURGE_PREFIX + id, version: 1, tie: "", body: { host, path, label } }]),
   });
-  const office = new RateAllocator(clock);
+  const allocator = new RateAllocator(clock);
   const depots = new Map<string, UnknownRecord>();
 
   /** Only by a holder that a majority has just heard of: one that was cut off or frozen may have a successor. */
@@ -82,12 +82,12 @@
     (await lease.confirm())
       ? {
           kind: "rate",
-          share: office.give(
+          share: allocator.allocate(
             readString(message, "life"),
             readString(message, "who"),
             readNumber(message, "held"),
           ),
-          lastsUs: GRANT_LASTS_US,
+          lastsUs: RATE_LEASE_US,
         }
       : { kind: "rate" };
   const giveRate = async (message: Message): Promise<Message> =>
@@ -101,17 +101,17 @@
     if (reading) return;
     reading = true;
     const beganUs = clock.nowUs();
-    if ((await keys.readPurges()) && keys.isCounting)
+    if ((await keys.readPurges()) && keys.isVoting)
       publisher.sendFreshness(clock.nowUs() - beganUs);
     reading = false;
   };
   const reader = clock.every(READ_US, () => {
-    if (!lease.isHolder()) office.lose();
+    if (!lease.isHolder()) allocator.reset();
     void keys.catchUp();
     void read();
   });
   const sweeper = clock.every(SECOND_US, () =>
-    updates.forget(book.sweep().map((id) => PURGE_PREFIX + id)),
+    updates.forget(keyTable.removeExpired().map((id) => PURGE_PREFIX + id)),
   );
 
   return {
@@ -131,12 +131,16 @@
           };
         }
         case "key-done": {
-          const answer = readAnswer(message["answer"]);
+          const answer = readStoredResponse(message["answer"]);
           return {
             kind: "claim",
             kept:
               answer !== undefined &&
-              (await keys.keep(readString(message, "key"), readString(message, "token"), answer)),
+              (await keys.complete(
+                readString(message, "key"),
+                readString(message, "token"),
+                answer,
+              )),
           };
         }
         case "rate-ask":
@@ -146,20 +150,20 @@
       }
     },
     answerColleague: async (message) =>
-      message.kind === "rate-ask" ? giveHere(message) : keys.answer(message),
+      message.kind === "rate-ask" ? giveHere(message) : keys.handleRequest(message),
     hear: (message) => {
       if (message.kind === "key-free")
-        keys.free(readString(message, "key"), readString(message, "token"));
+        keys.release(readString(message, "key"), readString(message, "token"));
       if (message.kind === "goods") depots.set(readString(message, "node"), { ...message });
     },
-    spread: keys.spread,
+    spread: keys.replicateToNewMembers,
     purge: keys.purge,
     tellers: {
       keys: () => ({
-        keys: book.size,
-        bytes: book.heldBytes,
-        purges: book.purges().length,
-        counting: keys.isCounting,
+        keys: keyTable.size,
+        bytes: keyTable.sizeBytes,
+        purges: keyTable.purges().length,
+        counting: keys.isVoting,
       }),
       goods: () => [...depots.values()],
     },
--- a/src/programs/controller/controller.ts
+++ b/src/programs/controller/controller.ts
@@ -134,7 +134,11 @@
   });
   const disk = new NodeFileSystem();
   const copy = new Replica();
-  const archive = new WriteAheadLog({ folder: settings.dataFolder, disk, snapshot: copy.snapshot });
+  const archive = new WriteAheadLog({
+    folder: settings.dataFolder,
+    fileSystem: disk,
+    snapshot: copy.snapshot,
+  });
   const store = new ReplicatedStore({
     self,
     writeAheadLog: archive,
@@ -165,7 +169,7 @@
   /** The workers last known, so that after a loss of every process they need not all be heard again first. */
   const memory = new WriteAheadLog({
     folder: settings.dataFolder === "" ? "" : join(settings.dataFolder, "workers"),
-    disk,
+    fileSystem: disk,
     snapshot: () =>
       registry
         .all()
--- a/src/programs/controller/retry-quota.ts
+++ b/src/programs/controller/retry-quota.ts
@@ -7,8 +7,8 @@
 import {
   defaultLimits,
   EVERY_SERVICE,
-  kindOf,
-  limitOf,
+  toRouteKind,
+  findLimit,
   readRetryLimits,
   ROUTE_KINDS,
   withLimit,
@@ -63,16 +63,16 @@
     const written = published();
     return written === undefined ? defaultLimits(ceiling) : readRetryLimits(written);
   };
-  const office = new RetryAllocator({
+  const allocator = new RetryAllocator({
     clock,
     windowUs: ceiling.windowUs,
-    isHolder: () => lease.isHolder() && lease.seesMajority(),
+    isLeader: () => lease.isHolder() && lease.seesMajority(),
     limits,
   });
 
   /** Only by a holder that a majority has just heard of: one that was cut off or frozen may have a successor. */
   const answer = async (message: Message): Promise<Message> =>
-    (await lease.confirm()) ? office.answer(message) : { kind: "retries" };
+    (await lease.confirm()) ? allocator.handleRequest(message) : { kind: "retries" };
   const setHere = async (order: UnknownRecord): Promise<ApiResponse> => {
     if (!(await lease.confirm())) return { outcome: "noQuorum" };
     const service = readString(order, "service");
@@ -127,7 +127,7 @@
       .sort(([a], [b]) => (a < b ? -1 : 1))
       .map(([key, sum]) => {
         const [service = "", kind = ""] = key.split("\n");
-        const { ratio, slack } = limitOf(now, service, kindOf(kind));
+        const { ratio, slack } = findLimit(now, service, toRouteKind(kind));
         const most = Math.floor(ratio * sum.requests + slack);
         return {
           service,
@@ -155,7 +155,7 @@
   };
 
   return {
-    look: office.look,
+    look: allocator.refresh,
     answerNode: async (message) =>
       lease.isHolder()
         ? answer(message)
--- a/src/programs/gateway/object-cache.ts
+++ b/src/programs/gateway/object-cache.ts
@@ -155,11 +155,11 @@
   });
   const keeper = new RateLeaseRenewer({
     clock,
-    rate,
-    life,
-    who: "pointsman",
-    ask: subscriber.ask,
-    wants: () => !depots.isAnyConnected,
+    limiter: rate,
+    incarnation: life,
+    role: "pointsman",
+    request: subscriber.ask,
+    isNeeded: () => !depots.isAnyConnected,
   });
   keeper.start();
   return {
--- a/src/proxy/proxy-server.ts
+++ b/src/proxy/proxy-server.ts
@@ -5,7 +5,7 @@
 import { sleep, withTimeout, type Clock } from "../common/clock.js";
 import type { Logger } from "../common/logger.js";
 import { HTTP_OUTCOMES, type OutcomeName } from "../common/http-outcomes.js";
-import { kindOf } from "../quota/retry-limits.js";
+import { toRouteKind } from "../quota/retry-limits.js";
 import { splitAddress } from "../common/settings.js";
 import { MILLISECOND_US, SECOND_US } from "../common/duration.js";
 import {
@@ -345,7 +345,7 @@
       return;
     }
     if (context.attemptId === "") return this.refuse(context, "noTryId");
-    retryBudgets.of(context.service, kindOf(route.kind)).count();
+    retryBudgets.of(context.service, toRouteKind(route.kind)).count();
     this.options.loadCounters?.arrived(context.service);
     if (!this.carrying.offer(context)) this.refuse(context, "full");
   };
@@ -413,7 +413,7 @@
       });
       if (result.kind === "won") {
         if (context.isFinished) {
-          desk.free(key, token);
+          desk.release(key, token);
           return false;
         }
         context.claim = { key, token, askedUs };
@@ -428,7 +428,7 @@
         );
         return false;
       }
-      desk.free(key, token);
+      desk.release(key, token);
       isTaken = result.kind === "working";
       if (isTaken) break;
       await sleep(clock, SPLIT_REST_US * (0.5 + random()));
@@ -450,7 +450,7 @@
       body: answer.body,
     };
     const aimLeftUs = context.arrivedUs + (context.route?.latencyTargetUs ?? 0) - clock.nowUs();
-    await desk.keep(
+    await desk.complete(
       context.claim.key,
       context.claim.token,
       kept,
@@ -488,7 +488,7 @@
           context.attempts < route.tries &&
           isHeldBody(context) &&
           !this.isPressed(context, route) &&
-          retryBudgets.of(context.service, kindOf(route.kind)).spend()
+          retryBudgets.of(context.service, toRouteKind(route.kind)).spend()
         )
       )
         break;
@@ -571,7 +571,7 @@
         context.triedWorkers,
         context.route?.latencyTargetUs ?? 0,
       );
-      if (!other || !retryBudgets.of(context.service, kindOf(route.kind)).spend()) continue;
+      if (!other || !retryBudgets.of(context.service, toRouteKind(route.kind)).spend()) continue;
       const second = this.start(context, route, other);
       const [quick, slow] = await Promise.race([
         first.result.then(() => [first, second] as const),
@@ -791,7 +791,7 @@
 
   private readonly freeClaim = (context: RequestContext): void => {
     if (!context.claim || !fates.hasNotRun(context.deliveryState)) return;
-    this.options.idempotency?.free(context.claim.key, context.claim.token);
+    this.options.idempotency?.release(context.claim.key, context.claim.token);
     context.claim = undefined;
   };
 
--- a/src/proxy/retry-budget.ts
+++ b/src/proxy/retry-budget.ts
@@ -1,8 +1,8 @@
 import type { Clock } from "../common/clock.js";
 import type { Logger } from "../common/logger.js";
 import {
-  limitOf,
-  USED_PART,
+  findLimit,
+  USED_FRACTION,
   type RetryLimit,
   type RetryLimits,
   type RouteKind,
@@ -93,7 +93,7 @@
     };
   };
 
-  private readonly earned = (): number => this.sum("requests") * this.limit().ratio * USED_PART;
+  private readonly earned = (): number => this.sum("requests") * this.limit().ratio * USED_FRACTION;
 
   private readonly sum = (what: "requests" | "retries" | "refused"): number =>
     this.slots.reduce((total, slot) => total + slot[what], 0);
@@ -138,7 +138,7 @@
     const budget = new RetryBudget(
       clock,
       windowUs,
-      () => limitOf(limits(), service, kind),
+      () => findLimit(limits(), service, kind),
       (isFirstOfSpan) => {
         if (isFirstOfSpan) log.warn(`No retry is left for ${kind} requests to ${service}.`);
         this.onShort();
--- a/src/quota/lease-allocator.ts
+++ b/src/quota/lease-allocator.ts
@@ -1,15 +1,15 @@
 import type { Clock } from "../common/clock.js";
 
-interface Given {
+interface Allotment {
   readonly share: number;
-  readonly endUs: number;
+  readonly expiresAtUs: number;
 }
 
 export interface LeaseTerms {
   /** How long a lease lasts. */
-  readonly lastsUs: number;
+  readonly durationUs: number;
   /** For how long after its end what was done under a lease still counts. */
-  readonly restUs: number;
+  readonly graceUs: number;
 }
 
 /**
@@ -19,7 +19,7 @@
  * doesn't know what that one gave.
  */
 export class LeaseAllocator {
-  private readonly given = new Map<string, Given[]>();
+  private readonly given = new Map<string, Allotment[]>();
 
   /** Since when the duty is held here; where that isn't told, since the first asking. */
   constructor(
@@ -35,38 +35,46 @@
   }
 
   /** Called whenever the duty is not held here: what was given is no longer known to be all. */
-  readonly lose = (): void => {
+  readonly reset = (): void => {
     this.sinceUs = undefined;
     this.given.clear();
   };
 
   /** A share for one life of a node, for `lastsUs` from now. */
-  readonly give = (life: string, wanted: number, held: number, whole: number): number => {
-    const { lastsUs, restUs } = this.terms;
+  readonly allocate = (
+    incarnation: string,
+    wanted: number,
+    held: number,
+    whole: number,
+  ): number => {
+    const { durationUs, graceUs } = this.terms;
     const nowUs = this.clock.nowUs();
     this.sinceUs ??= nowUs;
     this.trim();
     let others = 0;
     this.given.forEach((rows, other) => {
-      if (other !== life) others += outstanding(rows);
+      if (other !== incarnation) others += outstanding(rows);
     });
-    const isNew = nowUs - this.sinceUs < lastsUs + restUs;
+    const isNew = nowUs - this.sinceUs < durationUs + graceUs;
     const share = Math.min(Math.max(0, whole - others), isNew ? held : wanted);
     if (share > 0)
-      this.given.set(life, [...(this.given.get(life) ?? []), { share, endUs: nowUs + lastsUs }]);
+      this.given.set(incarnation, [
+        ...(this.given.get(incarnation) ?? []),
+        { share, expiresAtUs: nowUs + durationUs },
+      ]);
     return share;
   };
 
   private readonly trim = (): void => {
     const nowUs = this.clock.nowUs();
-    this.given.forEach((rows, life) => {
-      const left = rows.filter(({ endUs }) => endUs + this.terms.restUs > nowUs);
-      if (left.length > 0) this.given.set(life, left);
-      else this.given.delete(life);
+    this.given.forEach((rows, incarnation) => {
+      const left = rows.filter(({ expiresAtUs: endUs }) => endUs + this.terms.graceUs > nowUs);
+      if (left.length > 0) this.given.set(incarnation, left);
+      else this.given.delete(incarnation);
     });
   };
 }
 
 /** A renewal that was lost leaves the old lease in force, so the largest one counts. */
-const outstanding = (rows: readonly Given[]): number =>
+const outstanding = (rows: readonly Allotment[]): number =>
   rows.reduce((most, { share }) => Math.max(most, share), 0);
--- a/src/quota/rate-lease-renewer.ts
+++ b/src/quota/rate-lease-renewer.ts
@@ -5,12 +5,12 @@
 
 export interface RateLeaseRenewerOptions {
   readonly clock: Clock;
-  readonly rate: RateLimiter;
-  readonly life: string;
-  readonly who: "depot" | "pointsman";
-  readonly ask: (message: Message, waitUs: number) => Promise<Message | undefined>;
+  readonly limiter: RateLimiter;
+  readonly incarnation: string;
+  readonly role: "depot" | "pointsman";
+  readonly request: (message: Message, waitUs: number) => Promise<Message | undefined>;
   /** Whether a share is of any use here now. */
-  readonly wants: () => boolean;
+  readonly isNeeded: () => boolean;
 }
 
 const GAP_US = 600 * MILLISECOND_US;
@@ -30,13 +30,16 @@
 
   /** The end is counted from before the asking, so it comes here no later than at the giver. */
   private readonly renew = async (): Promise<void> => {
-    const { clock, rate, life, who, ask, wants } = this.options;
-    if (!wants()) return;
+    const { clock, limiter, incarnation, role, request, isNeeded } = this.options;
+    if (!isNeeded()) return;
     const askedUs = clock.nowUs();
-    const reply = await ask({ kind: "rate-ask", life, who, held: rate.share }, WAIT_US);
+    const reply = await request(
+      { kind: "rate-ask", life: incarnation, who: role, held: limiter.share },
+      WAIT_US,
+    );
     const share = reply?.["share"];
     const lastsUs = reply?.["lastsUs"];
     if (typeof share === "number" && typeof lastsUs === "number")
-      rate.take({ share, endUs: askedUs + lastsUs });
+      limiter.applyLease({ share, expiresAtUs: askedUs + lastsUs });
   };
 }
--- a/src/quota/rate-limiter.ts
+++ b/src/quota/rate-limiter.ts
@@ -3,7 +3,7 @@
 
 export interface RateLease {
   readonly share: number;
-  readonly endUs: number;
+  readonly expiresAtUs: number;
 }
 
 /** Kept back of the rate, and the burst that a whole rate may make: both fit in a ceiling a tenth above the rate. */
@@ -16,7 +16,7 @@
  * share of the burst, so over all shares that add up to at most 1 a span t sees at most rate * (0.96 t + 0.2 s).
  */
 export class RateLimiter {
-  private grant: RateLease = { share: 0, endUs: 0 };
+  private grant: RateLease = { share: 0, expiresAtUs: 0 };
   private readonly buckets = new Map<string, { tokens: number; sinceUs: number }>();
 
   constructor(
@@ -25,16 +25,16 @@
   ) {}
 
   get share(): number {
-    return this.clock.nowUs() < this.grant.endUs ? this.grant.share : 0;
+    return this.clock.nowUs() < this.grant.expiresAtUs ? this.grant.share : 0;
   }
 
-  readonly take = (grant: RateLease): void => {
+  readonly applyLease = (grant: RateLease): void => {
     this.buckets.forEach((_bucket, service) => this.fill(service));
     this.grant = grant;
   };
 
   /** Takes one request's worth, or says how long it would take to come. */
-  readonly spend = (
+  readonly takeToken = (
     service: string,
   ): { readonly ok: true } | { readonly ok: false; readonly waitUs: number } => {
     const rate = this.ratePerS(service);
@@ -44,11 +44,13 @@
       bucket.tokens -= 1;
       return { ok: true };
     }
-    return this.delay(service);
+    return this.delayToNextToken(service);
   };
 
   /** How long the next request's worth takes to come. */
-  readonly delay = (service: string): { readonly ok: false; readonly waitUs: number } => {
+  readonly delayToNextToken = (
+    service: string,
+  ): { readonly ok: false; readonly waitUs: number } => {
     const perUs = (this.ratePerS(service) * USED_PART * this.share) / 1_000_000;
     return {
       ok: false,
@@ -59,7 +61,7 @@
   private readonly fill = (service: string): { tokens: number; sinceUs: number } => {
     const nowUs = this.clock.nowUs();
     const bucket = this.buckets.get(service) ?? { tokens: 0, sinceUs: nowUs };
-    const untilUs = Math.min(nowUs, this.grant.endUs);
+    const untilUs = Math.min(nowUs, this.grant.expiresAtUs);
     const rate = this.ratePerS(service) * this.grant.share;
     const fresh = (rate * USED_PART * Math.max(0, untilUs - bucket.sinceUs)) / 1_000_000;
     bucket.tokens = Math.min(bucket.tokens + fresh, Math.max(1, rate * BURST_S));
@@ -69,7 +71,7 @@
   };
 }
 
-export const GRANT_LASTS_US = 3_000_000;
+export const RATE_LEASE_US = 3_000_000;
 const SEEN_US = 2_000_000;
 
 /** The duty's holder gives the rate out in shares: equal ones of the depots, or of the pointsmen while no depot is seen. */
@@ -78,23 +80,23 @@
   private readonly office: LeaseAllocator;
 
   constructor(private readonly clock: Clock) {
-    this.office = new LeaseAllocator(clock, { lastsUs: GRANT_LASTS_US, restUs: 0 });
+    this.office = new LeaseAllocator(clock, { durationUs: RATE_LEASE_US, graceUs: 0 });
   }
 
   /** Called whenever the duty is not held here. */
-  readonly lose = (): void => {
-    this.office.lose();
+  readonly reset = (): void => {
+    this.office.reset();
     this.seen.clear();
   };
 
   /** A share for one life of a node, for GRANT_LASTS_US from now. */
-  readonly give = (life: string, kind: string, held: number): number => {
+  readonly allocate = (life: string, kind: string, held: number): number => {
     const nowUs = this.clock.nowUs();
     this.seen.set(life, { kind, atUs: nowUs });
     this.seen.forEach(({ atUs }, other) => {
       if (nowUs - atUs >= SEEN_US) this.seen.delete(other);
     });
-    return this.office.give(life, this.wanted(kind), held, 1);
+    return this.office.allocate(life, this.wanted(kind), held, 1);
   };
 
   private readonly wanted = (kind: string): number => {
--- a/src/quota/retry-allocator.ts
+++ b/src/quota/retry-allocator.ts
@@ -1,5 +1,5 @@
 import type { Clock } from "../common/clock.js";
-import { kindOf, limitOf, USED_PART, type RetryLimits } from "./retry-limits.js";
+import { toRouteKind, findLimit, USED_FRACTION, type RetryLimits } from "./retry-limits.js";
 import { asList, readList, asNumber, readString, asString } from "../common/decode.js";
 import { SECOND_US } from "../common/duration.js";
 import type { Message } from "../transport/connection.js";
@@ -13,7 +13,7 @@
   readonly clock: Clock;
   readonly windowUs: number;
   /** Whether this signalbox holds the duty, and a majority is in reach. */
-  readonly isHolder: () => boolean;
+  readonly isLeader: () => boolean;
   readonly limits: () => RetryLimits;
 }
 
@@ -29,20 +29,20 @@
   constructor(private readonly options: RetryAllocatorOptions) {}
 
   /** Called every second or so: a new holder's wait begins when it takes the duty, not when it is first asked. */
-  readonly look = (): void => {
-    if (!this.options.isHolder()) {
+  readonly refresh = (): void => {
+    if (!this.options.isLeader()) {
       this.offices.clear();
       this.sinceUs = undefined;
       return;
     }
     this.sinceUs ??= this.options.clock.nowUs();
-    this.offices.forEach((office, key) => {
-      if (office.isIdle) this.offices.delete(key);
+    this.offices.forEach((allocator, key) => {
+      if (allocator.isIdle) this.offices.delete(key);
     });
   };
 
-  readonly answer = (message: Message): Message => {
-    this.look();
+  readonly handleRequest = (message: Message): Message => {
+    this.refresh();
     if (this.sinceUs === undefined) return { kind: "retries" };
     const life = readString(message, "life");
     const limits = this.options.limits();
@@ -73,12 +73,12 @@
     held: number,
   ): number => {
     const { clock, windowUs } = this.options;
-    const whole = limitOf(limits, service, kindOf(kind)).slack * USED_PART;
+    const whole = findLimit(limits, service, toRouteKind(kind)).slack * USED_FRACTION;
     const key = `${service}|${kind}`;
-    const office =
+    const allocator =
       this.offices.get(key) ??
-      new LeaseAllocator(clock, { lastsUs: RETRY_LEASE_US, restUs: windowUs }, this.sinceUs);
-    this.offices.set(key, office);
-    return office.give(life, Math.min(wanted, Math.max(1, whole * MOST_PART)), held, whole);
+      new LeaseAllocator(clock, { durationUs: RETRY_LEASE_US, graceUs: windowUs }, this.sinceUs);
+    this.offices.set(key, allocator);
+    return allocator.allocate(life, Math.min(wanted, Math.max(1, whole * MOST_PART)), held, whole);
   };
 }
--- a/src/quota/retry-lease-renewer.ts
+++ b/src/quota/retry-lease-renewer.ts
@@ -1,5 +1,5 @@
 import type { Clock } from "../common/clock.js";
-import { kindOf } from "./retry-limits.js";
+import { toRouteKind } from "./retry-limits.js";
 import { asList, readList, asNumber, asString } from "../common/decode.js";
 import { MILLISECOND_US } from "../common/duration.js";
 import type { Message } from "../transport/connection.js";
@@ -43,7 +43,7 @@
       readList(reply, "rows", (value) => {
         const [service, kind, tokens] = asList(value, "row");
         this.retryBudgets
-          .of(asString(service), kindOf(asString(kind)))
+          .of(asString(service), toRouteKind(asString(kind)))
           .take({ tokens: asNumber(tokens), endUs: askedUs + lastsUs });
       });
     }
--- a/src/quota/retry-limits.ts
+++ b/src/quota/retry-limits.ts
@@ -8,7 +8,7 @@
 export const isRouteKind = (value: unknown): value is RouteKind =>
   ROUTE_KINDS.some((kind) => kind === value);
 /** What can't be told to be repeatable is treated as what can't be. */
-export const kindOf = (value: string): RouteKind => (isRouteKind(value) ? value : "unsafe");
+export const toRouteKind = (value: string): RouteKind => (isRouteKind(value) ? value : "unsafe");
 
 /** Over all nodes, in any window, the retries of one kind at a service stay within ratio x its requests + slack. */
 export interface RetryLimit {
@@ -17,7 +17,7 @@
 }
 
 /** Of a ratio by the nodes, and of a slack by who leases it out, so much is used: windows slide in steps, and nodes come and go. */
-export const USED_PART = 0.8;
+export const USED_FRACTION = 0.8;
 
 /** What no limit may pass: the deployment's own bound for a service, over all kinds. */
 export interface RetryMaximum {
@@ -43,7 +43,7 @@
   },
 });
 
-export const limitOf = (limits: RetryLimits, service: string, kind: RouteKind): RetryLimit => {
+export const findLimit = (limits: RetryLimits, service: string, kind: RouteKind): RetryLimit => {
   const own = limits[service] ?? limits[EVERY_SERVICE];
   return own?.[kind] ?? { ratio: 0, slack: 0 };
 };
--- a/src/storage/segment-log.ts
+++ b/src/storage/segment-log.ts
@@ -14,10 +14,10 @@
   readonly folder: string;
   readonly clock: Clock;
   /** For how long a record is wanted after it was appended. */
-  readonly keepUs: number;
-  readonly mostBytes: number;
+  readonly retentionUs: number;
+  readonly maxBytes: number;
   /** What each new segment begins with. */
-  readonly head: () => unknown;
+  readonly makeHeader: () => unknown;
 }
 
 const NAME = /^log-(\d+)\.bin$/;
@@ -69,13 +69,13 @@
     this.writes = new Batcher((frames) => this.write(Buffer.concat(frames)));
   }
 
-  get heldBytes(): number {
+  get sizeBytes(): number {
     return this.closed.reduce((sum, { bytes }) => sum + bytes, this.bytes);
   }
 
   /** Whether so much of the room is taken that nothing new should be begun. */
   get isNearlyFull(): boolean {
-    return this.heldBytes > this.options.mostBytes * 0.8;
+    return this.sizeBytes > this.options.maxBytes * 0.8;
   }
 
   /** The records found, oldest first, or undefined where there is no log. */
@@ -105,7 +105,7 @@
   /** Resolves once the record is safe. */
   readonly append = (record: unknown): Promise<Result<void, SegmentLogError>> => {
     if (this.options.folder === "") return Promise.resolve(ok(undefined));
-    if (this.heldBytes > this.options.mostBytes)
+    if (this.sizeBytes > this.options.maxBytes)
       return Promise.resolve(err({ kind: "full", sentence: "the room for the log is taken" }));
     return this.writes.add(frameOf(record));
   };
@@ -117,7 +117,7 @@
       : this.writes.add(Buffer.alloc(0));
 
   /** Lets what has begun come to its end, and closes the file. */
-  readonly stop = async (): Promise<void> => {
+  readonly close = async (): Promise<void> => {
     await this.flush();
     await this.file?.close();
     this.file = undefined;
@@ -129,14 +129,15 @@
   private readonly write = async (bytes: Buffer): Promise<Result<void, SegmentLogError>> => {
     try {
       const file = await this.current();
-      const all = this.bytes === 0 ? Buffer.concat([frameOf(this.options.head()), bytes]) : bytes;
+      const all =
+        this.bytes === 0 ? Buffer.concat([frameOf(this.options.makeHeader()), bytes]) : bytes;
       await file.write(all);
       await file.datasync();
       this.bytes += all.length;
       return ok(undefined);
     } catch (error) {
       // What the failed write left may be torn, so nothing more is appended behind it.
-      await this.close().catch(() => undefined);
+      await this.closeSegment().catch(() => undefined);
       return err({
         kind: "disk",
         sentence: error instanceof Error ? error.message : "the disk refused",
@@ -145,8 +146,8 @@
   };
 
   private readonly current = async (): Promise<FileHandle> => {
-    const { clock, keepUs, folder } = this.options;
-    if (this.file && clock.nowUs() - this.openedUs > keepUs / SPANS) await this.close();
+    const { clock, retentionUs, folder } = this.options;
+    if (this.file && clock.nowUs() - this.openedUs > retentionUs / SPANS) await this.closeSegment();
     if (this.file) return this.file;
     this.number += 1;
     const file = await open(this.path(this.number), "w");
@@ -161,14 +162,14 @@
     return file;
   };
 
-  private readonly close = async (): Promise<void> => {
-    const { clock, keepUs } = this.options;
+  private readonly closeSegment = async (): Promise<void> => {
+    const { clock, retentionUs } = this.options;
     const { file } = this;
     this.file = undefined;
     if (file) this.closed.push({ number: this.number, bytes: this.bytes, closedUs: clock.nowUs() });
     this.bytes = 0;
     await file?.close();
-    const old = this.closed.filter(({ closedUs }) => clock.nowUs() - closedUs > keepUs);
+    const old = this.closed.filter(({ closedUs }) => clock.nowUs() - closedUs > retentionUs);
     this.closed = this.closed.filter((segment) => !old.includes(segment));
     for (const { number } of old) await rm(this.path(number), { force: true });
   };
--- a/src/storage/write-ahead-log.ts
+++ b/src/storage/write-ahead-log.ts
@@ -16,18 +16,22 @@
 export type WriteAheadLogError = { readonly kind: "disk"; readonly sentence: string };
 
 /**
- * What a start finds. `whole`: proof that nothing is missing that was ever kept. `doubtful`: whatever could be read, and
+ * What a start finds. `verified`: proof that nothing is missing that was ever kept. `unverified`: whatever could be read, and
  * one line why it may not be all. `empty`: nothing was ever kept, or all of it is lost.
  */
 export type Recovery =
-  | { readonly kind: "whole"; readonly records: readonly UnknownRecord[] }
-  | { readonly kind: "doubtful"; readonly records: readonly UnknownRecord[]; readonly why: string }
+  | { readonly kind: "verified"; readonly records: readonly UnknownRecord[] }
+  | {
+      readonly kind: "unverified";
+      readonly records: readonly UnknownRecord[];
+      readonly reason: string;
+    }
   | { readonly kind: "empty" };
 
 export interface WriteAheadLogOptions {
   /** Empty on a machine without a disk: then memory is all there is. */
   readonly folder: string;
-  readonly disk: FileSystem;
+  readonly fileSystem: FileSystem;
   /** The whole state as records, taken in one go; holds every record that was handed to `keep` before. */
   readonly snapshot: () => readonly UnknownRecord[];
 }
@@ -161,7 +165,7 @@
   /** To be called once, before anything is kept. What it calls whole lasts from then on. */
   readonly load = async (): Promise<Recovery> => {
     if (!this.hasDisk) return { kind: "empty" };
-    const { folder, disk } = this.options;
+    const { folder, fileSystem } = this.options;
     let records: readonly UnknownRecord[] = [];
     try {
       const files: ReadFile[] = [];
@@ -172,16 +176,16 @@
       const from =
         why === undefined ? Math.max(0, files.map(({ kind }) => kind).lastIndexOf("snapshot")) : 0;
       records = files.slice(from).flatMap(({ content }) => content?.records ?? []);
-      if (why !== undefined) return { kind: "doubtful", records, why };
-      await disk.makeFolder(folder);
+      if (why !== undefined) return { kind: "unverified", records, reason: why };
+      await fileSystem.makeFolder(folder);
       if (files.length === 0) return { kind: "empty" };
       // A killed life may have renamed a file and not synced the folder; who goes by it now must not lose it later.
-      await disk.syncFolder(folder);
+      await fileSystem.syncFolder(folder);
       this.goOn(files.slice(from));
       await this.tidy(files[from]?.number ?? 0);
-      return { kind: "whole", records };
+      return { kind: "verified", records };
     } catch (error) {
-      return { kind: "doubtful", records, why: sentenceOf(error) };
+      return { kind: "unverified", records, reason: sentenceOf(error) };
     }
   };
 
@@ -243,7 +247,7 @@
   /** A snapshot under a number of its own, above every name found; on a failure the next round tries again. */
   private readonly writeFirst = async (isWhole: boolean): Promise<void> => {
     await this.snapshotting;
-    await this.options.disk.makeFolder(this.options.folder);
+    await this.options.fileSystem.makeFolder(this.options.folder);
     this.claimed ??= Math.max(this.last, ...(await this.find()).map(({ number }) => number)) + 1;
     await this.writeSnapshot(this.claimed, isWhole);
     this.last = this.claimed;
@@ -304,27 +308,27 @@
   };
 
   private readonly put = async (kind: Kind, number: number, bytes: Uint8Array): Promise<void> => {
-    const { folder, disk } = this.options;
+    const { folder, fileSystem } = this.options;
     const aside = join(folder, `${kind}-${number}.tmp`);
     try {
-      await disk.write(aside, bytes);
+      await fileSystem.write(aside, bytes);
     } catch (error) {
       // Half a file on a full disk would take the room of the next try.
-      await disk.remove(aside).catch(() => undefined);
+      await fileSystem.remove(aside).catch(() => undefined);
       throw error;
     }
-    await disk.rename(aside, join(folder, `${kind}-${number}.bin`));
-    await disk.syncFolder(folder);
+    await fileSystem.rename(aside, join(folder, `${kind}-${number}.bin`));
+    await fileSystem.syncFolder(folder);
   };
 
   /** Takes away what a lasting snapshot stands for; what the disk refuses to remove goes the next time. */
   private readonly tidy = async (snapshot: number): Promise<void> => {
-    const { folder, disk } = this.options;
+    const { folder, fileSystem } = this.options;
     try {
       const old = (await this.find()).filter(
         ({ kind, number }) => number < snapshot || (kind === "increment" && number === snapshot),
       );
-      for (const { name } of old) await disk.remove(join(folder, name));
+      for (const { name } of old) await fileSystem.remove(join(folder, name));
     } catch {
       // Files too many are no fault.
     }
@@ -332,7 +336,7 @@
 
   /** The files that are ours, by number, an increment before the snapshot that stands for it. */
   private readonly find = async (): Promise<readonly Found[]> => {
-    const names = await this.options.disk.list(this.options.folder);
+    const names = await this.options.fileSystem.list(this.options.folder);
     return names
       .flatMap((name): Found[] => {
         const [, kind, number, end] = NAME.exec(name) ?? [];
@@ -353,7 +357,8 @@
   private readonly read = async (found: Found): Promise<ReadFile> => {
     try {
       const bytes =
-        (await this.options.disk.read(join(this.options.folder, found.name))) ?? new Uint8Array();
+        (await this.options.fileSystem.read(join(this.options.folder, found.name))) ??
+        new Uint8Array();
       const { sum, content } = unpack(found.kind, found.number, bytes) ?? {
         sum: "",
         content: undefined,
