--- /dev/null
+++ b/src/consensus/catch-up.ts
@@ -0,0 +1,126 @@
+/**
+ * How a replica catches up that may have lost something. It asks as many voting replicas as share a member with every
+ * quorum to accept nothing below a floor from now on, and holds the highest that any of them holds. What it may have helped
+ * to commit is among that; what it had merely promised can be used by nobody any more. From then on it votes.
+ */
+import { err, ok, type Result } from "true-myth/result";
+import type { Logger } from "../common/logger.js";
+import type { Ballot } from "./ballot.js";
+import { NO_BALLOT } from "./ballot.js";
+import { detectCommitted } from "./commit-detection.js";
+import {
+  StaleVoterSetError,
+  UnclearOutcomeError,
+  type NoQuorumError,
+  type ReplicatedStoreError,
+} from "./errors.js";
+import type { LocalReplica } from "./local-replica.js";
+import type { QuorumCalls } from "./quorum-calls.js";
+import type { Entry } from "./record-codec.js";
+import type { ReplicaView, ReplicaViews } from "./replica-view.js";
+import { readQuorumSize } from "./voter-set.js";
+
+const MAX_ROUNDS = 3;
+
+export interface CatchUpOptions {
+  readonly self: string;
+  readonly local: LocalReplica;
+  readonly calls: QuorumCalls;
+  readonly views: ReplicaViews;
+  /** Whom to ask for as long as no voter set is known. */
+  readonly seeds: () => readonly string[];
+  readonly withstandMachines: number;
+  readonly logger: Logger;
+}
+
+/** Invariant: the replica votes only once all that it took over, and the floor, are on its disk. */
+export class CatchUp {
+  constructor(private readonly options: CatchUpOptions) {}
+
+  /** Ok once the replica votes. */
+  readonly run = async (): Promise<Result<void, ReplicatedStoreError>> => {
+    const { local } = this.options;
+    for (let round = 1; ; round += 1) {
+      const rejections = local.rejectionCount;
+      const done = await this.runOnce();
+      // A rejection may only have told whom to ask, and with what number.
+      if (done.isOk || round >= MAX_ROUNDS || local.rejectionCount === rejections) return done;
+    }
+  };
+
+  private readonly runOnce = async (): Promise<Result<void, ReplicatedStoreError>> => {
+    const { local, logger } = this.options;
+    const ownEntries = local.state.copyOfEntries();
+    const bucketHashes = local.state.bucketSums();
+    const floor = local.nextBallot();
+    const voterSetBefore = local.voterSet.number;
+    const views = new Map<string, ReplicaView>();
+    const read = await this.collectViews(bucketHashes, floor, views);
+    if (read.isErr) return err(read.error);
+    if (local.voterSet.number !== voterSetBefore) return err(new StaleVoterSetError());
+    const keyCount = this.adopt(ownEntries, views);
+    local.record(local.state.raiseFloor(floor));
+    if (!(await local.persisted()) || (await local.writeSnapshot()).isErr)
+      return err(new UnclearOutcomeError("the disk refused what was caught up"));
+    local.record(local.state.setVoting());
+    if (!(await local.persisted())) {
+      local.state.setUnverified();
+      return err(new UnclearOutcomeError("the disk refused what was caught up"));
+    }
+    logger.info("replica caught up", { entries: keyCount, voterSet: local.voterSet.number });
+    void local.events.emit("voting");
+    return ok(undefined);
+  };
+
+  /** Without a voter set, all seeds are asked, and the first that knows one ends the round. */
+  private readonly collectViews = (
+    bucketHashes: readonly string[],
+    floor: Ballot,
+    collected: Map<string, ReplicaView>,
+  ): Promise<Result<void, NoQuorumError>> => {
+    const { self, local, calls, views, seeds, withstandMachines } = this.options;
+    const isFirst = () => local.voterSet.number === 0;
+    return calls.collect<ReplicaView>({
+      sets: () => (isFirst() ? [seeds()] : local.quorumSets()),
+      needed: (members) =>
+        isFirst() ? Number.POSITIVE_INFINITY : readQuorumSize(members, withstandMachines),
+      request: async (id) => {
+        if (id === self) return undefined;
+        const view = await views.fetch(id, { bucketHashes, uncommittedKeys: [] }, floor);
+        if (!view?.isVoting) return undefined;
+        collected.set(id, view);
+        return view;
+      },
+    });
+  };
+
+  /** Takes over what the views hold; gives how many keys that concerned. */
+  private readonly adopt = (
+    ownEntries: ReadonlyMap<string, Entry>,
+    views: ReadonlyMap<string, ReplicaView>,
+  ): number => {
+    const { self, local, withstandMachines } = this.options;
+    // One outside the voter set was in no quorum that is still one; what it accepted long ago must not come up again.
+    if (!local.isMember()) local.state.dropUncommitted();
+    const reports = [...views.values()].flatMap((view) => [...view.reports.values()]);
+    const keys = new Set([...ownEntries.keys(), ...reports.map(({ key }) => key)]);
+    const { committed, undecided } = detectCommitted({
+      self,
+      keys,
+      ownEntries,
+      views,
+      quorumSets: local.quorumSets(),
+      withstandMachines,
+    });
+    local.learnCommitted(committed);
+    // What none knows to be committed is held as it is: this replica may have been among those that accepted it.
+    const isUndecided = new Set(undecided);
+    const uncommitted = reports.flatMap(({ key, ballot, register }): Entry[] =>
+      isUndecided.has(key) && register !== "unchanged"
+        ? [{ key, promised: NO_BALLOT, ballot, register, isAccepted: false, isCommitted: false }]
+        : [],
+    );
+    local.record(local.state.learn(uncommitted));
+    return keys.size;
+  };
+}
--- /dev/null
+++ b/src/consensus/commit-detection.ts
@@ -0,0 +1,103 @@
+/** Tells from the views of several replicas what is committed, and of what that can't be told. */
+import { higherBallot, isSameBallot, NO_BALLOT } from "./ballot.js";
+import { bucketOf } from "./bucket-hashes.js";
+import type { EntryReport } from "./message-types.js";
+import type { Entry } from "./record-codec.js";
+import { committedEntry } from "./replica.js";
+import type { ReplicaView } from "./replica-view.js";
+import { quorumSize } from "./voter-set.js";
+
+export interface CommitDetectionInput {
+  readonly self: string;
+  readonly keys: Iterable<string>;
+  /** What the reader held when it asked. */
+  readonly ownEntries: ReadonlyMap<string, Entry>;
+  /** By member; the reader's own among them, if it votes. */
+  readonly views: ReadonlyMap<string, ReplicaView>;
+  readonly quorumSets: readonly (readonly string[])[];
+  readonly withstandMachines: number;
+}
+
+export interface CommitDetection {
+  readonly committed: readonly Entry[];
+  /** Keys whose newest proposal may or may not be committed. */
+  readonly undecided: readonly string[];
+}
+
+/** A report and who gave it; the id is empty for what a reader holds that doesn't vote. */
+interface Testimony {
+  readonly id: string;
+  readonly report: EntryReport;
+}
+
+const reportOf = (
+  id: string,
+  view: ReplicaView,
+  key: string,
+  own: Entry | undefined,
+  self: string,
+): EntryReport | undefined => {
+  if (id === self) return own;
+  const report = view.reports.get(key);
+  if (report) return report;
+  return own && view.equalBuckets.has(bucketOf(key))
+    ? { ...own, isAccepted: false, isCommitted: false }
+    : undefined;
+};
+
+const testimoniesOn = (
+  key: string,
+  { self, ownEntries, views }: CommitDetectionInput,
+): readonly Testimony[] => {
+  const own = ownEntries.get(key);
+  const testimonies = [...views].flatMap(([id, view]): Testimony[] => {
+    const report = reportOf(id, view, key, own, self);
+    return report ? [{ id, report }] : [];
+  });
+  return own && !views.has(self)
+    ? [...testimonies, { id: "", report: { ...own, isAccepted: false } }]
+    : testimonies;
+};
+
+/** Whether someone knows it to be committed, or a quorum of each set has accepted it. */
+const isCommittedBy = (
+  newest: readonly Testimony[],
+  { quorumSets, withstandMachines }: CommitDetectionInput,
+): boolean => {
+  if (newest.some(({ report }) => report.isCommitted)) return true;
+  const acceptors = new Set(newest.filter(({ report }) => report.isAccepted).map(({ id }) => id));
+  return quorumSets.every(
+    (members) =>
+      members.filter((id) => acceptors.has(id)).length >= quorumSize(members, withstandMachines),
+  );
+};
+
+/** Decides for each key by what is reported at the highest ballot. */
+export const detectCommitted = (input: CommitDetectionInput): CommitDetection => {
+  const committed: Entry[] = [];
+  const undecided: string[] = [];
+  for (const key of input.keys) {
+    const testimonies = testimoniesOn(key, input);
+    const ballot = testimonies.reduce(
+      (highest, { report }) => higherBallot(highest, report.ballot),
+      NO_BALLOT,
+    );
+    if (ballot.number === 0) continue;
+    const newest = testimonies.filter(({ report }) => isSameBallot(report.ballot, ballot));
+    if (!isCommittedBy(newest, input)) {
+      undecided.push(key);
+      continue;
+    }
+    const own = input.ownEntries.get(key);
+    if (own && isSameBallot(own.ballot, ballot)) {
+      committed.push(committedEntry(key, ballot, own.register));
+      continue;
+    }
+    for (const { report } of newest) {
+      if (report.register === "unchanged") continue;
+      committed.push(committedEntry(key, ballot, report.register));
+      break;
+    }
+  }
+  return { committed, undecided };
+};
--- a/src/consensus/errors.ts
+++ b/src/consensus/errors.ts
@@ -61,6 +61,22 @@
   readonly code = "UNCLEAR_OUTCOME";
 }
 
+/**
+ * Another attempt was promised a higher ballot, or the voter set has moved on: worth a further attempt. It stays within the
+ * proposer, which retries.
+ */
+export class CollisionError extends CodedError {
+  readonly code = "COLLISION";
+
+  /** @param isOverAtOnce - whether a further attempt may begin without a wait */
+  constructor(readonly isOverAtOnce: boolean) {
+    super(isOverAtOnce ? "the voter set has changed" : "another attempt has a higher ballot");
+  }
+}
+
+/** What one phase of a proposal can fail with. */
+export type PhaseError = NoQuorumError | StaleTermError | CollisionError;
+
 /** Everything that a read or a write of the replicated store can fail with. */
 export type ReplicatedStoreError =
   | NoQuorumError
--- /dev/null
+++ b/src/consensus/quorum-reader.ts
@@ -0,0 +1,109 @@
+/** Reads of a quorum, and the repair of what they find half accepted. */
+import { err, ok, type Result } from "true-myth/result";
+import { Batcher } from "../common/batcher.js";
+import { sleep, type Clock } from "../common/clock.js";
+import { MILLISECOND_US } from "../common/duration.js";
+import type { CatchUp } from "./catch-up.js";
+import { detectCommitted } from "./commit-detection.js";
+import type { NoQuorumError, ReplicatedStoreError } from "./errors.js";
+import type { LocalReplica } from "./local-replica.js";
+import { STRAGGLER_GRACE_US } from "./proposer.js";
+import type { QuorumCalls } from "./quorum-calls.js";
+import type { RegisterWriter } from "./register-writer.js";
+import type { ReplicaView, ReplicaViews } from "./replica-view.js";
+import { quorumSize } from "./voter-set.js";
+
+/** Before what is undecided is repaired, it is looked at again after this time, or up to twice of it. */
+const SECOND_LOOK_US = 30 * MILLISECOND_US;
+
+export interface QuorumReaderOptions {
+  readonly self: string;
+  readonly local: LocalReplica;
+  readonly calls: QuorumCalls;
+  readonly views: ReplicaViews;
+  readonly writer: RegisterWriter;
+  readonly catchUp: CatchUp;
+  readonly clock: Clock;
+  /** From 0 to 1; spreads the waits before a repair. */
+  readonly random: () => number;
+  readonly withstandMachines: number;
+}
+
+/** Invariant: after a read everything that was confirmed before the call is known here. */
+export class QuorumReader {
+  private readonly reads: Batcher<undefined, Result<void, ReplicatedStoreError>>;
+  /** Whether a quorum has been read in this incarnation. */
+  private hasRead = false;
+
+  constructor(private readonly options: QuorumReaderOptions) {
+    this.reads = new Batcher(() => this.readNow());
+  }
+
+  /**
+   * Reads a quorum, adopts what is committed, and commits anew what is found half accepted. A replica that doesn't vote
+   * catches up first. Calls that come while a read runs share the next one.
+   */
+  readonly read = (): Promise<Result<void, ReplicatedStoreError>> => this.reads.add(undefined);
+
+  /** One read of its own, at once. */
+  readonly readNow = async (): Promise<Result<void, ReplicatedStoreError>> => {
+    const { local, catchUp } = this.options;
+    if (!local.isVoting) {
+      const caughtUp = await catchUp.run();
+      if (caughtUp.isErr) return caughtUp;
+    }
+    const read = await this.readAndRepair();
+    if (read.isOk && !this.hasRead) {
+      // What the disk already showed to be committed may be old until now, and is new to the listeners.
+      this.hasRead = true;
+      await local.events.emit("committed", local.state.allCommitted());
+    }
+    return read;
+  };
+
+  private readonly readAndRepair = async (): Promise<Result<void, ReplicatedStoreError>> => {
+    const { clock, random, writer } = this.options;
+    const first = await this.findUndecided();
+    if (first.isErr) return err(first.error);
+    if (first.value.length === 0) return ok(undefined);
+    // Most of what is not committed is just being committed by whoever proposed it.
+    await sleep(clock, Math.round(SECOND_LOOK_US * (1 + random())));
+    const second = await this.findUndecided();
+    if (second.isErr) return err(second.error);
+    return writer.recommit(second.value);
+  };
+
+  /** Looks at a quorum once: adopts what is committed; gives the keys of which that is not sure. */
+  private readonly findUndecided = async (): Promise<Result<readonly string[], NoQuorumError>> => {
+    const { self, local, calls, views, withstandMachines } = this.options;
+    const ownEntries = local.state.copyOfEntries();
+    const uncommittedKeys = local.state.uncommittedKeys();
+    const reader = { bucketHashes: local.state.bucketSums(), uncommittedKeys };
+    const collected = new Map<string, ReplicaView>();
+    const read = await calls.collect<ReplicaView>({
+      sets: local.quorumSets,
+      needed: (members) => quorumSize(members, withstandMachines),
+      graceUs: STRAGGLER_GRACE_US,
+      request: async (id) => {
+        const view = id === self ? await views.own() : await views.fetch(id, reader);
+        if (!view?.isVoting) return undefined;
+        collected.set(id, view);
+        return view;
+      },
+    });
+    if (read.isErr) return err(read.error);
+    const { committed, undecided } = detectCommitted({
+      self,
+      keys: new Set([
+        ...uncommittedKeys,
+        ...[...collected.values()].flatMap(({ reports }) => [...reports.keys()]),
+      ]),
+      ownEntries,
+      views: collected,
+      quorumSets: local.quorumSets(),
+      withstandMachines,
+    });
+    local.learnCommitted(committed);
+    return ok(undecided);
+  };
+}
--- a/src/consensus/register.ts
+++ b/src/consensus/register.ts
@@ -103,29 +103,29 @@
 /** What an order comes to, given what stands. */
 export type WriteOutcome =
   /** It is taken: `next` is to be agreed. An order overtaken by a newer one changes only `past`. */
-  | { readonly kind: "fits"; readonly next: Register }
+  | { readonly kind: "applied"; readonly next: Register }
   /** The same order was taken before. */
-  | { readonly kind: "known" }
+  | { readonly kind: "duplicate" }
   /** Another content has this number. */
   | { readonly kind: "conflict" }
   /** So old that what its number named is no longer known. */
   | { readonly kind: "forgotten" };
 
 export const applyWrite = (now: Register | undefined, order: Register): WriteOutcome => {
-  if (!now) return { kind: "fits", next: order };
+  if (!now) return { kind: "applied", next: order };
   const agreed =
     order.version === now.version
       ? now.digest
       : now.past.find(([version]) => version === order.version)?.[1];
-  if (agreed !== undefined) return { kind: agreed === order.digest ? "known" : "conflict" };
+  if (agreed !== undefined) return { kind: agreed === order.digest ? "duplicate" : "conflict" };
   if (order.version < now.pastFrom) return { kind: "forgotten" };
   if (order.version < now.version)
     return {
-      kind: "fits",
+      kind: "applied",
       next: withPast(now, [...now.past, [order.version, order.digest]], now.pastFrom),
     };
   return {
-    kind: "fits",
+    kind: "applied",
     next: withPast(order, [...now.past, [now.version, now.digest]], now.pastFrom),
   };
 };
