--- a/features/support/faulty-disk.ts
+++ b/features/support/faulty-disk.ts
@@ -1,5 +1,5 @@
 import { dirname } from "node:path";
-import type { FileSystem } from "../../src/storage/file-system.js";
+import type { FileSystem, FolderFileSystem } from "../../src/storage/file-system.js";
 
 /** What a name stands for. Invariant: `written` is what a reader sees; `synced` is what a loss of power leaves for sure. */
 interface Node {
@@ -7,6 +7,20 @@
   written: Uint8Array;
 }
 
+interface FolderRename {
+  readonly from: string;
+  readonly to: string;
+}
+
+/** The names with those below one folder moved below another. */
+const moved = (names: ReadonlyMap<string, Node>, from: string, to: string): Map<string, Node> =>
+  new Map(
+    [...names].map(([path, node]) => [
+      path.startsWith(`${from}/`) ? to + path.slice(from.length) : path,
+      node,
+    ]),
+  );
+
 /** A seeded number from 0 up to 1. */
 export type Random = () => number;
 
@@ -23,7 +37,8 @@
 /**
  * A disk in memory that is full, slow, refuses, or loses power. A loss of power leaves of a name made, renamed or removed
  * since the last sync of its folder the old or the new, each by itself (also both names of one renamed file), and of bytes
- * written since their sync none, all or a torn part.
+ * written since their sync none, all or a torn part. A renamed folder comes back under its old or its new name, as a whole,
+ * unless the folder that holds the two was synced since.
  */
 export class FaultyDisk {
   capacityBytes = Number.POSITIVE_INFINITY;
@@ -35,6 +50,7 @@
   syncsFolders = true;
   private names = new Map<string, Node>();
   private lasting = new Map<string, Node>();
+  private folderRenames: readonly FolderRename[] = [];
   private life = 0;
 
   constructor(private readonly random: Random) {}
@@ -48,7 +64,7 @@
   }
 
   /** The disk as one process sees it, which ends with the process. */
-  readonly open = (): FileSystem => {
+  readonly open = (): FileSystem & FolderFileSystem => {
     const life = this.life;
     const step = async (refuses = true): Promise<void> => {
       const waits = Math.floor(this.random() * 4);
@@ -60,9 +76,10 @@
     return {
       list: async (folder) => {
         await step();
-        return [...this.names.keys()]
-          .filter((path) => dirname(path) === folder)
-          .map((path) => path.slice(folder.length + 1));
+        const below = [...this.names.keys()]
+          .filter((path) => path.startsWith(`${folder}/`))
+          .map((path) => path.slice(folder.length + 1).split("/")[0] ?? "");
+        return [...new Set(below)];
       },
       read: async (path) => {
         await step();
@@ -93,15 +110,30 @@
         this.names.set(to, node);
         await step();
       },
+      renameFolder: async (from, to) => {
+        await step();
+        const paths = [...this.names.keys()];
+        if (!paths.some((path) => path.startsWith(`${from}/`)))
+          throw new Error("there is no such folder");
+        if (paths.some((path) => path.startsWith(`${to}/`)))
+          throw new Error("the folder is not empty");
+        this.folderRenames = [...this.folderRenames, { from, to }];
+        this.names = moved(this.names, from, to);
+        this.lasting = moved(this.lasting, from, to);
+        await step();
+      },
       remove: async (path) => {
         await step();
         this.names.delete(path);
         await step();
       },
       makeFolder: () => step(),
-      syncFolder: async () => {
+      syncFolder: async (folder) => {
         await step();
-        if (this.syncsFolders) this.lasting = new Map(this.names);
+        if (this.syncsFolders) {
+          this.lasting = new Map(this.names);
+          this.folderRenames = this.folderRenames.filter(({ to }) => dirname(to) !== folder);
+        }
         await step();
       },
     };
@@ -116,6 +148,12 @@
   readonly losePower = (): void => {
     this.kill();
     const keeping = [0, 0.5, 1][Math.floor(this.random() * 3)] ?? 0;
+    for (const { from, to } of [...this.folderRenames].reverse())
+      if (this.random() >= keeping) {
+        this.names = moved(this.names, to, from);
+        this.lasting = moved(this.lasting, to, from);
+      }
+    this.folderRenames = [];
     const left = new Map<string, Node>();
     for (const path of new Set([...this.names.keys(), ...this.lasting.keys()])) {
       const node = (this.random() < keeping ? this.names : this.lasting).get(path);
@@ -138,6 +176,7 @@
     this.kill();
     this.names.clear();
     this.lasting.clear();
+    this.folderRenames = [];
   };
 
   /** Changes one byte of one file; false if there is none. */
--- a/src/main.ts
+++ b/src/main.ts
@@ -6,6 +6,8 @@
 import { loggerFor, setLogLevel } from "./common/logger.js";
 import { readSettings, type Settings } from "./common/settings.js";
 import { SECOND_US } from "./common/duration.js";
+import { takeOverFormerFolder, type Role } from "./storage/data-folder.js";
+import { NodeFileSystem } from "./storage/file-system.js";
 
 const SETTINGS_VARIABLE = "YEWREEL_CONFIG";
 const LOOK_US = 2 * SECOND_US;
@@ -44,7 +46,7 @@
 type Program = (settings: Settings, clock: Clock) => Promise<RunningProgram>;
 
 /** Each program loads only what it is made of. */
-const run = async (load: () => Promise<Program>): Promise<void> => {
+const run = async (role: Role, load: () => Promise<Program>): Promise<void> => {
   const path = process.env[SETTINGS_VARIABLE] ?? "/etc/yewreel/boot.toml";
   const read = await readSettings(path);
   if (read.isErr) {
@@ -58,6 +60,12 @@
       `A mishap nobody took: ${error instanceof Error ? (error.stack ?? error.message) : String(error)}.`,
     ),
   );
+  await takeOverFormerFolder({
+    role,
+    folder: read.value.dataFolder,
+    fileSystem: new NodeFileSystem(),
+    logger: loggerFor("storage"),
+  });
   const clock = new SteadyClock();
   const program = await load();
   const running = await program(read.value, clock);
@@ -76,24 +84,25 @@
   "An API gateway that repairs itself and explains what it did.",
 );
 cli
-  .command("pointsman")
-  .description("carry callers' requests to workers (data plane)")
-  .action(() => run(async () => (await import("./programs/gateway/gateway.js")).runGateway));
+  .command("gateway")
+  .description("proxy clients' requests to workers (data plane)")
+  .action(() =>
+    run("gateway", async () => (await import("./programs/gateway/gateway.js")).runGateway),
+  );
 cli
-  .command("signalbox")
-  .description("hold the plan, know workers and nodes, decide (control plane)")
+  .command("controller")
+  .description("store the configuration, track workers and nodes, decide (control plane)")
   .action(() =>
-    run(async () => (await import("./programs/controller/controller.js")).runController),
+    run(
+      "controller",
+      async () => (await import("./programs/controller/controller.js")).runController,
+    ),
   );
 cli
-  .command("depot")
-  .description("hold copies of objects for all pointsmen (shared cache)")
-  .action(() => run(async () => (await import("./programs/cache/cache.js")).runCache));
-if (
-  process.argv[2] !== "depot" &&
-  process.argv[2] !== "pointsman" &&
-  process.argv[2] !== "signalbox"
-) {
+  .command("cache")
+  .description("cache objects for all gateways (shared cache)")
+  .action(() => run("cache", async () => (await import("./programs/cache/cache.js")).runCache));
+if (!["gateway", "controller", "cache"].includes(process.argv[2] ?? "")) {
   (await import("./programs/ctl/ctl.js")).addCtlCommands(cli);
   (await import("./programs/loadgen/loadgen.js")).addLoadgenCommand(cli);
 }
--- a/src/storage/file-system.ts
+++ b/src/storage/file-system.ts
@@ -22,6 +22,16 @@
   syncFolder(path: string): Promise<void>;
 }
 
+/** The calls on folders that a take-over needs. */
+export interface FolderFileSystem extends Pick<FileSystem, "list" | "syncFolder"> {
+  /**
+   * Renames a folder with all that is in it, in one atomic step. An empty folder under the new name is replaced.
+   *
+   * @throws if the folder under the new name isn't empty, or the file system refuses, for example across devices
+   */
+  renameFolder(from: string, to: string): Promise<void>;
+}
+
 const codeOf = (error: unknown): unknown => (isRecord(error) ? error["code"] : undefined);
 
 /** What comes back for a folder that isn't ours, so that we made no name in it either. */
@@ -49,7 +59,7 @@
 };
 
 /** The machine's own files. */
-export class NodeFileSystem implements FileSystem {
+export class NodeFileSystem implements FileSystem, FolderFileSystem {
   /** Takes how a folder is synced, so that a test can see the order. */
   constructor(private readonly sync: (folder: string) => Promise<void> = syncOf) {}
 
@@ -83,6 +93,8 @@
 
   readonly rename = (from: string, to: string): Promise<void> => rename(from, to);
 
+  readonly renameFolder = (from: string, to: string): Promise<void> => rename(from, to);
+
   readonly remove = (path: string): Promise<void> => rm(path, { force: true });
 
   /**
