--- a/src/proxy/admission-queue.ts
+++ b/src/proxy/admission-queue.ts
@@ -1,61 +1,63 @@
+/** The queue of requests that wait for a worker with free capacity. */
 import type { Clock, Timer } from "../common/clock.js";
-import type { RequestContext } from "./request-context.js";
 import type { Worker } from "./connection-pool.js";
+import type { RequestContext } from "./request-context.js";
 
-interface Waiting {
-  readonly trip: RequestContext;
-  readonly rank: number;
-  readonly take: (worker: Worker | undefined) => void;
+interface QueuedRequest {
+  readonly context: RequestContext;
+  readonly priority: number;
+  readonly leave: (worker: Worker | undefined) => void;
 }
 
-const MOST_WAITING = 128;
+const MAX_QUEUED_REQUESTS = 128;
 
 /**
- * Lets a request through once some worker has room for it; a lower rank number goes first.
+ * Admits a request once some worker has capacity for it; a lower priority number goes first.
  * Invariants: nothing waits while a worker would be chosen for it, nothing waits longer than its own short wait, and
- * the line is bounded: when it is full, the last of the lowest rank is refused at once.
+ * the queue is bounded: when it is full, the last of the lowest priority leaves at once without a worker.
  */
 export class AdmissionQueue {
-  private waiting: Waiting[] = [];
-  private scheduled = false;
+  private queue: QueuedRequest[] = [];
+  private isScheduled = false;
 
   constructor(
     private readonly clock: Clock,
     private readonly choose: (context: RequestContext) => Worker | undefined,
   ) {}
 
-  readonly pass = (context: RequestContext, waitUs: number): Promise<Worker | undefined> => {
+  /** The worker for a request; undefined if none had capacity within the wait, or the request ended meanwhile. */
+  readonly admit = (context: RequestContext, waitUs: number): Promise<Worker | undefined> => {
     const worker = this.choose(context);
     if (worker || waitUs <= 0) return Promise.resolve(worker);
     return new Promise((resolve) => {
-      const rank = context.route?.rank ?? 0;
-      const entry: Waiting = {
-        trip: context,
-        rank,
-        take: (chosen) => {
+      const priority = context.route?.rank ?? 0;
+      const entry: QueuedRequest = {
+        context,
+        priority,
+        leave: (chosen) => {
           timer.stop();
-          this.waiting = this.waiting.filter((other) => other !== entry);
+          this.queue = this.queue.filter((other) => other !== entry);
           resolve(chosen);
         },
       };
-      const timer: Timer = this.clock.after(waitUs, () => entry.take(undefined));
-      const at = this.waiting.findIndex((other) => other.rank > rank);
-      this.waiting.splice(at < 0 ? this.waiting.length : at, 0, entry);
-      context.onFinished.push(() => entry.take(undefined));
-      if (this.waiting.length > MOST_WAITING)
-        this.waiting[this.waiting.length - 1]?.take(undefined);
+      const timer: Timer = this.clock.after(waitUs, () => entry.leave(undefined));
+      const at = this.queue.findIndex((other) => other.priority > priority);
+      this.queue.splice(at < 0 ? this.queue.length : at, 0, entry);
+      context.onFinished.push(() => entry.leave(undefined));
+      if (this.queue.length > MAX_QUEUED_REQUESTS)
+        this.queue[this.queue.length - 1]?.leave(undefined);
     });
   };
 
-  /** Room may have come: looks again, once for all that happens in one turn. */
+  /** Looks again after capacity may have come free, once for all that happens in one turn of the event loop. */
   readonly wake = (): void => {
-    if (this.scheduled || this.waiting.length === 0) return;
-    this.scheduled = true;
+    if (this.isScheduled || this.queue.length === 0) return;
+    this.isScheduled = true;
     setImmediate(() => {
-      this.scheduled = false;
-      this.waiting.forEach((entry) => {
-        const worker = this.choose(entry.trip);
-        if (worker) entry.take(worker);
+      this.isScheduled = false;
+      this.queue.forEach((entry) => {
+        const worker = this.choose(entry.context);
+        if (worker) entry.leave(worker);
       });
     });
   };
--- /dev/null
+++ b/src/proxy/cached-requests.ts
@@ -0,0 +1,45 @@
+/** Requests for objects of cached routes: answered from a cache, or fetched within the origin's rate limit. */
+import { SECOND_US } from "../common/duration.js";
+import { isBehindClose } from "./client-connection.js";
+import type { ObjectSource } from "./object-source.js";
+import type { RequestContext } from "./request-context.js";
+import type { ResponseWriter } from "./response-writer.js";
+import type { Route } from "./route-table.js";
+
+/** Caches fill at the origin's rate, so a client that comes back sooner after a rejection for it finds the same. */
+const MIN_RATE_RETRY_AFTER_US = 1 * SECOND_US;
+
+/** Serves objects of cached routes. */
+export class CachedRequests {
+  constructor(
+    private readonly objects: ObjectSource,
+    private readonly writer: ResponseWriter,
+  ) {}
+
+  /**
+   * Answers with the object, or with 503 and `Retry-After` where it can't be had in time.
+   *
+   * @param host - the request's host in small letters, without a port
+   */
+  readonly serve = async (context: RequestContext, route: Route, host: string): Promise<void> => {
+    const { req, service, deadlineUs } = context;
+    const { cacheForUs, latencyTargetUs } = route;
+    const request = {
+      service,
+      host,
+      url: req.url ?? "/",
+      cacheForUs,
+      maxAgeUs: cacheForUs,
+      latencyTargetUs,
+      deadlineUs,
+    };
+    const range = req.method === "GET" ? req.headers.range : undefined;
+    const result = await this.objects.fetch(request, range);
+    if (context.isFinished || isBehindClose(context)) return;
+    if (result.kind === "served")
+      this.writer.sendStored(context, result.status, result.heads, result.body);
+    else if (result.reason === "rate")
+      this.writer.reject(context, "noRate", Math.max(result.retryAfterUs, MIN_RATE_RETRY_AFTER_US));
+    else this.writer.reject(context, "full", result.retryAfterUs);
+  };
+}
--- a/src/proxy/delivery-state.ts
+++ b/src/proxy/delivery-state.ts
@@ -61,7 +61,7 @@
   deliveryState.phase = "has-run";
 };
 
-export const close = (deliveryState: DeliveryState): void => {
+export const closeDelivery = (deliveryState: DeliveryState): void => {
   deliveryState.isClosed = true;
 };
 
--- /dev/null
+++ b/src/proxy/forwarding.ts
@@ -0,0 +1,176 @@
+/** One attempt of a request: waits for a worker, sends the request to it, and records what came of it. */
+import type { Clock } from "../common/clock.js";
+import { MILLISECOND_US } from "../common/duration.js";
+import { AdmissionQueue } from "./admission-queue.js";
+import { isBodyBuffered } from "./body-reader.js";
+import { isBehindClose } from "./client-connection.js";
+import type { ConnectionPool, Worker } from "./connection-pool.js";
+import { beginAttempt, markRejected, markRun } from "./delivery-state.js";
+import { EXPECTED_WORKER_HEADER, forwardedHeaders, TIME_LEFT_HEADER } from "./headers.js";
+import type { KeyedRequests } from "./keyed-requests.js";
+import type { LoadBalancer } from "./load-balancer.js";
+import type { MemoryBudget } from "./memory-budget.js";
+import type { RequestContext } from "./request-context.js";
+import type { Route } from "./route-table.js";
+import {
+  UpstreamRequest,
+  type CancellableRequest,
+  type UpstreamResult,
+} from "./upstream-request.js";
+
+/** A request waits for a free worker for at most the latency target divided by this. */
+const ADMISSION_TARGET_DIVISOR = 8;
+/** Headers that the gateway sets itself. */
+const NOT_FORWARDED: ReadonlySet<string> = new Set([
+  TIME_LEFT_HEADER,
+  EXPECTED_WORKER_HEADER,
+  "content-length",
+  "expect",
+]);
+
+export interface ForwarderOptions {
+  readonly clock: Clock;
+  /** The zone of this node. */
+  readonly zone: string;
+  readonly pool: ConnectionPool;
+  readonly loadBalancer: LoadBalancer;
+  readonly memory: MemoryBudget;
+  readonly keyed: KeyedRequests;
+  readonly countFault: (worker: string, isFault: boolean) => void;
+  /** Counts what is sent to each worker, for the forecast of reassignments. */
+  readonly countAttempt?: (service: string, kind: string, route: string, worker: string) => void;
+  /** Counts a service's responses and how long they took, for the capacity forecast. */
+  readonly countAnswer?: (service: string, zone: string, tookUs: number) => void;
+  readonly actsOnForecast: boolean;
+}
+
+/** Sends requests to workers, one attempt at a time. */
+export class Forwarder {
+  private readonly queue: AdmissionQueue;
+
+  constructor(private readonly options: ForwarderOptions) {
+    this.queue = new AdmissionQueue(options.clock, this.choose);
+  }
+
+  /** Looks again for workers for the requests that wait for one. */
+  readonly wake = (): void => this.queue.wake();
+
+  /** The worker that would answer this request soonest, or none while none has room. */
+  readonly choose = (context: RequestContext): Worker | undefined =>
+    this.options.loadBalancer.choose(
+      context.service,
+      context.triedWorkers,
+      context.route?.latencyTargetUs ?? 0,
+      context.route?.isSafe ?? true,
+    );
+
+  /** Waits for a worker, as long as the latency target allows. */
+  readonly waitForWorker = (context: RequestContext, route: Route): Promise<Worker | undefined> => {
+    const nowUs = this.options.clock.nowUs();
+    const untilUs = Math.min(
+      context.arrivedUs + route.latencyTargetUs / ADMISSION_TARGET_DIVISOR,
+      context.deadlineUs,
+    );
+    return this.queue.admit(context, untilUs - nowUs);
+  };
+
+  /** Whether the client and the operator have both given it up, whether or not the timer has said so yet. */
+  readonly isPastDeadline = (context: RequestContext): boolean =>
+    this.options.clock.nowUs() >= context.deadlineUs;
+
+  /** At an overloaded service an unsafe request that would be late is rejected before it is sent, not amid its run. */
+  readonly wouldBeLate = (context: RequestContext, route: Route, worker: Worker): boolean => {
+    const { actsOnForecast, pool, clock } = this.options;
+    return (
+      actsOnForecast &&
+      !route.isSafe &&
+      pool.pressure(context.service) === "overrun" &&
+      worker.guessUs(worker.usage(0)) > context.deadlineUs - clock.nowUs()
+    );
+  };
+
+  /** Sends the request to a worker. */
+  readonly send = (context: RequestContext, route: Route, worker: Worker): CancellableRequest => {
+    const { clock, memory } = this.options;
+    const startedUs = clock.nowUs();
+    const request = new UpstreamRequest(
+      worker,
+      {
+        method: context.req.method ?? "GET",
+        path: context.req.url ?? "/",
+        headers: this.headersFor(context, worker),
+        body: context.body,
+        attemptId: context.attemptId,
+        reserveMemory: (bytes: number) => memory.reserve(context, bytes),
+        maySend: () => this.maySend(context, route),
+      },
+      clock.nowUs,
+    );
+    if (context.attempts === 0) context.stratum = this.stratumOf(worker);
+    context.triedWorkers.add(worker.id);
+    context.attempts += 1;
+    this.options.countAttempt?.(context.service, route.kind, route.name, worker.id);
+    context.upstreamRequests.add(request);
+    void request.result.then((result) => {
+      context.upstreamRequests.delete(request);
+      this.record(context, worker, startedUs, result);
+      this.queue.wake();
+    });
+    return request;
+  };
+
+  private readonly headersFor = (context: RequestContext, worker: Worker): string[] => {
+    const headers = forwardedHeaders(context.req.rawHeaders, NOT_FORWARDED);
+    const leftUs = context.deadlineUs - this.options.clock.nowUs();
+    const leftMs = Math.max(1, Math.floor(leftUs / MILLISECOND_US));
+    headers.push("Yewreel-Time-Left-Ms", String(leftMs), "Yewreel-Expect-Worker", worker.id);
+    const length = context.req.headers["content-length"];
+    if (!isBodyBuffered(context) && length !== undefined) headers.push("Content-Length", length);
+    return headers;
+  };
+
+  /**
+   * The last question before bytes leave for a worker. A connection may have come up only after the deadline, as when
+   * this node stood still meanwhile; that a client left is noticed some turns of the event loop after it was read; and
+   * a keyed request needs a claim that is not too old.
+   */
+  private readonly maySend = (context: RequestContext, route: Route): boolean =>
+    !context.isFinished &&
+    !context.connection.socket.readableEnded &&
+    !isBehindClose(context) &&
+    !this.isPastDeadline(context) &&
+    (route.kind !== "keyed" || this.options.keyed.isClaimed(context)) &&
+    beginAttempt(context.deliveryState, route.isSafe);
+
+  /** Where the worker stands to this node; the canary analysis compares only like with like. */
+  private readonly stratumOf = (worker: Worker): string => {
+    const { clock, zone } = this.options;
+    const distance = worker.cell === zone ? "near" : "far";
+    return `${distance}|${clock.nowUs() < worker.warmUntilUs ? "cold" : "warm"}`;
+  };
+
+  /** Moves the delivery state, and counts for and against the worker. */
+  private readonly record = (
+    context: RequestContext,
+    worker: Worker,
+    startedUs: number,
+    result: UpstreamResult,
+  ): void => {
+    const { clock, pool, countFault, countAnswer } = this.options;
+    if (result.kind === "answered" || result.kind === "lost")
+      countAnswer?.(context.service, worker.cell, clock.nowUs() - startedUs);
+    if (result.kind === "answered") markRun(context.deliveryState);
+    if (result.kind === "rejected") markRejected(context.deliveryState);
+    // Nothing of it arrived anywhere, so what is sent next is no retry.
+    if (result.kind === "not-sent") context.attempts -= 1;
+    const isUnreachable = result.kind === "not-sent" && result.reason === "unreachable";
+    const isDown =
+      isUnreachable || (result.kind === "not-sent" && result.reason === "connection-refused");
+    if (isDown || result.kind === "lost") worker.shun();
+    if (isUnreachable) context.isOwnLinkSuspected = true;
+    if (result.kind === "rejected" && result.reason === "wrong-worker") pool.misdirected(worker);
+    const isAttributable =
+      result.kind === "answered" || result.kind === "rejected" || result.kind === "lost" || isDown;
+    if (isAttributable) countFault(worker.id, result.kind === "lost" || isDown);
+  };
+}
--- /dev/null
+++ b/src/proxy/request-routing.ts
@@ -0,0 +1,59 @@
+/** The second stage of a request: finds its route by host and path prefix, and draws a service by weight. */
+import type { OutcomeName } from "../common/http-outcomes.js";
+import { toRouteKind } from "../quota/retry-limits.js";
+import type { RequestContext } from "./request-context.js";
+import type { RetryBudgets } from "./retry-budget.js";
+import type { Route, RouteTable } from "./route-table.js";
+
+export interface RequestRouterOptions {
+  readonly routes: RouteTable;
+  readonly retryBudgets: RetryBudgets;
+  /** Uniform in [0, 1). */
+  readonly random: () => number;
+  /** Counts a request of a service for the capacity forecast. */
+  readonly countArrival?: (service: string) => void;
+  /** Serves objects of cached routes; without it they are forwarded like any safe request. */
+  readonly serveCached?: (context: RequestContext, route: Route, host: string) => Promise<void>;
+  /** Takes requests that go to a worker. */
+  readonly forward: (context: RequestContext) => void;
+  readonly reject: (context: RequestContext, outcome: OutcomeName) => void;
+}
+
+const drawService = (route: Route, random: number): string => {
+  const totalWeight = route.shares.reduce((sum, { share }) => sum + share, 0);
+  let remaining = random * totalWeight;
+  for (const { service, share } of route.shares) {
+    remaining -= share;
+    if (remaining < 0) return service;
+  }
+  return route.shares[route.shares.length - 1]?.service ?? "";
+};
+
+/** Routes requests. */
+export class RequestRouter {
+  constructor(private readonly options: RequestRouterOptions) {}
+
+  /** Sets the route, the service and the deadline of a request, and hands it on. */
+  readonly route = (context: RequestContext): void => {
+    const { routes, random, retryBudgets, reject } = this.options;
+    const { req } = context;
+    if (context.isFinished) return;
+    if (!routes.isLoaded) return reject(context, "noPlan");
+    const host = (req.headers.host ?? "").toLowerCase().replace(/:\d+$/, "");
+    const path = (req.url ?? "/").split("?")[0] ?? "/";
+    const route = routes.find(host, path);
+    if (!route) return reject(context, "unknownRoute");
+    context.route = route;
+    context.service = routes.unlessStopped(route, drawService(route, random()));
+    context.deadlineUs = Math.min(context.deadlineUs, context.arrivedUs + route.giveUpUs);
+    const { serveCached } = this.options;
+    if (serveCached && route.kind === "cached" && (req.method === "GET" || req.method === "HEAD")) {
+      void serveCached(context, route, host);
+      return;
+    }
+    if (context.attemptId === "") return reject(context, "noTryId");
+    retryBudgets.of(context.service, toRouteKind(route.kind)).count();
+    this.options.countArrival?.(context.service);
+    this.options.forward(context);
+  };
+}
--- /dev/null
+++ b/src/proxy/retry-and-hedging.ts
@@ -0,0 +1,181 @@
+/** All attempts of a request: retries and hedged requests, within the route's tries and the retry budget. */
+import { withTimeout, type Clock } from "../common/clock.js";
+import { MILLISECOND_US } from "../common/duration.js";
+import { toRouteKind } from "../quota/retry-limits.js";
+import { isBodyBuffered } from "./body-reader.js";
+import { isBehindClose } from "./client-connection.js";
+import type { ConnectionPool, Worker } from "./connection-pool.js";
+import { mayForwardStatus } from "./delivery-state.js";
+import type { Forwarder } from "./forwarding.js";
+import type { KeyedRequests } from "./keyed-requests.js";
+import type { MemoryBudget } from "./memory-budget.js";
+import type { ObjectSource } from "./object-source.js";
+import type { RequestCompletion } from "./request-completion.js";
+import type { RequestContext } from "./request-context.js";
+import type { ResponseWriter } from "./response-writer.js";
+import type { RetryBudgets } from "./retry-budget.js";
+import type { Route, RouteTable } from "./route-table.js";
+import { twoEventLoopTurns, type StallDetector } from "./stall-detector.js";
+import type { CancellableRequest, UpstreamResponse, UpstreamResult } from "./upstream-request.js";
+
+/** How often the first worker of a safe request is looked at for silence. */
+const SILENCE_CHECK_US = 120 * MILLISECOND_US;
+/** How many workers that can't be reached a request looks for beyond its tries. */
+const MAX_UNREACHABLE_WORKERS = 2;
+
+export interface RetryingForwarderOptions {
+  readonly clock: Clock;
+  readonly routes: RouteTable;
+  readonly pool: ConnectionPool;
+  readonly retryBudgets: RetryBudgets;
+  readonly forwarder: Forwarder;
+  readonly keyed: KeyedRequests;
+  readonly writer: ResponseWriter;
+  readonly completion: RequestCompletion;
+  readonly memory: MemoryBudget;
+  readonly stalls: StallDetector;
+  /** Grants requests to services with a rate limit; without it there is no such limit. */
+  readonly objects: ObjectSource | undefined;
+  readonly actsOnForecast: boolean;
+}
+
+/** Forwards requests until one response can be given to the client. */
+export class RetryingForwarder {
+  constructor(private readonly options: RetryingForwarderOptions) {}
+
+  /** Forwards a routed request, again where that is allowed, and gives the one response. */
+  readonly forward = async (context: RequestContext): Promise<void> => {
+    const { stalls, forwarder, keyed, writer, objects } = this.options;
+    const { route } = context;
+    if (!route) return;
+    if (!route.isSafe) {
+      await context.previousAnswered;
+      if (context.position > 1 && stalls.noteRequest()) await twoEventLoopTurns();
+    }
+    this.startDeadline(context);
+    if (route.kind === "keyed" && !(await keyed.claim(context, route))) return;
+    if (objects && this.isRateLimited(context.service) && !(await objects.permit(context.service)))
+      return writer.reject(context, "noRate");
+    let lastResponse: UpstreamResponse | undefined;
+    while (this.mayAttempt(context, route)) {
+      const worker = await forwarder.waitForWorker(context, route);
+      if (context.isFinished || !worker) break;
+      if (forwarder.isPastDeadline(context)) return writer.reject(context, "tooLate");
+      if (forwarder.wouldBeLate(context, route, worker)) break;
+      const result = await this.attempt(context, route, worker);
+      if (result.kind === "answered") {
+        const { response } = result;
+        // A status that promises too much may not pass: the request has run.
+        const mayForward = mayForwardStatus(response.status, route.isSafe);
+        if (mayForward && context.claim) await keyed.store(context, response);
+        if (context.isFinished || !mayForward) {
+          response.remainder?.abort();
+          break;
+        }
+        const isFault = response.status >= 500;
+        if (!isFault || !route.isSafe || context.attempts >= route.tries)
+          return writer.send(context, response);
+        lastResponse = response;
+        continue;
+      }
+      const mayHaveRun = result.kind === "lost" && !route.isSafe;
+      if (context.isFinished || result.kind === "cancelled" || mayHaveRun) break;
+      if (result.kind === "not-sent" && result.reason === "invalid-request")
+        return writer.reject(context, "malformed");
+    }
+    this.conclude(context, lastResponse);
+  };
+
+  /** Answers with 504 or its like once the deadline has passed: what a worker still does is of no use to anyone. */
+  private readonly startDeadline = (context: RequestContext): void => {
+    const { clock, writer } = this.options;
+    const timer = clock.after(context.deadlineUs - clock.nowUs(), () =>
+      writer.reject(context, "tooLate"),
+    );
+    context.onFinished.push(timer.stop);
+  };
+
+  private readonly isRateLimited = (service: string): boolean =>
+    (this.options.routes.service(service)?.ratePerS ?? 0) > 0;
+
+  /** Whether one more worker may be asked; a retry is taken out of the budget here. */
+  private readonly mayAttempt = (context: RequestContext, route: Route): boolean => {
+    if (context.isFinished || isBehindClose(context)) return false;
+    if (context.triedWorkers.size >= route.tries + MAX_UNREACHABLE_WORKERS) return false;
+    if (context.attempts === 0) return true;
+    return (
+      context.attempts < route.tries &&
+      isBodyBuffered(context) &&
+      !this.isOverloaded(context, route) &&
+      this.spendRetry(context, route)
+    );
+  };
+
+  /** Retries of safe requests stop before they take capacity that a pressed service lacks. */
+  private readonly isOverloaded = (context: RequestContext, route: Route): boolean =>
+    this.options.actsOnForecast &&
+    route.isSafe &&
+    this.options.pool.pressure(context.service) !== "";
+
+  private readonly spendRetry = (context: RequestContext, route: Route): boolean =>
+    this.options.retryBudgets.of(context.service, toRouteKind(route.kind)).spend();
+
+  /** One attempt; beside a safe request whose worker has fallen silent a hedged request goes to a second one. */
+  private readonly attempt = async (
+    context: RequestContext,
+    route: Route,
+    worker: Worker,
+  ): Promise<UpstreamResult> => {
+    const { clock, forwarder } = this.options;
+    const first = forwarder.send(context, route, worker);
+    if (!route.isSafe) return first.result;
+    for (;;) {
+      const early = await withTimeout(clock, SILENCE_CHECK_US, first.result, undefined);
+      if (early) return early;
+      if (context.isFinished) return { kind: "cancelled" };
+      const second = this.hedge(context, route, worker);
+      if (!second) continue;
+      const [quick, slow] = await Promise.race([
+        first.result.then(() => [first, second] as const),
+        second.result.then(() => [second, first] as const),
+      ]);
+      const result = await quick.result;
+      if (result.kind !== "answered") return slow.result;
+      slow.cancel();
+      return result;
+    }
+  };
+
+  /** Sends a hedged request if the first worker is silent and a retry is allowed. */
+  private readonly hedge = (
+    context: RequestContext,
+    route: Route,
+    first: Worker,
+  ): CancellableRequest | undefined => {
+    const { forwarder } = this.options;
+    if (
+      !first.isSilent() ||
+      forwarder.isPastDeadline(context) ||
+      this.isOverloaded(context, route) ||
+      context.attempts >= route.tries ||
+      !isBodyBuffered(context)
+    )
+      return undefined;
+    const other = forwarder.choose(context);
+    if (!other || !this.spendRetry(context, route)) return undefined;
+    return forwarder.send(context, route, other);
+  };
+
+  /** No more attempts: gives the last failed response where there is one. */
+  private readonly conclude = (
+    context: RequestContext,
+    lastResponse: UpstreamResponse | undefined,
+  ): void => {
+    const { completion, memory, writer } = this.options;
+    if (context.isFinished) {
+      completion.releaseClaim(context);
+      memory.release(context);
+    } else if (lastResponse) writer.send(context, lastResponse);
+    else writer.reject(context, "lostAnswer");
+  };
+}
