--- a/features/steps/answers.ts
+++ b/features/steps/answers.ts
@@ -753,7 +753,7 @@
 Then("the reader is told 416 without a seal", () => {
   assert.ok(read?.kind === "served");
   assert.deepEqual(
-    [read.status, read.heads.some((head) => head.toLowerCase() === "yewreel-server-seal")],
+    [read.status, read.headers.some((head) => head.toLowerCase() === "yewreel-server-seal")],
     [416, false],
   );
 });
--- a/features/steps/traffic.ts
+++ b/features/steps/traffic.ts
@@ -140,7 +140,7 @@
           : {
               kind: "served",
               status: 200,
-              heads: ["Yewreel-Server-Seal", "s.object", "ETag", '"1"'],
+              headers: ["Yewreel-Server-Seal", "s.object", "ETag", '"1"'],
               body: Buffer.from("an object"),
             };
       },
--- a/src/cache/object-client.ts
+++ b/src/cache/object-client.ts
@@ -182,19 +182,19 @@
 
   private readonly served = ({ copy, cut, size }: Got): ObjectResult => {
     if (cut.kind === "whole")
-      return { kind: "served", status: copy.status, heads: copy.heads, body: copy.body };
+      return { kind: "served", status: copy.status, headers: copy.heads, body: copy.body };
     // No worker answered this with 416, so it bears no worker's seal.
     if (cut.kind === "past")
       return {
         kind: "served",
         status: 416,
-        heads: [...forwardedHeaders(copy.heads, SEALS), "Content-Range", `bytes */${size}`],
+        headers: [...forwardedHeaders(copy.heads, SEALS), "Content-Range", `bytes */${size}`],
         body: Buffer.alloc(0),
       };
     return {
       kind: "served",
       status: 206,
-      heads: [...copy.heads, "Content-Range", `bytes ${cut.from}-${cut.to}/${size}`],
+      headers: [...copy.heads, "Content-Range", `bytes ${cut.from}-${cut.to}/${size}`],
       body: copy.body,
     };
   };
--- a/src/proxy/admission-queue.ts
+++ b/src/proxy/admission-queue.ts
@@ -13,8 +13,9 @@
 
 /**
  * Admits a request once some worker has capacity for it; a lower priority number goes first.
- * Invariants: nothing waits while a worker would be chosen for it, nothing waits longer than its own short wait, and
- * the queue is bounded: when it is full, the last of the lowest priority leaves at once without a worker.
+ * Invariants: nothing waits while a worker would be chosen for it, nothing waits longer than its
+ * own short wait, and the queue is bounded: when it is full, the last of the lowest priority leaves
+ * at once without a worker.
  */
 export class AdmissionQueue {
   private queue: QueuedRequest[] = [];
@@ -25,7 +26,10 @@
     private readonly choose: (context: RequestContext) => Worker | undefined,
   ) {}
 
-  /** The worker for a request; undefined if none had capacity within the wait, or the request ended meanwhile. */
+  /**
+   * The worker for a request; undefined if none had capacity within the wait, or the request ended
+   * meanwhile.
+   */
   readonly admit = (context: RequestContext, waitUs: number): Promise<Worker | undefined> => {
     const worker = this.choose(context);
     if (worker || waitUs <= 0) return Promise.resolve(worker);
@@ -49,7 +53,10 @@
     });
   };
 
-  /** Looks again after capacity may have come free, once for all that happens in one turn of the event loop. */
+  /**
+   * Looks again after capacity may have come free, once for all that happens in one turn of the
+   * event loop.
+   */
   readonly wake = (): void => {
     if (this.isScheduled || this.queue.length === 0) return;
     this.isScheduled = true;
--- a/src/proxy/body-reader.ts
+++ b/src/proxy/body-reader.ts
@@ -8,7 +8,9 @@
 import type { RouteTable } from "./route-table.js";
 import { twoEventLoopTurns, type StallDetector } from "./stall-detector.js";
 
-/** Bodies up to this size are buffered, so that they can be sent again; larger ones are streamed. */
+/**
+ * Bodies up to this size are buffered, so that they can be sent again; larger ones are streamed.
+ */
 const MAX_BUFFERED_BODY_BYTES = 128 * 1024;
 
 /** Why a body could not be buffered. */
@@ -40,7 +42,10 @@
 export const isBodyBuffered = (context: RequestContext): boolean =>
   context.body === null || Buffer.isBuffer(context.body);
 
-/** A body as it comes. The client's connection outlives it: whoever stops reading it early still owes a response. */
+/**
+ * A body as it comes. The client's connection outlives it: whoever stops reading it early still
+ * owes a response.
+ */
 const streamOf = (req: IncomingMessage): Readable => {
   const stream = req.pipe(new PassThrough());
   // The error is that of `destroy`, or of the client, whose connection reports its own end.
--- a/src/proxy/cached-requests.ts
+++ b/src/proxy/cached-requests.ts
@@ -1,4 +1,7 @@
-/** Requests for objects of cached routes: answered from a cache, or fetched within the origin's rate limit. */
+/**
+ * Requests for objects of cached routes: answered from a cache, or fetched within the origin's rate
+ * limit.
+ */
 import { SECOND_US } from "../common/duration.js";
 import { isBehindClose } from "./client-connection.js";
 import type { ObjectSource } from "./object-source.js";
@@ -6,7 +9,10 @@
 import type { ResponseWriter } from "./response-writer.js";
 import type { Route } from "./route-table.js";
 
-/** Caches fill at the origin's rate, so a client that comes back sooner after a rejection for it finds the same. */
+/**
+ * Caches fill at the origin's rate, so a client that comes back sooner after a rejection for it
+ * finds the same.
+ */
 const MIN_RATE_RETRY_AFTER_US = 1 * SECOND_US;
 
 /** Serves objects of cached routes. */
@@ -37,7 +43,7 @@
     const result = await this.objects.fetch(request, range);
     if (context.isFinished || isBehindClose(context)) return;
     if (result.kind === "served")
-      this.writer.sendStored(context, result.status, result.heads, result.body);
+      this.writer.sendStored(context, result.status, result.headers, result.body);
     else if (result.reason === "rate")
       this.writer.reject(context, "noRate", Math.max(result.retryAfterUs, MIN_RATE_RETRY_AFTER_US));
     else this.writer.reject(context, "full", result.retryAfterUs);
--- a/src/proxy/client-connection.ts
+++ b/src/proxy/client-connection.ts
@@ -1,4 +1,7 @@
-/** The connections of clients: the order of their pipelined requests, and which of these count as never read. */
+/**
+ * The connections of clients: the order of their pipelined requests, and which of these count as
+ * never read.
+ */
 import type { Socket } from "node:net";
 import { HTTP_OUTCOMES, type OutcomeName } from "../common/http-outcomes.js";
 import type { RequestContext } from "./request-context.js";
@@ -14,22 +17,30 @@
   /** Requests read so far. */
   received: number;
   /**
-   * The position, from 1, of the request whose response closes the connection; `Infinity` while there is none.
-   * Requests behind it count as not read: the client sends them again, so they must not run.
+   * The position, from 1, of the request whose response closes the connection; `Infinity` while
+   * there is none. Requests behind it count as not read: the client sends them again, so they must
+   * not run.
    */
   closedAfter: number;
 }
 
-/** Whether a response that closes the connection is due or was sent: nothing read after it is served. */
+/**
+ * Whether a response that closes the connection is due or was sent: nothing read after it is
+ * served.
+ */
 export const isClosing = (connection: ClientConnection): boolean =>
   connection.closedAfter !== Infinity;
 
-/** Whether a response before this request's closes the connection, so that its client counts it as not read. */
+/**
+ * Whether a response before this request's closes the connection, so that its client counts it as
+ * not read.
+ */
 export const isBehindClose = (context: RequestContext): boolean =>
   context.position > context.connection.closedAfter;
 
 /**
- * Resolves once the response has been written or the connection is gone, and counts the request as open until then.
+ * Resolves once the response has been written or the connection is gone, and counts the request as
+ * open until then.
  *
  * @param context - the request, already counted in `openRequests` of its connection
  * @param onClosed - called once, right before the promise resolves
@@ -80,8 +91,8 @@
   };
 
   /**
-   * Answers what the parser could not read and closes the connection.
-   * While earlier requests are open it only closes: a response now would be taken for one of theirs.
+   * Answers what the parser could not read and closes the connection. While earlier requests are
+   * open it only closes: a response now would be taken for one of theirs.
    */
   readonly rejectUnreadable = (error: NodeJS.ErrnoException, socket: Socket): void => {
     const connection = this.bySocket.get(socket);
--- a/src/proxy/forwarding.ts
+++ b/src/proxy/forwarding.ts
@@ -1,4 +1,7 @@
-/** One attempt of a request: waits for a worker, sends the request to it, and records what came of it. */
+/**
+ * One attempt of a request: waits for a worker, sends the request to it, and records what came of
+ * it.
+ */
 import type { Clock } from "../common/clock.js";
 import { MILLISECOND_US } from "../common/duration.js";
 import { AdmissionQueue } from "./admission-queue.js";
@@ -74,11 +77,17 @@
     return this.queue.admit(context, untilUs - nowUs);
   };
 
-  /** Whether the client and the operator have both given it up, whether or not the timer has said so yet. */
+  /**
+   * Whether the client and the operator have both given it up, whether or not the timer has said so
+   * yet.
+   */
   readonly isPastDeadline = (context: RequestContext): boolean =>
     this.options.clock.nowUs() >= context.deadlineUs;
 
-  /** At an overloaded service an unsafe request that would be late is rejected before it is sent, not amid its run. */
+  /**
+   * At an overloaded service an unsafe request that would be late is rejected before it is sent,
+   * not amid its run.
+   */
   readonly wouldBeLate = (context: RequestContext, route: Route, worker: Worker): boolean => {
     const { actsOnForecast, pool, clock } = this.options;
     return (
@@ -130,9 +139,9 @@
   };
 
   /**
-   * The last question before bytes leave for a worker. A connection may have come up only after the deadline, as when
-   * this node stood still meanwhile; that a client left is noticed some turns of the event loop after it was read; and
-   * a keyed request needs a claim that is not too old.
+   * The last question before bytes leave for a worker. A connection may have come up only after the
+   * deadline, as when this node stood still meanwhile; that a client left is noticed some turns of
+   * the event loop after it was read; and a keyed request needs a claim that is not too old.
    */
   private readonly maySend = (context: RequestContext, route: Route): boolean =>
     !context.isFinished &&
--- a/src/proxy/keyed-requests.ts
+++ b/src/proxy/keyed-requests.ts
@@ -1,4 +1,7 @@
-/** Requests with an idempotency key: the claim before the first attempt, and the stored response for repeats. */
+/**
+ * Requests with an idempotency key: the claim before the first attempt, and the stored response for
+ * repeats.
+ */
 import { sleep, withTimeout, type Clock } from "../common/clock.js";
 import { MILLISECOND_US, SECOND_US } from "../common/duration.js";
 import type { IdempotencyClient, KeyedResponse } from "../idempotency/key-client.js";
@@ -11,12 +14,15 @@
 const MAX_KEY_LENGTH = 200;
 /** Claiming may take the latency target divided by this. */
 const CLAIM_TARGET_DIVISOR = 5;
-/** Storing the response may take this part of what is left of the latency target, and at least the minimum. */
+/**
+ * Storing the response may take this part of what is left of the latency target, and at least the
+ * minimum.
+ */
 const STORE_TARGET_FRACTION = 0.5;
 const MIN_STORE_WAIT_US = 300 * MILLISECOND_US;
 /**
- * A request begins at most this long after its claim was asked for. Claims are kept for 5 s and more beyond the window
- * of their key, so the run is covered for all of the window.
+ * A request begins at most this long after its claim was asked for. Claims are kept for 5 s and
+ * more beyond the window of their key, so the run is covered for all of the window.
  */
 const MAX_CLAIM_AGE_US = 4 * SECOND_US;
 /** Mean pause before the next claim when no quorum decided the last one. */
@@ -43,7 +49,9 @@
 export class KeyedRequests {
   constructor(private readonly options: KeyedRequestsOptions) {}
 
-  /** Claims the idempotency key; false when the request was answered instead, or its client is gone. */
+  /**
+   * Claims the idempotency key; false when the request was answered instead, or its client is gone.
+   */
   readonly claim = async (context: RequestContext, route: Route): Promise<boolean> => {
     const { clock, idempotency, writer, random } = this.options;
     const given = context.req.headers[IDEMPOTENCY_KEY_HEADER];
--- a/src/proxy/object-source.ts
+++ b/src/proxy/object-source.ts
@@ -1,4 +1,6 @@
-/** An object that is asked for, and how old a copy of it may be. */
+/** The port through which the proxy gets objects of cached routes. */
+
+/** An object that is asked for, and how old a cached one may be. */
 export interface ObjectRequest {
   readonly service: string;
   readonly host: string;
@@ -8,29 +10,35 @@
   /** Invariant: at most `cacheForUs`. */
   readonly maxAgeUs: number;
   readonly latencyTargetUs: number;
-  /** Until when an answer is of use, on this process's clock. */
+  /** Until when a response is of use, on this process's clock. */
   readonly deadlineUs: number;
 }
 
-/** Nobody ran it, and it may be asked for again after a while. */
+/** No worker ran the request; the object may be asked for again after the given time. */
 export interface ObjectUnavailable {
   readonly kind: "none";
   readonly reason: "rate" | "full" | "late";
   readonly retryAfterUs: number;
 }
 
-export type ObjectResult =
-  | {
-      readonly kind: "served";
-      readonly status: number;
-      readonly heads: readonly string[];
-      readonly body: Buffer;
-    }
-  | ObjectUnavailable;
+/** An object, or the part of it that was asked for. */
+export interface ServedObject {
+  readonly kind: "served";
+  readonly status: number;
+  readonly headers: readonly string[];
+  readonly body: Buffer;
+}
+
+export type ObjectResult = ServedObject | ObjectUnavailable;
 
-/** Where the front gets objects of cached routes from. */
+/** Where the proxy gets objects of cached routes from. */
 export interface ObjectSource {
-  readonly fetch: (want: ObjectRequest, range: string | undefined) => Promise<ObjectResult>;
-  /** Whether one more request may go to a service with a bound on its rate. */
+  /**
+   * Fetches an object.
+   *
+   * @param range - the value of a `Range` header; undefined for all of the object
+   */
+  readonly fetch: (request: ObjectRequest, range: string | undefined) => Promise<ObjectResult>;
+  /** Whether one more request may go to a service with a rate limit. */
   readonly permit: (service: string) => Promise<boolean>;
 }
--- a/src/proxy/outcome-recorder.ts
+++ b/src/proxy/outcome-recorder.ts
@@ -1,11 +1,17 @@
-/** Counts how requests end: for the reports of routes, and for the canary analysis of weighted routes. */
+/**
+ * Counts how requests end: for the reports of routes, and for the canary analysis of weighted
+ * routes.
+ */
 import type { Clock } from "../common/clock.js";
 import type { CanaryOutcome } from "../health/canary-counters.js";
 import { hasNotRun } from "./delivery-state.js";
 import type { RequestContext } from "./request-context.js";
 import type { Route } from "./route-table.js";
 
-/** A client that leaves after this part of its time has waited in vain; one that leaves earlier had its own reason. */
+/**
+ * A client that leaves after this part of its time has waited in vain; one that leaves earlier had
+ * its own reason.
+ */
 const CLIENT_PATIENCE_FRACTION = 0.8;
 
 export interface OutcomeRecorderOptions {
@@ -48,7 +54,10 @@
     this.countCanary(context, route, isOwnFault ? "own" : lossOf(context));
   };
 
-  /** The client went away unanswered: at the end of its patience that is the service's doing, sooner its own. */
+  /**
+   * The client went away unanswered: at the end of its patience that is the service's doing, sooner
+   * its own.
+   */
   readonly recordAbandoned = (context: RequestContext): void => {
     this.count(context, "caller left");
     const { route } = context;
--- a/src/proxy/pipeline-stage.ts
+++ b/src/proxy/pipeline-stage.ts
@@ -1,8 +1,8 @@
 /** A stage of the pipeline: a bounded queue in front of a bounded number of concurrent runs. */
 
 /**
- * Runs work on items, at most `concurrency` at a time, and queues the rest.
- * Invariants: `running` never exceeds `concurrency`, the queue never exceeds `maxQueued`, and a lower priority number
+ * Runs work on items, at most `concurrency` at a time, and queues the rest. Invariants: `running`
+ * never exceeds `concurrency`, the queue never exceeds `maxQueued`, and a lower priority number
  * goes first, in order of arrival among equals.
  */
 export class PipelineStage<T> {
--- a/src/proxy/pipeline.ts
+++ b/src/proxy/pipeline.ts
@@ -1,4 +1,7 @@
-/** The stages of a request in their order: read the body, route, and serve from a cache or forward to a worker. */
+/**
+ * The stages of a request in their order: read the body, route, and serve from a cache or forward
+ * to a worker.
+ */
 import type { Clock } from "../common/clock.js";
 import type { CanaryOutcome } from "../health/canary-counters.js";
 import type { IdempotencyClient } from "../idempotency/key-client.js";
@@ -60,7 +63,9 @@
   readonly loadCounters?: LoadCounting;
   /** Whether the capacity forecast is acted on. */
   readonly actsOnForecast?: boolean;
-  /** Where objects of cached routes come from; without it they are forwarded like any safe request. */
+  /**
+   * Where objects of cached routes come from; without it they are forwarded like any safe request.
+   */
   readonly objects?: ObjectSource;
   /** Where idempotency keys are claimed; without it keyed requests are rejected. */
   readonly idempotency?: IdempotencyClient;
--- a/src/proxy/proxy-server.ts
+++ b/src/proxy/proxy-server.ts
@@ -1,4 +1,7 @@
-/** The gateway's HTTP server: listens, applies limits to clients, drains, and hands requests to the pipeline. */
+/**
+ * The gateway's HTTP server: listens, applies limits to clients, drains, and hands requests to the
+ * pipeline.
+ */
 import express from "express";
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import { MILLISECOND_US, SECOND_US } from "../common/duration.js";
@@ -84,7 +87,10 @@
     this.isDraining = true;
   };
 
-  /** While the node's zone is drained for a window, responses close their connections, so that clients go elsewhere. */
+  /**
+   * While the node's zone is drained for a window, responses close their connections, so that
+   * clients go elsewhere.
+   */
   readonly setZoneDrained = (isDrained: boolean): void => {
     this.isZoneDrained = isDrained;
   };
--- a/src/proxy/request-completion.ts
+++ b/src/proxy/request-completion.ts
@@ -5,7 +5,10 @@
 import { closeDelivery, hasNotRun } from "./delivery-state.js";
 import type { RequestContext } from "./request-context.js";
 
-/** For how long beyond its deadline the response to a keyed request whose client is gone is still waited for. */
+/**
+ * For how long beyond its deadline the response to a keyed request whose client is gone is still
+ * waited for.
+ */
 const KEYED_GRACE_US = 1 * SECOND_US;
 
 /** Ends requests: cancels what still runs for them and gives back what they hold. */
@@ -24,7 +27,8 @@
       context.upstreamRequests.forEach((request) => request.cancel());
       if (context.body !== null && !Buffer.isBuffer(context.body)) context.body.destroy();
     };
-    // A keyed request whose client is gone goes on while its worker may run it, so that its response can be stored.
+    // A keyed request whose client is gone goes on while its worker may run it, so that its
+    // response can be stored.
     if (!context.claim || context.res.writableEnded) cancel();
     else this.clock.after(context.deadlineUs - this.clock.nowUs() + KEYED_GRACE_US, cancel);
     context.onFinished.splice(0).forEach((act) => act());
--- a/src/proxy/request-context.ts
+++ b/src/proxy/request-context.ts
@@ -37,7 +37,10 @@
   readonly upstreamRequests: Set<CancellableRequest>;
   /** What is reserved of the memory budget for it. */
   bufferedBytes: number;
-  /** Workers it was sent to, without those that no byte of it left for. Invariant: never above the route's tries. */
+  /**
+   * Workers it was sent to, without those that no byte of it left for. Invariant: never above the
+   * route's tries.
+   */
   attempts: number;
   /** What is known of whether it has run; what its client is told follows from it alone. */
   readonly deliveryState: DeliveryState;
@@ -50,8 +53,9 @@
   /** Called once when it ends. */
   readonly onFinished: (() => void)[];
   /**
-   * The claim on its idempotency key, for keyed requests. Invariant: it is given back only if nothing of the request
-   * was ever sent to a worker that may have run it, and no request of a keyed route is sent to a worker without one.
+   * The claim on its idempotency key, for keyed requests. Invariant: it is given back only if
+   * nothing of the request was ever sent to a worker that may have run it, and no request of a
+   * keyed route is sent to a worker without one.
    */
   claim: IdempotencyClaim | undefined;
 }
--- a/src/proxy/request-routing.ts
+++ b/src/proxy/request-routing.ts
@@ -1,4 +1,7 @@
-/** The second stage of a request: finds its route by host and path prefix, and draws a service by weight. */
+/**
+ * The second stage of a request: finds its route by host and path prefix, and draws a service by
+ * weight.
+ */
 import type { OutcomeName } from "../common/http-outcomes.js";
 import { toRouteKind } from "../quota/retry-limits.js";
 import type { RequestContext } from "./request-context.js";
--- a/src/proxy/response-writer.ts
+++ b/src/proxy/response-writer.ts
@@ -111,7 +111,10 @@
     );
   };
 
-  /** Closes the connection with this response, where that is asked for or the node drains and nothing else is open. */
+  /**
+   * Closes the connection with this response, where that is asked for or the node drains and
+   * nothing else is open.
+   */
   private readonly closeAfter = (context: RequestContext, closes: boolean): void => {
     const { connection } = context;
     if (!closes && !(this.options.isDraining() && connection.openRequests === 1)) return;
--- a/src/proxy/retry-and-hedging.ts
+++ b/src/proxy/retry-and-hedging.ts
@@ -1,4 +1,7 @@
-/** All attempts of a request: retries and hedged requests, within the route's tries and the retry budget. */
+/**
+ * All attempts of a request: retries and hedged requests, within the route's tries and the retry
+ * budget.
+ */
 import { withTimeout, type Clock } from "../common/clock.js";
 import { MILLISECOND_US } from "../common/duration.js";
 import { toRouteKind } from "../quota/retry-limits.js";
@@ -86,7 +89,10 @@
     this.conclude(context, lastResponse);
   };
 
-  /** Answers with 504 or its like once the deadline has passed: what a worker still does is of no use to anyone. */
+  /**
+   * Answers with 504 or its like once the deadline has passed: what a worker still does is of no
+   * use to anyone.
+   */
   private readonly startDeadline = (context: RequestContext): void => {
     const { clock, writer } = this.options;
     const timer = clock.after(context.deadlineUs - clock.nowUs(), () =>
@@ -120,7 +126,10 @@
   private readonly spendRetry = (context: RequestContext, route: Route): boolean =>
     this.options.retryBudgets.of(context.service, toRouteKind(route.kind)).spend();
 
-  /** One attempt; beside a safe request whose worker has fallen silent a hedged request goes to a second one. */
+  /**
+   * One attempt; beside a safe request whose worker has fallen silent a hedged request goes to a
+   * second one.
+   */
   private readonly attempt = async (
     context: RequestContext,
     route: Route,
--- a/src/proxy/undici-client.d.ts
+++ b/src/proxy/undici-client.d.ts
@@ -1,4 +1,4 @@
-/** The client alone: the whole of undici, with what browsers have, would double a program's start. */
+/** The client alone: all of undici would double the start of a program. */
 declare module "undici/lib/dispatcher/client.js" {
   import { Client } from "undici";
 
