--- /dev/null
+++ b/src/programs/ctl/commands/queries.ts
@@ -0,0 +1,41 @@
+/** The queries that print one table each: `nodes`, `workers`, `inspection`, `keys`, `goods`. */
+import type { Command } from "commander";
+import { rowsOf } from "../json-values.js";
+import {
+  clientFor,
+  commandAction,
+  print,
+  printJson,
+  withQueryOptions,
+  type QueryOptions,
+} from "../command-line.js";
+import { formatTable } from "../table.js";
+
+/** By command; the admin API has the same name below `/tell/`, and its answer a field of that name. */
+const QUERIES: Readonly<Record<string, string>> = {
+  nodes: "list the gateways with a session",
+  workers: "list the workers by their last heartbeats",
+  inspection: "show faults by worker, ejections and the zonal shift, with their reasons",
+  keys: "show idempotency keys and purges held, and whether this replica counts",
+  goods: "show what each cache holds, hit, missed, checked and rejected",
+};
+
+/** Prints one field of an answer, or the whole answer where it lacks the field. */
+export const runQuery = async (
+  options: QueryOptions,
+  path: string,
+  field: string,
+): Promise<void> => {
+  const answer = await clientFor(options).get(path);
+  const value = answer[field] ?? answer;
+  if (options.json === true) printJson(value);
+  else print(formatTable(rowsOf(value)));
+};
+
+/** Adds the commands to `ctl`. */
+export const addQueryCommands = (ctl: Command): void =>
+  Object.entries(QUERIES).forEach(([name, summary]) => {
+    withQueryOptions(ctl.command(name).description(summary)).action(
+      commandAction((options: QueryOptions) => runQuery(options, `/tell/${name}`, name)),
+    );
+  });
--- /dev/null
+++ b/src/programs/ctl/commands/windows.ts
@@ -0,0 +1,108 @@
+/** `window add | list | show | cancel | extend`: maintenance windows of zones. */
+import type { Command } from "commander";
+import type { UnknownRecord } from "../../../common/decode.js";
+import { parseDuration } from "../../../common/duration.js";
+import {
+  clientFor,
+  commandAction,
+  print,
+  printJson,
+  withControllers,
+  withQueryOptions,
+  type ControllerOptions,
+  type QueryOptions,
+} from "../command-line.js";
+import { InvalidInputError, RejectedError } from "../errors.js";
+import { nestedRows, rowsOf, textOf, textsOf } from "../json-values.js";
+import { formatTable } from "../table.js";
+
+/** A duration such as 90s as it is; a moment of the calendar becomes the duration until then. */
+const readOpening = (when: string): string => {
+  if (parseDuration(when).isOk) return when;
+  const leftMs = Date.parse(when) - Date.now();
+  if (leftMs > 0) return `${leftMs}ms`;
+  throw new InvalidInputError(`${when} is neither a span such as 90s nor a moment to come`);
+};
+
+const requireDuration = (option: string, example: string, value: string): string => {
+  if (parseDuration(value).isOk) return value;
+  throw new InvalidInputError(`${option} must be a span such as ${example}`);
+};
+
+interface AddOptions extends ControllerOptions {
+  readonly opens: string;
+  readonly lasts: string;
+}
+
+const addWindow = async (zone: string, options: AddOptions): Promise<void> => {
+  const opens = readOpening(options.opens);
+  const lasts = requireDuration("--lasts", "1800s", options.lasts);
+  const answer = await clientFor(options).post("/windows", { cell: zone, opens, lasts });
+  print(
+    [
+      `Window ${textOf(answer["id"])} is planned.`,
+      ...textsOf(answer["warnings"]).map((warning) => `Warning: ${warning}`),
+    ].join("\n"),
+  );
+};
+
+const fetchWindows = async (options: QueryOptions): Promise<readonly UnknownRecord[]> =>
+  nestedRows(await clientFor(options).get("/tell/windows"), "windows", "windows");
+
+const listWindows = async (options: QueryOptions): Promise<void> => {
+  const rows = await fetchWindows(options);
+  if (options.json === true) printJson(rows);
+  else print(formatTable(rows));
+};
+
+const showWindow = async (id: string, options: QueryOptions): Promise<void> => {
+  const window = (await fetchWindows(options)).find((row) => row["id"] === id);
+  if (!window) throw new RejectedError(`there is no window ${id}`);
+  if (options.json === true) printJson(window);
+  else print(formatTable(rowsOf(window)));
+};
+
+const cancelWindow = async (id: string, options: ControllerOptions): Promise<void> => {
+  await clientFor(options).post(`/windows/${encodeURIComponent(id)}/cancel`);
+  print("Cancelled.");
+};
+
+const extendWindow = async (
+  id: string,
+  options: ControllerOptions & { readonly by: string },
+): Promise<void> => {
+  const by = requireDuration("--by", "600s", options.by);
+  await clientFor(options).post(`/windows/${encodeURIComponent(id)}/extend`, { by });
+  print("Extended.");
+};
+
+/** Adds the commands to `ctl`. */
+export const addWindowCommands = (ctl: Command): void => {
+  const window = ctl.command("window").description("plan maintenance windows of zones");
+  withControllers(
+    window
+      .command("add <zone>")
+      .summary("plan a window")
+      .description("Plan a window. Its requests move to the other zones before it opens.")
+      .requiredOption(
+        "--opens <when>",
+        "a duration from now such as 600s, or a moment such as 2027-01-31T02:00Z",
+      )
+      .requiredOption("--lasts <duration>", "how long it lasts, such as 1800s"),
+  ).action(commandAction(addWindow));
+  withQueryOptions(window.command("list").description("list every window with its stage")).action(
+    commandAction(listWindows),
+  );
+  withQueryOptions(window.command("show <id>").description("show one window")).action(
+    commandAction(showWindow),
+  );
+  withControllers(
+    window.command("cancel <id>").description("cancel a window; its requests return"),
+  ).action(commandAction(cancelWindow));
+  withControllers(
+    window
+      .command("extend <id>")
+      .description("make a window longer")
+      .requiredOption("--by <duration>", "by how much, such as 600s"),
+  ).action(commandAction(extendWindow));
+};
--- /dev/null
+++ b/src/programs/ctl/exit-codes.ts
@@ -0,0 +1,10 @@
+/** The exit codes of `yewreel ctl` and `yewreel loadgen`. Scripts depend on them: they never change their meaning. */
+
+/** The command was done. */
+export const EXIT_DONE = 0;
+/** A controller rejected the command; another controller would as well. */
+export const EXIT_REJECTED = 1;
+/** The command line or a file named by it is wrong; nothing was sent. */
+export const EXIT_INVALID_INPUT = 2;
+/** No controller answered, or none could reach a quorum. */
+export const EXIT_UNREACHABLE = 3;
--- a/src/programs/ctl/forecast-check.ts
+++ b/src/programs/ctl/forecast-check.ts
@@ -1,109 +1,135 @@
+/** Compares a saved forecast of `ctl backends forecast` with what the nodes counted after the change. */
 import { LEAST_CALLS } from "../../proxy/reassignment-forecast.js";
 import {
+  asNumber,
   asRecord,
+  asString,
   isRecord,
   readList,
-  asNumber,
-  readString,
-  asString,
   readNumber,
+  readString,
   type UnknownRecord,
 } from "../../common/decode.js";
 
+/** How a forecast compares with the counts. */
+export type CheckResult = "within" | "outside" | "too few calls" | "not heard";
+
+/** One node, service and kind of request. Printed as JSON, so the names of the fields stay. */
 export interface CheckedRow extends UnknownRecord {
   readonly node: string;
   readonly service: string;
   readonly kind: string;
-  /** The calls counted after the change. */
+  /** The requests counted after the change. */
   readonly calls: number;
+  /** The forecast share of requests at workers new to the node's subset. */
   readonly forecastJoin: number;
+  /** The same share as counted. */
   readonly seenJoin: number;
-  /** Calls to workers that were to leave the subset and got some all the same. */
+  /** The share of requests at workers that were to leave the subset. */
   readonly seenLeave: number;
-  readonly verdict: "within" | "outside" | "too few calls" | "not heard";
+  readonly verdict: CheckResult;
 }
 
-interface SeenCall {
+interface WorkerCount {
   readonly kind: string;
   readonly worker: string;
   readonly count: number;
 }
 
+const subsetKey = (node: string, service: string): string => `${node}\n${service}`;
+
+/** The subset of each node and service when the forecast was made. */
+const readFormerSubsets = (forecast: UnknownRecord): ReadonlyMap<string, ReadonlySet<string>> =>
+  new Map(
+    readList(forecast, "subsets", (value) => {
+      const row = asRecord(value);
+      const key = subsetKey(readString(row, "node"), readString(row, "service"));
+      return [key, new Set(readList(row, "subset", asString))] as const;
+    }),
+  );
+
+const readWorkerCount = (value: unknown): WorkerCount => {
+  const record = asRecord(value);
+  return {
+    kind: readString(record, "kind"),
+    worker: readString(record, "worker"),
+    count: readNumber(record, "count"),
+  };
+};
+
+const sumCounts = (counts: readonly WorkerCount[]): number =>
+  counts.reduce((sum, { count }) => sum + count, 0);
+
+const shareAt = (
+  counts: readonly WorkerCount[],
+  isIncluded: (worker: string) => boolean,
+): number => {
+  const total = sumCounts(counts);
+  return total === 0 ? 0 : sumCounts(counts.filter(({ worker }) => isIncluded(worker))) / total;
+};
+
+const compare = (row: {
+  readonly isHeard: boolean;
+  readonly calls: number;
+  readonly seenJoin: number;
+  readonly low: number;
+  readonly high: number;
+}): CheckResult => {
+  if (!row.isHeard) return "not heard";
+  if (row.calls < LEAST_CALLS) return "too few calls";
+  return row.seenJoin >= row.low && row.seenJoin <= row.high ? "within" : "outside";
+};
+
 /**
- * Sets a kept forecast beside what the nodes have seen since: the share of calls at workers that are new to the node's
- * subset, and at those that were to leave it. To be asked a window after the change, when nothing older is counted.
+ * Compares by node, service and kind. To be asked one counting window after the change, when nothing older is counted.
+ *
+ * @param forecast - as `readKept` accepts it
+ * @param seen - rows of `/backends/seen`, one for each node that was asked
  */
 export const checkForecast = (
-  kept: UnknownRecord,
+  forecast: UnknownRecord,
   seen: readonly UnknownRecord[],
 ): readonly CheckedRow[] => {
-  const before = new Map<string, ReadonlySet<string>>();
-  readList(kept, "subsets", (value) => {
-    const row = asRecord(value);
-    before.set(
-      `${readString(row, "node")}\n${readString(row, "service")}`,
-      new Set(readList(row, "subset", asString)),
-    );
-  });
+  const formerSubsets = readFormerSubsets(forecast);
   const heard = new Map(
     seen.filter((row) => row["heard"] === true).map((row) => [readString(row, "node"), row]),
   );
-  return readList(kept, "nodes", (value) => {
+  return readList(forecast, "nodes", (value) => {
     const row = asRecord(value);
-    const [node, service, kind] = [
-      readString(row, "node"),
-      readString(row, "service"),
-      readString(row, "kind"),
-    ];
-    const of = readList(heard.get(node) ?? {}, "services", asRecord).find(
+    const node = readString(row, "node");
+    const service = readString(row, "service");
+    const kind = readString(row, "kind");
+    const ofService = readList(heard.get(node) ?? {}, "services", asRecord).find(
       (one) => one["service"] === service,
     );
-    const calls = readList(of ?? {}, "calls", (call): SeenCall => {
-      const record = asRecord(call);
-      return {
-        kind: readString(record, "kind"),
-        worker: readString(record, "worker"),
-        count: readNumber(record, "count"),
-      };
-    }).filter((call) => call.kind === kind);
-    const total = calls.reduce((sum, { count }) => sum + count, 0);
+    const counts = readList(ofService ?? {}, "calls", readWorkerCount).filter(
+      (count) => count.kind === kind,
+    );
     const leavers = new Set(readList(row, "leavers", asString));
-    const was = before.get(`${node}\n${service}`) ?? new Set<string>();
-    const part = (fits: (worker: string) => boolean) =>
-      total === 0
-        ? 0
-        : calls.filter(({ worker }) => fits(worker)).reduce((sum, { count }) => sum + count, 0) /
-          total;
-    const [forecastJoin, low, high] = [
-      readNumber(row, "join"),
-      readNumber(row, "joinLow"),
-      readNumber(row, "joinHigh"),
-    ];
-    const seenJoin = part((worker) => !was.has(worker));
-    const result =
-      of === undefined
-        ? "not heard"
-        : total < LEAST_CALLS
-          ? "too few calls"
-          : seenJoin >= low && seenJoin <= high
-            ? "within"
-            : "outside";
+    const former = formerSubsets.get(subsetKey(node, service)) ?? new Set<string>();
+    const forecastJoin = readNumber(row, "join");
+    const low = readNumber(row, "joinLow");
+    const high = readNumber(row, "joinHigh");
+    const calls = sumCounts(counts);
+    const seenJoin = shareAt(counts, (worker) => !former.has(worker));
+    const seenLeave = shareAt(counts, (worker) => leavers.has(worker));
+    const isHeard = ofService !== undefined;
     return {
       node,
       service,
       kind,
-      calls: total,
+      calls,
       forecastJoin,
       low,
       high,
       seenJoin,
-      seenLeave: part((worker) => leavers.has(worker)),
-      verdict: result,
+      seenLeave,
+      verdict: compare({ isHeard, calls, seenJoin, low, high }),
     };
   });
 };
 
-/** A kept forecast as it stands in a file, or a sentence on what is wrong with it. */
+/** The forecast that a file holds, or a sentence on what is wrong with it. */
 export const readKept = (value: unknown): UnknownRecord | string => {
   if (!isRecord(value) || !Array.isArray(value["nodes"]) || !Array.isArray(value["subsets"]))
     return "the file holds no kept forecast";
@@ -123,6 +149,7 @@
   }
 };
 
+/** How many rows there are of each result. */
 export const countsOf = (rows: readonly CheckedRow[]): Readonly<Record<string, number>> => {
   const counts: Record<string, number> = {};
   rows.forEach(({ verdict: result }) => (counts[result] = asNumber(counts[result] ?? 0) + 1));
--- a/src/programs/ctl/usage-export.ts
+++ b/src/programs/ctl/usage-export.ts
@@ -1,9 +1,13 @@
+/** The file formats of `ctl usage`: CSV and Parquet. */
 import { writeFile } from "node:fs/promises";
 import { stringify } from "csv-stringify/sync";
 import { parquetWriteBuffer } from "hyparquet-writer";
 import { asRecord, readString, readNumber } from "../../common/decode.js";
 
-/** One row for each node, route, kind, cell and outcome. Invariant: `count` is cumulative for the node's present life. */
+/**
+ * One row for each node, route, kind, zone and outcome; `cell` is the column's and the answer's name of the zone.
+ * Invariant: `count` is cumulative for the node's present incarnation.
+ */
 export interface UsageRow {
   readonly node: string;
   readonly route: string;
@@ -23,6 +27,12 @@
   { name: "count", type: "INT64" },
 ] as const;
 
+/**
+ * Reads one row of a gateway's `/tell/counts`.
+ *
+ * @param node - the gateway's address
+ * @throws if a field is missing or of another type
+ */
 export const readUsageRow = (node: string, value: unknown): UsageRow => {
   const record = asRecord(value, "row");
   return {
@@ -35,9 +45,11 @@
   };
 };
 
+/** CSV with a heading. */
 export const usageAsCsv = (rows: readonly UsageRow[]): string =>
   stringify([...rows], { header: true, columns: USAGE_SCHEMA.map(({ name }) => name) });
 
+/** A Parquet file with the columns of `USAGE_SCHEMA`. */
 export const usageAsParquet = (rows: readonly UsageRow[]): Uint8Array => {
   const columnData = USAGE_SCHEMA.map(({ name, type }) => ({
     name,
@@ -47,7 +59,7 @@
   return new Uint8Array(parquetWriteBuffer({ columnData }));
 };
 
-/** The ending of the file's name says the form; false for any other. */
+/** Writes the format that the file's extension names; false, and nothing written, for any other extension. */
 export const writeUsage = async (path: string, rows: readonly UsageRow[]): Promise<boolean> => {
   if (path.endsWith(".csv")) await writeFile(path, usageAsCsv(rows));
   else if (path.endsWith(".parquet")) await writeFile(path, usageAsParquet(rows));
--- a/src/programs/loadgen/loadgen.ts
+++ b/src/programs/loadgen/loadgen.ts
@@ -1,10 +1,14 @@
+/** `yewreel loadgen`: an open-loop load generator that reports latency from the intended send time. */
 import { Agent, request } from "node:http";
 import { hostname } from "node:os";
 import type { Command } from "commander";
 import { SteadyClock, type Clock } from "../../common/clock.js";
 import { MILLISECOND_US, SECOND_US } from "../../common/duration.js";
+import { EXIT_INVALID_INPUT } from "../ctl/exit-codes.js";
 
+/** What is sent, where to and how often. */
 export interface LoadSettings {
+  /** The gateways' proxy addresses as `ip:port`, used in turn. */
   readonly targets: readonly string[];
   readonly host: string;
   readonly path: string;
@@ -12,15 +16,19 @@
   readonly body: string;
   readonly ratePerS: number;
   readonly seconds: number;
+  /** The time-out of one request, also told to the gateway. */
   readonly budgetMs: number;
 }
 
+/** What became of one request. */
 export interface RequestResult {
+  /** The status, or `broken`, `out of time`, `no connection`. */
   readonly outcome: string;
-  /** From the moment at which it was meant to be sent, so that a target that stalls cannot hide its stall. */
+  /** From the intended send time, so that a target that stalls cannot hide its stall (coordinated omission). */
   readonly tookUs: number;
 }
 
+/** The summary of a run; printed by `--json`, so the names of the fields stay. */
 export interface LoadReport {
   readonly takenOn: string;
   readonly sent: number;
@@ -31,19 +39,19 @@
   readonly mostMs: number;
 }
 
-const sendOne = (
+const sendRequest = (
   load: LoadSettings,
   target: string,
-  tryId: string,
+  requestId: string,
   agent: Agent,
 ): Promise<string> =>
   new Promise((resolve) => {
     const headers = {
       Host: load.host,
-      "Yewreel-Try-Id": tryId,
+      "Yewreel-Try-Id": requestId,
       "Yewreel-Time-Left-Ms": String(load.budgetMs),
     };
-    const call = request(
+    const outgoing = request(
       `http://${target}${load.path}`,
       {
         method: load.method,
@@ -57,14 +65,14 @@
         response.on("error", () => resolve("broken"));
       },
     );
-    call.on("timeout", () => call.destroy(new Error("out of time")));
-    call.on("error", (error) =>
+    outgoing.on("timeout", () => outgoing.destroy(new Error("out of time")));
+    outgoing.on("error", (error) =>
       resolve(error.message === "out of time" ? "out of time" : "no connection"),
     );
-    call.end(load.body);
+    outgoing.end(load.body);
   });
 
-/** Open loop: each request has its moment, and is sent then whatever became of the ones before. */
+/** Open loop: each request is sent at its time, whatever became of the earlier ones. */
 export const generateLoad = async (
   load: LoadSettings,
   clock: Clock,
@@ -78,30 +86,31 @@
     return new Promise((resolve) => {
       clock.after(dueUs - clock.nowUs(), () => {
         const target = load.targets[at % load.targets.length] ?? "";
-        void sendOne(load, target, `${run}-${at}`, agent).then((outcome) =>
+        void sendRequest(load, target, `${run}-${at}`, agent).then((outcome) =>
           resolve({ outcome, tookUs: clock.nowUs() - dueUs }),
         );
       });
     });
   });
-  const shunted = await Promise.all(all);
+  const results = await Promise.all(all);
   agent.destroy();
-  return shunted;
+  return results;
 };
 
-/** The smallest value that a share of all values does not exceed. */
+/** The nearest-rank percentile: the smallest value that the given share of all values does not exceed. */
 const percentile = (sorted: readonly number[], share: number): number =>
   sorted[Math.max(0, Math.ceil(sorted.length * share) - 1)] ?? 0;
 
-export const summarize = (shunted: readonly RequestResult[]): LoadReport => {
-  const tookMs = shunted.map(({ tookUs }) => tookUs / MILLISECOND_US).sort((a, b) => a - b);
+/** Counts the outcomes and gives the percentiles of the latency. */
+export const summarize = (results: readonly RequestResult[]): LoadReport => {
+  const tookMs = results.map(({ tookUs }) => tookUs / MILLISECOND_US).sort((a, b) => a - b);
   const outcomes: Record<string, number> = {};
-  shunted.forEach(({ outcome }) => {
+  results.forEach(({ outcome }) => {
     outcomes[outcome] = (outcomes[outcome] ?? 0) + 1;
   });
   return {
     takenOn: hostname(),
-    sent: shunted.length,
+    sent: results.length,
     outcomes,
     p50Ms: percentile(tookMs, 0.5),
     p90Ms: percentile(tookMs, 0.9),
@@ -110,7 +119,7 @@
   };
 };
 
-const show = (report: LoadReport): string =>
+const formatReport = (report: LoadReport): string =>
   [
     `sent      ${report.sent}, measured on ${report.takenOn} with its own clock`,
     ...Object.entries(report.outcomes).map(([outcome, count]) => `${outcome.padEnd(14)} ${count}`),
@@ -128,14 +137,13 @@
   readonly json?: boolean;
 }
 
-const WRONG_INPUT = 2;
-
-/** The load generator; its targets are fronts of pointsmen. */
+/** Adds `loadgen` to the program. */
 export const addLoadgenCommand = (cli: Command): void => {
   cli
     .command("loadgen <target...>")
+    .summary("send load and report latency")
     .description(
-      "send an open-loop load to fronts (ip:port) and report latency from the intended send time",
+      "Send an open-loop load to gateways (ip:port) and report latency from the intended send time.",
     )
     .requiredOption("--host <host>", "the Host of the route")
     .option("--path <path>", "the path", "/")
@@ -155,7 +163,7 @@
         process.stderr.write(
           "loadgen: --rate, --seconds and --budget-ms must be numbers above 0.\n",
         );
-        process.exitCode = WRONG_INPUT;
+        process.exitCode = EXIT_INVALID_INPUT;
         return;
       }
       const { host, path, method, body } = flags;
@@ -166,7 +174,7 @@
         ),
       );
       process.stdout.write(
-        `${flags.json === true ? JSON.stringify(report, undefined, 2) : show(report)}\n`,
+        `${flags.json === true ? JSON.stringify(report, undefined, 2) : formatReport(report)}\n`,
       );
     });
 };
