--- a/src/main.ts
+++ b/src/main.ts
@@ -69,7 +69,7 @@
   const clock = new SteadyClock();
   const program = await load();
   const running = await program(read.value, clock);
-  await watchSettings(path, clock, running.renew);
+  await watchSettings(path, clock, running.applySettings);
   let stopping = false;
   const stop = () => {
     if (stopping) return;
--- a/src/programs/cache/cache.ts
+++ b/src/programs/cache/cache.ts
@@ -17,7 +17,7 @@
 import type { Settings } from "../../common/settings.js";
 import { SECOND_US } from "../../common/duration.js";
 import type { Message, Connection } from "../../transport/connection.js";
-import { followPurges } from "../purge-subscriber.js";
+import { subscribeToPurges } from "../purge-subscriber.js";
 import { openRetryBudgets } from "../gateway/retry-budgets.js";
 import type { RunningProgram } from "../running-program.js";
 
@@ -132,7 +132,7 @@
     pool.forget(keys);
     keys.forEach((key) => counts.remove(key));
   });
-  const follow = followPurges({
+  const follow = subscribeToPurges({
     clock,
     updates,
     subscriber,
@@ -189,7 +189,7 @@
   });
   log.info(`Up at ${settings.ip}:${settings.relayPort}.`);
   return {
-    renew: ({ seedNodes }) => subscriber.renewSeeds(seedNodes),
+    applySettings: ({ seedNodes }) => subscriber.renewSeeds(seedNodes),
     stop: async () => {
       log.info("Leaving.");
       report.stop();
--- a/src/programs/controller/controller.ts
+++ b/src/programs/controller/controller.ts
@@ -801,7 +801,7 @@
   log.info(`Up at ${self}.`);
 
   return {
-    renew: ({ seedNodes }) => peers.learn(seedNodes),
+    applySettings: ({ seedNodes }) => peers.learn(seedNodes),
     stop: async () => {
       log.info("Leaving.");
       inspector.stop();
--- a/src/programs/gateway/gateway.ts
+++ b/src/programs/gateway/gateway.ts
@@ -133,12 +133,12 @@
     {
       method: "GET",
       path: "/ready",
-      act: async () => ({ outcome: isReady() ? "taken" : "noPlan" }),
+      handle: async () => ({ outcome: isReady() ? "taken" : "noPlan" }),
     },
     {
       method: "GET",
       path: "/tell/counts",
-      act: async () => ({
+      handle: async () => ({
         outcome: "taken",
         body: {
           counts: [...tallies].map(([key, count]) => {
@@ -151,12 +151,12 @@
     {
       method: "GET",
       path: "/tell/goods",
-      act: async () => ({ outcome: "taken", body: { goods: goods?.objects.tell() ?? {} } }),
+      handle: async () => ({ outcome: "taken", body: { goods: goods?.objects.tell() ?? {} } }),
     },
     {
       method: "GET",
       path: "/tell/workers",
-      act: async () => ({
+      handle: async () => ({
         outcome: "taken",
         body: {
           workers: pool.all().map((worker) => ({
@@ -188,7 +188,7 @@
   log.info(`Up at ${settings.front}.`);
 
   return {
-    renew: ({ seedNodes }) => subscriber.renewSeeds(seedNodes),
+    applySettings: ({ seedNodes }) => subscriber.renewSeeds(seedNodes),
     stop: async () => {
       const endUs = clock.nowUs() + settings.graceUs - END_MARGIN_US;
       log.info("Leaving.");
--- a/src/programs/gateway/object-cache.ts
+++ b/src/programs/gateway/object-cache.ts
@@ -18,7 +18,7 @@
 import { loggerFor } from "../../common/logger.js";
 import type { Receiver } from "../../transport/listener.js";
 import type { Settings } from "../../common/settings.js";
-import { followPurges } from "../purge-subscriber.js";
+import { subscribeToPurges } from "../purge-subscriber.js";
 
 export interface GatewayObjectCacheOptions {
   readonly settings: Settings;
@@ -98,7 +98,7 @@
     isFresh: freshness.isFresh,
     slackUs: settings.staleSlackUs / 2,
   });
-  const follow = followPurges({
+  const follow = subscribeToPurges({
     clock,
     updates,
     subscriber,
@@ -134,7 +134,7 @@
           };
     },
   });
-  const followToo = followPurges({
+  const followToo = subscribeToPurges({
     clock,
     updates,
     subscriber,
--- a/src/programs/http-api.ts
+++ b/src/programs/http-api.ts
@@ -1,55 +1,51 @@
+/** The HTTP server of a program's own API: a table of routes, and one way to answer each outcome. */
 import express, { type Request, type Response } from "express";
 import { createServer, type Server } from "node:http";
 import { OUTCOME_NAMES, HTTP_OUTCOMES, type OutcomeName } from "../common/http-outcomes.js";
 import { splitAddress } from "../common/settings.js";
 import { asRecord, type UnknownRecord } from "../common/decode.js";
 
+/** How a call ended; the outcome gives the status, and the text of the answer where there is no body. */
 export interface ApiResponse {
   readonly outcome: OutcomeName;
   readonly body?: UnknownRecord;
 }
 
-/** The verdict in the reply of a colleague that an order was passed on to; undefined where none came. */
+/** Reads the response in a peer's reply to a forwarded call; undefined where no reply came. */
 export const readApiResponse = (reply: UnknownRecord | undefined): ApiResponse | undefined => {
   const outcome = OUTCOME_NAMES.find((name) => name === reply?.["outcome"]);
   return outcome === undefined ? undefined : { outcome, body: asRecord(reply?.["body"] ?? {}) };
 };
 
+/** A call as its route's handler gets it. */
 export interface ApiRequest {
+  /** The decoded segments of the path. */
   readonly segments: readonly string[];
   readonly body: string;
 }
 
-/** A row of the dispatch: "*" stands for any one segment. */
+/** One route. In `path`, "*" matches any one segment. */
 export interface ApiRoute {
   readonly method: string;
   readonly path: string;
-  readonly act: (call: ApiRequest) => Promise<ApiResponse>;
+  readonly handle: (request: ApiRequest) => Promise<ApiResponse>;
 }
 
+/** The value of `Retry-After`, in seconds, where an outcome has one. */
 export const RETRY_AFTER_S = 0.25;
 
-const matches = (entry: ApiRoute, method: string, segments: readonly string[]): boolean => {
-  const wanted = entry.path.split("/").slice(1);
+const MAX_BODY_BYTES = 16 * 1024 * 1024;
+
+const matches = (route: ApiRoute, method: string, segments: readonly string[]): boolean => {
+  const wanted = route.path.split("/").slice(1);
   return (
-    entry.method === method &&
+    route.method === method &&
     wanted.length === segments.length &&
-    wanted.every((part, at) => part === "*" || part === segments[at])
+    wanted.every((segment, at) => segment === "*" || segment === segments[at])
   );
 };
 
-/** The one dispatch on method and path segments, for workers' and operators' calls. */
-export const dispatch = async (
-  entries: readonly ApiRoute[],
-  method: string,
-  path: string,
-  body: string,
-): Promise<ApiResponse> => {
-  const segments = path.split("/").slice(1).map(decodeSegment);
-  const entry = entries.find((candidate) => matches(candidate, method, segments));
-  return entry ? entry.act({ segments, body }) : { outcome: "unknownCall" };
-};
-
+/** A segment that is no valid encoding is taken literally. */
 const decodeSegment = (segment: string): string => {
   try {
     return decodeURIComponent(segment);
@@ -58,9 +54,19 @@
   }
 };
 
-const MAX_CALL_BYTES = 16 * 1024 * 1024;
+/** Calls the first route that matches the method and the path; answers `unknownCall` where none does. */
+const dispatch = async (
+  routes: readonly ApiRoute[],
+  method: string,
+  path: string,
+  body: string,
+): Promise<ApiResponse> => {
+  const segments = path.split("/").slice(1).map(decodeSegment);
+  const route = routes.find((candidate) => matches(candidate, method, segments));
+  return route ? route.handle({ segments, body }) : { outcome: "unknownCall" };
+};
 
-/** The whole body, or undefined if it breaks off or is too large. */
+/** The complete body, or undefined if it breaks off or is too large. */
 const readBody = async (request: Request): Promise<string | undefined> => {
   const chunks: Buffer[] = [];
   let size = 0;
@@ -68,16 +74,17 @@
     for await (const chunk of request) {
       if (!Buffer.isBuffer(chunk)) continue;
       size += chunk.length;
-      if (size > MAX_CALL_BYTES) return undefined;
+      if (size > MAX_BODY_BYTES) return undefined;
       chunks.push(chunk);
     }
   } catch {
+    // The client broke off; nobody reads an answer that says more.
     return undefined;
   }
   return Buffer.concat(chunks).toString("utf8");
 };
 
-const answer = (response: Response, result: ApiResponse): void => {
+const send = (response: Response, result: ApiResponse): void => {
   const outcome = HTTP_OUTCOMES[result.outcome];
   if (outcome.retryAfter) response.setHeader("Retry-After", String(RETRY_AFTER_S));
   if (outcome.closes) response.setHeader("Connection", "close");
@@ -91,14 +98,20 @@
   response.end(body);
 };
 
-export const serveApi = (address: string, entries: readonly ApiRoute[]): Promise<Server> => {
+/**
+ * Serves the routes.
+ *
+ * @param address - `ip:port` to listen at
+ * @returns the server, once it listens; rejects with the system's error where it can't
+ */
+export const serveApi = (address: string, routes: readonly ApiRoute[]): Promise<Server> => {
   const app = express();
   app.disable("x-powered-by");
   app.disable("etag");
   app.use(async (request: Request, response: Response) => {
     const body = await readBody(request);
-    if (body === undefined) return answer(response, { outcome: "unreadable" });
-    answer(response, await dispatch(entries, request.method, request.path, body));
+    if (body === undefined) return send(response, { outcome: "unreadable" });
+    send(response, await dispatch(routes, request.method, request.path, body));
   });
   const server = createServer(app);
   const { ip, port } = splitAddress(address);
--- a/src/programs/running-program.ts
+++ b/src/programs/running-program.ts
@@ -1,8 +1,10 @@
+/** What `main.ts` holds of the program that it has started. */
 import type { Settings } from "../common/settings.js";
 
-/** A program that runs on one machine, as long as it is not told to end in order. */
+/** A program that runs on one machine until it is stopped in order. */
 export interface RunningProgram {
+  /** Shuts the program down; resolves once it no longer serves anybody. */
   readonly stop: () => Promise<void>;
-  /** Takes what a settings file that was read again says of other machines: the seeds. */
-  readonly renew: (settings: Settings) => void;
+  /** Applies what a settings file that was read again says of other machines: the seed nodes. */
+  readonly applySettings: (settings: Settings) => void;
 }
