--- /dev/null
+++ b/src/programs/controller/backend-change.ts
@@ -0,0 +1,71 @@
+/** Checks whether a change of backends that an operator asks about could be made at all. */
+import type { Heartbeat } from "../../membership/cluster.js";
+import type { WorkerRegistry } from "../../membership/worker-registry.js";
+import type { BackendChange } from "../../proxy/reassignment-forecast.js";
+
+const MAX_ADDED = 1_000;
+
+/** The workers of a service that are ready. */
+export const readyWorkers = (registry: WorkerRegistry, service: string): readonly Heartbeat[] =>
+  registry
+    .all()
+    .filter((heartbeat) => heartbeat.service === service && heartbeat.state === "ready");
+
+const problemOfAdded = (
+  added: BackendChange["add"],
+  services: ReadonlySet<string>,
+  zones: readonly string[],
+): string | undefined => {
+  for (const { service, cell: zone, count } of added) {
+    if (!services.has(service)) return `there is no service ${service}`;
+    if (!zones.includes(zone)) return `there is no cell ${zone}`;
+    if (!Number.isSafeInteger(count) || count < 1 || count > MAX_ADDED)
+      return `${count} is no count of backends from 1 to ${MAX_ADDED}`;
+  }
+  return undefined;
+};
+
+const problemOfRetired = (
+  retired: readonly string[],
+  registry: WorkerRegistry,
+): string | undefined => {
+  if (new Set(retired).size < retired.length) return "a worker is named twice";
+  for (const id of retired) {
+    const heartbeat = registry.get(id);
+    if (!heartbeat || heartbeat.state === "gone") return `there is no worker ${id}`;
+    if (heartbeat.state !== "ready") return `worker ${id} is ${heartbeat.state} already`;
+  }
+  return undefined;
+};
+
+/** The first service that would be left without any worker. */
+const emptiedService = (
+  { add, retire }: BackendChange,
+  registry: WorkerRegistry,
+  services: ReadonlySet<string>,
+): string | undefined =>
+  [...services].find((service) => {
+    const ready = readyWorkers(registry, service);
+    return (
+      ready.length > 0 &&
+      ready.every(({ id }) => retire.includes(id)) &&
+      !add.some((added) => added.service === service)
+    );
+  });
+
+/** What is wrong with a change, as a sentence; undefined where it could be made. */
+export const problemOf = (
+  change: BackendChange,
+  registry: WorkerRegistry,
+  zones: () => readonly string[],
+): string | undefined => {
+  const services = new Set(registry.all().map(({ service }) => service));
+  if (change.add.length + change.retire.length === 0)
+    return "name a backend to add or a worker to retire";
+  const problem =
+    (change.add.length > 0 ? problemOfAdded(change.add, services, zones()) : undefined) ??
+    problemOfRetired(change.retire, registry);
+  if (problem !== undefined) return problem;
+  const emptied = emptiedService(change, registry, services);
+  return emptied === undefined ? undefined : `all workers of ${emptied} would be gone`;
+};
--- /dev/null
+++ b/src/programs/controller/config.ts
@@ -0,0 +1,106 @@
+/**
+ * The configuration: changes and reads by the admin API, and updates to the nodes of what is
+ * committed. A change comes in by its route and is proposed to the store; what a quorum has agreed
+ * comes back as `committed`, here and at every other controller, and is posted as updates, which the
+ * publisher sends to the nodes.
+ */
+import { err, type Result } from "true-myth/result";
+import {
+  isConfigKey,
+  parseChangeInTurns,
+  toConfigDocument,
+  findUnknownService,
+} from "../../config/validation.js";
+import type { Register } from "../../consensus/register.js";
+import type { ReplicatedStore } from "../../consensus/replicated-store.js";
+import type { NodeSessions } from "../../membership/node-sessions.js";
+import {
+  EJECTIONS_KEY,
+  FORECAST_KEY,
+  PLAN_PREFIX,
+  RETRIES_KEY,
+  ROLLOUTS_KEY,
+  type NewUpdate,
+  type UpdateStore,
+} from "../../membership/update-store.js";
+import { asRecord, parseJson, type UnknownRecord } from "../../common/decode.js";
+import type { ApiRequest, ApiResponse, ApiRoute } from "../http-api.js";
+import { fromConfigError, fromStoreError, toApiResponse, type AdminApiError } from "./admin-api.js";
+import { PUBLISHED_REGISTER } from "./published-state.js";
+
+/** The registers that nodes are sent as they are, and the key of the update that carries each. */
+const UPDATE_KEYS: Readonly<Record<string, string>> = {
+  [PUBLISHED_REGISTER.ejections]: EJECTIONS_KEY,
+  [PUBLISHED_REGISTER.forecasts]: FORECAST_KEY,
+  [PUBLISHED_REGISTER.canaries]: ROLLOUTS_KEY,
+  [PUBLISHED_REGISTER.retryLimits]: RETRIES_KEY,
+};
+
+const toConfigUpdate = (register: Register): NewUpdate => ({
+  key: PLAN_PREFIX + register.key,
+  version: register.version,
+  tie: register.digest,
+  body: { dropped: register.dropped, item: register.body },
+});
+
+const toPublishedUpdate = (key: string, { version, digest, body }: Register): NewUpdate => ({
+  key,
+  version,
+  tie: digest,
+  body: asRecord(parseJson(body)),
+});
+
+/**
+ * Posts what is committed as updates for the nodes. Nodes leave an emptied zone before they are
+ * told of it.
+ */
+export const publishCommitted = (
+  store: ReplicatedStore,
+  updates: UpdateStore,
+  sessions: NodeSessions,
+): void => {
+  store.events.on("committed", (committed) => {
+    updates.post(committed.filter(({ key }) => isConfigKey(key)).map(toConfigUpdate));
+    if (committed.some(({ key }) => key === PUBLISHED_REGISTER.ejections))
+      sessions.leaveDrainedZone();
+    committed.forEach((register) => {
+      const key = UPDATE_KEYS[register.key];
+      if (key !== undefined) updates.post([toPublishedUpdate(key, register)]);
+    });
+  });
+};
+
+const propose = async (
+  store: ReplicatedStore,
+  change: readonly Register[],
+): Promise<Result<UnknownRecord, AdminApiError>> => {
+  const proposed = await store.propose(change, (get) => {
+    const unknown = findUnknownService(change, get);
+    return unknown === undefined ? undefined : `a route names the unknown service ${unknown}`;
+  });
+  return proposed.mapErr(fromStoreError).map(() => ({}));
+};
+
+const changeConfig = async (store: ReplicatedStore, request: ApiRequest): Promise<ApiResponse> => {
+  const change = await parseChangeInTurns(request.body);
+  if (change.isErr) return toApiResponse(err(fromConfigError(change.error)));
+  return toApiResponse(await propose(store, change.value));
+};
+
+/** Reads the configuration that a quorum holds. */
+const readConfig = async (store: ReplicatedStore): Promise<ApiResponse> => {
+  const read = await store.read();
+  return toApiResponse(
+    read
+      .mapErr(fromStoreError)
+      .map(() =>
+        toConfigDocument(store.committedRegisters().filter(({ key }) => isConfigKey(key))),
+      ),
+  );
+};
+
+/** The routes that change and read the configuration. */
+export const configRoutes = (store: ReplicatedStore): readonly ApiRoute[] => [
+  { method: "POST", path: "/plan/change", handle: (request) => changeConfig(store, request) },
+  { method: "GET", path: "/plan/read", handle: () => readConfig(store) },
+];
--- a/src/programs/controller/content.ts
+++ b/src/programs/controller/content.ts
@@ -1,171 +1,203 @@
+/**
+ * What a controller of a content deployment does besides: idempotency keys, purges of cached
+ * objects, and leases of the origins' rates. Only such a deployment loads this module and what it
+ * imports.
+ */
 import { join } from "node:path";
-import { RATE_LEASE_US, RateAllocator } from "../../quota/rate-limiter.js";
 import type { LeaderLease } from "../../consensus/leader-lease.js";
-import { IdempotencyKeyTable, readStoredResponse } from "../../idempotency/key-table.js";
-import { IdempotencyKeyReplication } from "../../idempotency/key-replication.js";
 import type { ReplicatedStore } from "../../consensus/replicated-store.js";
 import { WRITE_TIMEOUT_US } from "../../consensus/timeouts.js";
-import { PURGE_PREFIX, type UpdateStore } from "../../membership/update-store.js";
+import { IdempotencyKeyReplication } from "../../idempotency/key-replication.js";
+import { IdempotencyKeyTable, readStoredResponse } from "../../idempotency/key-table.js";
+import type { NodeSessions } from "../../membership/node-sessions.js";
 import type { Peers } from "../../membership/peers.js";
 import type { UpdatePublisher } from "../../membership/update-publisher.js";
+import { PURGE_PREFIX, type UpdateStore } from "../../membership/update-store.js";
+import { RATE_LEASE_US, RateAllocator } from "../../quota/rate-limiter.js";
 import type { Clock } from "../../common/clock.js";
+import { readNumber, readString, type UnknownRecord } from "../../common/decode.js";
+import { MILLISECOND_US, SECOND_US } from "../../common/duration.js";
 import { loggerFor } from "../../common/logger.js";
 import type { Settings } from "../../common/settings.js";
-import { readString, readNumber, type UnknownRecord } from "../../common/decode.js";
-import { MILLISECOND_US, SECOND_US } from "../../common/duration.js";
 import type { Message } from "../../transport/connection.js";
+import type { Consensus } from "./consensus.js";
+import type { QueryHandlers } from "./fleet-queries.js";
+import type { MessageHandler, MessageHandlers } from "./message-dispatcher.js";
+import { NODE_REPLY, NODE_REPORT, NODE_REQUEST } from "./node-messages.js";
+import { PEER_REPLY, PEER_REQUEST } from "./peer-messages.js";
+import type { PurgeTarget } from "./purge-route.js";
+
+const BYTES_PER_MB = 1024 * 1024;
+const CATCH_UP_PERIOD_US = 300 * MILLISECOND_US;
+const EXPIRY_PERIOD_US = SECOND_US;
 
 export interface ContentOptions {
   readonly settings: Settings;
   readonly clock: Clock;
   readonly store: ReplicatedStore;
+  readonly lease: LeaderLease;
+  readonly askHolder: Consensus["askHolder"];
   readonly peers: Peers;
+  readonly sessions: NodeSessions;
   readonly updates: UpdateStore;
   readonly publisher: UpdatePublisher;
-  readonly lease: LeaderLease;
 }
 
 export interface Content {
+  readonly nodeHandlers: MessageHandlers;
+  readonly peerHandlers: MessageHandlers;
+  /** Answers the messages of peers about idempotency keys and purges. */
+  readonly peerFallback: MessageHandler;
+  readonly queries: QueryHandlers;
+  /** Makes a purge durable and sends it out; false where no quorum holds it. */
+  readonly purge: (target: PurgeTarget) => Promise<boolean>;
+  /** Brings what the old voters hold to the new ones; true once it is done. */
+  readonly copyToNewMembers: () => Promise<boolean>;
+  /** Loads the keys that the disk holds. */
   readonly start: () => Promise<void>;
-  readonly stop: () => void;
-  /** Answers what a node asks over its session. */
-  readonly answerNode: (message: Message, node: string) => Promise<Message | undefined>;
-  readonly answerColleague: (message: Message) => Promise<Message | undefined>;
-  /** Hears what nodes report. */
-  readonly hear: (message: Message) => void;
-  /** Brings what the old members hold to the new ones; true once it is done. */
-  readonly spread: () => Promise<boolean>;
-  readonly purge: (what: {
-    readonly host: string;
-    readonly path: string;
-    readonly label: string;
-  }) => Promise<boolean>;
-  readonly tellers: Readonly<Record<string, () => unknown>>;
+  readonly close: () => void;
 }
 
-const MB = 1024 * 1024;
-const READ_US = 300 * MILLISECOND_US;
+/** Leases the origins' rates to nodes; the holder of the leader lease gives them out. */
+class RateLeases {
+  private readonly allocator: RateAllocator;
 
-/** What a signalbox of a content deployment has besides: operation keys, purges, and shares of the rates. */
-export const openContent = ({
-  settings,
-  clock,
-  store,
-  peers,
-  updates,
-  publisher,
-  lease,
-}: ContentOptions): Content => {
-  const keyTable = new IdempotencyKeyTable({
+  constructor(private readonly options: ContentOptions) {
+    this.allocator = new RateAllocator(options.clock);
+  }
+
+  readonly lease = async (message: Message): Promise<Message> => {
+    const { lease, askHolder } = this.options;
+    if (lease.isHolder()) return this.leaseAsHolder(message);
+    return (await askHolder(message, WRITE_TIMEOUT_US)) ?? { kind: PEER_REPLY.rateLease };
+  };
+
+  /**
+   * Only by a holder that a majority has just heard of: one that was cut off or frozen may have a
+   * successor.
+   */
+  readonly leaseAsHolder = async (message: Message): Promise<Message> => {
+    if (!(await this.options.lease.confirm())) return { kind: PEER_REPLY.rateLease };
+    const share = this.allocator.allocate(
+      readString(message, "life"),
+      readString(message, "who"),
+      readNumber(message, "held"),
+    );
+    return { kind: PEER_REPLY.rateLease, share, lastsUs: RATE_LEASE_US };
+  };
+
+  /**
+   * Forgets what was leased while this controller held the leader lease, where it no longer does.
+   */
+  readonly check = (): void => {
+    if (!this.options.lease.isHolder()) this.allocator.reset();
+  };
+}
+
+const openKeyTable = ({ settings, clock }: ContentOptions): IdempotencyKeyTable =>
+  new IdempotencyKeyTable({
     folder: settings.dataFolder === "" ? "" : join(settings.dataFolder, "keys"),
     clock,
     keyWindowUs: settings.keyWindowUs,
-    diskBytes: settings.diskMb * MB,
+    diskBytes: settings.diskMb * BYTES_PER_MB,
   });
-  const keys = new IdempotencyKeyReplication({
+
+const openKeys = (
+  options: ContentOptions,
+  table: IdempotencyKeyTable,
+): IdempotencyKeyReplication => {
+  const { settings, store, peers, updates } = options;
+  return new IdempotencyKeyReplication({
     self: settings.control,
-    table: keyTable,
+    table,
     store,
     request: peers.ask,
     isConnected: peers.isConnected,
     send: peers.send,
     withstandMachines: settings.withstandMachines,
-    logger: loggerFor("keys"),
+    logger: loggerFor("idempotency-keys"),
     onPurge: ({ id, host, path, label }) =>
       updates.post([{ key: PURGE_PREFIX + id, version: 1, tie: "", body: { host, path, label } }]),
   });
-  const allocator = new RateAllocator(clock);
-  const depots = new Map<string, UnknownRecord>();
+};
 
-  /** Only by a holder that a majority has just heard of: one that was cut off or frozen may have a successor. */
-  const giveHere = async (message: Message): Promise<Message> =>
-    (await lease.confirm())
-      ? {
-          kind: "rate",
-          share: allocator.allocate(
-            readString(message, "life"),
-            readString(message, "who"),
-            readNumber(message, "held"),
-          ),
-          lastsUs: RATE_LEASE_US,
-        }
-      : { kind: "rate" };
-  const giveRate = async (message: Message): Promise<Message> =>
-    lease.isHolder()
-      ? giveHere(message)
-      : ((await peers.ask(lease.holder(), message, WRITE_TIMEOUT_US)) ?? { kind: "rate" });
+const keyHandlers = (keys: IdempotencyKeyReplication): MessageHandlers => ({
+  [NODE_REQUEST.claimKey]: async (message) => {
+    const result = await keys.claim(readString(message, "key"), readString(message, "token"));
+    return {
+      kind: NODE_REPLY.claim,
+      verdict: result.kind,
+      ...(result.kind === "done" ? { answer: result.answer } : {}),
+    };
+  },
+  [NODE_REQUEST.completeKey]: async (message) => {
+    const answer = readStoredResponse(message["answer"]);
+    const kept =
+      answer !== undefined &&
+      (await keys.complete(readString(message, "key"), readString(message, "token"), answer));
+    return { kind: NODE_REPLY.claim, kept };
+  },
+});
 
-  /** Learns the purges of a reading quorum, and tells the nodes as of when they know them all. */
-  let reading = false;
-  const read = async (): Promise<void> => {
-    if (reading) return;
-    reading = true;
+/**
+ * Reads the purges of a quorum, one reading at a time, and tells the nodes as of when they know
+ * them all.
+ */
+const purgeReader = (
+  keys: IdempotencyKeyReplication,
+  { clock, publisher }: ContentOptions,
+): (() => Promise<void>) => {
+  let isReading = false;
+  return async () => {
+    if (isReading) return;
+    isReading = true;
     const beganUs = clock.nowUs();
     if ((await keys.readPurges()) && keys.isVoting)
       publisher.sendFreshness(clock.nowUs() - beganUs);
-    reading = false;
+    isReading = false;
   };
-  const reader = clock.every(READ_US, () => {
-    if (!lease.isHolder()) allocator.reset();
+};
+
+/** Opens idempotency keys, purges and leases of rates. */
+export const openContent = (options: ContentOptions): Content => {
+  const { settings, clock, sessions, updates } = options;
+  const table = openKeyTable(options);
+  const keys = openKeys(options, table);
+  const rates = new RateLeases(options);
+  const readPurges = purgeReader(keys, options);
+  /** The newest status that each cache has reported, by node. */
+  const cacheStatus = new Map<string, UnknownRecord>();
+  sessions.events.on("report", (report) => {
+    if (report.kind === NODE_REPORT.releaseKey)
+      keys.release(readString(report, "key"), readString(report, "token"));
+    if (report.kind === NODE_REPORT.cacheStatus)
+      cacheStatus.set(readString(report, "node"), { ...report });
+  });
+  const catchUpTimer = clock.every(CATCH_UP_PERIOD_US, () => {
+    rates.check();
     void keys.catchUp();
-    void read();
+    void readPurges();
   });
-  const sweeper = clock.every(SECOND_US, () =>
-    updates.forget(keyTable.removeExpired().map((id) => PURGE_PREFIX + id)),
+  const expiryTimer = clock.every(EXPIRY_PERIOD_US, () =>
+    updates.forget(table.removeExpired().map((id) => PURGE_PREFIX + id)),
   );
-
+  const describeKeys = (): UnknownRecord => ({
+    keys: table.size,
+    bytes: table.sizeBytes,
+    purges: table.purges().length,
+    counting: keys.isVoting,
+  });
   return {
-    start: () => keys.start(settings.firstRun),
-    stop: () => {
-      reader.stop();
-      sweeper.stop();
-    },
-    answerNode: async (message) => {
-      switch (message.kind) {
-        case "key-claim": {
-          const result = await keys.claim(readString(message, "key"), readString(message, "token"));
-          return {
-            kind: "claim",
-            verdict: result.kind,
-            ...(result.kind === "done" ? { answer: result.answer } : {}),
-          };
-        }
-        case "key-done": {
-          const answer = readStoredResponse(message["answer"]);
-          return {
-            kind: "claim",
-            kept:
-              answer !== undefined &&
-              (await keys.complete(
-                readString(message, "key"),
-                readString(message, "token"),
-                answer,
-              )),
-          };
-        }
-        case "rate-ask":
-          return giveRate(message);
-        default:
-          return undefined;
-      }
-    },
-    answerColleague: async (message) =>
-      message.kind === "rate-ask" ? giveHere(message) : keys.handleRequest(message),
-    hear: (message) => {
-      if (message.kind === "key-free")
-        keys.release(readString(message, "key"), readString(message, "token"));
-      if (message.kind === "goods") depots.set(readString(message, "node"), { ...message });
-    },
-    spread: keys.replicateToNewMembers,
+    nodeHandlers: { ...keyHandlers(keys), [NODE_REQUEST.leaseRate]: rates.lease },
+    peerHandlers: { [PEER_REQUEST.leaseRate]: rates.leaseAsHolder },
+    peerFallback: keys.handleRequest,
+    queries: { keys: describeKeys, goods: () => [...cacheStatus.values()] },
     purge: keys.purge,
-    tellers: {
-      keys: () => ({
-        keys: keyTable.size,
-        bytes: keyTable.sizeBytes,
-        purges: keyTable.purges().length,
-        counting: keys.isVoting,
-      }),
-      goods: () => [...depots.values()],
+    copyToNewMembers: keys.replicateToNewMembers,
+    start: () => keys.start(settings.firstRun),
+    close: () => {
+      catchUpTimer.stop();
+      expiryTimer.stop();
     },
   };
 };
--- /dev/null
+++ b/src/programs/controller/fleet-queries.ts
@@ -0,0 +1,133 @@
+/**
+ * Operators' questions about the fleet, the leader lease, and this replica.
+ * Field names are those of the admin API and of messages between controllers, and never change.
+ */
+import type { LeaderLease } from "../../consensus/leader-lease.js";
+import type { ReplicatedStore } from "../../consensus/replicated-store.js";
+import { WRITE_TIMEOUT_US } from "../../consensus/timeouts.js";
+import type { Peers } from "../../membership/peers.js";
+import type { UnknownRecord } from "../../common/decode.js";
+import { MILLISECOND_US } from "../../common/duration.js";
+import type { ApiRequest, ApiResponse, ApiRoute } from "../http-api.js";
+import { pathArgument } from "./admin-api.js";
+import type { MessageHandlers } from "./message-dispatcher.js";
+import { PEER_REPLY, PEER_REQUEST } from "./peer-messages.js";
+import type { QuorumFreshness } from "./quorum-freshness.js";
+
+/** Answers to queries by name; a name is a segment of the path. */
+export type QueryHandlers = Readonly<Record<string, () => unknown>>;
+
+export interface ReplicaStatusOptions {
+  /** This controller's id. */
+  readonly self: string;
+  readonly store: ReplicatedStore;
+  readonly lease: LeaderLease;
+  readonly peers: Peers;
+  readonly freshness: QuorumFreshness;
+}
+
+/**
+ * The status of this replica, and, by asking the others, of the leader lease and of every
+ * controller.
+ */
+export class ReplicaStatus {
+  readonly peerHandlers: MessageHandlers;
+
+  constructor(private readonly options: ReplicaStatusOptions) {
+    this.peerHandlers = {
+      [PEER_REQUEST.describeReplica]: () => ({ kind: PEER_REPLY.done, ...this.ofThisReplica() }),
+    };
+  }
+
+  /**
+   * What this replica knows by itself, also while it is cut off; nothing of it speaks for the
+   * fleet.
+   */
+  readonly ofThisReplica = (): UnknownRecord => {
+    const { self, store, lease, freshness } = this.options;
+    const { number, members, from } = store.voterSet();
+    const term = store.term();
+    return {
+      view: "this copy's own",
+      box: self,
+      counting: store.isVoting,
+      why: store.notVotingReason,
+      majorityInReach: lease.seesMajority(),
+      unansweredMs: Math.round(freshness.contactAgeUs() / MILLISECOND_US),
+      roster: number,
+      members,
+      leaving: from.filter((id) => !members.includes(id)),
+      isJoint: from.length > 0,
+      term: term?.number ?? 0,
+      holder: term?.holder ?? "",
+    };
+  };
+
+  /**
+   * The holder and term of the leader lease, the voter set, and every controller with why it
+   * doesn't vote.
+   */
+  readonly ofLeaderLease = async (): Promise<UnknownRecord> => {
+    const { self, store, lease, peers } = this.options;
+    const controllers = [...new Set([self, ...store.members(), ...peers.known()])].sort();
+    const rows = await Promise.all(controllers.map(this.rowOf));
+    const { number, members, from } = store.voterSet();
+    return {
+      holder: lease.holder(),
+      term: lease.term(),
+      here: lease.isHolder(),
+      roster: { number, is: from.length > 0 ? "joint" : "simple", members, from },
+      boxes: rows.filter(({ isMember, seen }) => isMember === true || seen === true),
+    };
+  };
+
+  /** One controller as it describes itself; one that doesn't answer is named as unseen. */
+  private readonly rowOf = async (controller: string): Promise<UnknownRecord> => {
+    const { self, store, peers } = this.options;
+    const status =
+      controller === self
+        ? this.ofThisReplica()
+        : await peers.ask(controller, { kind: PEER_REQUEST.describeReplica }, WRITE_TIMEOUT_US);
+    const isMember = store.members().includes(controller);
+    if (!status)
+      return {
+        box: controller,
+        isMember,
+        seen: false,
+        counting: false,
+        why: "it does not answer",
+      };
+    return {
+      box: controller,
+      isMember,
+      seen: true,
+      counting: status["counting"],
+      why: status["why"],
+      roster: status["roster"],
+      term: status["term"],
+      majorityInReach: status["majorityInReach"],
+    };
+  };
+}
+
+/**
+ * The route that answers queries by name.
+ *
+ * @param ofFleet - answered only once a majority was heard after the call came
+ * @param ofThisReplica - answered at any time
+ */
+export const queryRoutes = (
+  store: ReplicatedStore,
+  ofFleet: QueryHandlers,
+  ofThisReplica: QueryHandlers,
+): readonly ApiRoute[] => {
+  const answer = async (request: ApiRequest): Promise<ApiResponse> => {
+    const name = pathArgument(request);
+    const query = ofThisReplica[name] ?? ofFleet[name];
+    if (!query) return { outcome: "unknownCall" };
+    if (ofThisReplica[name] === undefined && !(await store.confirmQuorum()))
+      return { outcome: "noMajority" };
+    return { outcome: "taken", body: { [name]: await query() } };
+  };
+  return [{ method: "GET", path: "/tell/*", handle: answer }];
+};
--- /dev/null
+++ b/src/programs/controller/maintenance-windows.ts
@@ -0,0 +1,198 @@
+/**
+ * The maintenance windows that the lease holder takes through their stages, and operators' changes
+ * to them.
+ */
+import { randomUUID } from "node:crypto";
+import type { LeaderLease } from "../../consensus/leader-lease.js";
+import type { ReplicatedStore } from "../../consensus/replicated-store.js";
+import { WRITE_TIMEOUT_US } from "../../consensus/timeouts.js";
+import { quorumSize } from "../../consensus/voter-set.js";
+import {
+  MaintenanceWindows,
+  WINDOW_SENTENCES,
+  WINDOW_SETTINGS,
+  type WindowError,
+} from "../../health/maintenance-window.js";
+import type { OutlierDetector } from "../../health/outlier-detector.js";
+import type { Peers } from "../../membership/peers.js";
+import type { WorkerRegistry } from "../../membership/worker-registry.js";
+import type { Clock } from "../../common/clock.js";
+import { parseDuration, SECOND_US } from "../../common/duration.js";
+import type { OutcomeName } from "../../common/http-outcomes.js";
+import { loggerFor } from "../../common/logger.js";
+import type { Settings } from "../../common/settings.js";
+import { readApiResponse, type ApiRequest, type ApiResponse, type ApiRoute } from "../http-api.js";
+import { failure, pathArgument, readBody, wrong } from "./admin-api.js";
+import type { Consensus } from "./consensus.js";
+import type { MessageHandlers } from "./message-dispatcher.js";
+import {
+  packApiResponse,
+  packWindowCommand,
+  PEER_REQUEST,
+  readWindowCommand,
+  type WindowCommand,
+} from "./peer-messages.js";
+import { PUBLISHED_REGISTER, type PublishedState } from "./published-state.js";
+
+/** What is learned so soon after a start may have been so for any time. */
+const STARTUP_US = 10 * SECOND_US;
+/** A command is written like any other, after a quorum check by the holder. */
+const COMMAND_TIMEOUT_US = 2 * WRITE_TIMEOUT_US;
+
+const WINDOW_OUTCOMES: Readonly<Record<WindowError, OutcomeName>> = {
+  unknownCell: "wrong",
+  wrongLength: "wrong",
+  tooLate: "refusedOrder",
+  overlap: "refusedOrder",
+  noQuorumWithout: "refusedOrder",
+  windowOver: "refusedOrder",
+  unknownWindow: "unknownWindow",
+  noQuorum: "noQuorum",
+};
+
+const toFailure = (error: WindowError): ApiResponse =>
+  failure(WINDOW_OUTCOMES[error], WINDOW_SENTENCES[error]);
+
+export interface MaintenanceWindowsOptions {
+  readonly settings: Settings;
+  readonly clock: Clock;
+  readonly store: ReplicatedStore;
+  readonly lease: LeaderLease;
+  readonly askHolder: Consensus["askHolder"];
+  readonly peers: Peers;
+  readonly registry: WorkerRegistry;
+  readonly published: PublishedState;
+  readonly detector: OutlierDetector;
+  /** The zones of all workers and nodes. */
+  readonly zones: () => readonly string[];
+  /** The longest time that a request may take, in microseconds, by the routes in force. */
+  readonly longestDeadlineUs: () => number;
+  /** Requests in flight by worker. */
+  readonly inFlight: () => ReadonlyMap<string, number>;
+}
+
+export interface OpenMaintenanceWindows {
+  readonly windows: MaintenanceWindows;
+  readonly peerHandlers: MessageHandlers;
+  readonly routes: readonly ApiRoute[];
+}
+
+/**
+ * For how long this process has known the windows as they are, in microseconds; undefined where
+ * they may have been so for any time, since they are as found on disk or were learned soon after
+ * the start.
+ */
+const windowsAge = (clock: Clock, store: ReplicatedStore): (() => number | undefined) => {
+  const startedUs = clock.nowUs();
+  let learnedUs: number | undefined;
+  store.events.on("committed", (committed) => {
+    if (committed.some(({ key }) => key === PUBLISHED_REGISTER.windows)) learnedUs = clock.nowUs();
+  });
+  return () =>
+    learnedUs === undefined || learnedUs - startedUs < STARTUP_US
+      ? undefined
+      : clock.nowUs() - learnedUs;
+};
+
+const createWindows = (options: MaintenanceWindowsOptions): MaintenanceWindows => {
+  const { settings, clock, store, lease, peers, registry, published, detector } = options;
+  const hasQuorumWithout = (zone: string): boolean => {
+    const isUsable = (id: string) => peers.isConnected(id) && peers.zoneOf(id) !== zone;
+    return store
+      .quorumSets()
+      .every(
+        (members) =>
+          members.filter(isUsable).length >= quorumSize(members, settings.withstandMachines),
+      );
+  };
+  return new MaintenanceWindows({
+    clock,
+    log: loggerFor("maintenance-windows"),
+    settings: WINDOW_SETTINGS,
+    isLeader: lease.isHolder,
+    state: published.windows,
+    stateAgeUs: windowsAge(clock, store),
+    publish: (windows) => published.publish(PUBLISHED_REGISTER.windows, { windows }),
+    shift: () => published.ejections().shift,
+    setShift: detector.setShift,
+    zones: options.zones,
+    workers: () =>
+      registry.all().map(({ zone, service, capacity, state }) => ({
+        zone,
+        service,
+        capacity,
+        isReady: state === "ready",
+      })),
+    longestDeadlineUs: options.longestDeadlineUs,
+    hasQuorumWithout,
+    inFlight: options.inFlight,
+    moveLeadershipOutOf: async (zone) => {
+      if (zone === settings.zone) await lease.transferTo((id) => peers.zoneOf(id) !== zone);
+    },
+  });
+};
+
+/** A span such as `90s` in microseconds; NaN where it is none. */
+const readSpan = (value: unknown): number => parseDuration(value).unwrapOr(Number.NaN);
+
+const windowRoutes = (
+  change: (command: WindowCommand) => Promise<ApiResponse>,
+): readonly ApiRoute[] => {
+  const add = async (request: ApiRequest): Promise<ApiResponse> => {
+    const { cell: zone, opens, lasts } = readBody(request);
+    const [opensInUs, durationUs] = [readSpan(opens), readSpan(lasts)];
+    if (typeof zone !== "string" || Number.isNaN(opensInUs) || Number.isNaN(durationUs))
+      return wrong("cell must be text, opens and lasts spans such as 90s");
+    return change({ action: "add", zone, opensInUs, durationUs });
+  };
+  const cancel = (request: ApiRequest): Promise<ApiResponse> =>
+    change({ action: "cancel", id: pathArgument(request) });
+  const extend = async (request: ApiRequest): Promise<ApiResponse> => {
+    const byUs = readSpan(readBody(request)["by"]);
+    if (Number.isNaN(byUs)) return wrong("by must be a span such as 90s");
+    return change({ action: "extend", id: pathArgument(request), byUs });
+  };
+  return [
+    { method: "POST", path: "/windows", handle: add },
+    { method: "POST", path: "/windows/*/cancel", handle: cancel },
+    { method: "POST", path: "/windows/*/extend", handle: extend },
+  ];
+};
+
+/** Opens the maintenance windows; their caller starts and stops them. */
+export const openMaintenanceWindows = (
+  options: MaintenanceWindowsOptions,
+): OpenMaintenanceWindows => {
+  const { lease, askHolder } = options;
+  const windows = createWindows(options);
+
+  const add = async (zone: string, opensInUs: number, durationUs: number): Promise<ApiResponse> => {
+    const id = randomUUID().slice(0, 8);
+    const added = await windows.add({ zone, opensInUs, durationUs }, id);
+    return typeof added === "string"
+      ? toFailure(added)
+      : { outcome: "taken", body: { id, warnings: added } };
+  };
+  const changeAsHolder = async (command: WindowCommand): Promise<ApiResponse> => {
+    if (!(await lease.confirm())) return toFailure("noQuorum");
+    if (command.action === "add") return add(command.zone, command.opensInUs, command.durationUs);
+    const error = await (command.action === "cancel"
+      ? windows.cancel(command.id)
+      : windows.extend(command.id, command.byUs));
+    return error === undefined ? { outcome: "taken" } : toFailure(error);
+  };
+  const change = async (command: WindowCommand): Promise<ApiResponse> => {
+    if (lease.isHolder()) return changeAsHolder(command);
+    const reply = await askHolder(packWindowCommand(command), COMMAND_TIMEOUT_US);
+    return readApiResponse(reply) ?? toFailure("noQuorum");
+  };
+
+  return {
+    windows,
+    peerHandlers: {
+      [PEER_REQUEST.changeWindow]: async (message) =>
+        packApiResponse(await changeAsHolder(readWindowCommand(message))),
+    },
+    routes: windowRoutes(change),
+  };
+};
--- a/src/programs/controller/node-queries.ts
+++ b/src/programs/controller/node-queries.ts
@@ -1,3 +1,7 @@
+/**
+ * Questions to every node of the fleet, each asked through the controller that the node has its
+ * session with.
+ */
 import type { Peers } from "../../membership/peers.js";
 import type { NodeAnswer } from "../../membership/cluster.js";
 import { MessageKind, packNodeAnswer, readNodeAnswer } from "../../membership/messages.js";
@@ -6,41 +10,42 @@
 import { MILLISECOND_US } from "../../common/duration.js";
 import type { Message } from "../../transport/connection.js";
 
-const NODE_WAIT_US = 1_500 * MILLISECOND_US;
-const COLLEAGUE_WAIT_US = 2_000 * MILLISECOND_US;
+const NODE_TIMEOUT_US = 1_500 * MILLISECOND_US;
+const PEER_TIMEOUT_US = 2_000 * MILLISECOND_US;
 
-/** Asks every node with a session anywhere, each through the signalbox that it has its session with. */
+/** Asks nodes on an operator's behalf. */
 export class NodeQueries {
   constructor(
     private readonly sessions: NodeSessions,
     private readonly peers: Peers,
   ) {}
 
+  /**
+   * Asks every node with a session anywhere; one that doesn't answer within two seconds has no
+   * answer in the list.
+   */
   readonly askAll = async (question: Message): Promise<readonly NodeAnswer[]> => {
     const { sessions, peers } = this;
     const known = sessions.nodes();
-    const others = peers
-      .known()
-      .map((id) => peers.ask(id, { kind: MessageKind.queryNodes, question }, COLLEAGUE_WAIT_US));
-    const own = await sessions.askAll(question, NODE_WAIT_US);
-    const replies = await Promise.all(others);
-    const heard = new Map(
-      [
-        ...own,
-        ...replies.flatMap((reply) => (reply ? readList(reply, "answers", readNodeAnswer) : [])),
-      ].map((one) => [one.node, one]),
+    const request: Message = { kind: MessageKind.queryNodes, question };
+    const asked = peers.known().map((id) => peers.ask(id, request, PEER_TIMEOUT_US));
+    const own = await sessions.askAll(question, NODE_TIMEOUT_US);
+    const replies = await Promise.all(asked);
+    const others = replies.flatMap((reply) =>
+      reply ? readList(reply, "answers", readNodeAnswer) : [],
     );
+    const byNode = new Map([...own, ...others].map((answer) => [answer.node, answer]));
     return known.map(
-      ({ name, zone }) => heard.get(name) ?? { node: name, zone, answer: undefined },
+      ({ name, zone }) => byNode.get(name) ?? { node: name, zone, answer: undefined },
     );
   };
 
-  /** Asks the nodes with a session here, for a colleague. */
-  readonly answerColleague = async (message: Message): Promise<Message> => {
+  /** Asks the nodes with a session here, for a peer. */
+  readonly answerPeer = async (message: Message): Promise<Message> => {
     const question = asRecord(message["question"], "question");
     const answers = await this.sessions.askAll(
       { ...question, kind: readString(question, "kind") },
-      NODE_WAIT_US,
+      NODE_TIMEOUT_US,
     );
     return { kind: MessageKind.nodeAnswers, answers: answers.map(packNodeAnswer) };
   };
--- /dev/null
+++ b/src/programs/controller/outlier-detection.ts
@@ -0,0 +1,92 @@
+/** The outlier detector of the lease holder, and operators' shifts of traffic away from a zone. */
+import type { LeaderLease } from "../../consensus/leader-lease.js";
+import { WRITE_TIMEOUT_US } from "../../consensus/timeouts.js";
+import { OutlierDetector } from "../../health/outlier-detector.js";
+import { OUTLIER_SETTINGS } from "../../health/outlier-ranking.js";
+import type { WorkerRegistry } from "../../membership/worker-registry.js";
+import type { Clock } from "../../common/clock.js";
+import { loggerFor } from "../../common/logger.js";
+import type { ApiRequest, ApiResponse, ApiRoute } from "../http-api.js";
+import { readBody, wrong } from "./admin-api.js";
+import type { Consensus } from "./consensus.js";
+import type { MessageHandlers } from "./message-dispatcher.js";
+import {
+  isYes,
+  packDecision,
+  packZoneShift,
+  PEER_REQUEST,
+  readZoneShift,
+  type ZoneShift,
+} from "./peer-messages.js";
+import { PUBLISHED_REGISTER, type PublishedState } from "./published-state.js";
+
+/** The reason that stands for a practice; every other one is an operator's shift. */
+const PRACTICE = "practice";
+const BY_HAND = "by hand";
+
+export interface OutlierDetectionOptions {
+  readonly clock: Clock;
+  readonly lease: LeaderLease;
+  readonly askHolder: Consensus["askHolder"];
+  readonly registry: WorkerRegistry;
+  readonly published: PublishedState;
+}
+
+export interface OutlierDetection {
+  readonly detector: OutlierDetector;
+  readonly peerHandlers: MessageHandlers;
+  readonly routes: readonly ApiRoute[];
+}
+
+const createDetector = (options: OutlierDetectionOptions): OutlierDetector => {
+  const { clock, lease, registry, published } = options;
+  return new OutlierDetector({
+    clock,
+    log: loggerFor("outlier-detector"),
+    settings: OUTLIER_SETTINGS,
+    isLeader: lease.isHolder,
+    term: lease.term,
+    workers: () =>
+      registry
+        .all()
+        .filter(({ state }) => state !== "gone")
+        .map(({ id, service, zone, state }) => ({
+          id,
+          service,
+          zone,
+          isMissing: state === "missing",
+        })),
+    decisions: published.ejections,
+    publish: (decisions) => published.publish(PUBLISHED_REGISTER.ejections, decisions),
+  });
+};
+
+/** Opens the outlier detector; its caller starts and stops it. */
+export const openOutlierDetection = (options: OutlierDetectionOptions): OutlierDetection => {
+  const { lease, askHolder } = options;
+  const detector = createDetector(options);
+
+  const shiftAsHolder = async ({ zone, why }: ZoneShift): Promise<boolean> => {
+    if (!(await lease.confirm())) return false;
+    return why === PRACTICE ? detector.startPractice(zone) : detector.shiftManually(zone);
+  };
+  const shift = async (order: ZoneShift): Promise<boolean> =>
+    lease.isHolder()
+      ? shiftAsHolder(order)
+      : isYes(await askHolder(packZoneShift(order), WRITE_TIMEOUT_US));
+  const shiftRoute = async (request: ApiRequest): Promise<ApiResponse> => {
+    const { cell: zone, why } = readBody(request);
+    if (typeof zone !== "string") return wrong("cell must be text");
+    const isShifted = await shift({ zone, why: why === PRACTICE ? why : BY_HAND });
+    return { outcome: isShifted ? "taken" : "noQuorum" };
+  };
+
+  return {
+    detector,
+    peerHandlers: {
+      [PEER_REQUEST.shiftZone]: async (message) =>
+        packDecision(await shiftAsHolder(readZoneShift(message))),
+    },
+    routes: [{ method: "POST", path: "/cells/shift", handle: shiftRoute }],
+  };
+};
--- /dev/null
+++ b/src/programs/controller/purge-route.ts
@@ -0,0 +1,52 @@
+/** The route by which operators purge cached objects. */
+import { err, ok, type Result } from "true-myth/result";
+import { isRecord, parseJson, type UnknownRecord } from "../../common/decode.js";
+import type { ApiRequest, ApiResponse, ApiRoute } from "../http-api.js";
+import { wrong } from "./admin-api.js";
+
+/** What a purge names: a host and a path, or a label. What isn't named is empty. */
+export interface PurgeTarget {
+  readonly host: string;
+  readonly path: string;
+  readonly label: string;
+}
+
+const readRecord = (body: string): Result<UnknownRecord, string> => {
+  try {
+    const value = parseJson(body);
+    return isRecord(value) ? ok(value) : err("the purge is no JSON table");
+  } catch {
+    return err("the purge is no whole JSON table");
+  }
+};
+
+const readTarget = ({ host, path, label }: UnknownRecord): Result<PurgeTarget, string> => {
+  if (label !== undefined && host === undefined && path === undefined)
+    return typeof label === "string" && label !== ""
+      ? ok({ host: "", path: "", label })
+      : err("label must be a text that is not empty");
+  if (label !== undefined) return err("a purge names a host and a path, or a label, not both");
+  if (typeof host !== "string" || host === "") return err("host must be a text that is not empty");
+  if (typeof path !== "string" || !path.startsWith("/")) return err("path must begin with a slash");
+  return ok({ host: host.toLowerCase(), path, label: "" });
+};
+
+/**
+ * The purge route.
+ *
+ * @param purge - makes a purge durable and sends it out; undefined where no objects are cached
+ * @param confirmQuorum - resolves to true once a majority answered after the call
+ */
+export const purgeRoutes = (
+  purge: ((target: PurgeTarget) => Promise<boolean>) | undefined,
+  confirmQuorum: () => Promise<boolean>,
+): readonly ApiRoute[] => {
+  const handle = async (request: ApiRequest): Promise<ApiResponse> => {
+    const target = readRecord(request.body).andThen(readTarget);
+    if (target.isErr) return wrong(target.error);
+    if (!purge) return { outcome: "unknownCall" };
+    const [isHeld, isConfirmed] = await Promise.all([purge(target.value), confirmQuorum()]);
+    return { outcome: isHeld && isConfirmed ? "taken" : "noQuorum" };
+  };
+  return [{ method: "POST", path: "/purge", handle }];
+};
--- /dev/null
+++ b/src/programs/controller/reassignment-summary.ts
@@ -0,0 +1,141 @@
+/**
+ * Sums up what nodes answer when they are asked which requests a change of backends would move.
+ * Field names are those of the nodes' answers and of the admin API.
+ */
+import type { NodeAnswer } from "../../membership/cluster.js";
+import type { WorkerRegistry } from "../../membership/worker-registry.js";
+import { bandOf, joinBandOf, unevennessOf } from "../../proxy/reassignment-forecast.js";
+import {
+  asNumber,
+  asRecord,
+  readList,
+  readNumber,
+  readString,
+  type UnknownRecord,
+} from "../../common/decode.js";
+import { SECOND_US } from "../../common/duration.js";
+
+/** A worker whose slots would be in use beyond this part is named. */
+const LOADED_PART = 0.8;
+
+/** The load of one worker, summed over nodes. */
+interface LoadSum {
+  readonly perSNow: number;
+  readonly perSThen: number;
+  /** Slots that would be in use. */
+  readonly busySlots: number;
+}
+
+const NO_LOAD: LoadSum = { perSNow: 0, perSThen: 0, busySlots: 0 };
+
+const sumOf = (rows: readonly UnknownRecord[], field: string): number =>
+  rows.reduce((sum, row) => sum + readNumber(row, field), 0);
+
+/** The mean of a field, each row weighted by its requests. */
+const weightedMean = (rows: readonly UnknownRecord[], field: string): number =>
+  rows.reduce((sum, row) => sum + readNumber(row, field) * readNumber(row, "calls"), 0) /
+  Math.max(1, sumOf(rows, "calls"));
+
+/** The mean of each of the simulated draws over the nodes, each node weighted by its requests. */
+const meanDraws = (rows: readonly UnknownRecord[], requests: number): readonly number[] => {
+  const draws = rows.map((row) => readList(row, "draws", asNumber));
+  return (draws[0] ?? []).map(
+    (_share, at) =>
+      rows.reduce(
+        (sum, row, which) => sum + (draws[which]?.[at] ?? 0) * readNumber(row, "calls"),
+        0,
+      ) / Math.max(1, requests),
+  );
+};
+
+const sharesByZone = (
+  rows: readonly UnknownRecord[],
+  requests: number,
+): Readonly<Record<string, number>> => {
+  const shares: Record<string, number> = {};
+  rows.forEach((row) =>
+    Object.entries(asRecord(row["toCells"])).forEach(([zone, share]) => {
+      const weighted = (asNumber(share) * readNumber(row, "calls")) / Math.max(1, requests);
+      shares[zone] = (shares[zone] ?? 0) + weighted;
+    }),
+  );
+  return shares;
+};
+
+/**
+ * Sums up the nodes' rows of one kind. All nodes see the same quick and slow workers, so their
+ * bands don't even out.
+ */
+export const fleetRow = (rows: readonly UnknownRecord[], unevenness: number): UnknownRecord => {
+  const calls = sumOf(rows, "calls");
+  const first = rows[0] ?? {};
+  const draws = meanDraws(rows, calls);
+  const moved = weightedMean(rows, "moved");
+  const band = draws.length > 1 ? joinBandOf(moved, calls, unevenness) : bandOf(moved, calls);
+  const toCells = sharesByZone(rows, calls);
+  return {
+    service: first["service"],
+    kind: first["kind"],
+    ...(first["route"] === "" ? {} : { route: first["route"] }),
+    calls,
+    perS: sumOf(rows, "perS"),
+    moved,
+    low: Math.max(0, Math.min(...draws) - band),
+    high: Math.min(1, Math.max(...draws) + band),
+    leave: weightedMean(rows, "leave"),
+    join: weightedMean(rows, "join"),
+    toCells,
+    newConnections: sumOf(rows, "newConnections"),
+  };
+};
+
+/** Calls `visit` with each row of a list in the nodes' answers. */
+const forEachRow = (
+  answers: readonly NodeAnswer[],
+  field: string,
+  visit: (row: UnknownRecord) => void,
+): void =>
+  answers.forEach(({ answer }) => readList(answer ?? {}, field, (value) => visit(asRecord(value))));
+
+/** How unevenly the requests of now are spread over these workers, by the nodes' answers. */
+export const unevennessAmong = (
+  workers: readonly string[],
+  answers: readonly NodeAnswer[],
+): number => {
+  const sums = new Map(workers.map((id) => [id, 0]));
+  forEachRow(answers, "loads", (row) => {
+    const [id, perS] = [readString(row, "worker"), readNumber(row, "perSNow")];
+    const sum = sums.get(id);
+    if (sum !== undefined) sums.set(id, sum + perS);
+  });
+  return unevennessOf([...sums.values()]);
+};
+
+const sumLoads = (answers: readonly NodeAnswer[]): ReadonlyMap<string, LoadSum> => {
+  const sums = new Map<string, LoadSum>();
+  forEachRow(answers, "loads", (row) => {
+    const worker = readString(row, "worker");
+    const sum = sums.get(worker) ?? NO_LOAD;
+    const [perSNow, perSThen] = [readNumber(row, "perSNow"), readNumber(row, "perSThen")];
+    sums.set(worker, {
+      perSNow: sum.perSNow + perSNow,
+      perSThen: sum.perSThen + perSThen,
+      busySlots: sum.busySlots + perSThen * (readNumber(row, "tookUs") / SECOND_US),
+    });
+  });
+  return sums;
+};
+
+/** The workers whose load would rise to most of their capacity or beyond. */
+export const loadedWorkers = (
+  answers: readonly NodeAnswer[],
+  registry: WorkerRegistry,
+): readonly UnknownRecord[] =>
+  [...sumLoads(answers)].flatMap(([worker, { perSNow, perSThen, busySlots }]) => {
+    const heartbeat = registry.get(worker);
+    if (!heartbeat || perSThen <= perSNow) return [];
+    const usedPart = busySlots / heartbeat.capacity;
+    if (!(usedPart >= LOADED_PART)) return [];
+    const { service, zone } = heartbeat;
+    return [{ worker, service, cell: zone, perSNow, perSThen, usedPart }];
+  });
--- a/src/programs/controller/retry-quota.ts
+++ b/src/programs/controller/retry-quota.ts
@@ -1,9 +1,13 @@
+/**
+ * The fleet's limits on retries: kept in a register, leased to the nodes by the holder of the
+ * leader lease, and set and shown by operators.
+ */
+import { serviceKey } from "../../config/validation.js";
 import type { LeaderLease } from "../../consensus/leader-lease.js";
+import type { ReplicatedStore } from "../../consensus/replicated-store.js";
 import { WRITE_TIMEOUT_US } from "../../consensus/timeouts.js";
-import { RetryAllocator } from "../../quota/retry-allocator.js";
-import type { Peers } from "../../membership/peers.js";
 import type { NodeAnswer } from "../../membership/cluster.js";
-import type { Clock } from "../../common/clock.js";
+import { RetryAllocator } from "../../quota/retry-allocator.js";
 import {
   defaultLimits,
   EVERY_SERVICE,
@@ -14,158 +18,193 @@
   withLimit,
   type RetryLimits,
 } from "../../quota/retry-limits.js";
-import type { Settings } from "../../common/settings.js";
+import type { Clock } from "../../common/clock.js";
 import {
   asRecord,
   readList,
-  readString,
   readNumber,
+  readString,
   type UnknownRecord,
 } from "../../common/decode.js";
+import type { Settings } from "../../common/settings.js";
 import type { Message } from "../../transport/connection.js";
-import { readApiResponse, type ApiResponse } from "../http-api.js";
 import { ceilingOf } from "../gateway/retry-budgets.js";
+import { readApiResponse, type ApiRequest, type ApiResponse, type ApiRoute } from "../http-api.js";
+import { readBody, wrong } from "./admin-api.js";
+import type { Consensus } from "./consensus.js";
+import type { MessageHandlers } from "./message-dispatcher.js";
+import { NODE_QUERY, NODE_REPLY, NODE_REQUEST } from "./node-messages.js";
+import type { NodeQueries } from "./node-queries.js";
+import { packApiResponse, PEER_REPLY, PEER_REQUEST } from "./peer-messages.js";
+import { PUBLISHED_REGISTER, type PublishedState } from "./published-state.js";
 
-export interface RetriesOptions {
+export interface RetryQuotaOptions {
   readonly settings: Settings;
   readonly clock: Clock;
+  readonly store: ReplicatedStore;
   readonly lease: LeaderLease;
-  readonly peers: Peers;
-  /** The limits as published, or undefined where none were ever written. */
-  readonly published: () => unknown;
-  readonly publish: (limits: RetryLimits) => Promise<boolean>;
-  readonly isService: (name: string) => boolean;
-  readonly askNodes: (question: Message) => Promise<readonly NodeAnswer[]>;
+  readonly askHolder: Consensus["askHolder"];
+  readonly published: PublishedState;
+  readonly queries: NodeQueries;
 }
 
-export interface Retries {
-  readonly look: () => void;
-  /** Answers a node's asking for leases, here or at the duty's holder. */
-  readonly answerNode: (message: Message) => Promise<Message>;
-  readonly answerColleague: (message: Message) => Promise<Message>;
-  readonly set: (order: UnknownRecord) => Promise<ApiResponse>;
-  readonly show: () => Promise<readonly UnknownRecord[]>;
+/** The retries of one service and kind, summed over nodes. */
+interface RetrySum {
+  readonly requests: number;
+  readonly retries: number;
+  readonly refused: number;
+  readonly leased: number;
 }
 
-/** The fleet's written limit on retries: kept in a register, leased out by the duty's holder, told to operators. */
-export const openRetries = ({
-  settings,
-  clock,
-  lease,
-  peers,
-  published,
-  publish,
-  isService,
-  askNodes,
-}: RetriesOptions): Retries => {
-  const ceiling = ceilingOf(settings);
-  const limits = (): RetryLimits => {
-    const written = published();
-    return written === undefined ? defaultLimits(ceiling) : readRetryLimits(written);
+const NO_RETRIES: RetrySum = { requests: 0, retries: 0, refused: 0, leased: 0 };
+
+/** Sums by service and kind, the two joined by a line feed. */
+const sumRetries = (answers: readonly NodeAnswer[]): ReadonlyMap<string, RetrySum> => {
+  const sums = new Map<string, RetrySum>();
+  answers.forEach(({ answer }) =>
+    readList(answer ?? {}, "rows", (value) => {
+      const row = asRecord(value);
+      const key = `${readString(row, "service")}\n${readString(row, "kind")}`;
+      const sum = sums.get(key) ?? NO_RETRIES;
+      sums.set(key, {
+        requests: sum.requests + readNumber(row, "requests"),
+        retries: sum.retries + readNumber(row, "retries"),
+        refused: sum.refused + readNumber(row, "refused"),
+        leased: sum.leased + readNumber(row, "leased"),
+      });
+    }),
+  );
+  return sums;
+};
+
+const retryRow = (
+  key: string,
+  sum: RetrySum,
+  limits: RetryLimits,
+  unheard: number,
+): UnknownRecord => {
+  const [service = "", kind = ""] = key.split("\n");
+  const { ratio, slack } = findLimit(limits, service, toRouteKind(kind));
+  const limit = Math.floor(ratio * sum.requests + slack);
+  return {
+    service,
+    kind,
+    ratio,
+    slack,
+    requests: sum.requests,
+    limit,
+    spent: sum.retries,
+    refused: sum.refused,
+    left: Math.max(0, limit - sum.retries),
+    leased: sum.leased,
+    unheard,
   };
-  const allocator = new RetryAllocator({
-    clock,
-    windowUs: ceiling.windowUs,
-    isLeader: () => lease.isHolder() && lease.seesMajority(),
-    limits,
-  });
+};
 
-  /** Only by a holder that a majority has just heard of: one that was cut off or frozen may have a successor. */
-  const answer = async (message: Message): Promise<Message> =>
-    (await lease.confirm()) ? allocator.handleRequest(message) : { kind: "retries" };
-  const setHere = async (order: UnknownRecord): Promise<ApiResponse> => {
-    if (!(await lease.confirm())) return { outcome: "noQuorum" };
-    const service = readString(order, "service");
-    if (service !== EVERY_SERVICE && !isService(service))
-      return { outcome: "wrong", body: { problem: `there is no service ${service}` } };
-    const changed = withLimit(limits(), ceiling, service, readString(order, "kind"), {
-      ratio: order["ratio"],
-      slack: order["slack"],
+/** The limits alone, where no node has told of any request. */
+const limitRows = (limits: RetryLimits, unheard: number): readonly UnknownRecord[] =>
+  Object.entries(limits).flatMap(([service, kinds]) =>
+    ROUTE_KINDS.map((kind) => ({
+      service: service === EVERY_SERVICE ? "every" : service,
+      kind,
+      ...kinds[kind],
+      unheard,
+    })),
+  );
+
+/** Sets and shows the limits, and leases the retries of a node that asks. */
+export class RetryQuota {
+  readonly nodeHandlers: MessageHandlers;
+  readonly peerHandlers: MessageHandlers;
+  readonly routes: readonly ApiRoute[];
+  private readonly allocator: RetryAllocator;
+
+  constructor(private readonly options: RetryQuotaOptions) {
+    const { settings, clock, lease } = options;
+    this.allocator = new RetryAllocator({
+      clock,
+      windowUs: ceilingOf(settings).windowUs,
+      isLeader: () => lease.isHolder() && lease.seesMajority(),
+      limits: this.limits,
     });
-    if (changed.isErr) return { outcome: "wrong", body: { problem: changed.error } };
-    return { outcome: (await publish(changed.value)) ? "taken" : "noQuorum" };
+    this.nodeHandlers = { [NODE_REQUEST.leaseRetries]: this.leaseToNode };
+    this.peerHandlers = {
+      [PEER_REQUEST.leaseRetries]: this.leaseAsHolder,
+      [PEER_REQUEST.setRetryLimit]: async (message) =>
+        packApiResponse(await this.setAsHolder(asRecord(message["order"], "order"))),
+    };
+    this.routes = [{ method: "POST", path: "/retries", handle: this.set }];
+  }
+
+  /**
+   * Called every second: a new holder's wait begins when it takes the lease, not when it is first
+   * asked.
+   */
+  readonly check = (): void => this.allocator.refresh();
+
+  /** What is spent and left, by service and kind, over all nodes that answer. */
+  readonly show = async (): Promise<readonly UnknownRecord[]> => {
+    const answers = await this.options.queries.askAll({ kind: NODE_QUERY.retries });
+    const sums = sumRetries(answers);
+    const limits = this.limits();
+    const unheard = answers.filter(({ answer }) => answer === undefined).length;
+    if (sums.size === 0) return limitRows(limits, unheard);
+    return [...sums]
+      .sort(([a], [b]) => (a < b ? -1 : 1))
+      .map(([key, sum]) => retryRow(key, sum, limits, unheard));
+  };
+
+  private readonly limits = (): RetryLimits => {
+    const written = this.options.published.retryLimits();
+    return written === undefined
+      ? defaultLimits(ceilingOf(this.options.settings))
+      : readRetryLimits(written);
+  };
+
+  private readonly leaseToNode = async (message: Message): Promise<Message> => {
+    const { lease, askHolder } = this.options;
+    if (lease.isHolder()) return this.leaseAsHolder(message);
+    return (await askHolder(message, WRITE_TIMEOUT_US)) ?? { kind: NODE_REPLY.retryLeases };
   };
-  const set = async (order: UnknownRecord): Promise<ApiResponse> => {
-    if (
-      typeof order["service"] !== "string" ||
-      order["service"] === "" ||
-      typeof order["kind"] !== "string"
-    )
-      return { outcome: "wrong", body: { problem: "service and kind must be texts" } };
-    if (lease.isHolder()) return setHere(order);
-    const reply = await peers.ask(
-      lease.holder(),
-      { ...order, kind: "retry-set", order },
+
+  /**
+   * Only by a holder that a majority has just heard of: one that was cut off or frozen may have a
+   * successor.
+   */
+  private readonly leaseAsHolder = async (message: Message): Promise<Message> =>
+    (await this.options.lease.confirm())
+      ? this.allocator.handleRequest(message)
+      : { kind: PEER_REPLY.retryLeases };
+
+  private readonly set = async (request: ApiRequest): Promise<ApiResponse> => {
+    const { lease, askHolder } = this.options;
+    const order = readBody(request);
+    const { service, kind } = order;
+    if (typeof service !== "string" || service === "" || typeof kind !== "string")
+      return wrong("service and kind must be texts");
+    if (lease.isHolder()) return this.setAsHolder(order);
+    const reply = await askHolder(
+      { ...order, kind: PEER_REQUEST.setRetryLimit, order },
       2 * WRITE_TIMEOUT_US,
     );
     return readApiResponse(reply) ?? { outcome: "noQuorum" };
   };
 
-  /** What is spent and left, by service and kind over all nodes that answer. */
-  const show = async (): Promise<readonly UnknownRecord[]> => {
-    const answers = await askNodes({ kind: "retries" });
-    const sums = new Map<
-      string,
-      { requests: number; retries: number; refused: number; leased: number }
-    >();
-    answers.forEach(({ answer }) =>
-      readList(answer ?? {}, "rows", (value) => {
-        const row = asRecord(value);
-        const key = `${readString(row, "service")}\n${readString(row, "kind")}`;
-        const sum = sums.get(key) ?? { requests: 0, retries: 0, refused: 0, leased: 0 };
-        sums.set(key, {
-          requests: sum.requests + readNumber(row, "requests"),
-          retries: sum.retries + readNumber(row, "retries"),
-          refused: sum.refused + readNumber(row, "refused"),
-          leased: sum.leased + readNumber(row, "leased"),
-        });
-      }),
-    );
-    const now = limits();
-    const unheard = answers.filter(({ answer }) => answer === undefined).length;
-    const rows = [...sums]
-      .sort(([a], [b]) => (a < b ? -1 : 1))
-      .map(([key, sum]) => {
-        const [service = "", kind = ""] = key.split("\n");
-        const { ratio, slack } = findLimit(now, service, toRouteKind(kind));
-        const most = Math.floor(ratio * sum.requests + slack);
-        return {
-          service,
-          kind,
-          ratio,
-          slack,
-          requests: sum.requests,
-          limit: most,
-          spent: sum.retries,
-          refused: sum.refused,
-          left: Math.max(0, most - sum.retries),
-          leased: sum.leased,
-          unheard,
-        };
-      });
-    if (rows.length > 0) return rows;
-    return Object.entries(now).flatMap(([service, kinds]) =>
-      ROUTE_KINDS.map((kind) => ({
-        service: service === EVERY_SERVICE ? "every" : service,
-        kind,
-        ...kinds[kind],
-        unheard,
-      })),
+  private readonly setAsHolder = async (order: UnknownRecord): Promise<ApiResponse> => {
+    const { settings, store, lease, published } = this.options;
+    if (!(await lease.confirm())) return { outcome: "noQuorum" };
+    const service = readString(order, "service");
+    const isService = store.get(serviceKey(service))?.dropped === false;
+    if (service !== EVERY_SERVICE && !isService) return wrong(`there is no service ${service}`);
+    const changed = withLimit(
+      this.limits(),
+      ceilingOf(settings),
+      service,
+      readString(order, "kind"),
+      { ratio: order["ratio"], slack: order["slack"] },
     );
+    if (changed.isErr) return wrong(changed.error);
+    const isPublished = await published.publish(PUBLISHED_REGISTER.retryLimits, changed.value);
+    return { outcome: isPublished ? "taken" : "noQuorum" };
   };
-
-  return {
-    look: allocator.refresh,
-    answerNode: async (message) =>
-      lease.isHolder()
-        ? answer(message)
-        : ((await peers.ask(lease.holder(), message, WRITE_TIMEOUT_US)) ?? { kind: "retries" }),
-    answerColleague: async (message) => {
-      if (message.kind === "retry-ask") return answer(message);
-      const result = await setHere(asRecord(message["order"], "order"));
-      return { kind: "done", outcome: result.outcome, body: result.body ?? {} };
-    },
-    set,
-    show,
-  };
-};
+}
--- a/src/programs/http-api.ts
+++ b/src/programs/http-api.ts
@@ -1,11 +1,16 @@
-/** The HTTP server of a program's own API: a table of routes, and one way to answer each outcome. */
+/**
+ * The HTTP server of a program's own API: a table of routes, and one way to answer each outcome.
+ */
 import express, { type Request, type Response } from "express";
 import { createServer, type Server } from "node:http";
 import { OUTCOME_NAMES, HTTP_OUTCOMES, type OutcomeName } from "../common/http-outcomes.js";
 import { splitAddress } from "../common/settings.js";
 import { asRecord, type UnknownRecord } from "../common/decode.js";
 
-/** How a call ended; the outcome gives the status, and the text of the answer where there is no body. */
+/**
+ * How a call ended; the outcome gives the status, and the text of the answer where there is no
+ * body.
+ */
 export interface ApiResponse {
   readonly outcome: OutcomeName;
   readonly body?: UnknownRecord;
@@ -54,7 +59,10 @@
   }
 };
 
-/** Calls the first route that matches the method and the path; answers `unknownCall` where none does. */
+/**
+ * Calls the first route that matches the method and the path; answers `unknownCall` where none
+ * does.
+ */
 const dispatch = async (
   routes: readonly ApiRoute[],
   method: string,
--- a/src/programs/purge-subscriber.ts
+++ b/src/programs/purge-subscriber.ts
@@ -1,4 +1,7 @@
-/** Keeps cached objects in step with the purges that updates bring, in the gateway and in the cache program. */
+/**
+ * Keeps cached objects in step with the purges that updates bring, in the gateway and in the cache
+ * program.
+ */
 import type { CachedObjects } from "../cache/cached-objects.js";
 import type { Freshness } from "../cache/freshness.js";
 import { PURGE_PREFIX, type Update, type UpdateStore } from "../membership/update-store.js";
@@ -14,11 +17,16 @@
   readonly subscriber: UpdateSubscriber;
   readonly freshness: Freshness;
   readonly copies: CachedObjects;
-  /** Called once for each batch of updates that purged something: ends what is being fetched of it. */
+  /**
+   * Called once for each batch of updates that purged something: ends what is being fetched of it.
+   */
   readonly detach: () => void;
 }
 
-/** Beyond this age of the updates a purge might have come and been forgotten again, so no cached object is trusted. */
+/**
+ * Beyond this age of the updates a purge might have come and been forgotten again, so no cached
+ * object is trusted.
+ */
 const MAX_UPDATE_AGE_US = 20 * SECOND_US;
 
 const isPurge = ({ key }: Update): boolean => key.startsWith(PURGE_PREFIX);
@@ -26,7 +34,8 @@
 /**
  * Removes what a purge names as soon as an update brings it.
  *
- * @returns the timer that drops every cached object once the updates are too old; the caller stops it
+ * @returns the timer that drops every cached object once the updates are too old; the caller stops
+ *   it
  */
 export const subscribeToPurges = ({
   clock,
