--- a/features/compatibility.feature
+++ b/features/compatibility.feature
@@ -37,3 +37,8 @@
       | canary analysis     |
       | capacity forecast   |
       | maintenance windows |
+
+  Scenario: What controllers forward to each other for operators keeps its form
+    Then each forwarded order of before is read and packed again as the frame that it was
+    And each answer to a forwarded order of before is read and packed again as the frame that it was
+    And each kind of message that was forwarded before still has its name
