--- a/src/common/batcher.ts
+++ b/src/common/batcher.ts
@@ -1,36 +1,42 @@
-interface Waiting<T, R> {
+/** Batching: one run of some work serves all calls that came while the run before it went on. */
+
+interface Call<T, R> {
   readonly item: T;
-  readonly take: (result: R) => void;
+  readonly resolve: (result: R) => void;
 }
 
 /**
- * Does the work of all that came meanwhile at once, one round after the other.
- * Invariant: an item's result is that of a round that began after the item came.
+ * Runs the work of all calls that came meanwhile at once, one run after the other.
+ *
+ * Invariant: a call's result is that of a run that began after the call.
  */
 export class Batcher<T, R> {
-  private waiting: Waiting<T, R>[] = [];
-  private running = false;
+  private pending: Call<T, R>[] = [];
+  private isRunning = false;
 
+  /** @param work - gives one result for all items of a run; it must not reject */
   constructor(private readonly work: (items: readonly T[]) => Promise<R>) {}
 
+  /** Whether nothing runs and nothing is pending. */
   get isIdle(): boolean {
-    return !this.running && this.waiting.length === 0;
+    return !this.isRunning && this.pending.length === 0;
   }
 
+  /** Adds an item; resolves to the result of the run that takes it. */
   readonly add = (item: T): Promise<R> =>
     new Promise((resolve) => {
-      this.waiting.push({ item, take: resolve });
-      if (!this.running) void this.run();
+      this.pending.push({ item, resolve });
+      if (!this.isRunning) void this.run();
     });
 
   private readonly run = async (): Promise<void> => {
-    this.running = true;
-    while (this.waiting.length > 0) {
-      const served = this.waiting;
-      this.waiting = [];
-      const result = await this.work(served.map(({ item }) => item));
-      served.forEach(({ take }) => take(result));
+    this.isRunning = true;
+    while (this.pending.length > 0) {
+      const calls = this.pending;
+      this.pending = [];
+      const result = await this.work(calls.map(({ item }) => item));
+      calls.forEach(({ resolve }) => resolve(result));
     }
-    this.running = false;
+    this.isRunning = false;
   };
 }
--- a/src/consensus/acceptor.ts
+++ b/src/consensus/acceptor.ts
@@ -35,6 +35,7 @@
 
 const withoutRegister = (entry: Entry): EntryReport => ({ ...entry, register: "unchanged" });
 
+/** What a `Acceptor` is made of. */
 export interface AcceptorOptions {
   readonly self: string;
   readonly local: LocalReplica;
--- a/src/consensus/catch-up.ts
+++ b/src/consensus/catch-up.ts
@@ -22,6 +22,7 @@
 
 const MAX_ROUNDS = 3;
 
+/** What a `CatchUp` is made of. */
 export interface CatchUpOptions {
   readonly self: string;
   readonly local: LocalReplica;
--- a/src/consensus/commit-detection.ts
+++ b/src/consensus/commit-detection.ts
@@ -7,6 +7,7 @@
 import type { ReplicaView } from "./replica-view.js";
 import { quorumSize } from "./voter-set.js";
 
+/** What was read, and whose quorums decide. */
 export interface CommitDetectionInput {
   readonly self: string;
   readonly keys: Iterable<string>;
@@ -18,6 +19,7 @@
   readonly withstandMachines: number;
 }
 
+/** What the views show. */
 export interface CommitDetection {
   readonly committed: readonly Entry[];
   /** Keys whose newest proposal may or may not be committed. */
--- a/src/consensus/local-replica.ts
+++ b/src/consensus/local-replica.ts
@@ -26,6 +26,7 @@
   readonly behind: undefined;
 }
 
+/** What a `LocalReplica` is made of. */
 export interface LocalReplicaOptions {
   readonly self: string;
   readonly writeAheadLog: WriteAheadLog;
--- a/src/consensus/messages.ts
+++ b/src/consensus/messages.ts
@@ -123,6 +123,7 @@
 
 // --- requests -------------------------------------------------------------------------------------------------------
 
+/** The form of a prepare request. */
 export const encodePrepareRequest = (request: PrepareRequest): Message => ({
   kind: PREPARE,
   [BALLOT]: encodeBallot(request.ballot),
@@ -132,6 +133,7 @@
   ...(request.term ? { [TERM]: encodeTerm(request.term) } : {}),
 });
 
+/** The form of an accept request. */
 export const encodeAcceptRequest = (request: AcceptRequest): Message => ({
   kind: ACCEPT,
   [BALLOT]: encodeBallot(request.ballot),
@@ -141,6 +143,7 @@
   ...(request.term ? { [TERM]: encodeTerm(request.term) } : {}),
 });
 
+/** The form of a read request. */
 export const encodeReadRequest = (request: ReadRequest): Message => ({
   kind: READ,
   [VOTER_SET]: encodeVoterSet(request.voterSet),
@@ -150,11 +153,13 @@
   ...(request.floor ? { [FLOOR]: encodeBallot(request.floor) } : {}),
 });
 
+/** The form of a contact request. */
 export const encodeContactRequest = (voterSet: VoterSet): Message => ({
   kind: CONTACT,
   [VOTER_SET]: encodeVoterSet(voterSet),
 });
 
+/** The form of a prepare request for a voter set. */
 export const encodeVoterSetPrepareRequest = (request: VoterSetPrepareRequest): Message => ({
   kind: VOTER_SET_PREPARE,
   number: request.number,
@@ -162,6 +167,7 @@
   [VOTER_SET]: encodeVoterSet(request.voterSet),
 });
 
+/** The form of an accept request for a voter set. */
 export const encodeVoterSetAcceptRequest = (request: VoterSetAcceptRequest): Message => ({
   kind: VOTER_SET_ACCEPT,
   number: request.number,
@@ -255,6 +261,7 @@
   };
 };
 
+/** The form of a promise. */
 export const encodePrepareResponse = ({ incarnation, entries }: PrepareResponse): Message => ({
   kind: PREPARED,
   [INCARNATION]: incarnation,
@@ -264,15 +271,19 @@
 /** Whether the ballot was promised, for registers or for a voter set. */
 export const isPrepareResponse = (message: Message): boolean => message.kind === PREPARED;
 
+/** @throws DecodeError where a field is missing or of another type */
 export const decodePrepareResponse = (message: Message): PrepareResponse => ({
   incarnation: readString(message, INCARNATION),
   entries: readList(message, "entries", decodeEntryReport),
 });
 
+/** The form of a vote. */
 export const encodeAcceptResponse = (): Message => ({ kind: ACCEPTED });
 
+/** Whether what was proposed is accepted, for registers or for a voter set. */
 export const isAcceptResponse = (message: Message): boolean => message.kind === ACCEPTED;
 
+/** The form of one chunk of contents. */
 export const encodeReadResponse = (response: ReadResponse): Message => ({
   kind: CONTENTS,
   [IS_VOTING]: response.isVoting,
@@ -282,8 +293,10 @@
   ...(response.proposal ? { [PROPOSAL]: encodeProposal(response.proposal) } : {}),
 });
 
+/** Whether it is a chunk of contents. */
 export const isReadResponse = (message: Message): boolean => message.kind === CONTENTS;
 
+/** @throws DecodeError where a field is missing or of another type */
 export const decodeReadResponse = (message: Message): ReadResponse => ({
   isVoting: readFlag(message, IS_VOTING),
   equalBuckets: readList(message, EQUAL_BUCKETS, asNumber),
@@ -292,6 +305,7 @@
   proposal: message[PROPOSAL] === undefined ? undefined : decodeProposal(message[PROPOSAL]),
 });
 
+/** The form of a sign of life, with the newest grant of the leader lease. */
 export const encodeContactResponse = (
   isVoting: boolean,
   voterSet: VoterSet,
@@ -303,23 +317,27 @@
   ...(grant ? { [GRANT]: encodeRegister(grant) } : {}),
 });
 
+/** @throws DecodeError where a field is of another type */
 export const decodeContactResponse = (message: Message): ContactResponse => ({
   isVoting: readFlag(message, IS_VOTING),
   voterSet: decodeOptionalVoterSet(message),
   grantedTerm: isRecord(message[GRANT]) ? readNumber(message[GRANT], "version") : undefined,
 });
 
+/** The form of a promise for a voter set. */
 export const encodeVoterSetPrepareResponse = (response: VoterSetPrepareResponse): Message => ({
   kind: PREPARED,
   [INCARNATION]: response.incarnation,
   [PROPOSAL]: encodeProposal(response.proposal),
 });
 
+/** @throws DecodeError where a field is missing or of another type */
 export const decodeVoterSetPrepareResponse = (message: Message): VoterSetPrepareResponse => ({
   incarnation: readString(message, INCARNATION),
   proposal: decodeProposal(message[PROPOSAL]),
 });
 
+/** The form of a rejection. */
 export const encodeRejection = (
   reason: RejectionReason,
   highestBallotNumber?: number,
@@ -331,8 +349,10 @@
   ...(voterSet ? { [VOTER_SET]: encodeVoterSet(voterSet) } : {}),
 });
 
+/** Whether it is a rejection. */
 export const isRejection = (message: Message): boolean => message.kind === REJECTED;
 
+/** Reads a rejection; of any other message, what it has of one. */
 export const decodeRejection = (message: Message): Rejection => {
   const highest = message[HIGHEST_BALLOT_NUMBER];
   return {
@@ -344,6 +364,7 @@
 
 // --- notices and what other protocols add ---------------------------------------------------------------------------
 
+/** The form of the notice that a quorum has accepted something. */
 export const encodeCommittedNotice = (
   voterSet: VoterSet,
   marks: readonly CommitMark[],
@@ -353,6 +374,7 @@
   items: marks.map(([key, ballot]) => [key, encodeBallot(ballot)]),
 });
 
+/** @throws DecodeError where a field is missing or of another type */
 export const decodeCommittedNotice = (message: Message): CommittedNotice => ({
   voterSet: decodeOptionalVoterSet(message),
   marks: readList(message, "items", asList).map(([key, ballot]): CommitMark => [
--- a/src/consensus/proposer.ts
+++ b/src/consensus/proposer.ts
@@ -57,6 +57,7 @@
   return report === undefined || report.register === "unchanged" ? undefined : report.register;
 };
 
+/** What a `Proposer` is made of. */
 export interface ProposerOptions {
   readonly local: LocalReplica;
   readonly calls: QuorumCalls;
--- a/src/consensus/quorum-calls.ts
+++ b/src/consensus/quorum-calls.ts
@@ -28,6 +28,7 @@
   readonly graceUs?: number;
 }
 
+/** What a `QuorumCalls` is made of. */
 export interface QuorumCallsOptions {
   readonly self: string;
   readonly transport: PeerTransport;
--- a/src/consensus/quorum-check.ts
+++ b/src/consensus/quorum-check.ts
@@ -16,6 +16,7 @@
 /** One round of requests serves all calls that came within so long. */
 const BATCH_WINDOW_US = 40 * MILLISECOND_US;
 
+/** What a `QuorumCheck` is made of. */
 export interface QuorumCheckOptions {
   readonly local: LocalReplica;
   readonly calls: QuorumCalls;
--- a/src/consensus/quorum-reader.ts
+++ b/src/consensus/quorum-reader.ts
@@ -16,6 +16,7 @@
 /** Before what is undecided is repaired, it is looked at again after this time, or up to twice of it. */
 const SECOND_LOOK_US = 30 * MILLISECOND_US;
 
+/** What a `QuorumReader` is made of. */
 export interface QuorumReaderOptions {
   readonly self: string;
   readonly local: LocalReplica;
--- a/src/consensus/reconfiguration.ts
+++ b/src/consensus/reconfiguration.ts
@@ -22,6 +22,7 @@
 /** Given the present members, tells the wanted ones. */
 export type MemberChange = (members: readonly string[]) => readonly string[];
 
+/** What a `Reconfiguration` is made of. */
 export interface ReconfigurationOptions {
   readonly self: string;
   readonly local: LocalReplica;
@@ -64,7 +65,7 @@
         from: base.members,
         members: wanted,
       });
-      if (!joint || joint.members.join() !== wanted.join()) return err(new StaleVoterSetError());
+      if (joint?.members.join() !== wanted.join()) return err(new StaleVoterSetError());
       return await this.completeJoint(copyOtherState);
     } finally {
       this.isRunning = false;
--- a/src/consensus/record-codec.ts
+++ b/src/consensus/record-codec.ts
@@ -56,11 +56,13 @@
 const BALLOT = "at";
 const ROWS = "rows";
 
+/** The form in records and messages. */
 export const encodeItem = ([key, register]: Item): readonly unknown[] => [
   key,
   register ? encodeRegister(register) : null,
 ];
 
+/** A register, or undefined where nothing is there. */
 export const decodeContent = (value: unknown): Register | undefined =>
   value === null || value === undefined ? undefined : decodeRegister(value);
 
--- a/src/consensus/record-persistence.ts
+++ b/src/consensus/record-persistence.ts
@@ -3,6 +3,7 @@
 import type { UnknownRecord } from "../common/decode.js";
 import type { WriteAheadLog } from "../storage/write-ahead-log.js";
 
+/** What a `RecordPersistence` is made of. */
 export interface RecordPersistenceOptions {
   readonly writeAheadLog: WriteAheadLog;
   readonly logger: Logger;
--- a/src/consensus/register-writer.ts
+++ b/src/consensus/register-writer.ts
@@ -21,6 +21,7 @@
 /** Given what is in force, by key, tells what makes a write invalid. */
 export type WriteCheck = (get: (key: string) => Register | undefined) => string | undefined;
 
+/** What a `RegisterWriter` is made of. */
 export interface RegisterWriterOptions {
   readonly local: LocalReplica;
   readonly proposer: Proposer;
@@ -54,6 +55,19 @@
   return { next, duplicates, error };
 };
 
+/** A rejection promises that no part of the call is ever in force; it can't where parts of it were proposed. */
+const withPartsProposed = (
+  error: ReplicatedStoreError,
+  werePartsProposed: boolean,
+): ReplicatedStoreError => {
+  const isRejection = error instanceof VersionConflictError || error instanceof InvalidWriteError;
+  return isRejection && werePartsProposed
+    ? new UnclearOutcomeError(
+        "another order has one of its numbers, and parts of this one were offered",
+      )
+    : error;
+};
+
 /** Decides registers by way of a proposer. */
 export class RegisterWriter {
   constructor(private readonly options: RegisterWriterOptions) {}
@@ -85,10 +99,7 @@
       if (!error && duplicates < writes.length && !wasProposed)
         error = await this.findInvalid(findProblem, current);
       if (error) {
-        if (isFinal(error) && (wasProposed || duplicates > 0))
-          error = new UnclearOutcomeError(
-            "another order has one of its numbers, and parts of this one were offered",
-          );
+        error = withPartsProposed(error, wasProposed || duplicates > 0);
         result = err(error);
         if (error instanceof UnclearOutcomeError) return ok(undefined);
       } else {
@@ -180,7 +191,3 @@
     return problem === undefined ? undefined : new InvalidWriteError(problem);
   };
 }
-
-/** Whether the error says that no part of the write is or will be in force. */
-const isFinal = (error: ReplicatedStoreError): boolean =>
-  error instanceof VersionConflictError || error instanceof InvalidWriteError;
--- a/src/consensus/register.ts
+++ b/src/consensus/register.ts
@@ -1,3 +1,4 @@
+/** Registers: the items of the configuration, each with a version of its own, and what a write makes of them. */
 import { createHash } from "node:crypto";
 import {
   asList,
@@ -11,15 +12,16 @@
 } from "../common/decode.js";
 
 /**
- * A register is one item with a version of its own, as it was agreed.
- * Invariant: a version names one content for good. `past` keeps what was agreed under earlier numbers, so that an order
- * that comes again long after newer ones is known; below `pastFrom` this is no longer known.
+ * One item with a version of its own, as it was committed.
+ *
+ * Invariant: a version names one content for good. `past` keeps what was committed under earlier numbers, so that a write
+ * that comes again long after newer ones is recognized; below `pastFrom` this is no longer known.
  */
 export interface Register {
   readonly key: string;
   readonly version: number;
   readonly dropped: boolean;
-  /** The item as the operator wrote it, in JSON; empty for a drop. */
+  /** The item as the operator wrote it, in JSON; empty for one that was removed. */
   readonly body: string;
   /** Of key, version, dropped and body. */
   readonly digest: string;
@@ -28,11 +30,13 @@
   readonly pastFrom: number;
 }
 
+/** An earlier version with the digest of its content. */
 export type Past = readonly [version: number, digest: string];
 
 /** How many earlier numbers are kept for each item. */
 const MAX_PAST_VERSIONS = 256;
 
+/** A register without earlier versions, with its digest. */
 export const makeRegister = (
   key: string,
   version: number,
@@ -51,6 +55,7 @@
   pastFrom: 0,
 });
 
+/** @throws DecodeError where a field is missing or of another type */
 export const decodeRegister = (value: unknown): Register => {
   const record = asRecord(value, "register");
   const past =
@@ -73,7 +78,7 @@
   };
 };
 
-/** Registers travel and lie on disk without their digest, which the reader makes anew. */
+/** The form in records and messages: without the digest, which the reader computes anew. */
 export const encodeRegister = ({
   key,
   version,
@@ -100,32 +105,34 @@
   };
 };
 
-/** What an order comes to, given what stands. */
+/** What a write comes to, given what is in force. */
 export type WriteOutcome =
-  /** It is taken: `next` is to be agreed. An order overtaken by a newer one changes only `past`. */
+  /** `next` is to be committed. A write that is older than what is in force changes only `past`. */
   | { readonly kind: "applied"; readonly next: Register }
-  /** The same order was taken before. */
+  /** The same write was made before. */
   | { readonly kind: "duplicate" }
-  /** Another content has this number. */
+  /** Another content has this version. */
   | { readonly kind: "conflict" }
-  /** So old that what its number named is no longer known. */
+  /** So old that what its version named is no longer known. */
   | { readonly kind: "forgotten" };
 
-export const applyWrite = (now: Register | undefined, order: Register): WriteOutcome => {
-  if (!now) return { kind: "applied", next: order };
-  const agreed =
-    order.version === now.version
-      ? now.digest
-      : now.past.find(([version]) => version === order.version)?.[1];
-  if (agreed !== undefined) return { kind: agreed === order.digest ? "duplicate" : "conflict" };
-  if (order.version < now.pastFrom) return { kind: "forgotten" };
-  if (order.version < now.version)
+/** Compares a write with the register that is in force, by version and digest. */
+export const applyWrite = (current: Register | undefined, write: Register): WriteOutcome => {
+  if (!current) return { kind: "applied", next: write };
+  const committedDigest =
+    write.version === current.version
+      ? current.digest
+      : current.past.find(([version]) => version === write.version)?.[1];
+  if (committedDigest !== undefined)
+    return { kind: committedDigest === write.digest ? "duplicate" : "conflict" };
+  if (write.version < current.pastFrom) return { kind: "forgotten" };
+  if (write.version < current.version)
     return {
       kind: "applied",
-      next: withPast(now, [...now.past, [order.version, order.digest]], now.pastFrom),
+      next: withPast(current, [...current.past, [write.version, write.digest]], current.pastFrom),
     };
   return {
     kind: "applied",
-    next: withPast(order, [...now.past, [now.version, now.digest]], now.pastFrom),
+    next: withPast(write, [...current.past, [current.version, current.digest]], current.pastFrom),
   };
 };
--- a/src/consensus/replica.ts
+++ b/src/consensus/replica.ts
@@ -47,6 +47,16 @@
   isCommitted: true,
 });
 
+/** Whether an entry tells more than the one that is held: of a higher ballot, or that it is accepted or committed. */
+const isNews = (entry: Entry, held: Entry): boolean => {
+  if (entry.ballot.number === 0 || isHigherBallot(held.ballot, entry.ballot)) return false;
+  return (
+    !isSameBallot(entry.ballot, held.ballot) ||
+    (entry.isCommitted && !held.isCommitted) ||
+    (entry.isAccepted && !held.isAccepted)
+  );
+};
+
 /**
  * What one replica promised, accepted and learned. Each change gives the records that must reach the disk before it is
  * answered.
@@ -273,28 +283,22 @@
     this.observe(entry.ballot);
     this.observe(entry.promised);
     const promised = higherBallot(before.promised, entry.promised);
-    const isUnchanged = isSameBallot(entry.ballot, before.ballot);
     if (entry.isCommitted) this.recordCommitted(entry);
-    if (
-      isHigherBallot(before.ballot, entry.ballot) ||
-      entry.ballot.number === 0 ||
-      (isUnchanged &&
-        (before.isCommitted || !entry.isCommitted) &&
-        (before.isAccepted || !entry.isAccepted))
-    ) {
+    if (!isNews(entry, before)) {
       if (promised !== before.promised) this.entries.set(entry.key, { ...before, promised });
       return false;
     }
+    const isSame = isSameBallot(entry.ballot, before.ballot);
     const now: Entry = {
       key: entry.key,
       promised,
       ballot: entry.ballot,
       register: entry.register,
-      isAccepted: entry.isAccepted || (isUnchanged && before.isAccepted),
-      isCommitted: entry.isCommitted || (isUnchanged && before.isCommitted),
+      isAccepted: entry.isAccepted || (isSame && before.isAccepted),
+      isCommitted: entry.isCommitted || (isSame && before.isCommitted),
     };
     this.entries.set(entry.key, now);
-    if (!isUnchanged) {
+    if (!isSame) {
       this.hashes.toggle(before.key, before.ballot);
       this.hashes.toggle(now.key, now.ballot);
     }
--- a/src/consensus/replicated-store.ts
+++ b/src/consensus/replicated-store.ts
@@ -29,6 +29,7 @@
 import { VoterSetProposer } from "./voter-set-proposer.js";
 import type { VoterSet } from "./voter-set.js";
 
+/** What a `ReplicatedStore` is made of. */
 export interface ReplicatedStoreOptions {
   readonly self: string;
   readonly writeAheadLog: WriteAheadLog;
--- a/src/consensus/voter-set-fencing.ts
+++ b/src/consensus/voter-set-fencing.ts
@@ -16,6 +16,7 @@
 import type { PeerTransport, QuorumCalls } from "./quorum-calls.js";
 import { quorumSize } from "./voter-set.js";
 
+/** What a `VoterSetFencing` is made of. */
 export interface VoterSetFencingOptions {
   readonly self: string;
   readonly local: LocalReplica;
--- a/src/consensus/voter-set-proposer.ts
+++ b/src/consensus/voter-set-proposer.ts
@@ -27,6 +27,7 @@
 const MAX_ATTEMPTS = 6;
 const FIRST_BACKOFF_US = 8 * MILLISECOND_US;
 
+/** What a `VoterSetProposer` is made of. */
 export interface VoterSetProposerOptions {
   readonly local: LocalReplica;
   readonly calls: QuorumCalls;
