--- a/features/steps/compatibility.ts
+++ b/features/steps/compatibility.ts
@@ -32,7 +32,7 @@
   type UnknownRecord,
 } from "../../src/common/decode.js";
 import type { Message } from "../../src/transport/connection.js";
-import { Copies } from "../support/copies.js";
+import { ReplicaCluster } from "../support/replica-cluster.js";
 import {
   answersOf,
   bringBack,
@@ -48,12 +48,12 @@
 const FOLDER = "features/data/before-2026-12";
 const MEMBERS = IDS.slice(0, 3);
 
-let copies = new Copies(IDS);
+let cluster = new ReplicaCluster(IDS);
 let found: readonly unknown[] = [];
 let folder = "";
 
 After(async () => {
-  await copies.clean();
+  await cluster.removeAll();
   if (folder !== "") await rm(folder, { recursive: true, force: true });
   folder = "";
 });
@@ -93,7 +93,7 @@
 };
 
 Given("three copies that start from the control state stored before", async () => {
-  copies = new Copies(IDS);
+  cluster = new ReplicaCluster(IDS);
   const files = new Map<string, Map<string, Uint8Array>>();
   for (const id of MEMBERS) {
     const held = new Map<string, Uint8Array>();
@@ -101,7 +101,7 @@
       held.set(name, await readFile(join(FOLDER, `state-${id}`, name)));
     files.set(id, held);
   }
-  found = await bringBack(copies, MEMBERS, (id) => files.get(id) ?? new Map<string, Uint8Array>());
+  found = await bringBack(cluster, MEMBERS, (id) => files.get(id) ?? new Map<string, Uint8Array>());
 });
 
 Then("each holds exactly what it held", async () =>
@@ -111,23 +111,25 @@
 Then("what is in force is what was in force", async () => {
   const { registers, roster: voterSet } = await goldenRec("state.json");
   for (const id of MEMBERS) {
-    assert.ok((await copies.beside(copies.copy(id).store.read())).isOk);
+    assert.ok((await cluster.withClock(cluster.member(id).store.read())).isOk);
     const byKey = (rows: readonly UnknownRecord[]) =>
       [...rows].sort((one, other) => (readString(one, "key") < readString(other, "key") ? -1 : 1));
     assert.deepEqual(
-      byKey(asList(plain(copies.copy(id).store.committedRegisters())).map((row) => asRecord(row))),
+      byKey(
+        asList(plain(cluster.member(id).store.committedRegisters())).map((row) => asRecord(row)),
+      ),
       byKey(asList(registers).map((row) => asRecord(row))),
     );
-    assert.deepEqual(plain(copies.copy(id).store.voterSet()), voterSet);
+    assert.deepEqual(plain(cluster.member(id).store.voterSet()), voterSet);
   }
 });
 
 Then("a new order is confirmed by a quorum", async () => {
   const order = makeRegister("route/pay", 9, '{"service":"pay","new":true}');
-  assert.ok((await copies.beside(copies.copy("b").store.propose([order]))).isOk);
+  assert.ok((await cluster.withClock(cluster.member("b").store.propose([order]))).isOk);
   for (const id of MEMBERS) {
-    assert.ok((await copies.beside(copies.copy(id).store.read())).isOk);
-    assert.equal(copies.copy(id).store.get("route/pay")?.digest, order.digest);
+    assert.ok((await cluster.withClock(cluster.member(id).store.read())).isOk);
+    assert.equal(cluster.member(id).store.get("route/pay")?.digest, order.digest);
   }
 });
 
@@ -210,14 +212,14 @@
 });
 
 Then("a conversation of four boxes is word for word that of before", async () => {
-  copies = new Copies(IDS);
-  assert.deepEqual(plain(await converse(copies)), await golden("conversation.json"));
+  cluster = new ReplicaCluster(IDS);
+  assert.deepEqual(plain(await converse(cluster)), await golden("conversation.json"));
 });
 
 Then("the member's answers are word for word those of before", async () => {
-  copies = new Copies(IDS);
+  cluster = new ReplicaCluster(IDS);
   const asked = asList(await golden("asked-of-b.json")).map(messageOf);
-  const answers = plain(await answersOf(copies, "b", asked));
+  const answers = plain(await answersOf(cluster, "b", asked));
   const expected = asList(await golden("answers-of-b.json"));
   asList(answers).forEach((answer, at) =>
     assert.deepEqual(answer, expected[at], `the answer to ${asked[at]?.kind ?? ""}, message ${at}`),
--- a/features/steps/keys.ts
+++ b/features/steps/keys.ts
@@ -3,7 +3,7 @@
 import { join } from "node:path";
 import { After, Given, Then, When } from "@cucumber/cucumber";
 import type { KeyClaimResult } from "../../src/idempotency/key-replication.js";
-import { Copies } from "../support/copies.js";
+import { ReplicaCluster } from "../support/replica-cluster.js";
 
 interface Try {
   readonly name: string;
@@ -13,23 +13,23 @@
 
 const IDS = ["b1", "b2", "b3", "b4", "b5"];
 
-let boxes: Copies | undefined;
+let boxes: ReplicaCluster | undefined;
 /** The history of all claims, in the order they ended. */
 let history: Try[] = [];
 
-const net = (): Copies => {
+const net = (): ReplicaCluster => {
   if (!boxes) throw new Error("no signalboxes yet");
   return boxes;
 };
 
-const beside = <T>(work: Promise<T>): Promise<T> => net().beside(work);
+const beside = <T>(work: Promise<T>): Promise<T> => net().withClock(work);
 
 const open = async (count: number, withstand: number, diskBytes = 8_000_000): Promise<void> => {
-  await boxes?.clean();
+  await boxes?.removeAll();
   history = [];
-  boxes = new Copies(IDS.slice(0, count), withstand, diskBytes);
+  boxes = new ReplicaCluster(IDS.slice(0, count), withstand, diskBytes);
   await boxes.startAll();
-  await boxes.enrol(boxes.ids);
+  await boxes.makeVoters(boxes.ids);
   await catchUp();
 };
 
@@ -47,7 +47,7 @@
 };
 
 const claim = async (name: string, key: string, box: string): Promise<void> => {
-  const result = await beside(net().copy(box).keys.claim(key, name));
+  const result = await beside(net().member(box).keys.claim(key, name));
   history.push({ name, key, verdict: result });
 };
 
@@ -58,7 +58,7 @@
 };
 
 After(async () => {
-  await boxes?.clean();
+  await boxes?.removeAll();
   boxes = undefined;
 });
 
@@ -81,7 +81,7 @@
   },
 );
 When("try {string} takes its token back at box {int}", async (name: string, box: number) => {
-  net().copy(`b${box}`).keys.release("k", name);
+  net().member(`b${box}`).keys.release("k", name);
   await net().clock.pass(10_000);
 });
 When(
@@ -89,7 +89,7 @@
   async (name: string, key: string, box: number) => {
     history
       .filter(({ verdict: result }) => result.kind !== "won")
-      .forEach((entry) => net().copy("b2").keys.release(key, entry.name));
+      .forEach((entry) => net().member("b2").keys.release(key, entry.name));
     await net().clock.pass(10_000);
     await claim(name, key, `b${box}`);
   },
@@ -99,7 +99,7 @@
   async (name: string, body: string, box: number) => {
     const kept = await beside(
       net()
-        .copy(`b${box}`)
+        .member(`b${box}`)
         .keys.complete("k", name, {
           status: 200,
           heads: ["Yewreel-Server-Seal", "s"],
@@ -133,12 +133,12 @@
 });
 When("the clock moves on by {int} s", (seconds: number) => net().clock.pass(seconds * 1_000_000));
 When(/^boxes (.*) are cut off$/, (told: string) =>
-  told.match(/\d/g)?.forEach((box) => net().cut.add(`b${box}`)),
+  told.match(/\d/g)?.forEach((box) => net().partitioned.add(`b${box}`)),
 );
 When(
   "box {int} is joined again and box {int} is killed",
   async (joined: number, killed: number) => {
-    net().cut.clear();
+    net().partitioned.clear();
     await net().kill(`b${killed}`);
     assert.ok(net().running.has(`b${joined}`));
   },
@@ -146,7 +146,7 @@
 When("new keys are claimed until one is refused", async () => {
   for (let at = 0; at < 2_000; at += 1) {
     // The clock stands still: on a busy machine it would outrun the window of the key that must not be forgotten.
-    const result = await net().copy("b1").keys.claim(`filler-${at}`, "t");
+    const result = await net().member("b1").keys.claim(`filler-${at}`, "t");
     if (result.kind === "none") return;
   }
   assert.fail("the log never filled");
@@ -154,30 +154,30 @@
 When(
   "a purge of label {string} is acknowledged at box {int}",
   async (label: string, box: number) => {
-    assert.ok(await beside(net().copy(`b${box}`).keys.purge({ host: "", path: "", label })));
+    assert.ok(await beside(net().member(`b${box}`).keys.purge({ host: "", path: "", label })));
   },
 );
 When("box {int} reads the purges", async (box: number) => {
-  assert.ok(await beside(net().copy(`b${box}`).keys.readPurges()));
+  assert.ok(await beside(net().member(`b${box}`).keys.readPurges()));
 });
 
 When("the others leave boxes 1 and 5 out of the roster while box 1 is cut off", async () => {
-  net().cut.add("b1");
+  net().partitioned.add("b1");
   const changed = await beside(
     net()
-      .copy("b2")
+      .member("b2")
       .store.changeMembers(
         (members) => members.filter((id) => id !== "b1" && id !== "b5"),
-        net().copy("b2").keys.replicateToNewMembers,
+        net().member("b2").keys.replicateToNewMembers,
       ),
   );
   assert.ok(changed.isOk);
-  net().cut.delete("b1");
+  net().partitioned.delete("b1");
 });
 Then("a purge at box 1 is refused, and taken when it is sent again", async () => {
   const purge = { host: "", path: "", label: "t9" };
-  assert.equal(await beside(net().copy("b1").keys.purge(purge)), false);
-  assert.equal(await beside(net().copy("b1").keys.purge(purge)), true);
+  assert.equal(await beside(net().member("b1").keys.purge(purge)), false);
+  assert.equal(await beside(net().member("b1").keys.purge(purge)), true);
 });
 Then("the verdicts are {string}", (kinds: string) =>
   assert.equal(history.map(({ verdict: result }) => result.kind).join(", "), kinds),
@@ -209,7 +209,7 @@
   },
 );
 Then("box {int} knows the purge of label {string}", (box: number, label: string) => {
-  const { book, learned } = net().copy(`b${box}`);
+  const { book, learnedPurges: learned } = net().member(`b${box}`);
   assert.ok(book.purges().some((purge) => purge.label === label));
   assert.ok(learned.some((purge) => purge.label === label));
 });
@@ -219,5 +219,5 @@
   await restart(ids);
 });
 Then("box {int} takes no claims before it has caught up", (box: number) =>
-  assert.equal(net().copy(`b${box}`).keys.isVoting, false),
+  assert.equal(net().member(`b${box}`).keys.isVoting, false),
 );
--- a/features/steps/plan.ts
+++ b/features/steps/plan.ts
@@ -2,20 +2,21 @@
 import { After, Given, Then, When } from "@cucumber/cucumber";
 import { toConfigDocument, parseChange, findUnknownService } from "../../src/config/validation.js";
 import { WriteAheadLog } from "../../src/storage/write-ahead-log.js";
-import { Replica as State } from "../../src/consensus/replica.js";
+import { Replica } from "../../src/consensus/replica.js";
 import { makeRegister, type Register } from "../../src/consensus/register.js";
 import type { ReplicatedStoreError } from "../../src/consensus/errors.js";
 import { asRecord, parseJson, type UnknownRecord } from "../../src/common/decode.js";
-import { Copies, STATE_FOLDER, type Copy } from "../support/copies.js";
+import { ReplicaCluster, STATE_FOLDER, type ClusterMember } from "../support/replica-cluster.js";
 import { settle } from "../support/manual-clock.js";
 
-const BOXES = ["10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80", "10.0.0.4:80"];
+const CONTROLLERS = ["10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80", "10.0.0.4:80"];
 /** Those that come later, in place of others. */
-const SPARE = ["10.0.0.5:80", "10.0.0.6:80", "10.0.0.7:80"];
-const box = (number: number): string => [...BOXES, ...SPARE][number - 1] ?? "";
+const SPARE_CONTROLLERS = ["10.0.0.5:80", "10.0.0.6:80", "10.0.0.7:80"];
+const controllerId = (number: number): string =>
+  [...CONTROLLERS, ...SPARE_CONTROLLERS][number - 1] ?? "";
 const key = (name: string): string => `route/${name}`;
 
-let copies = new Copies([]);
+let cluster = new ReplicaCluster([]);
 let acknowledged = false;
 let first = "";
 const acks = new Map<string, number>();
@@ -24,16 +25,16 @@
 
 type Outcome = "taken" | ReplicatedStoreError["code"];
 
-const offer = async (
+const write = async (
   name: string,
   version: number,
   through: string,
   body = `{"v":${version},"name":"${name}"}`,
   dropped = false,
 ): Promise<Outcome> => {
-  const done = await copies.beside(
-    copies
-      .copy(through)
+  const done = await cluster.withClock(
+    cluster
+      .member(through)
       .store.propose([makeRegister(key(name), version, dropped ? "" : body, dropped)]),
   );
   return done.isOk ? "taken" : done.error.code;
@@ -45,84 +46,84 @@
   through: string,
   body?: string,
   dropped = false,
-): Promise<boolean> => (await offer(name, version, through, body, dropped)) === "taken";
+): Promise<boolean> => (await write(name, version, through, body, dropped)) === "taken";
 
 const readThrough = async (id: string, name: string): Promise<Register | undefined> => {
-  const { store } = copies.copy(id);
-  const read = await copies.beside(store.read());
+  const { store } = cluster.member(id);
+  const read = await cluster.withClock(store.read());
   assert.ok(read.isOk, `reading through ${id} failed: ${JSON.stringify(read)}`);
   return store.get(key(name));
 };
 
 After(async () => {
-  await copies.clean();
-  copies = new Copies([]);
+  await cluster.removeAll();
+  cluster = new ReplicaCluster([]);
 });
 
-Given("{int} signalboxes of which 3 are seeds", async (count: number) => {
-  copies = new Copies([...BOXES.slice(0, count), ...SPARE]);
+Given("{int} controllers of which 3 are seeds", async (count: number) => {
+  cluster = new ReplicaCluster([...CONTROLLERS.slice(0, count), ...SPARE_CONTROLLERS]);
   acks.clear();
   outcomes.length = 0;
   first = "";
-  for (const id of BOXES.slice(0, count)) await copies.start(id, true);
+  for (const id of CONTROLLERS.slice(0, count)) await cluster.start(id, true);
 });
 
-Given("every box is on the roster", async () => {
-  await copies.enrol(BOXES);
+Given("every controller is a voter", async () => {
+  await cluster.makeVoters(CONTROLLERS);
 });
 
-Given("box {int} is cut off", (number: number) => {
-  copies.cut.add(box(number));
+Given("controller {int} is partitioned", (number: number) => {
+  cluster.partitioned.add(controllerId(number));
 });
 
-When("box {int} is joined again", (number: number) => {
-  copies.cut.delete(box(number));
+When("controller {int} is reconnected", (number: number) => {
+  cluster.partitioned.delete(controllerId(number));
 });
 
 When(
-  "the operator puts route {string} at version {int} through box {int}",
+  "the operator puts route {string} at version {int} through controller {int}",
   async (name: string, version: number, number: number) => {
     if (first === "") first = `{"v":${version},"name":"${name}"}`;
-    acknowledged = await put(name, version, box(number));
+    acknowledged = await put(name, version, controllerId(number));
   },
 );
 
 When(
-  "the operator puts another route {string} at version {int} through box {int}",
+  "the operator puts another route {string} at version {int} through controller {int}",
   async (name: string, version: number, number: number) => {
-    await put(name, version, box(number), `{"another":"~~~${name}"}`);
+    await put(name, version, controllerId(number), `{"another":"~~~${name}"}`);
   },
 );
 
 When(
-  "the operator drops route {string} at version {int} through box {int}",
+  "the operator removes route {string} at version {int} through controller {int}",
   async (name: string, version: number, number: number) => {
-    assert.ok(await put(name, version, box(number), "", true));
+    assert.ok(await put(name, version, controllerId(number), "", true));
   },
 );
 
 When(
-  "two operators put different routes {string} at version {int} through boxes {int} and {int} at once",
+  "two operators put different routes {string} at version {int} through controllers {int} and {int} at once",
   async (name: string, version: number, one: number, other: number) => {
     const bodies = ['{"by":"one"}', '{"by":"other"}'];
     const both = await Promise.all(
-      bodies.map((body, at) => offer(name, version, box(at === 0 ? one : other), body)),
+      bodies.map((body, at) => write(name, version, controllerId(at === 0 ? one : other), body)),
     );
     both.forEach((outcome, at) => outcomes.push({ body: bodies[at] ?? "", outcome }));
   },
 );
 
 When(
-  "both send the same again through box {int}, {int} times",
+  "both send the same again through controller {int}, {int} times",
   async (number: number, times: number) => {
     for (let time = 0; time < times; time += 1) {
       for (const { body } of outcomes.slice(0, 2))
-        outcomes.push({ body, outcome: await offer("r1", 4, box(number), body) });
+        outcomes.push({ body, outcome: await write("r1", 4, controllerId(number), body) });
     }
   },
 );
 
-Then("exactly one of the two was ever confirmed, and never refused", () => {
+Then("exactly one of the two was ever confirmed, and never rejected", () => {
   const confirmed = new Set(
     outcomes.filter(({ outcome }) => outcome === "taken").map(({ body }) => body),
   );
@@ -138,58 +139,63 @@
 });
 
 When(
-  "the operator puts routes {string} and {string} at version {int} through box {int}",
+  "the operator puts routes {string} and {string} at version {int} through controller {int}",
   async (one: string, other: string, version: number, number: number) => {
     const call = [one, other].map((name) =>
       makeRegister(key(name), version, `{"together":"${name}"}`),
     );
-    const done = await copies.beside(copies.copy(box(number)).store.propose(call));
+    const done = await cluster.withClock(cluster.member(controllerId(number)).store.propose(call));
     outcomes.push({ body: "", outcome: done.isOk ? "taken" : done.error.code });
   },
 );
 
 When(
-  "the operator puts route {string} twice and route {string} at version {int} through box {int}, and {string} is found wrong",
+  "the operator puts route {string} twice and route {string} at version {int} through controller {int}, and {string} is found invalid",
   async (one: string, other: string, version: number, number: number, wrong: string) => {
     const call = [one, one, other].map((name) =>
       makeRegister(key(name), version, `{"together":"${name}"}`),
     );
-    const done = await copies.beside(
-      copies.copy(box(number)).store.propose(call, () => `${wrong} names an unknown service`),
+    const done = await cluster.withClock(
+      cluster
+        .member(controllerId(number))
+        .store.propose(call, () => `${wrong} names an unknown service`),
     );
     outcomes.push({ body: "", outcome: done.isOk ? "taken" : done.error.code });
   },
 );
 
-Then("the last order is {string}", (outcome: string) =>
+Then("the last write is {string}", (outcome: string) =>
   assert.equal(outcomes.at(-1)?.outcome, outcome),
 );
 
 Then(
-  "the change to route {string} at version {int} is acknowledged again through box {int}",
+  "the write of route {string} at version {int} is acknowledged again through controller {int}",
   async (name: string, version: number, number: number) => {
-    assert.equal(await offer(name, version, box(number)), "taken");
+    assert.equal(await write(name, version, controllerId(number)), "taken");
   },
 );
 
 When(
-  "only box {int} has accepted route {string} at version {int}, offered through box {int}",
+  "only controller {int} has accepted route {string} at version {int}, proposed through controller {int}",
   async (only: number, name: string, version: number, through: number) => {
-    copies.deaf = (to, message) => message.kind === "accept" && to !== box(only);
-    outcomes.push({ body: "", outcome: await offer(name, version, box(through), '{"half":true}') });
-    copies.deaf = () => false;
+    cluster.dropsMessage = (to, message) => message.kind === "accept" && to !== controllerId(only);
+    outcomes.push({
+      body: "",
+      outcome: await write(name, version, controllerId(through), '{"half":true}'),
+    });
+    cluster.dropsMessage = () => false;
   },
 );
 
 When(
-  "only box 1 has accepted routes {string} and {string} at version {int}",
+  "only controller 1 has accepted routes {string} and {string} at version {int}",
   async (one: string, other: string, version: number) => {
-    copies.deaf = (to, message) => message.kind === "accept" && to !== box(1);
+    cluster.dropsMessage = (to, message) => message.kind === "accept" && to !== controllerId(1);
     const call = [one, other].map((name) =>
       makeRegister(key(name), version, `{"of":"the first order"}`),
     );
-    const done = await copies.beside(copies.copy(box(1)).store.propose(call));
-    copies.deaf = () => false;
+    const done = await cluster.withClock(cluster.member(controllerId(1)).store.propose(call));
+    cluster.dropsMessage = () => false;
     assert.ok(
       done.isErr && done.error.code !== "VERSION_CONFLICT" && done.error.code !== "INVALID_WRITE",
     );
@@ -197,23 +203,23 @@
 );
 
 When(
-  "a rival of route {string} at version {int} is taken while box 1 is cut off",
+  "a rival of route {string} at version {int} is confirmed while controller 1 is partitioned",
   async (name: string, version: number) => {
-    copies.cut.add(box(1));
-    assert.equal(await offer(name, version, box(2), '{"of":"the rival"}'), "taken");
-    copies.cut.delete(box(1));
+    cluster.partitioned.add(controllerId(1));
+    assert.equal(await write(name, version, controllerId(2), '{"of":"the rival"}'), "taken");
+    cluster.partitioned.delete(controllerId(1));
   },
 );
 
-When("every box has read", async () => {
-  await copies.readAll();
-  await copies.readAll();
+When("every controller has read", async () => {
+  await cluster.readAll();
+  await cluster.readAll();
 });
 
 Then(
-  "neither or both of routes {string} and {string} stand as that order had them",
+  "neither or both of routes {string} and {string} stand as that write had them",
   (one: string, other: string) => {
-    const { store } = copies.copy(box(2));
+    const { store } = cluster.member(controllerId(2));
     const stands = [one, other].map(
       (name) => store.get(key(name))?.body === '{"of":"the first order"}',
     );
@@ -221,13 +227,13 @@
   },
 );
 
-Then("no box has ever shown route {string}", (name: string) => {
-  copies.running.forEach(({ store }) => assert.equal(store.get(key(name)), undefined));
+Then("no controller has ever shown route {string}", (name: string) => {
+  cluster.running.forEach(({ store }) => assert.equal(store.get(key(name)), undefined));
 });
 
-When("one byte of the newest file of box {int} is spoiled", async (number: number) => {
-  await copies.kill(box(number));
-  const { files } = copies.diskOf(box(number));
+When("one byte of the newest file of controller {int} is corrupted", async (number: number) => {
+  await cluster.kill(controllerId(number));
+  const { files } = cluster.diskOf(controllerId(number));
   const numberOf = (name: string) => Number(/(\d+)\.bin$/.exec(name)?.[1]);
   const newest =
     [...files.keys()]
@@ -238,77 +244,84 @@
   files.set(newest, bytes);
 });
 
-When("box {int} is started again cut off from all others", async (number: number) => {
-  copies.cut.add(box(number));
-  await copies.start(box(number), false);
+When("controller {int} is restarted without a connection to any other", async (number: number) => {
+  cluster.partitioned.add(controllerId(number));
+  await cluster.start(controllerId(number), false);
 });
 
 When(
-  "box {int} is gone for good and box {int} comes in its place",
+  "controller {int} is lost for good and controller {int} replaces it",
   async (gone: number, fresh: number) => {
-    await copies.wipe(box(gone));
-    const copy = await copies.start(box(fresh), false);
-    copy.duty.start();
+    await cluster.wipe(controllerId(gone));
+    const member = await cluster.start(controllerId(fresh), false);
+    member.lease.start();
     await pass(6);
   },
 );
 
-Then("the roster has boxes {string}", (numbers: string) => {
+Then("the voter set has controllers {string}", (numbers: string) => {
   const wanted = numbers
     .split(",")
-    .map((number) => box(Number(number)))
+    .map((number) => controllerId(Number(number)))
     .sort();
-  copies.running.forEach((copy) =>
-    assert.deepEqual(copy.store.voterSet().members, wanted, copy.id),
+  cluster.running.forEach((member) =>
+    assert.deepEqual(member.store.voterSet().members, wanted, member.id),
   );
 });
 
 When(
-  "the operator puts route {string} at version {int} through a running box",
+  "the operator puts route {string} at version {int} through a running controller",
   async (name: string, version: number) => {
     if (first === "") first = `{"v":${version},"name":"${name}"}`;
     acknowledged = await put(
       name,
       version,
-      [...copies.running.keys()].find((id) => !copies.cut.has(id)) ?? "",
+      [...cluster.running.keys()].find((id) => !cluster.partitioned.has(id)) ?? "",
     );
   },
 );
 
 Then(
-  "reading through a running box gives route {string} as it was put first",
+  "reading through a running controller gives route {string} as it was put first",
   async (name: string) => {
     assert.equal(
-      (await readThrough([...copies.running.keys()].find((id) => !copies.cut.has(id)) ?? "", name))
-        ?.body,
+      (
+        await readThrough(
+          [...cluster.running.keys()].find((id) => !cluster.partitioned.has(id)) ?? "",
+          name,
+        )
+      )?.body,
       first,
     );
   },
 );
 
-When("box {int} loses its disk and every box is started again", async (number: number) => {
-  await settle(20);
-  await copies.wipe(box(number));
-  await copies.killAll();
-  for (const id of BOXES) await copies.start(id, false);
-  await copies.readAll();
-});
+When(
+  "controller {int} loses its disk and every controller is restarted",
+  async (number: number) => {
+    await settle(20);
+    await cluster.wipe(controllerId(number));
+    await cluster.killAll();
+    for (const id of CONTROLLERS) await cluster.start(id, false);
+    await cluster.readAll();
+  },
+);
 
 When(
-  "box {int} loses its disk and starts again cut off from all others",
+  "controller {int} loses its disk and restarts without a connection to any other",
   async (number: number) => {
-    await copies.wipe(box(number));
-    copies.cut.add(box(number));
-    await copies.start(box(number), false);
+    await cluster.wipe(controllerId(number));
+    cluster.partitioned.add(controllerId(number));
+    await cluster.start(controllerId(number), false);
   },
 );
 
-When("someone reads through box {int}", async (number: number) => {
-  assert.ok((await copies.beside(copies.copy(box(number)).store.read())).isOk);
+When("a quorum is read through controller {int}", async (number: number) => {
+  assert.ok((await cluster.withClock(cluster.member(controllerId(number)).store.read())).isOk);
 });
 
-When("every box is started again", async () => {
-  for (const id of BOXES) await copies.start(id, false);
+When("every controller is restarted", async () => {
+  for (const id of CONTROLLERS) await cluster.start(id, false);
 });
 
 const nextOf = (seed: number): (() => number) => {
@@ -320,49 +333,49 @@
 };
 
 When(
-  "{int} random steps of changes, cuts, kills and disk losses are played with seed {int}",
+  "{int} random steps of writes, partitions, kills and disk losses are played with seed {int}",
   async (steps: number, seed: number) => {
     const next = nextOf(seed);
-    const pick = (): string => box(1 + Math.floor(next() * BOXES.length));
+    const pick = (): string => controllerId(1 + Math.floor(next() * CONTROLLERS.length));
     let hurt = "";
     for (let step = 1; step <= steps; step += 1) {
       const kind = next();
       const id = pick();
       if (kind < 0.6) {
         const name = `r${Math.floor(next() * 5)}`;
-        if (copies.running.has(id) && (await put(name, step, id))) acks.set(name, step);
+        if (cluster.running.has(id) && (await put(name, step, id))) acks.set(name, step);
       } else if (kind < 0.7 && hurt === "") {
         hurt = id;
-        copies.cut.add(id);
+        cluster.partitioned.add(id);
       } else if (kind < 0.78 && hurt === "") {
         hurt = id;
         await settle(20);
-        await copies.kill(id);
+        await cluster.kill(id);
       } else if (kind < 0.84 && hurt === "") {
         hurt = id;
         await settle(20);
-        await copies.wipe(id);
+        await cluster.wipe(id);
       } else if (kind < 0.9) {
         await settle(20);
-        await copies.killAll();
-        for (const other of BOXES) if (other !== hurt) await copies.start(other, false);
-        await copies.readAll();
+        await cluster.killAll();
+        for (const other of CONTROLLERS) if (other !== hurt) await cluster.start(other, false);
+        await cluster.readAll();
       } else if (hurt !== "") {
-        copies.cut.delete(hurt);
-        if (!copies.running.has(hurt)) await copies.start(hurt, false);
-        await copies.readAll();
+        cluster.partitioned.delete(hurt);
+        if (!cluster.running.has(hurt)) await cluster.start(hurt, false);
+        await cluster.readAll();
         hurt = "";
       }
     }
-    copies.cut.clear();
-    for (const id of BOXES) if (!copies.running.has(id)) await copies.start(id, false);
-    await copies.readAll();
+    cluster.partitioned.clear();
+    for (const id of CONTROLLERS) if (!cluster.running.has(id)) await cluster.start(id, false);
+    await cluster.readAll();
   },
 );
 
 Then("every acknowledged version is read back, or a higher one", async () => {
   assert.ok(acks.size >= 3, "the history acknowledged too little to tell anything");
-  for (const id of BOXES) {
+  for (const id of CONTROLLERS) {
     for (const [name, version] of acks)
       assert.ok(
         ((await readThrough(id, name))?.version ?? 0) >= version,
@@ -371,24 +384,24 @@
   }
 });
 
-Then("the change is acknowledged", () => assert.ok(acknowledged));
-Then("the change is not acknowledged", () => assert.ok(!acknowledged));
+Then("the write is acknowledged", () => assert.ok(acknowledged));
+Then("the write is not acknowledged", () => assert.ok(!acknowledged));
 
 Then(
-  "at least {int} copies hold route {string} at version {int} on their disks",
+  "at least {int} replicas hold route {string} at version {int} on their disks",
   async (count: number, name: string, version: number) => {
     await settle(20);
     const loaded = await Promise.all(
-      BOXES.map((id) =>
+      CONTROLLERS.map((id) =>
         new WriteAheadLog({
           folder: STATE_FOLDER,
-          fileSystem: copies.diskOf(id),
+          fileSystem: cluster.diskOf(id),
           snapshot: () => [],
         }).load(),
       ),
     );
     const holding = loaded.filter((found) => {
-      const state = new State();
+      const state = new Replica();
       if (found.kind !== "empty") found.records.forEach(state.replay);
       return found.kind === "verified" && state.entry(key(name)).register?.version === version;
     });
@@ -397,183 +410,199 @@
 );
 
 Then(
-  "reading through box {int} gives route {string} as it was put first",
+  "reading through controller {int} gives route {string} as it was put first",
   async (number: number, name: string) => {
-    assert.equal((await readThrough(box(number), name))?.body, first);
+    assert.equal((await readThrough(controllerId(number), name))?.body, first);
   },
 );
 
 Then(
-  "reading through box {int} gives route {string} at version {int}",
+  "reading through controller {int} gives route {string} at version {int}",
   async (number: number, name: string, version: number) => {
-    assert.equal((await readThrough(box(number), name))?.version, version);
+    assert.equal((await readThrough(controllerId(number), name))?.version, version);
   },
 );
 
-Then("reading through box {int} gives no route {string}", async (number: number, name: string) => {
-  assert.equal((await readThrough(box(number), name))?.dropped, true);
-});
+Then(
+  "reading through controller {int} gives no route {string}",
+  async (number: number, name: string) => {
+    assert.equal((await readThrough(controllerId(number), name))?.dropped, true);
+  },
+);
 
-Then("reading through each box gives the same route {string}", async (name: string) => {
+Then("reading through each controller gives the same route {string}", async (name: string) => {
   const bodies = new Set<string>();
-  for (const id of BOXES) bodies.add((await readThrough(id, name))?.body ?? "none");
+  for (const id of CONTROLLERS) bodies.add((await readThrough(id, name))?.body ?? "none");
   assert.equal(bodies.size, 1);
   assert.ok(!bodies.has("none"));
 });
 
-Given("box {int} has read a quorum and has written all it knows", async (number: number) => {
-  await readThrough(box(number), "r1");
-  assert.ok((await copies.copy(box(number)).archive.writeVerifiedSnapshot()).isOk);
+Given("controller {int} has read a quorum and has written all it knows", async (number: number) => {
+  await readThrough(controllerId(number), "r1");
+  assert.ok(
+    (await cluster.member(controllerId(number)).writeAheadLog.writeVerifiedSnapshot()).isOk,
+  );
 });
 
 Then(
-  "the listeners of box {int} were told of route {string}",
+  "the listeners of controller {int} were notified of route {string}",
   async (number: number, name: string) => {
     await settle();
-    assert.ok(copies.copy(box(number)).told.has(key(name)));
+    assert.ok(cluster.member(controllerId(number)).notifiedKeys.has(key(name)));
   },
 );
 
-When("every box is killed", async () => {
+When("every controller is killed", async () => {
   await settle(20);
-  await copies.killAll();
+  await cluster.killAll();
 });
 
-When("box {int} comes with an empty disk", async (number: number) => {
-  (await copies.start(box(number), false)).duty.start();
+When("controller {int} comes with an empty disk", async (number: number) => {
+  (await cluster.start(controllerId(number), false)).lease.start();
 });
 
 Then(
-  "the roster has box {int} and not box {int} on the boxes in reach",
+  "the voter set has controller {int} and not controller {int} on the connected controllers",
   (there: number, gone: number) => {
-    [...copies.running.values()]
-      .filter(({ id }) => !copies.cut.has(id))
+    [...cluster.running.values()]
+      .filter(({ id }) => !cluster.partitioned.has(id))
       .forEach(({ store, id }) => {
         assert.ok(
-          store.members().includes(box(there)) && !store.members().includes(box(gone)),
+          store.members().includes(controllerId(there)) &&
+            !store.members().includes(controllerId(gone)),
           `${id}: ${store.members().join()}`,
         );
       });
   },
 );
 
-Then("reading through each box gives the same route {string}, or none", async (name: string) => {
-  const bodies = new Set<string>();
-  for (const id of BOXES) bodies.add((await readThrough(id, name))?.body ?? "none");
-  assert.equal(bodies.size, 1);
-});
+Then(
+  "reading through each controller gives the same route {string}, or none",
+  async (name: string) => {
+    const bodies = new Set<string>();
+    for (const id of CONTROLLERS) bodies.add((await readThrough(id, name))?.body ?? "none");
+    assert.equal(bodies.size, 1);
+  },
+);
 
-Then("box {int} is not counting", (number: number) =>
-  assert.equal(copies.copy(box(number)).store.isVoting, false),
+Then("controller {int} is not voting", (number: number) =>
+  assert.equal(cluster.member(controllerId(number)).store.isVoting, false),
 );
 
-Then("reading through box {int} fails", async (number: number) => {
-  assert.ok((await copies.beside(copies.copy(box(number)).store.read())).isErr);
+Then("reading through controller {int} fails", async (number: number) => {
+  assert.ok((await cluster.withClock(cluster.member(controllerId(number)).store.read())).isErr);
 });
 
 Then(
-  "the copy of box {int} holds route {string} at version {int}",
+  "the replica of controller {int} holds route {string} at version {int}",
   (number: number, name: string, version: number) => {
-    assert.equal(copies.copy(box(number)).store.get(key(name))?.version, version);
+    assert.equal(cluster.member(controllerId(number)).store.get(key(name))?.version, version);
   },
 );
 
 // --- duty -----------------------------------------------------------------------------------------------------------
 
-let oldHolder: Copy | undefined;
+let oldHolder: ClusterMember | undefined;
 let oldTerm = 0;
 const holdersByTerm = new Map<number, Set<string>>();
 
-const holders = (): readonly Copy[] =>
-  [...copies.running.values()].filter((copy) => copy.duty.isHolder());
-const reachableHolder = (): Copy | undefined => holders().find((copy) => !copies.cut.has(copy.id));
-const note = (): void =>
-  holders().forEach((copy) => {
-    const term = copy.duty.term();
-    holdersByTerm.set(term, (holdersByTerm.get(term) ?? new Set()).add(copy.id));
+const holders = (): readonly ClusterMember[] =>
+  [...cluster.running.values()].filter((member) => member.lease.isHolder());
+const reachableHolder = (): ClusterMember | undefined =>
+  holders().find((member) => !cluster.partitioned.has(member.id));
+const recordHolders = (): void =>
+  holders().forEach((member) => {
+    const term = member.lease.term();
+    holdersByTerm.set(term, (holdersByTerm.get(term) ?? new Set()).add(member.id));
   });
 
 const pass = async (seconds: number): Promise<void> => {
   for (let step = 0; step < seconds * 4; step += 1) {
-    await copies.clock.pass(250_000);
-    for (const copy of copies.running.values()) void copy.store.read();
+    await cluster.clock.pass(250_000);
+    for (const member of cluster.running.values()) void member.store.read();
     await settle(8);
-    note();
+    recordHolders();
   }
 };
 
-Given("their duties are started", () => {
+Given("their leader leases are started", () => {
   holdersByTerm.clear();
-  copies.running.forEach((copy) => copy.duty.start());
+  cluster.running.forEach((member) => member.lease.start());
 });
 
 When("{int} seconds pass", async (seconds: number) => pass(seconds));
 
-const remember = (): Copy => {
+const rememberHolder = (): ClusterMember => {
   const holder = reachableHolder();
   assert.ok(holder, "nobody holds the duty");
   oldHolder = holder;
-  oldTerm = holder.duty.term();
+  oldTerm = holder.lease.term();
   return holder;
 };
 
-When("the holder is cut off", () => {
-  copies.cut.add(remember().id);
+When("the holder is partitioned", () => {
+  cluster.partitioned.add(rememberHolder().id);
 });
 
-When("the holder hands over", async () => {
-  await copies.beside(remember().duty.stepDown());
+When("the holder steps down", async () => {
+  await cluster.withClock(rememberHolder().lease.stepDown());
   await pass(1);
 });
 
-When("box {int} is killed", async (number: number) => copies.kill(box(number)));
+When("controller {int} is killed", async (number: number) => cluster.kill(controllerId(number)));
 
-When("the holder is cut off and joined again {int} times", async (times: number) => {
+When("the holder is partitioned and reconnected {int} times", async (times: number) => {
   await pass(3);
   for (let time = 0; time < times; time += 1) {
-    copies.cut.add(remember().id);
+    cluster.partitioned.add(rememberHolder().id);
     await pass(5);
-    copies.cut.clear();
+    cluster.partitioned.clear();
     await pass(1);
   }
 });
 
 When(
-  "a box that is not the holder is cut off for {int} seconds and joined again",
+  "a controller that is not the holder is partitioned for {int} seconds and reconnected",
   async (seconds: number) => {
-    const holder = remember();
-    const other = BOXES.find((id) => id !== holder.id) ?? "";
-    copies.cut.add(other);
+    const holder = rememberHolder();
+    const other = CONTROLLERS.find((id) => id !== holder.id) ?? "";
+    cluster.partitioned.add(other);
     await pass(seconds);
-    copies.cut.clear();
+    cluster.partitioned.clear();
     await pass(3);
   },
 );
-Then("the same box holds the duty with the same term", () => {
+Then("the same controller holds the leader lease with the same term", () => {
   const holder = reachableHolder();
-  assert.deepEqual([holder?.id, holder?.duty.term()], [oldHolder?.id, oldTerm]);
+  assert.deepEqual([holder?.id, holder?.lease.term()], [oldHolder?.id, oldTerm]);
 });
 
-Then("exactly {int} box holds the duty", (count: number) => assert.equal(holders().length, count));
+Then("exactly {int} controller holds the leader lease", (count: number) =>
+  assert.equal(holders().length, count),
+);
 
-Then("the roster has {int} members everywhere", (count: number) => {
-  copies.running.forEach((copy) => assert.equal(copy.store.members().length, count, copy.id));
+Then("the voter set has {int} members everywhere", (count: number) => {
+  cluster.running.forEach((member) =>
+    assert.equal(member.store.members().length, count, member.id),
+  );
 });
 
-Then("the roster has {int} members on the running boxes", (count: number) => {
-  copies.running.forEach((copy) => assert.equal(copy.store.members().length, count, copy.id));
+Then("the voter set has {int} members on the running controllers", (count: number) => {
+  cluster.running.forEach((member) =>
+    assert.equal(member.store.members().length, count, member.id),
+  );
 });
 
-Then("another box holds the duty with a higher term", () => {
+Then("another controller holds the leader lease with a higher term", () => {
   const holder = reachableHolder();
   assert.ok(holder && holder.id !== oldHolder?.id);
-  assert.ok(holder.duty.term() > oldTerm);
+  assert.ok(holder.lease.term() > oldTerm);
 });
 
-Then("what the old holder writes under its term is refused", async () => {
-  copies.cut.clear();
+Then("what the old holder writes under its term is rejected", async () => {
+  cluster.partitioned.clear();
   const { store, id } = oldHolder ?? assert.fail("no holder is remembered");
-  const written = await copies.beside(
+  const written = await cluster.withClock(
     store.decide("duty/ejections", () => "{}", {
       number: oldTerm,
       holder: id,
@@ -583,7 +612,7 @@
   assert.ok(written.isErr);
 });
 
-Then("no term was ever held by two boxes", () => {
+Then("no term was ever held by two controllers", () => {
   assert.ok(holdersByTerm.size >= 4);
   holdersByTerm.forEach((ids) => assert.equal(ids.size, 1));
 });
--- a/features/steps/simulator.ts
+++ b/features/steps/simulator.ts
@@ -6,7 +6,7 @@
 import { play } from "../../simulator/play.js";
 import { scheduleOf, troubleKind, type Event, type Schedule } from "../../simulator/schedule.js";
 import { shrink } from "../../simulator/shrink.js";
-import { BROKEN } from "../support/broken-boxes.js";
+import { BROKEN } from "../support/broken-controllers.js";
 
 /** The variant that a scenario plays, and what it came to. */
 let parts: Parts = REAL_PARTS;
--- a/features/support/golden.ts
+++ b/features/support/golden.ts
@@ -3,7 +3,7 @@
 import { CONSENSUS_MESSAGE_KINDS } from "../../src/consensus/messages.js";
 import { isRecord } from "../../src/common/decode.js";
 import { connectTo, type Message } from "../../src/transport/connection.js";
-import { STATE_FOLDER, type Copies } from "./copies.js";
+import { STATE_FOLDER, type ReplicaCluster } from "./replica-cluster.js";
 import { ManualClock } from "./manual-clock.js";
 
 export type Said = readonly [to: string, message: Message];
@@ -53,58 +53,58 @@
 ];
 
 /** One conversation of four boxes, all of it begun by `a`, but for the catching up of `d`. What was sent, in order. */
-export const converse = async (copies: Copies): Promise<readonly Said[]> => {
+export const converse = async (cluster: ReplicaCluster): Promise<readonly Said[]> => {
   const said: Said[] = [];
-  copies.deaf = (to, message) => {
+  cluster.dropsMessage = (to, message) => {
     said.push([to, message]);
     return false;
   };
-  await copies.startAll();
-  const a = copies.copy("a");
-  await copies.beside(a.store.propose(ORDER));
-  await copies.beside(
+  await cluster.startAll();
+  const a = cluster.member("a");
+  await cluster.withClock(a.store.propose(ORDER));
+  await cluster.withClock(
     a.store.propose([
       makeRegister("route/pay", 2, '{"service":"pay"}'),
       makeRegister("service/old", 3, "", true),
     ]),
   );
-  await copies.beside(a.duty.handleRequest({ kind: "succeed", namedBy: "" }));
-  await copies.beside(
-    a.store.decide("duty/ejections", () => '{"ejections":[]}', a.duty.activeTerm()),
+  await cluster.withClock(a.lease.handleRequest({ kind: "succeed", namedBy: "" }));
+  await cluster.withClock(
+    a.store.decide("duty/ejections", () => '{"ejections":[]}', a.lease.activeTerm()),
   );
-  await copies.beside(a.store.confirmQuorum());
-  await copies.beside(a.keys.claim("key 1", "token 1"));
-  await copies.beside(
+  await cluster.withClock(a.store.confirmQuorum());
+  await cluster.withClock(a.keys.claim("key 1", "token 1"));
+  await cluster.withClock(
     a.keys.complete("key 1", "token 1", {
       status: 200,
       heads: ["X-A", "b"],
       body: Buffer.from("answered"),
     }),
   );
-  await copies.beside(a.keys.claim("key 1", "token 2"));
+  await cluster.withClock(a.keys.claim("key 1", "token 2"));
   a.keys.release("key 2", "token 2");
-  await copies.beside(copies.copy("d").store.read());
-  await copies.beside(copies.copy("d").store.read());
-  await copies.beside(a.duty.handleRequest({ kind: "join", id: "d" }));
-  await copies.beside(a.store.read());
+  await cluster.withClock(cluster.member("d").store.read());
+  await cluster.withClock(cluster.member("d").store.read());
+  await cluster.withClock(a.lease.handleRequest({ kind: "join", id: "d" }));
+  await cluster.withClock(a.store.read());
   return said;
 };
 
 /** What one box that hears nothing else answers to these. */
 export const answersOf = async (
-  copies: Copies,
+  cluster: ReplicaCluster,
   id: string,
   messages: readonly Message[],
 ): Promise<readonly unknown[]> => {
-  await copies.startAll();
-  copies.deaf = () => true;
-  const { store, duty: lease, keys } = copies.copy(id);
+  await cluster.startAll();
+  cluster.dropsMessage = () => true;
+  const { store, lease: lease, keys } = cluster.member(id);
   const answers: unknown[] = [];
   for (const message of messages) {
     if (message.kind === "settled") answers.push((store.applyCommitted(message), null));
     else
       answers.push(
-        (await copies.beside(
+        (await cluster.withClock(
           message.kind.startsWith("key-")
             ? keys.handleRequest(message)
             : CONSENSUS_MESSAGE_KINDS.has(message.kind)
@@ -165,16 +165,16 @@
 
 /** Boxes that come back with a folder each as it was stored, and have caught up with each other. */
 export const bringBack = async (
-  copies: Copies,
+  cluster: ReplicaCluster,
   ids: readonly string[],
   filesOf: (id: string) => ReadonlyMap<string, Uint8Array>,
 ): Promise<readonly unknown[]> => {
   const found: unknown[] = [];
   for (const id of ids) {
     filesOf(id).forEach((bytes, name) =>
-      copies.diskOf(id).files.set(`${STATE_FOLDER}/${name}`, bytes),
+      cluster.diskOf(id).files.set(`${STATE_FOLDER}/${name}`, bytes),
     );
-    const { state, store } = await copies.start(id, false);
+    const { replica: state, store } = await cluster.start(id, false);
     found.push(
       plain({
         entries: [...state.copyOfEntries().values()],
--- a/features/support/copies.ts
+++ b/features/support/replica-cluster.ts
@@ -7,35 +7,35 @@
 import { IdempotencyKeyReplication } from "../../src/idempotency/key-replication.js";
 import { CONSENSUS_MESSAGE_KINDS } from "../../src/consensus/messages.js";
 import { ReplicatedStore } from "../../src/consensus/replicated-store.js";
-import { Replica as State } from "../../src/consensus/replica.js";
+import { Replica } from "../../src/consensus/replica.js";
 import { silentLogger } from "../../src/common/logger.js";
 import type { Message } from "../../src/transport/connection.js";
 import { ManualClock, settle } from "./manual-clock.js";
 import { MemoryDisk } from "./memory-disk.js";
 
-export interface Copy {
+export interface ClusterMember {
   readonly id: string;
-  readonly archive: WriteAheadLog;
-  readonly state: State;
+  readonly writeAheadLog: WriteAheadLog;
+  readonly replica: Replica;
   readonly store: ReplicatedStore;
-  readonly duty: LeaderLease;
+  readonly lease: LeaderLease;
   readonly keys: IdempotencyKeyReplication;
   readonly book: IdempotencyKeyTable;
-  readonly learned: Purge[];
-  /** The keys of all that its listeners were told. */
-  readonly told: Set<string>;
+  readonly learnedPurges: Purge[];
+  /** The keys of all registers that its listeners were notified of. */
+  readonly notifiedKeys: Set<string>;
 }
 
 export const STATE_FOLDER = "/state";
 export const KEY_WINDOW_US = 60_000_000;
 
-/** Several signalboxes' control state over a net and disks of the test's own; operation keys lie in real files, if they have room there. */
-export class Copies {
+/** The control state of several controllers over a network and disks of the test's own; idempotency keys are in real files, if `diskBytes` is given. */
+export class ReplicaCluster {
   readonly clock = new ManualClock();
-  readonly cut = new Set<string>();
+  readonly partitioned = new Set<string>();
   /** Messages that never reach whom they are for. */
-  deaf: (to: string, message: Message) => boolean = () => false;
-  readonly running = new Map<string, Copy>();
+  dropsMessage: (to: string, message: Message) => boolean = () => false;
+  readonly running = new Map<string, ClusterMember>();
   private readonly folders = new Map<string, string>();
   private readonly disks = new Map<string, MemoryDisk>();
   private seed = 1;
@@ -50,24 +50,24 @@
     for (const id of this.ids) await this.start(id, true);
   };
 
-  readonly start = async (id: string, firstRun: boolean): Promise<Copy> => {
+  readonly start = async (id: string, firstRun: boolean): Promise<ClusterMember> => {
     const folder = this.folders.get(id) ?? (await mkdtemp(join(tmpdir(), "yewreel-")));
     this.folders.set(id, folder);
-    const state = new State();
-    const archive = new WriteAheadLog({
+    const replica = new Replica();
+    const writeAheadLog = new WriteAheadLog({
       folder: STATE_FOLDER,
       fileSystem: this.diskOf(id),
-      snapshot: state.snapshot,
+      snapshot: replica.snapshot,
     });
     const transport = {
-      request: (to: string, message: Message) => this.carry(id, to, message),
+      request: (to: string, message: Message) => this.deliver(id, to, message),
       broadcast: (message: Message) =>
-        this.ids.filter((to) => to !== id).forEach((to) => void this.carry(id, to, message)),
+        this.ids.filter((to) => to !== id).forEach((to) => void this.deliver(id, to, message)),
     };
     const store = new ReplicatedStore({
       self: id,
-      writeAheadLog: archive,
-      replica: state,
+      writeAheadLog,
+      replica,
       seeds: () => this.ids.slice(0, 3),
       transport,
       clock: this.clock,
@@ -80,15 +80,17 @@
       store,
       clock: this.clock,
       logger: silentLogger,
-      isConnected: (to) => this.reaches(id, to),
+      isConnected: (to) => this.isReachable(id, to),
       request: transport.request,
       hasDisk: true,
       withstandMachines: this.withstandMachines,
       holderTimeoutUs: 1_500_000,
-      copyOtherState: () => this.copy(id).keys.replicateToNewMembers(),
+      copyOtherState: () => this.member(id).keys.replicateToNewMembers(),
     });
-    const told = new Set<string>();
-    store.events.on("committed", (registers) => registers.forEach(({ key }) => told.add(key)));
+    const notifiedKeys = new Set<string>();
+    store.events.on("committed", (registers) =>
+      registers.forEach(({ key }) => notifiedKeys.add(key)),
+    );
     await store.start(firstRun);
     const book = new IdempotencyKeyTable({
       folder: this.diskBytes === 0 ? "" : join(folder, "keys"),
@@ -96,26 +98,36 @@
       keyWindowUs: KEY_WINDOW_US,
       diskBytes: this.diskBytes,
     });
-    const learned: Purge[] = [];
+    const learnedPurges: Purge[] = [];
     const keys = new IdempotencyKeyReplication({
       self: id,
       table: book,
       store,
       request: transport.request,
-      isConnected: (to) => this.reaches(id, to),
+      isConnected: (to) => this.isReachable(id, to),
       send: transport.broadcast,
       withstandMachines: this.withstandMachines,
       logger: silentLogger,
-      onPurge: (purge) => learned.push(purge),
+      onPurge: (purge) => learnedPurges.push(purge),
     });
     await keys.start(firstRun);
-    const copy = { id, archive, state, store, duty: lease, keys, book, learned, told };
-    this.running.set(id, copy);
-    return copy;
+    const member = {
+      id,
+      writeAheadLog,
+      replica,
+      store,
+      lease,
+      keys,
+      book,
+      learnedPurges,
+      notifiedKeys,
+    };
+    this.running.set(id, member);
+    return member;
   };
 
-  /** Moves the clock on beside the work, so that waits for those who are gone come to their end. */
-  readonly beside = async <T>(work: Promise<T>): Promise<T> => {
+  /** Moves the clock on while the work goes on, so that requests to those who are gone time out. */
+  readonly withClock = async <T>(work: Promise<T>): Promise<T> => {
     let isDone = false;
     const finished = work.finally(() => {
       isDone = true;
@@ -124,39 +136,41 @@
     return finished;
   };
 
-  /** Every box catches up, and one change of the roster takes these in. */
-  readonly enrol = async (ids: readonly string[]): Promise<void> => {
+  /** Every controller catches up, and one change of the voter set takes these in. */
+  readonly makeVoters = async (ids: readonly string[]): Promise<void> => {
     await this.readAll();
-    const changed = await this.beside(this.copy(this.ids[0] ?? "").store.changeMembers(() => ids));
-    if (changed.isErr) throw new Error(`the roster was not changed: ${changed.error.message}`);
+    const changed = await this.withClock(
+      this.member(this.ids[0] ?? "").store.changeMembers(() => ids),
+    );
+    if (changed.isErr) throw new Error(`the voter set was not changed: ${changed.error.message}`);
     await this.readAll();
   };
 
-  /** Twice, since the first asking may only tell a newcomer whom to ask. */
+  /** Twice, since the first read may only tell a new replica whom to ask. */
   readonly readAll = async (): Promise<void> => {
     for (const id of [...this.running.keys(), ...this.running.keys()])
-      await this.beside(this.copy(id).store.read());
+      await this.withClock(this.member(id).store.read());
   };
 
-  readonly copy = (id: string): Copy => {
-    const copy = this.running.get(id);
-    if (!copy) throw new Error(`${id} is down`);
-    return copy;
+  readonly member = (id: string): ClusterMember => {
+    const member = this.running.get(id);
+    if (!member) throw new Error(`${id} is down`);
+    return member;
   };
 
-  /** Every process is killed at once; what was synced stays. */
+  /** Kills every process; what was synced stays. */
   readonly killAll = async (): Promise<void> => {
     for (const id of [...this.running.keys()]) await this.kill(id);
   };
 
-  /** A kill lets a write that the disk has begun come to its end, so that no two lives write one folder. */
+  /** Kills a process. A write that the disk has begun comes to its end, so that no two incarnations write one folder. */
   readonly kill = async (id: string): Promise<void> => {
-    const copy = this.running.get(id);
-    copy?.duty.stop();
+    const member = this.running.get(id);
+    member?.lease.stop();
     this.running.delete(id);
-    await copy?.store.persisted();
-    await copy?.archive.idle();
-    await copy?.book.close();
+    await member?.store.persisted();
+    await member?.writeAheadLog.idle();
+    await member?.book.close();
     await settle(4);
   };
 
@@ -174,7 +188,7 @@
 
   readonly folderOf = (id: string): string => this.folders.get(id) ?? "";
 
-  readonly clean = async (): Promise<void> => {
+  readonly removeAll = async (): Promise<void> => {
     await this.killAll();
     for (const folder of this.folders.values()) await rm(folder, { recursive: true, force: true });
   };
@@ -184,18 +198,18 @@
     return this.seed / 2_147_483_648;
   };
 
-  private readonly reaches = (from: string, to: string): boolean =>
+  private readonly isReachable = (from: string, to: string): boolean =>
     this.running.has(to) &&
     this.running.has(from) &&
-    (from === to || (!this.cut.has(from) && !this.cut.has(to)));
+    (from === to || (!this.partitioned.has(from) && !this.partitioned.has(to)));
 
-  private readonly carry = async (
+  private readonly deliver = async (
     from: string,
     to: string,
     message: Message,
   ): Promise<Message | undefined> => {
-    if (!this.reaches(from, to) || this.deaf(to, message)) return undefined;
-    const { store, duty: lease, keys } = this.copy(to);
+    if (!this.isReachable(from, to) || this.dropsMessage(to, message)) return undefined;
+    const { store, lease, keys } = this.member(to);
     if (message.kind.startsWith("key-")) return keys.handleRequest(message);
     switch (message.kind) {
       case "settled":
