--- a/features/steps/simulator.ts
+++ b/features/steps/simulator.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import { Before, Given, Then, When } from "@cucumber/cucumber";
 import { MILLISECOND_US, SECOND_US } from "../../src/common/duration.js";
-import { REAL_PARTS, type Parts } from "../../simulator/box.js";
-import { faultsOf, type Fault } from "../../simulator/checks.js";
-import { play } from "../../simulator/play.js";
+import { REAL_PARTS, type Parts } from "../../simulator/simulated-controller.js";
+import { faultsOf, type Fault } from "../../simulator/invariants.js";
+import { play } from "../../simulator/simulation.js";
 import { scheduleOf, troubleKind, type Event, type Schedule } from "../../simulator/schedule.js";
 import { shrink } from "../../simulator/shrink.js";
 import { BROKEN } from "../support/broken-controllers.js";
--- a/features/support/broken-controllers.ts
+++ b/features/support/broken-controllers.ts
@@ -8,7 +8,7 @@
   type ReplicatedStoreOptions,
 } from "../../src/consensus/replicated-store.js";
 import { asList, isRecord } from "../../src/common/decode.js";
-import { REAL_PARTS, type Parts } from "../../simulator/box.js";
+import { REAL_PARTS, type Parts } from "../../simulator/simulated-controller.js";
 
 /** A ledger in which some methods are replaced, given the real one's. */
 const ledgerWith = (
--- a/simulator/checks.ts
+++ b/simulator/invariants.ts
@@ -1,8 +1,8 @@
 import type { Register } from "../src/consensus/register.js";
 import type { VoterSet } from "../src/consensus/voter-set.js";
-import { ACT_KEY } from "./box.js";
+import { ACT_KEY } from "./simulated-controller.js";
 import type { Attempt } from "./history.js";
-import { CONFIRM_US, type Outcome } from "./play.js";
+import { CONFIRM_US, type Outcome } from "./simulation.js";
 import { deploymentOf, type Schedule } from "./schedule.js";
 
 /** What is wrong with a play: the check that says so, and one line for people. */
--- a/simulator/run.ts
+++ b/simulator/run.ts
@@ -9,8 +9,8 @@
   asString,
   readNumber,
 } from "../src/common/decode.js";
-import { ALWAYS, faultsOf } from "./checks.js";
-import { play } from "./play.js";
+import { ALWAYS, faultsOf } from "./invariants.js";
+import { play } from "./simulation.js";
 import { DEPLOYMENTS, scheduleOf, troubleKind, type Event } from "./schedule.js";
 import { shrink } from "./shrink.js";
 
--- a/simulator/schedule.ts
+++ b/simulator/schedule.ts
@@ -1,7 +1,7 @@
 import { MILLISECOND_US, SECOND_US } from "../src/common/duration.js";
-import { Chance } from "./chance.js";
-import type { DiskTrouble } from "./disk.js";
-import type { Noise } from "./net.js";
+import { Chance } from "./seeded-random.js";
+import type { DiskTrouble } from "./simulated-disk.js";
+import type { Noise } from "./simulated-network.js";
 
 export interface Deployment {
   readonly boxes: number;
--- a/simulator/shrink.ts
+++ b/simulator/shrink.ts
@@ -1,6 +1,6 @@
-import type { Parts } from "./box.js";
-import { faultsOf, type Fault } from "./checks.js";
-import { play } from "./play.js";
+import type { Parts } from "./simulated-controller.js";
+import { faultsOf, type Fault } from "./invariants.js";
+import { play } from "./simulation.js";
 import type { Event, Schedule } from "./schedule.js";
 
 const PLAYS_MOST = 400;
--- a/simulator/box.ts
+++ b/simulator/simulated-controller.ts
@@ -9,11 +9,11 @@
 import { MILLISECOND_US, SECOND_US } from "../src/common/duration.js";
 import type { Message } from "../src/transport/connection.js";
 import type { FileSystem } from "../src/storage/file-system.js";
-import type { Chance } from "./chance.js";
-import type { SimDisk } from "./disk.js";
+import type { Chance } from "./seeded-random.js";
+import type { SimDisk } from "./simulated-disk.js";
 import type { History } from "./history.js";
-import type { Link, Net } from "./net.js";
-import type { World } from "./world.js";
+import type { Link, Net } from "./simulated-network.js";
+import type { World } from "./virtual-time.js";
 
 /** What a test may replace by something broken. */
 export interface Parts {
--- a/simulator/disk.ts
+++ b/simulator/simulated-disk.ts
@@ -1,7 +1,7 @@
 import type { FileSystem } from "../src/storage/file-system.js";
 import { MILLISECOND_US } from "../src/common/duration.js";
-import type { Chance } from "./chance.js";
-import type { World } from "./world.js";
+import type { Chance } from "./seeded-random.js";
+import type { World } from "./virtual-time.js";
 
 /** What a file holds, whatever its names. */
 interface Content {
--- a/simulator/net.ts
+++ b/simulator/simulated-network.ts
@@ -1,9 +1,9 @@
 import { PendingRequests } from "../src/transport/pending-requests.js";
 import type { Message } from "../src/transport/connection.js";
 import { MILLISECOND_US, SECOND_US } from "../src/common/duration.js";
-import type { Box } from "./box.js";
-import type { Chance } from "./chance.js";
-import type { World } from "./world.js";
+import type { Box } from "./simulated-controller.js";
+import type { Chance } from "./seeded-random.js";
+import type { World } from "./virtual-time.js";
 
 /** Parts of all messages that are lost, late by up to four seconds, and doubled. */
 export interface Noise {
--- a/simulator/play.ts
+++ b/simulator/simulation.ts
@@ -1,10 +1,10 @@
 import { makeRegister, type Register } from "../src/consensus/register.js";
 import { MILLISECOND_US, SECOND_US } from "../src/common/duration.js";
-import { Box, REAL_PARTS, type Parts } from "./box.js";
-import { Chance } from "./chance.js";
-import { SimDisk } from "./disk.js";
+import { Box, REAL_PARTS, type Parts } from "./simulated-controller.js";
+import { Chance } from "./seeded-random.js";
+import { SimDisk } from "./simulated-disk.js";
 import { History, type Call } from "./history.js";
-import { CALM, Net } from "./net.js";
+import { CALM, Net } from "./simulated-network.js";
 import {
   CATCH_UP_US,
   deploymentOf,
@@ -16,7 +16,7 @@
   type Schedule,
   type Way,
 } from "./schedule.js";
-import { World } from "./world.js";
+import { World } from "./virtual-time.js";
 
 interface Machine {
   readonly id: string;
