--- a/features/simulator.feature
+++ b/features/simulator.feature
@@ -1,8 +1,8 @@
-Feature: The simulator of control plays days of trouble and checks what was seen
+Feature: The simulator runs the control state under faults and checks invariants of what was recorded
 
-  Scenario Outline: Nothing fails on a fixed stretch of seeds
-    When <seeds> seeds of the deployment "<deployment>" are played
-    Then every check passes on each
+  Scenario Outline: No invariant is violated on a fixed range of seeds
+    When <seeds> seeds of the deployment "<deployment>" are run
+    Then every invariant holds on each
 
     Examples:
       | deployment | seeds |
@@ -10,46 +10,46 @@
       | grown      | 20    |
       | large      | 5     |
 
-  Scenario: No rule of safety is broken when more is lost at once than is withstood
-    When 25 seeds of the deployment "small" are played, with more lost than it withstands
-    Then every check passes on each
+  Scenario: No safety invariant is violated when more is lost at once than is withstood
+    When 25 seeds of the deployment "small" are run, with more lost than it withstands
+    Then every invariant holds on each
 
-  Scenario: A seed plays the same way each time
+  Scenario: A seed runs the same way each time
     Then seed 7 of the deployment "grown" gives the same history twice
 
-  Scenario Outline: Each check finds what it is there for
-    Given boxes of which <fault>
-    When seeds with much "<favoured>" are played until the check "<check>" fails
-    Then the shortest schedule found fails the same check
+  Scenario Outline: Each invariant finds what it is there for
+    Given controllers of which <defect>
+    When seeds with much "<favoured>" are run until the invariant "<invariant>" is violated
+    Then the shortest schedule found violates the same invariant
 
     Examples:
-      | fault                                                | favoured | check        |
-      | a proposer passes over what was accepted before      | kill     | one-body     |
-      | an acceptor accepts what it promised not to          | kill     | linearizable |
-      | a read asks nobody                                   | kill     | linearizable |
-      | what was agreed under earlier numbers is forgotten   | kill     | refused      |
-      | only the first item of an order is offered           | kill     | whole        |
-      | an order is taken without a look at what it names    | kill     | refused      |
-      | a term is not looked at                              | freeze   | terms        |
-      | contact is taken for granted                         | freeze   | contact      |
-      | the roster only grows                                | replace  | roster       |
-      | nobody lets a wiped one catch up                     | wipe     | served       |
+      | defect                                                   | favoured | invariant      |
+      | a proposer ignores what was accepted before              | kill     | single-value   |
+      | an acceptor accepts what it promised not to              | kill     | linearizable   |
+      | a read asks no quorum                                    | kill     | linearizable   |
+      | what was committed under earlier versions is forgotten   | kill     | rejected       |
+      | only the first item of a change is proposed              | kill     | complete       |
+      | a change is accepted without a check of what it requires | kill     | rejected       |
+      | terms are not checked                                    | freeze   | leader-terms   |
+      | quorum contact is taken for granted                      | freeze   | quorum-contact |
+      | the voter set only grows                                 | replace  | voter-set      |
+      | nobody lets a wiped one catch up                         | wipe     | availability   |
 
   Scenario Outline: What a lost disk may cost is found too
-    Given boxes of which <fault>
-    When an order reaches two of three, the third is late, and all lose power while one of the two is <harm>
-    Then the check "linearizable" fails
+    Given controllers of which <defect>
+    When a change reaches two of three, the third is late, and all lose power while one of the two is <harm>
+    Then the invariant "linearizable" is violated
 
     Examples:
-      | fault                                                | harm    |
-      | a wiped one counts at once                           | wiped   |
-      | a spoiled file is passed over for what was before it | spoiled |
+      | defect                                            | harm      |
+      | a wiped one votes at once                         | wiped     |
+      | a corrupt file is ignored in favour of older ones | corrupted |
 
-  Scenario Outline: The real boxes bear the same
-    When an order reaches two of three, the third is late, and all lose power while one of the two is <harm>
-    Then every check passes on each
+  Scenario Outline: The real controllers withstand the same
+    When a change reaches two of three, the third is late, and all lose power while one of the two is <harm>
+    Then every invariant holds on each
 
     Examples:
-      | harm    |
-      | wiped   |
-      | spoiled |
+      | harm      |
+      | wiped     |
+      | corrupted |
--- a/features/steps/simulator.ts
+++ b/features/steps/simulator.ts
@@ -1,64 +1,74 @@
 import assert from "node:assert/strict";
 import { Before, Given, Then, When } from "@cucumber/cucumber";
 import { MILLISECOND_US, SECOND_US } from "../../src/common/duration.js";
-import { REAL_PARTS, type Parts } from "../../simulator/simulated-controller.js";
-import { faultsOf, type Fault } from "../../simulator/invariants.js";
-import { play } from "../../simulator/simulation.js";
-import { scheduleOf, troubleKind, type Event, type Schedule } from "../../simulator/schedule.js";
+import { REAL_COMPONENTS, type Components } from "../../simulator/simulated-controller.js";
+import { violationsOf, type Violation } from "../../simulator/invariants.js";
+import { simulate } from "../../simulator/simulation.js";
+import { generateSchedule } from "../../simulator/schedule-generator.js";
+import { faultKindOf, type Event, type Schedule } from "../../simulator/schedule.js";
 import { shrink } from "../../simulator/shrink.js";
-import { BROKEN } from "../support/broken-controllers.js";
+import { BROKEN_COMPONENTS } from "../support/broken-controllers.js";
 
-/** The variant that a scenario plays, and what it came to. */
-let parts: Parts = REAL_PARTS;
-let found: readonly Fault[] = [];
-let failing: { readonly schedule: Schedule; readonly fault: Fault } | undefined;
+/** The variant that a scenario runs, and what it violated. */
+let components: Components = REAL_COMPONENTS;
+let violations: readonly Violation[] = [];
+let failing: { readonly schedule: Schedule; readonly violation: Violation } | undefined;
 
-const SEEDS_MOST = 150;
+const MAX_SEEDS = 150;
 
-const playOn = async (schedules: readonly Schedule[]): Promise<void> => {
-  const faults: Fault[] = [];
+const runAll = async (schedules: readonly Schedule[]): Promise<void> => {
+  const found: Violation[] = [];
   for (const schedule of schedules)
-    faultsOf(await play(schedule, parts), schedule).forEach((fault) =>
-      faults.push({
-        ...fault,
-        sentence: `seed ${schedule.seed} of ${schedule.deployment}: ${fault.sentence}`,
+    violationsOf(await simulate(schedule, components), schedule).forEach((violation) =>
+      found.push({
+        ...violation,
+        sentence: `seed ${schedule.seed} of ${schedule.deployment}: ${violation.sentence}`,
       }),
     );
-  found = faults;
+  violations = found;
 };
 
-const seedsOf = (seeds: number, deployment: string, beyond: boolean): readonly Schedule[] =>
-  Array.from({ length: seeds }, (_none, at) => scheduleOf(at + 1, deployment, { beyond }));
+const schedulesOf = (
+  seeds: number,
+  deployment: string,
+  exceedsTolerance: boolean,
+): readonly Schedule[] =>
+  Array.from({ length: seeds }, (_none, at) =>
+    generateSchedule(at + 1, deployment, { exceedsTolerance }),
+  );
 
-/** An order that box 2 hears of only after all three have lost power, box 1 with what it kept; box 0 comes back last. */
-const lateThird = (seed: number, harm: string): Schedule => {
-  const order = (id: number, atUs: number): Event => ({
+/**
+ * A change that controller 2 hears of only after all three have lost power, controller 1 with its disk; controller 0 comes
+ * back last.
+ */
+const lateThirdSchedule = (seed: number, harm: string): Schedule => {
+  const change = (id: number, atUs: number): Event => ({
     atUs,
-    kind: "order",
+    kind: "change",
     id,
     slot: 0,
-    parts: [{ key: "route/a", version: id, body: `{"order":${id}}` }],
-    needs: "",
-    lostAnswers: 0,
+    items: [{ key: "route/a", version: id, body: `{"order":${id}}` }],
+    requires: "",
+    answerLossProbability: 0,
   });
   const strikeUs = 5_100 * MILLISECOND_US;
   const events: Event[] = [
-    order(1, 1 * SECOND_US),
+    change(1, 1 * SECOND_US),
     {
       atUs: 4_980 * MILLISECOND_US,
-      kind: "cut",
+      kind: "partition",
       slot: 2,
       others: [0, 1],
-      way: "both",
-      forUs: strikeUs - 4_980 * MILLISECOND_US,
+      direction: "both",
+      durationUs: strikeUs - 4_980 * MILLISECOND_US,
     },
-    order(2, 5 * SECOND_US),
+    change(2, 5 * SECOND_US),
     {
       atUs: strikeUs,
-      kind: "all",
+      kind: "stop-all",
       byPower: true,
       wiped: harm === "wiped" ? [1] : [],
-      spoiled: harm === "spoiled" ? [1] : [],
+      corrupted: harm === "corrupted" ? [1] : [],
       downUs: [1 * SECOND_US, 50 * MILLISECOND_US, 50 * MILLISECOND_US],
     },
     ...Array.from({ length: 24 }, (_none, at): Event => ({
@@ -67,71 +77,87 @@
       slot: 1 + (at % 2),
     })),
   ];
-  return { seed, deployment: "small", beyond: false, padBytes: 0, events, calmUs: 7 * SECOND_US };
+  return {
+    seed,
+    deployment: "small",
+    exceedsTolerance: false,
+    paddingBytes: 0,
+    events,
+    calmUs: 7 * SECOND_US,
+  };
 };
 
 Before(() => {
-  parts = REAL_PARTS;
+  components = REAL_COMPONENTS;
 });
 
-Given("boxes of which {}", (fault: string) => {
-  const broken = BROKEN[fault];
-  assert.ok(broken, `no such variant: ${fault}`);
-  parts = broken;
+Given("controllers of which {}", (defect: string) => {
+  const broken = BROKEN_COMPONENTS[defect];
+  assert.ok(broken, `no such variant: ${defect}`);
+  components = broken;
 });
 
 When(
-  "{int} seeds of the deployment {string} are played",
+  "{int} seeds of the deployment {string} are run",
   { timeout: 60_000 },
-  (seeds: number, deployment: string) => playOn(seedsOf(seeds, deployment, false)),
+  (seeds: number, deployment: string) => runAll(schedulesOf(seeds, deployment, false)),
 );
 
 When(
-  "{int} seeds of the deployment {string} are played, with more lost than it withstands",
+  "{int} seeds of the deployment {string} are run, with more lost than it withstands",
   { timeout: 60_000 },
-  (seeds: number, deployment: string) => playOn(seedsOf(seeds, deployment, true)),
+  (seeds: number, deployment: string) => runAll(schedulesOf(seeds, deployment, true)),
 );
 
 When(
-  "an order reaches two of three, the third is late, and all lose power while one of the two is {word}",
+  "a change reaches two of three, the third is late, and all lose power while one of the two is {word}",
   { timeout: 60_000 },
-  (harm: string) => playOn(Array.from({ length: 10 }, (_none, at) => lateThird(at + 1, harm))),
+  (harm: string) =>
+    runAll(Array.from({ length: 10 }, (_none, at) => lateThirdSchedule(at + 1, harm))),
 );
 
 When(
-  "seeds with much {string} are played until the check {string} fails",
+  "seeds with much {string} are run until the invariant {string} is violated",
   { timeout: 60_000 },
-  async (kind: string, check: string) => {
+  async (kind: string, invariant: string) => {
     failing = undefined;
-    const favoured = troubleKind(kind);
-    assert.ok(favoured);
-    for (let seed = 1; seed <= SEEDS_MOST && !failing; seed += 1) {
-      const schedule = scheduleOf(seed, "small", { beyond: false, favoured });
-      const fault = faultsOf(await play(schedule, parts), schedule).find(
-        (one) => one.check === check,
+    const frequentFault = faultKindOf(kind);
+    assert.ok(frequentFault);
+    for (let seed = 1; seed <= MAX_SEEDS && !failing; seed += 1) {
+      const schedule = generateSchedule(seed, "small", {
+        exceedsTolerance: false,
+        frequentFault,
+      });
+      const violation = violationsOf(await simulate(schedule, components), schedule).find(
+        (one) => one.invariant === invariant,
       );
-      if (fault) failing = { schedule, fault };
+      if (violation) failing = { schedule, violation };
     }
-    assert.ok(failing, `the check ${check} passed ${SEEDS_MOST} seeds`);
+    assert.ok(failing, `the invariant ${invariant} held for ${MAX_SEEDS} seeds`);
   },
 );
 
-Then("every check passes on each", () => assert.deepEqual(found, []));
+Then("every invariant holds on each", () => assert.deepEqual(violations, []));
 
-Then("the check {string} fails", (check: string) =>
+Then("the invariant {string} is violated", (invariant: string) =>
   assert.ok(
-    found.some((fault) => fault.check === check),
-    `passed by ${check}`,
+    violations.some((violation) => violation.invariant === invariant),
+    `${invariant} held`,
   ),
 );
 
-Then("the shortest schedule found fails the same check", { timeout: 60_000 }, async () => {
+Then("the shortest schedule found violates the same invariant", { timeout: 60_000 }, async () => {
   assert.ok(failing);
-  const { schedule, fault, plays } = await shrink(failing.schedule, failing.fault, parts, 12);
-  assert.equal(fault.check, failing.fault.check);
+  const { schedule, violation, runs } = await shrink(
+    failing.schedule,
+    failing.violation,
+    components,
+    12,
+  );
+  assert.equal(violation.invariant, failing.violation.invariant);
   assert.ok(
     schedule.events.length < failing.schedule.events.length,
-    `${plays} plays left out nothing`,
+    `${runs} runs left out nothing`,
   );
 });
 
@@ -139,8 +165,8 @@
   "seed {int} of the deployment {string} gives the same history twice",
   { timeout: 60_000 },
   async (seed: number, deployment: string) => {
-    const schedule = scheduleOf(seed, deployment, { beyond: false });
-    const [first, second] = [await play(schedule), await play(schedule)];
+    const schedule = generateSchedule(seed, deployment, { exceedsTolerance: false });
+    const [first, second] = [await simulate(schedule), await simulate(schedule)];
     assert.equal(JSON.stringify(second), JSON.stringify(first));
   },
 );
--- a/features/support/broken-controllers.ts
+++ b/features/support/broken-controllers.ts
@@ -1,3 +1,4 @@
+/** Controllers that are broken on purpose, for the invariants of the simulator to find. */
 import { createHash } from "node:crypto";
 import { ok } from "true-myth/result";
 import { NO_BALLOT } from "../../src/consensus/ballot.js";
@@ -8,49 +9,49 @@
   type ReplicatedStoreOptions,
 } from "../../src/consensus/replicated-store.js";
 import { asList, isRecord } from "../../src/common/decode.js";
-import { REAL_PARTS, type Parts } from "../../simulator/simulated-controller.js";
+import { REAL_COMPONENTS, type Components } from "../../simulator/simulated-controller.js";
 
-/** A ledger in which some methods are replaced, given the real one's. */
-const ledgerWith = (
+/** Components whose replicated store has some methods replaced, given the real one's. */
+const storeWith = (
   broken: (
     real: Pick<ReplicatedStore, "handleRequest" | "start" | "read" | "propose" | "changeMembers">,
     options: ReplicatedStoreOptions,
   ) => Partial<ReplicatedStore>,
-): Parts => ({
-  ...REAL_PARTS,
+): Components => ({
+  ...REAL_COMPONENTS,
   store: (options) => {
     const store = new ReplicatedStore(options);
     return Object.assign(store, broken({ ...store }, options));
   },
 });
 
-class NoPromises extends Replica {
+class ForgetfulReplica extends Replica {
   override readonly promisedFor = () => NO_BALLOT;
 }
 
-/** Shows no file that is spoiled, and none that came after it. */
-const passingOverSpoiled = (disk: FileSystem): FileSystem => ({
+/** Shows no file that is corrupt, and none that came after it. */
+const hidingCorruptFiles = (disk: FileSystem): FileSystem => ({
   ...disk,
   list: async (folder) => {
     const names = await disk.list(folder);
     const numberOf = (name: string) => Number(/\d+/.exec(name)?.[0] ?? 0);
-    const spoiled = await Promise.all(
+    const corrupt = await Promise.all(
       names.map(async (name) => {
         const bytes = (await disk.read(`${folder}/${name}`)) ?? new Uint8Array();
-        const isWhole = createHash("sha256")
+        const isIntact = createHash("sha256")
           .update(bytes.subarray(32))
           .digest()
           .equals(bytes.subarray(0, 32));
-        return isWhole || !name.endsWith(".bin") ? Number.POSITIVE_INFINITY : numberOf(name);
+        return isIntact || !name.endsWith(".bin") ? Number.POSITIVE_INFINITY : numberOf(name);
       }),
     );
-    return names.filter((name) => numberOf(name) < Math.min(...spoiled));
+    return names.filter((name) => numberOf(name) < Math.min(...corrupt));
   },
 });
 
-/** Boxes that are broken on purpose, by what is wrong with them; each is there for a check to find. */
-export const BROKEN: Readonly<Record<string, Parts>> = {
-  "a proposer passes over what was accepted before": ledgerWith((real) => ({
+/** By what is wrong with them; each is there for an invariant to find. */
+export const BROKEN_COMPONENTS: Readonly<Record<string, Components>> = {
+  "a proposer ignores what was accepted before": storeWith((real) => ({
     handleRequest: async (message) => {
       const reply = await real.handleRequest(message);
       return reply.kind === "promised" && message.kind === "promise"
@@ -58,21 +59,24 @@
         : reply;
     },
   })),
-  "an acceptor accepts what it promised not to": { ...REAL_PARTS, copy: () => new NoPromises() },
-  "a spoiled file is passed over for what was before it": {
-    ...REAL_PARTS,
-    disk: passingOverSpoiled,
+  "an acceptor accepts what it promised not to": {
+    ...REAL_COMPONENTS,
+    replica: () => new ForgetfulReplica(),
   },
-  "a wiped one counts at once": ledgerWith((real, { replica: copy }) => ({
+  "a corrupt file is ignored in favour of older ones": {
+    ...REAL_COMPONENTS,
+    disk: hidingCorruptFiles,
+  },
+  "a wiped one votes at once": storeWith((real, { replica }) => ({
     start: async (firstRun) => {
       await real.start(firstRun);
-      copy.setVoting();
+      replica.setVoting();
     },
   })),
-  "a read asks nobody": ledgerWith((real, { replica: copy }) => ({
-    read: async () => (copy.isVoting ? ok(undefined) : real.read()),
+  "a read asks no quorum": storeWith((real, { replica }) => ({
+    read: async () => (replica.isVoting ? ok(undefined) : real.read()),
   })),
-  "what was agreed under earlier numbers is forgotten": ledgerWith((real) => ({
+  "what was committed under earlier versions is forgotten": storeWith((real) => ({
     handleRequest: (message) => {
       if (message.kind !== "accept") return real.handleRequest(message);
       const items = asList(message["items"]).map((item) => {
@@ -82,19 +86,19 @@
       return real.handleRequest({ ...message, items });
     },
   })),
-  "only the first item of an order is offered": ledgerWith((real) => ({
-    propose: (call, problemOf) => real.propose(call.slice(0, 1), problemOf),
+  "only the first item of a change is proposed": storeWith((real) => ({
+    propose: (registers, problemOf) => real.propose(registers.slice(0, 1), problemOf),
   })),
-  "an order is taken without a look at what it names": ledgerWith((real) => ({
-    propose: (call) => real.propose(call),
+  "a change is accepted without a check of what it requires": storeWith((real) => ({
+    propose: (registers) => real.propose(registers),
   })),
-  "a term is not looked at": ledgerWith(() => ({ isSuperseded: () => false })),
-  "contact is taken for granted": ledgerWith(() => ({ confirmQuorum: async () => true })),
-  "the roster only grows": ledgerWith((real) => ({
+  "terms are not checked": storeWith(() => ({ isSuperseded: () => false })),
+  "quorum contact is taken for granted": storeWith(() => ({ confirmQuorum: async () => true })),
+  "the voter set only grows": storeWith((real) => ({
     changeMembers: (change, moveMore) =>
       real.changeMembers((members) => [...new Set([...members, ...change(members)])], moveMore),
   })),
-  "nobody lets a wiped one catch up": ledgerWith((real) => ({
+  "nobody lets a wiped one catch up": storeWith((real) => ({
     handleRequest: async (message) =>
       message.kind === "read" && message["floor"] !== undefined
         ? { kind: "refused", why: "not-counting" }
--- /dev/null
+++ b/simulator/change-generator.ts
@@ -0,0 +1,117 @@
+/** Draws what operators send: changes of configuration items, resent changes and reads. */
+import { MILLISECOND_US, SECOND_US } from "../src/common/duration.js";
+import { MISSING_ITEM, type Deployment, type Event, type Item } from "./schedule.js";
+import type { SeededRandom } from "./seeded-random.js";
+
+const KEYS = [
+  "route/a",
+  "route/b",
+  "route/c",
+  "route/d",
+  "service/e",
+  "route/f",
+  "route/g",
+  "route/h",
+];
+
+class ChangeGenerator {
+  private readonly events: Event[] = [];
+  private readonly newestVersions = new Map<string, number>();
+  private lastId = 0;
+
+  constructor(
+    private readonly random: SeededRandom,
+    private readonly deployment: Deployment,
+  ) {}
+
+  readonly generate = (untilUs: number): Event[] => {
+    const { random } = this;
+    let atUs = 500 * MILLISECOND_US;
+    while (atUs < untilUs) {
+      const burst = random.occurs(0.15) ? random.integer(2, 8) : 1;
+      for (let count = 0; count < burst; count += 1) this.addChangeWithRival(atUs);
+      if (random.occurs(0.5))
+        this.events.push({
+          atUs: atUs + random.integer(0, 800 * MILLISECOND_US),
+          kind: "read",
+          slot: this.anySlot(),
+        });
+      atUs += random.integer(50 * MILLISECOND_US, 1_300 * MILLISECOND_US);
+    }
+    return this.events;
+  };
+
+  private readonly anySlot = (): number => this.random.integer(0, this.deployment.controllers - 1);
+
+  /** The body of the next change. */
+  private readonly nextBody = (): string => `{"order":${this.lastId + 1}}`;
+
+  private readonly addChangeWithRival = (atUs: number): void => {
+    const { random } = this;
+    const keys = KEYS.filter(() => random.occurs(0.18));
+    const items = (keys.length > 0 ? keys : [random.pick(KEYS)]).map(this.itemOf);
+    this.addChange(
+      atUs,
+      random.occurs(0.1) ? [...items, this.repeated(random.pick(items))] : items,
+    );
+    // A rival puts another body under one of these versions at the same moment.
+    if (!random.occurs(0.25)) return;
+    const rivals = items.filter(() => random.occurs(0.6));
+    if (rivals.length === 0) return;
+    const rivalUs = atUs + random.integer(0, 30 * MILLISECOND_US);
+    const body = this.nextBody();
+    this.addChange(
+      rivalUs,
+      rivals.map((item) => ({ ...item, body })),
+    );
+  };
+
+  /** Most often the item's next version; at times one that was used, or one too high. */
+  private readonly itemOf = (key: string): Item => {
+    const { random } = this;
+    const newest = this.newestVersions.get(key) ?? 0;
+    const version = random.occurs(0.08)
+      ? Math.max(1, newest - random.integer(0, 2))
+      : newest + (random.occurs(0.1) ? 2 : 1);
+    this.newestVersions.set(key, Math.max(newest, version));
+    return { key, version, body: random.occurs(0.06) ? "" : this.nextBody() };
+  };
+
+  /** An item that a change names a second time: as it was, with another body, or under another version. */
+  private readonly repeated = (item: Item): Item => {
+    const body = `{"order":${this.lastId + 1},"again":1}`;
+    return this.random.pick([
+      item,
+      { ...item, body },
+      { ...item, version: item.version + 1, body },
+    ]);
+  };
+
+  private readonly addChange = (atUs: number, items: readonly Item[]): void => {
+    const { random } = this;
+    this.lastId += 1;
+    this.events.push({
+      atUs,
+      kind: "change",
+      id: this.lastId,
+      slot: this.anySlot(),
+      items,
+      requires: random.occurs(0.15) ? random.pick(["service/e", MISSING_ITEM]) : "",
+      answerLossProbability: random.occurs(0.3) ? 0.5 : 0,
+    });
+    while (random.occurs(0.25))
+      this.events.push({
+        atUs: atUs + random.integer(50 * MILLISECOND_US, 12 * SECOND_US),
+        kind: "resend",
+        id: this.lastId,
+        slot: this.anySlot(),
+      });
+  };
+}
+
+/** Changes one after the other and in bursts, at times two under one version, at times sent again much later. */
+export const generateChanges = (
+  random: SeededRandom,
+  deployment: Deployment,
+  untilUs: number,
+): Event[] => new ChangeGenerator(random, deployment).generate(untilUs);
--- /dev/null
+++ b/simulator/configuration-invariants.ts
@@ -0,0 +1,190 @@
+/** What must hold of configuration changes and reads: they behave as registers that only ever go forward. */
+import type { Register } from "../src/consensus/register.js";
+import type { Attempt } from "./history.js";
+import {
+  changesByDigest,
+  isConfiguration,
+  isConfirmed,
+  nameOf,
+  observedRegisters,
+  seconds,
+  type Invariant,
+} from "./observations.js";
+import type { Outcome } from "./simulation.js";
+
+/** For each key and version at most one content is ever confirmed or in force. */
+export const singleValue: Invariant = (outcome) => {
+  const { history } = outcome;
+  const known = new Map<string, { readonly digest: string; readonly where: string }>();
+  const confirmed = history.attempts.filter(isConfirmed).flatMap((attempt) =>
+    (history.changes.get(attempt.change) ?? []).map((register) => ({
+      register,
+      where: `change ${attempt.change} confirmed by ${attempt.controller}`,
+      atUs: attempt.endUs,
+    })),
+  );
+  for (const { register, where, atUs } of [...confirmed, ...observedRegisters(outcome)]) {
+    const before = known.get(nameOf(register));
+    if (!before)
+      known.set(nameOf(register), {
+        digest: register.digest,
+        where: `${where} at ${seconds(atUs)}`,
+      });
+    else if (before.digest !== register.digest)
+      return `${nameOf(register)} has two contents: ${before.where}, and ${where} at ${seconds(atUs)}`;
+  }
+  return undefined;
+};
+
+/** What was rejected, or can never be valid, is never in force, and what was confirmed is never rejected. */
+export const rejected: Invariant = (outcome) => {
+  const { history } = outcome;
+  const carriers = changesByDigest(outcome);
+  const byChange = new Map<number, Attempt[]>();
+  history.attempts.forEach((attempt) =>
+    byChange.set(attempt.change, [...(byChange.get(attempt.change) ?? []), attempt]),
+  );
+  const seen = new Map<string, { readonly where: string; readonly lastUs: number }>();
+  observedRegisters(outcome).forEach(({ register, where, atUs }) => {
+    const before = seen.get(register.digest);
+    if (!before || before.lastUs < atUs) seen.set(register.digest, { where, lastUs: atUs });
+  });
+  for (const [id, attempts] of byChange) {
+    const registers = (history.changes.get(id) ?? []).filter(
+      ({ digest }) => carriers.get(digest)?.size === 1,
+    );
+    const confirmed = attempts.filter(isConfirmed);
+    // A change whose every content is also another's changes nothing, valid or not.
+    if (history.neverValid.has(id) && registers.length > 0) {
+      const observed = registers.find(({ digest }) => seen.has(digest));
+      if (confirmed[0])
+        return `change ${id} can never be valid, and was confirmed by ${confirmed[0].controller} at ${seconds(confirmed[0].endUs)}`;
+      if (observed)
+        return `change ${id} can never be valid, and its ${nameOf(observed)} was in force: ${seen.get(observed.digest)?.where}`;
+    }
+    for (const attempt of attempts.filter(
+      ({ result }) => result === "conflict" || result === "invalid",
+    )) {
+      const rejection = `change ${id} was rejected (${attempt.result}) by ${attempt.controller} at ${seconds(attempt.endUs)}`;
+      const before = confirmed.find(
+        ({ endUs }) => attempt.result === "conflict" || endUs < attempt.startUs,
+      );
+      if (before)
+        return `${rejection} and confirmed by ${before.controller} at ${seconds(before.endUs)}`;
+      // A change found invalid may be sent again and confirmed then.
+      const isLast =
+        attempt.result === "conflict" ||
+        attempts.every((other) => other === attempt || other.endUs < attempt.startUs);
+      for (const register of registers) {
+        const found = seen.get(register.digest);
+        if (isLast && found && (attempt.result === "conflict" || found.lastUs > attempt.endUs))
+          return `${rejection}, and its ${nameOf(register)} was in force: ${found.where} at ${seconds(found.lastUs)}`;
+      }
+    }
+  }
+  return undefined;
+};
+
+/**
+ * Each register behaves as one memory cell whose version only rises: a read sees no less than what was acknowledged or read
+ * before it began, and nothing that nobody had sent by its end.
+ */
+export const linearizable: Invariant = ({ history }) => {
+  interface Point {
+    readonly atUs: number;
+    readonly version: number;
+    readonly where: string;
+  }
+  const floors = new Map<string, Point[]>();
+  const add = (key: string, point: Point) => floors.set(key, [...(floors.get(key) ?? []), point]);
+  history.attempts
+    .filter(isConfirmed)
+    .forEach(({ change: id, endUs, controller }) =>
+      history.changes
+        .get(id)
+        ?.forEach(({ key, version }) =>
+          add(key, { atUs: endUs, version, where: `change ${id} confirmed by ${controller}` }),
+        ),
+    );
+  history.reads.forEach(({ controller, endUs, registers }) =>
+    registers
+      .filter(isConfiguration)
+      .forEach(({ key, version }) =>
+        add(key, { atUs: endUs, version, where: `read at ${controller}` }),
+      ),
+  );
+  floors.forEach((points, key) => {
+    const rising: Point[] = [];
+    points
+      .sort((one, other) => one.atUs - other.atUs)
+      .forEach((point) => {
+        if (point.version > (rising.at(-1)?.version ?? 0)) rising.push(point);
+      });
+    floors.set(key, rising);
+  });
+  const sentUs = new Map<string, number>();
+  history.attempts.forEach(({ change: id, startUs }) =>
+    history.changes
+      .get(id)
+      ?.forEach(({ digest }) =>
+        sentUs.set(digest, Math.min(startUs, sentUs.get(digest) ?? Number.POSITIVE_INFINITY)),
+      ),
+  );
+  for (const { controller, startUs, endUs, registers } of history.reads) {
+    const read = new Map(registers.map((register) => [register.key, register]));
+    for (const [key, rising] of floors) {
+      const floor = rising.filter(({ atUs }) => atUs < startUs).at(-1);
+      const version = read.get(key)?.version ?? 0;
+      if (floor && version < floor.version)
+        return `a read at ${controller} from ${seconds(startUs)} to ${seconds(endUs)} found ${key} at version ${version}, after ${floor.where} at ${seconds(floor.atUs)} had version ${floor.version}`;
+    }
+    const invented = registers.find(
+      (register) =>
+        isConfiguration(register) &&
+        !((sentUs.get(register.digest) ?? Number.POSITIVE_INFINITY) <= endUs),
+    );
+    if (invented)
+      return `a read at ${controller} at ${seconds(endUs)} found ${nameOf(invented)}, which nobody had sent`;
+  }
+  return undefined;
+};
+
+/** Tells whether a register was committed in the end, even if a later version replaced it. */
+const agreementOf = ({ history }: Outcome): ((register: Register) => boolean) => {
+  const last = history.reads.at(-1)?.registers ?? [];
+  const agreed = new Set(
+    last.flatMap(({ key, version, digest, past }) =>
+      [[version, digest] as const, ...past].map(([number, sum]) => `${key} ${number} ${sum}`),
+    ),
+  );
+  return ({ key, version, digest }) => agreed.has(`${key} ${version} ${digest}`);
+};
+
+/** Every item of a confirmed change is committed, by the last read that was served after its confirmation. */
+export const complete: Invariant = (outcome) => {
+  const { history } = outcome;
+  const isAgreed = agreementOf(outcome);
+  const readUs = history.reads.at(-1)?.startUs ?? 0;
+  for (const { change: id } of history.attempts.filter(
+    (attempt) => isConfirmed(attempt) && attempt.endUs < readUs,
+  )) {
+    const missing = (history.changes.get(id) ?? []).find((register) => !isAgreed(register));
+    if (missing)
+      return `change ${id} was confirmed, and in the end its ${nameOf(missing)} is not known to be committed`;
+  }
+  return undefined;
+};
+
+/** In the end all items of a change are committed, or none, whatever was answered. */
+export const atomic: Invariant = (outcome) => {
+  const isAgreed = agreementOf(outcome);
+  const carriers = changesByDigest(outcome);
+  for (const [id, registers] of outcome.history.changes) {
+    const own = registers.filter(({ digest }) => carriers.get(digest)?.size === 1);
+    const missing = own.find((register) => !isAgreed(register));
+    const agreed = own.find(isAgreed);
+    if (missing && agreed)
+      return `change ${id} stands in part: its ${nameOf(agreed)} was agreed, its ${nameOf(missing)} never`;
+  }
+  return undefined;
+};
--- /dev/null
+++ b/simulator/control-plane-invariants.ts
@@ -0,0 +1,107 @@
+/** What must hold of the controllers among themselves: the leader lease, quorum contact, availability and the voter set. */
+import type { VoterSet } from "../src/consensus/voter-set.js";
+import { observedRegisters, seconds, type Invariant } from "./observations.js";
+import { deploymentOf } from "./schedule.js";
+import { LEADER_WRITE_KEY } from "./simulated-controller.js";
+import { SERVE_TIMEOUT_US } from "./simulation.js";
+
+/** One leader a term, no write of an older term after one of a newer, and no lease confirmed after a newer leader's write. */
+export const leaderTerms: Invariant = (outcome) => {
+  const { history } = outcome;
+  const holders = new Map<number, string>();
+  for (const { term, holder, controller, atUs } of history.leaderClaims) {
+    if (holder !== controller)
+      return `${controller} took itself for the leader of term ${term}, which is ${holder}'s, at ${seconds(atUs)}`;
+    const before = holders.get(term);
+    if (before !== undefined && before !== controller)
+      return `term ${term} was held by ${before} and by ${controller}`;
+    holders.set(term, controller);
+  }
+  const writeTerms = new Map<number, number>();
+  observedRegisters(outcome).forEach(({ register }) => {
+    if (register.key !== LEADER_WRITE_KEY) return;
+    const term = Number(/"number":(\d+)/.exec(register.body)?.[1] ?? 0);
+    if (term > 0) writeTerms.set(register.version, term);
+  });
+  let highest = 0;
+  for (const [version, term] of [...writeTerms].sort(([one], [other]) => one - other)) {
+    if (term < highest)
+      return `write ${version} of term ${term} was committed after one of term ${highest}`;
+    highest = term;
+  }
+  for (const { controller, term, startUs, endUs, what } of [
+    ...history.leaderWrites.map((action) => ({ ...action, what: "wrote" })),
+    ...history.leaseConfirmations.map((action) => ({ ...action, what: "had its lease confirmed" })),
+  ]) {
+    const newer = history.leaderWrites.find((write) => write.term > term && write.endUs < startUs);
+    if (newer)
+      return `${controller} ${what} under term ${term} from ${seconds(startUs)} to ${seconds(endUs)}, after ${newer.controller} had written under ${newer.term} by ${seconds(newer.endUs)}`;
+  }
+  return undefined;
+};
+
+/** Quorum contact is confirmed only once a majority has answered something sent after the question. */
+export const quorumContact: Invariant = ({ history }) => {
+  const wrong = history.quorumContacts.find(
+    ({ heardFrom, voterSets }) =>
+      !voterSets.some((sets) =>
+        sets.every(
+          (members) => members.filter((id) => heardFrom.includes(id)).length > members.length / 2,
+        ),
+      ),
+  );
+  return (
+    wrong &&
+    `${wrong.controller} confirmed contact at ${seconds(wrong.atUs)} having heard ${wrong.heardFrom.join(", ")} of ${wrong.voterSets.flat(2).join(", ")}`
+  );
+};
+
+/** Once `CATCH_UP_US` have passed in calm, every controller confirms a change and serves a read. */
+export const availability: Invariant = ({ history }, schedule) => {
+  if (schedule.exceedsTolerance) return undefined;
+  const late = history.finalRequests.find(
+    ({ startUs, servedAtUs }) =>
+      servedAtUs === undefined || servedAtUs - startUs > SERVE_TIMEOUT_US,
+  );
+  return (
+    late &&
+    `${late.description}, sent in the calm at ${seconds(late.startUs)}, ${late.servedAtUs === undefined ? "was never served" : `took ${seconds(late.servedAtUs - late.startUs)}`}`
+  );
+};
+
+/** One voter set a number; none shrinks below what the tolerance needs; the last names just the machines that are there. */
+export const voterSets: Invariant = ({ history, liveIds }, schedule) => {
+  const { controllers, withstandMachines } = deploymentOf(schedule.deployment);
+  const known = new Map<number, VoterSet>();
+  for (const { controller, voterSet: seen } of history.voterSets) {
+    const before = known.get(seen.number);
+    if (
+      before &&
+      (before.members.join() !== seen.members.join() || before.from.join() !== seen.from.join())
+    )
+      return `voter set ${seen.number} is ${seen.members.join(", ")} at ${controller}, and ${before.members.join(", ")} elsewhere`;
+    known.set(seen.number, seen);
+  }
+  const required = Math.min(controllers, 2 * withstandMachines + 1);
+  let largest = 0;
+  for (const { number, members } of [...known.values()].sort(
+    (one, other) => one.number - other.number,
+  )) {
+    if (members.length < Math.min(largest, required))
+      return `voter set ${number} has shrunk to ${members.join(", ")}`;
+    largest = Math.max(largest, members.length);
+  }
+  if (schedule.exceedsTolerance) return undefined;
+  const endUs = history.voterSets.at(-1)?.atUs ?? 0;
+  const last = history.voterSets.filter(({ atUs }) => atUs === endUs);
+  const wanted = [...liveIds].sort().join(", ");
+  const other = last.find(
+    ({ voterSet: { members, from } }) =>
+      from.length > 0 || [...members].sort().join(", ") !== wanted,
+  );
+  if (other)
+    return `in the end the voter set at ${other.controller} is ${other.voterSet.members.join(", ")}, and ${wanted} are there`;
+  return last.length < liveIds.length
+    ? `in the end only ${last.map(({ controller }) => controller).join(", ")} vote, of ${wanted}`
+    : undefined;
+};
--- /dev/null
+++ b/simulator/fleet.ts
@@ -0,0 +1,162 @@
+/** The machines of a simulated deployment: their disks, their processes, and who starts, stops and replaces them. */
+import { SECOND_US } from "../src/common/duration.js";
+import type { History } from "./history.js";
+import type { Deployment, StopMode } from "./schedule.js";
+import type { SeededRandom } from "./seeded-random.js";
+import { SimulatedController, type Components } from "./simulated-controller.js";
+import { SimulatedDisk } from "./simulated-disk.js";
+import { SimulatedNetwork } from "./simulated-network.js";
+import type { VirtualTime } from "./virtual-time.js";
+
+/** One machine at one address. Its disk outlives its processes. */
+export interface Machine {
+  readonly id: string;
+  readonly disk: SimulatedDisk;
+  /** The latest process; it may have ended. */
+  controller: SimulatedController | undefined;
+  downUntilUs: number;
+  /** When it was gone for good; undefined while it belongs to the deployment. */
+  goneUs: number | undefined;
+  isDraining: boolean;
+}
+
+export interface FleetOptions {
+  readonly deployment: Deployment;
+  readonly time: VirtualTime;
+  readonly random: SeededRandom;
+  readonly history: History;
+  readonly components: Components;
+}
+
+/** A machine that is gone stays on the operator's list for so long. */
+const LIST_LAG_US = 3 * SECOND_US;
+/**
+ * Stands in what the simulated disks hold. So, like the bodies of changes, it is part of what a seed comes to, and stays
+ * the same as long as seeds named in docs/simulator.md must run as they did.
+ */
+const ID_PREFIX = "box";
+
+/** Invariant: each slot names a machine of the deployment; `machines` also holds those that were replaced. */
+export class Fleet {
+  readonly machines: Machine[] = [];
+  readonly slots: Machine[];
+  readonly network: SimulatedNetwork;
+  private readonly firstSeeds: readonly string[];
+
+  constructor(private readonly options: FleetOptions) {
+    const { deployment, time, random } = options;
+    this.network = new SimulatedNetwork(
+      time,
+      random.fork(),
+      this.liveControllerOf,
+      this.liveControllers,
+    );
+    this.slots = Array.from({ length: deployment.controllers }, this.addMachine);
+    this.firstSeeds = Array.from({ length: deployment.seeds }, (_none, at) => `${ID_PREFIX}${at}`);
+  }
+
+  readonly machineAt = (slot: number): Machine => {
+    const machine = this.slots[slot];
+    if (!machine) throw new Error(`there is no slot ${slot}`);
+    return machine;
+  };
+
+  /** Those that are not gone for good, whether or not their process runs. */
+  readonly present = (): readonly Machine[] =>
+    this.machines.filter(({ goneUs }) => goneUs === undefined);
+
+  /** The operator's list: it names a machine for a while after it has gone. */
+  readonly listed = (): readonly Machine[] =>
+    this.machines.filter(
+      ({ goneUs, controller }) =>
+        controller !== undefined &&
+        (goneUs === undefined || this.options.time.nowUs() - goneUs < LIST_LAG_US),
+    );
+
+  /** Starts a machine's process unless it runs or the machine has gone. */
+  readonly start = (machine: Machine, isFirstRun: boolean): void => {
+    if (machine.goneUs !== undefined || machine.controller?.isAlive === true) return;
+    const { deployment, time, random, history, components } = this.options;
+    const seeds = isFirstRun ? this.firstSeeds : this.seedsFor(machine);
+    const controller = new SimulatedController({
+      id: machine.id,
+      seeds,
+      isFirstRun,
+      time,
+      network: this.network,
+      disk: machine.disk,
+      random: random.fork(),
+      history,
+      components,
+      withstandMachines: deployment.withstandMachines,
+    });
+    machine.controller = controller;
+    void controller
+      .start()
+      .catch((error: unknown) =>
+        history.errors.push(`${machine.id} failed at its start: ${String(error)}`),
+      );
+  };
+
+  /** Ends the process, and with the power what was not synced; it starts again after a while. */
+  readonly stop = (machine: Machine, downUs: number, mode: StopMode): void => {
+    const { time } = this.options;
+    machine.controller?.terminate(mode === "kill" || mode === "corrupt");
+    if (machine.isDraining) machine.goneUs ??= time.nowUs();
+    if (mode === "power-loss") machine.disk.losePower();
+    if (mode === "wipe") machine.disk.wipe();
+    if (mode === "corrupt") machine.disk.corrupt();
+    machine.downUntilUs = Math.max(machine.downUntilUs, time.nowUs() + downUs);
+    time.at(machine.downUntilUs, () => {
+      if (time.nowUs() >= machine.downUntilUs) this.start(machine, false);
+    });
+  };
+
+  /** Takes a machine out of the deployment for good. */
+  readonly remove = (machine: Machine): void => {
+    machine.controller?.terminate(false);
+    machine.goneUs ??= this.options.time.nowUs();
+  };
+
+  /** Puts an empty machine into a slot; it is not started. */
+  readonly replaceAt = (slot: number): Machine => {
+    const machine = this.addMachine();
+    this.slots[slot] = machine;
+    return machine;
+  };
+
+  private readonly addMachine = (): Machine => {
+    const machine: Machine = {
+      id: `${ID_PREFIX}${this.machines.length}`,
+      disk: new SimulatedDisk(this.options.time, this.options.random.fork()),
+      controller: undefined,
+      downUntilUs: 0,
+      goneUs: undefined,
+      isDraining: false,
+    };
+    this.machines.push(machine);
+    return machine;
+  };
+
+  private readonly liveControllerOf = (id: string): SimulatedController | undefined => {
+    const controller = this.machines.find((machine) => machine.id === id)?.controller;
+    return controller?.isAlive === true ? controller : undefined;
+  };
+
+  private readonly liveControllers = (): readonly SimulatedController[] =>
+    this.machines.flatMap(({ controller }) => (controller?.isAlive === true ? [controller] : []));
+
+  /** Three of the operator's list, which may name one that has gone meanwhile; two are there when the file is written. */
+  private readonly seedsFor = (machine: Machine): readonly string[] => {
+    const { random } = this.options;
+    const others = this.listed().filter((other) => other !== machine);
+    const sound = others.filter(({ goneUs, isDraining }) => goneUs === undefined && !isDraining);
+    const first = sound.length > 0 ? random.integer(0, sound.length - 1) : 0;
+    const picked = [
+      sound[first],
+      sound[(first + 1) % Math.max(1, sound.length)],
+      others.length > 0 ? random.pick(others) : undefined,
+    ];
+    return [...new Set(picked.flatMap((other) => (other ? [other.id] : [])))];
+  };
+}
--- /dev/null
+++ b/simulator/seed-runner.ts
@@ -0,0 +1,134 @@
+/** Runs many seeds, in worker threads, and tells what each came to. */
+import { Worker } from "node:worker_threads";
+import {
+  asRecord,
+  asString,
+  readFlag,
+  readList,
+  readNumber,
+  readString,
+} from "../src/common/decode.js";
+import { DEFAULT_INVARIANTS, violationsOf } from "./invariants.js";
+import { generateSchedule } from "./schedule-generator.js";
+import { faultKindOf, type Event } from "./schedule.js";
+import { shrink } from "./shrink.js";
+import { simulate } from "./simulation.js";
+
+/** What one thread runs: from `from` up to, but not, `to`, every `step`th seed. */
+export interface SeedRange {
+  readonly from: number;
+  readonly to: number;
+  readonly step: number;
+  readonly deployment: string;
+  readonly exceedsTolerance: boolean;
+  /** A kind of fault; empty where the seed picks it. */
+  readonly frequentFault: string;
+  /** Whether the invariant `atomic` is checked too. */
+  readonly checksAtomic: boolean;
+  readonly shrinks: boolean;
+}
+
+/** What one seed came to. */
+export interface SeedResult {
+  readonly seed: number;
+  readonly events: number;
+  readonly changes: number;
+  readonly confirmed: number;
+  /** Each begins with the name of its invariant; empty if all hold. */
+  readonly violations: readonly string[];
+  /** The shortest schedule found that violates the first invariant, an event a line. */
+  readonly shortest: readonly string[];
+  readonly shortestViolation: string;
+}
+
+const formatEvent = ({ atUs, kind, ...more }: Event): string =>
+  `${(atUs / 1_000_000).toFixed(3).padStart(7)} s  ${kind} ${JSON.stringify(more)}`;
+
+const simulateSeed = async (seed: number, range: SeedRange): Promise<SeedResult> => {
+  const { deployment, exceedsTolerance, checksAtomic, shrinks } = range;
+  const frequentFault = faultKindOf(range.frequentFault);
+  const schedule = generateSchedule(seed, deployment, {
+    exceedsTolerance,
+    ...(frequentFault ? { frequentFault } : {}),
+  });
+  const outcome = await simulate(schedule);
+  const violations = violationsOf(
+    outcome,
+    schedule,
+    checksAtomic ? [...DEFAULT_INVARIANTS, "atomic"] : DEFAULT_INVARIANTS,
+  );
+  const { history, eventCount } = outcome;
+  const [first] = violations;
+  const shrunk = first && shrinks ? await shrink(schedule, first) : undefined;
+  const confirmed = history.attempts.filter(({ result }) => result === "ok");
+  return {
+    seed,
+    events: eventCount,
+    changes: history.changes.size,
+    confirmed: new Set(confirmed.map(({ change }) => change)).size,
+    violations: violations.map(({ invariant, sentence }) => `${invariant}: ${sentence}`),
+    shortest: (shrunk?.schedule.events ?? []).map(formatEvent),
+    shortestViolation: shrunk?.violation.sentence ?? "",
+  };
+};
+
+/** Runs one thread's seeds one after the other. */
+export const simulateRange = async (
+  range: SeedRange,
+  report: (result: SeedResult) => void,
+): Promise<void> => {
+  for (let seed = range.from; seed < range.to; seed += range.step)
+    report(await simulateSeed(seed, range));
+};
+
+/** Spreads a range over `threads` workers that run `script`; resolves when all have ended, rejects if one fails. */
+export const simulateInThreads = async (
+  script: URL,
+  range: SeedRange,
+  threads: number,
+  report: (result: SeedResult) => void,
+): Promise<void> => {
+  await Promise.all(
+    Array.from(
+      { length: threads },
+      (_none, at) =>
+        new Promise<void>((resolve, reject) => {
+          const worker = new Worker(script, {
+            workerData: { ...range, from: range.from + at, step: threads },
+          });
+          worker.on("message", (value) => report(readSeedResult(value)));
+          worker.on("error", reject);
+          worker.on("exit", () => resolve());
+        }),
+    ),
+  );
+};
+
+/** Reads what a worker was given; throws a DecodeError that names a field which is wrong. */
+export const readSeedRange = (value: unknown): SeedRange => {
+  const record = asRecord(value, "range");
+  return {
+    from: readNumber(record, "from"),
+    to: readNumber(record, "to"),
+    step: readNumber(record, "step"),
+    deployment: readString(record, "deployment"),
+    exceedsTolerance: readFlag(record, "exceedsTolerance"),
+    frequentFault: readString(record, "frequentFault"),
+    checksAtomic: readFlag(record, "checksAtomic"),
+    shrinks: readFlag(record, "shrinks"),
+  };
+};
+
+const readSeedResult = (value: unknown): SeedResult => {
+  const record = asRecord(value, "a worker's result");
+  const number = (field: string) => readNumber(record, field);
+  return {
+    seed: number("seed"),
+    events: number("events"),
+    changes: number("changes"),
+    confirmed: number("confirmed"),
+    violations: readList(record, "violations", asString),
+    shortest: readList(record, "shortest", asString),
+    shortestViolation: readString(record, "shortestViolation"),
+  };
+};
--- a/simulator/simulated-controller.ts
+++ b/simulator/simulated-controller.ts
@@ -1,3 +1,4 @@
+/** One process of a simulated controller: the real control state over simulated network, disk and clock. */
 import { WriteAheadLog } from "../src/storage/write-ahead-log.js";
 import { Replica } from "../src/consensus/replica.js";
 import { LeaderLease, type LeaderLeaseOptions } from "../src/consensus/leader-lease.js";
@@ -9,58 +10,64 @@
 import { MILLISECOND_US, SECOND_US } from "../src/common/duration.js";
 import type { Message } from "../src/transport/connection.js";
 import type { FileSystem } from "../src/storage/file-system.js";
-import type { Chance } from "./seeded-random.js";
-import type { SimDisk } from "./simulated-disk.js";
+import type { SeededRandom } from "./seeded-random.js";
+import type { SimulatedDisk } from "./simulated-disk.js";
 import type { History } from "./history.js";
-import type { Link, Net } from "./simulated-network.js";
-import type { World } from "./virtual-time.js";
+import type { Link, SimulatedNetwork } from "./simulated-network.js";
+import type { VirtualTime } from "./virtual-time.js";
 
 /** What a test may replace by something broken. */
-export interface Parts {
+export interface Components {
   readonly disk: (disk: FileSystem) => FileSystem;
-  readonly copy: () => Replica;
+  readonly replica: () => Replica;
   readonly store: (options: ReplicatedStoreOptions) => ReplicatedStore;
   readonly lease: (options: LeaderLeaseOptions) => LeaderLease;
-  /** Sees every message that a box answers, and may answer in its place. */
-  readonly answer: (
-    box: Box,
+  /** Sees every message that a controller answers, and may answer in its place. */
+  readonly handleMessage: (
+    controller: SimulatedController,
     message: Message,
     answer: (message: Message) => Promise<Message | undefined>,
   ) => Promise<Message | undefined>;
 }
 
-export const REAL_PARTS: Parts = {
+export const REAL_COMPONENTS: Components = {
   disk: (disk) => disk,
-  copy: () => new Replica(),
+  replica: () => new Replica(),
   store: (options) => new ReplicatedStore(options),
   lease: (options) => new LeaderLease(options),
-  answer: (_box, message, answer) => answer(message),
+  handleMessage: (_box, message, answer) => answer(message),
 };
 
-export interface BoxOptions {
+export interface SimulatedControllerOptions {
   readonly id: string;
   readonly seeds: readonly string[];
-  readonly firstRun: boolean;
-  readonly world: World;
-  readonly net: Net;
-  readonly disk: SimDisk;
-  readonly chance: Chance;
+  readonly isFirstRun: boolean;
+  readonly time: VirtualTime;
+  readonly network: SimulatedNetwork;
+  readonly disk: SimulatedDisk;
+  readonly random: SeededRandom;
   readonly history: History;
-  readonly parts: Parts;
+  readonly components: Components;
   readonly withstandMachines: number;
 }
 
-const SWEEP_US = 1 * SECOND_US;
-const EARLY_SWEEP_US = 100 * MILLISECOND_US;
-const ACT_US = 900 * MILLISECOND_US;
-const LOOK_US = 700 * MILLISECOND_US;
-export const ACT_KEY = "duty/act";
+const READ_INTERVAL_US = 1 * SECOND_US;
+const FIRST_READ_INTERVAL_US = 100 * MILLISECOND_US;
+const LEADER_WRITE_INTERVAL_US = 900 * MILLISECOND_US;
+const CONTACT_CHECK_INTERVAL_US = 700 * MILLISECOND_US;
+/** Results of a change by the code of the error; without one that is here, it is unclear. */
+const RESULTS: ReadonlyMap<string, "conflict" | "invalid"> = new Map([
+  ["VERSION_CONFLICT", "conflict"],
+  ["INVALID_WRITE", "invalid"],
+]);
+export const LEADER_WRITE_KEY = "duty/act";
 
 /**
- * One life of a signalbox: its ledger, archive and duty, and what src/programs/signalbox.ts does around them.
- * Invariant: nothing of a dead life runs any more; of a frozen one, all that came meanwhile runs after the thaw.
+ * One incarnation of a controller: its replicated store, write-ahead log and leader lease, and what
+ * src/programs/controller does around them.
+ * Invariant: nothing of a dead process runs any more; of a frozen one, all that came meanwhile runs after the thaw.
  */
-export class Box {
+export class SimulatedController {
   readonly id: string;
   readonly clock: Clock;
   readonly store: ReplicatedStore;
@@ -68,42 +75,42 @@
   readonly links = new Map<string, Link>();
   isAlive = true;
   isListening = false;
-  /** Whether its end was told to others at once: a killed process resets its connections, a machine without power doesn't. */
+  /** Whether its peers notice its end at once: a killed process resets its connections, a machine without power does not. */
   wasReset = false;
   private isFrozen = false;
-  private backlog: (() => void)[] = [];
-  private hasMended = false;
-  private readonly heard = new Map<Box, number>();
-  private readonly echoed = new Map<string, number>();
+  private frozenWork: (() => void)[] = [];
+  private hasReadOnce = false;
+  private readonly lastHeardUs = new Map<SimulatedController, number>();
+  private readonly lastEchoUs = new Map<string, number>();
 
-  constructor(private readonly options: BoxOptions) {
-    const { id, world, seeds, disk, parts, withstandMachines, chance } = options;
+  constructor(private readonly options: SimulatedControllerOptions) {
+    const { id, time, seeds, disk, components, withstandMachines, random } = options;
     this.id = id;
-    this.clock = world.clockBehind(this.run);
-    const copy = parts.copy();
-    const archive = new WriteAheadLog({
+    this.clock = time.clockThrough(this.run);
+    const replica = components.replica();
+    const log = new WriteAheadLog({
       folder: "disk/plan",
-      fileSystem: parts.disk(disk.openFor(this)),
-      snapshot: copy.snapshot,
+      fileSystem: components.disk(disk.openFor(this)),
+      snapshot: replica.snapshot,
     });
-    this.store = parts.store({
+    this.store = components.store({
       self: id,
-      writeAheadLog: archive,
-      replica: copy,
+      writeAheadLog: log,
+      replica,
       seeds: () => [...new Set([...seeds, ...this.links.keys()])],
-      transport: { request: this.ask, broadcast: this.tell },
+      transport: { request: this.request, broadcast: this.broadcast },
       clock: this.clock,
-      random: chance.share,
+      random: random.fraction,
       withstandMachines,
       logger: silentLogger,
     });
-    this.lease = parts.lease({
+    this.lease = components.lease({
       self: id,
       store: this.store,
       clock: this.clock,
       logger: silentLogger,
-      isConnected: this.stands,
-      request: this.ask,
+      isConnected: this.isConnected,
+      request: this.request,
       hasDisk: true,
       withstandMachines,
       holderTimeoutUs: 500 * MILLISECOND_US,
@@ -115,29 +122,29 @@
   }
 
   readonly start = async (): Promise<void> => {
-    const { firstRun, seeds, history, world } = this.options;
+    const { isFirstRun, seeds, history, time } = this.options;
     this.store.events.on("committed", (registers) => {
-      history.told.push({ atUs: world.nowUs(), box: this.id, registers });
+      history.publications.push({ atUs: time.nowUs(), controller: this.id, registers });
     });
-    this.store.events.on("voterSet", () => this.learn(this.store.members()));
-    this.store.events.on("behind", () => void this.sweep());
-    await this.store.start(firstRun);
+    this.store.events.on("voterSet", () => this.addPeers(this.store.members()));
+    this.store.events.on("behind", () => void this.readAll());
+    await this.store.start(isFirstRun);
     this.isListening = true;
-    this.learn([...seeds, ...this.store.members()]);
-    const early = this.clock.every(EARLY_SWEEP_US, () => {
-      if (this.hasMended) early.stop();
-      else void this.sweep();
+    this.addPeers([...seeds, ...this.store.members()]);
+    const early = this.clock.every(FIRST_READ_INTERVAL_US, () => {
+      if (this.hasReadOnce) early.stop();
+      else void this.readAll();
     });
-    this.clock.every(SWEEP_US, () => void this.sweep());
-    this.clock.every(ACT_US, () => void this.act());
-    this.clock.every(LOOK_US, () => void this.look());
+    this.clock.every(READ_INTERVAL_US, () => void this.readAll());
+    this.clock.every(LEADER_WRITE_INTERVAL_US, () => void this.writeAsLeader());
+    this.clock.every(CONTACT_CHECK_INTERVAL_US, () => void this.checkContact());
     this.lease.start();
   };
 
-  readonly run = (act: () => void): void => {
+  readonly run = (work: () => void): void => {
     if (!this.isAlive) return;
-    if (this.isFrozen) this.backlog.push(act);
-    else act();
+    if (this.isFrozen) this.frozenWork.push(work);
+    else work();
   };
 
   readonly freeze = (): void => {
@@ -147,143 +154,157 @@
   /** Timers and messages that came meanwhile run at once, in the order in which they came. */
   readonly thaw = (): void => {
     this.isFrozen = false;
-    const acts = this.backlog;
-    this.backlog = [];
-    acts.forEach((act) => this.options.world.after(0, () => this.run(act)));
+    const pending = this.frozenWork;
+    this.frozenWork = [];
+    pending.forEach((work) => this.options.time.after(0, () => this.run(work)));
   };
 
-  readonly end = (wasReset: boolean): void => {
+  readonly terminate = (wasReset: boolean): void => {
     this.isAlive = false;
     this.wasReset = wasReset;
   };
 
-  /** An orderly end. */
-  readonly leave = (): Promise<void> => this.lease.stepDown();
+  /** A graceful shutdown: it gives up the leader lease and leaves the voter set. */
+  readonly shutDown = (): Promise<void> => this.lease.stepDown();
 
-  readonly knows = (): readonly string[] => [this.id, ...this.links.keys()];
+  readonly knownIds = (): readonly string[] => [this.id, ...this.links.keys()];
 
-  readonly learn = (ids: readonly string[]): void => {
+  readonly addPeers = (ids: readonly string[]): void => {
     new Set(ids).forEach((id) => {
-      if (id !== this.id && !this.links.has(id)) this.links.set(id, this.options.net.newLink(this));
+      if (id !== this.id && !this.links.has(id))
+        this.links.set(id, this.options.network.newLink(this));
     });
   };
 
-  readonly stands = (id: string): boolean =>
+  readonly isConnected = (id: string): boolean =>
     id === this.id || this.links.get(id)?.peer !== undefined;
 
-  readonly heardOf = (other: Box): number => this.heard.get(other) ?? -1;
+  readonly lastHeardFromUs = (other: SimulatedController): number =>
+    this.lastHeardUs.get(other) ?? -1;
 
-  readonly receive = (from: Box, message: Message, sentUs: number, echoUs: number): void => {
+  readonly receive = (
+    from: SimulatedController,
+    message: Message,
+    sentUs: number,
+    echoUs: number,
+  ): void => {
     if (!this.isListening) return;
-    this.heard.set(from, Math.max(sentUs, this.heardOf(from)));
-    this.echoed.set(from.id, Math.max(echoUs, this.echoed.get(from.id) ?? -1));
+    this.lastHeardUs.set(from, Math.max(sentUs, this.lastHeardFromUs(from)));
+    this.lastEchoUs.set(from.id, Math.max(echoUs, this.lastEchoUs.get(from.id) ?? -1));
     if (typeof message["re"] === "number") {
       const link = this.links.get(from.id);
-      if (link?.peer === from) link.asks.settle(message);
+      if (link?.peer === from) link.requests.settle(message);
       return;
     }
-    void this.options.parts
-      .answer(this, message, this.answer)
+    void this.options.components
+      .handleMessage(this, message, this.handleMessage)
       .then((reply) => {
         if (reply && typeof message["ask"] === "number")
-          this.options.net.send(this, from, { ...reply, re: message["ask"] });
+          this.options.network.send(this, from, { ...reply, re: message["ask"] });
       })
       .catch((error: unknown) =>
-        this.options.history.mishaps.push(
+        this.options.history.errors.push(
           `${this.id} failed on ${message.kind}: ${error instanceof Error ? (error.stack ?? error.message) : String(error)}`,
         ),
       );
   };
 
-  /** One order of an operator, as the control calls take it; the answer is recorded as it leaves the box. */
-  readonly take = async (order: {
+  /** One change of an operator, as the admin API takes it; the answer is recorded as it leaves the controller. */
+  readonly submitChange = async (change: {
     readonly id: number;
     readonly registers: readonly Register[];
-    readonly needs: string;
+    readonly requires: string;
   }): Promise<"ok" | "conflict" | "invalid" | "unclear"> => {
-    const { history, world } = this.options;
-    const attempt = history.begin(order.id, this.id, world.nowUs());
-    const { needs } = order;
+    const { history, time } = this.options;
+    const attempt = history.beginAttempt(change.id, this.id, time.nowUs());
+    const { requires } = change;
     const problemOf = (get: (key: string) => Register | undefined) =>
-      needs === "" || get(needs)?.dropped === false ? undefined : `there is no ${needs}`;
-    const offered = await this.store.propose(order.registers, problemOf);
-    attempt.toUs = world.nowUs();
-    attempt.result = offered.isOk
-      ? "ok"
-      : offered.error.code === "VERSION_CONFLICT"
-        ? "conflict"
-        : offered.error.code === "INVALID_WRITE"
-          ? "invalid"
-          : "unclear";
-    attempt.why = offered.isOk ? "" : offered.error.code;
-    return attempt.result;
+      requires === "" || get(requires)?.dropped === false ? undefined : `there is no ${requires}`;
+    const proposed = await this.store.propose(change.registers, problemOf);
+    attempt.endUs = time.nowUs();
+    if (proposed.isOk) {
+      attempt.result = "ok";
+      return "ok";
+    }
+    const { code } = proposed.error;
+    const result = RESULTS.get(code) ?? "unclear";
+    attempt.result = result;
+    attempt.reason = code;
+    return result;
   };
 
   readonly read = async (): Promise<boolean> => {
-    const { history, world } = this.options;
-    const fromUs = world.nowUs();
+    const { history, time } = this.options;
+    const startUs = time.nowUs();
     const read = await this.store.read();
     if (read.isOk)
       history.reads.push({
-        box: this.id,
-        fromUs,
-        toUs: world.nowUs(),
+        controller: this.id,
+        startUs,
+        endUs: time.nowUs(),
         registers: this.store.committedRegisters(),
       });
     return read.isOk;
   };
 
-  private readonly sweep = async (): Promise<void> => {
+  private readonly readAll = async (): Promise<void> => {
     const read = await this.store.read();
-    if (read.isOk && this.store.isVoting) this.hasMended = true;
+    if (read.isOk && this.store.isVoting) this.hasReadOnce = true;
     else await this.store.confirmQuorum();
   };
 
-  /** What a holder does: a change of a register under its term. */
-  private readonly act = async (): Promise<void> => {
-    const { history, world } = this.options;
+  /** What the lease holder does: it writes a register under its term. */
+  private readonly writeAsLeader = async (): Promise<void> => {
+    const { history, time } = this.options;
     const term = this.lease.activeTerm();
     if (!term) return;
-    history.holders.push({
-      atUs: world.nowUs(),
-      box: this.id,
-      number: term.number,
+    history.leaderClaims.push({
+      atUs: time.nowUs(),
+      controller: this.id,
+      term: term.number,
       holder: term.holder,
     });
-    const act = { box: this.id, number: term.number, fromUs: world.nowUs(), toUs: -1 };
+    const startUs = time.nowUs();
     const decided = await this.store.decide(
-      ACT_KEY,
+      LEADER_WRITE_KEY,
       () => JSON.stringify({ number: term.number, box: this.id }),
       term,
     );
-    if (decided.isOk) history.acts.push({ ...act, toUs: world.nowUs() });
+    if (!decided.isOk) return;
+    const { number } = term;
+    history.leaderWrites.push({ controller: this.id, term: number, startUs, endUs: time.nowUs() });
   };
 
-  /** Asks for a confirmation of the duty or, as all others do before they serve, for contact. */
-  private readonly look = async (): Promise<void> => {
-    const { history, world } = this.options;
-    const fromUs = world.nowUs();
+  /** Has the leader lease confirmed or, as all others do before they serve, the contact with a quorum. */
+  private readonly checkContact = async (): Promise<void> => {
+    const { history, time } = this.options;
+    const startUs = time.nowUs();
     const number = this.lease.activeTerm()?.number ?? 0;
     if (number > 0) {
       if (await this.lease.confirm())
-        history.confirms.push({ box: this.id, number, fromUs, toUs: world.nowUs() });
+        history.leaseConfirmations.push({
+          controller: this.id,
+          term: number,
+          startUs,
+          endUs: time.nowUs(),
+        });
       return;
     }
     const before = this.store.quorumSets();
     if (!this.store.isVoting || !(await this.store.confirmQuorum())) return;
-    const heard = [
+    const heardFrom = [
       this.id,
-      ...[...this.echoed].filter(([, echoUs]) => echoUs >= fromUs).map(([id]) => id),
+      ...[...this.lastEchoUs].filter(([, echoUs]) => echoUs >= startUs).map(([id]) => id),
     ];
-    history.contacts.push({
-      box: this.id,
-      atUs: world.nowUs(),
-      heard,
-      rosters: [before, this.store.quorumSets()],
+    history.quorumContacts.push({
+      controller: this.id,
+      atUs: time.nowUs(),
+      heardFrom,
+      voterSets: [before, this.store.quorumSets()],
     });
   };
 
-  private readonly answer = async (message: Message): Promise<Message | undefined> => {
+  private readonly handleMessage = async (message: Message): Promise<Message | undefined> => {
     if (CONSENSUS_MESSAGE_KINDS.has(message.kind)) return this.store.handleRequest(message);
     switch (message.kind) {
       case "unseen":
@@ -295,11 +316,11 @@
         this.store.applyCommitted(message);
         return undefined;
       default:
-        throw new Error(`nobody takes ${message.kind}`);
+        throw new Error(`nothing handles ${message.kind}`);
     }
   };
 
-  private readonly ask = (
+  private readonly request = (
     id: string,
     message: Message,
     waitUs: number,
@@ -307,11 +328,15 @@
     const link = this.links.get(id);
     const peer = link?.peer;
     if (!link || !peer) return Promise.resolve(undefined);
-    return link.asks.ask((sent) => this.options.net.send(this, peer, sent), message, waitUs);
+    return link.requests.ask(
+      (sent) => this.options.network.send(this, peer, sent),
+      message,
+      waitUs,
+    );
   };
 
-  private readonly tell = (message: Message): void =>
+  private readonly broadcast = (message: Message): void =>
     this.links.forEach(({ peer }) => {
-      if (peer) this.options.net.send(this, peer, message);
+      if (peer) this.options.network.send(this, peer, message);
     });
 }
--- a/simulator/simulated-disk.ts
+++ b/simulator/simulated-disk.ts
@@ -1,21 +1,22 @@
+/** A simulated disk: it takes its time, has faults, and loses what was not synced when the power goes. */
 import type { FileSystem } from "../src/storage/file-system.js";
 import { MILLISECOND_US } from "../src/common/duration.js";
-import type { Chance } from "./seeded-random.js";
-import type { World } from "./virtual-time.js";
+import type { SeededRandom } from "./seeded-random.js";
+import type { VirtualTime } from "./virtual-time.js";
 
-/** What a file holds, whatever its names. */
-interface Content {
+/** The content of a file, apart from its name. */
+interface FileContent {
   bytes: Uint8Array;
-  readonly made: number;
+  readonly creationNumber: number;
 }
 
-export type DiskTrouble = "full" | "refusing" | "stalled" | "slow";
+export type DiskFault = "full" | "refusing" | "stalled" | "slow";
 
-/** The process that a disk's call comes from. */
-export interface Caller {
+/** The process that a call comes from. */
+export interface DiskClient {
   readonly isAlive: boolean;
-  /** Runs an act in the process, later if it is frozen, never if it is dead. */
-  readonly run: (act: () => void) => void;
+  /** Runs work in the process, later if it is frozen, never if it is dead. */
+  readonly run: (work: () => void) => void;
 }
 
 const folderOf = (path: string): string => path.slice(0, Math.max(0, path.lastIndexOf("/")));
@@ -23,46 +24,46 @@
 
 /**
  * A machine's disk, which outlives processes.
- * Invariants: `lasting` is what a loss of power leaves for sure; a name in which `names` differs from it is `unsynced`,
- * and kept or lost by itself. A write that was cut short leaves a part of its bytes.
+ * Invariants: `durable` is what a loss of power leaves for sure; a name in which `names` differs from it is `unsynced`,
+ * and kept or lost by itself. A write that was interrupted leaves a part of its bytes.
  */
-export class SimDisk {
-  private readonly names = new Map<string, Content>();
-  private readonly lasting = new Map<string, Content>();
+export class SimulatedDisk {
+  private readonly names = new Map<string, FileContent>();
+  private readonly durable = new Map<string, FileContent>();
   private readonly unsynced = new Set<string>();
   private folders = new Set<string>();
-  private trouble: DiskTrouble | undefined;
+  private fault: DiskFault | undefined;
   private stalled: (() => void)[] = [];
   private powerLosses = 0;
-  private made = 0;
+  private filesCreated = 0;
 
   constructor(
-    private readonly world: World,
-    private readonly chance: Chance,
+    private readonly time: VirtualTime,
+    private readonly random: SeededRandom,
   ) {}
 
-  readonly openFor = (caller: Caller): FileSystem => ({
-    list: (folder) => this.call(caller, false, () => this.list(folder)),
-    read: (path) => this.call(caller, false, () => this.names.get(path)?.bytes.slice()),
-    write: (path, bytes) => this.write(caller, path, bytes),
+  readonly openFor = (client: DiskClient): FileSystem => ({
+    list: (folder) => this.call(client, false, () => this.list(folder)),
+    read: (path) => this.call(client, false, () => this.names.get(path)?.bytes.slice()),
+    write: (path, bytes) => this.write(client, path, bytes),
     rename: (from, to) =>
-      this.call(caller, false, () => {
+      this.call(client, false, () => {
         const content = this.names.get(from);
         if (!content) throw new Error(`no file ${from}`);
-        this.name(from, undefined);
-        this.name(to, content);
+        this.link(from, undefined);
+        this.link(to, content);
       }),
-    remove: (path) => this.call(caller, false, () => this.name(path, undefined)),
+    remove: (path) => this.call(client, false, () => this.link(path, undefined)),
     makeFolder: (path) =>
-      this.call(caller, !this.folders.has(path), () => {
-        const parts = path.split("/");
-        parts.forEach((_part, at) => this.folders.add(parts.slice(0, at + 1).join("/")));
+      this.call(client, !this.folders.has(path), () => {
+        const names = path.split("/");
+        names.forEach((_name, at) => this.folders.add(names.slice(0, at + 1).join("/")));
       }),
     syncFolder: (path) =>
-      this.call(caller, false, () => {
+      this.call(client, false, () => {
         if (!this.folders.has(path)) throw new Error(`no folder ${path}`);
         this.unsynced.forEach((name) => {
-          if (folderOf(name) === path) this.makeLasting(name);
+          if (folderOf(name) === path) this.makeDurable(name);
         });
       }),
   });
@@ -70,39 +71,39 @@
   readonly losePower = (): void => {
     this.powerLosses += 1;
     this.unsynced.forEach((path) => {
-      const kept = this.chance.hits(0.5) ? this.names.get(path) : this.lasting.get(path);
-      this.name(path, kept);
-      this.makeLasting(path);
+      const kept = this.random.occurs(0.5) ? this.names.get(path) : this.durable.get(path);
+      this.link(path, kept);
+      this.makeDurable(path);
     });
   };
 
   readonly wipe = (): void => {
     this.powerLosses += 1;
     this.names.clear();
-    this.lasting.clear();
+    this.durable.clear();
     this.unsynced.clear();
     this.folders = new Set();
   };
 
-  /** Turns one byte of one file, most often of the newest. */
-  readonly spoil = (): void => {
+  /** Flips one bit of one file, most often of the newest. */
+  readonly corrupt = (): void => {
     const files = [...this.names.values()]
       .filter(({ bytes }) => bytes.length > 0)
-      .sort((one, other) => other.made - one.made);
-    const file = this.chance.hits(0.6)
+      .sort((one, other) => other.creationNumber - one.creationNumber);
+    const file = this.random.occurs(0.6)
       ? files[0]
-      : files[this.chance.whole(0, Math.max(0, files.length - 1))];
+      : files[this.random.integer(0, Math.max(0, files.length - 1))];
     if (!file) return;
     const bytes = file.bytes.slice();
-    const at = this.chance.whole(0, bytes.length - 1);
-    bytes[at] = (bytes[at] ?? 0) ^ (1 << this.chance.whole(0, 7));
+    const at = this.random.integer(0, bytes.length - 1);
+    bytes[at] = (bytes[at] ?? 0) ^ (1 << this.random.integer(0, 7));
     file.bytes = bytes;
   };
 
-  readonly setTrouble = (trouble: DiskTrouble | undefined): void => {
-    this.trouble = trouble;
-    if (trouble === "stalled") return;
-    this.stalled.forEach((go) => go());
+  readonly setFault = (fault: DiskFault | undefined): void => {
+    this.fault = fault;
+    if (fault === "stalled") return;
+    this.stalled.forEach((finish) => finish());
     this.stalled = [];
   };
 
@@ -111,55 +112,60 @@
     return paths.filter((path) => path !== "" && folderOf(path) === folder).map(nameOf);
   };
 
-  private readonly makeLasting = (path: string): void => {
+  private readonly makeDurable = (path: string): void => {
     const content = this.names.get(path);
-    if (content) this.lasting.set(path, content);
-    else this.lasting.delete(path);
+    if (content) this.durable.set(path, content);
+    else this.durable.delete(path);
     this.unsynced.delete(path);
   };
 
-  private readonly name = (path: string, content: Content | undefined): void => {
+  private readonly link = (path: string, content: FileContent | undefined): void => {
     if (content) this.names.set(path, content);
     else this.names.delete(path);
-    if (this.lasting.get(path) === content) this.unsynced.delete(path);
+    if (this.durable.get(path) === content) this.unsynced.delete(path);
     else this.unsynced.add(path);
   };
 
-  private readonly write = (caller: Caller, path: string, bytes: Uint8Array): Promise<void> => {
-    let content: Content | undefined;
+  private readonly write = (client: DiskClient, path: string, bytes: Uint8Array): Promise<void> => {
+    let content: FileContent | undefined;
     if (this.folders.has(folderOf(path))) {
-      this.made += 1;
-      content = this.names.get(path) ?? { bytes, made: this.made };
-      content.bytes = bytes.slice(0, this.chance.whole(0, Math.max(0, bytes.length - 1)));
-      this.name(path, content);
+      this.filesCreated += 1;
+      content = this.names.get(path) ?? { bytes, creationNumber: this.filesCreated };
+      content.bytes = bytes.slice(0, this.random.integer(0, Math.max(0, bytes.length - 1)));
+      this.link(path, content);
     }
-    return this.call(caller, true, () => {
+    return this.call(client, true, () => {
       if (!content) throw new Error(`no folder for ${path}`);
       content.bytes = bytes.slice();
     });
   };
 
-  /** One call of the system: takes its time, and has its effect even if the process is gone by then, or not. */
-  private readonly call = <T>(caller: Caller, takesRoom: boolean, effect: () => T): Promise<T> =>
+  /** One system call: it takes its time, and may have its effect even if the process is dead by then. */
+  private readonly call = <T>(
+    client: DiskClient,
+    allocates: boolean,
+    effect: () => T,
+  ): Promise<T> =>
     new Promise((resolve, reject) => {
       const { powerLosses } = this;
       const finish = () => {
-        if (this.trouble === "stalled") {
+        if (this.fault === "stalled") {
           this.stalled.push(finish);
           return;
         }
-        if (powerLosses !== this.powerLosses || (!caller.isAlive && this.chance.hits(0.5))) return;
+        if (powerLosses !== this.powerLosses || (!client.isAlive && this.random.occurs(0.5)))
+          return;
         try {
-          if (this.trouble === "refusing" || (this.trouble === "full" && takesRoom))
-            throw new Error(`the disk is ${this.trouble}`);
+          if (this.fault === "refusing" || (this.fault === "full" && allocates))
+            throw new Error(`the disk is ${this.fault}`);
           const value = effect();
-          caller.run(() => resolve(value));
+          client.run(() => resolve(value));
         } catch (error) {
-          caller.run(() => reject(error instanceof Error ? error : new Error(String(error))));
+          client.run(() => reject(error instanceof Error ? error : new Error(String(error))));
         }
       };
       const slowUs =
-        this.trouble === "slow" ? this.chance.whole(50 * MILLISECOND_US, 400 * MILLISECOND_US) : 0;
-      this.world.after(this.chance.whole(100, 1_500) + slowUs, finish);
+        this.fault === "slow" ? this.random.integer(50 * MILLISECOND_US, 400 * MILLISECOND_US) : 0;
+      this.time.after(this.random.integer(100, 1_500) + slowUs, finish);
     });
 }
--- a/simulator/simulated-network.ts
+++ b/simulator/simulated-network.ts
@@ -1,121 +1,149 @@
+/** The network between simulated controllers: connections with time-outs, loss, delay, duplication and partitions. */
 import { PendingRequests } from "../src/transport/pending-requests.js";
 import type { Message } from "../src/transport/connection.js";
 import { MILLISECOND_US, SECOND_US } from "../src/common/duration.js";
-import type { Box } from "./simulated-controller.js";
-import type { Chance } from "./seeded-random.js";
-import type { World } from "./virtual-time.js";
-
-/** Parts of all messages that are lost, late by up to four seconds, and doubled. */
-export interface Noise {
-  readonly lost: number;
-  readonly late: number;
-  readonly doubled: number;
+import type { SimulatedController } from "./simulated-controller.js";
+import type { SeededRandom } from "./seeded-random.js";
+import type { VirtualTime } from "./virtual-time.js";
+
+/** The probabilities that a message is lost, delayed by up to four seconds, or delivered twice. */
+export interface NetworkNoise {
+  readonly lossProbability: number;
+  readonly delayProbability: number;
+  readonly duplicateProbability: number;
 }
 
-export const CALM: Noise = { lost: 0, late: 0, doubled: 0 };
+export const NO_NOISE: NetworkNoise = {
+  lossProbability: 0,
+  delayProbability: 0,
+  duplicateProbability: 0,
+};
 
-/** The dialling side of a connection, as src/signalling/link.ts keeps it. */
+/** The dialling side of a connection, as src/transport/peer-link.ts keeps it. */
 export interface Link {
-  readonly asks: PendingRequests;
-  /** The life at the other end; undefined while no connection stands. */
-  peer: Box | undefined;
+  readonly requests: PendingRequests;
+  /** The process at the other end; undefined while not connected. */
+  peer: SimulatedController | undefined;
   silentSinceUs: number | undefined;
   readySinceUs: number | undefined;
 }
 
 interface Envelope {
-  readonly from: Box;
-  readonly to: Box;
+  readonly from: SimulatedController;
+  readonly to: SimulatedController;
   readonly message: Message;
   readonly sentUs: number;
   /** The newest moment at which `to` sent something that `from` had handled when it sent this. */
   readonly echoUs: number;
 }
 
-const POLL_US = 100 * MILLISECOND_US;
-const SILENCE_US = 1 * SECOND_US;
-const REDIAL_US = 300 * MILLISECOND_US;
-const LATE_US = 4 * SECOND_US;
-/** Of the messages that a cut holds up, this part comes after it. */
-const HELD_PART = 0.5;
+const LINK_CHECK_INTERVAL_US = 100 * MILLISECOND_US;
+const CONNECTION_TIMEOUT_US = 1 * SECOND_US;
+const RECONNECT_DELAY_US = 300 * MILLISECOND_US;
+const MAX_DELAY_US = 4 * SECOND_US;
+/** Of the messages that a partition holds up, this share is delivered after it. */
+const DELIVERED_AFTER_PARTITION = 0.5;
 
-const wayOf = (from: string, to: string): string => `${from}>${to}`;
+const directionOf = (from: string, to: string): string => `${from}>${to}`;
 
-/** Everything between boxes: connections that are given up after a second of silence, and messages that come or don't. */
-export class Net {
-  noise: Noise = CALM;
-  private readonly cuts = new Map<string, number>();
-  private held: Envelope[] = [];
+/** Connects controllers, gives connections up after a second without contact, and delivers messages or loses them. */
+export class SimulatedNetwork {
+  noise: NetworkNoise = NO_NOISE;
+  private readonly partitions = new Map<string, number>();
+  private pending: Envelope[] = [];
 
   constructor(
-    private readonly world: World,
-    private readonly chance: Chance,
-    private readonly boxOf: (id: string) => Box | undefined,
-    private readonly boxes: () => readonly Box[],
+    private readonly time: VirtualTime,
+    private readonly random: SeededRandom,
+    private readonly controllerOf: (id: string) => SimulatedController | undefined,
+    private readonly controllers: () => readonly SimulatedController[],
   ) {
-    this.poll();
+    this.updateLinks();
   }
 
-  readonly newLink = (box: Box): Link => ({
-    asks: new PendingRequests(box.clock),
+  readonly newLink = (controller: SimulatedController): Link => ({
+    requests: new PendingRequests(controller.clock),
     peer: undefined,
     silentSinceUs: undefined,
     readySinceUs: undefined,
   });
 
-  readonly cut = (from: string, to: string): void => {
-    this.cuts.set(wayOf(from, to), (this.cuts.get(wayOf(from, to)) ?? 0) + 1);
+  readonly partition = (from: string, to: string): void => {
+    this.partitions.set(
+      directionOf(from, to),
+      (this.partitions.get(directionOf(from, to)) ?? 0) + 1,
+    );
   };
 
-  readonly join = (from: string, to: string): void => {
-    const left = (this.cuts.get(wayOf(from, to)) ?? 1) - 1;
-    if (left > 0) this.cuts.set(wayOf(from, to), left);
-    else this.cuts.delete(wayOf(from, to));
-    const free = this.held.filter((envelope) => !this.isCut(envelope.from.id, envelope.to.id));
-    this.held = this.held.filter((envelope) => !free.includes(envelope));
-    free.filter(() => this.chance.hits(HELD_PART)).forEach((envelope) => this.carry(envelope));
+  readonly heal = (from: string, to: string): void => {
+    const left = (this.partitions.get(directionOf(from, to)) ?? 1) - 1;
+    if (left > 0) this.partitions.set(directionOf(from, to), left);
+    else this.partitions.delete(directionOf(from, to));
+    const free = this.pending.filter(
+      (envelope) => !this.isPartitioned(envelope.from.id, envelope.to.id),
+    );
+    this.pending = this.pending.filter((envelope) => !free.includes(envelope));
+    free
+      .filter(() => this.random.occurs(DELIVERED_AFTER_PARTITION))
+      .forEach((envelope) => this.transmit(envelope));
   };
 
-  readonly isCut = (from: string, to: string): boolean => this.cuts.has(wayOf(from, to));
-
-  readonly send = (from: Box, to: Box, message: Message): void => {
-    const envelope = { from, to, message, sentUs: this.world.nowUs(), echoUs: from.heardOf(to) };
-    if (this.isCut(from.id, to.id)) this.held.push(envelope);
-    else this.carry(envelope);
+  readonly isPartitioned = (from: string, to: string): boolean =>
+    this.partitions.has(directionOf(from, to));
+
+  readonly send = (from: SimulatedController, to: SimulatedController, message: Message): void => {
+    const envelope = {
+      from,
+      to,
+      message,
+      sentUs: this.time.nowUs(),
+      echoUs: from.lastHeardFromUs(to),
+    };
+    if (this.isPartitioned(from.id, to.id)) this.pending.push(envelope);
+    else this.transmit(envelope);
   };
 
-  private readonly carry = (envelope: Envelope): void => {
-    const { lost, late, doubled } = this.noise;
-    if (this.chance.hits(lost)) return;
-    const soonUs = this.chance.whole(300, 3_000);
-    this.bring(envelope, this.chance.hits(late) ? this.chance.whole(soonUs, LATE_US) : soonUs);
-    if (this.chance.hits(doubled)) this.bring(envelope, this.chance.whole(soonUs, LATE_US));
+  private readonly transmit = (envelope: Envelope): void => {
+    const {
+      lossProbability: lost,
+      delayProbability: late,
+      duplicateProbability: doubled,
+    } = this.noise;
+    if (this.random.occurs(lost)) return;
+    const soonUs = this.random.integer(300, 3_000);
+    this.deliverAfter(
+      envelope,
+      this.random.occurs(late) ? this.random.integer(soonUs, MAX_DELAY_US) : soonUs,
+    );
+    if (this.random.occurs(doubled))
+      this.deliverAfter(envelope, this.random.integer(soonUs, MAX_DELAY_US));
   };
 
-  /** As on a connection, what is under way reaches only the life that it was sent to. */
-  private readonly bring = (
+  /** As on a connection, a message in flight reaches only the process that it was sent to. */
+  private readonly deliverAfter = (
     { from, to, message, sentUs, echoUs }: Envelope,
-    inUs: number,
+    delayUs: number,
   ): void => {
-    this.world.after(inUs, () => to.run(() => to.receive(from, message, sentUs, echoUs)));
+    this.time.after(delayUs, () => to.run(() => to.receive(from, message, sentUs, echoUs)));
   };
 
-  private readonly poll = (): void => {
-    this.boxes().forEach((box) => {
-      if (box.isAwake && box.isListening) box.links.forEach((link, id) => this.look(box, link, id));
+  private readonly updateLinks = (): void => {
+    this.controllers().forEach((controller) => {
+      if (controller.isAwake && controller.isListening)
+        controller.links.forEach((link, id) => this.updateLink(controller, link, id));
     });
-    this.world.after(POLL_US, this.poll);
+    this.time.after(LINK_CHECK_INTERVAL_US, this.updateLinks);
   };
 
-  private readonly look = (box: Box, link: Link, id: string): void => {
-    const nowUs = this.world.nowUs();
-    const other = this.boxOf(id);
+  private readonly updateLink = (controller: SimulatedController, link: Link, id: string): void => {
+    const nowUs = this.time.nowUs();
+    const other = this.controllerOf(id);
     const isReady =
       other !== undefined &&
       other.isAwake &&
       other.isListening &&
-      !this.isCut(box.id, id) &&
-      !this.isCut(id, box.id);
+      !this.isPartitioned(controller.id, id) &&
+      !this.isPartitioned(id, controller.id);
     if (link.peer !== undefined) {
       if (isReady && other === link.peer) {
         link.silentSinceUs = undefined;
@@ -123,11 +151,11 @@
       }
       link.silentSinceUs ??= nowUs;
       const isReset = other !== link.peer && link.peer.wasReset;
-      if (!isReset && nowUs - link.silentSinceUs < SILENCE_US) return;
+      if (!isReset && nowUs - link.silentSinceUs < CONNECTION_TIMEOUT_US) return;
       link.peer = undefined;
       link.silentSinceUs = undefined;
       link.readySinceUs = undefined;
-      link.asks.drop();
+      link.requests.drop();
       return;
     }
     if (!isReady) {
@@ -135,9 +163,9 @@
       return;
     }
     link.readySinceUs ??= nowUs;
-    if (nowUs - link.readySinceUs < REDIAL_US) return;
+    if (nowUs - link.readySinceUs < RECONNECT_DELAY_US) return;
     link.peer = other;
-    box.learn(other.knows());
-    other.learn(box.knows());
+    controller.addPeers(other.knownIds());
+    other.addPeers(controller.knownIds());
   };
 }
--- a/simulator/simulation.ts
+++ b/simulator/simulation.ts
@@ -1,350 +1,250 @@
-import { makeRegister, type Register } from "../src/consensus/register.js";
+/** Runs one schedule in virtual time, from the first start of all controllers to a calm end, and records what was seen. */
 import { MILLISECOND_US, SECOND_US } from "../src/common/duration.js";
-import { Box, REAL_PARTS, type Parts } from "./simulated-controller.js";
-import { Chance } from "./seeded-random.js";
-import { SimDisk } from "./simulated-disk.js";
-import { History, type Call } from "./history.js";
-import { CALM, Net } from "./simulated-network.js";
+import { Fleet, type Machine } from "./fleet.js";
+import { History, type FinalRequest } from "./history.js";
 import {
   CATCH_UP_US,
   deploymentOf,
-  EMPTY_COMES_US,
-  GRACE_US,
-  NEVER,
-  SUCCESSOR_UP_US,
+  REPLACEMENT_DELAY_US,
+  REPLACEMENT_OVERLAP_US,
+  SHUTDOWN_TIMEOUT_US,
+  type Direction,
   type Event,
   type Schedule,
-  type Way,
+  type StopMode,
 } from "./schedule.js";
-import { World } from "./virtual-time.js";
+import { SeededRandom } from "./seeded-random.js";
+import { REAL_COMPONENTS, type Components } from "./simulated-controller.js";
+import { NO_NOISE } from "./simulated-network.js";
+import { SimulatedOperator } from "./simulated-operator.js";
+import { VirtualTime } from "./virtual-time.js";
 
-interface Machine {
-  readonly id: string;
-  readonly disk: SimDisk;
-  box: Box | undefined;
-  downUntilUs: number;
-  /** When it went for good. */
-  goneUs: number | undefined;
-  isLeaving: boolean;
-}
-
-/** The operator's list of machines lags by so much. */
-const LIST_LAG_US = 3 * SECOND_US;
-const ANSWER_WAIT_US = 1 * SECOND_US;
-/** An operator gives an order up after so long. */
-const GIVE_UP_US = 6 * SECOND_US;
-const SAMPLE_US = 500 * MILLISECOND_US;
-/** After the calm's `catchUp`, an order must be confirmed and a read served in so much time. */
-export const CONFIRM_US = 4 * SECOND_US;
-/** And the roster must be as it should so long after the last trouble. */
-const ROSTER_US = 4 * SECOND_US;
+const SAMPLE_INTERVAL_US = 500 * MILLISECOND_US;
+/** Once `CATCH_UP_US` have passed after the last fault, a change must be confirmed and a read served in so much time. */
+export const SERVE_TIMEOUT_US = 4 * SECOND_US;
+/** The voter set must be as it should so long after that. */
+const VOTER_SET_TIMEOUT_US = 4 * SECOND_US;
+/** Keeps the run's own draws apart from those of the schedule of the same seed. */
+const RUN_SEED_MASK = 0x5bd1e995;
 
 export interface Outcome {
   readonly history: History;
-  /** Who runs at the end. */
-  readonly live: readonly string[];
-  readonly events: number;
+  /** The machines that belong to the deployment at the end. */
+  readonly liveIds: readonly string[];
+  readonly eventCount: number;
 }
 
-/** One play of a schedule from the first start to a calm end. */
-export const play = async (schedule: Schedule, parts: Parts = REAL_PARTS): Promise<Outcome> => {
-  const size = deploymentOf(schedule.deployment);
-  const world = new World();
-  const chance = new Chance(schedule.seed ^ 0x5bd1e995);
-  const history = new History();
-  const machines: Machine[] = [];
-  const pad = " ".repeat(schedule.padBytes);
-  const boxOf = (id: string): Box | undefined => {
-    const box = machines.find((machine) => machine.id === id)?.box;
-    return box?.isAlive === true ? box : undefined;
-  };
-  const net = new Net(world, chance.fork(), boxOf, () =>
-    machines.flatMap(({ box }) => (box?.isAlive === true ? [box] : [])),
-  );
+type EventOf<Kind extends Event["kind"]> = Extract<Event, { readonly kind: Kind }>;
 
-  const build = (): Machine => {
-    const machine: Machine = {
-      id: `box${machines.length}`,
-      disk: new SimDisk(world, chance.fork()),
-      box: undefined,
-      downUntilUs: 0,
-      goneUs: undefined,
-      isLeaving: false,
-    };
-    machines.push(machine);
-    return machine;
-  };
-  const listed = (): readonly Machine[] =>
-    machines.filter(
-      ({ goneUs, box }) =>
-        box !== undefined && (goneUs === undefined || world.nowUs() - goneUs < LIST_LAG_US),
-    );
-  const firstSeeds = Array.from({ length: size.seeds }, (_none, at) => `box${at}`);
-  /** Three of the operator's list, which may name one that has gone meanwhile; two are there when the file is written. */
-  const seedsFor = (machine: Machine): readonly string[] => {
-    const others = listed().filter((other) => other !== machine);
-    const sound = others.filter(({ goneUs, isLeaving }) => goneUs === undefined && !isLeaving);
-    const first = sound.length > 0 ? chance.whole(0, sound.length - 1) : 0;
-    const picked = [
-      sound[first],
-      sound[(first + 1) % Math.max(1, sound.length)],
-      others.length > 0 ? chance.pick(others) : undefined,
-    ];
-    return [...new Set(picked.flatMap((other) => (other ? [other.id] : [])))];
-  };
-  const start = (machine: Machine, firstRun: boolean): void => {
-    if (machine.goneUs !== undefined || machine.box?.isAlive === true) return;
-    const seeds = firstRun ? firstSeeds : seedsFor(machine);
-    const box = new Box({
-      id: machine.id,
-      seeds,
-      firstRun,
-      world,
-      net,
-      disk: machine.disk,
-      chance: chance.fork(),
-      history,
-      parts,
-      withstandMachines: size.withstandMachines,
-    });
-    machine.box = box;
-    void box
-      .start()
-      .catch((error: unknown) =>
-        history.mishaps.push(`${machine.id} failed at its start: ${String(error)}`),
-      );
-  };
-  const goForGood = (machine: Machine): void => {
-    machine.box?.end(false);
-    machine.goneUs ??= world.nowUs();
-  };
-  /** Ends the process, and with the power what wasn't synced; it is back after a while. */
-  const stop = (
-    machine: Machine,
-    downUs: number,
-    how: "kill" | "power" | "wipe" | "spoil",
-  ): void => {
-    machine.box?.end(how === "kill" || how === "spoil");
-    if (machine.isLeaving) machine.goneUs ??= world.nowUs();
-    if (how === "power") machine.disk.losePower();
-    if (how === "wipe") machine.disk.wipe();
-    if (how === "spoil") machine.disk.spoil();
-    machine.downUntilUs = Math.max(machine.downUntilUs, world.nowUs() + downUs);
-    world.at(machine.downUntilUs, () => {
-      if (world.nowUs() >= machine.downUntilUs) start(machine, false);
-    });
-  };
+class Simulation {
+  private readonly time = new VirtualTime();
+  private readonly history = new History();
+  private readonly random: SeededRandom;
+  private readonly fleet: Fleet;
+  private readonly operator: SimulatedOperator;
 
-  const slots = Array.from({ length: size.boxes }, build);
-  const machineAt = (slot: number): Machine => {
-    const machine = slots[slot];
-    if (!machine) throw new Error(`there is no slot ${slot}`);
-    return machine;
-  };
+  constructor(
+    private readonly schedule: Schedule,
+    components: Components,
+  ) {
+    const { time, history } = this;
+    this.random = new SeededRandom(schedule.seed ^ RUN_SEED_MASK);
+    const { random } = this;
+    const deployment = deploymentOf(schedule.deployment);
+    this.fleet = new Fleet({ deployment, time, random, history, components });
+    const padding = " ".repeat(schedule.paddingBytes);
+    this.operator = new SimulatedOperator({ fleet: this.fleet, time, random, history, padding });
+  }
 
-  /** Sends an order to one machine after the other until it has a clear answer. */
-  const send = async (
-    id: number,
-    registers: readonly Register[],
-    needs: string,
-    slot: number,
-    untilUs: number,
-    lostAnswers: number,
-  ): Promise<boolean> => {
-    let at = slot;
-    do {
-      const box = machineOnList(at)?.box;
-      const answer =
-        box?.isAlive === true && box.isListening
-          ? await answerOf(box, () => box.take({ id, registers, needs }))
-          : "unclear";
-      if (answer !== "unclear" && !chance.hits(lostAnswers)) return answer === "ok";
-      await rest(chance.whole(50 * MILLISECOND_US, 500 * MILLISECOND_US));
-      at += 1;
-    } while (world.nowUs() < untilUs);
-    return false;
-  };
-  const machineOnList = (at: number): Machine | undefined => {
-    const list = listed();
-    return list[at % Math.max(1, list.length)];
-  };
-  const rest = (waitUs: number): Promise<void> =>
-    new Promise((resolve) => world.after(waitUs, resolve));
-  const answerOf = <T>(box: Box, call: () => Promise<T>): Promise<T | "unclear"> =>
-    new Promise((resolve, reject) => {
-      world.after(ANSWER_WAIT_US, () => resolve("unclear"));
-      world.after(chance.whole(300, 3_000), () =>
-        box.run(() => void call().then((value) => resolve(value), reject)),
-      );
-    });
-  const orderOf = (
-    id: number,
-    parts: readonly { readonly key: string; readonly version: number; readonly body: string }[],
-  ): readonly Register[] => {
-    const registers = parts.map(({ key, version, body }) =>
-      makeRegister(key, version, body === "" ? "" : body + pad, body === ""),
+  readonly run = async (): Promise<Outcome> => {
+    const { time, random, history, fleet, schedule } = this;
+    fleet.slots.forEach((machine) =>
+      time.after(random.integer(0, 300 * MILLISECOND_US), () => fleet.start(machine, true)),
     );
-    history.orders.set(id, registers);
-    return registers;
-  };
-  const needsOf = new Map<number, string>();
-
-  const cut = (slot: number, others: readonly number[], way: Way, forUs: number): void => {
-    const here = machineAt(slot).id;
-    const ways = others.flatMap((other): (readonly [string, string])[] => {
-      const there = machineAt(other).id;
-      return [
-        ...(way === "to" ? [] : [[here, there] as const]),
-        ...(way === "from" ? [] : [[there, here] as const]),
-      ];
-    });
-    ways.forEach(([from, to]) => net.cut(from, to));
-    world.after(forUs, () => ways.forEach(([from, to]) => net.join(from, to)));
+    schedule.events.forEach((event) => time.at(event.atUs, () => this.apply(event)));
+    time.after(SAMPLE_INTERVAL_US, this.sampleRepeatedly);
+    const calmUs = schedule.calmUs + CATCH_UP_US;
+    time.at(calmUs, this.sendFinalRequests);
+    const endUs = calmUs + Math.max(SERVE_TIMEOUT_US, VOTER_SET_TIMEOUT_US) + SECOND_US;
+    time.at(endUs - SECOND_US, () =>
+      fleet.machines.forEach(
+        ({ goneUs, controller }) =>
+          void (goneUs === undefined && controller !== undefined ? controller.read() : undefined),
+      ),
+    );
+    await time.run(endUs);
+    this.sampleRepeatedly();
+    return {
+      history,
+      liveIds: fleet.present().map(({ id }) => id),
+      eventCount: time.eventCount(),
+    };
   };
 
-  const happen = (event: Event): void => {
+  private readonly apply = (event: Event): void => {
+    const { fleet, operator } = this;
     switch (event.kind) {
-      case "order":
-        needsOf.set(event.id, event.needs);
-        if (event.needs === NEVER) history.hopeless.add(event.id);
-        void send(
-          event.id,
-          orderOf(event.id, event.parts),
-          event.needs,
-          event.slot,
-          world.nowUs() + GIVE_UP_US,
-          event.lostAnswers,
-        );
+      case "change":
+        void operator.submit(event);
         break;
-      case "resend": {
-        const registers = history.orders.get(event.id);
-        if (registers)
-          void send(event.id, registers, needsOf.get(event.id) ?? "", event.slot, 0, 0);
+      case "resend":
+        operator.resend(event.id, event.slot);
         break;
-      }
-      case "read": {
-        const box = machineOnList(event.slot)?.box;
-        if (box?.isListening === true) void answerOf(box, box.read);
+      case "read":
+        operator.readAt(event.slot);
         break;
-      }
       case "kill":
-      case "power":
+      case "power-loss":
       case "wipe":
-      case "spoil":
-        stop(machineAt(event.slot), event.downUs, event.kind);
+      case "corrupt":
+        fleet.stop(fleet.machineAt(event.slot), event.downUs, event.kind);
         break;
-      case "freeze": {
-        const { box } = machineAt(event.slot);
-        box?.freeze();
-        world.after(event.forUs, () => box?.thaw());
+      case "freeze":
+        this.freeze(event);
         break;
-      }
-      case "cut":
-        cut(event.slot, event.others, event.way, event.forUs);
+      case "partition":
+        this.partition(event);
         break;
-      case "disk": {
-        const { disk } = machineAt(event.slot);
-        disk.setTrouble(event.trouble);
-        world.after(event.forUs, () => disk.setTrouble(undefined));
+      case "disk-fault":
+        this.failDisk(event);
         break;
-      }
-      case "replace": {
-        goForGood(machineAt(event.slot));
-        const machine = build();
-        slots[event.slot] = machine;
-        world.after(EMPTY_COMES_US, () => start(machine, false));
+      case "replace":
+        this.replace(event.slot);
         break;
-      }
-      case "succeed": {
-        const before = machineAt(event.slot);
-        const machine = build();
-        slots[event.slot] = machine;
-        start(machine, false);
-        world.after(SUCCESSOR_UP_US, () => {
-          before.isLeaving = true;
-          const { box } = before;
-          if (box?.isAlive === true) box.run(() => void box.leave().then(() => goForGood(before)));
-          world.after(GRACE_US, () => goForGood(before));
-        });
+      case "planned-replace":
+        this.replaceGracefully(event.slot);
         break;
-      }
-      case "all":
-        machines
-          .filter(({ goneUs, box }) => goneUs === undefined && box !== undefined)
-          .forEach((machine) => {
-            const slot = slots.indexOf(machine);
-            const how = event.wiped.includes(slot)
-              ? "wipe"
-              : event.spoiled.includes(slot)
-                ? "spoil"
-                : event.byPower
-                  ? "power"
-                  : "kill";
-            stop(machine, event.downUs[slot] ?? 500 * MILLISECOND_US, how);
-          });
+      case "stop-all":
+        this.stopAll(event);
         break;
       case "noise":
-        net.noise = event.noise;
-        world.after(event.forUs, () => (net.noise = CALM));
+        this.makeNoise(event);
         break;
     }
   };
 
-  slots.forEach((machine) =>
-    world.after(chance.whole(0, 300 * MILLISECOND_US), () => start(machine, true)),
-  );
-  schedule.events.forEach((event) => world.at(event.atUs, () => happen(event)));
-  const sample = (): void => {
-    machines.forEach(({ id, box }) => {
-      if (box?.isAwake === true && box.store.isVoting)
-        history.rosters.push({ atUs: world.nowUs(), box: id, roster: box.store.voterSet() });
+  private readonly freeze = ({ slot, durationUs }: EventOf<"freeze">): void => {
+    const { controller } = this.fleet.machineAt(slot);
+    controller?.freeze();
+    this.time.after(durationUs, () => controller?.thaw());
+  };
+
+  private readonly partition = ({
+    slot,
+    others,
+    direction,
+    durationUs,
+  }: EventOf<"partition">): void => {
+    const { fleet, time } = this;
+    const here = fleet.machineAt(slot).id;
+    const pairs = others.flatMap((other) =>
+      directedPairs(here, fleet.machineAt(other).id, direction),
+    );
+    pairs.forEach(([from, to]) => fleet.network.partition(from, to));
+    time.after(durationUs, () => pairs.forEach(([from, to]) => fleet.network.heal(from, to)));
+  };
+
+  private readonly failDisk = ({ slot, fault, durationUs }: EventOf<"disk-fault">): void => {
+    const { disk } = this.fleet.machineAt(slot);
+    disk.setFault(fault);
+    this.time.after(durationUs, () => disk.setFault(undefined));
+  };
+
+  private readonly replace = (slot: number): void => {
+    const { fleet, time } = this;
+    fleet.remove(fleet.machineAt(slot));
+    const machine = fleet.replaceAt(slot);
+    time.after(REPLACEMENT_DELAY_US, () => fleet.start(machine, false));
+  };
+
+  private readonly replaceGracefully = (slot: number): void => {
+    const { fleet, time } = this;
+    const old = fleet.machineAt(slot);
+    fleet.start(fleet.replaceAt(slot), false);
+    time.after(REPLACEMENT_OVERLAP_US, () => {
+      old.isDraining = true;
+      const { controller } = old;
+      if (controller?.isAlive === true)
+        controller.run(() => void controller.shutDown().then(() => fleet.remove(old)));
+      time.after(SHUTDOWN_TIMEOUT_US, () => fleet.remove(old));
     });
-    world.after(SAMPLE_US, sample);
   };
-  world.after(SAMPLE_US, sample);
 
-  const calmUs = schedule.calmUs + CATCH_UP_US;
-  world.at(calmUs, () =>
-    machines
-      .filter(({ goneUs }) => goneUs === undefined)
-      .forEach(({ id, box }, at) => {
-        const order: Call = {
-          what: `an order at ${id}`,
-          fromUs: world.nowUs(),
-          servedUs: undefined,
-        };
-        const read: Call = { what: `a read at ${id}`, fromUs: world.nowUs(), servedUs: undefined };
-        history.calls.push(order, read);
-        const number = -1 - at;
-        void send(
-          number,
-          orderOf(number, [{ key: `route/last${at}`, version: 1, body: `{"order":${number}}` }]),
-          "",
-          at,
-          world.nowUs() + CONFIRM_US,
-          0,
-        ).then((isOk) => {
-          if (isOk) order.servedUs = world.nowUs();
+  private readonly stopAll = ({ byPower, wiped, corrupted, downUs }: EventOf<"stop-all">): void => {
+    const { fleet } = this;
+    const modeOf = (slot: number): StopMode => {
+      if (wiped.includes(slot)) return "wipe";
+      if (corrupted.includes(slot)) return "corrupt";
+      return byPower ? "power-loss" : "kill";
+    };
+    fleet
+      .present()
+      .filter(({ controller }) => controller !== undefined)
+      .forEach((machine) => {
+        const slot = fleet.slots.indexOf(machine);
+        fleet.stop(machine, downUs[slot] ?? 500 * MILLISECOND_US, modeOf(slot));
+      });
+  };
+
+  private readonly makeNoise = ({ noise, durationUs }: EventOf<"noise">): void => {
+    const { network } = this.fleet;
+    network.noise = noise;
+    this.time.after(durationUs, () => (network.noise = NO_NOISE));
+  };
+
+  private readonly sampleRepeatedly = (): void => {
+    const { time, history, fleet } = this;
+    fleet.machines.forEach(({ id, controller }) => {
+      if (controller?.isAwake === true && controller.store.isVoting)
+        history.voterSets.push({
+          atUs: time.nowUs(),
+          controller: id,
+          voterSet: controller.store.voterSet(),
         });
-        const readOn = async (): Promise<void> => {
-          if (box && (await answerOf(box, box.read)) === true) read.servedUs = world.nowUs();
-          else await rest(200 * MILLISECOND_US).then(readOn);
-        };
-        void readOn();
-      }),
-  );
-  const endUs = calmUs + Math.max(CONFIRM_US, ROSTER_US) + SECOND_US;
-  world.at(endUs - SECOND_US, () =>
-    machines.forEach(
-      ({ goneUs, box }) =>
-        void (goneUs === undefined && box !== undefined ? box.read() : undefined),
-    ),
-  );
-  await world.run(endUs);
-  sample();
-  return {
-    history,
-    live: machines.filter(({ goneUs }) => goneUs === undefined).map(({ id }) => id),
-    events: world.count(),
+    });
+    time.after(SAMPLE_INTERVAL_US, this.sampleRepeatedly);
   };
-};
+
+  /** In the calm at the end, each controller that is there must confirm a change and serve a read. */
+  private readonly sendFinalRequests = (): void =>
+    this.fleet.present().forEach((machine, at) => this.sendFinalRequestsAt(machine, at));
+
+  private readonly sendFinalRequestsAt = ({ id, controller }: Machine, at: number): void => {
+    const { time, history, operator } = this;
+    const startUs = time.nowUs();
+    const change: FinalRequest = {
+      description: `a change at ${id}`,
+      startUs,
+      servedAtUs: undefined,
+    };
+    const read: FinalRequest = { description: `a read at ${id}`, startUs, servedAtUs: undefined };
+    history.finalRequests.push(change, read);
+    const changeId = -1 - at;
+    const item = { key: `route/last${at}`, version: 1, body: `{"order":${changeId}}` };
+    void operator
+      .submit(
+        { id: changeId, items: [item], requires: "", slot: at, answerLossProbability: 0 },
+        SERVE_TIMEOUT_US,
+      )
+      .then((isConfirmed) => {
+        if (isConfirmed) change.servedAtUs = time.nowUs();
+      });
+    void operator.readUntilServed(controller, () => (read.servedAtUs = time.nowUs()));
+  };
+}
+
+/** The ordered pairs of machines whose messages a partition between two stops. */
+const directedPairs = (
+  here: string,
+  there: string,
+  direction: Direction,
+): readonly (readonly [string, string])[] => [
+  ...(direction === "to" ? [] : [[here, there] as const]),
+  ...(direction === "from" ? [] : [[there, here] as const]),
+];
+
+/** One run of a schedule, with the system's own components or with those that a test replaces. */
+export const simulate = (
+  schedule: Schedule,
+  components: Components = REAL_COMPONENTS,
+): Promise<Outcome> => new Simulation(schedule, components).run();
--- a/simulator/virtual-time.ts
+++ b/simulator/virtual-time.ts
@@ -1,101 +1,107 @@
+/** Virtual time: events that run in order of their moment, without waiting. */
 import type { Clock, Timer } from "../src/common/clock.js";
 
-interface Due {
+interface ScheduledEvent {
   readonly atUs: number;
-  readonly order: number;
-  readonly act: () => void;
-  isOff: boolean;
+  readonly sequence: number;
+  readonly run: () => void;
+  isCancelled: boolean;
 }
 
 /** How many events run before the event loop's own round: only promises must settle between two, which they do. */
-const STEPS_A_ROUND = 64;
+const EVENTS_PER_ROUND = 64;
 
 /**
- * Virtual time. Invariants: events run in the order of their time, and of their making where that is the same; between
- * two events every promise that can settle has settled.
+ * Invariants: events run in the order of their time, and in the order in which they were scheduled where that is the
+ * same; between two events every promise that can settle has settled.
  */
-export class World {
-  private time = 0;
-  private made = 0;
-  private readonly heap: Due[] = [];
+export class VirtualTime {
+  private currentUs = 0;
+  private scheduled = 0;
+  private readonly heap: ScheduledEvent[] = [];
 
-  readonly nowUs = (): number => this.time;
+  readonly nowUs = (): number => this.currentUs;
 
   /** How many events there were or will be. */
-  readonly count = (): number => this.made;
+  readonly eventCount = (): number => this.scheduled;
 
-  readonly at = (atUs: number, act: () => void): Due => {
-    this.made += 1;
-    const due: Due = { atUs: Math.max(atUs, this.time), order: this.made, act, isOff: false };
+  readonly at = (atUs: number, work: () => void): ScheduledEvent => {
+    this.scheduled += 1;
+    const event: ScheduledEvent = {
+      atUs: Math.max(atUs, this.currentUs),
+      sequence: this.scheduled,
+      run: work,
+      isCancelled: false,
+    };
     const { heap } = this;
-    let place = heap.length;
-    heap.push(due);
-    while (place > 0) {
-      const up = (place - 1) >> 1;
-      const above = heap[up];
-      if (!above || !isBefore(due, above)) break;
-      heap[place] = above;
-      place = up;
+    let index = heap.length;
+    heap.push(event);
+    while (index > 0) {
+      const parent = (index - 1) >> 1;
+      const above = heap[parent];
+      if (!above || !isBefore(event, above)) break;
+      heap[index] = above;
+      index = parent;
     }
-    heap[place] = due;
-    return due;
+    heap[index] = event;
+    return event;
   };
 
-  readonly after = (waitUs: number, act: () => void): Due =>
-    this.at(this.time + Math.max(0, Math.round(waitUs)), act);
+  readonly after = (waitUs: number, work: () => void): ScheduledEvent =>
+    this.at(this.currentUs + Math.max(0, Math.round(waitUs)), work);
 
   /** Runs all that is due up to a moment; rejects with what an event throws. */
   readonly run = (untilUs: number): Promise<void> =>
     new Promise((resolve, reject) => {
-      let over = false;
+      let isOver = false;
       const step = () => {
-        if (over) return;
-        while (this.heap[0]?.isOff === true) this.pop();
+        if (isOver) return;
+        while (this.heap[0]?.isCancelled === true) this.pop();
         const next = this.heap[0];
         if (!next || next.atUs > untilUs) {
-          over = true;
-          this.time = untilUs;
+          isOver = true;
+          this.currentUs = untilUs;
           resolve();
           return;
         }
         this.pop();
-        this.time = next.atUs;
+        this.currentUs = next.atUs;
         try {
-          next.act();
+          next.run();
         } catch (error) {
-          over = true;
+          isOver = true;
           reject(error instanceof Error ? error : new Error(String(error)));
         }
       };
       const round = () => {
-        if (over) return;
-        for (let count = 0; count < STEPS_A_ROUND; count += 1) setImmediate(step);
+        if (isOver) return;
+        for (let count = 0; count < EVENTS_PER_ROUND; count += 1) setImmediate(step);
         setImmediate(round);
       };
       round();
     });
 
-  /** A clock whose timers run through a gate, which may hold them back or drop them. */
-  readonly clockBehind = (gate: (act: () => void) => void): Clock => {
-    const after = (waitUs: number, act: () => void): Timer => {
-      const due = this.after(waitUs, () =>
-        gate(() => {
-          if (!due.isOff) act();
+  /** A clock whose timers run through `execute`, which may delay or drop them. */
+  readonly clockThrough = (execute: (work: () => void) => void): Clock => {
+    const after = (waitUs: number, work: () => void): Timer => {
+      const event = this.after(waitUs, () =>
+        execute(() => {
+          if (!event.isCancelled) work();
         }),
       );
       return {
         stop: () => {
-          due.isOff = true;
+          event.isCancelled = true;
         },
       };
     };
-    const every = (gapUs: number, act: () => void): Timer => {
+    const every = (gapUs: number, work: () => void): Timer => {
       let timer: Timer = { stop: () => undefined };
       let stopped = false;
       const again = () => {
         if (stopped) return;
         timer = after(gapUs, again);
-        act();
+        work();
       };
       timer = after(gapUs, again);
       return {
@@ -112,20 +118,20 @@
     const { heap } = this;
     const last = heap.pop();
     if (!last || heap.length === 0) return;
-    let place = 0;
+    let index = 0;
     for (;;) {
-      const left = heap[2 * place + 1];
-      const right = heap[2 * place + 2];
+      const left = heap[2 * index + 1];
+      const right = heap[2 * index + 2];
       if (!left) break;
       const takesRight = right !== undefined && isBefore(right, left);
       const below = takesRight ? right : left;
       if (!isBefore(below, last)) break;
-      heap[place] = below;
-      place = 2 * place + (takesRight ? 2 : 1);
+      heap[index] = below;
+      index = 2 * index + (takesRight ? 2 : 1);
     }
-    heap[place] = last;
+    heap[index] = last;
   };
 }
 
-const isBefore = (one: Due, other: Due): boolean =>
-  one.atUs < other.atUs || (one.atUs === other.atUs && one.order < other.order);
+const isBefore = (one: ScheduledEvent, other: ScheduledEvent): boolean =>
+  one.atUs < other.atUs || (one.atUs === other.atUs && one.sequence < other.sequence);
