--- /dev/null
+++ b/chaos/day-generator.ts
@@ -0,0 +1,233 @@
+/** Draws days of faults and changes from a seed, and writes them as day files for the bench. */
+import { RandomDraws } from "./random-draws.js";
+import type { Figure, FaultKind, FaultKinds } from "./fault-kinds.js";
+
+/** What is known of a deployment. */
+export interface Site {
+  readonly name: string;
+  readonly zones: readonly string[];
+}
+
+/** One entry of a day; `at`, `for_s` and `gap_s` in seconds from the start of traffic, as day files write them. */
+export interface Entry {
+  readonly at: number;
+  readonly kind: string;
+  readonly for_s?: number;
+  readonly gap_s?: number;
+  readonly share?: number;
+  readonly count?: number;
+  readonly x?: number;
+  readonly on?: string;
+  readonly zone?: string;
+  readonly to_zone?: string;
+  readonly how?: string;
+}
+
+export interface Day {
+  readonly name: string;
+  readonly seed: number;
+  readonly length_s: number;
+  readonly closing?: { readonly kind: string; readonly down_s: number; readonly how?: string };
+  readonly plan: readonly Entry[];
+  readonly faults: readonly Entry[];
+}
+
+/** What a drawn day is made of: a few faults and changes; many faults; hundreds of changes with some faults. */
+export const MIXES = ["few", "many", "changes"] as const;
+export type Mix = (typeof MIXES)[number];
+export const MAX_CHANGES_AT_ONCE = 8;
+export const MAX_CHANGES = 300;
+const FAULT_COUNTS: Readonly<Record<Mix, readonly [number, number]>> = {
+  few: [2, 8],
+  many: [12, 40],
+  changes: [4, 14],
+};
+const CHANGE_COUNTS: Readonly<Record<Mix, readonly [number, number]>> = {
+  few: [2, 10],
+  many: [5, 40],
+  changes: [100, MAX_CHANGES],
+};
+/** Nothing begins in the first and in the last seconds. */
+const FIRST_S = 1;
+const QUIET_END_S = 3;
+const MAX_ROUTES = 400;
+const MAX_SHARE = 0.6;
+
+/** A figure around its default, from half of it to twice as much; `open` where there is none. */
+const drawAround = (
+  draws: RandomDraws,
+  figure: Figure,
+  open: readonly [number, number],
+  max: number,
+): number => {
+  const [min, top] = figure === "open" ? open : [figure / 2, figure * 2];
+  return draws.logNumber(min, Math.max(min, Math.min(top, max)));
+};
+
+const drawVariant = (draws: RandomDraws, kind: FaultKind, list: FaultKinds): string => {
+  const words: (string | undefined)[] = [];
+  if (draws.occurs(0.6)) words.push(draws.pick(kind.variants));
+  if (kind.target === "servers" && draws.occurs(0.06)) words.push(draws.pick(list.serverSelectors));
+  const moved = kind.target === "machines" || kind.target === "links";
+  if (kind.target === "links" && draws.occurs(0.3)) words.push(draws.pick(list.partitionVariants));
+  if ((moved || kind.target === "disks") && draws.occurs(0.4))
+    words.push(draws.pick(list.machineSelectors));
+  if (moved && draws.occurs(0.4)) words.push(draws.pick(list.concurrentChanges));
+  if (moved)
+    list.restartVariants.forEach((word) => words.push(draws.occurs(0.2) ? word : undefined));
+  if (kind.name === "roll_term" && draws.occurs(0.3)) words.push(draws.pick(list.rollVariants));
+  return [...new Set(words.filter((word) => word !== undefined))].join(" ");
+};
+
+/** One entry of this kind at this moment. */
+const drawEntry = (
+  draws: RandomDraws,
+  at: number,
+  kind: FaultKind,
+  list: FaultKinds,
+  site: Site,
+): Entry => {
+  const variant = drawVariant(draws, kind, list);
+  const change = kind.target === "orders";
+  const onCore = kind.target === "machines" && kind.share !== undefined && draws.occurs(0.5);
+  const mostShare = typeof kind.share === "number" ? Math.max(MAX_SHARE, kind.share) : MAX_SHARE;
+  const few = onCore && draws.occurs(0.7) ? draws.integer(1, 2) : undefined;
+  const count =
+    kind.count === undefined
+      ? few
+      : kind.countsRoutes
+        ? draws.integer(20, MAX_ROUTES)
+        : draws.integer(1, change ? 10 : 3);
+  // What is a part of things stays one.
+  const x =
+    kind.x === undefined
+      ? undefined
+      : kind.countsThings
+        ? draws.integer(1, 4)
+        : drawAround(
+            draws,
+            kind.x,
+            [1.2, 3],
+            typeof kind.x === "number" && kind.x < 1 ? 0.95 : Infinity,
+          );
+  const zones = variant.includes("one_zone") ? { to_zone: draws.pick(site.zones) } : {};
+  const zone =
+    (kind.target === "servers" || kind.target === "clients") && draws.occurs(0.15)
+      ? draws.pick(site.zones)
+      : undefined;
+  return {
+    at,
+    kind: kind.name,
+    for_s: draws.logNumber(0.5, change && kind.isRepeated ? 6 : 20),
+    ...(kind.isRepeated ? { gap_s: draws.logNumber(0.1, 2) } : {}),
+    ...(kind.share === undefined || few !== undefined
+      ? {}
+      : { share: drawAround(draws, kind.share, [0.1, 0.5], mostShare) }),
+    ...(count === undefined ? {} : { count }),
+    ...(x === undefined ? {} : { x }),
+    ...(onCore ? { on: "core" } : {}),
+    ...(zone === undefined ? {} : { zone }),
+    ...(zones.to_zone === undefined ? {} : { to_zone: zones.to_zone }),
+    ...(variant === "" ? {} : { how: variant }),
+  };
+};
+
+/** A day's changes: bursts of up to eight at one moment. */
+const drawChanges = (
+  draws: RandomDraws,
+  kind: FaultKind | undefined,
+  count: number,
+  moment: () => number,
+): readonly Entry[] => {
+  if (kind === undefined) return [];
+  const entries: Entry[] = [];
+  // No moment is taken twice, so that no two bursts make one that is larger.
+  const taken = new Set<number>();
+  while (entries.length < count) {
+    const at = moment();
+    if (taken.has(at)) continue;
+    taken.add(at);
+    const burst = draws.occurs(0.7) ? 1 : draws.integer(2, MAX_CHANGES_AT_ONCE);
+    for (let change = 0; change < burst && entries.length < count; change += 1) {
+      const variant = draws.pick(kind.variants);
+      entries.push({ at, kind: kind.name, ...(variant === undefined ? {} : { how: variant }) });
+    }
+  }
+  return entries;
+};
+
+/** One day, a pure function of its seed, the site, the list and the bounds of its length (whole seconds). */
+export const drawDay = (
+  seed: number,
+  site: Site,
+  list: FaultKinds,
+  length: readonly [number, number],
+): Day => {
+  const draws = new RandomDraws(seed);
+  const mix = MIXES[draws.integer(0, MIXES.length - 1)] ?? "few";
+  const length_s = draws.integer(length[0], length[1]);
+  const moment = () => draws.number(FIRST_S, length_s - QUIET_END_S);
+  const change = list.kinds.find((kind) => kind.name === "config_change");
+  const entries: { readonly book: "plan" | "faults"; readonly entry: Entry }[] = drawChanges(
+    draws,
+    change,
+    draws.integer(...CHANGE_COUNTS[mix]),
+    moment,
+  ).map((entry) => ({ book: "plan", entry }));
+  const faultKinds = list.kinds.filter((kind) => kind !== change);
+  for (let left = draws.integer(...FAULT_COUNTS[mix]); left > 0; left -= 1) {
+    const kind = draws.pick(faultKinds);
+    if (kind)
+      entries.push({ book: kind.section, entry: drawEntry(draws, moment(), kind, list, site) });
+  }
+  const close = draws.occurs(0.6) ? draws.pick(list.closingFaults) : undefined;
+  const closeHow = draws.occurs(0.4) ? draws.pick(list.closingVariants) : undefined;
+  const down_s = draws.number(0.5, 2);
+  const of = (book: "plan" | "faults") =>
+    entries
+      .filter((one) => one.book === book)
+      .map(({ entry }) => entry)
+      .sort((a, b) => a.at - b.at);
+  return {
+    name: `${mix}-${seed}`,
+    seed,
+    length_s,
+    ...(close === undefined
+      ? {}
+      : { closing: { kind: close, down_s, ...(closeHow === undefined ? {} : { how: closeHow }) } }),
+    plan: of("plan"),
+    faults: of("faults"),
+  };
+};
+
+/** The seeds of the days of a campaign: day k is the same, however many are drawn. */
+export const daySeeds = (seed: number, count: number): readonly number[] => {
+  const draws = new RandomDraws(seed);
+  return Array.from({ length: count }, () => draws.integer(1, 2 ** 31 - 1));
+};
+
+const inlineTable = (record: object): string =>
+  `{ ${Object.entries(record)
+    .map(
+      ([field, value]) =>
+        `${field} = ${typeof value === "string" ? JSON.stringify(value) : String(value)}`,
+    )
+    .join(", ")} }`;
+
+const entryArray = (name: string, entries: readonly Entry[]): string =>
+  entries.length === 0
+    ? `${name} = []`
+    : `${name} = [\n${entries.map((entry) => `  ${inlineTable(entry)},\n`).join("")}]`;
+
+/** The day as a file, one entry a line. */
+export const formatDay = (day: Day, site: Site, from: string): string =>
+  [
+    `# Drawn for ${site.name} by \`npm run chaos -- days\`, ${from}.`,
+    `name = ${JSON.stringify(day.name)}`,
+    `seed = ${day.seed}`,
+    `length_s = ${day.length_s}`,
+    ...(day.closing ? [`closing = ${inlineTable(day.closing)}`] : []),
+    entryArray("plan", day.plan),
+    entryArray("faults", day.faults),
+    "",
+  ].join("\n");
--- a/chaos/journal.ts
+++ b/chaos/journal.ts
@@ -1,3 +1,4 @@
+/** Reads the journal of bench runs: which days were run, and which rules they broke. */
 import {
   asRecord,
   readFlag,
@@ -9,41 +10,43 @@
   type UnknownRecord,
 } from "../src/common/decode.js";
 
-/** A day as one journal entry tells of it. `key` is the same for every play of one day at one size: deployment, name, seed,
- * full or small. `broken` are rules with how often, and what else failed the gate, in the entry's own words. */
-export interface Played {
+/**
+ * One run of a day, as a journal entry records it. `key` is the same for every run of one day at one size: deployment,
+ * name, seed, full or small. `violations` are rules with how often, and what else failed the gate, in the entry's own words.
+ */
+export interface DayRun {
   readonly entry: string;
   readonly at: string;
-  readonly head: string;
+  readonly commit: string;
   readonly site: string;
   readonly name: string;
   readonly key: string;
-  readonly whose: "own" | "hunt" | "standard";
-  readonly small: boolean;
+  readonly origin: "own" | "hunt" | "standard";
+  readonly isSmall: boolean;
   /** Whether processor time was charged. */
-  readonly charged: boolean;
+  readonly isCpuCharged: boolean;
   readonly kinds: readonly string[];
-  readonly broken: Readonly<Record<string, number>>;
-  /** Why the day wasn't played to its end; undefined if it was. */
-  readonly givenUp?: string;
+  readonly violations: Readonly<Record<string, number>>;
+  /** Why the day was not run to its end; undefined if it was. */
+  readonly abortReason?: string;
 }
 
-/** An entry that tells of no whole day, and why. */
-export interface Unplayed {
+/** An entry that records no complete day, and why. */
+export interface PartialRun {
   readonly entry: string;
   readonly at: string;
   readonly site: string;
-  readonly why: string;
+  readonly reason: string;
 }
 
-const ACK = /had no ack|without an ack|no acknowledgement/;
-const countsOf = (day: UnknownRecord): Readonly<Record<string, number>> => {
+const MISSING_ACKNOWLEDGEMENT = /had no ack|without an ack|no acknowledgement/;
+const violationsOf = (day: UnknownRecord): Readonly<Record<string, number>> => {
   const rules = isRecord(day["rules"]) ? day["rules"] : {};
   const counts = Object.fromEntries(
     Object.keys(rules).map((rule) => [rule, readNumber(rules, rule)]),
   );
   const others = readList(day, "short", asString).filter((why) => !why.startsWith("fault:"));
-  const acks = others.filter((why) => ACK.test(why)).length;
+  const acks = others.filter((why) => MISSING_ACKNOWLEDGEMENT.test(why)).length;
   const floors = others.length - acks;
   return {
     ...counts,
@@ -57,10 +60,10 @@
   return typeof told === "string" ? told : (/([^/]+)\.toml$/.exec(argv[0] ?? "")?.[1] ?? "unknown");
 };
 
-/** The days of one journal entry, in the order they stand there. Throws a ShapeMishap that names a field which isn't as it should be. */
+/** The days of one journal entry, in the order they stand there. Throws a DecodeError that names a field which is not as it should be. */
 export const readEntry = (
   value: unknown,
-): { readonly played: readonly Played[]; readonly unplayed: readonly Unplayed[] } => {
+): { readonly runs: readonly DayRun[]; readonly partialRuns: readonly PartialRun[] } => {
   const entry = asRecord(value, "entry");
   const id = readString(entry, "id");
   const argv = readList(entry, "argv", asString);
@@ -68,31 +71,31 @@
   const site = siteOf(entry, argv);
   const about = { entry: id, at: times[0] ?? "", site };
   const days = readList(entry, "days", (day) => asRecord(day, "day"));
-  const unplayed = (why: string) => ({ played: [], unplayed: [{ ...about, why }] });
-  if (argv.includes("--until")) return unplayed("played only in part");
+  const incomplete = (reason: string) => ({ runs: [], partialRuns: [{ ...about, reason }] });
+  if (argv.includes("--until")) return incomplete("run only in part");
   if (days.length === 0)
     return typeof entry["error"] === "string"
-      ? unplayed(entry["error"])
-      : { played: [], unplayed: [] };
+      ? incomplete(entry["error"])
+      : { runs: [], partialRuns: [] };
   const small = argv.includes("--small");
   const command = readString(entry, "cmd");
   const own = command === "run" && argv.slice(1).some((word) => word.endsWith(".toml"));
-  const played = days.map((day): Played => {
+  const runs = days.map((day): DayRun => {
     const name = readString(day, "name").replace(/ --seed \d+$/, "");
     const fault = day["fault"];
     const seed = typeof day["seed"] === "number" ? String(day["seed"]) : "sealed";
     return {
       ...about,
-      head: `${readString(entry, "head").slice(0, 7)}${readFlag(entry, "dirty") ? " and changes" : ""}`,
+      commit: `${readString(entry, "head").slice(0, 7)}${readFlag(entry, "dirty") ? " and changes" : ""}`,
       name: `${name} (${seed})`,
       key: [site, name, seed, small ? "small" : "full"].join(" "),
-      whose: own ? "own" : command === "hunt" ? "hunt" : "standard",
-      small,
-      charged: !argv.includes("--no-cpu"),
+      origin: own ? "own" : command === "hunt" ? "hunt" : "standard",
+      isSmall: small,
+      isCpuCharged: !argv.includes("--no-cpu"),
       kinds: readList(day, "troubles", asString),
-      broken: countsOf(day),
-      ...(typeof fault === "string" ? { givenUp: fault.split("\n")[0] ?? fault } : {}),
+      violations: violationsOf(day),
+      ...(typeof fault === "string" ? { abortReason: fault.split("\n")[0] ?? fault } : {}),
     };
   });
-  return { played, unplayed: [] };
+  return { runs, partialRuns: [] };
 };
--- a/chaos/draw.ts
+++ b/chaos/random-draws.ts
@@ -1,3 +1,4 @@
+/** Random figures of a day from a seed (xoroshiro128+). */
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
@@ -8,7 +9,7 @@
 const SKIPPED = 32;
 
 /** Draws from a seed; the same seed gives the same draws on any machine. */
-export class Draw {
+export class RandomDraws {
   private readonly random: RandomGenerator;
 
   constructor(seed: number) {
@@ -16,23 +17,24 @@
     skipN(this.random, SKIPPED);
   }
 
-  /** A whole number from `least` to `most`, both included. */
-  readonly whole = (least: number, most: number): number =>
-    uniformInt(this.random, least, Math.max(least, most));
+  /** An integer from `least` to `most`, both included. */
+  readonly integer = (min: number, max: number): number =>
+    uniformInt(this.random, min, Math.max(min, max));
 
   /** A number between, with two digits after the point, or three below 0.1. */
-  readonly between = (least: number, most: number): number =>
-    digits(least + uniformFloat64(this.random) * (most - least));
+  readonly number = (min: number, max: number): number =>
+    digits(min + uniformFloat64(this.random) * (max - min));
 
-  /** Like `between`, with as many draws below the geometric middle as above. */
-  readonly spread = (least: number, most: number): number =>
-    digits(least * (most / least) ** uniformFloat64(this.random));
+  /** Like `number`, with as many draws below the geometric middle as above. */
+  readonly logNumber = (min: number, max: number): number =>
+    digits(min * (max / min) ** uniformFloat64(this.random));
 
-  readonly chance = (part: number): boolean => uniformFloat64(this.random) < part;
+  /** True with this probability. */
+  readonly occurs = (probability: number): boolean => uniformFloat64(this.random) < probability;
 
   /** One of these; undefined if there are none. */
-  readonly one = <T>(of: readonly T[]): T | undefined =>
-    of.length === 0 ? undefined : of[this.whole(0, of.length - 1)];
+  readonly pick = <T>(of: readonly T[]): T | undefined =>
+    of.length === 0 ? undefined : of[this.integer(0, of.length - 1)];
 }
 
 const digits = (value: number): number =>
--- a/chaos/run.ts
+++ b/chaos/run.ts
@@ -1,18 +1,23 @@
+/** `npm run chaos`: draws days of faults and changes for the bench, and tables what the journal says of days that were run. */
 import { mkdir, readdir, readFile, writeFile } from "node:fs/promises";
 import { basename, dirname, join } from "node:path";
 import { text as textOfStream } from "node:stream/consumers";
 import { Command } from "commander";
 import { parse } from "smol-toml";
 import { asRecord, readList, parseJson, DecodeError, readString } from "../src/common/decode.js";
-import { drawDay, seedsOf, writeDay, type Site } from "./days.js";
-import { readEntry, type Played, type Unplayed } from "./journal.js";
-import { parseKinds } from "./kinds.js";
-import { pageOf, readNotes, summaryOf } from "./table.js";
+import { CodedError } from "../src/common/errors.js";
+import { drawDay, daySeeds, formatDay, type Site } from "./day-generator.js";
+import { readEntry, type DayRun, type PartialRun } from "./journal.js";
+import { parseKinds } from "./fault-kinds.js";
+import { formatPage } from "./page.js";
+import { readNotes, summarize } from "./summary.js";
 
-/** What stops a command: one line for whoever called it. */
-class HuntsMishap extends Error {}
+/** What stops a command; its message is one line for whoever called it. */
+class ChaosError extends CodedError {
+  readonly code = "INVALID_CALL";
+}
 
-const MOST_DAYS = 1_000;
+const MAX_DAYS = 1_000;
 /** A day file's length in seconds; an issue of the users names these bounds. */
 const SHORTEST_S = 32;
 const LONGEST_S = 120;
@@ -23,23 +28,23 @@
   try {
     return await readFile(path, "utf8");
   } catch {
-    throw new HuntsMishap(`${path} cannot be read`);
+    throw new ChaosError(`${path} cannot be read`);
   }
 };
 
-/** Reads a file with a reader that throws; the mishap names the file. */
+/** Reads a file with a reader that throws; the error names the file. */
 const readWith = async <T>(path: string, read: (body: string) => T): Promise<T> => {
   const body = await readText(path);
   try {
     return read(body);
   } catch (error) {
-    throw new HuntsMishap(
+    throw new ChaosError(
       `${path}: ${error instanceof Error ? (error.message.split("\n")[0] ?? "") : "cannot be read"}`,
     );
   }
 };
 
-const siteOf = (body: string): Site => {
+const readSite = (body: string): Site => {
   const site = asRecord(parse(body), "site");
   return {
     name: readString(site, "name"),
@@ -47,10 +52,10 @@
   };
 };
 
-const wholeOf = (name: string, given: string, least: number, most: number): number => {
+const readInteger = (name: string, given: string, min: number, max: number): number => {
   const value = Number(given);
-  if (!Number.isSafeInteger(value) || value < least || value > most)
-    throw new HuntsMishap(`${name} must be a whole number from ${least} to ${most}, not ${given}`);
+  if (!Number.isSafeInteger(value) || value < min || value > max)
+    throw new ChaosError(`${name} must be a whole number from ${min} to ${max}, not ${given}`);
   return value;
 };
 
@@ -66,13 +71,13 @@
 }
 
 const drawDays = async (options: DaysOptions): Promise<void> => {
-  const seed = wholeOf("--seed", options.seed, 0, 2 ** 31 - 1);
-  const count = wholeOf("--count", options.count, 1, MOST_DAYS);
-  const longest = wholeOf("--longest", options.longest, SHORTEST_S, LONGEST_S);
-  const shortest = wholeOf("--shortest", options.shortest, SHORTEST_S, longest);
-  const site = await readWith(options.site, siteOf);
+  const seed = readInteger("--seed", options.seed, 0, 2 ** 31 - 1);
+  const count = readInteger("--count", options.count, 1, MAX_DAYS);
+  const longest = readInteger("--longest", options.longest, SHORTEST_S, LONGEST_S);
+  const shortest = readInteger("--shortest", options.shortest, SHORTEST_S, longest);
+  const site = await readWith(options.site, readSite);
   const kinds = parseKinds(await readText(options.kinds));
-  if (kinds.isErr) throw new HuntsMishap(kinds.error);
+  if (kinds.isErr) throw new ChaosError(kinds.error);
   await mkdir(options.out, { recursive: true });
   const written: {
     readonly file: string;
@@ -82,10 +87,10 @@
     readonly troubles: number;
     readonly closing: string;
   }[] = [];
-  for (const [at, daySeed] of seedsOf(seed, count).entries()) {
+  for (const [at, daySeed] of daySeeds(seed, count).entries()) {
     const day = drawDay(daySeed, site, kinds.value, [shortest, longest]);
     const file = join(options.out, `${site.name}-${day.name}.toml`);
-    await writeFile(file, writeDay(day, site, `seed ${seed}, day ${at + 1}`));
+    await writeFile(file, formatDay(day, site, `seed ${seed}, day ${at + 1}`));
     const changes = day.plan.filter(({ kind }) => kind === "config_change").length;
     written.push({
       file,
@@ -124,26 +129,26 @@
 
 const makeTable = async (options: TableOptions): Promise<void> => {
   if (options.since !== "" && Number.isNaN(Date.parse(options.since)))
-    throw new HuntsMishap(
+    throw new ChaosError(
       `--since must be a time such as 2026-12-02T04:30:00Z, not ${options.since}`,
     );
   const names = await readdir(options.journal).catch(() => {
-    throw new HuntsMishap(`${options.journal} cannot be read`);
+    throw new ChaosError(`${options.journal} cannot be read`);
   });
   const files = names.filter((name) => name.endsWith(".json")).sort();
-  const played: Played[] = [];
-  const unplayed: Unplayed[] = [];
+  const runs: DayRun[] = [];
+  const partialRuns: PartialRun[] = [];
   for (const [at, name] of files.entries()) {
     const entry = await readWith(join(options.journal, name), (body) => readEntry(parseJson(body)));
-    played.push(...entry.played);
-    unplayed.push(...entry.unplayed);
+    runs.push(...entry.runs);
+    partialRuns.push(...entry.partialRuns);
     if ((at + 1) % PROGRESS_EVERY === 0)
       process.stderr.write(`${at + 1} of ${files.length} entries\n`);
   }
   const notes = await readWith(options.notes, (body) => readNotes(parse(body)));
-  const summary = summaryOf(played, unplayed, notes, options.since);
+  const summary = summarize(runs, partialRuns, notes, options.since);
   await mkdir(dirname(options.out), { recursive: true });
-  await writeFile(options.out, pageOf(summary));
+  await writeFile(options.out, formatPage(summary));
   if (options.json === true) process.stdout.write(`${JSON.stringify(summary)}\n`);
   else
     process.stdout.write(
@@ -156,14 +161,14 @@
   try {
     await work;
   } catch (error) {
-    if (!(error instanceof HuntsMishap) && !(error instanceof DecodeError)) throw error;
+    if (!(error instanceof ChaosError) && !(error instanceof DecodeError)) throw error;
     process.stderr.write(`chaos: ${error.message}.\n`);
     process.exitCode = 2;
   }
 };
 
 const cli = new Command("chaos").description(
-  "days of our own for the bench, and the table of what was hunted",
+  "draws days of faults and changes for the bench, and tables what the journal says of them",
 );
 cli
   .command("days")
@@ -177,15 +182,15 @@
   .requiredOption("--out <folder>", "where the files are written")
   .option("--shortest <s>", "least length of a day in seconds", String(SHORTEST_S))
   .option("--longest <s>", "greatest length of a day in seconds", String(LONGEST_S))
-  .option("--json", "tells what was drawn as JSON")
+  .option("--json", "prints what was drawn as JSON")
   .action((options: DaysOptions) => guarded(drawDays(options)));
 cli
   .command("table")
-  .description("makes docs/hunts.md from the journal")
+  .description("makes docs/chaos.md from the journal")
   .option("--journal <folder>", "the journal's folder", "journal")
   .option("--notes <file>", "what became of broken rules", "chaos/notes.toml")
-  .option("--out <file>", "the page", "docs/hunts.md")
+  .option("--out <file>", "the page", "docs/chaos.md")
   .option("--since <time>", "leaves out runs that began before it", "")
-  .option("--json", "tells the sums as JSON")
+  .option("--json", "prints the sums as JSON")
   .action((options: TableOptions) => guarded(makeTable(options)));
 await cli.parseAsync();
--- /dev/null
+++ b/chaos/summary.ts
@@ -0,0 +1,141 @@
+/** Sums what the journal says of the days that were run, deployment by deployment. */
+import { asRecord, readList, readString } from "../src/common/decode.js";
+import type { DayRun, PartialRun } from "./journal.js";
+
+/** What is known of a broken rule, from chaos/notes.toml: which day (its key begins so), which rule, what became of it and on which page it is written up. */
+export interface Note {
+  readonly day: string;
+  readonly rule: string;
+  readonly state: "mended" | "left";
+  readonly told: string;
+}
+
+/** Reads `[[note]]` tables; throws a DecodeError that names the field which is wrong. */
+export const readNotes = (value: unknown): readonly Note[] =>
+  readList(asRecord(value, "notes"), "note", (one) => {
+    const note = asRecord(one, "note");
+    return {
+      day: readString(note, "day"),
+      rule: readString(note, "rule"),
+      state: readString(note, "state") === "mended" ? "mended" : "left",
+      told: readString(note, "told"),
+    };
+  });
+
+/** A rule that a day broke, over all runs of that day at that size, oldest first. */
+export interface Finding {
+  readonly site: string;
+  readonly key: string;
+  readonly rule: string;
+  readonly times: number;
+  readonly entries: readonly string[];
+  /** Whether the latest run of the same day held it. */
+  readonly nowHeld: boolean;
+  readonly state: "mended" | "left" | "open";
+  readonly told: string;
+}
+
+export interface SiteRow {
+  readonly site: string;
+  /** Different days run to their end, by origin and size. */
+  readonly days: Readonly<
+    Record<DayRun["origin"], { readonly full: number; readonly small: number }>
+  >;
+  readonly plays: number;
+  /** How many of the runs charged no processor time. */
+  readonly uncharged: number;
+  readonly givenUp: number;
+  readonly partial: number;
+  /** Runs of full days, and of small ones, that broke nothing since the last that did. */
+  readonly unbroken: { readonly full: number; readonly small: number };
+  readonly kinds: readonly (readonly [string, number])[];
+  readonly found: number;
+  readonly mended: number;
+  readonly left: number;
+}
+
+export interface Summary {
+  readonly since: string;
+  readonly rows: readonly SiteRow[];
+  readonly findings: readonly Finding[];
+  readonly givenUp: readonly DayRun[];
+}
+
+const hasViolations = (run: DayRun): boolean => Object.keys(run.violations).length > 0;
+
+const findingsOf = (runs: readonly DayRun[], notes: readonly Note[]): readonly Finding[] => {
+  const found = new Map<string, Finding>();
+  const latest = new Map(runs.map((run) => [run.key, run]));
+  runs.forEach((run) =>
+    Object.entries(run.violations).forEach(([rule, times]) => {
+      const id = `${run.key} ${rule}`;
+      const before = found.get(id);
+      const note = notes.find((one) => one.rule === rule && run.key.startsWith(one.day));
+      const nowHeld = latest.get(run.key)?.violations[rule] === undefined;
+      // A note alone mends nothing: the same day must have been run again.
+      const state =
+        note === undefined ? "open" : note.state === "mended" && !nowHeld ? "open" : note.state;
+      found.set(id, {
+        site: run.site,
+        key: run.key,
+        rule,
+        times: (before?.times ?? 0) + times,
+        entries: [...(before?.entries ?? []), run.entry],
+        nowHeld,
+        state,
+        told: note?.told ?? "",
+      });
+    }),
+  );
+  return [...found.values()];
+};
+
+const unbrokenOf = (runs: readonly DayRun[]): number =>
+  runs.reduce((row, run) => (hasViolations(run) ? 0 : row + 1), 0);
+
+/** Sums what the journal says; runs in any order. `since` leaves out what began before it (an ISO time; empty: nothing). */
+export const summarize = (
+  allRuns: readonly DayRun[],
+  allPartialRuns: readonly PartialRun[],
+  notes: readonly Note[],
+  since: string,
+): Summary => {
+  const recent = allRuns
+    .filter((run) => run.at >= since)
+    .sort((a, b) => (a.at < b.at ? -1 : a.at > b.at ? 1 : 0));
+  const runs = recent.filter((run) => run.abortReason === undefined);
+  const partialRuns = allPartialRuns.filter((one) => one.at >= since);
+  const findings = findingsOf(runs, notes);
+  const sites = [...new Set([...recent, ...partialRuns].map(({ site }) => site))].sort();
+  const rows = sites.map((site): SiteRow => {
+    const here = runs.filter((run) => run.site === site);
+    const sized = (whose: DayRun["origin"], small: boolean) =>
+      new Set(
+        here.filter((run) => run.origin === whose && run.isSmall === small).map(({ key }) => key),
+      ).size;
+    const both = (whose: DayRun["origin"]) => ({
+      full: sized(whose, false),
+      small: sized(whose, true),
+    });
+    const kinds = new Map<string, number>();
+    here.forEach((run) => run.kinds.forEach((kind) => kinds.set(kind, (kinds.get(kind) ?? 0) + 1)));
+    const foundHere = findings.filter((finding) => finding.site === site);
+    return {
+      site,
+      days: { own: both("own"), hunt: both("hunt"), standard: both("standard") },
+      plays: here.length,
+      uncharged: here.filter((run) => !run.isCpuCharged).length,
+      givenUp: recent.filter((run) => run.site === site && run.abortReason !== undefined).length,
+      partial: partialRuns.filter((one) => one.site === site).length,
+      unbroken: {
+        full: unbrokenOf(here.filter((run) => !run.isSmall)),
+        small: unbrokenOf(here.filter((run) => run.isSmall)),
+      },
+      kinds: [...kinds].sort(([a, timesA], [b, timesB]) => timesB - timesA || (a < b ? -1 : 1)),
+      found: foundHere.length,
+      mended: foundHere.filter(({ state }) => state === "mended").length,
+      left: foundHere.filter(({ state }) => state !== "mended").length,
+    };
+  });
+  return { since, rows, findings, givenUp: recent.filter((run) => run.abortReason !== undefined) };
+};
--- a/features/steps/hunts.ts
+++ b/features/steps/chaos.ts
@@ -28,7 +28,7 @@
 give_up: share of the clients leave within x ms (half the aim)
 steer_ship: count (1) ships are steered
 `;
-const SERVED = [
+const SUPPORTED = [
   "srv_grey",
   "node_kill",
   "roll_term",
@@ -37,7 +37,7 @@
   "big_config",
   "give_up",
 ];
-const OWN_HOWS: Readonly<Record<string, readonly string[]>> = {
+const VARIANTS: Readonly<Record<string, readonly string[]>> = {
   srv_grey: ["errors", "hang", "slow", "one_zone", "across", "all"],
   node_kill: ["power", "leader", "seed", "meet", "race", "hard"],
   roll_term: ["leader", "seed", "meet", "race", "hard", "busy"],
@@ -45,7 +45,7 @@
 };
 
 let folder = "";
-let said = "";
+let output = "";
 let errors = "";
 let code = 0;
 
@@ -57,7 +57,7 @@
       { maxBuffer: 16 * 2 ** 20 },
       (error, out, errorLines) => {
         code = error && typeof error.code === "number" ? error.code : 0;
-        said = out;
+        output = out;
         errors = errorLines;
         resolve();
       },
@@ -65,7 +65,7 @@
   });
 
 const prepare = async (): Promise<void> => {
-  folder = await mkdtemp(join(tmpdir(), "yewreel-hunts-"));
+  folder = await mkdtemp(join(tmpdir(), "yewreel-chaos-"));
   await writeFile(join(folder, "kinds.txt"), KINDS);
   await writeFile(
     join(folder, "site.toml"),
@@ -110,7 +110,7 @@
 
 let many = new Map<string, string>();
 let few = new Map<string, string>();
-let told: UnknownRecord = {};
+let report: UnknownRecord = {};
 
 Given("a list of kinds with one that the system isn't built for", prepare);
 When(
@@ -118,7 +118,7 @@
   async (count: number, seed: number, again: number) => {
     few = await draw(seed, again);
     many = await draw(seed, count);
-    told = asRecord(parseJson(said));
+    report = asRecord(parseJson(output));
   },
 );
 Then("the {int} are the first of the {int}, word for word", (again: number, count: number) => {
@@ -132,15 +132,15 @@
   ["plan", "faults"].flatMap((book) => readList(day, book, (entry) => asRecord(entry)));
 
 Then(
-  "every day has {int} to {int} s, at most {int} changes and {int} orders at one moment, and nothing outside of its length",
-  (least: number, most: number, changes: number, atOnce: number) => {
+  "every day has {int} to {int} s, at most {int} changes and {int} of them at one moment, and nothing outside of its length",
+  (min: number, max: number, changes: number, atOnce: number) => {
     days().forEach((day) => {
       const length = readNumber(day, "length_s");
-      assert.ok(length >= least && length <= most);
-      const orders = entriesOf(day).filter((entry) => entry["kind"] === "config_change");
-      assert.ok(orders.length <= changes);
+      assert.ok(length >= min && length <= max);
+      const changesOfDay = entriesOf(day).filter((entry) => entry["kind"] === "config_change");
+      assert.ok(changesOfDay.length <= changes);
       const moments = new Map<number, number>();
-      orders.forEach((entry) =>
+      changesOfDay.forEach((entry) =>
         moments.set(readNumber(entry, "at"), (moments.get(readNumber(entry, "at")) ?? 0) + 1),
       );
       assert.ok(Math.max(...moments.values()) <= atOnce);
@@ -151,13 +151,13 @@
   },
 );
 Then(
-  "every served kind and each mix came, some kind twice in a day, some closing fault, and no figure is out of bounds",
+  "every supported kind and each mix came, some kind twice in a day, some closing fault, and no figure is out of bounds",
   () => {
     const all = days();
     const entries = all.flatMap(entriesOf);
     assert.deepEqual(
       [...new Set(entries.map((entry) => readString(entry, "kind")))].sort(),
-      [...SERVED].sort(),
+      [...SUPPORTED].sort(),
     );
     assert.deepEqual([...new Set(all.map((day) => readString(day, "name").split("-")[0]))].sort(), [
       "changes",
@@ -171,12 +171,12 @@
       all.some((day) => day["closing"] !== undefined) &&
         all.some((day) => day["closing"] === undefined),
     );
-    const bound = (kind: string, field: string, least: number, most: number) =>
+    const bound = (kind: string, field: string, min: number, max: number) =>
       entries
         .filter((entry) => entry["kind"] === kind && entry[field] !== undefined)
         .forEach((entry) =>
           assert.ok(
-            readNumber(entry, field) >= least && readNumber(entry, field) <= most,
+            readNumber(entry, field) >= min && readNumber(entry, field) <= max,
             JSON.stringify(entry),
           ),
         );
@@ -195,7 +195,7 @@
       const how = entry["how"];
       if (typeof how !== "string") return;
       assert.ok(
-        how.split(" ").every((word) => OWN_HOWS[readString(entry, "kind")]?.includes(word)),
+        how.split(" ").every((word) => VARIANTS[readString(entry, "kind")]?.includes(word)),
         JSON.stringify(entry),
       );
       assert.ok(
@@ -207,7 +207,7 @@
   },
 );
 Then("the kind that the system isn't built for is named and in no day", () => {
-  assert.deepEqual(readList(told, "leftOut", asString), ["steer_ship"]);
+  assert.deepEqual(readList(report, "leftOut", asString), ["steer_ship"]);
   many.forEach((body) => assert.ok(!body.includes("steer_ship")));
 });
 let before = new Set<string>();
@@ -217,7 +217,7 @@
 });
 Then("they are other days", () => assert.ok([...many.keys()].every((name) => !before.has(name))));
 
-interface Told {
+interface JournalEntry {
   readonly id: string;
   readonly minute: number;
   readonly cmd: string;
@@ -230,7 +230,7 @@
   ])[];
 }
 
-const JOURNAL: readonly Told[] = [
+const JOURNAL: readonly JournalEntry[] = [
   {
     id: "a1",
     minute: 1,
@@ -289,7 +289,7 @@
 Given("a journal in which one rule was broken and held later, and two stayed broken", async () => {
   await prepare();
   await mkdir(join(folder, "journal"));
-  for (const { id, minute, cmd, argv, days: played } of JOURNAL) {
+  for (const { id, minute, cmd, argv, days: runs } of JOURNAL) {
     const body = {
       id,
       at: [`2026-01-01T00:0${minute}:00Z`, ""],
@@ -297,7 +297,7 @@
       argv,
       head: "0123456789",
       site: "harbour",
-      days: (played ?? []).map(([name, seed, rules, fault]) => ({
+      days: (runs ?? []).map(([name, seed, rules, fault]) => ({
         name,
         seed,
         rules,
@@ -312,7 +312,7 @@
 let summary: UnknownRecord = {};
 let page = "";
 const table = async (since: string): Promise<void> => {
-  const out = join(folder, "hunts.md");
+  const out = join(folder, "chaos.md");
   await run([
     "table",
     "--journal",
@@ -326,7 +326,7 @@
     "--json",
   ]);
   assert.equal(code, 0, errors);
-  summary = asRecord(readList(asRecord(parseJson(said)), "rows", (row) => asRecord(row))[0]);
+  summary = asRecord(readList(asRecord(parseJson(output)), "rows", (row) => asRecord(row))[0]);
   page = await readFile(out, "utf8");
 };
 When("the table is made with notes that call two of them mended", async () => {
@@ -340,7 +340,7 @@
 });
 When("the table is made of runs since the last two days only", () => table("2026-01-01T00:07:00Z"));
 Then(
-  "it counts {int} full day(s) and {int} small twin of ours, {int} of the bench's hunts and {int} standard day(s)",
+  "it counts {int} full day(s) and {int} small twin of our own, {int} of the bench's hunts and {int} standard day(s)",
   (full: number, small: number, hunted: number, standard: number) => {
     assert.deepEqual(summary["days"], {
       own: { full, small },
@@ -354,7 +354,7 @@
   },
 );
 Then(
-  "it tells {int} rule as mended and {int} as left, {int} day given up and {int} run in part",
+  "it reports {int} rule as mended and {int} as left, {int} day aborted and {int} run in part",
   (mended: number, left: number, givenUp: number, partial: number) => {
     assert.deepEqual(
       [summary["mended"], summary["left"], summary["givenUp"], summary["partial"]],
@@ -367,11 +367,11 @@
     assert.match(page, /harbour storm 4 small \| CONFIG \| 2 \| a7, a8 \| broken \| open/);
   },
 );
-Then("its unbroken plays are those since the last that broke a rule", () =>
+Then("its unbroken runs are those since the last that broke a rule", () =>
   assert.deepEqual(summary["unbroken"], { full: 2, small: 0 }),
 );
 
-When(/^hunts is asked for (.+)$/, async (args: string) => {
+When(/^chaos is asked for (.+)$/, async (args: string) => {
   await prepare();
   const places: Readonly<Record<string, string>> = {
     SITE: "site.toml",
--- a/scalability/orders.ts
+++ b/scalability/changes.ts
@@ -7,48 +7,50 @@
 import { sleep, SteadyClock, type Timer } from "../src/common/clock.js";
 import { asRecord, asNumber, type UnknownRecord } from "../src/common/decode.js";
 import { MILLISECOND_US, SECOND_US } from "../src/common/duration.js";
-import { Host, post, ruleOf, until } from "./host-control.js";
-import { boxAddress, machineUs } from "./place.js";
+import { Host, post, makeRule, waitUntil } from "./host.js";
+import { controllerAddress, steadyUs } from "./loopback.js";
 
 /** What an order costs: real signalboxes over loopback, orders one after the other, then rest. */
 const clock = new SteadyClock();
 
-const bytesUnder = async (folder: string): Promise<number> => {
+const bytesInFolder = async (folder: string): Promise<number> => {
   const entries = await readdir(folder, { withFileTypes: true });
   const sizes = await Promise.all(
     entries.map((entry) =>
       entry.isDirectory()
-        ? bytesUnder(join(folder, entry.name))
+        ? bytesInFolder(join(folder, entry.name))
         : stat(join(folder, entry.name)).then(({ size }) => size),
     ),
   );
   return sizes.reduce((sum, size) => sum + size, 0);
 };
 
-interface Looked {
+interface Sample {
   readonly cpuUs: number;
   readonly frames: number;
   readonly bytes: number;
   readonly atUs: number;
 }
 
-const look = async (boxes: readonly Host[]): Promise<Looked> => {
-  const told = await Promise.all(boxes.map((box) => box.ask({ what: "measure" })));
-  const sent = told.flatMap((record) =>
+const sample = async (controllers: readonly Host[]): Promise<Sample> => {
+  const replies = await Promise.all(
+    controllers.map((controller) => controller.request({ what: "measure" })),
+  );
+  const sent = replies.flatMap((record) =>
     Object.values(asRecord(record["sent"])).map((counts) => asRecord(counts)),
   );
   const sum = (values: readonly unknown[]): number =>
     values.map(asNumber).reduce((all, value) => all + value, 0);
   return {
-    cpuUs: sum(told.map((record) => record["cpuUs"])),
+    cpuUs: sum(replies.map((record) => record["cpuUs"])),
     frames: sum(sent.map((counts) => counts["frames"])),
     bytes: sum(sent.map((counts) => counts["bytes"])),
-    atUs: machineUs(),
+    atUs: steadyUs(),
   };
 };
 
-const perBoxSecond = (before: Looked, after: Looked, boxes: number): UnknownRecord => {
-  const seconds = ((after.atUs - before.atUs) / SECOND_US) * boxes;
+const perControllerSecond = (before: Sample, after: Sample, controllers: number): UnknownRecord => {
+  const seconds = ((after.atUs - before.atUs) / SECOND_US) * controllers;
   return {
     cpuMs: round((after.cpuUs - before.cpuUs) / MILLISECOND_US / seconds),
     frames: round((after.frames - before.frames) / seconds),
@@ -58,7 +60,7 @@
 
 const round = (value: number): number => Math.round(value * 1_000) / 1_000;
 
-const planOf = (routes: number): UnknownRecord => ({
+const configurationOf = (routes: number): UnknownRecord => ({
   putItems: {
     limits: {
       maxHeaderBytes: 16_384,
@@ -70,7 +72,7 @@
     listeners: [
       {
         host: "track.example",
-        rules: Array.from({ length: routes }, (_none, at) => ruleOf(`r-${at}`, 1, "s0")),
+        rules: Array.from({ length: routes }, (_none, at) => makeRule(`r-${at}`, 1, "s0")),
       },
     ],
     groups: [{ name: "s0", statusPath: "/health", maxConnections: 100, version: 1 }],
@@ -78,44 +80,54 @@
   remove: { routes: [] },
 });
 
-const measure = async (
+const measureChanges = async (
   count: number,
   orders: number,
   routes: number,
   seconds: number,
 ): Promise<UnknownRecord> => {
   const folder = await mkdtemp(join(tmpdir(), "scalability-"));
-  const boxes = Array.from({ length: count }, () => new Host(300));
+  const controllers = Array.from({ length: count }, () => new Host(300));
   try {
     await Promise.all(
-      boxes.map((box, at) =>
-        box.ask({ what: "box", at, boxes: count, folder: join(folder, String(at)) }),
+      controllers.map((controller, at) =>
+        controller.request({ what: "box", at, boxes: count, folder: join(folder, String(at)) }),
       ),
     );
-    await until(
+    await waitUntil(
       "the plan is taken",
       async () =>
-        (await post(boxAddress(0), "/plan/change", JSON.stringify(planOf(routes)))) === 200,
+        (await post(
+          controllerAddress(0),
+          "/plan/change",
+          JSON.stringify(configurationOf(routes)),
+        )) === 200,
     );
     await sleep(clock, 6 * SECOND_US);
-    const idleFrom = await look(boxes);
+    const idleFrom = await sample(controllers);
     await sleep(clock, seconds * SECOND_US);
-    const idleTo = await look(boxes);
+    const idleTo = await sample(controllers);
     const times: number[] = [];
     let failed = 0;
     for (let at = 0; at < orders; at += 1) {
       const change = {
         putItems: {
-          listeners: [{ host: "track.example", rules: [ruleOf(`r-${at % routes}`, 2 + at, "s0")] }],
+          listeners: [
+            { host: "track.example", rules: [makeRule(`r-${at % routes}`, 2 + at, "s0")] },
+          ],
         },
         remove: { routes: [] },
       };
-      const fromUs = machineUs();
-      const status = await post(boxAddress(at % count), "/plan/change", JSON.stringify(change));
-      if (status === 200) times.push((machineUs() - fromUs) / MILLISECOND_US);
+      const fromUs = steadyUs();
+      const status = await post(
+        controllerAddress(at % count),
+        "/plan/change",
+        JSON.stringify(change),
+      );
+      if (status === 200) times.push((steadyUs() - fromUs) / MILLISECOND_US);
       else failed += 1;
     }
-    const busyTo = await look(boxes);
+    const busyTo = await sample(controllers);
     times.sort((a, b) => a - b);
     return {
       boxes: count,
@@ -125,16 +137,16 @@
       ms: { median: round(quantileSorted(times, 0.5)), p99: round(quantileSorted(times, 0.99)) },
       cpuMsAnOrder: round((busyTo.cpuUs - idleTo.cpuUs) / MILLISECOND_US / orders),
       bytesAnOrder: round((busyTo.bytes - idleTo.bytes) / orders),
-      idlePerBoxSecond: perBoxSecond(idleFrom, idleTo, count),
-      diskBytesPerBox: round((await bytesUnder(folder)) / count),
+      idlePerBoxSecond: perControllerSecond(idleFrom, idleTo, count),
+      diskBytesPerBox: round((await bytesInFolder(folder)) / count),
     };
   } finally {
-    boxes.forEach((box) => box.end());
+    controllers.forEach((controller) => controller.kill());
     await rm(folder, { recursive: true, force: true });
   }
 };
 
-const readPlan = (address: string): Promise<string> =>
+const readConfiguration = (address: string): Promise<string> =>
   new Promise((resolve) => {
     const call = get(`http://${address}/plan/read`, (response) => {
       const chunks: Buffer[] = [];
@@ -148,64 +160,68 @@
   });
 
 /** A signalbox is down over many changes, with its disk kept or lost; how long it takes to hold them while two more come each second. */
-const catchUp = async (
+const measureCatchUp = async (
   orders: number,
   routes: number,
   isWiped: boolean,
 ): Promise<UnknownRecord> => {
   const folder = await mkdtemp(join(tmpdir(), "scalability-"));
-  const boxes = Array.from({ length: 4 }, () => new Host(300));
+  const controllers = Array.from({ length: 4 }, () => new Host(300));
   const last = 3;
   let timer: Timer | undefined;
-  const startBox = (box: Host, at: number) =>
-    box.ask({ what: "box", at, boxes: 4, folder: join(folder, String(at)) });
+  const startBox = (controller: Host, at: number) =>
+    controller.request({ what: "box", at, boxes: 4, folder: join(folder, String(at)) });
   const change = (version: number) =>
     post(
-      boxAddress(0),
+      controllerAddress(0),
       "/plan/change",
       JSON.stringify({
         putItems: {
           listeners: [
-            { host: "track.example", rules: [ruleOf(`r-${version % routes}`, version, "s0")] },
+            { host: "track.example", rules: [makeRule(`r-${version % routes}`, version, "s0")] },
           ],
         },
         remove: { routes: [] },
       }),
     );
   try {
-    await Promise.all(boxes.map(startBox));
-    await until(
+    await Promise.all(controllers.map(startBox));
+    await waitUntil(
       "the plan is taken",
       async () =>
-        (await post(boxAddress(0), "/plan/change", JSON.stringify(planOf(routes)))) === 200,
+        (await post(
+          controllerAddress(0),
+          "/plan/change",
+          JSON.stringify(configurationOf(routes)),
+        )) === 200,
     );
-    await until("the last one holds it", async () =>
-      (await readPlan(boxAddress(last))).includes(`"r-${routes - 1}"`),
+    await waitUntil("the last one holds it", async () =>
+      (await readConfiguration(controllerAddress(last))).includes(`"r-${routes - 1}"`),
     );
-    boxes[last]?.end();
+    controllers[last]?.kill();
     if (isWiped) await rm(join(folder, String(last)), { recursive: true, force: true });
     for (let at = 0; at < orders; at += 1)
-      await until("the change is taken", async () => (await change(2 + at)) === 200);
+      await waitUntil("the change is taken", async () => (await change(2 + at)) === 200);
     let version = 2 + orders;
     timer = clock.every(SECOND_US / 2, () => void change((version += 1)));
     const back = new Host(300);
-    boxes[last] = back;
-    const fromUs = machineUs();
+    controllers[last] = back;
+    const fromUs = steadyUs();
     await startBox(back, last);
-    const upUs = machineUs() - fromUs;
-    await until("it holds all", async () =>
-      (await readPlan(boxAddress(last))).includes(`"version":${1 + orders}`),
+    const upUs = steadyUs() - fromUs;
+    await waitUntil("it holds all", async () =>
+      (await readConfiguration(controllerAddress(last))).includes(`"version":${1 + orders}`),
     );
     return {
       orders,
       routes,
       isWiped,
       processUpMs: round(upUs / MILLISECOND_US),
-      heldAllMs: round((machineUs() - fromUs) / MILLISECOND_US),
+      heldAllMs: round((steadyUs() - fromUs) / MILLISECOND_US),
     };
   } finally {
     timer?.stop();
-    boxes.forEach((box) => box.end());
+    controllers.forEach((controller) => controller.kill());
     await rm(folder, { recursive: true, force: true });
   }
 };
@@ -230,8 +246,13 @@
       const [orders, routes] = [given("orders"), given("routes")];
       const measured =
         options["down"] === true
-          ? { down: [await catchUp(orders, routes, false), await catchUp(orders, routes, true)] }
-          : await measure(given("boxes"), orders, routes, given("seconds"));
+          ? {
+              down: [
+                await measureCatchUp(orders, routes, false),
+                await measureCatchUp(orders, routes, true),
+              ],
+            }
+          : await measureChanges(given("boxes"), orders, routes, given("seconds"));
       const result = { commit: options["commit"], node: process.version, ...measured };
       process.stdout.write(`${JSON.stringify(result)}\n`);
       if (typeof options["out"] === "string")
--- a/scalability/host.ts
+++ b/scalability/host.ts
@@ -1,216 +1,78 @@
-import { Agent, request } from "node:http";
-import { LoadCounters } from "../src/health/load-counters.js";
-import { joinCluster, type DataPlaneNode } from "../src/programs/data-plane-node.js";
-import { runGateway } from "../src/programs/gateway/gateway.js";
-import { runController } from "../src/programs/controller/controller.js";
-import { PLAN_PREFIX, WORKER_PREFIX } from "../src/membership/update-store.js";
-import { SteadyClock, type Timer } from "../src/common/clock.js";
-import { setLogLevel } from "../src/common/logger.js";
-import {
-  asRecord,
-  readList,
-  asNumber,
-  readString,
-  readNumber,
-  type UnknownRecord,
-} from "../src/common/decode.js";
+import { fork, type ChildProcess } from "node:child_process";
+import { request } from "node:http";
+import { sleep, SteadyClock } from "../src/common/clock.js";
+import { asRecord, asNumber, type UnknownRecord } from "../src/common/decode.js";
 import { MILLISECOND_US, SECOND_US } from "../src/common/duration.js";
-import { sentFrames } from "../src/transport/connection.js";
-import { boxAddress, machineUs, nodeIp, settingsOf } from "./place.js";
+import { steadyUs } from "./loopback.js";
 
-/** One process of a run: a signalbox, many hollow nodes, many hollow workers, or one real pointsman. Told what to do by its parent. */
-setLogLevel("silent");
 const clock = new SteadyClock();
 
-const measure = (): UnknownRecord => {
-  const { user, system } = process.cpuUsage();
-  const { rss, heapUsed } = process.memoryUsage();
-  return {
-    atUs: machineUs(),
-    cpuUs: user + system,
-    rssMb: rss / 2 ** 20,
-    heapMb: heapUsed / 2 ** 20,
-    sent: Object.fromEntries([...sentFrames].map(([kind, counts]) => [kind, { ...counts }])),
-  };
-};
-
-// --- hollow nodes: the real session, relay, news and report code, without a front -------------------------------------
-
-interface Hollow {
-  readonly at: number;
-  member: DataPlaneNode;
-  report: Timer;
-  items: number;
-  workers: number;
-  mark: number;
-  markUs: number;
-}
-
-const MARK = `${PLAN_PREFIX}route/mark`;
-const hollows = new Map<number, Hollow>();
-let zones = 1;
-let boxes = 1;
-let services = 1;
+/** One child process, asked over its channel. */
+export class Host {
+  private readonly pending = new Map<number, (reply: UnknownRecord) => void>();
+  private lastId = 0;
+  readonly child: ChildProcess;
 
-const startHollow = async (at: number): Promise<void> => {
-  const settings = settingsOf(`node-${at}`, nodeIp(at), `c${at % zones}`, boxes, "");
-  const member = joinCluster(settings, clock, "gateway");
-  const usage = new LoadCounters(`${at}-${machineUs()}`);
-  const report = clock.every(2 * SECOND_US, () => {
-    for (let service = 0; service < services; service += 1) {
-      usage.arrived(`s${service}`);
-      usage.answered(`s${service}`, settings.zone, 100 * MILLISECOND_US);
-    }
-    const message = usage.takeReport();
-    if (message) member.subscriber.report(message);
-  });
-  const hollow: Hollow = { at, member, report, items: 0, workers: 0, mark: 0, markUs: 0 };
-  hollows.set(at, hollow);
-  member.updates.events.on("changed", (facts) => {
-    facts.forEach(({ key, version }) => {
-      if (key === MARK && version > hollow.mark) {
-        hollow.mark = version;
-        hollow.markUs = machineUs();
-      }
+  constructor(heapMb: number) {
+    this.child = fork(new URL("./host-process.js", import.meta.url), [], {
+      execArgv: [`--max-old-space-size=${heapMb}`, "--max-semi-space-size=1"],
     });
-    hollow.items = 0;
-    hollow.workers = 0;
-    member.updates.all().forEach(({ key }) => {
-      if (key.startsWith(PLAN_PREFIX)) hollow.items += 1;
-      else if (key.startsWith(WORKER_PREFIX)) hollow.workers += 1;
+    this.child.on("message", (value: unknown) => {
+      const reply = asRecord(value);
+      this.pending.get(asNumber(reply["re"]))?.(reply);
     });
-  });
-  await member.relay.listen(settings.ip, settings.relayPort);
-  void member.subscriber.run();
-};
+    this.child.on("exit", () => this.pending.forEach((resolve) => resolve({ mishap: "it ended" })));
+  }
 
-const stopHollow = (hollow: Hollow): void => {
-  hollow.report.stop();
-  hollow.member.subscriber.stop();
-  hollow.member.relay.close();
-  hollows.delete(hollow.at);
-};
+  readonly request = async (request: UnknownRecord): Promise<UnknownRecord> => {
+    this.lastId += 1;
+    const id = this.lastId;
+    const reply = await new Promise<UnknownRecord>((resolve) => {
+      this.pending.set(id, resolve);
+      this.child.send({ ...request, ask: id });
+    });
+    this.pending.delete(id);
+    if (typeof reply["mishap"] === "string") throw new Error(reply["mishap"]);
+    return reply;
+  };
 
-// --- hollow workers: their beats over HTTP, nothing else --------------------------------------------------------------
+  readonly kill = (): boolean => this.child.kill("SIGKILL");
+}
 
-const agent = new Agent({ keepAlive: true, maxSockets: 16 });
-let beatsTaken = 0;
-let beatsFailed = 0;
-const heartbeat = (at: number, callCount: number): void => {
-  const body = JSON.stringify({
-    service: `s${at % services}`,
-    address: `127.43.${Math.floor(at / 250)}.${(at % 250) + 1}:80`,
-    zone: `c${at % zones}`,
-    cell: `c${at % zones}`,
-    version: "v1",
-    capacity: 2,
-    state: "ready",
-    warmLeft: "0ms",
-    callCount,
+export const post = (address: string, path: string, body: string): Promise<number> =>
+  new Promise((resolve) => {
+    const call = request(
+      `http://${address}${path}`,
+      { method: "POST", timeout: 8_000, headers: { "Content-Length": Buffer.byteLength(body) } },
+      (response) => {
+        response.resume();
+        response.on("end", () => resolve(response.statusCode ?? 0));
+      },
+    );
+    call.on("timeout", () => call.destroy());
+    call.on("error", () => resolve(0));
+    call.end(body);
   });
-  const call = request(
-    `http://${boxAddress(at % boxes)}/workers/w-${at}/heartbeat`,
-    {
-      method: "POST",
-      agent,
-      timeout: SECOND_US / MILLISECOND_US,
-      headers: { "Content-Length": Buffer.byteLength(body) },
-    },
-    (response) => {
-      response.resume();
-      if (response.statusCode === 200) beatsTaken += 1;
-      else beatsFailed += 1;
-    },
-  );
-  call.on("timeout", () => call.destroy());
-  call.on("error", () => (beatsFailed += 1));
-  call.end(body);
-};
-const startWorkers = (from: number, count: number): void => {
-  for (let at = from; at < from + count; at += 1) {
-    let callCount = 0;
-    clock.after(((at - from) / count) * 1_500 * MILLISECOND_US, () => {
-      const next = () => heartbeat(at, (callCount += 1));
-      next();
-      clock.every(1_500 * MILLISECOND_US, next);
-    });
-  }
-};
 
-// --- what the parent asks ----------------------------------------------------------------------------------------------
+export const makeRule = (name: string, version: number, service: string): UnknownRecord => ({
+  name,
+  routeKind: "safe",
+  target_time: "600ms",
+  rank: 1,
+  version,
+  matchOn: { pathStart: `/${name}/` },
+  then: { service, giveUp: "2000ms", tries: 2 },
+});
 
-const act = async (order: UnknownRecord): Promise<UnknownRecord> => {
-  switch (readString(order, "what")) {
-    case "box": {
-      const [at, count] = [readNumber(order, "at"), readNumber(order, "boxes")];
-      await runController(
-        settingsOf(
-          `box-${at}`,
-          boxAddress(at).split(":")[0] ?? "",
-          `c${at}`,
-          count,
-          readString(order, "folder"),
-        ),
-        clock,
-      );
-      return {};
-    }
-    case "node":
-      await runGateway(settingsOf("node", nodeIp(0), "c0", readNumber(order, "boxes"), ""), clock);
-      return {};
-    case "nodes": {
-      [zones, boxes, services] = [
-        readNumber(order, "cells"),
-        readNumber(order, "boxes"),
-        readNumber(order, "services"),
-      ];
-      for (const at of readList(order, "numbers", asNumber)) await startHollow(at);
-      return {};
-    }
-    case "workers":
-      [zones, boxes, services] = [
-        readNumber(order, "cells"),
-        readNumber(order, "boxes"),
-        readNumber(order, "services"),
-      ];
-      startWorkers(readNumber(order, "from"), readNumber(order, "count"));
-      return {};
-    case "restart": {
-      const chosen = [...hollows.values()].filter(
-        ({ at }) => at % readNumber(order, "every") === 0,
-      );
-      chosen.forEach(stopHollow);
-      for (const { at } of chosen) await startHollow(at);
-      return { restarted: chosen.length };
-    }
-    case "status": {
-      const all = [...hollows.values()];
-      return {
-        nodes: all.length,
-        fed: all.filter(({ member }) => member.subscriber.isUpToDate).length,
-        standing: all.filter(({ member }) => member.subscriber.isConnected).length,
-        full: all.filter(
-          ({ items, workers }) =>
-            items >= readNumber(order, "items") && workers >= readNumber(order, "workers"),
-        ).length,
-        marked: all.filter(({ mark }) => mark >= readNumber(order, "mark")).length,
-        lastMarkUs: Math.max(0, ...all.map(({ markUs }) => markUs)),
-        beatsTaken,
-        beatsFailed,
-      };
-    }
-    case "measure":
-      return measure();
-    default:
-      return {};
+export const waitUntil = async (
+  what: string,
+  isSo: () => Promise<boolean>,
+  seconds = 90,
+): Promise<number> => {
+  const fromUs = steadyUs();
+  while (steadyUs() - fromUs < seconds * SECOND_US) {
+    if (await isSo()) return steadyUs() - fromUs;
+    await sleep(clock, 50 * MILLISECOND_US);
   }
+  throw new Error(`after ${seconds} s it was still not so that ${what}`);
 };
-
-process.on("message", (value: unknown) => {
-  const order = asRecord(value);
-  void act(order).then(
-    (reply) => process.send?.({ ...reply, re: order["ask"] }),
-    (error: unknown) => process.send?.({ mishap: String(error), re: order["ask"] }),
-  );
-});
-process.on("disconnect", () => process.exit(0));
--- a/scalability/place.ts
+++ b/scalability/loopback.ts
@@ -1,7 +1,7 @@
 import type { Settings } from "../src/common/settings.js";
 import { MILLISECOND_US, SECOND_US } from "../src/common/duration.js";
 
-export const SIGNAL_PORT = 17_500;
+export const PEER_PORT = 17_500;
 export const RELAY_PORT = 17_501;
 export const CONTROL_PORT = 17_600;
 export const FRONT_PORT = 17_601;
@@ -11,7 +11,7 @@
 const net = process.env["TESTTRACK_NET"] ?? String(60 + (process.pid % 150));
 process.env["TESTTRACK_NET"] = net;
 
-export const boxAddress = (at: number): string => `127.${net}.0.${at + 1}:${CONTROL_PORT}`;
+export const controllerAddress = (at: number): string => `127.${net}.0.${at + 1}:${CONTROL_PORT}`;
 export const nodeIp = (at: number): string =>
   `127.${net}.${Math.floor(at / 250) + 1}.${(at % 250) + 1}`;
 
@@ -20,15 +20,15 @@
   name: string,
   ip: string,
   zone: string,
-  boxes: number,
+  controllers: number,
   dataFolder: string,
 ): Settings => ({
   name,
   zone,
   ip,
-  peerPort: SIGNAL_PORT,
+  peerPort: PEER_PORT,
   relayPort: RELAY_PORT,
-  seedNodes: Array.from({ length: Math.min(3, boxes) }, (_none, at) => boxAddress(at)),
+  seedNodes: Array.from({ length: Math.min(3, controllers) }, (_none, at) => controllerAddress(at)),
   firstRun: true,
   heartbeatUs: 1_500 * MILLISECOND_US,
   dataFolder,
@@ -42,7 +42,7 @@
   diskMb: 64,
   linkMbps: 0,
   regions: new Map(),
-  withstandMachines: boxes >= 5 ? 2 : 1,
+  withstandMachines: controllers >= 5 ? 2 : 1,
   drainUs: 2_500 * MILLISECOND_US,
   graceUs: 2 * SECOND_US,
   applyUs: 2_500 * MILLISECOND_US,
@@ -62,4 +62,4 @@
 });
 
 /** The machine's own steady clock, the same in all its processes. */
-export const machineUs = (): number => Number(process.hrtime.bigint() / 1_000n);
+export const steadyUs = (): number => Number(process.hrtime.bigint() / 1_000n);
--- a/scalability/node.ts
+++ b/scalability/node.ts
@@ -10,16 +10,16 @@
 import { sleep, SteadyClock } from "../src/common/clock.js";
 import { asRecord, readNumber, type UnknownRecord } from "../src/common/decode.js";
 import { MILLISECOND_US, SECOND_US } from "../src/common/duration.js";
-import { Host, post, ruleOf, until } from "./host-control.js";
-import { boxAddress, FRONT_PORT, machineUs, nodeIp, READY_PORT } from "./place.js";
+import { Host, post, makeRule, waitUntil } from "./host.js";
+import { controllerAddress, FRONT_PORT, steadyUs, nodeIp, READY_PORT } from "./loopback.js";
 
 /** One node: what it holds for so many workers and routes, and what a request costs it. */
 const clock = new SteadyClock();
-const CELLS = 7;
-const A_SERVICE = 50;
+const ZONES = 7;
+const WORKERS_PER_SERVICE = 50;
 
 /** Run in a process of its own, so that nothing else counts. */
-const holdState = async (workers: number, routes: number): Promise<void> => {
+const measureHeldState = async (workers: number, routes: number): Promise<void> => {
   const collect = globalThis.gc ?? (() => undefined);
   collect();
   const before = process.memoryUsage();
@@ -38,9 +38,9 @@
       version: 1,
       tie: "",
       body: {
-        service: `s${at % Math.max(1, Math.floor(workers / A_SERVICE))}`,
+        service: `s${at % Math.max(1, Math.floor(workers / WORKERS_PER_SERVICE))}`,
         address: `10.${at % 250}.${Math.floor(at / 250)}.9:80`,
-        cell: `c${at % CELLS}`,
+        cell: `c${at % ZONES}`,
         capacity: 2,
         state: "ready",
         warmUs: 0,
@@ -57,13 +57,13 @@
         dropped: false,
         item: JSON.stringify({
           host: `h${at % 500}.example`,
-          rule: ruleOf(`r-${at}`, 1, `s${at % 500}`),
+          rule: makeRule(`r-${at}`, 1, `s${at % 500}`),
         }),
       },
     })),
   );
   await sleep(clock, 200 * MILLISECOND_US);
-  const services = Math.max(1, Math.floor(workers / A_SERVICE));
+  const services = Math.max(1, Math.floor(workers / WORKERS_PER_SERVICE));
   for (let service = 0; service < services; service += 1) pool.subset(`s${service}`);
   const { user, system } = process.cpuUsage(cpuBefore);
   collect();
@@ -80,7 +80,7 @@
   process.disconnect();
 };
 
-const stateOf = (workers: number, routes: number): Promise<UnknownRecord> =>
+const measureState = (workers: number, routes: number): Promise<UnknownRecord> =>
   new Promise((resolve, reject) => {
     const child = fork(new URL(import.meta.url), ["hold", String(workers), String(routes)], {
       execArgv: ["--expose-gc", "--max-semi-space-size=1"],
@@ -90,16 +90,16 @@
   });
 
 /** A real pointsman before stand-in workers, at several rates; the same load straight to a worker beside it. */
-const load = async (
+const measureLoad = async (
   rates: readonly number[],
   seconds: number,
 ): Promise<readonly UnknownRecord[]> => {
-  const box = new Host(300);
+  const controller = new Host(300);
   const node = new Host(300);
   const workers = Array.from({ length: 8 }, (_none, at) => new StandIn(`w-${at}`));
   try {
     await Promise.all(workers.map((worker) => worker.start()));
-    await box.ask({
+    await controller.request({
       what: "box",
       at: 0,
       boxes: 1,
@@ -113,25 +113,25 @@
         idle: "15000ms",
         version: 1,
       },
-      listeners: [{ host: "track.example", rules: [ruleOf("mark", 1, "s0")] }],
+      listeners: [{ host: "track.example", rules: [makeRule("mark", 1, "s0")] }],
       groups: [{ name: "s0", statusPath: "/health", maxConnections: 1_300, version: 1 }],
     };
-    await until(
+    await waitUntil(
       "the plan is taken",
       async () =>
         (await post(
-          boxAddress(0),
+          controllerAddress(0),
           "/plan/change",
           JSON.stringify({ putItems: plan, remove: { routes: [] } }),
         )) === 200,
     );
     let callCount = 0;
-    const beatAll = () => {
+    const sendHeartbeats = () => {
       callCount += 1;
       workers.forEach(
         ({ id, address }) =>
           void post(
-            boxAddress(0),
+            controllerAddress(0),
             `/workers/${id}/heartbeat`,
             JSON.stringify({
               service: "s0",
@@ -146,10 +146,10 @@
           ),
       );
     };
-    beatAll();
-    const heartbeats = clock.every(1_500 * MILLISECOND_US, beatAll);
-    await node.ask({ what: "node", boxes: 1 });
-    await until(
+    sendHeartbeats();
+    const heartbeats = clock.every(1_500 * MILLISECOND_US, sendHeartbeats);
+    await node.request({ what: "node", boxes: 1 });
+    await waitUntil(
       "the node is ready",
       async () => (await fetch(`http://${nodeIp(0)}:${READY_PORT}/ready`)).status === 200,
     );
@@ -167,15 +167,15 @@
       const direct = summarize(
         await generateLoad({ ...common, targets: workers.map(({ address }) => address) }, clock),
       );
-      const [before, fromUs] = [await node.ask({ what: "measure" }), machineUs()];
+      const [before, fromUs] = [await node.request({ what: "measure" }), steadyUs()];
       const through = summarize(
         await generateLoad({ ...common, targets: [`${nodeIp(0)}:${FRONT_PORT}`] }, clock),
       );
-      const after = await node.ask({ what: "measure" });
+      const after = await node.request({ what: "measure" });
       const cpuUs = readNumber(after, "cpuUs") - readNumber(before, "cpuUs");
       rows.push({
         ratePerS,
-        seconds: (machineUs() - fromUs) / SECOND_US,
+        seconds: (steadyUs() - fromUs) / SECOND_US,
         sent: through.sent,
         outcomes: through.outcomes,
         cpuMsARequest: cpuUs / 1_000 / through.sent,
@@ -190,24 +190,24 @@
     return rows;
   } finally {
     workers.forEach((worker) => worker.stop());
-    [box, node].forEach((host) => host.end());
+    [controller, node].forEach((host) => host.kill());
   }
 };
 
 const cli = new Command("scalability-node");
 cli
   .command("hold <workers> <routes>")
-  .action((workers: string, routes: string) => holdState(Number(workers), Number(routes)));
+  .action((workers: string, routes: string) => measureHeldState(Number(workers), Number(routes)));
 cli
   .command("measure")
   .requiredOption("--out <file>")
   .option("--commit <id>", "the commit that is measured", "")
   .action(async ({ out, commit }: { readonly out: string; readonly commit: string }) => {
     const state: UnknownRecord[] = [];
-    for (const workers of [250, 2_500, 10_000, 25_000]) state.push(await stateOf(workers, 0));
-    for (const routes of [500, 2_000, 4_000, 8_000]) state.push(await stateOf(0, routes));
-    state.push(await stateOf(25_000, 8_000));
-    const loads = await load([25, 50, 100, 200], 6);
+    for (const workers of [250, 2_500, 10_000, 25_000]) state.push(await measureState(workers, 0));
+    for (const routes of [500, 2_000, 4_000, 8_000]) state.push(await measureState(0, routes));
+    state.push(await measureState(25_000, 8_000));
+    const loads = await measureLoad([25, 50, 100, 200], 6);
     await writeFile(
       out,
       `${JSON.stringify({ commit, machine: { cores: cpus().length, memoryGb: Math.round(totalmem() / 2 ** 30), node: process.version }, state, loads }, undefined, 1)}\n`,
--- a/scalability/run.ts
+++ b/scalability/run.ts
@@ -5,15 +5,15 @@
 import { sleep, SteadyClock } from "../src/common/clock.js";
 import { asRecord, isRecord, readNumber, type UnknownRecord } from "../src/common/decode.js";
 import { MILLISECOND_US, SECOND_US } from "../src/common/duration.js";
-import { Host, post, ruleOf, until } from "./host-control.js";
-import { boxAddress, machineUs } from "./place.js";
+import { Host, post, makeRule, waitUntil } from "./host.js";
+import { controllerAddress, steadyUs } from "./loopback.js";
 
 /** What a run may take of the machine: half of its memory, and so many processes. */
-const MOST_PROCESSES = 300;
-const MOST_NODES = 10_000;
-const MOST_WORKERS = 30_000;
-const MEMORY_PART = 0.5;
-const CELLS = 7;
+const MAX_PROCESSES = 300;
+const MAX_NODES = 10_000;
+const MAX_WORKERS = 30_000;
+const MEMORY_SHARE = 0.5;
+const ZONES = 7;
 
 const clock = new SteadyClock();
 
@@ -29,7 +29,7 @@
   readonly settle: number;
 }
 
-const planOf = (size: Size): string =>
+const configurationOf = (size: Size): string =>
   JSON.stringify({
     putItems: {
       limits: {
@@ -43,9 +43,9 @@
         {
           host: "track.example",
           rules: [
-            ruleOf("mark", 1, "s0"),
+            makeRule("mark", 1, "s0"),
             ...Array.from({ length: size.routes - 1 }, (_none, at) =>
-              ruleOf(`r-${at}`, 1, `s${at % size.services}`),
+              makeRule(`r-${at}`, 1, `s${at % size.services}`),
             ),
           ],
         },
@@ -60,16 +60,16 @@
     remove: { routes: [] },
   });
 
-interface Sum {
+interface Usage {
   readonly cpuUs: number;
   readonly rssMb: number;
   readonly heapMb: number;
   readonly sent: Readonly<Record<string, { readonly frames: number; readonly bytes: number }>>;
 }
 
-const sentOf = (told: UnknownRecord): Map<string, { frames: number; bytes: number }> =>
+const readFrameCounts = (replies: UnknownRecord): Map<string, { frames: number; bytes: number }> =>
   new Map(
-    Object.entries(asRecord(told["sent"])).map(([kind, counts]) => [
+    Object.entries(asRecord(replies["sent"])).map(([kind, counts]) => [
       kind,
       {
         frames: readNumber(asRecord(counts), "frames"),
@@ -79,14 +79,16 @@
   );
 
 /** What processes did between two looks, all in all; memory as it is at the second. */
-const between = (before: readonly UnknownRecord[], after: readonly UnknownRecord[]): Sum => {
+const usageBetween = (before: readonly UnknownRecord[], after: readonly UnknownRecord[]): Usage => {
   const sent: Record<string, { frames: number; bytes: number }> = {};
   let cpuUs = 0;
   after.forEach((now, at) => {
     const was = before[at];
     cpuUs += readNumber(now, "cpuUs") - (was ? readNumber(was, "cpuUs") : 0);
-    const earlier = was ? sentOf(was) : new Map<string, { frames: number; bytes: number }>();
-    sentOf(now).forEach(({ frames, bytes }, kind) => {
+    const earlier = was
+      ? readFrameCounts(was)
+      : new Map<string, { frames: number; bytes: number }>();
+    readFrameCounts(now).forEach(({ frames, bytes }, kind) => {
       const sum = sent[kind] ?? { frames: 0, bytes: 0 };
       const rise = {
         frames: sum.frames + frames - (earlier.get(kind)?.frames ?? 0),
@@ -95,14 +97,14 @@
       if (rise.frames > 0) sent[kind] = rise;
     });
   });
-  const most = (field: string) => Math.max(...after.map((now) => readNumber(now, field)));
-  return { cpuUs, rssMb: most("rssMb"), heapMb: most("heapMb"), sent };
+  const max = (field: string) => Math.max(...after.map((now) => readNumber(now, field)));
+  return { cpuUs, rssMb: max("rssMb"), heapMb: max("heapMb"), sent };
 };
 
 /** One size: start, settle, measure at rest, time one change, restart a seventh of the nodes, kill a signalbox. */
 export const runSize = async (size: Size): Promise<UnknownRecord> => {
   const folder = await mkdtemp(join(tmpdir(), "scalability-"));
-  const boxes = Array.from({ length: size.boxes }, () => new Host(700));
+  const controllers = Array.from({ length: size.boxes }, () => new Host(700));
   const hosts = Array.from({ length: size.hosts }, () => new Host(1_800));
   const workers = Array.from(
     { length: size.workers > 0 ? Math.ceil(size.workers / 2_000) : 0 },
@@ -110,23 +112,28 @@
   );
   try {
     await Promise.all(
-      boxes.map((box, at) =>
-        box.ask({ what: "box", at, boxes: size.boxes, folder: join(folder, String(at)) }),
+      controllers.map((controller, at) =>
+        controller.request({
+          what: "box",
+          at,
+          boxes: size.boxes,
+          folder: join(folder, String(at)),
+        }),
       ),
     );
-    await until(
+    await waitUntil(
       "the plan is taken",
-      async () => (await post(boxAddress(0), "/plan/change", planOf(size))) === 200,
+      async () => (await post(controllerAddress(0), "/plan/change", configurationOf(size))) === 200,
     );
     const place = {
-      cells: Math.min(CELLS, size.boxes),
+      cells: Math.min(ZONES, size.boxes),
       boxes: size.boxes,
       services: size.services,
     };
     const each = Math.ceil(size.workers / Math.max(1, workers.length));
     await Promise.all(
       workers.map((host, at) =>
-        host.ask({
+        host.request({
           what: "workers",
           from: at * each,
           count: Math.min(each, size.workers - at * each),
@@ -137,7 +144,7 @@
     const numbers = Array.from({ length: size.nodes }, (_none, at) => at);
     await Promise.all(
       hosts.map((host, at) =>
-        host.ask({
+        host.request({
           what: "nodes",
           numbers: numbers.filter((number) => number % size.hosts === at),
           ...place,
@@ -153,18 +160,19 @@
       readonly standing: number;
       readonly lastMarkUs: number;
     }> => {
-      const told = await Promise.all(
-        hosts.map((host) => host.ask({ what: "status", mark, ...wanted })),
+      const replies = await Promise.all(
+        hosts.map((host) => host.request({ what: "status", mark, ...wanted })),
       );
-      const sum = (field: string) => told.reduce((total, one) => total + readNumber(one, field), 0);
+      const sum = (field: string) =>
+        replies.reduce((total, one) => total + readNumber(one, field), 0);
       return {
         full: sum("full"),
         marked: sum("marked"),
         standing: sum("standing"),
-        lastMarkUs: Math.max(...told.map((one) => readNumber(one, "lastMarkUs"))),
+        lastMarkUs: Math.max(...replies.map((one) => readNumber(one, "lastMarkUs"))),
       };
     };
-    const joinedUs = await until(
+    const joinedUs = await waitUntil(
       "every node has all news",
       async () => (await status(0)).full === size.nodes,
       180,
@@ -172,69 +180,72 @@
     await sleep(clock, size.settle * SECOND_US);
 
     const look = (of: readonly Host[]) =>
-      Promise.all(of.map((host) => host.ask({ what: "measure" })));
-    const [boxesBefore, hostsBefore] = [await look(boxes), await look(hosts)];
+      Promise.all(of.map((host) => host.request({ what: "measure" })));
+    const [boxesBefore, hostsBefore] = [await look(controllers), await look(hosts)];
     await sleep(clock, size.seconds * SECOND_US);
-    const [boxesRest, hostsRest] = [await look(boxes), await look(hosts)];
+    const [boxesRest, hostsRest] = [await look(controllers), await look(hosts)];
 
-    const changedUs = machineUs();
+    const changedUs = steadyUs();
     const change = JSON.stringify({
-      putItems: { listeners: [{ host: "track.example", rules: [ruleOf("mark", 2, "s0")] }] },
+      putItems: { listeners: [{ host: "track.example", rules: [makeRule("mark", 2, "s0")] }] },
       remove: { routes: [] },
     });
-    const answered = await post(boxAddress(1 % size.boxes), "/plan/change", change);
-    const acknowledgedUs = machineUs();
-    await until("every node has the change", async () => (await status(2)).marked === size.nodes);
+    const answered = await post(controllerAddress(1 % size.boxes), "/plan/change", change);
+    const acknowledgedUs = steadyUs();
+    await waitUntil(
+      "every node has the change",
+      async () => (await status(2)).marked === size.nodes,
+    );
     const { lastMarkUs } = await status(2);
     await sleep(clock, SECOND_US);
-    const [boxesChanged, hostsChanged] = [await look(boxes), await look(hosts)];
+    const [boxesChanged, hostsChanged] = [await look(controllers), await look(hosts)];
 
-    const restartedFromUs = machineUs();
+    const restartedFromUs = steadyUs();
     const restarted = (
-      await Promise.all(hosts.map((host) => host.ask({ what: "restart", every: 7 })))
-    ).reduce((sum, told) => sum + readNumber(told, "restarted"), 0);
-    await until(
+      await Promise.all(hosts.map((host) => host.request({ what: "restart", every: 7 })))
+    ).reduce((sum, replies) => sum + readNumber(replies, "restarted"), 0);
+    await waitUntil(
       "every restarted node has all news",
       async () => (await status(0)).full === size.nodes,
       120,
     );
-    const restartUs = machineUs() - restartedFromUs;
-    const boxesRestarted = await look(boxes);
+    const restartUs = steadyUs() - restartedFromUs;
+    const boxesRestarted = await look(controllers);
 
-    const killedUs = machineUs();
-    boxes[boxes.length - 1]?.end();
+    const killedUs = steadyUs();
+    controllers[controllers.length - 1]?.kill();
     await sleep(clock, 1_500 * MILLISECOND_US);
-    await until(
+    await waitUntil(
       "every node has a session again",
       async () => (await status(0)).standing === size.nodes,
       120,
     );
-    const killUs = machineUs() - killedUs;
+    const killUs = steadyUs() - killedUs;
     return {
       size,
       joinedUs,
       atRest: {
         seconds: size.seconds,
-        boxes: between(boxesBefore, boxesRest),
-        nodes: between(hostsBefore, hostsRest),
+        boxes: usageBetween(boxesBefore, boxesRest),
+        nodes: usageBetween(hostsBefore, hostsRest),
       },
       change: {
         status: answered,
         acknowledgedUs: acknowledgedUs - changedUs,
         lastNodeUs: lastMarkUs - acknowledgedUs,
-        boxes: between(boxesRest, boxesChanged),
-        nodes: between(hostsRest, hostsChanged),
+        boxes: usageBetween(boxesRest, boxesChanged),
+        nodes: usageBetween(hostsRest, hostsChanged),
       },
       restart: {
         nodes: restarted,
         tookUs: restartUs,
-        boxes: between(boxesChanged, boxesRestarted),
+        boxes: usageBetween(boxesChanged, boxesRestarted),
       },
       boxKilled: { tookUs: killUs },
       loadAverage: loadavg()[0] ?? 0,
     };
   } finally {
-    [...boxes, ...hosts, ...workers].forEach((host) => host.end());
+    [...controllers, ...hosts, ...workers].forEach((host) => host.kill());
     await sleep(clock, 300 * MILLISECOND_US);
     await rm(folder, { recursive: true, force: true });
   }
@@ -242,20 +253,20 @@
 
 /** What is wrong with the sizes asked for, in one line; undefined if they fit the machine. */
 export const problemOf = (sizes: readonly Size[]): string | undefined => {
-  for (const { nodes, workers, routes, services, boxes, hosts } of sizes) {
-    const whole = Object.entries({ nodes, routes, services, boxes, hosts }).find(
+  for (const { nodes, workers, routes, services, boxes: controllers, hosts } of sizes) {
+    const whole = Object.entries({ nodes, routes, services, boxes: controllers, hosts }).find(
       ([, value]) => !Number.isSafeInteger(value) || value < 1,
     );
     if (whole) return `${whole[0]} must be a whole number of 1 or more`;
     if (!Number.isSafeInteger(workers) || workers < 0)
       return "workers must be a whole number of 0 or more";
-    if (nodes > MOST_NODES) return `${nodes} nodes are more than ${MOST_NODES}`;
-    if (workers > MOST_WORKERS) return `${workers} workers are more than ${MOST_WORKERS}`;
-    const processes = boxes + hosts + Math.ceil(workers / 2_000);
-    if (processes > MOST_PROCESSES) return `${processes} processes are more than ${MOST_PROCESSES}`;
+    if (nodes > MAX_NODES) return `${nodes} nodes are more than ${MAX_NODES}`;
+    if (workers > MAX_WORKERS) return `${workers} workers are more than ${MAX_WORKERS}`;
+    const processes = controllers + hosts + Math.ceil(workers / 2_000);
+    if (processes > MAX_PROCESSES) return `${processes} processes are more than ${MAX_PROCESSES}`;
     const neededMb =
-      boxes * 150 + hosts * 100 + (nodes * (workers + routes + services) * 1.2) / 1_024;
-    if (neededMb > (totalmem() / 2 ** 20) * MEMORY_PART)
+      controllers * 150 + hosts * 100 + (nodes * (workers + routes + services) * 1.2) / 1_024;
+    if (neededMb > (totalmem() / 2 ** 20) * MEMORY_SHARE)
       return `about ${Math.round(neededMb)} MB are more than half of this machine's memory`;
   }
   return undefined;
--- a/scalability/table.ts
+++ b/scalability/table.ts
@@ -15,7 +15,7 @@
   readonly y: number;
 }
 
-const at = (record: UnknownRecord, path: string): number => {
+const numberAt = (record: UnknownRecord, path: string): number => {
   const fields = path.split(".");
   const last = fields.pop() ?? "";
   return readNumber(
@@ -40,51 +40,54 @@
   );
 };
 
-const perS = (result: UnknownRecord): number => at(result, "atRest.seconds");
-const boxes = (result: UnknownRecord): number => at(result, "size.boxes");
-const nodes = (result: UnknownRecord): number => at(result, "size.nodes");
+const restSeconds = (result: UnknownRecord): number => numberAt(result, "atRest.seconds");
+const controllers = (result: UnknownRecord): number => numberAt(result, "size.boxes");
+const nodes = (result: UnknownRecord): number => numberAt(result, "size.nodes");
 
 /** What is read from each size, with its unit. */
 const FIGURES: readonly (readonly [string, (result: UnknownRecord) => number])[] = [
   [
     "signalbox, processor at rest, % of a core (mean of all)",
-    (r) => at(r, "atRest.boxes.cpuUs") / 10_000 / perS(r) / boxes(r),
+    (r) => numberAt(r, "atRest.boxes.cpuUs") / 10_000 / restSeconds(r) / controllers(r),
   ],
   [
     "signalbox, messages sent a second (mean of all)",
-    (r) => framesOf(r, "atRest.boxes", "frames") / perS(r) / boxes(r),
+    (r) => framesOf(r, "atRest.boxes", "frames") / restSeconds(r) / controllers(r),
   ],
   [
     "signalbox, KB sent a second (mean of all)",
-    (r) => framesOf(r, "atRest.boxes", "bytes") / 1_024 / perS(r) / boxes(r),
+    (r) => framesOf(r, "atRest.boxes", "bytes") / 1_024 / restSeconds(r) / controllers(r),
   ],
-  ["signalbox, resident MB (largest)", (r) => at(r, "atRest.boxes.rssMb")],
-  ["signalbox, heap MB (largest)", (r) => at(r, "atRest.boxes.heapMb")],
+  ["signalbox, resident MB (largest)", (r) => numberAt(r, "atRest.boxes.rssMb")],
+  ["signalbox, heap MB (largest)", (r) => numberAt(r, "atRest.boxes.heapMb")],
   [
     "node, processor at rest, % of a core",
-    (r) => at(r, "atRest.nodes.cpuUs") / 10_000 / perS(r) / nodes(r),
+    (r) => numberAt(r, "atRest.nodes.cpuUs") / 10_000 / restSeconds(r) / nodes(r),
   ],
   [
     "node, KB sent a second at rest",
-    (r) => framesOf(r, "atRest.nodes", "bytes") / 1_024 / perS(r) / nodes(r),
+    (r) => framesOf(r, "atRest.nodes", "bytes") / 1_024 / restSeconds(r) / nodes(r),
   ],
-  ["one change, ms to its acknowledgement", (r) => at(r, "change.acknowledgedUs") / 1_000],
-  ["one change, ms from there to the last node", (r) => at(r, "change.lastNodeUs") / 1_000],
+  ["one change, ms to its acknowledgement", (r) => numberAt(r, "change.acknowledgedUs") / 1_000],
+  ["one change, ms from there to the last node", (r) => numberAt(r, "change.lastNodeUs") / 1_000],
   [
     "one change, news frames in all",
     (r) =>
       framesOf(r, "change.boxes", "frames", ["news"]) +
       framesOf(r, "change.nodes", "frames", ["news"]),
   ],
-  ["all nodes join at once, s", (r) => at(r, "joinedUs") / 1_000_000],
-  ["a seventh restarts, s until all have all news", (r) => at(r, "restart.tookUs") / 1_000_000],
+  ["all nodes join at once, s", (r) => numberAt(r, "joinedUs") / 1_000_000],
+  [
+    "a seventh restarts, s until all have all news",
+    (r) => numberAt(r, "restart.tookUs") / 1_000_000,
+  ],
   [
     "a seventh restarts, signalboxes' processor ms a node",
-    (r) => at(r, "restart.boxes.cpuUs") / 1_000 / at(r, "restart.nodes"),
+    (r) => numberAt(r, "restart.boxes.cpuUs") / 1_000 / numberAt(r, "restart.nodes"),
   ],
   [
     "a signalbox is killed, s until every node has a session",
-    (r) => at(r, "boxKilled.tookUs") / 1_000_000,
+    (r) => numberAt(r, "boxKilled.tookUs") / 1_000_000,
   ],
 ];
 
@@ -109,9 +112,9 @@
   const good = all.filter((result) => result["failed"] === undefined);
   const failed = all
     .filter((result) => result["failed"] !== undefined)
-    .map((result) => `${at(result, `size.${what}`)}: ${readString(result, "failed")}`);
-  const sizes = good.map((result) => at(result, `size.${what}`));
-  const loads = good.map((result) => round(at(result, "loadAverage")));
+    .map((result) => `${numberAt(result, `size.${what}`)}: ${readString(result, "failed")}`);
+  const sizes = good.map((result) => numberAt(result, `size.${what}`));
+  const loads = good.map((result) => round(numberAt(result, "loadAverage")));
   const others = Object.entries(asRecord(good[0]?.["size"] ?? {}))
     .filter(([field]) => field !== what)
     .map(([field, value]) => `${field} ${String(value)}`);
@@ -123,7 +126,7 @@
     ...FIGURES.map(([name, read]) =>
       rowOf(
         name,
-        good.map((result) => ({ x: at(result, `size.${what}`), y: read(result) })),
+        good.map((result) => ({ x: numberAt(result, `size.${what}`), y: read(result) })),
       ),
     ),
     ...(failed.length > 0 ? ["", ...failed.map((why) => `Failed at ${why}.`)] : []),
