--- a/features/steps/scalability.ts
+++ b/features/steps/scalability.ts
@@ -30,12 +30,12 @@
   });
 
 When(
-  "the test track runs {int} and {int} hollow nodes before {int} signalboxes",
+  "the benchmark runs {int} and {int} light nodes before {int} controllers",
   { timeout: 90_000 },
-  async (small: number, large: number, boxes: number) => {
+  async (small: number, large: number, controllers: number) => {
     const folder = await mkdtemp(join(tmpdir(), "yewreel-track-"));
     const out = join(folder, "result.json");
-    const sizes = `--boxes ${boxes} --hosts 2 --workers 6 --routes 10 --services 2 --seconds 3 --settle 2`;
+    const sizes = `--controllers ${controllers} --hosts 2 --workers 6 --routes 10 --services 2 --seconds 3 --settle 2`;
     await run(["nodes", String(small), String(large), ...sizes.split(" "), "--out", out]);
     results = readList(asRecord(parseJson(await readFile(out, "utf8"))), "results", (value) =>
       asRecord(value),
@@ -57,7 +57,7 @@
     [undefined, undefined],
   ),
 );
-Then("one change makes one news frame for each node at either size", () => {
+Then("one change makes one update frame for each node at either size", () => {
   results.forEach((result) =>
     assert.equal(
       framesOf(result, "change", "boxes", "news") + framesOf(result, "change", "nodes", "news"),
@@ -66,7 +66,7 @@
   );
 });
 Then(
-  "a node at rest sends no more than the pulses of {int} connections and its report, at either size",
+  "a node at rest sends no more than the keep-alives of {int} connections and its report, at either size",
   (connections: number) => {
     results.forEach((result) => {
       const seconds = readNumber(asRecord(result["atRest"]), "seconds") + 0.5;
@@ -78,7 +78,7 @@
     });
   },
 );
-When(/^the test track is asked for (.+)$/, (args: string) => run(args.split(" ")));
+When(/^the benchmark is asked for (.+)$/, (args: string) => run(args.split(" ")));
 Then("it ends with code {int} and one line that names {string}", (wanted: number, what: string) => {
   assert.equal(code, wanted);
   assert.ok(said.trim().split("\n").length === 1 && said.includes(what), said);
--- a/scalability/changes.ts
+++ b/scalability/changes.ts
@@ -10,7 +10,7 @@
 import { Host, post, makeRule, waitUntil } from "./host.js";
 import { controllerAddress, steadyUs } from "./loopback.js";
 
-/** What an order costs: real signalboxes over loopback, orders one after the other, then rest. */
+/** What a change costs: real controllers over loopback, changes one after the other, then rest. */
 const clock = new SteadyClock();
 
 const bytesInFolder = async (folder: string): Promise<number> => {
@@ -95,7 +95,7 @@
       ),
     );
     await waitUntil(
-      "the plan is taken",
+      "the configuration is accepted",
       async () =>
         (await post(
           controllerAddress(0),
@@ -159,7 +159,7 @@
     call.on("error", () => resolve(""));
   });
 
-/** A signalbox is down over many changes, with its disk kept or lost; how long it takes to hold them while two more come each second. */
+/** A controller is down over many changes, with its disk kept or lost; how long it takes to have them while two more come each second. */
 const measureCatchUp = async (
   orders: number,
   routes: number,
@@ -187,7 +187,7 @@
   try {
     await Promise.all(controllers.map(startBox));
     await waitUntil(
-      "the plan is taken",
+      "the configuration is accepted",
       async () =>
         (await post(
           controllerAddress(0),
@@ -195,13 +195,13 @@
           JSON.stringify(configurationOf(routes)),
         )) === 200,
     );
-    await waitUntil("the last one holds it", async () =>
+    await waitUntil("the last one has it", async () =>
       (await readConfiguration(controllerAddress(last))).includes(`"r-${routes - 1}"`),
     );
     controllers[last]?.kill();
     if (isWiped) await rm(join(folder, String(last)), { recursive: true, force: true });
     for (let at = 0; at < orders; at += 1)
-      await waitUntil("the change is taken", async () => (await change(2 + at)) === 200);
+      await waitUntil("the change is accepted", async () => (await change(2 + at)) === 200);
     let version = 2 + orders;
     timer = clock.every(SECOND_US / 2, () => void change((version += 1)));
     const back = new Host(300);
@@ -209,7 +209,7 @@
     const fromUs = steadyUs();
     await startBox(back, last);
     const upUs = steadyUs() - fromUs;
-    await waitUntil("it holds all", async () =>
+    await waitUntil("it has all", async () =>
       (await readConfiguration(controllerAddress(last))).includes(`"version":${1 + orders}`),
     );
     return {
@@ -227,17 +227,17 @@
 };
 
 const main = async (): Promise<void> => {
-  const cli = new Command("orders").description(
-    "measures what an operator's order costs the control side, over loopback",
+  const cli = new Command("changes").description(
+    "measures what a change costs the control plane, over loopback",
   );
   cli
-    .option("--boxes <n>", "real signalboxes, a process each", "4")
+    .option("--boxes <n>", "real controllers, a process each", "4")
     .option("--orders <n>", "orders, one after the other, through each box in turn", "200")
-    .option("--routes <n>", "routes that stand", "1400")
+    .option("--routes <n>", "routes in force", "1400")
     .option("--seconds <n>", "for how long it is measured at rest", "10")
     .option(
       "--down",
-      "measures instead how a signalbox that was down over these orders catches up, with its disk and without",
+      "measures instead how a controller that was down over these changes catches up, with its disk and without",
     )
     .option("--commit <id>", "the commit that is measured", "")
     .option("--out <file>", "where the result is written")
--- a/scalability/host-process.ts
+++ b/scalability/host-process.ts
@@ -18,7 +18,7 @@
 import { sentFrames } from "../src/transport/connection.js";
 import { controllerAddress, steadyUs, nodeIp, settingsOf } from "./loopback.js";
 
-/** One process of a run: a signalbox, many hollow nodes, many hollow workers, or one real pointsman. Told what to do by its parent. */
+/** One process of a run: a controller, many light nodes, many light workers, or one real gateway; its parent says which. */
 setLogLevel("silent");
 const clock = new SteadyClock();
 
@@ -34,7 +34,7 @@
   };
 };
 
-// --- hollow nodes: the real session, relay, news and report code, without a front -------------------------------------
+// --- light nodes: the real session, relay, update and report code, without a proxy -------------------------------------
 
 interface LightNode {
   readonly at: number;
@@ -91,7 +91,7 @@
   lightNodes.delete(node.at);
 };
 
-// --- hollow workers: their beats over HTTP, nothing else --------------------------------------------------------------
+// --- light workers: their heartbeats over HTTP, nothing else --------------------------------------------------------------
 
 const agent = new Agent({ keepAlive: true, maxSockets: 16 });
 let heartbeatsAccepted = 0;
@@ -137,7 +137,7 @@
   }
 };
 
-// --- what the parent asks ----------------------------------------------------------------------------------------------
+// --- what the parent requests ----------------------------------------------------------------------------------------------
 
 const handleRequest = async (request: UnknownRecord): Promise<UnknownRecord> => {
   switch (readString(request, "what")) {
--- a/scalability/loopback.ts
+++ b/scalability/loopback.ts
@@ -8,8 +8,8 @@
 export const READY_PORT = 17_602;
 
 /** Each run has a part of the loopback range of its own, so that two don't meet; children have that of their parent. */
-const net = process.env["TESTTRACK_NET"] ?? String(60 + (process.pid % 150));
-process.env["TESTTRACK_NET"] = net;
+const net = process.env["SCALABILITY_NET"] ?? String(60 + (process.pid % 150));
+process.env["SCALABILITY_NET"] = net;
 
 export const controllerAddress = (at: number): string => `127.${net}.0.${at + 1}:${CONTROL_PORT}`;
 export const nodeIp = (at: number): string =>
--- a/scalability/node.ts
+++ b/scalability/node.ts
@@ -13,7 +13,7 @@
 import { Host, post, makeRule, waitUntil } from "./host.js";
 import { controllerAddress, FRONT_PORT, steadyUs, nodeIp, READY_PORT } from "./loopback.js";
 
-/** One node: what it holds for so many workers and routes, and what a request costs it. */
+/** One node: what it keeps for so many workers and routes, and what a request costs it. */
 const clock = new SteadyClock();
 const ZONES = 7;
 const WORKERS_PER_SERVICE = 50;
@@ -89,7 +89,7 @@
     child.on("exit", (code) => reject(new Error(`it ended with ${String(code)}`)));
   });
 
-/** A real pointsman before stand-in workers, at several rates; the same load straight to a worker beside it. */
+/** A real gateway before stand-in workers, at several rates; the same load straight to a worker beside it. */
 const measureLoad = async (
   rates: readonly number[],
   seconds: number,
@@ -117,7 +117,7 @@
       groups: [{ name: "s0", statusPath: "/health", maxConnections: 1_300, version: 1 }],
     };
     await waitUntil(
-      "the plan is taken",
+      "the configuration is accepted",
       async () =>
         (await post(
           controllerAddress(0),
--- a/scalability/table.ts
+++ b/scalability/table.ts
@@ -47,19 +47,19 @@
 /** What is read from each size, with its unit. */
 const FIGURES: readonly (readonly [string, (result: UnknownRecord) => number])[] = [
   [
-    "signalbox, processor at rest, % of a core (mean of all)",
+    "controller, processor at rest, % of a core (mean of all)",
     (r) => numberAt(r, "atRest.boxes.cpuUs") / 10_000 / restSeconds(r) / controllers(r),
   ],
   [
-    "signalbox, messages sent a second (mean of all)",
+    "controller, messages sent a second (mean of all)",
     (r) => framesOf(r, "atRest.boxes", "frames") / restSeconds(r) / controllers(r),
   ],
   [
-    "signalbox, KB sent a second (mean of all)",
+    "controller, KB sent a second (mean of all)",
     (r) => framesOf(r, "atRest.boxes", "bytes") / 1_024 / restSeconds(r) / controllers(r),
   ],
-  ["signalbox, resident MB (largest)", (r) => numberAt(r, "atRest.boxes.rssMb")],
-  ["signalbox, heap MB (largest)", (r) => numberAt(r, "atRest.boxes.heapMb")],
+  ["controller, resident MB (largest)", (r) => numberAt(r, "atRest.boxes.rssMb")],
+  ["controller, heap MB (largest)", (r) => numberAt(r, "atRest.boxes.heapMb")],
   [
     "node, processor at rest, % of a core",
     (r) => numberAt(r, "atRest.nodes.cpuUs") / 10_000 / restSeconds(r) / nodes(r),
@@ -71,22 +71,22 @@
   ["one change, ms to its acknowledgement", (r) => numberAt(r, "change.acknowledgedUs") / 1_000],
   ["one change, ms from there to the last node", (r) => numberAt(r, "change.lastNodeUs") / 1_000],
   [
-    "one change, news frames in all",
+    "one change, update frames in all",
     (r) =>
       framesOf(r, "change.boxes", "frames", ["news"]) +
       framesOf(r, "change.nodes", "frames", ["news"]),
   ],
   ["all nodes join at once, s", (r) => numberAt(r, "joinedUs") / 1_000_000],
   [
-    "a seventh restarts, s until all have all news",
+    "a seventh restarts, s until all have all updates",
     (r) => numberAt(r, "restart.tookUs") / 1_000_000,
   ],
   [
-    "a seventh restarts, signalboxes' processor ms a node",
+    "a seventh restarts, controlleres' processor ms a node",
     (r) => numberAt(r, "restart.boxes.cpuUs") / 1_000 / numberAt(r, "restart.nodes"),
   ],
   [
-    "a signalbox is killed, s until every node has a session",
+    "a controller is killed, s until every node has a session",
     (r) => numberAt(r, "boxKilled.tookUs") / 1_000_000,
   ],
 ];
