--- a/features/steps/archive.ts
+++ b/features/steps/archive.ts
@@ -12,7 +12,8 @@
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import { After, Given, Then, When } from "@cucumber/cucumber";
-import { WriteAheadLog, type Recovery } from "../../src/storage/write-ahead-log.js";
+import type { Recovery } from "../../src/storage/recovery.js";
+import { WriteAheadLog } from "../../src/storage/write-ahead-log.js";
 import { NodeFileSystem, type FileSystem } from "../../src/storage/file-system.js";
 import type { UnknownRecord } from "../../src/common/decode.js";
 import { FaultyDisk, randomOf } from "../support/faulty-disk.js";
--- a/features/steps/data-folder.ts
+++ b/features/steps/data-folder.ts
@@ -10,7 +10,8 @@
   type FileSystem,
   type FolderFileSystem,
 } from "../../src/storage/file-system.js";
-import { WriteAheadLog, type Recovery } from "../../src/storage/write-ahead-log.js";
+import type { Recovery } from "../../src/storage/recovery.js";
+import { WriteAheadLog } from "../../src/storage/write-ahead-log.js";
 import { FaultyDisk, randomOf } from "../support/faulty-disk.js";
 
 const RECORDS = [
--- a/src/consensus/record-persistence.ts
+++ b/src/consensus/record-persistence.ts
@@ -35,7 +35,7 @@
     const own = writeAheadLog.append(records).then((written) => {
       if (written.isErr) {
         this.wasRefused = true;
-        logger.warn("records were not written", { reason: written.error.sentence });
+        logger.warn("records were not written", { reason: written.error.message });
       }
       return written.isOk;
     });
--- a/src/storage/file-system.ts
+++ b/src/storage/file-system.ts
@@ -1,10 +1,11 @@
+/** The file system as durable state needs it, and its implementation on the machine's own. */
 import { mkdir, open, readdir, readFile, rename, rm } from "node:fs/promises";
 import { dirname } from "node:path";
 import { isRecord } from "../common/decode.js";
 
 /**
- * The few calls on files that state on disk needs. Every method rejects with an Error when the disk refuses.
- * After a loss of power the bytes of a written file stand as `write` left them; a name that was made, renamed or removed
+ * The few calls on files that durable state needs. Every method rejects with an Error when the file system refuses.
+ * After a loss of power the bytes of a written file are as `write` left them; a name that was made, renamed or removed
  * since the last `syncFolder` of its folder may be kept or lost, each by itself.
  */
 export interface FileSystem {
@@ -14,11 +15,13 @@
   read(path: string): Promise<Uint8Array | undefined>;
   /** Writes the whole file, new or replaced; its bytes are synced once this resolves. */
   write(path: string, bytes: Uint8Array): Promise<void>;
+  /** Renames a file; one under the new name is replaced. Not durable before `syncFolder`. */
   rename(from: string, to: string): Promise<void>;
   /** No error if there is no such file. */
   remove(path: string): Promise<void>;
-  /** Makes the folder with all parents missing; the names of all that were made last once this resolves. */
+  /** Makes the folder with all parents missing; the names of all that were made are durable once this resolves. */
   makeFolder(path: string): Promise<void>;
+  /** Makes the names in the folder durable: those made, renamed and removed. */
   syncFolder(path: string): Promise<void>;
 }
 
@@ -32,12 +35,13 @@
   renameFolder(from: string, to: string): Promise<void>;
 }
 
+/** The code of a system error, such as `ENOENT`. */
 const codeOf = (error: unknown): unknown => (isRecord(error) ? error["code"] : undefined);
 
-/** What comes back for a folder that isn't ours, so that we made no name in it either. */
-const NOT_OURS: ReadonlySet<unknown> = new Set(["EACCES", "EPERM", "EROFS"]);
+/** Error codes of a folder that belongs to another user, so that this process made no name in it either. */
+const FOREIGN_FOLDER_CODES: ReadonlySet<unknown> = new Set(["EACCES", "EPERM", "EROFS"]);
 
-const syncOf = async (folder: string): Promise<void> => {
+const syncFolderAt = async (folder: string): Promise<void> => {
   const opened = await open(folder, "r");
   try {
     await opened.sync();
@@ -47,7 +51,7 @@
 };
 
 /** Makes one folder; false if it is there already, undefined if its parent is missing. */
-const made = async (path: string): Promise<boolean | undefined> => {
+const makeOne = async (path: string): Promise<boolean | undefined> => {
   try {
     await mkdir(path);
     return true;
@@ -58,10 +62,10 @@
   }
 };
 
-/** The machine's own files. */
+/** The machine's own file system. */
 export class NodeFileSystem implements FileSystem, FolderFileSystem {
-  /** Takes how a folder is synced, so that a test can see the order. */
-  constructor(private readonly sync: (folder: string) => Promise<void> = syncOf) {}
+  /** @param sync - how a folder is synced, so that a test can see the order */
+  constructor(private readonly sync: (folder: string) => Promise<void> = syncFolderAt) {}
 
   readonly list = async (folder: string): Promise<readonly string[]> => {
     try {
@@ -98,20 +102,20 @@
   readonly remove = (path: string): Promise<void> => rm(path, { force: true });
 
   /**
-   * Works from the top down, each name synced before the next is made. So after a death on the way at most the lowest
-   * folder that is there has a name not synced yet; that is why the parent of one that is there is synced too.
+   * Works from the top down, each name synced before the next is made. So after a crash on the way at most the lowest
+   * folder that exists has a name not synced yet; that is why the parent of an existing folder is synced too.
    */
   readonly makeFolder = async (path: string): Promise<void> => {
     const parent = dirname(path);
-    let isNew = await made(path);
+    let isNew = await makeOne(path);
     if (isNew === undefined) {
       await this.makeFolder(parent);
-      isNew = await made(path);
+      isNew = await makeOne(path);
     }
     try {
       await this.sync(parent);
     } catch (error) {
-      if (isNew !== false || !NOT_OURS.has(codeOf(error))) throw error;
+      if (isNew !== false || !FOREIGN_FOLDER_CODES.has(codeOf(error))) throw error;
     }
   };
 
