--- a/src/idempotency/key-client.ts
+++ b/src/idempotency/key-client.ts
@@ -1,15 +1,18 @@
+/** A gateway's side of idempotency keys: what it asks the controller that it has its session with. */
 import { sleep, type Clock } from "../common/clock.js";
 import { asRecord, isRecord, readList, asString, readNumber } from "../common/decode.js";
 import { MILLISECOND_US } from "../common/duration.js";
 import type { Message } from "../transport/connection.js";
+import { KEY_MESSAGE, readStored } from "./key-codec.js";
 
-/** The answer of a key's first run, as it is kept and given to repeats. */
+/** The response of a key's first run, as it is stored and given to repeats. */
 export interface KeyedResponse {
   readonly status: number;
   readonly heads: readonly string[];
   readonly body: Uint8Array;
 }
 
+/** What a claim comes to; see `KeyClaimResult`. `none`: no controller responded in time. */
 export type ClaimResult =
   | { readonly kind: "won" }
   | { readonly kind: "done"; readonly answer: KeyedResponse }
@@ -17,43 +20,44 @@
   | { readonly kind: "split" }
   | { readonly kind: "none" };
 
-const CLAIM_WAIT_US = 600 * MILLISECOND_US;
-const KEEP_WAIT_US = 400 * MILLISECOND_US;
-const AGAIN_US = 100 * MILLISECOND_US;
+const CLAIM_TIMEOUT_US = 600 * MILLISECOND_US;
+const STORE_TIMEOUT_US = 400 * MILLISECOND_US;
+const RETRY_DELAY_US = 100 * MILLISECOND_US;
 
-const readAnswer = (value: unknown): KeyedResponse => {
-  const record = asRecord(value, "answer");
-  const body = record["body"];
+const readResponse = (value: unknown): KeyedResponse => {
+  const fields = asRecord(value, "answer");
+  const body = fields["body"];
   return {
-    status: readNumber(record, "status"),
-    heads: readList(record, "heads", asString),
+    status: readNumber(fields, "status"),
+    heads: readList(fields, "heads", asString),
     body: body instanceof Uint8Array ? body : Buffer.alloc(0),
   };
 };
 
-/** Where a pointsman claims operation keys: at the signalbox it has its session with. */
+/** Claims idempotency keys at the controller that this gateway has its session with. */
 export class IdempotencyClient {
   constructor(
     private readonly clock: Clock,
     private readonly request: (message: Message, waitUs: number) => Promise<Message | undefined>,
-    private readonly tell: (message: Message) => void,
+    private readonly send: (message: Message) => void,
   ) {}
 
+  /** Claims a key for a token. */
   readonly claim = async (key: string, token: string): Promise<ClaimResult> => {
-    const reply = await this.request({ kind: "key-claim", key, token }, CLAIM_WAIT_US);
+    const reply = await this.request({ kind: KEY_MESSAGE.claim, key, token }, CLAIM_TIMEOUT_US);
     const result = reply?.["verdict"];
     if (result === "done" && isRecord(reply?.["answer"]))
-      return { kind: "done", answer: readAnswer(reply["answer"]) };
+      return { kind: "done", answer: readResponse(reply["answer"]) };
     return {
       kind: result === "won" || result === "working" || result === "split" ? result : "none",
     };
   };
 
-  /** Takes back a token that has not run; it must never be used again. */
+  /** Releases a token that has not run; it must never be used again. */
   readonly release = (key: string, token: string): void =>
-    this.tell({ kind: "key-free", key, token });
+    this.send({ kind: KEY_MESSAGE.release, key, token });
 
-  /** Keeps the answer; false if nobody confirmed it in time. */
+  /** Stores the response; false if no quorum confirmed it within `waitUs`. */
   readonly complete = async (
     key: string,
     token: string,
@@ -62,10 +66,13 @@
   ): Promise<boolean> => {
     const untilUs = this.clock.nowUs() + waitUs;
     for (;;) {
-      const reply = await this.request({ kind: "key-done", key, token, answer }, KEEP_WAIT_US);
-      if (reply?.["kept"] === true) return true;
-      if (this.clock.nowUs() + AGAIN_US >= untilUs) return false;
-      await sleep(this.clock, AGAIN_US);
+      const reply = await this.request(
+        { kind: KEY_MESSAGE.complete, key, token, answer },
+        STORE_TIMEOUT_US,
+      );
+      if (readStored(reply)) return true;
+      if (this.clock.nowUs() + RETRY_DELAY_US >= untilUs) return false;
+      await sleep(this.clock, RETRY_DELAY_US);
     }
   };
 }
--- a/src/idempotency/key-replication.ts
+++ b/src/idempotency/key-replication.ts
@@ -1,28 +1,40 @@
+/** Idempotency keys over the voter set: claims by quorum, responses stored at a quorum, and purges. */
 import { randomUUID } from "node:crypto";
-import type { Logger } from "../common/logger.js";
-import { readFlag, readList, readString, asString, type UnknownRecord } from "../common/decode.js";
+import { asString, readFlag, readList, readString } from "../common/decode.js";
 import { MILLISECOND_US } from "../common/duration.js";
+import type { Logger } from "../common/logger.js";
+import type { ReplicatedStore } from "../consensus/replicated-store.js";
+import { quorumSize, readQuorumSize } from "../consensus/voter-set.js";
 import type { Message } from "../transport/connection.js";
 import {
-  readStoredResponse,
+  KEY_MESSAGE,
+  packClaimResponse,
+  packStored,
+  packStoredResponse,
+  readClaimResponse,
+  readKeyClaim,
   readPurge,
-  type StoredResponse,
-  type IdempotencyKeyTable,
+  readStored,
+  readStoredResponse,
+  type ClaimResponse,
   type Purge,
-} from "./key-table.js";
-import type { ReplicatedStore } from "../consensus/replicated-store.js";
-import { quorumSize, readQuorumSize } from "../consensus/voter-set.js";
+  type StoredResponse,
+} from "./key-codec.js";
+import type { IdempotencyKeyTable } from "./key-table.js";
 
+/** What a claim comes to. A gateway is told its kind. */
 export type KeyClaimResult =
   /** A quorum holds the token: its bearer alone may run the operation. */
   | { readonly kind: "won" }
   | { readonly kind: "done"; readonly answer: StoredResponse }
-  /** Another try has the key, and may have run. */
+  /** Another attempt has the key, and may have run. */
   | { readonly kind: "working" }
-  /** Two tries came at once and neither won: the token is to be freed, and another tried after a while. */
+  /** Two attempts came at once and neither won: the token is to be released, and another tried after a while. */
   | { readonly kind: "split" }
+  /** Too few replicas responded. */
   | { readonly kind: "none" };
 
+/** What the replication of idempotency keys works on. */
 export interface IdempotencyKeyReplicationOptions {
   readonly self: string;
   readonly table: IdempotencyKeyTable;
@@ -32,104 +44,103 @@
   readonly send: (message: Message) => void;
   readonly withstandMachines: number;
   readonly logger: Logger;
-  /** Told of every purge that this copy learns. */
+  /** Called for each purge that this replica learns. */
   readonly onPurge: (purge: Purge) => void;
 }
 
-const CLAIM_WAIT_US = 400 * MILLISECOND_US;
-const KEEP_WAIT_US = 250 * MILLISECOND_US;
-const SPREAD_WAIT_US = 1_500 * MILLISECOND_US;
-const SMALL_BYTES = 256;
-
-const packAnswer = (answer: StoredResponse): UnknownRecord => ({
-  status: answer.status,
-  heads: answer.heads,
-  ...(answer.body ? { body: answer.body } : {}),
-});
+const CLAIM_TIMEOUT_US = 400 * MILLISECOND_US;
+const STORE_TIMEOUT_US = 250 * MILLISECOND_US;
+const REFRESH_TIMEOUT_US = 1_500 * MILLISECOND_US;
+/** A body up to this size is sent to all members at once, a larger one only to as many as make a quorum. */
+const SMALL_BODY_BYTES = 256;
 
 /**
- * Operation keys over the roster: who may run an operation, and what its run was answered with.
- * Invariant: a copy that may have lost claims accepts none until it has read so many of the others that every claim
+ * Idempotency keys over the voter set: who may run an operation, and what its run was answered with.
+ *
+ * Invariant: a replica that may have lost claims accepts none until it has read so many of the others that every claim
  * once held by a quorum is among theirs; so within the window no two tokens of a key ever win.
  */
 export class IdempotencyKeyReplication {
-  private counting = false;
-  private reading = false;
+  private voting = false;
+  private catchingUp = false;
 
   constructor(private readonly options: IdempotencyKeyReplicationOptions) {}
 
+  /** Whether this replica accepts claims and counts in quorums. */
   get isVoting(): boolean {
-    return this.counting;
+    return this.voting;
   }
 
+  /** Loads the table; on the first start of the whole system an empty one counts at once. */
   readonly start = async (firstRun: boolean): Promise<void> => {
     const found = await this.options.table.load();
     this.options.table.purges().forEach(this.options.onPurge);
-    if (found) this.counting = true;
+    if (found) this.voting = true;
     else if (firstRun && this.options.store.isMember())
-      this.counting = await this.options.table.markInitialized();
+      this.voting = await this.options.table.markInitialized();
   };
 
-  /** Reads what a lost copy needs; called until it counts. Begins only once this one is seen on the roster. */
+  /** Reads what a replica that lost its table needs; called until it votes. Does nothing before it is a member. */
   readonly catchUp = async (): Promise<void> => {
-    const { table: keyTable, store, logger } = this.options;
-    if (this.counting || this.reading || !store.isMember() || !store.isVoting) return;
-    this.reading = true;
+    const { table, store, logger } = this.options;
+    if (this.voting || this.catchingUp || !store.isMember() || !store.isVoting) return;
+    this.catchingUp = true;
     const read = await this.refresh();
-    this.reading = false;
-    if (!read || !(await keyTable.markInitialized())) return;
-    this.counting = true;
-    keyTable.purges().forEach(this.options.onPurge);
-    logger.info(`Caught up with ${keyTable.size} operation keys.`);
+    this.catchingUp = false;
+    if (!read || !(await table.markInitialized())) return;
+    this.voting = true;
+    table.purges().forEach(this.options.onPurge);
+    logger.info("caught up with idempotency keys", { keys: table.size });
   };
 
-  /** Brings what a quorum of the old members holds to a quorum of the new ones; true once that is done. */
+  /** Has a quorum of the new members read what a quorum of the old ones stores; true once that is done. */
   readonly replicateToNewMembers = async (): Promise<boolean> => {
     const { store } = this.options;
-    const spread = await store.callQuorum(
-      { kind: "key-refresh" },
-      (reply) => readFlag(reply, "kept"),
+    const refreshed = await store.callQuorum(
+      { kind: KEY_MESSAGE.refresh },
+      readStored,
       this.refresh,
-      SPREAD_WAIT_US,
+      REFRESH_TIMEOUT_US,
     );
-    return spread.isOk;
+    return refreshed.isOk;
   };
 
-  /** Reads a reading quorum's books into this one; true once all of it is safe here. */
+  /** Reads a read quorum's tables into this one; true once all of it is durable here. */
   private readonly refresh = async (): Promise<boolean> => {
-    const { table: keyTable } = this.options;
+    const { table } = this.options;
     const merges: Promise<boolean>[] = [];
-    const read = await this.gatherToRead({ kind: "key-book" }, (reply) => {
+    const read = await this.gatherToRead({ kind: KEY_MESSAGE.readTable }, (reply) => {
       if (!readFlag(reply, "counts")) return false;
-      merges.push(keyTable.merge(reply));
+      merges.push(table.merge(reply));
       return true;
     });
     return (await Promise.all(merges)).every((done) => done) && read;
   };
 
+  /** Claims a key for a token at a quorum. */
   readonly claim = async (key: string, token: string): Promise<KeyClaimResult> => {
-    const { self, table: keyTable, store, withstandMachines } = this.options;
-    const known = keyTable.findResponse(key);
-    if (known?.body && keyTable.findToken(key) !== token) return { kind: "done", answer: known };
+    const { self, table, store, withstandMachines } = this.options;
+    const known = table.findResponse(key);
+    if (known?.body && table.findToken(key) !== token) return { kind: "done", answer: known };
     const takers = new Set<string>();
     let others = 0;
-    let isDone = known !== undefined;
-    const hear = (id: string, reply: Message): boolean => {
-      if (reply["verdict"] === "taken") takers.add(id);
-      if (reply["verdict"] === "other") others += 1;
-      if (readFlag(reply, "done")) isDone = true;
-      return reply["verdict"] === "taken";
+    let isCompleted = known !== undefined;
+    const countResponse = (id: string, response: ClaimResponse): boolean => {
+      if (response.result === "taken") takers.add(id);
+      if (response.result === "other") others += 1;
+      if (response.isCompleted) isCompleted = true;
+      return response.result === "taken";
     };
     const won = await store.callQuorum(
-      { kind: "key-claim", key, token },
-      (reply, id) => hear(id, reply),
-      async () => hear(self, await this.answerClaim(key, token)),
-      CLAIM_WAIT_US,
+      { kind: KEY_MESSAGE.claim, key, token },
+      (reply, id) => countResponse(id, readClaimResponse(reply)),
+      async () => countResponse(self, await this.claimLocally(key, token)),
+      CLAIM_TIMEOUT_US,
     );
     if (won.isOk) return { kind: "won" };
-    if (isDone) return this.fetch(key);
+    if (isCompleted) return this.fetchResponse(key);
     if (others === 0) return { kind: "none" };
-    // Unless the others could have won among those that did not answer, nobody has.
+    // Unless the other token could have won among those that did not respond, neither has.
     const couldOthers = store
       .quorumSets()
       .every(
@@ -139,190 +150,214 @@
     return couldOthers ? { kind: "working" } : { kind: "split" };
   };
 
-  /** Takes back a token that has not run and never will. */
+  /** Releases a token that has not run and never will. */
   readonly release = (key: string, token: string): void => {
     this.options.table.release(key, token);
-    this.options.send({ kind: "key-free", key, token });
+    this.options.send({ kind: KEY_MESSAGE.release, key, token });
   };
 
-  /** Keeps the answer at a quorum, whole, and tells the rest that there is one. */
+  /** Stores the response with its body at a quorum, and without it at the rest; false if no quorum stored it in time. */
   readonly complete = async (
     key: string,
     token: string,
     answer: StoredResponse,
   ): Promise<boolean> => {
-    const { self, table: keyTable, store, request, isConnected, withstandMachines } = this.options;
+    const { self, table, store, request, isConnected, withstandMachines } = this.options;
     const others = store
       .members()
       .filter((id) => id !== self)
       .sort((a, b) => Number(isConnected(b)) - Number(isConnected(a)));
-    const whole: Message = { kind: "key-done", key, token, answer: packAnswer(answer) };
-    const isSmall = (answer.body?.length ?? 0) <= SMALL_BYTES;
-    const note: Message = {
-      kind: "key-done",
+    const messageWith = (response: StoredResponse): Message => ({
+      kind: KEY_MESSAGE.complete,
       key,
       token,
-      answer: packAnswer({ ...answer, body: undefined }),
-    };
-    const kept = new Set<string>();
-    const hold = async (id: string): Promise<void> => {
-      if ((await request(id, store.withVoterSet(whole), KEEP_WAIT_US))?.["kept"] === true)
-        kept.add(id);
+      answer: packStoredResponse(response),
+    });
+    const full = messageWith(answer);
+    const withoutBody = messageWith({ ...answer, body: undefined });
+    const isSmall = (answer.body?.length ?? 0) <= SMALL_BODY_BYTES;
+    const stored = new Set<string>();
+    const storeAt = async (id: string): Promise<void> => {
+      if (readStored(await request(id, store.withVoterSet(full), STORE_TIMEOUT_US))) stored.add(id);
     };
-    const isHeld = () =>
-      store
-        .quorumSets()
-        .every(
-          (members) =>
-            members.filter((id) => kept.has(id)).length >= quorumSize(members, withstandMachines),
-        );
     const first = isSmall
       ? others
       : others.slice(0, quorumSize(store.members(), withstandMachines) - 1);
     const rest = others.filter((id) => !first.includes(id));
-    if (await keyTable.complete(key, token, answer)) kept.add(self);
-    await Promise.all(first.map(hold));
-    if (isHeld()) {
-      rest.forEach((id) => void request(id, note, 0));
+    if (await table.complete(key, token, answer)) stored.add(self);
+    await Promise.all(first.map(storeAt));
+    if (this.isQuorum(stored)) {
+      rest.forEach((id) => void request(id, withoutBody, 0));
       return true;
     }
-    await Promise.all(rest.map(hold));
-    return isHeld();
+    await Promise.all(rest.map(storeAt));
+    return this.isQuorum(stored);
   };
 
+  /** Makes a purge durable at a quorum; false if no quorum stored it in time. */
   readonly purge = async (what: Omit<Purge, "id">): Promise<boolean> => {
     const { store } = this.options;
     const purge: Purge = { ...what, id: randomUUID() };
-    const held = await store.callQuorum(
-      { kind: "key-purge", ...purge },
-      (reply) => readFlag(reply, "kept"),
-      () => this.takePurge(purge),
-      CLAIM_WAIT_US,
+    const stored = await store.callQuorum(
+      { kind: KEY_MESSAGE.addPurge, ...purge },
+      readStored,
+      () => this.addPurge(purge),
+      CLAIM_TIMEOUT_US,
     );
-    return held.isOk;
+    return stored.isOk;
   };
 
-  /** Learns the purges that a reading quorum holds; true if every purge acknowledged before the call is known now. */
+  /** Learns the purges that a read quorum stores; true if every purge acknowledged before the call is known now. */
   readonly readPurges = async (): Promise<boolean> => {
-    const { table: keyTable } = this.options;
-    const ids = keyTable.purges().map(({ id }) => id);
+    const { table } = this.options;
+    const ids = table.purges().map(({ id }) => id);
     const merges: Promise<boolean>[] = [];
-    const read = await this.gatherToRead({ kind: "key-purges", ids }, (reply) => {
+    const read = await this.gatherToRead({ kind: KEY_MESSAGE.readPurges, ids }, (reply) => {
       if (!readFlag(reply, "counts")) return false;
-      merges.push(...readList(reply, "purges", readPurge).map(this.takePurge));
+      merges.push(...readList(reply, "purges", readPurge).map(this.addPurge));
       return true;
     });
     await Promise.all(merges);
     return read;
   };
 
-  /** Answers a colleague. */
+  /**
+   * Responds to another controller; undefined for what needs no response.
+   *
+   * @throws DecodeError if the message isn't of its kind's form
+   */
   readonly handleRequest = async (message: Message): Promise<Message | undefined> => {
-    const { table: keyTable, store } = this.options;
-    const refusal = store.rejectIfOutdated(message);
-    if (refusal) return refusal;
+    const rejection = this.options.store.rejectIfOutdated(message);
+    if (rejection) return rejection;
     switch (message.kind) {
-      case "key-claim":
-        return this.answerClaim(readString(message, "key"), readString(message, "token"));
-      case "key-free":
-        keyTable.release(readString(message, "key"), readString(message, "token"));
-        return undefined;
-      case "key-done": {
-        const answer = readStoredResponse(message["answer"]);
-        const kept =
-          answer !== undefined &&
-          (await keyTable.complete(
-            readString(message, "key"),
-            readString(message, "token"),
-            answer,
-          ));
-        return { kind: "done", kept: kept && this.counting };
+      case KEY_MESSAGE.claim: {
+        const { key, token } = readKeyClaim(message);
+        return packClaimResponse(await this.claimLocally(key, token));
       }
-      case "key-read": {
-        const answer = keyTable.findResponse(readString(message, "key"));
-        return { kind: "done", ...(answer ? { answer: packAnswer(answer) } : {}) };
+      case KEY_MESSAGE.release: {
+        const { key, token } = readKeyClaim(message);
+        this.options.table.release(key, token);
+        return undefined;
       }
-      case "key-refresh": {
+      case KEY_MESSAGE.complete:
+        return packStored(await this.completeLocally(message));
+      case KEY_MESSAGE.readResponse:
+        return this.respondWithResponse(readString(message, "key"));
+      case KEY_MESSAGE.refresh: {
         await this.catchUp();
-        return { kind: "done", kept: this.counting && (await this.refresh()) };
+        return packStored(this.voting && (await this.refresh()));
       }
-      case "key-purge":
-        return { kind: "done", kept: await this.takePurge(readPurge(message)) };
-      case "key-purges": {
-        const known = new Set(readList(message, "ids", asString));
+      case KEY_MESSAGE.addPurge:
+        return packStored(await this.addPurge(readPurge(message)));
+      case KEY_MESSAGE.readPurges:
+        return this.respondWithPurges(readList(message, "ids", asString));
+      case KEY_MESSAGE.readTable:
         return {
-          kind: "done",
-          counts: this.counting,
-          purges: keyTable.purges().filter(({ id }) => !known.has(id)),
+          kind: KEY_MESSAGE.response,
+          counts: this.voting,
+          ...this.options.table.pack(),
         };
-      }
-      case "key-book":
-        return { kind: "done", counts: this.counting, ...keyTable.pack() };
       default:
         return undefined;
     }
   };
 
-  private readonly answerClaim = async (key: string, token: string): Promise<Message> => {
-    const { table: keyTable } = this.options;
-    if (!this.counting) return { kind: "done", verdict: "full", done: false };
-    const result = await keyTable.claim(key, token);
-    return { kind: "done", verdict: result, done: keyTable.findResponse(key) !== undefined };
+  private readonly respondWithResponse = (key: string): Message => {
+    const answer = this.options.table.findResponse(key);
+    return {
+      kind: KEY_MESSAGE.response,
+      ...(answer ? { answer: packStoredResponse(answer) } : {}),
+    };
+  };
+
+  private readonly respondWithPurges = (knownIds: readonly string[]): Message => {
+    const known = new Set(knownIds);
+    return {
+      kind: KEY_MESSAGE.response,
+      counts: this.voting,
+      purges: this.options.table.purges().filter(({ id }) => !known.has(id)),
+    };
+  };
+
+  private readonly completeLocally = async (message: Message): Promise<boolean> => {
+    const answer = readStoredResponse(message["answer"]);
+    if (!answer) return false;
+    const { key, token } = readKeyClaim(message);
+    return (await this.options.table.complete(key, token, answer)) && this.voting;
+  };
+
+  private readonly claimLocally = async (key: string, token: string): Promise<ClaimResponse> => {
+    const { table } = this.options;
+    if (!this.voting) return { result: "full", isCompleted: false };
+    const result = await table.claim(key, token);
+    return { result, isCompleted: table.findResponse(key) !== undefined };
+  };
+
+  /** Whether these members are a quorum of each voter set in force. */
+  private readonly isQuorum = (ids: ReadonlySet<string>): boolean => {
+    const { store, withstandMachines } = this.options;
+    return store
+      .quorumSets()
+      .every(
+        (members) =>
+          members.filter((id) => ids.has(id)).length >= quorumSize(members, withstandMachines),
+      );
   };
 
-  private readonly takePurge = async (purge: Purge): Promise<boolean> => {
-    const { table: keyTable, onPurge } = this.options;
-    const isNew = !keyTable.hasPurge(purge.id);
-    const kept = keyTable.addPurge(purge);
+  private readonly addPurge = async (purge: Purge): Promise<boolean> => {
+    const { table, onPurge } = this.options;
+    const isNew = !table.hasPurge(purge.id);
+    const kept = table.addPurge(purge);
     if (isNew) onPurge(purge);
-    return (await kept) && this.counting;
+    return (await kept) && this.voting;
   };
 
-  /** The answer of a key that some copy knows to be done, from whoever has its body. */
-  private readonly fetch = async (key: string): Promise<KeyClaimResult> => {
-    const { self, table: keyTable, store, request } = this.options;
+  /** The response of a key that some replica knows to be completed, from whichever has its body. */
+  private readonly fetchResponse = async (key: string): Promise<KeyClaimResult> => {
+    const { self, table, store, request } = this.options;
     const replies = await Promise.all(
       store
         .members()
         .filter((id) => id !== self)
-        .map((id) => request(id, { kind: "key-read", key }, KEEP_WAIT_US)),
+        .map((id) => request(id, { kind: KEY_MESSAGE.readResponse, key }, STORE_TIMEOUT_US)),
     );
     const found = [
-      keyTable.findResponse(key),
+      table.findResponse(key),
       ...replies.map((reply) => readStoredResponse(reply?.["answer"])),
     ].find((answer) => answer?.body !== undefined);
     return found ? { kind: "done", answer: found } : { kind: "working" };
   };
 
-  /** Asks as many counting copies as share a member with every quorum. */
+  /** Asks voting replicas until as many have responded as share a member with every quorum. */
   private readonly gatherToRead = async (
     message: Message,
     accepts: (reply: Message) => boolean,
   ): Promise<boolean> => {
     const { self, store, request, withstandMachines } = this.options;
     const sets = store.quorumSets();
-    const held = new Set(this.counting ? [self] : []);
+    const responded = new Set(this.voting ? [self] : []);
     const others = store.members().filter((id) => id !== self);
-    if (others.length === 0 && held.size === 0) return false;
+    if (others.length === 0 && responded.size === 0) return false;
     const isEnough = () =>
       sets.every(
         (members) =>
-          members.filter((id) => held.has(id)).length >= readQuorumSize(members, withstandMachines),
+          members.filter((id) => responded.has(id)).length >=
+          readQuorumSize(members, withstandMachines),
       );
     return new Promise((resolve) => {
-      let open = others.length;
-      const look = () => {
+      let pending = others.length;
+      const resolveIfDecided = () => {
         if (isEnough()) resolve(true);
-        else if (open === 0) resolve(false);
+        else if (pending === 0) resolve(false);
       };
       others.forEach((id) => {
-        void request(id, store.withVoterSet(message), CLAIM_WAIT_US).then((reply) => {
-          open -= 1;
-          if (reply && accepts(reply)) held.add(id);
-          look();
+        void request(id, store.withVoterSet(message), CLAIM_TIMEOUT_US).then((reply) => {
+          pending -= 1;
+          if (reply && accepts(reply)) responded.add(id);
+          resolveIfDecided();
         });
       });
-      look();
+      resolveIfDecided();
     });
   };
 }
