--- a/src/programs/controller/content.ts
+++ b/src/programs/controller/content.ts
@@ -14,7 +14,7 @@
 import type { Peers } from "../../membership/peers.js";
 import type { UpdatePublisher } from "../../membership/update-publisher.js";
 import { PURGE_PREFIX, type UpdateStore } from "../../membership/update-store.js";
-import { RATE_LEASE_US, RateAllocator } from "../../quota/rate-limiter.js";
+import { RATE_LEASE_US, RateAllocator } from "../../quota/rate-allocator.js";
 import type { Clock } from "../../common/clock.js";
 import { readNumber, readString, type UnknownRecord } from "../../common/decode.js";
 import { MILLISECOND_US, SECOND_US } from "../../common/duration.js";
--- a/src/quota/lease-allocator.ts
+++ b/src/quota/lease-allocator.ts
@@ -1,10 +1,13 @@
+/** Leases a quota out in shares, so that all that are in force stay within it, also across changes of the leader. */
 import type { Clock } from "../common/clock.js";
 
+/** What one lease gave, and when it expires by this process's clock. */
 interface Allotment {
   readonly share: number;
   readonly expiresAtUs: number;
 }
 
+/** For how long leases count, in microseconds. */
 export interface LeaseTerms {
   /** How long a lease lasts. */
   readonly durationUs: number;
@@ -13,68 +16,76 @@
 }
 
 /**
- * The duty's holder leases a whole out in shares, each to one life of a node.
- * Invariants: the shares whose leases have not ended, or ended less than the rest ago, add up to at most the whole; for
- * that long after taking the duty a holder only renews what its bearers say they have from the one before, since it
- * doesn't know what that one gave.
+ * Leases a quota out in shares, each to one incarnation of a node, at the holder of the leader lease.
+ *
+ * Invariants: the shares whose leases have not expired, or did less than the grace time ago, add up to at most the quota;
+ * for that long after taking over, a leader only renews what nodes say they have from the one before, since it doesn't
+ * know what that one allocated.
  */
 export class LeaseAllocator {
-  private readonly given = new Map<string, Allotment[]>();
+  private readonly allotments = new Map<string, Allotment[]>();
 
-  /** Since when the duty is held here; where that isn't told, since the first asking. */
+  /** @param sinceUs - since when the leader lease is held here; if not given, since the first request */
   constructor(
     private readonly clock: Clock,
     private readonly terms: LeaseTerms,
     private sinceUs?: number,
   ) {}
 
-  /** Whether nothing that was given still counts. */
+  /** Whether nothing that was allocated still counts. */
   get isIdle(): boolean {
-    this.trim();
-    return this.given.size === 0;
+    this.removeExpired();
+    return this.allotments.size === 0;
   }
 
-  /** Called whenever the duty is not held here: what was given is no longer known to be all. */
+  /** Called whenever the leader lease is not held here: others may allocate too. */
   readonly reset = (): void => {
     this.sinceUs = undefined;
-    this.given.clear();
+    this.allotments.clear();
   };
 
-  /** A share for one life of a node, for `lastsUs` from now. */
+  /**
+   * Leases a share to one incarnation of a node, for `durationUs` from now.
+   *
+   * @param wanted - what it asks for
+   * @param held - what it says it has from before
+   * @param quota - what all shares may add up to
+   * @returns the share; 0 where nothing is left
+   */
   readonly allocate = (
     incarnation: string,
     wanted: number,
     held: number,
-    whole: number,
+    quota: number,
   ): number => {
     const { durationUs, graceUs } = this.terms;
     const nowUs = this.clock.nowUs();
     this.sinceUs ??= nowUs;
-    this.trim();
+    this.removeExpired();
     let others = 0;
-    this.given.forEach((rows, other) => {
-      if (other !== incarnation) others += outstanding(rows);
+    this.allotments.forEach((rows, other) => {
+      if (other !== incarnation) others += largestOf(rows);
     });
     const isNew = nowUs - this.sinceUs < durationUs + graceUs;
-    const share = Math.min(Math.max(0, whole - others), isNew ? held : wanted);
+    const share = Math.min(Math.max(0, quota - others), isNew ? held : wanted);
     if (share > 0)
-      this.given.set(incarnation, [
-        ...(this.given.get(incarnation) ?? []),
+      this.allotments.set(incarnation, [
+        ...(this.allotments.get(incarnation) ?? []),
         { share, expiresAtUs: nowUs + durationUs },
       ]);
     return share;
   };
 
-  private readonly trim = (): void => {
+  private readonly removeExpired = (): void => {
     const nowUs = this.clock.nowUs();
-    this.given.forEach((rows, incarnation) => {
-      const left = rows.filter(({ expiresAtUs: endUs }) => endUs + this.terms.graceUs > nowUs);
-      if (left.length > 0) this.given.set(incarnation, left);
-      else this.given.delete(incarnation);
+    this.allotments.forEach((rows, incarnation) => {
+      const left = rows.filter(({ expiresAtUs }) => expiresAtUs + this.terms.graceUs > nowUs);
+      if (left.length > 0) this.allotments.set(incarnation, left);
+      else this.allotments.delete(incarnation);
     });
   };
 }
 
 /** A renewal that was lost leaves the old lease in force, so the largest one counts. */
-const outstanding = (rows: readonly Allotment[]): number =>
-  rows.reduce((most, { share }) => Math.max(most, share), 0);
+const largestOf = (rows: readonly Allotment[]): number =>
+  rows.reduce((largest, { share }) => Math.max(largest, share), 0);
--- /dev/null
+++ b/src/quota/rate-allocator.ts
@@ -0,0 +1,48 @@
+/** Allocates shares of all rates to nodes, at the controller that holds the leader lease. */
+import type { Clock } from "../common/clock.js";
+import { LeaseAllocator } from "./lease-allocator.js";
+import { NODE_KIND } from "./quota-codec.js";
+
+/** How long a share is leased for, in microseconds. */
+export const RATE_LEASE_US = 3_000_000;
+/** A node that has not asked for so long no longer counts when the rate is divided. */
+const ACTIVE_US = 2_000_000;
+
+/** Divides the rates into equal shares of the caches, or of the gateways while no cache asks. */
+export class RateAllocator {
+  private readonly active = new Map<string, { readonly kind: string; readonly askedUs: number }>();
+  private readonly allocator: LeaseAllocator;
+
+  constructor(private readonly clock: Clock) {
+    this.allocator = new LeaseAllocator(clock, { durationUs: RATE_LEASE_US, graceUs: 0 });
+  }
+
+  /** Called whenever the leader lease is not held here. */
+  readonly reset = (): void => {
+    this.allocator.reset();
+    this.active.clear();
+  };
+
+  /**
+   * Leases a share to one incarnation of a node, for `RATE_LEASE_US` from now.
+   *
+   * @param kind - one of `NODE_KIND`
+   * @param held - the share that it has
+   * @returns the share, from 0 to 1
+   */
+  readonly allocate = (incarnation: string, kind: string, held: number): number => {
+    const nowUs = this.clock.nowUs();
+    this.active.set(incarnation, { kind, askedUs: nowUs });
+    this.active.forEach(({ askedUs }, other) => {
+      if (nowUs - askedUs >= ACTIVE_US) this.active.delete(other);
+    });
+    return this.allocator.allocate(incarnation, this.equalShare(kind), held, 1);
+  };
+
+  private readonly equalShare = (kind: string): number => {
+    const nodes = [...this.active.values()];
+    const caches = nodes.filter((other) => other.kind === NODE_KIND.cache).length;
+    if (kind === NODE_KIND.cache) return 1 / Math.max(1, caches);
+    return caches > 0 ? 0 : 1 / Math.max(1, nodes.length);
+  };
+}
--- a/src/quota/retry-limits.ts
+++ b/src/quota/retry-limits.ts
@@ -1,13 +1,17 @@
+/** The limits of retries over the whole fleet, by service and kind of route: form, defaults, checks and changes. */
 import convict from "convict";
 import { err, ok, type Result } from "true-myth/result";
 import { isRecord, type UnknownRecord } from "../common/decode.js";
 
+/** The kinds of routes, by what a repeated request may do. */
 export const ROUTE_KINDS = ["safe", "unsafe", "keyed", "cached"] as const;
+/** One of `ROUTE_KINDS`. */
 export type RouteKind = (typeof ROUTE_KINDS)[number];
 
+/** Whether a value is a kind of route. */
 export const isRouteKind = (value: unknown): value is RouteKind =>
   ROUTE_KINDS.some((kind) => kind === value);
-/** What can't be told to be repeatable is treated as what can't be. */
+/** Reads a kind of route. An unknown one is treated as unsafe, which allows least. */
 export const toRouteKind = (value: string): RouteKind => (isRouteKind(value) ? value : "unsafe");
 
 /** Over all nodes, in any window, the retries of one kind at a service stay within ratio x its requests + slack. */
@@ -16,24 +20,26 @@
   readonly slack: number;
 }
 
-/** Of a ratio by the nodes, and of a slack by who leases it out, so much is used: windows slide in steps, and nodes come and go. */
+/** The part of a ratio that nodes use, and of a slack that is leased out: windows slide in steps, and nodes come and go. */
 export const USED_FRACTION = 0.8;
 
-/** What no limit may pass: the deployment's own bound for a service, over all kinds. */
+/** What no limit may exceed: the deployment's own maximum for a service, over all kinds. */
 export interface RetryMaximum {
   readonly ratio: number;
   readonly slack: number;
   readonly windowUs: number;
 }
 
+/** The limits of one service, by kind of route. */
 export type KindLimits = Readonly<Record<RouteKind, RetryLimit>>;
 
-/** Invariant: holds EVERY_SERVICE, whose limits stand for each service that has none of its own. */
+/** Invariant: holds EVERY_SERVICE, whose limits apply to each service that has none of its own. */
 export type RetryLimits = Readonly<Record<string, KindLimits>>;
 
+/** The key of the limits for services that have none of their own. */
 export const EVERY_SERVICE = "*";
 
-/** Half of the ratio, and a small part of the slack, for what may charge a family twice. */
+/** The limits before any are written: half of the ratio, and a small part of the slack, where a repeat may do harm. */
 export const defaultLimits = ({ ratio, slack }: RetryMaximum): RetryLimits => ({
   [EVERY_SERVICE]: {
     safe: { ratio, slack: slack * 0.6 },
@@ -43,6 +49,7 @@
   },
 });
 
+/** The limit in force for a service and kind; 0 where there are no limits. */
 export const findLimit = (limits: RetryLimits, service: string, kind: RouteKind): RetryLimit => {
   const own = limits[service] ?? limits[EVERY_SERVICE];
   return own?.[kind] ?? { ratio: 0, slack: 0 };
@@ -73,6 +80,11 @@
   cached: readLimit(value["cached"]),
 });
 
+/**
+ * Reads limits as they are written and delivered.
+ *
+ * @throws if a ratio or slack is not a number of 0 or more
+ */
 export const readRetryLimits = (value: unknown): RetryLimits => {
   const record = isRecord(value) ? value : {};
   return Object.fromEntries(
@@ -83,10 +95,10 @@
   );
 };
 
-/** One service's or every service's limit of one kind changed; or a sentence on what is wrong with it. */
+/** Changes the limit of one kind, of one service or of every service; or a sentence on what is wrong with it. */
 export const withLimit = (
   limits: RetryLimits,
-  ceiling: RetryMaximum,
+  maximum: RetryMaximum,
   service: string,
   kind: string,
   value: UnknownRecord,
@@ -102,13 +114,13 @@
   if (!before) return err("there are no limits yet");
   const kinds: KindLimits = { ...before, [kind]: limit };
   const slacks = ROUTE_KINDS.reduce((sum, one) => sum + kinds[one].slack, 0);
-  if (limit.ratio > ceiling.ratio)
-    return err(`a ratio of ${limit.ratio} is above the deployment's ${ceiling.ratio}`);
-  if (slacks > ceiling.slack * (1 + 1e-9))
+  if (limit.ratio > maximum.ratio)
+    return err(`a ratio of ${limit.ratio} is above the deployment's ${maximum.ratio}`);
+  if (slacks > maximum.slack * (1 + 1e-9))
     return err(
-      `the slacks of all kinds add up to ${slacks}, above the deployment's ${ceiling.slack}`,
+      `the slacks of all kinds add up to ${slacks}, above the deployment's ${maximum.slack}`,
     );
-  const loose = (["unsafe", "keyed"] as const).find((one) => kinds[one].ratio > kinds.safe.ratio);
-  if (loose) return err(`the ratio of ${loose} is above that of safe, which may be repeated`);
+  const tooHigh = (["unsafe", "keyed"] as const).find((one) => kinds[one].ratio > kinds.safe.ratio);
+  if (tooHigh) return err(`the ratio of ${tooHigh} is above that of safe, which may be repeated`);
   return ok({ ...limits, [service]: kinds });
 };
