--- a/features/steps/answers.ts
+++ b/features/steps/answers.ts
@@ -1,9 +1,14 @@
 import assert from "node:assert/strict";
 import type { Socket } from "node:net";
 import { After, Given, Then, When } from "@cucumber/cucumber";
-import { RawCaller, type Told } from "../../fuzz/raw-caller.js";
-import { planOf, Rig, TRIES } from "../../fuzz/rig.js";
-import { answerOf, ScriptedWorker, type Arrival, type Script } from "../../fuzz/scripted-worker.js";
+import { RawClient, type ClientResponse } from "../../fuzz/raw-client.js";
+import { configurationOf, ProxyHarness, MAX_TRIES } from "../../fuzz/proxy-harness.js";
+import {
+  responseBytes,
+  ScriptedWorker,
+  type WorkerRequest,
+  type Script,
+} from "../../fuzz/scripted-worker.js";
 import { PeerCaches } from "../../src/cache/peer-caches.js";
 import { ObjectClient } from "../../src/cache/object-client.js";
 import { OriginFetcher } from "../../src/cache/origin-fetch.js";
@@ -19,29 +24,29 @@
 const LEFT = { "Yewreel-Time-Left-Ms": "2500" };
 const PROMISES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
-let rig: Rig;
+let harness: ProxyHarness;
 let workers: ScriptedWorker[] = [];
 let tries = 0;
-let told: Told | undefined;
+let response: ClientResponse | undefined;
 
-const own = (arrival: Arrival, body = `ran ${arrival.tryId}`): string =>
-  answerOf(
+const own = (request: WorkerRequest, body = `ran ${request.attemptId}`): string =>
+  responseBytes(
     200,
     {
-      "Yewreel-Try-Id": arrival.tryId,
-      "Yewreel-Server-Seal": `s.${arrival.worker}.${arrival.tryId}`,
+      "Yewreel-Try-Id": request.attemptId,
+      "Yewreel-Server-Seal": `s.${request.worker}.${request.attemptId}`,
     },
     body,
   );
 
-const newRig = async (plan = planOf()): Promise<void> => {
-  rig = new Rig({ plan });
+const newRig = async (plan = configurationOf()): Promise<void> => {
+  harness = new ProxyHarness({ configuration: plan });
   workers = [];
-  await rig.start();
+  await harness.start();
 };
 const join = async (worker: ScriptedWorker): Promise<ScriptedWorker> => {
   workers.push(worker);
-  await rig.join(worker);
+  await harness.join(worker);
   return worker;
 };
 const first = (): ScriptedWorker => {
@@ -49,26 +54,28 @@
   assert.ok(worker);
   return worker;
 };
-const arrivalsOf = (tryId: string): readonly Arrival[] =>
-  workers.flatMap(({ arrivals }) => arrivals).filter((arrival) => arrival.tryId === tryId);
+const arrivalsOf = (attemptId: string): readonly WorkerRequest[] =>
+  workers
+    .flatMap(({ requests: arrivals }) => arrivals)
+    .filter((request) => request.attemptId === attemptId);
 
 const ask = async (
   method: string,
   path: string,
   body = "",
   headers: Readonly<Record<string, string>> = {},
-): Promise<Told | undefined> => {
+): Promise<ClientResponse | undefined> => {
   tries += 1;
-  const caller = new RawCaller(rig.host, rig.port);
-  caller.send(method, path, { "Yewreel-Try-Id": `t-${tries}`, ...LEFT, ...headers }, body);
-  await rig.until(() => caller.told.length > 0 || caller.isClosed);
-  caller.socket.destroy();
-  return caller.told[0];
+  const client = new RawClient(harness.host, harness.port);
+  client.send(method, path, { "Yewreel-Try-Id": `t-${tries}`, ...LEFT, ...headers }, body);
+  await harness.until(() => client.responses.length > 0 || client.isClosed);
+  client.socket.destroy();
+  return client.responses[0];
 };
 
 After({ tags: "not @none" }, async () => {
   if (workers.length === 0) return;
-  rig.stop();
+  harness.stop();
   workers.forEach((worker) => worker.stop());
   workers = [];
   await settle();
@@ -77,196 +84,203 @@
 Given("a front and a worker that keeps its connections", async () => {
   await newRig();
   await join(
-    new ScriptedWorker("w1", { onRequest: (arrival, socket) => void socket.write(own(arrival)) }),
+    new ScriptedWorker("w1", { onRequest: (request, socket) => void socket.write(own(request)) }),
   );
 });
 Given("another worker that answers well", async () => {
   await join(
-    new ScriptedWorker("w2", { onRequest: (arrival, socket) => void socket.write(own(arrival)) }),
+    new ScriptedWorker("w2", { onRequest: (request, socket) => void socket.write(own(request)) }),
   );
 });
 
 When(
   /^on a kept connection the worker runs an order and a late (\d+)( with Not-Run)? (?:and|with) (another try's|no) id comes first$/,
   async (status: string, notRun: string | null, whose: string) => {
-    for (let at = 0; at < 40 && first().arrivals.length === 0; at += 1) await ask("GET", "/safe/x");
+    for (let at = 0; at < 40 && first().requests.length === 0; at += 1) await ask("GET", "/safe/x");
     assert.equal(first().bytes.length, 1);
-    const late = answerOf(Number(status), {
+    const late = responseBytes(Number(status), {
       ...(whose === "no" ? {} : { "Yewreel-Try-Id": "somebody-else" }),
       ...(notRun === null ? {} : { "Yewreel-Not-Run": "1" }),
     });
     first().script = {
-      onRequest: (arrival, socket) =>
-        void socket.write(arrival.method === "POST" ? late + own(arrival) : own(arrival)),
+      onRequest: (request, socket) =>
+        void socket.write(request.method === "POST" ? late + own(request) : own(request)),
     };
-    for (let at = 0; at < 40 && !first().arrivals.some(({ method }) => method === "POST"); at += 1)
-      told = await ask("POST", "/unsafe/x", "an order");
-    const [order] = first().arrivals.filter(({ method }) => method === "POST");
-    assert.deepEqual([order?.tryId, order?.connection], [`t-${tries}`, 1]);
+    for (let at = 0; at < 40 && !first().requests.some(({ method }) => method === "POST"); at += 1)
+      response = await ask("POST", "/unsafe/x", "an order");
+    const [order] = first().requests.filter(({ method }) => method === "POST");
+    assert.deepEqual([order?.attemptId, order?.connection], [`t-${tries}`, 1]);
   },
 );
-Then("the order's caller is told {int}", (status: number) => assert.equal(told?.status, status));
+Then("the order's caller is told {int}", (status: number) =>
+  assert.equal(response?.status, status),
+);
 Then("the order ran once, and no promise was given for it", () => {
   assert.equal(arrivalsOf(`t-${tries}`).length, 1);
-  assert.ok(told && !PROMISES.has(told.status));
+  assert.ok(response && !PROMISES.has(response.status));
 });
-Then("the worker is still known", () => assert.ok(rig.pool.all().some(({ id }) => id === "w1")));
+Then("the worker is still known", () =>
+  assert.ok(harness.pool.all().some(({ id }) => id === "w1")),
+);
 
-const ID = (arrival: Arrival): Readonly<Record<string, string>> => ({
-  "Yewreel-Try-Id": arrival.tryId,
+const ID = (request: WorkerRequest): Readonly<Record<string, string>> => ({
+  "Yewreel-Try-Id": request.attemptId,
 });
-const SEALED = (arrival: Arrival): Readonly<Record<string, string>> => ({
-  ...ID(arrival),
-  "Yewreel-Server-Seal": `s.${arrival.worker}.${arrival.tryId}`,
+const SEALED = (request: WorkerRequest): Readonly<Record<string, string>> => ({
+  ...ID(request),
+  "Yewreel-Server-Seal": `s.${request.worker}.${request.attemptId}`,
 });
 const NOT_RUN = { "Yewreel-Not-Run": "1" };
 
 /** How a worker's socket is to act on an order, by the words of the feature. */
-const ODD: Readonly<Record<string, (arrival: Arrival, socket: Socket) => void>> = {
-  "a 500 with a seal": (arrival, socket) =>
-    void socket.write(answerOf(500, SEALED(arrival), "it failed")),
-  "a 404 with a seal": (arrival, socket) =>
-    void socket.write(answerOf(404, SEALED(arrival), "not here")),
-  "a 204": (arrival, socket) =>
-    void socket.write(answerOf(204, { ...SEALED(arrival), "Content-Length": undefined })),
-  "a whole answer that closes": (arrival, socket) =>
-    void socket.end(own(arrival).replace("Content-Length", "Connection: close\r\nContent-Length")),
-  "a whole answer that closes, and more bytes": (arrival, socket) =>
+const ODD: Readonly<Record<string, (arrival: WorkerRequest, socket: Socket) => void>> = {
+  "a 500 with a seal": (request, socket) =>
+    void socket.write(responseBytes(500, SEALED(request), "it failed")),
+  "a 404 with a seal": (request, socket) =>
+    void socket.write(responseBytes(404, SEALED(request), "not here")),
+  "a 204": (request, socket) =>
+    void socket.write(responseBytes(204, { ...SEALED(request), "Content-Length": undefined })),
+  "a whole answer that closes": (request, socket) =>
+    void socket.end(own(request).replace("Content-Length", "Connection: close\r\nContent-Length")),
+  "a whole answer that closes, and more bytes": (request, socket) =>
     void socket.write(
-      own(arrival).replace("Content-Length", "Connection: close\r\nContent-Length") +
-        own(arrival, "MORE"),
+      own(request).replace("Content-Length", "Connection: close\r\nContent-Length") +
+        own(request, "MORE"),
     ),
-  "a whole answer, and an extra one right behind it": (arrival, socket) =>
-    void socket.write(own(arrival) + own({ ...arrival, tryId: "extra" }, "EXTRA")),
-  "a whole answer, and an extra one a moment later": (arrival, socket) => {
-    socket.write(own(arrival));
-    void settle(4).then(() => socket.write(own({ ...arrival, tryId: "extra" }, "EXTRA")));
+  "a whole answer, and an extra one right behind it": (request, socket) =>
+    void socket.write(own(request) + own({ ...request, attemptId: "extra" }, "EXTRA")),
+  "a whole answer, and an extra one a moment later": (request, socket) => {
+    socket.write(own(request));
+    void settle(4).then(() => socket.write(own({ ...request, attemptId: "extra" }, "EXTRA")));
   },
-  "a whole answer, and bytes of no protocol later": (arrival, socket) => {
-    socket.write(own(arrival));
+  "a whole answer, and bytes of no protocol later": (request, socket) => {
+    socket.write(own(request));
     void settle(4).then(() => socket.write("\u0001\u0002\r\n\r\n"));
   },
-  "a 103 and then a whole answer": (arrival, socket) =>
-    void socket.write(`HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n${own(arrival)}`),
-  "a whole answer in small pieces": (arrival, socket) => {
-    const bytes = own(arrival);
+  "a 103 and then a whole answer": (request, socket) =>
+    void socket.write(`HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n${own(request)}`),
+  "a whole answer in small pieces": (request, socket) => {
+    const bytes = own(request);
     for (let at = 0; at < bytes.length; at += 7)
       setImmediate(() => socket.write(bytes.slice(at, at + 7)));
   },
-  "a whole answer in chunks": (arrival, socket) =>
+  "a whole answer in chunks": (request, socket) =>
     void socket.write(
-      `${answerOf(200, { ...SEALED(arrival), "Content-Length": undefined, "Transfer-Encoding": "chunked" })}4\r\nran \r\n${arrival.tryId.length.toString(16)}\r\n${arrival.tryId}\r\n0\r\n\r\n`,
+      `${responseBytes(200, { ...SEALED(request), "Content-Length": undefined, "Transfer-Encoding": "chunked" })}4\r\nran \r\n${request.attemptId.length.toString(16)}\r\n${request.attemptId}\r\n0\r\n\r\n`,
+    ),
+  "a 503 with Not-Run": (request, socket) =>
+    void socket.write(responseBytes(503, { ...ID(request), ...NOT_RUN })),
+  "a 400 with Not-Run": (request, socket) =>
+    void socket.write(responseBytes(400, { ...ID(request), ...NOT_RUN })),
+  "a 429 with Not-Run and no length, closed": (request, socket) =>
+    void socket.end(
+      responseBytes(429, { ...ID(request), ...NOT_RUN, "Content-Length": undefined }),
     ),
-  "a 503 with Not-Run": (arrival, socket) =>
-    void socket.write(answerOf(503, { ...ID(arrival), ...NOT_RUN })),
-  "a 400 with Not-Run": (arrival, socket) =>
-    void socket.write(answerOf(400, { ...ID(arrival), ...NOT_RUN })),
-  "a 429 with Not-Run and no length, closed": (arrival, socket) =>
-    void socket.end(answerOf(429, { ...ID(arrival), ...NOT_RUN, "Content-Length": undefined })),
-  "a 421": (arrival, socket) => void socket.write(answerOf(421, ID(arrival))),
-  "a 503 with a seal": (arrival, socket) =>
-    void socket.write(answerOf(503, SEALED(arrival), "it ran, and failed")),
-  "a 429 without Not-Run": (arrival, socket) => void socket.write(answerOf(429, ID(arrival))),
-  "a 408 with a seal": (arrival, socket) => void socket.write(answerOf(408, SEALED(arrival))),
-  "a 200 with Not-Run": (arrival, socket) =>
-    void socket.write(answerOf(200, { ...SEALED(arrival), ...NOT_RUN }, "what now")),
-  "a 200 without a seal": (arrival, socket) =>
-    void socket.write(answerOf(200, ID(arrival), "whose")),
-  "a 200 with two ids": (arrival, socket) =>
+  "a 421": (request, socket) => void socket.write(responseBytes(421, ID(request))),
+  "a 503 with a seal": (request, socket) =>
+    void socket.write(responseBytes(503, SEALED(request), "it ran, and failed")),
+  "a 429 without Not-Run": (request, socket) => void socket.write(responseBytes(429, ID(request))),
+  "a 408 with a seal": (request, socket) => void socket.write(responseBytes(408, SEALED(request))),
+  "a 200 with Not-Run": (request, socket) =>
+    void socket.write(responseBytes(200, { ...SEALED(request), ...NOT_RUN }, "what now")),
+  "a 200 without a seal": (request, socket) =>
+    void socket.write(responseBytes(200, ID(request), "whose")),
+  "a 200 with two ids": (request, socket) =>
     void socket.write(
-      own(arrival).replace(
+      own(request).replace(
         "Yewreel-Server-Seal",
         "yewreel-try-id: somebody-else\r\nYewreel-Server-Seal",
       ),
     ),
-  "a 200 with an encoding": (arrival, socket) =>
-    void socket.write(answerOf(200, { ...SEALED(arrival), "Content-Encoding": "gzip" }, "x")),
-  "a 500 with another id": (arrival, socket) =>
-    void socket.write(answerOf(500, SEALED({ ...arrival, tryId: "somebody-else" }))),
-  "a 500 cut short": (arrival, socket) =>
-    void socket.end(answerOf(500, SEALED(arrival), "it failed").slice(0, -3)),
-  "a 200 cut short": (arrival, socket) => void socket.end(own(arrival).slice(0, -3)),
-  "a 503 with Not-Run cut short": (arrival, socket) =>
-    void socket.end(answerOf(503, { ...ID(arrival), ...NOT_RUN }, "turned away").slice(0, -3)),
-  "chunks cut short": (arrival, socket) =>
+  "a 200 with an encoding": (request, socket) =>
+    void socket.write(responseBytes(200, { ...SEALED(request), "Content-Encoding": "gzip" }, "x")),
+  "a 500 with another id": (request, socket) =>
+    void socket.write(responseBytes(500, SEALED({ ...request, attemptId: "somebody-else" }))),
+  "a 500 cut short": (request, socket) =>
+    void socket.end(responseBytes(500, SEALED(request), "it failed").slice(0, -3)),
+  "a 200 cut short": (request, socket) => void socket.end(own(request).slice(0, -3)),
+  "a 503 with Not-Run cut short": (request, socket) =>
+    void socket.end(responseBytes(503, { ...ID(request), ...NOT_RUN }, "turned away").slice(0, -3)),
+  "chunks cut short": (request, socket) =>
     void socket.end(
-      `${answerOf(200, { ...SEALED(arrival), "Content-Length": undefined, "Transfer-Encoding": "chunked" })}4\r\nran \r\n`,
+      `${responseBytes(200, { ...SEALED(request), "Content-Length": undefined, "Transfer-Encoding": "chunked" })}4\r\nran \r\n`,
     ),
-  "a body that ends with the connection": (arrival, socket) =>
+  "a body that ends with the connection": (request, socket) =>
     void socket.end(
-      answerOf(
+      responseBytes(
         200,
-        { ...SEALED(arrival), "Content-Length": undefined, Connection: "close" },
+        { ...SEALED(request), "Content-Length": undefined, Connection: "close" },
         "all of it?",
       ),
     ),
-  "an unknown transfer coding": (arrival, socket) =>
+  "an unknown transfer coding": (request, socket) =>
     void socket.end(
-      answerOf(
+      responseBytes(
         200,
-        { ...SEALED(arrival), "Content-Length": undefined, "Transfer-Encoding": "gzip" },
+        { ...SEALED(request), "Content-Length": undefined, "Transfer-Encoding": "gzip" },
         "all of it?",
       ),
     ),
-  "two lengths": (arrival, socket) =>
+  "two lengths": (request, socket) =>
     void socket.write(
-      own(arrival).replace("Content-Length", "Content-Length: 3\r\nContent-Length"),
+      own(request).replace("Content-Length", "Content-Length: 3\r\nContent-Length"),
     ),
-  "a 204 with a length and a body": (arrival, socket) =>
-    void socket.write(answerOf(204, SEALED(arrival), "a body")),
-  "a 304 with a length": (arrival, socket) =>
-    void socket.write(answerOf(304, { ...SEALED(arrival), "Content-Length": "9" })),
-  "a 100 that nobody asked for": (arrival, socket) =>
-    void socket.write(`HTTP/1.1 100 Continue\r\n\r\n${own(arrival)}`),
-  "a 101": (arrival, socket) =>
+  "a 204 with a length and a body": (request, socket) =>
+    void socket.write(responseBytes(204, SEALED(request), "a body")),
+  "a 304 with a length": (request, socket) =>
+    void socket.write(responseBytes(304, { ...SEALED(request), "Content-Length": "9" })),
+  "a 100 that nobody asked for": (request, socket) =>
+    void socket.write(`HTTP/1.1 100 Continue\r\n\r\n${own(request)}`),
+  "a 101": (request, socket) =>
     void socket.write(
-      `HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n${own(arrival)}`,
+      `HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n${own(request)}`,
     ),
-  "a head that is too large": (arrival, socket) =>
+  "a head that is too large": (request, socket) =>
     void socket.write(
-      own(arrival).replace("Content-Length", `X-Large: ${"x".repeat(70_000)}\r\nContent-Length`),
+      own(request).replace("Content-Length", `X-Large: ${"x".repeat(70_000)}\r\nContent-Length`),
     ),
 };
 
 /** Requests are sent until the first worker gets one of the method; which worker is chosen is not the test's business. */
 const untilFirstSees = async (method: string, path: string, body: string): Promise<void> => {
-  const before = first().arrivals.length;
+  const before = first().requests.length;
   for (
     let at = 0;
     at < 60 &&
     !first()
-      .arrivals.slice(before)
-      .some((arrival) => arrival.method === method);
+      .requests.slice(before)
+      .some((request) => request.method === method);
     at += 1
   )
-    told = await ask(method, path, body);
+    response = await ask(method, path, body);
   assert.ok(
     first()
-      .arrivals.slice(before)
-      .some((arrival) => arrival.method === method),
+      .requests.slice(before)
+      .some((request) => request.method === method),
     "the first worker was never asked",
   );
 };
 const whose = (): string => {
   const byWorker =
-    told?.seal === ""
-      ? arrivalsOf(told.tryId).some(({ worker }) => worker === "w1") && told.tryId !== ""
+    response?.seal === ""
+      ? arrivalsOf(response.attemptId).some(({ worker }) => worker === "w1") &&
+        response.attemptId !== ""
         ? "w1"
         : "front"
-      : (told?.seal.split(".")[1] ?? "");
+      : (response?.seal.split(".")[1] ?? "");
   return (
     { w1: "by the first worker", w2: "by the second worker", front: "by the front" }[byWorker] ??
     byWorker
   );
 };
-const sawOf = (worker: ScriptedWorker, tryId: string): boolean =>
-  worker.bytes.some((bytes) => bytes.includes(`${tryId}\r\n`));
+const sawOf = (worker: ScriptedWorker, attemptId: string): boolean =>
+  worker.bytes.some((bytes) => bytes.includes(`${attemptId}\r\n`));
 const checkTold = (): void => {
-  const tryId = `t-${tries}`;
-  const sawIt = workers.filter((worker) => sawOf(worker, tryId));
-  const ranIt = sawIt.filter((worker) => !turnedAway.has(`${worker.id} ${tryId}`));
+  const attemptId = `t-${tries}`;
+  const sawIt = workers.filter((worker) => sawOf(worker, attemptId));
+  const ranIt = sawIt.filter((worker) => !turnedAway.has(`${worker.id} ${attemptId}`));
   assert.ok(ranIt.length <= 1, `${ranIt.length} workers may have run it`);
-  if (told && PROMISES.has(told.status)) assert.deepEqual(ranIt, []);
+  if (response && PROMISES.has(response.status)) assert.deepEqual(ranIt, []);
 };
 /** Which worker has truly turned which try away. */
 const turnedAway = new Set<string>();
@@ -276,21 +290,22 @@
   assert.ok(act, `no such answer: ${odd}`);
   const isAway = /Not-Run|421/.test(odd) && !/200 with|without/.test(odd);
   first().script = {
-    onRequest: (arrival, socket) => {
-      if (arrival.method !== "POST") return void socket.write(own(arrival));
-      if (isAway) turnedAway.add(`w1 ${arrival.tryId}`);
-      act(arrival, socket);
+    onRequest: (request, socket) => {
+      if (request.method !== "POST") return void socket.write(own(request));
+      if (isAway) turnedAway.add(`w1 ${request.attemptId}`);
+      act(request, socket);
     },
   };
   await untilFirstSees("POST", "/unsafe/x", "an order");
 });
 Then(
   /^the order's caller is told (\d+) (by the [a-z]+(?: worker)?)$/,
-  (status: string, who: string) => assert.deepEqual([told?.status, whose()], [Number(status), who]),
+  (status: string, who: string) =>
+    assert.deepEqual([response?.status, whose()], [Number(status), who]),
 );
 /** A reset may or may not come before the first byte leaves; either way what is told must be true. */
 Then("the order's caller is told 502 or 200 by the front or the second worker", () =>
-  assert.ok(whose() === (told?.status === 502 ? "by the front" : "by the second worker")),
+  assert.ok(whose() === (response?.status === 502 ? "by the front" : "by the second worker")),
 );
 Then(
   /^the order was sent (once|to both), and what is told is true of what the workers saw$/,
@@ -302,20 +317,23 @@
 Then("what is told is true of what the workers saw", checkTold);
 Then("the next requests get their own answers, whole", async () => {
   for (let at = 0; at < 6; at += 1) {
-    told = await ask("GET", "/safe/x");
+    response = await ask("GET", "/safe/x");
     assert.deepEqual(
-      [told?.status, told?.tryId, told?.body],
+      [response?.status, response?.attemptId, response?.body],
       [200, `t-${tries}`, `ran t-${tries}`],
     );
   }
 });
 
 When("the worker answers a HEAD with a body", async () => {
-  first().script = { onRequest: (arrival, socket) => void socket.write(own(arrival)) };
-  told = await ask("HEAD", "/safe/x");
+  first().script = { onRequest: (request, socket) => void socket.write(own(request)) };
+  response = await ask("HEAD", "/safe/x");
 });
 Then("the HEAD is told 200 and no body", () =>
-  assert.deepEqual([told?.status, told?.body, first().arrivals[0]?.method], [200, "", "HEAD"]),
+  assert.deepEqual(
+    [response?.status, response?.body, first().requests[0]?.method],
+    [200, "", "HEAD"],
+  ),
 );
 
 const LONG = "x".repeat(400_000);
@@ -328,14 +346,14 @@
   "amid a long body": { onHead: (_head, socket) => void socket.resetAndDestroy() },
   "after the body": { onRequest: (_arrival, socket) => void socket.resetAndDestroy() },
   "amid the answer's head": {
-    onRequest: (arrival, socket) => {
-      socket.write(own(arrival).slice(0, 60));
+    onRequest: (request, socket) => {
+      socket.write(own(request).slice(0, 60));
       void settle(4).then(() => socket.resetAndDestroy());
     },
   },
   "amid the answer's body": {
-    onRequest: (arrival, socket) => {
-      socket.write(own(arrival).slice(0, -2));
+    onRequest: (request, socket) => {
+      socket.write(own(request).slice(0, -2));
       void settle(4).then(() => socket.resetAndDestroy());
     },
   },
@@ -345,7 +363,7 @@
   if (moment === "before it is up") {
     first().stop();
     for (let at = 0; at < 20; at += 1) {
-      told = await ask("POST", "/unsafe/x", body);
+      response = await ask("POST", "/unsafe/x", body);
       checkTold();
     }
     return;
@@ -355,7 +373,7 @@
     first().stop();
     await settle();
     await first().start();
-    rig.updates.post([
+    harness.updates.post([
       {
         key: `${WORKER_PREFIX}w1`,
         version: 2,
@@ -384,7 +402,7 @@
     },
   };
   for (let at = 0; at < 60 && connections === 0; at += 1)
-    told = await ask("POST", "/unsafe/x", body);
+    response = await ask("POST", "/unsafe/x", body);
   assert.ok(connections > 0, "the first worker was never asked");
 });
 
@@ -397,32 +415,35 @@
           head.method === "GET"
             ? ""
             : early === "a 503 with Not-Run"
-              ? answerOf(503, { ...ID({ ...head, body: "" }), ...NOT_RUN })
-              : answerOf(413, SEALED({ ...head, body: "" }), "too large"),
+              ? responseBytes(503, { ...ID({ ...head, body: "" }), ...NOT_RUN })
+              : responseBytes(413, SEALED({ ...head, body: "" }), "too large"),
         ),
-      onRequest: (arrival, socket) => void (arrival.method === "GET" && socket.write(own(arrival))),
+      onRequest: (request, socket) => void (request.method === "GET" && socket.write(own(request))),
     };
     tries += 1;
-    caller = new RawCaller(rig.host, rig.port);
+    caller = new RawClient(harness.host, harness.port);
     caller.send("POST", "/unsafe/x", { "Yewreel-Try-Id": `t-${tries}`, ...LEFT }, LONG);
-    await rig.until(() => caller?.told.length === 1 || caller?.isClosed === true);
-    told = caller.told[0];
+    await harness.until(() => caller?.responses.length === 1 || caller?.isClosed === true);
+    response = caller.responses[0];
   },
 );
-let caller: RawCaller | undefined;
+let caller: RawClient | undefined;
 Then("the caller's connection serves another request", async () => {
   tries += 1;
   caller?.send("GET", "/safe/x", { "Yewreel-Try-Id": `t-${tries}`, ...LEFT });
-  await rig.until(() => caller?.told.length === 2 || caller?.isClosed === true);
-  assert.deepEqual([caller?.told[1]?.status, caller?.told[1]?.body], [200, `ran t-${tries}`]);
+  await harness.until(() => caller?.responses.length === 2 || caller?.isClosed === true);
+  assert.deepEqual(
+    [caller?.responses[1]?.status, caller?.responses[1]?.body],
+    [200, `ran t-${tries}`],
+  );
   caller?.socket.destroy();
 });
 
 When("an order comes without an id", async () => {
-  caller = new RawCaller(rig.host, rig.port);
+  caller = new RawClient(harness.host, harness.port);
   caller.send("POST", "/unsafe/x", LEFT, "an order");
-  await rig.until(() => caller?.told.length === 1 || caller?.isClosed === true);
-  told = caller.told[0];
+  await harness.until(() => caller?.responses.length === 1 || caller?.isClosed === true);
+  response = caller.responses[0];
   caller.socket.destroy();
 });
 Then("no worker saw an order", () =>
@@ -432,27 +453,27 @@
   ),
 );
 When("a caller sends a request of the method {string}", async (method: string) => {
-  told = await ask(method, "/safe/x");
+  response = await ask(method, "/safe/x");
 });
 Then("the worker saw the method {string}", (method: string) =>
   assert.deepEqual(
-    first().arrivals.map((arrival) => arrival.method),
+    first().requests.map((request) => request.method),
     [method],
   ),
 );
 When("a caller sends a request with two hosts", async () => {
-  caller = new RawCaller(rig.host, rig.port);
+  caller = new RawClient(harness.host, harness.port);
   caller.expect("GET");
   caller.write(
     "GET /safe/x HTTP/1.1\r\nHost: a.example\r\nHost: b.example\r\nYewreel-Try-Id: t-hosts\r\nYewreel-Time-Left-Ms: 2000\r\n\r\n",
   );
-  await rig.until(() => caller?.told.length === 1 || caller?.isClosed === true);
-  told = caller.told[0];
+  await harness.until(() => caller?.responses.length === 1 || caller?.isClosed === true);
+  response = caller.responses[0];
   caller.socket.destroy();
 });
 Then("no worker is shunned", () =>
   assert.deepEqual(
-    rig.pool.all().filter((worker) => worker.isShunned()),
+    harness.pool.all().filter((worker) => worker.isShunned()),
     [],
   ),
 );
@@ -461,27 +482,27 @@
   first().script = {};
 });
 When("a caller sends a read and an order behind it, and resets the connection", async () => {
-  const leaver = new RawCaller(rig.host, rig.port);
+  const leaver = new RawClient(harness.host, harness.port);
   leaver.send("GET", "/safe/x", { "Yewreel-Try-Id": "t-read", ...LEFT });
   leaver.send("POST", "/unsafe/x", { "Yewreel-Try-Id": "t-order", ...LEFT }, "an order");
-  await rig.until(() => first().arrivals.length > 0);
+  await harness.until(() => first().requests.length > 0);
   leaver.socket.resetAndDestroy();
   await settle();
-  await rig.clock.pass(100_000);
+  await harness.clock.pass(100_000);
 });
 Then("nothing is open any more", async () => {
   await settle();
   assert.deepEqual(
-    [rig.front.openRequests, ...rig.pool.all().map(({ own: calls }) => calls)],
-    [0, ...rig.pool.all().map(() => 0)],
+    [harness.proxy.openRequests, ...harness.pool.all().map(({ own: calls }) => calls)],
+    [0, ...harness.pool.all().map(() => 0)],
   );
 });
 When("a caller leaves amid a large answer", async () => {
   const body = "y".repeat(8_000_000);
-  first().script = { onRequest: (arrival, socket) => void socket.write(own(arrival, body)) };
-  const leaver = new RawCaller(rig.host, rig.port);
+  first().script = { onRequest: (request, socket) => void socket.write(own(request, body)) };
+  const leaver = new RawClient(harness.host, harness.port);
   leaver.send("GET", "/safe/x", { "Yewreel-Try-Id": "t-leaver", ...LEFT });
-  await rig.until(() => leaver.held.length > 0);
+  await harness.until(() => leaver.unread.length > 0);
   leaver.socket.pause();
   await settle();
   leaver.socket.destroy();
@@ -494,7 +515,7 @@
   workers.flatMap(({ bytes }) => bytes).reduce((sum, bytes) => sum + bytes.length, 0);
 When(/^the front stands still beyond the deadline (.*)$/, async (moment: string) => {
   tries += 1;
-  caller = new RawCaller(rig.host, rig.port);
+  caller = new RawClient(harness.host, harness.port);
   const order = () =>
     caller?.send("POST", "/unsafe/x", { "Yewreel-Try-Id": `t-${tries}`, ...LEFT }, "an order");
   if (moment.includes("lies unread")) {
@@ -503,13 +524,13 @@
     sentBefore = bytesSeen();
     order();
     caller.socket.end();
-    rig.leaping.leap(9_000_000);
+    harness.skippingClock.skip(9_000_000);
   } else if (moment.includes("a connection comes up")) {
     sentBefore = bytesSeen();
     let isBegun = false;
-    rig.onCall = () => {
+    harness.onAttempt = () => {
       isBegun = true;
-      rig.leaping.leap(9_000_000);
+      harness.skippingClock.skip(9_000_000);
     };
     order();
     await untilTurn(() => isBegun);
@@ -517,15 +538,15 @@
     let answer: (() => void) | undefined;
     workers.forEach((worker) => {
       worker.script = {
-        onRequest: (arrival, socket) => {
-          answer = () => void socket.write(answerOf(503, { ...ID(arrival), ...NOT_RUN }));
+        onRequest: (request, socket) => {
+          answer = () => void socket.write(responseBytes(503, { ...ID(request), ...NOT_RUN }));
         },
       };
     });
     order();
     await untilTurn(() => answer !== undefined);
     sentBefore = bytesSeen();
-    rig.leaping.leap(9_000_000);
+    harness.skippingClock.skip(9_000_000);
     answer?.();
   }
   await settle(40);
@@ -537,12 +558,12 @@
 };
 Then("nothing is sent for the order after that", async () => {
   assert.equal(bytesSeen(), sentBefore);
-  await rig.clock.pass(5_000_000);
+  await harness.clock.pass(5_000_000);
   assert.equal(bytesSeen(), sentBefore);
 });
 Then("the order's caller is told {int}, or has left", (status: number) => {
   assert.ok(caller);
-  if (!caller.socket.writableEnded) assert.equal(caller.told[0]?.status, status);
+  if (!caller.socket.writableEnded) assert.equal(caller.responses[0]?.status, status);
   caller.socket.destroy();
 });
 
@@ -554,10 +575,12 @@
       refuses: {},
       resets: { onRequest: (_arrival, socket) => void socket.resetAndDestroy() },
       full: {
-        onRequest: (arrival, socket) =>
-          void socket.write(answerOf(503, { ...ID(arrival), ...NOT_RUN })),
+        onRequest: (request, socket) =>
+          void socket.write(responseBytes(503, { ...ID(request), ...NOT_RUN })),
+      },
+      fails: {
+        onRequest: (request, socket) => void socket.write(responseBytes(500, SEALED(request))),
       },
-      fails: { onRequest: (arrival, socket) => void socket.write(answerOf(500, SEALED(arrival))) },
       silent: {},
     };
     for (const [name, script] of Object.entries(scripts)) {
@@ -574,8 +597,8 @@
 Then("no try was seen by more than {int} workers", (most: number) => {
   const seen = new Map<string, Set<string>>();
   workers.forEach((worker) =>
-    worker.arrivals.forEach(({ tryId }) =>
-      seen.set(tryId, (seen.get(tryId) ?? new Set()).add(worker.id)),
+    worker.requests.forEach(({ attemptId }) =>
+      seen.set(attemptId, (seen.get(attemptId) ?? new Set()).add(worker.id)),
     ),
   );
   const counts = [...seen.values()].map((ids) => ids.size);
@@ -587,14 +610,14 @@
   async (what: string) => {
     let act: (() => void) | undefined;
     first().script = {
-      onRequest: (arrival, socket) => {
+      onRequest: (request, socket) => {
         act = () =>
           void (what === " turns it away"
-            ? socket.write(answerOf(503, { ...ID(arrival), ...NOT_RUN }))
+            ? socket.write(responseBytes(503, { ...ID(request), ...NOT_RUN }))
             : socket.resetAndDestroy());
       },
     };
-    const leaver = new RawCaller(rig.host, rig.port);
+    const leaver = new RawClient(harness.host, harness.port);
     tries += 1;
     leaver.send(
       "POST",
@@ -602,54 +625,55 @@
       { "Yewreel-Try-Id": `t-${tries}`, "Yewreel-Operation-Key": "k", ...LEFT },
       "an order",
     );
-    await rig.until(() => act !== undefined);
+    await harness.until(() => act !== undefined);
     leaver.socket.destroy();
-    await rig.clock.pass(10_000);
+    await harness.clock.pass(10_000);
     act?.();
-    await rig.clock.pass(10_000);
+    await harness.clock.pass(10_000);
   },
 );
-Then("the key is free", () => assert.equal(rig.book.claims.size, 0));
-Then("the key is not free", () => assert.equal(rig.book.claims.size, 1));
+Then("the key is free", () => assert.equal(harness.keyService.claims.size, 0));
+Then("the key is not free", () => assert.equal(harness.keyService.claims.size, 1));
 
 When("a keyed order is turned away {int} s after its key was claimed", async (seconds: number) => {
-  await newRig(planOf(TRIES, (kind) => kind, 20_000_000));
+  await newRig(configurationOf(MAX_TRIES, (kind) => kind, 20_000_000));
   const script: Script = {
-    onRequest: (arrival, socket) =>
-      void rig.clock.after(seconds * 1_000_000, () =>
-        socket.write(answerOf(503, { ...ID(arrival), ...NOT_RUN })),
+    onRequest: (request, socket) =>
+      void harness.clock.after(seconds * 1_000_000, () =>
+        socket.write(responseBytes(503, { ...ID(request), ...NOT_RUN })),
       ),
   };
   for (const id of ["w1", "w2"]) await join(new ScriptedWorker(id, script));
-  told = await ask("POST", "/keyed/x", "an order", {
+  response = await ask("POST", "/keyed/x", "an order", {
     "Yewreel-Operation-Key": "k",
     "Yewreel-Time-Left-Ms": "20000",
   });
 });
 Then("{int} worker(s) saw it, and it is told 503", (count: number) =>
-  assert.deepEqual([arrivalsOf(`t-${tries}`).length, told?.status], [count, 503]),
+  assert.deepEqual([arrivalsOf(`t-${tries}`).length, response?.status], [count, 503]),
 );
 
 const OBJECT = "o".repeat(300_000);
-const ODD_READS: Readonly<Record<string, (arrival: Arrival, socket: Socket) => void>> = {
+const ODD_READS: Readonly<Record<string, (arrival: WorkerRequest, socket: Socket) => void>> = {
   "a 503 with Not-Run and another's id": (_arrival, socket) =>
-    void socket.write(answerOf(503, { "Yewreel-Try-Id": "somebody-else", ...NOT_RUN })),
+    void socket.write(responseBytes(503, { "Yewreel-Try-Id": "somebody-else", ...NOT_RUN })),
   "a 421 with another's id": (_arrival, socket) =>
-    void socket.write(answerOf(421, { "Yewreel-Try-Id": "somebody-else" })),
-  "a 200 with another's id": (arrival, socket) =>
-    void socket.write(own({ ...arrival, tryId: "somebody-else" })),
-  "a 503 with Not-Run and no id": (_arrival, socket) => void socket.write(answerOf(503, NOT_RUN)),
-  "a 421 and no id": (_arrival, socket) => void socket.write(answerOf(421, {})),
-  "a large body that stalls": (arrival, socket) =>
-    void socket.write(own(arrival, OBJECT).slice(0, -5)),
-  "a large body cut short": (arrival, socket) => void socket.end(own(arrival, OBJECT).slice(0, -5)),
+    void socket.write(responseBytes(421, { "Yewreel-Try-Id": "somebody-else" })),
+  "a 200 with another's id": (request, socket) =>
+    void socket.write(own({ ...request, attemptId: "somebody-else" })),
+  "a 503 with Not-Run and no id": (_arrival, socket) =>
+    void socket.write(responseBytes(503, NOT_RUN)),
+  "a 421 and no id": (_arrival, socket) => void socket.write(responseBytes(421, {})),
+  "a large body that stalls": (request, socket) =>
+    void socket.write(own(request, OBJECT).slice(0, -5)),
+  "a large body cut short": (request, socket) => void socket.end(own(request, OBJECT).slice(0, -5)),
 };
 let goods: ObjectClient;
 let read: ObjectResult | undefined;
 
 const newReader = async (script: Script): Promise<void> => {
   await newRig();
-  const { leaping: clock, pool } = rig;
+  const { skippingClock: clock, pool } = harness;
   const chooser = new LoadBalancer({
     pool,
     cell: "c1",
@@ -686,7 +710,7 @@
 };
 const readOnce = async (range?: string): Promise<ObjectResult> => {
   let found: ObjectResult | undefined;
-  const nowUs = rig.leaping.nowUs();
+  const nowUs = harness.skippingClock.nowUs();
   void goods
     .fetch(
       {
@@ -703,7 +727,7 @@
     .then((result) => {
       found = result;
     });
-  await rig.until(() => found !== undefined);
+  await harness.until(() => found !== undefined);
   assert.ok(found);
   return found;
 };
@@ -717,18 +741,18 @@
   /^(a reader of objects and a worker|another worker) that has the object$/,
   async (who: string) => {
     const script: Script = {
-      onRequest: (arrival, socket) => void socket.write(own(arrival, OBJECT)),
+      onRequest: (request, socket) => void socket.write(own(request, OBJECT)),
     };
     if (who === "another worker") await join(new ScriptedWorker("w2", script));
     else await newReader(script);
   },
 );
 When("the object is read until the first worker was asked", async () => {
-  for (let at = 0; at < 40 && first().arrivals.length === 0; at += 1) {
+  for (let at = 0; at < 40 && first().requests.length === 0; at += 1) {
     tries += 1;
     read = await readOnce();
   }
-  assert.ok(first().arrivals.length > 0, "the first worker was never asked");
+  assert.ok(first().requests.length > 0, "the first worker was never asked");
   // The same object once more: whoever comes later doesn't wait on a read that came to nothing.
   read = await readOnce();
 });
@@ -738,7 +762,7 @@
     JSON.stringify(read).slice(0, 100),
   );
   assert.equal(
-    rig.pool.all().some(({ id }) => id === "w1"),
+    harness.pool.all().some(({ id }) => id === "w1"),
     known === "still",
   );
 });
--- a/features/steps/fuzz.ts
+++ b/features/steps/fuzz.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { Then, When } from "@cucumber/cucumber";
-import { play } from "../../fuzz/play.js";
+import { playSeed } from "../../fuzz/play-seed.js";
 import { VARIANTS } from "../../fuzz/variants.js";
 
 const MOST_SEEDS = 600;
@@ -14,13 +14,13 @@
   async (count: number, from: number) => {
     [tries, found] = [0, []];
     for (let seed = from; seed < from + count; seed += 1) {
-      const played = await play(seed, undefined, false);
+      const played = await playSeed(seed, undefined, false);
       tries += played.tries;
       found.push(...played.violations.map(({ check, what }) => `seed ${seed}, ${check}: ${what}`));
     }
   },
 );
-Then("no history shows a violation, and more than {int} tries were made", (least: number) => {
+Then("no history shows a violation, and more than {int} attempts were made", (least: number) => {
   assert.deepEqual(found, []);
   assert.ok(tries > least, `${tries} tries`);
 });
@@ -32,7 +32,7 @@
     assert.ok(variant, `no such variant: ${name}`);
     found = [];
     for (let seed = 1; seed <= MOST_SEEDS && !found.includes(variant.noticedBy); seed += 1)
-      found.push(...(await play(seed, variant, false)).violations.map(({ check }) => check));
+      found.push(...(await playSeed(seed, variant, false)).violations.map(({ check }) => check));
   },
 );
 Then("it is noticed by {string}", (check: string) =>
--- a/fuzz/checks.ts
+++ b/fuzz/checks.ts
@@ -1,44 +1,48 @@
+/** What must hold of a run, matched against what both sides of the proxy server saw. */
 import { createHash } from "node:crypto";
-import type { Told } from "./raw-caller.js";
-import { TRIES } from "./rig.js";
+import type { ClientResponse } from "./raw-client.js";
+import { MAX_TRIES } from "./proxy-harness.js";
 
 export const digestOf = (body: string): string =>
   createHash("sha1").update(body, "latin1").digest("hex").slice(0, 12);
 
-/** One try, as its caller sent it. */
-export interface Sent {
-  readonly tryId: string;
-  /** Tries of one order differ in id alone; all after the first follow a promise. */
-  readonly order: string;
+/** One attempt, as its client sent it. */
+export interface SentRequest {
+  readonly attemptId: string;
+  /** Attempts of one operation differ in id alone; all after the first follow a promise. */
+  readonly operation: string;
   readonly kind: "safe" | "unsafe" | "keyed";
   readonly method: string;
   readonly path: string;
   readonly digest: string;
-  /** A long body on its connection is passed on as it comes, so a leaving behind it is read only after it. */
-  readonly isLong: boolean;
+  /** A long body on its connection is streamed, so that the client left is read only after it. */
+  readonly isBehindStreamedBody: boolean;
   readonly key: string;
   readonly sentUs: number;
-  /** When its caller was gone for good, if it left before it was answered. */
+  /** When its client was gone for good, if it left before it was answered. */
   leftUs: number | undefined;
-  /** Its caller waited beyond the time it gave, nothing stood still meanwhile, and no answer before closed the connection. */
-  isOwed: boolean;
-  /** The whole answer at its place on the connection. */
-  told: Told | undefined;
+  /**
+   * Its client waited beyond the time it gave, nothing stalled meanwhile, and no response before
+   * closed the connection.
+   */
+  isResponseDue: boolean;
+  /** The complete response at its place on the connection. */
+  response: ClientResponse | undefined;
 }
 
-/** One whole request, as a worker read it. */
-export interface Arrived {
+/** One complete request, as a worker read it. */
+export interface ReceivedRequest {
   readonly worker: string;
-  readonly tryId: string;
+  readonly attemptId: string;
   readonly method: string;
   readonly path: string;
   readonly digest: string;
   readonly ran: boolean;
 }
 
-/** One answer that a worker wrote whole to this try. */
-export interface Produced {
-  readonly tryId: string;
+/** One response that a worker wrote to this attempt. */
+export interface WrittenResponse {
+  readonly attemptId: string;
   readonly status: number;
   readonly seal: string;
   readonly digest: string;
@@ -46,136 +50,146 @@
 
 /** Both sides of a run, each as it was seen on its own sockets. */
 export interface History {
-  readonly sent: readonly Sent[];
-  readonly arrived: readonly Arrived[];
-  readonly produced: readonly Produced[];
-  /** When the first bytes of a try came to a worker. */
-  readonly heads: readonly { readonly tryId: string; readonly atUs: number }[];
-  /** Tries whose answer a worker broke off. */
-  readonly broken: ReadonlySet<string>;
-  /** What the front still held once every caller had gone. */
-  readonly leftOpen: number;
+  readonly sent: readonly SentRequest[];
+  readonly received: readonly ReceivedRequest[];
+  readonly written: readonly WrittenResponse[];
+  /** When the first bytes of an attempt came to a worker. */
+  readonly firstBytes: readonly { readonly attemptId: string; readonly atUs: number }[];
+  /** Attempts whose response a worker broke off. */
+  readonly interrupted: ReadonlySet<string>;
+  /** Requests still open at the proxy server once every client had gone. */
+  readonly openAtEnd: number;
 }
 
 export type Check = (history: History) => readonly string[];
 
-const PROMISES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
-const LEAVING_SEEN_US = 60_000;
+const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+const CLOSE_NOTICED_US = 60_000;
 
-const runsOf = ({ arrived }: History, tryId: string): number =>
-  arrived.filter((one) => one.ran && one.tryId === tryId).length;
+const runsOf = ({ received }: History, attemptId: string): number =>
+  received.filter((one) => one.ran && one.attemptId === attemptId).length;
 
-/** Each answer is its caller's own and whole; of keyed orders, that of the key's run. */
-const own: Check = ({ sent, produced }) =>
-  sent.flatMap(({ tryId, key, kind, method, told }) => {
-    if (!told) return [];
-    if (told.tryId !== "" && told.tryId !== tryId)
-      return [`${tryId} was told the answer of ${told.tryId}`];
-    if (told.seal === "")
-      return told.status < 300 ? [`${tryId} was told ${told.status} without a seal`] : [];
+/** Each response is its client's own and complete; of keyed requests, that of the key's run. */
+const ownResponse: Check = ({ sent, written }) =>
+  sent.flatMap(({ attemptId, key, kind, method, response }) => {
+    if (!response) return [];
+    if (response.attemptId !== "" && response.attemptId !== attemptId)
+      return [`${attemptId} got the response of ${response.attemptId}`];
+    if (response.seal === "")
+      return response.status < 300 ? [`${attemptId} got ${response.status} without a seal`] : [];
     const ids = new Set(
       kind === "keyed"
-        ? sent.filter((other) => other.key === key).map((other) => other.tryId)
-        : [tryId],
+        ? sent.filter((other) => other.key === key).map((other) => other.attemptId)
+        : [attemptId],
     );
-    const match = produced.some(
+    const match = written.some(
       (one) =>
-        ids.has(one.tryId) &&
-        one.seal === told.seal &&
-        one.status === told.status &&
-        (method === "HEAD" || one.digest === digestOf(told.body)),
+        ids.has(one.attemptId) &&
+        one.seal === response.seal &&
+        one.status === response.status &&
+        (method === "HEAD" || one.digest === digestOf(response.body)),
     );
     return match
       ? []
-      : [`${tryId} was told ${told.status} ${told.seal}, which no worker answered it`];
+      : [`${attemptId} got ${response.status} ${response.seal}, which no worker answered it`];
   });
 
-/** What can't be repeated runs once at most, over all tries of its order. */
-const once: Check = (history) => {
+/** What is not idempotent runs once at most, over all attempts of its operation. */
+const atMostOnce: Check = (history) => {
   const runs = new Map<string, number>();
   history.sent
     .filter(({ kind }) => kind !== "safe")
-    .forEach(({ order, tryId }) =>
-      runs.set(order, (runs.get(order) ?? 0) + runsOf(history, tryId)),
+    .forEach(({ operation, attemptId }) =>
+      runs.set(operation, (runs.get(operation) ?? 0) + runsOf(history, attemptId)),
     );
   return [...runs]
     .filter(([, count]) => count > 1)
-    .map(([order, count]) => `${order} ran ${count} times`);
+    .map(([operation, count]) => `${operation} ran ${count} times`);
 };
 
 /** What was promised not to have run has not run, and never does. */
-const promised: Check = (history) =>
+const promiseKept: Check = (history) =>
   history.sent
     .filter(
-      ({ kind, told, tryId }) =>
-        kind !== "safe" && told && PROMISES.has(told.status) && runsOf(history, tryId) > 0,
+      ({ kind, response, attemptId }) =>
+        kind !== "safe" &&
+        response &&
+        NOT_RUN_STATUSES.has(response.status) &&
+        runsOf(history, attemptId) > 0,
     )
-    .map(({ tryId, told }) => `${tryId} was told ${told?.status} and ran`);
-
-/** Workers get what callers sent, and nothing else. */
-const asked: Check = ({ sent, arrived }) =>
-  arrived.flatMap((one) => {
-    const order = sent.find(({ tryId }) => tryId === one.tryId);
-    return order &&
-      order.method === one.method &&
-      order.path === one.path &&
-      order.digest === one.digest
+    .map(({ attemptId, response }) => `${attemptId} got ${response?.status} and ran`);
+
+/** Workers get what clients sent, and nothing else. */
+const unchangedRequest: Check = ({ sent, received }) =>
+  received.flatMap((one) => {
+    const operation = sent.find(({ attemptId }) => attemptId === one.attemptId);
+    return operation &&
+      operation.method === one.method &&
+      operation.path === one.path &&
+      operation.digest === one.digest
       ? []
-      : [`${one.worker} got ${one.method} ${one.path} ${one.digest} as ${one.tryId}`];
+      : [`${one.worker} got ${one.method} ${one.path} ${one.digest} as ${one.attemptId}`];
   });
 
-/** One try never comes to more workers than its route's tries. */
-const fewTries: Check = ({ sent, arrived }) =>
-  sent.flatMap(({ tryId }) => {
+/** One request never comes to more workers than its route's tries. */
+const maxTries: Check = ({ sent, received }) =>
+  sent.flatMap(({ attemptId }) => {
     const workers = new Set(
-      arrived.filter((one) => one.tryId === tryId).map(({ worker }) => worker),
+      received.filter((one) => one.attemptId === attemptId).map(({ worker }) => worker),
     );
-    return workers.size > TRIES ? [`${tryId} came to ${workers.size} workers`] : [];
+    return workers.size > MAX_TRIES ? [`${attemptId} came to ${workers.size} workers`] : [];
   });
 
 /** One key runs once. */
-const oneRunAKey: Check = (history) => {
+const oneRunPerKey: Check = (history) => {
   const keys = new Set(history.sent.filter(({ kind }) => kind === "keyed").map(({ key }) => key));
   return [...keys].flatMap((key) => {
     const runs = history.sent
       .filter((one) => one.kind === "keyed" && one.key === key)
-      .reduce((sum, { tryId }) => sum + runsOf(history, tryId), 0);
+      .reduce((sum, { attemptId }) => sum + runsOf(history, attemptId), 0);
     return runs > 1 ? [`key ${key} ran ${runs} times`] : [];
   });
 };
 
-/** Who waits gets a whole answer, unless the worker broke it off. */
-const answered: Check = ({ sent, broken }) =>
+/** A client that waits gets a complete response, unless the worker broke it off. */
+const answered: Check = ({ sent, interrupted }) =>
   sent
-    .filter(({ isOwed, told, tryId }) => isOwed && !told && !broken.has(tryId))
-    .map(({ tryId }) => `${tryId} got no whole answer`);
-
-/** Nothing is sent for a caller that has gone, unless its leaving lies unread behind a long body. */
-const inTime: Check = ({ sent, heads: headers }) =>
-  headers.flatMap(({ tryId, atUs }) => {
-    const { leftUs, isLong } = sent.find((one) => one.tryId === tryId) ?? {
+    .filter(
+      ({ isResponseDue: isOwed, response, attemptId }) =>
+        isOwed && !response && !interrupted.has(attemptId),
+    )
+    .map(({ attemptId }) => `${attemptId} got no complete response`);
+
+/**
+ * Nothing is sent for a client that has gone, unless its close lies unread behind a streamed body.
+ */
+const notAfterLeaving: Check = ({ sent, firstBytes: headers }) =>
+  headers.flatMap(({ attemptId, atUs }) => {
+    const { leftUs, isBehindStreamedBody: isLong } = sent.find(
+      (one) => one.attemptId === attemptId,
+    ) ?? {
       leftUs: undefined,
-      isLong: true,
+      isBehindStreamedBody: true,
     };
-    return !isLong && leftUs !== undefined && atUs > leftUs + LEAVING_SEEN_US
-      ? [`${tryId} was sent ${atUs - leftUs} us after its caller had left`]
+    return !isLong && leftUs !== undefined && atUs > leftUs + CLOSE_NOTICED_US
+      ? [`${attemptId} was sent ${atUs - leftUs} us after its client had left`]
       : [];
   });
 
 /** Nothing is left behind. */
-const allClosed: Check = ({ leftOpen }) =>
-  leftOpen === 0 ? [] : [`${leftOpen} requests and calls were left open`];
+const nothingLeftOpen: Check = ({ openAtEnd: leftOpen }) =>
+  leftOpen === 0 ? [] : [`${leftOpen} requests were left open`];
 
 export const CHECKS = {
-  own,
-  once,
-  promised,
-  asked,
-  fewTries,
-  oneRunAKey,
+  ownResponse,
+  atMostOnce,
+  promiseKept,
+  unchangedRequest,
+  maxTries,
+  oneRunPerKey,
   answered,
-  inTime,
-  allClosed,
+  notAfterLeaving,
+  nothingLeftOpen,
 } as const satisfies Readonly<Record<string, Check>>;
 export type CheckName = keyof typeof CHECKS;
 const isName = (name: string): name is CheckName => name in CHECKS;
--- a/fuzz/play.ts
+++ b/fuzz/play-seed.ts
@@ -1,12 +1,13 @@
+/** Plays the scenario of one seed and checks its history. */
 import fc from "fast-check";
 import { violationsOf, type Violation } from "./checks.js";
 import { scenario, type Scenario } from "./scenario.js";
 import type { Variant } from "./variants.js";
-import { World } from "./world.js";
+import { ScenarioRun } from "./scenario-run.js";
 
 export interface Played {
   readonly seed: number;
-  /** What was seen of each, over the seeds played. */
+  /** Attempts that clients sent, and requests that workers ran. */
   readonly tries: number;
   readonly runs: number;
   readonly violations: readonly Violation[];
@@ -16,17 +17,21 @@
 
 const SHRINK_MS = 20_000;
 
-/** Plays one seed; a seed that shows a violation is shortened, unless `shrinks` is false. */
-export const play = async (seed: number, variant?: Variant, shrinks = true): Promise<Played> => {
+/** Plays one seed; the scenario of a violation is shrunk, unless `shrinks` is false. */
+export const playSeed = async (
+  seed: number,
+  variant?: Variant,
+  shrinks = true,
+): Promise<Played> => {
   let violations: readonly Violation[] = [];
-  let [tries, runs] = [0, 0];
+  let [attempts, runs] = [0, 0];
   const property = fc.asyncProperty(fc.noBias(scenario), async (drawn) => {
-    const history = await new World(drawn, variant?.rig, variant?.lies).run();
+    const history = await new ScenarioRun(drawn, variant?.harness, variant?.deceptions).run();
     const found = violationsOf(history);
     if (violations.length === 0)
-      [tries, runs, violations] = [
+      [attempts, runs, violations] = [
         history.sent.length,
-        history.arrived.filter(({ ran }) => ran).length,
+        history.received.filter(({ ran }) => ran).length,
         found,
       ];
     return found.length === 0;
@@ -37,5 +42,5 @@
     endOnFailure: !shrinks,
     interruptAfterTimeLimit: SHRINK_MS,
   });
-  return { seed, tries, runs, violations, shortest: result.counterexample?.[0] };
+  return { seed, tries: attempts, runs, violations, shortest: result.counterexample?.[0] };
 };
--- a/fuzz/rig.ts
+++ b/fuzz/proxy-harness.ts
@@ -1,3 +1,4 @@
+/** A proxy server under test, with its collaborators in memory. */
 import assert from "node:assert/strict";
 import { settle, ManualClock } from "../features/support/manual-clock.js";
 import { parseChange } from "../src/config/validation.js";
@@ -14,13 +15,13 @@
 import type { ScriptedWorker } from "./scripted-worker.js";
 
 export const HOST = "a.example";
-/** The most workers to which one try may go, by the plan. */
-export const TRIES = 2;
+/** How many workers one request may go to, by the configuration. */
+export const MAX_TRIES = 2;
 export const GIVE_UP_US = 3_000_000;
 
 /** Routes "/safe/", "/unsafe/" and "/keyed/", all to the service "s1". */
-export const planOf = (
-  tries = TRIES,
+export const configurationOf = (
+  tries = MAX_TRIES,
   kindOf: (kind: string) => string = (kind) => kind,
   giveUpUs = GIVE_UP_US,
 ): string =>
@@ -44,8 +45,8 @@
     },
   });
 
-/** A desk of one book: who has which key, and what its run was answered with. */
-export class OneBook {
+/** A key service in memory: who has which key, and what its run was answered with. */
+export class InMemoryKeyService {
   readonly claims = new Map<string, { readonly token: string; answer: unknown }>();
   readonly ask = async (message: Message): Promise<Message | undefined> => {
     const [key, token] = [String(message["key"]), String(message["token"])];
@@ -62,62 +63,73 @@
     return { kind: "claim", verdict: "won" };
   };
 
-  readonly tell = (message: Message): void => {
+  readonly notify = (message: Message): void => {
     const key = String(message["key"]);
     if (message.kind === "key-free" && this.claims.get(key)?.token === message["token"])
       this.claims.delete(key);
   };
 }
 
-/** A clock that can leap: the time is another one at once, and what fell due meanwhile acts only afterwards. */
-export class LeapingClock implements Clock {
-  private leaptUs = 0;
+/** A clock that can skip ahead: timers that fell due meanwhile act only afterwards. */
+export class SkippingClock implements Clock {
+  private skippedUs = 0;
 
   constructor(private readonly own: ManualClock) {}
 
-  readonly nowUs = (): number => this.own.nowUs() + this.leaptUs;
+  readonly nowUs = (): number => this.own.nowUs() + this.skippedUs;
   readonly after = (waitUs: number, act: () => void): Timer => this.own.after(waitUs, act);
   readonly every = (gapUs: number, act: () => void): Timer => this.own.every(gapUs, act);
 
-  /** As after a process stood still: what lies at its sockets is read before any timer acts. */
-  readonly leap = (spanUs: number): void => {
-    this.leaptUs += spanUs;
+  /** As after a stall: what lies at the process's sockets is read before any timer acts. */
+  readonly skip = (spanUs: number): void => {
+    this.skippedUs += spanUs;
   };
 }
 
-export interface RigOptions {
-  readonly plan?: string;
+export interface ProxyHarnessOptions {
+  readonly configuration?: string;
   readonly random?: () => number;
-  /** What the front goes by instead of the rig's leaping clock. */
-  readonly clockOf?: (leaping: LeapingClock) => Clock;
-  /** What stands between the front and its book of keys. */
-  readonly desk?: (book: OneBook, clock: Clock) => Pick<OneBook, "ask" | "tell">;
+  /** The clock of the proxy server instead of the harness's own. */
+  readonly clockOf?: (skippingClock: SkippingClock) => Clock;
+  /** The connection between the proxy server and the key service. */
+  readonly keyServiceOf?: (
+    book: InMemoryKeyService,
+    clock: Clock,
+  ) => Pick<InMemoryKeyService, "ask" | "notify">;
   readonly retryRatio?: number;
 }
 
-let rigs = 0;
+let harnesses = 0;
 
-/** One front with its yard on a clock of its own, on an address that no other rig or process of this machine has. */
-export class Rig {
+/**
+ * One proxy server on a clock of its own, at an address that no other harness or process of this
+ * machine has.
+ */
+export class ProxyHarness {
   readonly clock = new ManualClock();
-  readonly leaping = new LeapingClock(this.clock);
-  readonly book = new OneBook();
+  readonly skippingClock = new SkippingClock(this.clock);
+  readonly keyService = new InMemoryKeyService();
   readonly updates: UpdateStore;
   readonly pool: ConnectionPool;
-  readonly front: ProxyServer;
+  readonly proxy: ProxyServer;
   readonly host: string;
   readonly port: number;
   /** Called when a worker has been chosen and the connection is begun. */
-  onCall: () => void = () => undefined;
+  onAttempt: () => void = () => undefined;
   readonly retriesOf: (kind: RouteKind) => number;
 
-  constructor(options: RigOptions = {}) {
-    const { clockOf, random = Math.random, retryRatio = 100, plan = planOf() } = options;
-    const clock = clockOf?.(this.leaping) ?? this.leaping;
-    const desk = options.desk?.(this.book, clock) ?? this.book;
-    rigs += 1;
-    this.host = `127.${64 + ((process.pid >> 8) % 64)}.${process.pid & 255}.${(rigs % 250) + 1}`;
-    this.port = 12_000 + Math.floor(rigs / 250);
+  constructor(options: ProxyHarnessOptions = {}) {
+    const {
+      clockOf,
+      random = Math.random,
+      retryRatio = 100,
+      configuration = configurationOf(),
+    } = options;
+    const clock = clockOf?.(this.skippingClock) ?? this.skippingClock;
+    const keyService = options.keyServiceOf?.(this.keyService, clock) ?? this.keyService;
+    harnesses += 1;
+    this.host = `127.${64 + ((process.pid >> 8) % 64)}.${process.pid & 255}.${(harnesses % 250) + 1}`;
+    this.port = 12_000 + Math.floor(harnesses / 250);
     this.updates = new UpdateStore(clock);
     this.pool = new ConnectionPool(clock, "n1", "c1");
     const table = new RouteTable();
@@ -128,7 +140,7 @@
       limits: () => defaultLimits({ ratio: retryRatio, slack: 0, windowUs: 10_000_000 }),
     });
     this.retriesOf = (kind) => budgets.of("s1", kind).tell().retries;
-    this.front = new ProxyServer({
+    this.proxy = new ProxyServer({
       clock,
       log: silentLogger,
       zone: "c1",
@@ -140,16 +152,16 @@
       countFault: () => undefined,
       countOutcome: () => undefined,
       countCanaryOutcome: () => undefined,
-      countAttempt: () => this.onCall(),
+      countAttempt: () => this.onAttempt(),
       random,
-      idempotency: new IdempotencyClient(clock, desk.ask, desk.tell),
+      idempotency: new IdempotencyClient(clock, keyService.ask, keyService.notify),
     });
     this.updates.events.on("changed", (facts) => {
       table.take(facts);
       this.pool.take(facts);
-      this.front.wake();
+      this.proxy.wake();
     });
-    const call = parseChange(plan);
+    const call = parseChange(configuration);
     assert.ok(call.isOk);
     this.updates.post(
       call.value.map((register) => ({
@@ -162,7 +174,7 @@
   }
 
   readonly start = async (): Promise<void> => {
-    await this.front.listen(`${this.host}:${this.port}`);
+    await this.proxy.listen(`${this.host}:${this.port}`);
     await settle();
   };
 
@@ -186,7 +198,10 @@
     await settle();
   };
 
-  /** Moves the clock on in steps until it is so, or for a minute; what is under test never waits for real time. */
+  /**
+   * Moves the clock on in steps until it is so, or for a minute; what is under test never waits for
+   * real time.
+   */
   readonly until = async (isSo: () => boolean, stepUs = 5_000): Promise<void> => {
     for (let passedUs = 0; passedUs < 60_000_000 && !isSo(); passedUs += stepUs)
       await this.clock.pass(stepUs);
@@ -195,6 +210,6 @@
 
   readonly stop = (): void => {
     this.pool.all().forEach((one) => one.closeIdle());
-    this.front.stopListening();
+    this.proxy.stopListening();
   };
 }
--- a/fuzz/raw-caller.ts
+++ b/fuzz/raw-client.ts
@@ -1,23 +1,24 @@
+/** A client on a bare socket, which can send and leave in every way. */
 import { connect, type Socket } from "node:net";
-import { bodyIn, headValue } from "./scripted-worker.js";
+import { parseBody, headValue } from "./scripted-worker.js";
 
-/** One answer as a caller's socket saw it. */
-export interface Told {
+/** One response as a client's socket saw it. */
+export interface ClientResponse {
   readonly status: number;
   readonly head: string;
-  readonly tryId: string;
+  readonly attemptId: string;
   readonly seal: string;
   readonly body: string;
 }
 
-/** Bytes on a bare connection to a front, and the answers that come back, whole ones only. */
-export class RawCaller {
-  readonly told: Told[] = [];
-  /** Methods of what was sent, in order; an answer to HEAD has no body whatever its head says. */
+/** Bytes on a bare connection to a proxy server, and the complete responses that come back. */
+export class RawClient {
+  readonly responses: ClientResponse[] = [];
+  /** Methods of what was sent, in order; a response to HEAD has no body whatever its head says. */
   private readonly methods: string[] = [];
-  private kept = "";
-  /** Bytes that have come and are no whole answer. */
-  held = "";
+  private deferred = "";
+  /** Bytes that have come and are no complete response. */
+  unread = "";
   isClosed = false;
   readonly socket: Socket;
 
@@ -28,12 +29,12 @@
       this.isClosed = true;
     });
     this.socket.on("data", (chunk) => {
-      this.held += chunk.toString("latin1");
+      this.unread += chunk.toString("latin1");
       this.read();
     });
   }
 
-  /** Notes that a request is sent whose bytes the caller writes itself. */
+  /** Notes that a request is sent whose bytes are written by hand. */
   readonly expect = (method: string): void => {
     this.methods.push(method);
   };
@@ -45,7 +46,7 @@
     body = "",
   ): void => {
     this.expect(method);
-    this.write(requestOf(method, path, headers, body));
+    this.write(requestBytes(method, path, headers, body));
   };
 
   readonly write = (bytes: string): void => {
@@ -54,29 +55,30 @@
   };
 
   /** Keeps bytes back until more is written or they are flushed. */
-  readonly hold = (bytes: string): void => {
-    this.kept = bytes;
+  readonly defer = (bytes: string): void => {
+    this.deferred = bytes;
   };
 
   readonly flush = (): void => {
-    if (this.kept !== "" && !this.socket.destroyed) this.socket.write(this.kept, "latin1");
-    this.kept = "";
+    if (this.deferred !== "" && !this.socket.destroyed) this.socket.write(this.deferred, "latin1");
+    this.deferred = "";
   };
 
   private readonly read = (): void => {
     for (;;) {
-      const end = this.held.indexOf("\r\n\r\n");
+      const end = this.unread.indexOf("\r\n\r\n");
       if (end < 0) return;
-      const head = this.held.slice(0, end);
+      const head = this.unread.slice(0, end);
       const status = Number(head.split(" ")[1]);
-      const isBare = this.methods[this.told.length] === "HEAD" || status === 204 || status === 304;
-      const read = isBare ? { body: "", bytes: 0 } : bodyIn(head, this.held.slice(end + 4));
+      const isBare =
+        this.methods[this.responses.length] === "HEAD" || status === 204 || status === 304;
+      const read = isBare ? { body: "", bytes: 0 } : parseBody(head, this.unread.slice(end + 4));
       if (read === undefined) return;
-      this.held = this.held.slice(end + 4 + read.bytes);
-      this.told.push({
+      this.unread = this.unread.slice(end + 4 + read.bytes);
+      this.responses.push({
         status,
         head,
-        tryId: headValue(head, "yewreel-try-id"),
+        attemptId: headValue(head, "yewreel-try-id"),
         seal: headValue(head, "yewreel-server-seal"),
         body: read.body,
       });
@@ -84,7 +86,8 @@
   };
 }
 
-export const requestOf = (
+/** The bytes of a request as clients write it. */
+export const requestBytes = (
   method: string,
   path: string,
   headers: Readonly<Record<string, string>>,
--- a/fuzz/run.ts
+++ b/fuzz/run.ts
@@ -1,5 +1,5 @@
 import { Command } from "commander";
-import { play } from "./play.js";
+import { playSeed } from "./play-seed.js";
 import { VARIANTS } from "./variants.js";
 
 interface Flags {
@@ -9,10 +9,13 @@
   readonly json?: boolean;
 }
 
-const WRONG_INPUT = 2;
-const EVERY = 100;
+const WRONG_INPUT_EXIT_CODE = 2;
+const PROGRESS_EVERY_SEEDS = 100;
 
-/** Plays seed after seed and says what was seen; the exit code is 1 if any seed shows a violation. */
+/**
+ * Plays seed after seed and reports the violations; the exit code is 1 if any seed shows a
+ * violation.
+ */
 const run = async ({ seeds, from, variant: name, json }: Flags): Promise<void> => {
   const [count, first] = [Number(seeds), Number(from)];
   const variant = name === undefined ? undefined : VARIANTS[name];
@@ -25,12 +28,12 @@
     process.stderr.write(
       `fuzz: --seeds must be 1 or more, --from a whole number, --variant one of: ${Object.keys(VARIANTS).join("; ")}.\n`,
     );
-    process.exitCode = WRONG_INPUT;
+    process.exitCode = WRONG_INPUT_EXIT_CODE;
     return;
   }
   let [tries, runs, failed] = [0, 0, 0];
   for (let seed = first; seed < first + count; seed += 1) {
-    const played = await play(seed, variant);
+    const played = await playSeed(seed, variant);
     tries += played.tries;
     runs += played.runs;
     if (played.violations.length > 0) {
@@ -41,7 +44,7 @@
           `seed ${seed}: ${played.violations.map(({ check, what }) => `${check}: ${what}`).join("; ")}\n  shortest found: ${JSON.stringify(played.shortest)}\n`,
         );
     }
-    if (json !== true && (seed - first + 1) % EVERY === 0)
+    if (json !== true && (seed - first + 1) % PROGRESS_EVERY_SEEDS === 0)
       process.stderr.write(`${seed - first + 1} of ${count} seeds, ${failed} with a violation\n`);
   }
   if (json === true)
@@ -55,7 +58,7 @@
 
 await new Command("fuzz")
   .description(
-    "drawn mishaps between callers, a front and workers on real sockets, both sides' histories matched afterwards",
+    "random faults between clients, a proxy server and workers on real sockets, both sides' histories matched afterwards",
   )
   .option("--seeds <count>", "how many seeds to play", "100")
   .option("--from <seed>", "the first seed", "1")
--- /dev/null
+++ b/fuzz/scenario-run.ts
@@ -0,0 +1,164 @@
+/** Plays one scenario on real sockets, and records what both sides of the proxy server saw. */
+import type { Socket } from "node:net";
+import { settle } from "../features/support/manual-clock.js";
+import { digestOf, type History, type ReceivedRequest } from "./checks.js";
+import { ClientRuns, type Stall } from "./client-runs.js";
+import { ProxyHarness, type ProxyHarnessOptions } from "./proxy-harness.js";
+import type { Scenario, WorkerAction, WorkerScript } from "./scenario.js";
+import { Schedule } from "./schedule.js";
+import { responseBytes, ScriptedWorker, type WorkerRequest } from "./scripted-worker.js";
+import { unreliableKeyService } from "./unreliable-key-service.js";
+import { WorkerResponses } from "./worker-responses.js";
+
+const MS = 1_000;
+const STEP_US = 10 * MS;
+const MAX_SCENARIO_US = 30_000 * MS;
+/** For how many steps what is open at the end may still end by itself. */
+const MAX_CLOSING_STEPS = 700;
+const REJECTIONS: ReadonlySet<WorkerAction> = new Set(["sheds", "limits", "cuts its refusal"]);
+
+/**
+ * A deception by the scenario instead of a fault built into the proxy server: what the checks then
+ * see is the same.
+ */
+export interface Deceptions {
+  /** Workers run what they say they rejected. */
+  readonly runsWhatItRejects?: boolean;
+  /** A late response bears the id of the attempt that is due. */
+  readonly borrowsAttemptIds?: boolean;
+  /** What clients say they sent is not what they sent. */
+  readonly altersBodies?: boolean;
+  /** Clients that leave keep their connections, so nobody can notice. */
+  readonly hidesClientLeaving?: boolean;
+}
+
+/** A proxy server, with workers and clients around it, on one clock that only moves when told. */
+export class ScenarioRun {
+  private readonly harness: ProxyHarness;
+  private readonly schedule: Schedule;
+  private readonly clients: ClientRuns;
+  private readonly responses: WorkerResponses;
+  private readonly received: ReceivedRequest[] = [];
+  private readonly firstBytes: { readonly attemptId: string; readonly atUs: number }[] = [];
+  private readonly stalls: Stall[] = [];
+  private readonly workers: ScriptedWorker[] = [];
+
+  constructor(
+    private readonly scenario: Scenario,
+    options: ProxyHarnessOptions = {},
+    private readonly deceptions: Deceptions = {},
+  ) {
+    const keyServiceOf = unreliableKeyService(scenario.keyMessages);
+    this.harness = new ProxyHarness({ keyServiceOf, ...options });
+    this.schedule = new Schedule(this.harness.skippingClock);
+    this.clients = new ClientRuns({
+      harness: this.harness,
+      schedule: this.schedule,
+      stalls: this.stalls,
+      altersBodies: deceptions.altersBodies === true,
+      hidesClientLeaving: deceptions.hidesClientLeaving === true,
+    });
+    this.responses = new WorkerResponses({
+      after: this.schedule.after,
+      borrowsAttemptIds: deceptions.borrowsAttemptIds === true,
+    });
+  }
+
+  /** Plays the scenario to its end. */
+  readonly run = async (): Promise<History> => {
+    const { harness, scenario, schedule } = this;
+    const { skippingClock, clock } = harness;
+    await harness.start();
+    const startUs = skippingClock.nowUs();
+    for (const [at, script] of scenario.workers.entries())
+      await harness.join(this.newWorker(`w${at + 1}`, script));
+    scenario.clients.forEach(this.clients.add);
+    const stalls = [...scenario.stalls].sort((one, other) => one.atMs - other.atMs);
+    while (this.clients.open > 0 && skippingClock.nowUs() - startUs < MAX_SCENARIO_US) {
+      await clock.pass(STEP_US);
+      schedule.runDue(skippingClock.nowUs());
+      const next = stalls[0];
+      if (!next || skippingClock.nowUs() < startUs + next.atMs * MS) continue;
+      stalls.shift();
+      await this.settleAll();
+      this.stall(next.spanMs * MS);
+    }
+    const openAtEnd = await this.waitForClose();
+    harness.stop();
+    this.workers.forEach((worker) => worker.stop());
+    this.clients.stop();
+    await settle(4);
+    const { received, firstBytes } = this;
+    const { written, interrupted } = this.responses;
+    return { sent: this.clients.sent, received, written, firstBytes, interrupted, openAtEnd };
+  };
+
+  /** Waits until nothing is open any more; what still is when the wait is over is left behind. */
+  private readonly waitForClose = async (): Promise<number> => {
+    const { proxy, pool, clock } = this.harness;
+    const open = () => proxy.openRequests + pool.all().reduce((sum, { own }) => sum + own, 0);
+    for (let step = 0; step < MAX_CLOSING_STEPS && open() > 0; step += 1) await clock.pass(STEP_US);
+    return open();
+  };
+
+  /** What has been sent arrives, and what follows from it at this same time. */
+  private readonly settleAll = async (): Promise<void> => {
+    const seen = () => this.firstBytes.length + this.received.length + this.clients.responseCount;
+    for (let before = -1; before !== seen();) {
+      before = seen();
+      await settle(20);
+    }
+  };
+
+  /** All act but the proxy server, whose event loop doesn't turn while this runs. */
+  private readonly stall = (spanUs: number): void => {
+    const { skippingClock } = this.harness;
+    const fromUs = skippingClock.nowUs();
+    const toUs = fromUs + spanUs;
+    this.stalls.push({ fromUs, toUs });
+    this.schedule.runDue(toUs);
+    skippingClock.skip(Math.max(0, toUs - skippingClock.nowUs()));
+  };
+
+  private readonly newWorker = (id: string, { actions, delayMs }: WorkerScript): ScriptedWorker => {
+    let requests = 0;
+    const actionOf = new WeakMap<Socket, WorkerAction>();
+    const answeredEarly = new WeakSet<Socket>();
+    const worker = new ScriptedWorker(id, {
+      onHead: (head, socket) => {
+        const atUs = this.harness.skippingClock.nowUs();
+        this.firstBytes.push({ attemptId: head.attemptId, atUs });
+        const action = actions[requests % actions.length] ?? "answers";
+        requests += 1;
+        actionOf.set(socket, action);
+        if (action === "resets at the head") socket.resetAndDestroy();
+        if (action !== "answers early") return;
+        answeredEarly.add(socket);
+        socket.write(this.responses.write({ ...head, body: "" }, 413, "too early"));
+      },
+      onRequest: (request, socket) => {
+        const action = actionOf.get(socket) ?? "answers";
+        const isMine = request.expectedWorker === id && action !== "is another";
+        this.record(request, isMine && this.runs(action));
+        if (!isMine) {
+          const headers = { "Yewreel-Try-Id": request.attemptId, "Yewreel-Worker-Id": "w-other" };
+          socket.write(responseBytes(421, headers));
+          return;
+        }
+        if (!answeredEarly.has(socket))
+          this.responses.respond(action, { request, socket, delayMs });
+        answeredEarly.delete(socket);
+      },
+    });
+    this.workers.push(worker);
+    return worker;
+  };
+
+  private readonly runs = (action: WorkerAction): boolean =>
+    !REJECTIONS.has(action) || this.deceptions.runsWhatItRejects === true;
+
+  private readonly record = (request: WorkerRequest, ran: boolean): void => {
+    const { worker, attemptId, method, path, body } = request;
+    this.received.push({ worker, attemptId, method, path, digest: digestOf(body), ran });
+  };
+}
--- a/fuzz/scenario.ts
+++ b/fuzz/scenario.ts
@@ -1,7 +1,10 @@
+/**
+ * Random scenarios: what workers, clients and the key service do, and when the proxy server stalls.
+ */
 import fc from "fast-check";
 
 /** What a worker does with one request. */
-export const ACTS = [
+export const WORKER_ACTIONS = [
   "answers",
   "answers in pieces",
   "answers in chunks",
@@ -35,55 +38,55 @@
   "is silent",
 ] as const;
 
-export type Act = (typeof ACTS)[number];
+export type WorkerAction = (typeof WORKER_ACTIONS)[number];
 
-/** What becomes of what the front says to those who keep the keys. */
-export const DESK_ACTS = [
+/** What becomes of a message from the proxy server to the key service. */
+export const KEY_MESSAGE_FATES = [
   "answered",
   "answered late",
   "lost on its way",
   "taken, and the reply lost",
 ] as const;
-export type DeskAct = (typeof DESK_ACTS)[number];
+export type KeyMessageFate = (typeof KEY_MESSAGE_FATES)[number];
 
-export interface WorkerPlan {
-  /** One act a request, over and over. */
-  readonly acts: readonly Act[];
+export interface WorkerScript {
+  /** One action a request, over and over. */
+  readonly actions: readonly WorkerAction[];
   readonly delayMs: number;
 }
 
-export interface RequestPlan {
+export interface RequestScript {
   readonly kind: "safe" | "unsafe" | "keyed";
   readonly body: "none" | "small" | "long";
-  readonly manner: "at once" | "chunked" | "in two parts";
+  readonly sending: "at once" | "chunked" | "in two parts";
   readonly leftMs: number;
   /** Requests of one key are one operation. */
   readonly key: number;
   readonly isHead: boolean;
 }
 
-export interface CallerPlan {
+export interface ClientScript {
   readonly startMs: number;
-  readonly requests: readonly RequestPlan[];
-  /** All are sent without waiting for answers. */
+  readonly requests: readonly RequestScript[];
+  /** All are sent without waiting for responses. */
   readonly isPipelined: boolean;
   /** It leaves so long after its start, and by a reset or in order. */
   readonly leaves: { readonly afterMs: number; readonly resets: boolean } | null;
 }
 
 export interface Scenario {
-  readonly workers: readonly WorkerPlan[];
-  readonly callers: readonly CallerPlan[];
-  /** One act a message, over and over. */
-  readonly desk: readonly DeskAct[];
-  /** The front stands still while everybody else goes on. */
-  readonly standstills: readonly { readonly atMs: number; readonly spanMs: number }[];
+  readonly workers: readonly WorkerScript[];
+  readonly clients: readonly ClientScript[];
+  /** One fate a message, over and over. */
+  readonly keyMessages: readonly KeyMessageFate[];
+  /** The proxy server stands still while the others go on. */
+  readonly stalls: readonly { readonly atMs: number; readonly spanMs: number }[];
 }
 
-const request: fc.Arbitrary<RequestPlan> = fc.record({
+const request: fc.Arbitrary<RequestScript> = fc.record({
   kind: fc.constantFrom("safe", "unsafe", "unsafe", "keyed"),
   body: fc.constantFrom("none", "small", "small", "long"),
-  manner: fc.constantFrom("at once", "at once", "chunked", "in two parts"),
+  sending: fc.constantFrom("at once", "at once", "chunked", "in two parts"),
   leftMs: fc.integer({ min: 150, max: 2_500 }),
   key: fc.integer({ min: 1, max: 4 }),
   isHead: fc.boolean(),
@@ -92,10 +95,10 @@
 export const scenario: fc.Arbitrary<Scenario> = fc.record({
   workers: fc.array(
     fc.record({
-      acts: fc.array(
+      actions: fc.array(
         fc.oneof(
-          { weight: 1, arbitrary: fc.constant<Act>("answers") },
-          { weight: 3, arbitrary: fc.constantFrom(...ACTS) },
+          { weight: 1, arbitrary: fc.constant<WorkerAction>("answers") },
+          { weight: 3, arbitrary: fc.constantFrom(...WORKER_ACTIONS) },
         ),
         { minLength: 1, maxLength: 6 },
       ),
@@ -103,7 +106,7 @@
     }),
     { minLength: 2, maxLength: 4 },
   ),
-  callers: fc.array(
+  clients: fc.array(
     fc.record({
       startMs: fc.integer({ min: 0, max: 1_500 }),
       requests: fc.array(request, { minLength: 1, maxLength: 4 }),
@@ -115,14 +118,14 @@
     }),
     { minLength: 2, maxLength: 8 },
   ),
-  desk: fc.array(
+  keyMessages: fc.array(
     fc.oneof(
-      { weight: 2, arbitrary: fc.constant<DeskAct>("answered") },
-      { weight: 1, arbitrary: fc.constantFrom(...DESK_ACTS) },
+      { weight: 2, arbitrary: fc.constant<KeyMessageFate>("answered") },
+      { weight: 1, arbitrary: fc.constantFrom(...KEY_MESSAGE_FATES) },
     ),
     { minLength: 1, maxLength: 5 },
   ),
-  standstills: fc.array(
+  stalls: fc.array(
     fc.record({
       atMs: fc.integer({ min: 5, max: 2_500 }),
       spanMs: fc.integer({ min: 300, max: 4_000 }),
--- a/fuzz/scripted-worker.ts
+++ b/fuzz/scripted-worker.ts
@@ -1,53 +1,61 @@
+/** A worker on bare sockets that follows a script. */
 import { createServer, type Server, type Socket } from "node:net";
 
 /** One request as a worker's socket saw it. */
-export interface Arrival {
+export interface WorkerRequest {
   readonly worker: string;
   /** Which of the worker's connections it came on, from 1. */
   readonly connection: number;
   readonly method: string;
   readonly path: string;
   readonly head: string;
-  readonly tryId: string;
-  readonly expected: string;
-  /** All of the body, without the marks of chunks. */
+  readonly attemptId: string;
+  readonly expectedWorker: string;
+  /** All of the body, without the framing of chunks. */
   readonly body: string;
 }
 
-/** What a worker does at each moment; each act is given the bare socket, so that it can misbehave in every way. */
+/**
+ * What a worker does at each moment; it is given the bare socket, so that it can misbehave in every
+ * way.
+ */
 export interface Script {
   readonly onConnect?: (socket: Socket, connection: number) => void;
-  /** After the head; false keeps the request's body from being read as one, for acts that end the connection. */
-  readonly onHead?: (head: Omit<Arrival, "body">, socket: Socket) => void;
-  readonly onRequest?: (arrival: Arrival, socket: Socket) => void;
+  /** After the head; an action may end the connection here. */
+  readonly onHead?: (head: Omit<WorkerRequest, "body">, socket: Socket) => void;
+  readonly onRequest?: (request: WorkerRequest, socket: Socket) => void;
 }
 
+/** The value of a header in the text of a head; empty if there is none. */
 export const headValue = (head: string, name: string): string =>
   new RegExp(`^${name}:[ \\t]*(.*)$`, "im").exec(head)?.[1]?.trim() ?? "";
 
-/** The body at the start of the bytes, and how many bytes it took; undefined while it is not all there. */
-export const bodyIn = (
+/**
+ * The body at the start of the bytes, and how many bytes it took; undefined while it is not all
+ * there.
+ */
+export const parseBody = (
   head: string,
-  held: string,
+  unread: string,
 ): { readonly body: string; readonly bytes: number } | undefined => {
   if (headValue(head, "transfer-encoding") === "") {
     const length = Number(headValue(head, "content-length") || 0);
-    return held.length < length ? undefined : { body: held.slice(0, length), bytes: length };
+    return unread.length < length ? undefined : { body: unread.slice(0, length), bytes: length };
   }
   let body = "";
   for (let at = 0; ;) {
-    const line = held.indexOf("\r\n", at);
-    const size = line < 0 ? Number.NaN : Number.parseInt(held.slice(at, line), 16);
-    if (Number.isNaN(size) || held.length < line + 2 + size + 2) return undefined;
-    body += held.slice(line + 2, line + 2 + size);
+    const line = unread.indexOf("\r\n", at);
+    const size = line < 0 ? Number.NaN : Number.parseInt(unread.slice(at, line), 16);
+    if (Number.isNaN(size) || unread.length < line + 2 + size + 2) return undefined;
+    body += unread.slice(line + 2, line + 2 + size);
     at = line + 2 + size + 2;
     if (size === 0) return { body, bytes: at };
   }
 };
 
-/** A stand-in worker that follows a script and remembers every byte its sockets saw. */
+/** A worker that follows a script and remembers every byte its sockets saw. */
 export class ScriptedWorker {
-  readonly arrivals: Arrival[] = [];
+  readonly requests: WorkerRequest[] = [];
   /** What each connection brought, in the order they were accepted. */
   readonly bytes: string[] = [];
   private server: Server | undefined;
@@ -85,18 +93,18 @@
     socket.on("close", () => this.sockets.delete(socket));
     const connection = this.bytes.push("");
     this.script.onConnect?.(socket, connection);
-    let held = "";
-    let head: Omit<Arrival, "body"> | undefined;
+    let unread = "";
+    let head: Omit<WorkerRequest, "body"> | undefined;
     socket.on("data", (chunk) => {
       const text = chunk.toString("latin1");
       this.bytes[connection - 1] += text;
-      held += text;
+      unread += text;
       for (;;) {
         if (head === undefined) {
-          const end = held.indexOf("\r\n\r\n");
+          const end = unread.indexOf("\r\n\r\n");
           if (end < 0) return;
-          const raw = held.slice(0, end);
-          held = held.slice(end + 4);
+          const raw = unread.slice(0, end);
+          unread = unread.slice(end + 4);
           const [method = "", path = ""] = raw.split(" ");
           head = {
             worker: this.id,
@@ -104,25 +112,25 @@
             method,
             path,
             head: raw,
-            tryId: headValue(raw, "yewreel-try-id"),
-            expected: headValue(raw, "yewreel-expect-worker"),
+            attemptId: headValue(raw, "yewreel-try-id"),
+            expectedWorker: headValue(raw, "yewreel-expect-worker"),
           };
           this.script.onHead?.(head, socket);
         }
-        const read = bodyIn(head.head, held);
+        const read = parseBody(head.head, unread);
         if (read === undefined) return;
-        held = held.slice(read.bytes);
-        const arrival: Arrival = { ...head, body: read.body };
+        unread = unread.slice(read.bytes);
+        const request: WorkerRequest = { ...head, body: read.body };
         head = undefined;
-        this.arrivals.push(arrival);
-        this.script.onRequest?.(arrival, socket);
+        this.requests.push(request);
+        this.script.onRequest?.(request, socket);
       }
     });
   };
 }
 
-/** An answer as workers write them; heads given as undefined are left out. */
-export const answerOf = (
+/** The bytes of a response as workers write it; headers given as undefined are left out. */
+export const responseBytes = (
   status: number,
   headers: Readonly<Record<string, string | undefined>>,
   body = "",
--- /dev/null
+++ b/fuzz/unreliable-key-service.ts
@@ -0,0 +1,37 @@
+/** A sound key service behind a connection that loses and delays messages. */
+import { sleep, type Clock } from "../src/common/clock.js";
+import type { InMemoryKeyService } from "./proxy-harness.js";
+import type { KeyMessageFate } from "./scenario.js";
+
+const KEY_REPLY_LATE_US = 90_000;
+const KEY_REPLY_LOST_US = 600_000;
+
+/** What a proxy server sees of a key service. */
+export type KeyServiceConnection = Pick<InMemoryKeyService, "ask" | "notify">;
+
+/**
+ * Puts a connection before a key service; the fates are those of its messages, one each, over and
+ * over.
+ */
+export const unreliableKeyService =
+  (fates: readonly KeyMessageFate[]) =>
+  (keyService: InMemoryKeyService, clock: Clock): KeyServiceConnection => {
+    let messages = 0;
+    const nextFate = (): KeyMessageFate => {
+      const fate = fates[messages % fates.length] ?? "answered";
+      messages += 1;
+      return fate;
+    };
+    return {
+      ask: async (message) => {
+        const fate = nextFate();
+        const reply = fate === "lost on its way" ? undefined : await keyService.ask(message);
+        if (fate !== "answered")
+          await sleep(clock, fate === "answered late" ? KEY_REPLY_LATE_US : KEY_REPLY_LOST_US);
+        return fate === "answered" || fate === "answered late" ? reply : undefined;
+      },
+      notify: (message) => {
+        if (nextFate() !== "lost on its way") keyService.notify(message);
+      },
+    };
+  };
--- a/fuzz/variants.ts
+++ b/fuzz/variants.ts
@@ -1,11 +1,15 @@
-import { planOf, TRIES, type RigOptions } from "./rig.js";
+/** Broken variants, each of which one check must notice. */
+import { configurationOf, MAX_TRIES, type ProxyHarnessOptions } from "./proxy-harness.js";
 import type { CheckName } from "./checks.js";
-import type { Lies } from "./world.js";
+import type { Deceptions } from "./scenario-run.js";
 
-/** A front that is broken on purpose, or a world that lies to a sound one, and the check that must notice. */
+/**
+ * A proxy server that is broken on purpose, or a sound one that is deceived, and the check that
+ * must notice.
+ */
 export interface Variant {
-  readonly rig: RigOptions;
-  readonly lies: Lies;
+  readonly harness: ProxyHarnessOptions;
+  readonly deceptions: Deceptions;
   readonly noticedBy: CheckName;
 }
 
@@ -13,48 +17,58 @@
 
 export const VARIANTS: Readonly<Record<string, Variant>> = {
   "another's answer passes as this try's": {
-    rig: {},
-    lies: { borrowsIds: true },
-    noticedBy: "own",
+    harness: {},
+    deceptions: { borrowsAttemptIds: true },
+    noticedBy: "ownResponse",
   },
   "what can't be repeated is taken for repeatable": {
-    rig: { plan: planOf(TRIES, (kind) => (kind === "unsafe" ? "safe" : kind)) },
-    lies: {},
-    noticedBy: "once",
+    harness: {
+      configuration: configurationOf(MAX_TRIES, (kind) => (kind === "unsafe" ? "safe" : kind)),
+    },
+    deceptions: {},
+    noticedBy: "atMostOnce",
   },
   "what has run is promised not to have": {
-    rig: {},
-    lies: { runsWhatItSheds: true },
-    noticedBy: "promised",
+    harness: {},
+    deceptions: { runsWhatItRejects: true },
+    noticedBy: "promiseKept",
+  },
+  "bodies change on their way": {
+    harness: {},
+    deceptions: { altersBodies: true },
+    noticedBy: "unchangedRequest",
+  },
+  "tries are not counted": {
+    harness: { configuration: configurationOf(MAX_TRIES + 2) },
+    deceptions: {},
+    noticedBy: "maxTries",
   },
-  "bodies change on their way": { rig: {}, lies: { alters: true }, noticedBy: "asked" },
-  "tries are not counted": { rig: { plan: planOf(TRIES + 2) }, lies: {}, noticedBy: "fewTries" },
   "every claim of a key wins": {
-    rig: {
-      desk: ({ tell }) => ({
-        tell,
+    harness: {
+      keyServiceOf: ({ notify }) => ({
+        notify,
         ask: async ({ kind }) => ({
           kind: "claim",
           ...(kind === "key-claim" ? { verdict: "won" } : { kept: true }),
         }),
       }),
     },
-    lies: {},
-    noticedBy: "oneRunAKey",
+    deceptions: {},
+    noticedBy: "oneRunPerKey",
   },
   "no time ever runs out": {
-    rig: { clockOf: ({ nowUs }) => ({ nowUs, after: () => NEVER, every: () => NEVER }) },
-    lies: {},
+    harness: { clockOf: ({ nowUs }) => ({ nowUs, after: () => NEVER, every: () => NEVER }) },
+    deceptions: {},
     noticedBy: "answered",
   },
   "callers leave and nobody notices": {
-    rig: {},
-    lies: { leavesUnseen: true },
-    noticedBy: "inTime",
+    harness: {},
+    deceptions: { hidesClientLeaving: true },
+    noticedBy: "notAfterLeaving",
   },
   "calls are never ended": {
-    rig: { clockOf: ({ nowUs }) => ({ nowUs, after: () => NEVER, every: () => NEVER }) },
-    lies: {},
-    noticedBy: "allClosed",
+    harness: { clockOf: ({ nowUs }) => ({ nowUs, after: () => NEVER, every: () => NEVER }) },
+    deceptions: {},
+    noticedBy: "nothingLeftOpen",
   },
 };
--- /dev/null
+++ b/fuzz/worker-responses.ts
@@ -0,0 +1,175 @@
+/**
+ * The ways in which scripted workers respond, proper ones and broken ones, and a record of what
+ * they wrote.
+ */
+import type { Socket } from "node:net";
+import { digestOf, type WrittenResponse } from "./checks.js";
+import type { WorkerAction } from "./scenario.js";
+import { responseBytes, type WorkerRequest } from "./scripted-worker.js";
+
+const LARGE_BODY = "y".repeat(400_000);
+const NOT_RUN = { "Yewreel-Not-Run": "1" };
+
+/** One request to answer. */
+interface Exchange {
+  readonly request: WorkerRequest;
+  readonly socket: Socket;
+  readonly delayMs: number;
+}
+
+type Respond = (exchange: Exchange) => void;
+
+export interface WorkerResponsesOptions {
+  /** Schedules an act so many milliseconds from now. */
+  readonly after: (waitMs: number, act: () => void) => void;
+  /** Whether late responses to others bear the id of the attempt that is due. */
+  readonly borrowsAttemptIds: boolean;
+}
+
+const rejectionBytes = (status: number, request: WorkerRequest, body = ""): string =>
+  responseBytes(status, { "Yewreel-Try-Id": request.attemptId, ...NOT_RUN }, body);
+
+/** Writes the responses of all workers of a scenario. */
+export class WorkerResponses {
+  readonly written: WrittenResponse[] = [];
+  /** Attempts whose response was broken off. */
+  readonly interrupted = new Set<string>();
+
+  constructor(private readonly options: WorkerResponsesOptions) {}
+
+  /** Answers a request in one of the 31 ways. */
+  readonly respond = (action: WorkerAction, exchange: Exchange): void =>
+    this.actions[action](exchange);
+
+  /** A response that the worker means for this attempt, recorded as such. */
+  readonly write = (
+    request: WorkerRequest,
+    status: number,
+    body: string,
+    headers: Readonly<Record<string, string | undefined>> = {},
+  ): string => {
+    const seal = `s.${request.worker}.${request.attemptId}.${this.written.length}`;
+    this.written.push({ attemptId: request.attemptId, status, seal, digest: digestOf(body) });
+    return responseBytes(
+      status,
+      { "Yewreel-Try-Id": request.attemptId, "Yewreel-Server-Seal": seal, ...headers },
+      request.method === "HEAD" ? "" : body,
+    );
+  };
+
+  private readonly plain = (request: WorkerRequest, status = 200): string =>
+    this.write(request, status, `ran ${request.attemptId}`);
+
+  /** Late responses of every kind, to somebody else. */
+  private readonly lateResponse = ({ request, delayMs }: Exchange): string => {
+    const id = this.options.borrowsAttemptIds ? request.attemptId : "t-somebody-else";
+    const responses: readonly [number, Readonly<Record<string, string>>, string][] = [
+      [200, { "Yewreel-Server-Seal": "s.extra" }, "EXTRA"],
+      [503, NOT_RUN, ""],
+      [421, {}, ""],
+      [500, { "Yewreel-Server-Seal": "s.extra" }, "EXTRA"],
+    ];
+    const [status, headers, body] = responses[delayMs % responses.length] ?? [200, {}, ""];
+    return responseBytes(status, { "Yewreel-Try-Id": id, ...headers }, body);
+  };
+
+  private readonly breakOff = ({ request, socket }: Exchange, bytes: string): void => {
+    this.interrupted.add(request.attemptId);
+    socket.end(bytes);
+  };
+
+  private readonly reset: Respond = ({ request, socket }) => {
+    this.interrupted.add(request.attemptId);
+    socket.resetAndDestroy();
+  };
+
+  private readonly answer: Respond = ({ request, socket }) => {
+    socket.write(this.plain(request));
+  };
+
+  private readonly answerInPieces: Respond = ({ request, socket }) => {
+    const bytes = this.plain(request);
+    for (let at = 0; at < bytes.length; at += 40)
+      this.options.after(10 + at / 4, () => socket.write(bytes.slice(at, at + 40)));
+  };
+
+  private readonly answerInChunks: Respond = ({ request, socket }) => {
+    const body = `ran ${request.attemptId}`;
+    const [head = ""] = this.write(request, 200, body, {
+      "Content-Length": undefined,
+      "Transfer-Encoding": "chunked",
+    }).split("\r\n\r\n");
+    const chunks =
+      request.method === "HEAD" ? "" : `${body.length.toString(16)}\r\n${body}\r\n0\r\n\r\n`;
+    socket.write(`${head}\r\n\r\n${chunks}`);
+  };
+
+  /** Answers, and does something to the connection a moment later. */
+  private readonly answerAndThen =
+    (later: Respond): Respond =>
+    (exchange) => {
+      exchange.socket.write(this.plain(exchange.request));
+      this.options.after(exchange.delayMs / 4, () => later(exchange));
+    };
+
+  private readonly actions: Readonly<Record<WorkerAction, Respond>> = {
+    answers: this.answer,
+    "answers early": this.answer,
+    "is another": this.answer,
+    "answers in pieces": this.answerInPieces,
+    "answers in chunks": this.answerInChunks,
+    "answers slowly": (exchange) =>
+      this.options.after(exchange.delayMs, () => this.answer(exchange)),
+    "answers large": ({ request, socket }) =>
+      void socket.write(this.write(request, 200, LARGE_BODY)),
+    "answers and closes": ({ request, socket }) =>
+      void socket.end(
+        this.write(request, 200, `ran ${request.attemptId}`, { Connection: "close" }),
+      ),
+    "answers and doubles": (exchange) =>
+      void exchange.socket.write(this.plain(exchange.request) + this.lateResponse(exchange)),
+    "answers behind a hint": ({ request, socket }) =>
+      void socket.write(`HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n${this.plain(request)}`),
+    "answers behind a late one": (exchange) =>
+      void exchange.socket.write(this.lateResponse(exchange) + this.plain(exchange.request)),
+    "answers and doubles late": this.answerAndThen(
+      (exchange) => void exchange.socket.write(this.lateResponse(exchange)),
+    ),
+    "answers and writes rubbish late": this.answerAndThen(
+      ({ socket }) => void socket.write("\u0001\u0002\r\n\r\n"),
+    ),
+    "answers and resets late": this.answerAndThen(({ socket }) => void socket.resetAndDestroy()),
+    fails: ({ request, socket }) => void socket.write(this.plain(request, 500)),
+    "knows nothing of it": ({ request, socket }) => void socket.write(this.plain(request, 404)),
+    sheds: ({ request, socket }) => void socket.write(rejectionBytes(503, request)),
+    limits: ({ request, socket }) => void socket.write(rejectionBytes(429, request)),
+    "fails without saying whether it ran": ({ request, socket, delayMs }) =>
+      void socket.write(this.plain(request, [503, 429, 408][delayMs % 3])),
+    "forgets the seal": ({ request, socket }) =>
+      void socket.write(
+        responseBytes(200, { "Yewreel-Try-Id": request.attemptId }, `ran ${request.attemptId}`),
+      ),
+    "tells two ids": ({ request, socket }) =>
+      void socket.write(
+        this.plain(request).replace(
+          "Yewreel-Server-Seal",
+          "Yewreel-Try-Id: t-somebody-else\r\nYewreel-Server-Seal",
+        ),
+      ),
+    "tells another id": (exchange) => void exchange.socket.write(this.lateResponse(exchange)),
+    "tells no id": ({ socket }) => void socket.write(responseBytes(503, NOT_RUN)),
+    "cuts the head": (exchange) =>
+      this.breakOff(exchange, this.plain(exchange.request).slice(0, 40)),
+    "cuts the body": (exchange) =>
+      this.breakOff(exchange, this.plain(exchange.request).slice(0, -2)),
+    "cuts a large body": (exchange) =>
+      this.breakOff(exchange, this.write(exchange.request, 200, LARGE_BODY).slice(0, -2)),
+    "cuts its refusal": (exchange) =>
+      this.breakOff(exchange, rejectionBytes(503, exchange.request, "full").slice(0, -2)),
+    "loses the answer": this.reset,
+    "resets at the head": this.reset,
+    "continues unasked": ({ request, socket }) =>
+      void socket.write(`HTTP/1.1 100 Continue\r\n\r\n${this.plain(request)}`),
+    "is silent": () => undefined,
+  };
+}
