--- a/features/steps/answers.ts
+++ b/features/steps/answers.ts
@@ -473,7 +473,7 @@
 });
 Then("no worker is shunned", () =>
   assert.deepEqual(
-    harness.pool.all().filter((worker) => worker.isShunned()),
+    harness.pool.all().filter((worker) => worker.isAvoided()),
     [],
   ),
 );
@@ -493,7 +493,7 @@
 Then("nothing is open any more", async () => {
   await settle();
   assert.deepEqual(
-    [harness.proxy.openRequests, ...harness.pool.all().map(({ own: calls }) => calls)],
+    [harness.proxy.openRequests, ...harness.pool.all().map(({ inFlight: calls }) => calls)],
     [0, ...harness.pool.all().map(() => 0)],
   );
 });
@@ -675,8 +675,8 @@
   await newRig();
   const { skippingClock: clock, pool } = harness;
   const chooser = new LoadBalancer({
-    pool,
-    cell: "c1",
+    workers: pool,
+    zone: "c1",
     random: Math.random,
     connectionShare: () => 10,
   });
@@ -689,22 +689,22 @@
   });
   const origin = new OriginFetcher({
     clock,
-    pool,
-    chooser,
-    rate,
-    budgets,
+    workers: pool,
+    loadBalancer: chooser,
+    rateLimiter: rate,
+    retryBudgets: budgets,
     countFault: () => undefined,
-    mostBytes: 1_000_000,
+    maxObjectBytes: 1_000_000,
   });
   goods = new ObjectClient({
     clock,
-    roomBytes: 0,
-    depots: new PeerCaches(clock),
-    halls: new PeerCaches(clock),
+    maxBytes: 0,
+    sharedCaches: new PeerCaches(clock),
+    zoneCaches: new PeerCaches(clock),
     origin,
-    rate,
+    rateLimiter: rate,
     isFresh: () => true,
-    slackUs: 0,
+    staleIfErrorUs: 0,
   });
   await join(new ScriptedWorker("w1", script));
 };
--- a/features/steps/goods.ts
+++ b/features/steps/goods.ts
@@ -1,10 +1,10 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import { CachedObjects, type CachedObject } from "../../src/cache/cached-objects.js";
-import { cutOf } from "../../src/cache/byte-range.js";
+import { resolveRange } from "../../src/cache/byte-range.js";
 import { RATE_LEASE_US, RateAllocator } from "../../src/quota/rate-allocator.js";
 import { RateLimiter } from "../../src/quota/rate-limiter.js";
-import { ObjectStore, type Found, type Want } from "../../src/cache/object-store.js";
+import { ObjectStore, type LookupResult, type Want } from "../../src/cache/object-store.js";
 import { sleep } from "../../src/common/clock.js";
 import { ManualClock } from "../support/manual-clock.js";
 
@@ -35,7 +35,7 @@
   bornUs,
 });
 
-const source = async (want: Want, old: CachedObject | undefined): Promise<Found> => {
+const source = async (want: Want, old: CachedObject | undefined): Promise<LookupResult> => {
   asked.push({ want, old });
   if (refuses) return { kind: "none", reason: "rate", retryAfterUs: 1 };
   const beganUs = clock.nowUs();
@@ -50,7 +50,13 @@
 const build = (): void => {
   clock = new ManualClock();
   copies = new CachedObjects(clock, 1_000_000);
-  store = new ObjectStore({ clock, copies, isFresh: () => isFresh, source, slackUs: 1_000_000 });
+  store = new ObjectStore({
+    clock,
+    cachedObjects: copies,
+    isFresh: () => isFresh,
+    source,
+    staleIfErrorUs: 1_000_000,
+  });
   version = 1;
   asked = [];
   isFresh = true;
@@ -58,7 +64,7 @@
   lateDepot = false;
 };
 
-const get = async (url: string): Promise<Found> => {
+const get = async (url: string): Promise<LookupResult> => {
   const want: Want = {
     service: "s",
     host: "h",
@@ -68,7 +74,7 @@
     latencyTargetUs: 500_000,
     deadlineUs: clock.nowUs() + 2_000_000,
   };
-  let found: Found | undefined;
+  let found: LookupResult | undefined;
   void store.get(want).then((told) => {
     found = told;
   });
@@ -77,7 +83,7 @@
   return found;
 };
 
-const versionOf = (found: Found): string =>
+const versionOf = (found: LookupResult): string =>
   found.kind === "found" ? found.copy.body.toString() : found.reason;
 
 const learn = (kind: string, name: string): void => {
@@ -88,7 +94,7 @@
     path: kind === "path" ? name : "",
     label: kind === "label" ? name : "",
   });
-  store.detach();
+  store.detachInFlight();
 };
 
 Given("a store whose source takes 100 ms", build);
@@ -150,7 +156,7 @@
 Then(
   "the range {string} of {int} bytes is {string}",
   (range: string, size: number, wanted: string) => {
-    const cut = cutOf(range, size);
+    const cut = resolveRange(range, size);
     assert.equal(cut.kind === "part" ? `${cut.from}-${cut.to}` : cut.kind, wanted);
   },
 );
--- a/features/steps/moves.ts
+++ b/features/steps/moves.ts
@@ -3,10 +3,10 @@
 import { checkForecast, readKept } from "../../src/programs/ctl/forecast-check.js";
 import { RequestCounters } from "../../src/proxy/request-counters.js";
 import {
-  bandOf,
-  forecastMoves,
-  joinBandOf,
-  unevennessOf,
+  confidenceHalfWidth,
+  forecastReassignment,
+  joinConfidenceHalfWidth,
+  coefficientOfVariation,
   type BackendChange,
   type ReassignmentRow,
 } from "../../src/proxy/reassignment-forecast.js";
@@ -55,7 +55,7 @@
   const counts = new Map(
     fleet.nodes.map(({ name }) => [name, new RequestCounters(fleet.timeline)]),
   );
-  fleet.onSent = (node, worker) => counts.get(node)?.count("s", "safe", "r", worker);
+  fleet.onSent = (node, worker) => counts.get(node)?.record("s", "safe", "r", worker);
   fleet.start();
   fleet.timeline.runUntil(SETTLE_US + WINDOW_US);
   return { fleet, counts };
@@ -66,14 +66,17 @@
   counts: ReadonlyMap<string, RequestCounters>,
   change: BackendChange,
 ): ReassignmentRow | undefined => {
-  const { spanUs, counts: calls } = counts.get(node.name)?.of("s") ?? { spanUs: 0, counts: [] };
+  const { spanUs, counts: calls } = counts.get(node.name)?.countsFor("s") ?? {
+    spanUs: 0,
+    counts: [],
+  };
   const { pool } = node;
-  return forecastMoves({
+  return forecastReassignment({
     node: node.name,
-    cell: node.zone,
-    nodes: pool.nodeCount,
+    zone: node.zone,
+    nodeCount: pool.nodeCount,
     service: "s",
-    workers: pool.ready("s"),
+    workers: pool.readyWorkersOf("s"),
     calls,
     spanUs,
     change,
@@ -98,7 +101,7 @@
   const subsets = new Map(
     fleet.nodes.map(({ name, pool }) => [
       name,
-      new Set([...pool.subset("s").near, ...pool.subset("s").far].map(({ id }) => id)),
+      new Set([...pool.subsetFor("s").local, ...pool.subsetFor("s").remote].map(({ id }) => id)),
     ]),
   );
   // Retired: the calls that would have gone to them, had they stayed. Added: the calls that the newcomers and their likes got.
@@ -136,15 +139,19 @@
   );
   counts.forEach((counted) =>
     counted
-      .of("s")
+      .countsFor("s")
       .counts.forEach(
         ({ worker, count }) =>
           perWorker.has(worker) && perWorker.set(worker, (perWorker.get(worker) ?? 0) + count),
       ),
   );
   const band = isAdding
-    ? joinBandOf(forecast / known, known, unevennessOf([...perWorker.values()]))
-    : bandOf(forecast / known, known);
+    ? joinConfidenceHalfWidth(
+        forecast / known,
+        known,
+        coefficientOfVariation([...perWorker.values()]),
+      )
+    : confidenceHalfWidth(forecast / known, known);
   const spread = isAdding ? (Math.max(...draws) - Math.min(...draws)) / known / 2 : 0;
   fleetsSeen.push({
     share: moved / total,
@@ -185,7 +192,7 @@
     const counts = new Map(
       fleet.nodes.map(({ name }) => [name, new RequestCounters(fleet.timeline)]),
     );
-    fleet.onSent = (node, worker) => counts.get(node)?.count("s", "safe", "r", worker);
+    fleet.onSent = (node, worker) => counts.get(node)?.record("s", "safe", "r", worker);
     fleet.start();
     if (asks)
       fleet.timeline.every(1_000_000, () =>
--- a/features/steps/retries.ts
+++ b/features/steps/retries.ts
@@ -81,11 +81,11 @@
 
 const request = (node: Node, kind: RouteKind, wantsRetry: boolean): void => {
   const budget = node.budgets.of("s", kind);
-  budget.count();
+  budget.recordRequest();
   requests.push({ atUs: timeline.nowUs(), kind });
-  if (!wantsRetry || !budget.spend()) return;
+  if (!wantsRetry || !budget.trySpend()) return;
   retries.push({ atUs: timeline.nowUs(), kind });
-  if (budget.leased() > 0) underLease += 1;
+  if (budget.leasedTokens() > 0) underLease += 1;
 };
 
 When(
@@ -101,7 +101,7 @@
 
 /** What the keeper does, over a net that delays and loses: asks go to whichever office the node can reach. */
 const renew = (node: Node): void => {
-  const wants = node.budgets.takeWants();
+  const wants = node.budgets.takeDemands();
   if (wants.length === 0 || timeline.nowUs() < node.cutUntilUs) return;
   const askedUs = timeline.nowUs();
   const reached = offices.filter(({ isUp }) => isUp)[
@@ -118,9 +118,9 @@
         const [service, kind, tokens] = asList(value);
         const known = KINDS.find((one) => one === asString(kind));
         assert.ok(known);
-        node.budgets.of(asString(service), known).take({
+        node.budgets.of(asString(service), known).setLease({
           tokens: asNumber(tokens) * (isDoubled ? 2 : 1),
-          endUs: askedUs + RETRY_LEASE_US,
+          expiresUs: askedUs + RETRY_LEASE_US,
         });
       });
     });
@@ -224,7 +224,9 @@
 Then("at least {int} retries were made under leases", (count: number) =>
   assert.ok(underLease >= count, `${underLease} of ${retries.length}`),
 );
-Then("it may retry nothing", () => assert.equal(nodes[0]?.budgets.of("s", "safe").spend(), false));
+Then("it may retry nothing", () =>
+  assert.equal(nodes[0]?.budgets.of("s", "safe").trySpend(), false),
+);
 
 let office: RetryAllocator;
 const ask = (life: string, wanted: number, held: number): number => {
@@ -298,21 +300,21 @@
   "it makes {int} requests and {int} retries",
   async (requestCount: number, retryCount: number) => {
     const budget = budgets.of("s", "safe");
-    for (let at = 0; at < requestCount; at += 1) budget.count();
-    for (let at = 0; at < retryCount; at += 1) assert.ok(budget.spend());
+    for (let at = 0; at < requestCount; at += 1) budget.recordRequest();
+    for (let at = 0; at < retryCount; at += 1) assert.ok(budget.trySpend());
     await clock.pass(20_000_000);
   },
 );
 Then("nothing was asked of the holder", () => assert.equal(asked, 0));
-When("a retry is refused", () => assert.equal(budgets.of("s", "safe").spend(), false));
+When("a retry is refused", () => assert.equal(budgets.of("s", "safe").trySpend(), false));
 Then(
   "it asks the holder within a second, takes the lease, and stops asking when it needs none",
   async () => {
     await clock.pass(1_000_000);
     await settle();
     assert.ok(asked > 0);
-    assert.equal(budgets.of("s", "safe").leased(), 5);
-    assert.ok(budgets.of("s", "safe").spend());
+    assert.equal(budgets.of("s", "safe").leasedTokens(), 5);
+    assert.ok(budgets.of("s", "safe").trySpend());
     await clock.pass(20_000_000);
     const askedBefore = asked;
     await clock.pass(20_000_000);
--- a/features/steps/subset.ts
+++ b/features/steps/subset.ts
@@ -2,18 +2,23 @@
 import { Given, Then, When } from "@cucumber/cucumber";
 import { WORKER_PREFIX } from "../../src/membership/update-store.js";
 import { LoadBalancer } from "../../src/proxy/load-balancer.js";
-import { subsetOf, type NodeCount, type Placed, type Subset } from "../../src/proxy/subset.js";
-import { ServiceLatency, Worker, ConnectionPool } from "../../src/proxy/connection-pool.js";
+import {
+  subsetOf,
+  type NodeCount,
+  type SubsetCandidate,
+  type Subset,
+} from "../../src/proxy/subset.js";
+import { ServiceLatency, Worker, WorkerDirectory } from "../../src/proxy/connection-pool.js";
 import { FLEET_TERMS, seeded, SimFleet, type Sent, type SimWorker } from "../support/fleet.js";
 import { ManualClock } from "../support/manual-clock.js";
 
 interface SimplePlace {
   readonly name: string;
-  readonly cell: string;
+  readonly zone: string;
 }
 
 let nodes: SimplePlace[] = [];
-let workers: Placed[] = [];
+let workers: SubsetCandidate[] = [];
 let zones = 1;
 let reads = 0;
 let fleet: SimFleet;
@@ -24,40 +29,40 @@
 let worker: Worker;
 const clock = new ManualClock();
 
-const spread = (count: number, prefix: string): { readonly id: string; readonly cell: string }[] =>
+const spread = (count: number, prefix: string): SubsetCandidate[] =>
   Array.from({ length: count }, (_value, at) => ({
     id: `${prefix}-${Math.floor(at / zones) + 1}-${at % zones}`,
-    cell: `c${at % zones}`,
+    zone: `c${at % zones}`,
   }));
 
 const countOf = (node: SimplePlace, all: readonly SimplePlace[] = nodes): NodeCount => ({
-  here: all.filter(({ cell: zone }) => zone === node.cell).length,
-  everywhere: all.length,
+  inZone: all.filter(({ zone }) => zone === node.zone).length,
+  total: all.length,
 });
 const subsetFor = (
   node: SimplePlace,
-  of: readonly Placed[] = workers,
+  of: readonly SubsetCandidate[] = workers,
   all: readonly SimplePlace[] = nodes,
-): Subset<Placed> => subsetOf(node.name, node.cell, of, countOf(node, all));
-const changed = (before: readonly Placed[], after: readonly Placed[]): number =>
+): Subset<SubsetCandidate> => subsetOf(node.name, node.zone, of, countOf(node, all));
+const changed = (before: readonly SubsetCandidate[], after: readonly SubsetCandidate[]): number =>
   before.filter((one) => !after.includes(one)).length;
 
 Given(
   "{int} nodes and {int} workers over {int} cells",
   (nodeCount: number, workerCount: number, cellCount: number) => {
     zones = cellCount;
-    nodes = spread(nodeCount, "edge").map(({ id, cell: zone }) => ({ name: id, cell: zone }));
+    nodes = spread(nodeCount, "edge").map(({ id, zone }) => ({ name: id, zone }));
     workers = spread(workerCount, "i-worker");
   },
 );
 Then("each node sends to at most {int} workers, those of its own cell first", (most: number) => {
   nodes.forEach((node) => {
-    const { near, far } = subsetFor(node);
+    const { local: near, remote: far } = subsetFor(node);
     assert.ok(near.length + far.length <= most, `${near.length} and ${far.length}`);
     assert.ok(
       near.length >= 6 &&
-        near.every(({ cell: zone }) => zone === node.cell) &&
-        far.every(({ cell: zone }) => zone !== node.cell),
+        near.every(({ zone }) => zone === node.zone) &&
+        far.every(({ zone }) => zone !== node.zone),
     );
   });
 });
@@ -66,7 +71,7 @@
   (least: number, times: number) => {
     const held = new Map(workers.map(({ id }) => [id, 0]));
     nodes.forEach((node) =>
-      subsetFor(node).near.forEach(({ id }) => held.set(id, (held.get(id) ?? 0) + 1)),
+      subsetFor(node).local.forEach(({ id }) => held.set(id, (held.get(id) ?? 0) + 1)),
     );
     const counts = [...held.values()];
     const mean = counts.reduce((sum, count) => sum + count, 0) / counts.length;
@@ -87,15 +92,19 @@
         subsetFor(node, fewer),
         subsetFor(node, workers, fewerNodes),
       ];
-      assert.ok(changed(before.near, after.near) <= 1 && changed(before.far, after.far) <= 1);
-      assert.ok(changed(after.near, before.near) <= 1 && changed(after.far, before.far) <= 1);
-      assert.deepEqual([without.near, without.far], [before.near, before.far]);
+      assert.ok(
+        changed(before.local, after.local) <= 1 && changed(before.remote, after.remote) <= 1,
+      );
+      assert.ok(
+        changed(after.local, before.local) <= 1 && changed(after.remote, before.remote) <= 1,
+      );
+      assert.deepEqual([without.local, without.remote], [before.local, before.remote]);
     });
   },
 );
 Then("each node sends to all {int} workers", (count: number) => {
   nodes.forEach((node) => {
-    const { near, far } = subsetFor(node);
+    const { local: near, remote: far } = subsetFor(node);
     assert.equal(near.length + far.length, count);
   });
 });
@@ -106,8 +115,8 @@
   const counting = { ...clock, nowUs: () => (count += 1), after: clock.after, every: clock.every };
   const [node] = nodes;
   assert.ok(node);
-  const pool = new ConnectionPool(counting, node.name, node.cell);
-  pool.setNodes(countOf(node));
+  const pool = new WorkerDirectory(counting, node.name, node.zone);
+  pool.setNodeCount(countOf(node));
   const body = (zone: string) => ({
     service: "s",
     address: "127.0.0.1:1",
@@ -116,8 +125,8 @@
     state: "ready",
     warmUs: 0,
   });
-  pool.take(
-    workers.map(({ id, cell: zone }) => ({
+  pool.applyUpdates(
+    workers.map(({ id, zone }) => ({
       key: WORKER_PREFIX + id,
       version: 1,
       tie: "",
@@ -126,8 +135,8 @@
     })),
   );
   const chooser = new LoadBalancer({
-    pool,
-    cell: node.cell,
+    workers: pool,
+    zone: node.zone,
     random: seeded(7),
     connectionShare: () => 6,
   });
@@ -141,10 +150,7 @@
   reads = readsOf(choices);
 });
 When("there are {int} times as many nodes and workers", (times: number) => {
-  nodes = spread(nodes.length * times, "edge").map(({ id, cell: zone }) => ({
-    name: id,
-    cell: zone,
-  }));
+  nodes = spread(nodes.length * times, "edge").map(({ id, zone }) => ({ name: id, zone }));
   workers = spread(workers.length * times, "i-worker");
 });
 Then(
@@ -262,12 +268,12 @@
 
 Given("a worker whose calls usually take {int} ms", (ms: number) => {
   worker = new Worker("w", clock, new ServiceLatency());
-  for (let call = 0; call < 40; call += 1) worker.learn(ms * 1_000);
+  for (let call = 0; call < 40; call += 1) worker.recordLatency(ms * 1_000);
 });
 When("a call to it has been waiting for {int} ms", async (ms: number) => {
   worker.begin();
   await clock.pass(ms * 1_000);
 });
 Then("another call to it is expected to take at least {int} ms", (ms: number) =>
-  assert.ok(worker.guessUs(worker.usage(0)) >= ms * 1_000),
+  assert.ok(worker.expectedLatencyUs(worker.load(0)) >= ms * 1_000),
 );
--- a/features/steps/traffic.ts
+++ b/features/steps/traffic.ts
@@ -8,7 +8,7 @@
 import { ProxyServer } from "../../src/proxy/proxy-server.js";
 import { IdempotencyClient } from "../../src/idempotency/key-client.js";
 import { RouteTable } from "../../src/proxy/route-table.js";
-import { ConnectionPool } from "../../src/proxy/connection-pool.js";
+import { WorkerDirectory } from "../../src/proxy/connection-pool.js";
 import { summarize, generateLoad, type LoadReport } from "../../src/programs/loadgen/loadgen.js";
 import type { Message } from "../../src/transport/connection.js";
 import { silentLogger } from "../../src/common/logger.js";
@@ -59,7 +59,7 @@
 
 let clock = new ManualClock();
 let updates = new UpdateStore(clock);
-let pool = new ConnectionPool(clock, "n1", "c1");
+let pool = new WorkerDirectory(clock, "n1", "c1");
 let front: ProxyServer;
 let port = 0;
 /** Every front gets an address of its own, so that no two scenarios share a port. */
@@ -103,7 +103,7 @@
   isDeskShut = false;
   clock = new ManualClock();
   updates = new UpdateStore(clock);
-  pool = new ConnectionPool(clock, "n1", "c1");
+  pool = new WorkerDirectory(clock, "n1", "c1");
   const table = new RouteTable();
   const budgets = new RetryBudgets({
     clock,
@@ -111,7 +111,7 @@
     windowUs: 10_000_000,
     limits: () => defaultLimits({ ratio: isBudgetEmpty ? 0 : 100, slack: 0, windowUs: 10_000_000 }),
   });
-  retriesOf = (kind) => budgets.of("s1", kind).tell().retries;
+  retriesOf = (kind) => budgets.of("s1", kind).snapshot().retries;
   front = new ProxyServer({
     clock,
     log: silentLogger,
@@ -147,8 +147,8 @@
     },
   });
   updates.events.on("changed", (facts) => {
-    table.take(facts);
-    pool.take(facts);
+    table.applyUpdates(facts);
+    pool.applyUpdates(facts);
     front.wake();
   });
   if (withPlan) {
@@ -278,7 +278,7 @@
 
 After({ tags: "not @none" }, () => {
   workers.forEach((one) => one.stop());
-  pool.all().forEach((one) => one.closeIdle());
+  pool.all().forEach((one) => one.closeIdleConnections());
   if (port !== 0) front.stopListening();
   port = 0;
 });
--- a/features/support/fleet.ts
+++ b/features/support/fleet.ts
@@ -1,5 +1,5 @@
 import { LoadBalancer } from "../../src/proxy/load-balancer.js";
-import { ConnectionPool, type Worker } from "../../src/proxy/connection-pool.js";
+import { WorkerDirectory, type Worker } from "../../src/proxy/connection-pool.js";
 import { WORKER_PREFIX, type Update } from "../../src/membership/update-store.js";
 import type { Clock } from "../../src/common/clock.js";
 
@@ -167,14 +167,14 @@
       this.served += 1;
       const next = this.queued.shift();
       if (next) this.start(next);
-      job.worker.tell(this.running, this.queued.length, terms.slots);
+      job.worker.reportLoad(this.running, this.queued.length, terms.slots);
       job.done(timeline.nowUs() - job.sentUs, "answered");
     });
   };
 }
 
 export class SimNode {
-  readonly pool: ConnectionPool;
+  readonly pool: WorkerDirectory;
   readonly chooser: LoadBalancer;
   /** Every choice, in order, so that two runs can be compared. */
   readonly chosen: string[] = [];
@@ -187,11 +187,11 @@
     random: () => number,
   ) {
     const { terms } = fleet;
-    this.pool = new ConnectionPool(fleet.timeline, name, zone);
-    this.pool.setNodes({ here: terms.nodesACell, everywhere: terms.nodesACell * terms.cells });
+    this.pool = new WorkerDirectory(fleet.timeline, name, zone);
+    this.pool.setNodeCount({ inZone: terms.nodesACell, total: terms.nodesACell * terms.cells });
     this.chooser = new LoadBalancer({
-      pool: this.pool,
-      cell: zone,
+      workers: this.pool,
+      zone,
       random,
       connectionShare: () => 6,
     });
@@ -280,7 +280,7 @@
         warmUs: 0,
       },
     };
-    this.nodes.forEach((node) => node.pool.take([fact]));
+    this.nodes.forEach((node) => node.pool.applyUpdates([fact]));
   };
 
   private readonly arrive = (node: SimNode): void => {
@@ -315,8 +315,8 @@
       sentUs,
       done: (tookUs, kind) => {
         worker.finish(call, true);
-        if (kind === "answered") worker.learn(tookUs);
-        else worker.shun();
+        if (kind === "answered") worker.recordLatency(tookUs);
+        else worker.avoid();
         this.sent.push({ atUs: sentUs, node: node.name, worker: worker.id, tookUs, kind });
       },
     });
--- a/fuzz/proxy-harness.ts
+++ b/fuzz/proxy-harness.ts
@@ -7,7 +7,7 @@
 import { IdempotencyClient } from "../src/idempotency/key-client.js";
 import { RetryBudgets } from "../src/proxy/retry-budget.js";
 import { RouteTable } from "../src/proxy/route-table.js";
-import { ConnectionPool } from "../src/proxy/connection-pool.js";
+import { WorkerDirectory } from "../src/proxy/connection-pool.js";
 import type { Clock, Timer } from "../src/common/clock.js";
 import { silentLogger } from "../src/common/logger.js";
 import { defaultLimits, type RouteKind } from "../src/quota/retry-limits.js";
@@ -110,7 +110,7 @@
   readonly skippingClock = new SkippingClock(this.clock);
   readonly keyService = new InMemoryKeyService();
   readonly updates: UpdateStore;
-  readonly pool: ConnectionPool;
+  readonly pool: WorkerDirectory;
   readonly proxy: ProxyServer;
   readonly host: string;
   readonly port: number;
@@ -131,7 +131,7 @@
     this.host = `127.${64 + ((process.pid >> 8) % 64)}.${process.pid & 255}.${(harnesses % 250) + 1}`;
     this.port = 12_000 + Math.floor(harnesses / 250);
     this.updates = new UpdateStore(clock);
-    this.pool = new ConnectionPool(clock, "n1", "c1");
+    this.pool = new WorkerDirectory(clock, "n1", "c1");
     const table = new RouteTable();
     const budgets = new RetryBudgets({
       clock,
@@ -139,7 +139,7 @@
       windowUs: 10_000_000,
       limits: () => defaultLimits({ ratio: retryRatio, slack: 0, windowUs: 10_000_000 }),
     });
-    this.retriesOf = (kind) => budgets.of("s1", kind).tell().retries;
+    this.retriesOf = (kind) => budgets.of("s1", kind).snapshot().retries;
     this.proxy = new ProxyServer({
       clock,
       log: silentLogger,
@@ -157,8 +157,8 @@
       idempotency: new IdempotencyClient(clock, keyService.ask, keyService.notify),
     });
     this.updates.events.on("changed", (facts) => {
-      table.take(facts);
-      this.pool.take(facts);
+      table.applyUpdates(facts);
+      this.pool.applyUpdates(facts);
       this.proxy.wake();
     });
     const call = parseChange(configuration);
@@ -209,7 +209,7 @@
   };
 
   readonly stop = (): void => {
-    this.pool.all().forEach((one) => one.closeIdle());
+    this.pool.all().forEach((one) => one.closeIdleConnections());
     this.proxy.stopListening();
   };
 }
--- a/scalability/node.ts
+++ b/scalability/node.ts
@@ -6,7 +6,7 @@
 import { summarize, generateLoad } from "../src/programs/loadgen/loadgen.js";
 import { UpdateStore, PLAN_PREFIX, WORKER_PREFIX } from "../src/membership/update-store.js";
 import { RouteTable } from "../src/proxy/route-table.js";
-import { ConnectionPool } from "../src/proxy/connection-pool.js";
+import { WorkerDirectory } from "../src/proxy/connection-pool.js";
 import { sleep, SteadyClock } from "../src/common/clock.js";
 import { asRecord, readNumber, type UnknownRecord } from "../src/common/decode.js";
 import { MILLISECOND_US, SECOND_US } from "../src/common/duration.js";
@@ -25,11 +25,11 @@
   const before = process.memoryUsage();
   const updates = new UpdateStore(clock);
   const table = new RouteTable();
-  const pool = new ConnectionPool(clock, "node", "c0");
-  pool.setNodes({ here: 430, everywhere: 3_000 });
+  const pool = new WorkerDirectory(clock, "node", "c0");
+  pool.setNodeCount({ inZone: 430, total: 3_000 });
   updates.events.on("changed", (facts) => {
-    table.take(facts);
-    pool.take(facts);
+    table.applyUpdates(facts);
+    pool.applyUpdates(facts);
   });
   const cpuBefore = process.cpuUsage();
   updates.post(
@@ -64,7 +64,7 @@
   );
   await sleep(clock, 200 * MILLISECOND_US);
   const services = Math.max(1, Math.floor(workers / WORKERS_PER_SERVICE));
-  for (let service = 0; service < services; service += 1) pool.subset(`s${service}`);
+  for (let service = 0; service < services; service += 1) pool.subsetFor(`s${service}`);
   const { user, system } = process.cpuUsage(cpuBefore);
   collect();
   const after = process.memoryUsage();
--- a/src/cache/cached-objects.ts
+++ b/src/cache/cached-objects.ts
@@ -25,12 +25,12 @@
 }
 
 /** What ends the copies it names. */
-export interface PurgeEntry {
+export interface Purge {
   readonly id: string;
   readonly host: string;
   readonly path: string;
   readonly label: string;
-  readonly learnedUs: number;
+  readonly receivedUs: number;
 }
 
 const OVERHEAD_BYTES = 512;
@@ -43,7 +43,7 @@
   readonly url: string;
 }): string => `${what.service}\n${what.host}\n${what.url}`;
 
-const namesUrl = (purge: PurgeEntry, host: string, url: string): boolean =>
+const namesUrl = (purge: Purge, host: string, url: string): boolean =>
   purge.label === "" && purge.host === host && (purge.path === url || purge.path === pathOf(url));
 
 /** Copies travel with their age, to which every hop adds; so it is an upper bound, on steady clocks alone. */
@@ -82,75 +82,76 @@
  * Invariant: none is kept, or taken, that a purge names and that was born before this process learned of the purge.
  */
 export class CachedObjects {
-  private readonly kept: LRUCache<string, CachedObject>;
-  private readonly purges = new Map<string, PurgeEntry>();
-  dropped = 0;
+  private readonly objects: LRUCache<string, CachedObject>;
+  private readonly purges = new Map<string, Purge>();
+  droppedByPurges = 0;
 
   constructor(
     private readonly clock: Clock,
     roomBytes: number,
     private readonly mostBytes = roomBytes / 4,
   ) {
-    this.kept = new LRUCache<string, CachedObject>({
+    this.objects = new LRUCache<string, CachedObject>({
       maxSize: Math.max(1, Math.floor(roomBytes)),
       sizeCalculation: (copy) => copy.body.length + OVERHEAD_BYTES,
     });
   }
 
   get size(): number {
-    return this.kept.size;
+    return this.objects.size;
   }
 
   get bytes(): number {
-    return this.kept.calculatedSize;
+    return this.objects.calculatedSize;
   }
 
-  readonly get = (key: string): CachedObject | undefined => this.kept.get(key);
+  readonly get = (key: string): CachedObject | undefined => this.objects.get(key);
 
   /** False if a purge covers it. One too large for the room is not kept, but still good. */
   readonly put = (copy: CachedObject): boolean => {
-    if (this.coveredUs(copy) !== undefined) return false;
-    if (copy.etag !== "" && copy.body.length <= this.mostBytes) this.kept.set(keyOf(copy), copy);
+    if (this.coveringPurgeUs(copy) !== undefined) return false;
+    if (copy.etag !== "" && copy.body.length <= this.mostBytes) this.objects.set(keyOf(copy), copy);
     return true;
   };
 
   /** When the last purge was learned that ends this copy, or undefined. */
-  readonly coveredUs = (copy: CachedObject): number | undefined => {
+  readonly coveringPurgeUs = (copy: CachedObject): number | undefined => {
     let lastUs: number | undefined;
     this.purges.forEach((purge) => {
       const names =
         purge.label === ""
           ? namesUrl(purge, copy.host, copy.url)
           : copy.labels.includes(purge.label);
-      if (names && copy.bornUs <= purge.learnedUs) lastUs = Math.max(lastUs ?? 0, purge.learnedUs);
+      if (names && copy.bornUs <= purge.receivedUs)
+        lastUs = Math.max(lastUs ?? 0, purge.receivedUs);
     });
     return lastUs;
   };
 
   /** When the last purge was learned that names this address. */
-  readonly purgedUs = (host: string, url: string): number | undefined => {
+  readonly lastPurgeUs = (host: string, url: string): number | undefined => {
     let lastUs: number | undefined;
     this.purges.forEach((purge) => {
-      if (namesUrl(purge, host, url)) lastUs = Math.max(lastUs ?? 0, purge.learnedUs);
+      if (namesUrl(purge, host, url)) lastUs = Math.max(lastUs ?? 0, purge.receivedUs);
     });
     return lastUs;
   };
 
   /** False if it is known already. */
-  readonly purge = (purge: Omit<PurgeEntry, "learnedUs">): boolean => {
+  readonly purge = (purge: Omit<Purge, "receivedUs">): boolean => {
     if (this.purges.has(purge.id)) return false;
-    this.purges.set(purge.id, { ...purge, learnedUs: this.clock.nowUs() });
-    this.kept.forEach((copy, key) => {
-      if (this.coveredUs(copy) === undefined) return;
-      this.kept.delete(key);
-      this.dropped += 1;
+    this.purges.set(purge.id, { ...purge, receivedUs: this.clock.nowUs() });
+    this.objects.forEach((copy, key) => {
+      if (this.coveringPurgeUs(copy) === undefined) return;
+      this.objects.delete(key);
+      this.droppedByPurges += 1;
     });
     return true;
   };
 
-  readonly forget = (purgeId: string): void => {
+  readonly forgetPurge = (purgeId: string): void => {
     this.purges.delete(purgeId);
   };
 
-  readonly clear = (): void => this.kept.clear();
+  readonly clear = (): void => this.objects.clear();
 }
--- a/src/cache/freshness.ts
+++ b/src/cache/freshness.ts
@@ -6,8 +6,8 @@
   /** The bound within which a purge takes effect after its acknowledgement. */
   readonly purgeUs: number;
   /** How much longer while the core is unsettled, which a lost session tells of. */
-  readonly stretchUs: number;
-  readonly isFed: () => boolean;
+  readonly disconnectedExtraUs: number;
+  readonly isUpToDate: () => boolean;
 }
 
 /** Kept back of the bound for the ways the news travels, whose time nobody sees. */
@@ -23,14 +23,14 @@
 
   constructor(private readonly options: FreshnessOptions) {}
 
-  readonly hear = (ageUs: number): void => {
+  readonly confirm = (ageUs: number): void => {
     this.asOfUs = Math.max(this.asOfUs, this.options.clock.nowUs() - ageUs);
   };
 
   readonly ageUs = (): number => this.options.clock.nowUs() - this.asOfUs;
 
   readonly isFresh = (): boolean => {
-    const { purgeUs, stretchUs, isFed } = this.options;
+    const { purgeUs, disconnectedExtraUs: stretchUs, isUpToDate: isFed } = this.options;
     return this.ageUs() <= purgeUs - MARGIN_US + (isFed() ? 0 : stretchUs * STRETCH_PART);
   };
 }
--- a/src/cache/object-client.ts
+++ b/src/cache/object-client.ts
@@ -7,20 +7,20 @@
 import { copyIn, isPermitted, packWant, SMALL_BYTES } from "./object-server.js";
 import type { PeerCaches } from "./peer-caches.js";
 import type { OriginFetcher } from "./origin-fetch.js";
-import { cutOf, type Cut } from "./byte-range.js";
+import { resolveRange, type ByteRange } from "./byte-range.js";
 import type { RateLimiter } from "../quota/rate-limiter.js";
-import { ObjectStore, type Found, type Want } from "./object-store.js";
+import { ObjectStore, type LookupResult, type Want } from "./object-store.js";
 
 export interface ObjectClientOptions {
   readonly clock: Clock;
-  readonly roomBytes: number;
-  readonly depots: PeerCaches;
+  readonly maxBytes: number;
+  readonly sharedCaches: PeerCaches;
   /** Who gives large objects out in this cell; nobody where a depot stands in it, or this node itself does. */
-  readonly halls: PeerCaches;
+  readonly zoneCaches: PeerCaches;
   readonly origin: OriginFetcher;
-  readonly rate: RateLimiter;
+  readonly rateLimiter: RateLimiter;
   readonly isFresh: () => boolean;
-  readonly slackUs: number;
+  readonly staleIfErrorUs: number;
 }
 
 /** A route whose objects are mostly larger than this goes by the cell's hall, where there is one. */
@@ -29,7 +29,7 @@
 
 const SEALS: ReadonlySet<string> = new Set([SERVER_SEAL_HEADER]);
 
-type Got = { readonly copy: CachedObject; readonly cut: Cut; readonly size: number };
+type Got = { readonly copy: CachedObject; readonly cut: ByteRange; readonly size: number };
 
 const MOST_ROUNDS = 3;
 const PERMIT_WAIT_US = 100 * MILLISECOND_US;
@@ -39,7 +39,9 @@
   retryAfterUs: 100 * MILLISECOND_US,
 };
 
-const readCut = (value: unknown): { readonly cut: Cut; readonly size: number } | undefined => {
+const readCut = (
+  value: unknown,
+): { readonly cut: ByteRange; readonly size: number } | undefined => {
   if (!isRecord(value)) return undefined;
   const size = readNumber(value, "size");
   return {
@@ -56,38 +58,38 @@
 
 /** A pointsman's way to objects: a small store of its own, then the depots, and without any of them the origin itself. */
 export class ObjectClient {
-  readonly copies: CachedObjects;
+  readonly cachedObjects: CachedObjects;
   private readonly store: ObjectStore;
   /** The mean size of the objects asked for, by service and the first part of the path. */
   private readonly sizes = new Map<string, number>();
 
   constructor(private readonly options: ObjectClientOptions) {
-    const { clock, roomBytes, isFresh, slackUs } = options;
-    this.copies = new CachedObjects(clock, roomBytes, SMALL_BYTES);
+    const { clock, maxBytes: roomBytes, isFresh, staleIfErrorUs: slackUs } = options;
+    this.cachedObjects = new CachedObjects(clock, roomBytes, SMALL_BYTES);
     this.store = new ObjectStore({
       clock,
-      copies: this.copies,
+      cachedObjects: this.cachedObjects,
       isFresh,
-      slackUs,
+      staleIfErrorUs: slackUs,
       source: this.source,
     });
   }
 
-  readonly detach = (): void => this.store.detach();
+  readonly detachInFlight = (): void => this.store.detachInFlight();
 
-  readonly tell = (): UnknownRecord => ({
+  readonly snapshot = (): UnknownRecord => ({
     ...this.store.counts,
-    copies: this.copies.size,
-    bytes: this.copies.bytes,
-    droppedByPurges: this.copies.dropped,
+    copies: this.cachedObjects.size,
+    bytes: this.cachedObjects.bytes,
+    droppedByPurges: this.cachedObjects.droppedByPurges,
     fetches: this.options.origin.fetches,
-    checks: this.options.origin.checks,
-    refusedForRate: this.options.origin.noRate,
-    share: this.options.rate.share,
+    checks: this.options.origin.revalidations,
+    refusedForRate: this.options.origin.rateLimited,
+    share: this.options.rateLimiter.share,
   });
 
   readonly fetch = async (want: Want, range: string | undefined): Promise<ObjectResult> => {
-    const { depots } = this.options;
+    const { sharedCaches: depots } = this.options;
     if (range !== undefined && this.store.peek(want) === undefined && depots.isAnyConnected) {
       const got = await this.part(want, range);
       return "copy" in got ? this.served(got) : got;
@@ -96,20 +98,23 @@
     if (found.kind === "none") return found;
     const { copy } = found;
     const size = copy.body.length;
-    const cut = copy.status === 200 ? cutOf(range, size) : { kind: "whole" as const };
+    const cut = copy.status === 200 ? resolveRange(range, size) : { kind: "whole" as const };
     const body = cut.kind === "part" ? copy.body.subarray(cut.from, cut.to + 1) : copy.body;
     return this.served({ copy: { ...copy, body }, cut, size });
   };
 
   /** Whether one more request may go to a service with a rate: of this node's share, or of a depot's. */
   readonly permit = async (service: string): Promise<boolean> => {
-    const { depots, rate } = this.options;
+    const { sharedCaches: depots, rateLimiter: rate } = this.options;
     if (!depots.isAnyConnected) return rate.takeToken(service).ok;
     return isPermitted(await depots.ask(service, { kind: "permit", service }, PERMIT_WAIT_US));
   };
 
-  private readonly source = async (want: Want, old: CachedObject | undefined): Promise<Found> => {
-    const { depots, origin } = this.options;
+  private readonly source = async (
+    want: Want,
+    old: CachedObject | undefined,
+  ): Promise<LookupResult> => {
+    const { sharedCaches: depots, origin } = this.options;
     if (!depots.isAnyConnected) return origin.fetch(want, old);
     const got = await this.ask(want, undefined, old);
     return "copy" in got ? { kind: "found", copy: got.copy } : got;
@@ -120,11 +125,11 @@
     const { clock } = this.options;
     let { maxAgeUs } = want;
     for (let round = 0; round < MOST_ROUNDS; round += 1) {
-      const purgedUs = this.copies.purgedUs(want.host, want.url);
+      const purgedUs = this.cachedObjects.lastPurgeUs(want.host, want.url);
       if (purgedUs !== undefined) maxAgeUs = Math.min(maxAgeUs, clock.nowUs() - purgedUs);
       const got = await this.ask({ ...want, maxAgeUs }, range);
       if (!("copy" in got)) return got;
-      const coveredUs = this.copies.coveredUs(got.copy);
+      const coveredUs = this.cachedObjects.coveringPurgeUs(got.copy);
       if (coveredUs === undefined) return got;
       maxAgeUs = Math.min(maxAgeUs, clock.nowUs() - coveredUs);
     }
@@ -136,7 +141,7 @@
     range: string | undefined,
     old?: CachedObject,
   ): Promise<Got | ObjectUnavailable> => {
-    const { clock, depots, halls } = this.options;
+    const { clock, sharedCaches: depots, zoneCaches: halls } = this.options;
     const askedUs = clock.nowUs();
     const message = packWant(want, askedUs, range, old);
     const viaHall = halls.isAnyConnected && this.isLarge(want);
@@ -158,9 +163,10 @@
     const told = readCut(reply["cut"]);
     this.learnSize(want, told?.size ?? copy.body.length);
     if (told) return { copy, ...told };
-    const cut = copy.status === 200 ? cutOf(range, copy.body.length) : { kind: "whole" as const };
+    const cut =
+      copy.status === 200 ? resolveRange(range, copy.body.length) : { kind: "whole" as const };
     if (range === undefined) return { copy, cut, size: copy.body.length };
-    this.copies.put(copy);
+    this.cachedObjects.put(copy);
     return {
       copy:
         cut.kind === "part" ? { ...copy, body: copy.body.subarray(cut.from, cut.to + 1) } : copy,
--- a/src/cache/object-server.ts
+++ b/src/cache/object-server.ts
@@ -4,7 +4,7 @@
 import { MILLISECOND_US } from "../common/duration.js";
 import type { Message, Connection } from "../transport/connection.js";
 import { packCachedObject, readCachedObject, type CachedObject } from "./cached-objects.js";
-import { cutOf } from "./byte-range.js";
+import { resolveRange } from "./byte-range.js";
 import type { RateLimiter } from "../quota/rate-limiter.js";
 import type { ObjectStore, Want } from "./object-store.js";
 
@@ -47,7 +47,7 @@
   readonly store: ObjectStore;
   /** For those who must not be asked on: the same copies, with the origin behind them. */
   readonly ownStore?: ObjectStore;
-  readonly rate: RateLimiter;
+  readonly rateLimiter: RateLimiter;
   readonly log: Logger;
 }
 
@@ -72,7 +72,7 @@
     message: Message,
     sayWait: () => void,
   ): Promise<UnknownRecord> => {
-    const { clock, store, rate } = this.options;
+    const { clock, store, rateLimiter: rate } = this.options;
     if (message.kind === "permit")
       return { yes: rate.takeToken(readString(message, "service")).ok };
     const want = readWant(message, clock.nowUs());
@@ -86,7 +86,7 @@
     const packed = packCachedObject(copy, clock.nowUs());
     const cut =
       copy.status === 200 && copy.body.length > SMALL_BYTES
-        ? cutOf(
+        ? resolveRange(
             typeof message["range"] === "string" ? message["range"] : undefined,
             copy.body.length,
           )
--- a/src/cache/object-store.ts
+++ b/src/cache/object-store.ts
@@ -4,19 +4,23 @@
 
 export type { ObjectRequest as Want };
 
-export type Found = { readonly kind: "found"; readonly copy: CachedObject } | ObjectUnavailable;
+export type LookupResult =
+  { readonly kind: "found"; readonly copy: CachedObject } | ObjectUnavailable;
 
 /** Where an object comes from on a miss; `old` is a copy that may still be the newest. */
-export type Source = (want: ObjectRequest, old: CachedObject | undefined) => Promise<Found>;
+export type ObjectFetch = (
+  want: ObjectRequest,
+  old: CachedObject | undefined,
+) => Promise<LookupResult>;
 
 export interface ObjectStoreOptions {
   readonly clock: Clock;
-  readonly copies: CachedObjects;
+  readonly cachedObjects: CachedObjects;
   /** Whether the news is so new that a copy no purge names may be served. */
   readonly isFresh: () => boolean;
-  readonly source: Source;
+  readonly source: ObjectFetch;
   /** How far beyond its age a copy may be used when nothing else is to be had. */
-  readonly slackUs: number;
+  readonly staleIfErrorUs: number;
 }
 
 export interface ObjectStoreCounts {
@@ -29,7 +33,7 @@
 interface Running {
   readonly want: ObjectRequest;
   readonly beganUs: number;
-  readonly found: Promise<Found>;
+  readonly found: Promise<LookupResult>;
 }
 
 const MOST_ROUNDS = 3;
@@ -40,18 +44,18 @@
  */
 export class ObjectStore {
   readonly counts: ObjectStoreCounts = { hits: 0, misses: 0, joined: 0, refused: 0 };
-  private readonly running = new Map<string, Running>();
+  private readonly inFlight = new Map<string, Running>();
 
   constructor(private readonly options: ObjectStoreOptions) {}
 
   /** A copy that may be given at once. */
   readonly peek = (want: ObjectRequest): CachedObject | undefined => {
-    const { clock, copies, isFresh } = this.options;
+    const { clock, cachedObjects: copies, isFresh } = this.options;
     const copy = copies.get(keyOf(want));
     return copy && clock.nowUs() - copy.bornUs <= want.maxAgeUs && isFresh() ? copy : undefined;
   };
 
-  readonly get = async (want: ObjectRequest): Promise<Found> => {
+  readonly get = async (want: ObjectRequest): Promise<LookupResult> => {
     const { clock } = this.options;
     const copy = this.peek(want);
     if (copy) {
@@ -59,7 +63,7 @@
       return { kind: "found", copy };
     }
     const key = keyOf(want);
-    const running = this.running.get(key);
+    const running = this.inFlight.get(key);
     const joins =
       running !== undefined &&
       clock.nowUs() - running.beganUs <= want.maxAgeUs &&
@@ -70,42 +74,42 @@
       clock,
       want.deadlineUs - clock.nowUs(),
       joins ? running.found : this.begin(key, want),
-      late,
+      TIMED_OUT,
     );
     if (found.kind === "found") return found;
     this.counts.refused += 1;
-    return this.lastResort(want) ?? found;
+    return this.staleIfError(want) ?? found;
   };
 
   /** On learning of a purge: what runs already serves who waits for it, and nobody who comes later. */
-  readonly detach = (): void => this.running.clear();
+  readonly detachInFlight = (): void => this.inFlight.clear();
 
-  private readonly begin = (key: string, want: ObjectRequest): Promise<Found> => {
+  private readonly begin = (key: string, want: ObjectRequest): Promise<LookupResult> => {
     const running: Running = { want, beganUs: this.options.clock.nowUs(), found: this.fetch(want) };
-    this.running.set(key, running);
+    this.inFlight.set(key, running);
     const over = () => {
-      if (this.running.get(key) === running) this.running.delete(key);
+      if (this.inFlight.get(key) === running) this.inFlight.delete(key);
     };
     running.found.then(over, over);
     return running.found;
   };
 
-  private readonly fetch = async (want: ObjectRequest): Promise<Found> => {
-    const { copies, source, clock } = this.options;
+  private readonly fetch = async (want: ObjectRequest): Promise<LookupResult> => {
+    const { cachedObjects: copies, source, clock } = this.options;
     let maxAgeUs = want.maxAgeUs;
     for (let round = 0; round < MOST_ROUNDS; round += 1) {
-      const purgedUs = copies.purgedUs(want.host, want.url);
+      const purgedUs = copies.lastPurgeUs(want.host, want.url);
       if (purgedUs !== undefined) maxAgeUs = Math.min(maxAgeUs, clock.nowUs() - purgedUs);
       const found = await source({ ...want, maxAgeUs }, copies.get(keyOf(want)));
       if (found.kind === "none" || copies.put(found.copy)) return found;
-      maxAgeUs = Math.min(maxAgeUs, clock.nowUs() - (copies.coveredUs(found.copy) ?? 0));
+      maxAgeUs = Math.min(maxAgeUs, clock.nowUs() - (copies.coveringPurgeUs(found.copy) ?? 0));
     }
-    return late;
+    return TIMED_OUT;
   };
 
   /** A copy a little beyond its age, where the bound on staleness still has room for it. */
-  private readonly lastResort = (want: ObjectRequest): Found | undefined => {
-    const { clock, copies, isFresh, slackUs } = this.options;
+  private readonly staleIfError = (want: ObjectRequest): LookupResult | undefined => {
+    const { clock, cachedObjects: copies, isFresh, staleIfErrorUs: slackUs } = this.options;
     const copy = copies.get(keyOf(want));
     const usable =
       copy &&
@@ -116,4 +120,4 @@
   };
 }
 
-const late: Found = { kind: "none", reason: "late", retryAfterUs: 100_000 };
+const TIMED_OUT: LookupResult = { kind: "none", reason: "late", retryAfterUs: 100_000 };
--- a/src/cache/origin-fetch.ts
+++ b/src/cache/origin-fetch.ts
@@ -14,20 +14,20 @@
   forwardedHeaders,
   ATTEMPT_ID_HEADER,
 } from "../proxy/headers.js";
-import type { Worker, ConnectionPool } from "../proxy/connection-pool.js";
+import type { Worker, WorkerDirectory } from "../proxy/connection-pool.js";
 import type { CachedObject } from "./cached-objects.js";
 import type { RateLimiter } from "../quota/rate-limiter.js";
-import type { Found, Want } from "./object-store.js";
+import type { LookupResult, Want } from "./object-store.js";
 
 export interface OriginFetcherOptions {
   readonly clock: Clock;
-  readonly pool: ConnectionPool;
-  readonly chooser: LoadBalancer;
-  readonly rate: RateLimiter;
-  readonly budgets: RetryBudgets;
+  readonly workers: WorkerDirectory;
+  readonly loadBalancer: LoadBalancer;
+  readonly rateLimiter: RateLimiter;
+  readonly retryBudgets: RetryBudgets;
   readonly countFault: (worker: string, isFault: boolean) => void;
   /** The largest object that is read whole. */
-  readonly mostBytes: number;
+  readonly maxObjectBytes: number;
 }
 
 const TRIES = 3;
@@ -45,24 +45,24 @@
 
 /** Reads objects from the workers of a service, within this process's share of the service's rate. */
 export class OriginFetcher {
-  checks = 0;
+  revalidations = 0;
   fetches = 0;
-  noRate = 0;
+  rateLimited = 0;
   /** Who waits for a turn, by service; the first comes first. */
-  private readonly lines = new Map<string, number>();
+  private readonly waiting = new Map<string, number>();
 
   constructor(private readonly options: OriginFetcherOptions) {}
 
-  readonly fetch = async (want: Want, old: CachedObject | undefined): Promise<Found> => {
-    const { clock, budgets: retryBudgets } = this.options;
+  readonly fetch = async (want: Want, old: CachedObject | undefined): Promise<LookupResult> => {
+    const { clock, retryBudgets } = this.options;
     const budget = retryBudgets.of(want.service, "cached");
     const tried = new Set<string>();
     let bad: CachedObject | undefined;
     for (let round = 0; round < TRIES; round += 1) {
-      if (clock.nowUs() >= want.deadlineUs || (round > 0 && !budget.spend())) break;
+      if (clock.nowUs() >= want.deadlineUs || (round > 0 && !budget.trySpend())) break;
       const turn = await this.turn(want);
       if (turn !== undefined) return bad ? { kind: "found", copy: bad } : turn;
-      if (round === 0) budget.count();
+      if (round === 0) budget.recordRequest();
       const worker = await this.worker(want, tried);
       if (!worker) break;
       tried.add(worker.id);
@@ -92,27 +92,31 @@
   };
 
   /** Waits for one request's worth of the rate; at once says none where it would come too late. */
-  private readonly turn = async (want: Want): Promise<Found | undefined> => {
-    const { clock, rate } = this.options;
+  private readonly turn = async (want: Want): Promise<LookupResult | undefined> => {
+    const { clock, rateLimiter: rate } = this.options;
     const untilUs = Math.min(clock.nowUs() + want.latencyTargetUs * TURN_PART, want.deadlineUs);
-    const before = this.lines.get(want.service) ?? 0;
+    const before = this.waiting.get(want.service) ?? 0;
     const first = before === 0 ? rate.takeToken(want.service) : rate.delayToNextToken(want.service);
     if (first.ok) return undefined;
-    const none: Found = { kind: "none", reason: "rate", retryAfterUs: first.waitUs * (before + 1) };
+    const none: LookupResult = {
+      kind: "none",
+      reason: "rate",
+      retryAfterUs: first.waitUs * (before + 1),
+    };
     if (clock.nowUs() + first.waitUs * (before + 1) > untilUs) {
-      this.noRate += 1;
+      this.rateLimited += 1;
       return none;
     }
-    this.lines.set(want.service, before + 1);
+    this.waiting.set(want.service, before + 1);
     try {
       while (clock.nowUs() < untilUs) {
         await sleep(clock, LOOK_US);
         if (rate.takeToken(want.service).ok) return undefined;
       }
-      this.noRate += 1;
+      this.rateLimited += 1;
       return none;
     } finally {
-      this.lines.set(want.service, (this.lines.get(want.service) ?? 1) - 1);
+      this.waiting.set(want.service, (this.waiting.get(want.service) ?? 1) - 1);
     }
   };
 
@@ -120,7 +124,7 @@
     want: Want,
     tried: ReadonlySet<string>,
   ): Promise<Worker | undefined> => {
-    const { clock, chooser } = this.options;
+    const { clock, loadBalancer: chooser } = this.options;
     const untilUs = Math.min(clock.nowUs() + want.latencyTargetUs * ROOM_PART, want.deadlineUs);
     for (;;) {
       const worker = chooser.choose(want.service, tried, want.latencyTargetUs);
@@ -134,7 +138,7 @@
     old: CachedObject | undefined,
     worker: Worker,
   ): Promise<UpstreamResult> => {
-    const { clock, countFault, pool } = this.options;
+    const { clock, countFault, workers: pool } = this.options;
     const attemptId = randomBytes(8).toString("hex");
     const leftMs = Math.max(1, Math.floor((want.deadlineUs - clock.nowUs()) / MILLISECOND_US));
     const headers = [
@@ -149,7 +153,7 @@
     ];
     if (old && old.etag !== "") {
       headers.push("If-None-Match", old.etag);
-      this.checks += 1;
+      this.revalidations += 1;
     } else this.fetches += 1;
     const call = new UpstreamRequest(
       worker,
@@ -168,12 +172,13 @@
     let result: UpstreamResult | undefined;
     while (result === undefined) {
       result = await withTimeout(clock, SILENCE_CHECK_US, call.result, undefined);
-      if (result === undefined && (worker.isSilent() || clock.nowUs() > want.deadlineUs)) {
+      if (result === undefined && (worker.isUnresponsive() || clock.nowUs() > want.deadlineUs)) {
         call.cancel();
         result = { kind: "lost", reason: "silence" };
       }
     }
-    if (result.kind === "rejected" && result.reason === "wrong-worker") pool.misdirected(worker);
+    if (result.kind === "rejected" && result.reason === "wrong-worker")
+      pool.removeMisdirected(worker);
     const isOut =
       result.kind === "lost" ||
       (result.kind === "not-sent" &&
@@ -184,7 +189,7 @@
   };
 
   private readonly fault = (worker: Worker): void => {
-    worker.shun();
+    worker.avoid();
     this.options.countFault(worker.id, true);
   };
 
@@ -198,14 +203,14 @@
       more.read(
         (chunk) => {
           size += chunk.length;
-          if (size <= this.options.mostBytes) chunks.push(chunk);
+          if (size <= this.options.maxObjectBytes) chunks.push(chunk);
           return true;
         },
         (isWhole) =>
           resolve(
             !isWhole
               ? "broken"
-              : size > this.options.mostBytes
+              : size > this.options.maxObjectBytes
                 ? "too large"
                 : Buffer.concat(chunks),
           ),
--- a/src/cache/peer-caches.ts
+++ b/src/cache/peer-caches.ts
@@ -38,7 +38,7 @@
  * by rendezvous.
  */
 export class PeerCaches {
-  private readonly depots = new Map<string, PeerCache>();
+  private readonly peers = new Map<string, PeerCache>();
 
   constructor(
     private readonly clock: Clock,
@@ -46,18 +46,18 @@
   ) {}
 
   get isAnyConnected(): boolean {
-    return [...this.depots.values()].some(({ link }) => link.isConnected);
+    return [...this.peers.values()].some(({ link }) => link.isConnected);
   }
 
-  readonly learn = (told: readonly CacheAddress[]): void => {
+  readonly setAddresses = (told: readonly CacheAddress[]): void => {
     const wanted = new Map(told.map(({ address, zone }) => [address, zone]));
-    this.depots.forEach((depot, address) => {
+    this.peers.forEach((depot, address) => {
       if (wanted.has(address)) return;
       depot.link.stop();
-      this.depots.delete(address);
+      this.peers.delete(address);
     });
     wanted.forEach((zone, address) => {
-      if (!this.depots.has(address)) this.open(address, zone);
+      if (!this.peers.has(address)) this.open(address, zone);
     });
   };
 
@@ -67,9 +67,9 @@
     message: Message,
     waitUs: number,
   ): Promise<Message | undefined> =>
-    this.depots.get(address)?.link.ask(message, waitUs) ?? Promise.resolve(undefined);
+    this.peers.get(address)?.link.ask(message, waitUs) ?? Promise.resolve(undefined);
 
-  readonly stop = (): void => this.depots.forEach(({ link }) => link.stop());
+  readonly stop = (): void => this.peers.forEach(({ link }) => link.stop());
 
   /** Asks the object's depot, and the next one in rank where it is doubtful; undefined when none answers in time. */
   readonly ask = async (
@@ -105,7 +105,7 @@
 
   private readonly rank = (key: string): readonly PeerCache[] => {
     const nowUs = this.clock.nowUs();
-    const standing = [...this.depots].filter(([, { link }]) => link.isConnected);
+    const standing = [...this.peers].filter(([, { link }]) => link.isConnected);
     const scored = standing.map(([address, depot]) => ({
       depot,
       score:
@@ -131,7 +131,7 @@
     link.events.on("message", () => {
       depot.heardUs = clock.nowUs();
     });
-    this.depots.set(address, depot);
+    this.peers.set(address, depot);
     void link.run();
   };
 }
--- a/src/programs/cache/cache.ts
+++ b/src/programs/cache/cache.ts
@@ -6,12 +6,12 @@
 import { OriginFetcher } from "../../cache/origin-fetch.js";
 import { RateLeaseRenewer } from "../../quota/rate-lease-renewer.js";
 import { RateLimiter } from "../../quota/rate-limiter.js";
-import { ObjectStore, type Found, type Want } from "../../cache/object-store.js";
+import { ObjectStore, type LookupResult, type Want } from "../../cache/object-store.js";
 import type { DataPlaneNode } from "../data-plane-node.js";
 import { joinCluster } from "../data-plane-node.js";
 import { LoadBalancer } from "../../proxy/load-balancer.js";
 import { RouteTable } from "../../proxy/route-table.js";
-import { ConnectionPool } from "../../proxy/connection-pool.js";
+import { WorkerDirectory } from "../../proxy/connection-pool.js";
 import type { Clock } from "../../common/clock.js";
 import { loggerFor } from "../../common/logger.js";
 import type { Settings } from "../../common/settings.js";
@@ -44,29 +44,29 @@
     "cache",
     { goods: serve },
     (question) =>
-      question.kind === "retries" ? { kind: "retries", rows: retryBudgets.tell() } : undefined,
+      question.kind === "retries" ? { kind: "retries", rows: retryBudgets.snapshot() } : undefined,
   );
   const table = new RouteTable();
-  const pool = new ConnectionPool(clock, settings.name, settings.zone);
+  const pool = new WorkerDirectory(clock, settings.name, settings.zone);
   const life = `${process.pid}-${clock.nowUs()}-${Math.random()}`;
   const counts = new FaultCounters(life);
   let clusterSize = { depots: 1, here: 1 };
 
   const retryBudgets = openRetryBudgets(settings, clock, updates, subscriber, life);
-  const rate = new RateLimiter(clock, (service) => table.service(service)?.ratePerS ?? 0);
+  const rate = new RateLimiter(clock, (service) => table.service(service)?.maxRequestsPerS ?? 0);
   const freshness = new Freshness({
     clock,
     purgeUs: settings.purgeUs,
-    stretchUs: settings.stretchUs,
-    isFed: () => subscriber.isUpToDate,
+    disconnectedExtraUs: settings.stretchUs,
+    isUpToDate: () => subscriber.isUpToDate,
   });
   const copies = new CachedObjects(
     clock,
     (settings.memoryMb || DEFAULT_MEMORY_MB) * MB * COPIES_PART,
   );
   const chooser = new LoadBalancer({
-    pool,
-    cell: settings.zone,
+    workers: pool,
+    zone: settings.zone,
     random: Math.random,
     connectionShare: (service) =>
       Math.max(
@@ -76,25 +76,25 @@
   });
   const origin = new OriginFetcher({
     clock,
-    pool,
-    chooser,
-    rate,
-    budgets: retryBudgets,
+    workers: pool,
+    loadBalancer: chooser,
+    rateLimiter: rate,
+    retryBudgets,
     countFault: counts.count,
-    mostBytes: MOST_OBJECT_BYTES,
+    maxObjectBytes: MOST_OBJECT_BYTES,
   });
   const here = `${settings.ip}:${settings.relayPort}`;
   const others = new PeerCaches(clock);
   let addresses: readonly string[] = [here];
   const ownStore = new ObjectStore({
     clock,
-    copies,
+    cachedObjects: copies,
     isFresh: freshness.isFresh,
-    slackUs: settings.staleSlackUs / 2,
+    staleIfErrorUs: settings.staleSlackUs / 2,
     source: origin.fetch,
   });
   /** The object's owner among all depots reads the origin; another asks it, and sends the body over only once a version. */
-  const fetch = async (want: Want, old: CachedObject | undefined): Promise<Found> => {
+  const fetch = async (want: Want, old: CachedObject | undefined): Promise<LookupResult> => {
     const owner = ownerOf(keyOf(want), addresses);
     const askedUs = clock.nowUs();
     const isOwn = owner === undefined || owner === here;
@@ -117,19 +117,19 @@
   };
   const store = new ObjectStore({
     clock,
-    copies,
+    cachedObjects: copies,
     isFresh: freshness.isFresh,
-    slackUs: settings.staleSlackUs / 2,
+    staleIfErrorUs: settings.staleSlackUs / 2,
     source: fetch,
   });
-  const counter = new ObjectServer({ clock, store, ownStore, rate, log });
+  const counter = new ObjectServer({ clock, store, ownStore, rateLimiter: rate, log });
 
   updates.events.on("changed", (facts) => {
-    table.take(facts);
-    pool.take(facts);
+    table.applyUpdates(facts);
+    pool.applyUpdates(facts);
   });
   updates.events.on("forgotten", (keys) => {
-    pool.forget(keys);
+    pool.forgetKeys(keys);
     keys.forEach((key) => counts.remove(key));
   });
   const follow = subscribeToPurges({
@@ -139,8 +139,8 @@
     freshness,
     copies,
     detach: () => {
-      store.detach();
-      ownStore.detach();
+      store.detachInFlight();
+      ownStore.detachInFlight();
     },
   });
   subscriber.events.on("crew", (told) => {
@@ -149,12 +149,12 @@
       here,
       ...depots.map(({ address }) => address).filter((address) => address !== here),
     ];
-    others.learn(depots.filter(({ address }) => address !== here));
+    others.setAddresses(depots.filter(({ address }) => address !== here));
     clusterSize = {
       depots: Math.max(1, depots.length),
       here: Math.max(1, depots.filter(({ zone }) => zone === settings.zone).length),
     };
-    pool.setNodes({ here: clusterSize.here, everywhere: clusterSize.depots });
+    pool.setNodeCount({ inZone: clusterSize.here, total: clusterSize.depots });
   });
   const keeper = new RateLeaseRenewer({
     clock,
@@ -178,14 +178,14 @@
         ownerMisses: ownStore.counts.misses,
         copies: copies.size,
         bytes: copies.bytes,
-        droppedByPurges: copies.dropped,
+        droppedByPurges: copies.droppedByPurges,
         fetches: origin.fetches,
-        checks: origin.checks,
-        refusedForRate: origin.noRate,
+        checks: origin.revalidations,
+        refusedForRate: origin.rateLimited,
         share: rate.share,
       },
     });
-    pool.trim();
+    pool.evictIdleConnections();
   });
   log.info(`Up at ${settings.ip}:${settings.relayPort}.`);
   return {
--- a/src/programs/controller/backend-forecast.ts
+++ b/src/programs/controller/backend-forecast.ts
@@ -6,8 +6,8 @@
 import type { ReplicatedStore } from "../../consensus/replicated-store.js";
 import type { NodeAnswer } from "../../membership/cluster.js";
 import type { WorkerRegistry } from "../../membership/worker-registry.js";
-import { CONFIDENCE, LEAST_CALLS, type BackendChange } from "../../proxy/reassignment-forecast.js";
-import { CALLS_WINDOW_US } from "../../proxy/request-counters.js";
+import { CONFIDENCE, MIN_REQUESTS, type BackendChange } from "../../proxy/reassignment-forecast.js";
+import { REQUEST_WINDOW_US } from "../../proxy/request-counters.js";
 import {
   asRecord,
   asString,
@@ -74,13 +74,13 @@
 ): readonly string[] => {
   const unheard = unheardNodes(answers);
   const named = unheard.slice(0, MAX_NAMED).join(", ");
-  const few = rows.filter((row) => readNumber(row, "calls") < LEAST_CALLS).length;
+  const few = rows.filter((row) => readNumber(row, "calls") < MIN_REQUESTS).length;
   return [
     ...(unheard.length > 0
       ? [`${unheard.length} of ${answers.length} nodes were not heard: ${named}`]
       : []),
     ...(few > 0
-      ? [`${few} rows of nodes stand on fewer than ${LEAST_CALLS} calls and say little`]
+      ? [`${few} rows of nodes stand on fewer than ${MIN_REQUESTS} calls and say little`]
       : []),
     ...services
       .filter((service) => !rows.some((row) => row["service"] === service))
@@ -118,7 +118,7 @@
     const warnings = warningsOf(answers, rows, services, this.readyIds(services) !== before);
     const moves = {
       change: { add, retire, byRoute },
-      windowMs: CALLS_WINDOW_US / MILLISECOND_US,
+      windowMs: REQUEST_WINDOW_US / MILLISECOND_US,
       confidence: CONFIDENCE,
       fleet: this.fleetRows(rows, answers),
       nodes: rows.map(withoutDraws),
--- a/src/programs/controller/reassignment-summary.ts
+++ b/src/programs/controller/reassignment-summary.ts
@@ -4,7 +4,11 @@
  */
 import type { NodeAnswer } from "../../membership/cluster.js";
 import type { WorkerRegistry } from "../../membership/worker-registry.js";
-import { bandOf, joinBandOf, unevennessOf } from "../../proxy/reassignment-forecast.js";
+import {
+  confidenceHalfWidth,
+  joinConfidenceHalfWidth,
+  coefficientOfVariation,
+} from "../../proxy/reassignment-forecast.js";
 import {
   asNumber,
   asRecord,
@@ -71,7 +75,10 @@
   const first = rows[0] ?? {};
   const draws = meanDraws(rows, calls);
   const moved = weightedMean(rows, "moved");
-  const band = draws.length > 1 ? joinBandOf(moved, calls, unevenness) : bandOf(moved, calls);
+  const band =
+    draws.length > 1
+      ? joinConfidenceHalfWidth(moved, calls, unevenness)
+      : confidenceHalfWidth(moved, calls);
   const toCells = sharesByZone(rows, calls);
   return {
     service: first["service"],
@@ -108,7 +115,7 @@
     const sum = sums.get(id);
     if (sum !== undefined) sums.set(id, sum + perS);
   });
-  return unevennessOf([...sums.values()]);
+  return coefficientOfVariation([...sums.values()]);
 };
 
 const sumLoads = (answers: readonly NodeAnswer[]): ReadonlyMap<string, LoadSum> => {
--- a/src/programs/controller/retry-quota.ts
+++ b/src/programs/controller/retry-quota.ts
@@ -28,7 +28,7 @@
 } from "../../common/decode.js";
 import type { Settings } from "../../common/settings.js";
 import type { Message } from "../../transport/connection.js";
-import { ceilingOf } from "../gateway/retry-budgets.js";
+import { retryMaximumOf } from "../gateway/retry-budgets.js";
 import { readApiResponse, type ApiRequest, type ApiResponse, type ApiRoute } from "../http-api.js";
 import { readBody, wrong } from "./admin-api.js";
 import type { Consensus } from "./consensus.js";
@@ -123,7 +123,7 @@
     const { settings, clock, lease } = options;
     this.allocator = new RetryAllocator({
       clock,
-      windowUs: ceilingOf(settings).windowUs,
+      windowUs: retryMaximumOf(settings).windowUs,
       isLeader: () => lease.isHolder() && lease.seesMajority(),
       limits: this.limits,
     });
@@ -157,7 +157,7 @@
   private readonly limits = (): RetryLimits => {
     const written = this.options.published.retryLimits();
     return written === undefined
-      ? defaultLimits(ceilingOf(this.options.settings))
+      ? defaultLimits(retryMaximumOf(this.options.settings))
       : readRetryLimits(written);
   };
 
@@ -198,7 +198,7 @@
     if (service !== EVERY_SERVICE && !isService) return wrong(`there is no service ${service}`);
     const changed = withLimit(
       this.limits(),
-      ceilingOf(settings),
+      retryMaximumOf(settings),
       service,
       readString(order, "kind"),
       { ratio: order["ratio"], slack: order["slack"] },
--- a/src/programs/ctl/forecast-check.ts
+++ b/src/programs/ctl/forecast-check.ts
@@ -1,5 +1,5 @@
 /** Compares a saved forecast of `ctl backends forecast` with what the nodes counted after the change. */
-import { LEAST_CALLS } from "../../proxy/reassignment-forecast.js";
+import { MIN_REQUESTS } from "../../proxy/reassignment-forecast.js";
 import {
   asNumber,
   asRecord,
@@ -76,7 +76,7 @@
   readonly high: number;
 }): CheckResult => {
   if (!row.isHeard) return "not heard";
-  if (row.calls < LEAST_CALLS) return "too few calls";
+  if (row.calls < MIN_REQUESTS) return "too few calls";
   return row.seenJoin >= row.low && row.seenJoin <= row.high ? "within" : "outside";
 };
 
--- a/src/programs/gateway/gateway.ts
+++ b/src/programs/gateway/gateway.ts
@@ -5,7 +5,7 @@
 import { RequestCounters } from "../../proxy/request-counters.js";
 import { ProxyServer } from "../../proxy/proxy-server.js";
 import { RouteTable } from "../../proxy/route-table.js";
-import { ConnectionPool } from "../../proxy/connection-pool.js";
+import { WorkerDirectory } from "../../proxy/connection-pool.js";
 import { sleep, type Clock } from "../../common/clock.js";
 import { loggerFor } from "../../common/logger.js";
 import type { Settings } from "../../common/settings.js";
@@ -39,11 +39,11 @@
     settings,
     clock,
     "gateway",
-    { goods: (...session) => goods?.receiver(...session) ?? Promise.resolve() },
+    { goods: (...session) => goods?.serveObjects(...session) ?? Promise.resolve() },
     (question) => answers(question),
   );
   const table = new RouteTable();
-  const pool = new ConnectionPool(clock, settings.name, settings.zone);
+  const pool = new WorkerDirectory(clock, settings.name, settings.zone);
   const life = `${process.pid}-${clock.nowUs()}-${Math.random()}`;
   const counts = new FaultCounters(life);
   const rollouts = new CanaryCounters(life);
@@ -52,10 +52,10 @@
   const retryBudgets = openRetryBudgets(settings, clock, updates, subscriber, life);
   const answers = nodeQueryHandlers({
     node: settings.name,
-    cell: settings.zone,
-    pool,
-    calls,
-    budgets: retryBudgets,
+    zone: settings.zone,
+    workers: pool,
+    requestCounters: calls,
+    retryBudgets,
   });
   const tallies = new Map<string, number>();
   let clusterSize: ClusterSize = { gateways: 1, zones: {} };
@@ -76,10 +76,10 @@
           clock,
           updates,
           subscriber,
-          table,
-          pool,
-          life,
-          budgets: retryBudgets,
+          routes: table,
+          workers: pool,
+          incarnation: life,
+          retryBudgets,
           connectionShare,
           countFault: counts.count,
         })
@@ -100,35 +100,35 @@
     },
     countCanaryOutcome: (route, service, stratum, outcome) =>
       rollouts.count(route.name, route.version, service, `${settings.zone}|${stratum}`, outcome),
-    countAttempt: calls.count,
+    countAttempt: calls.record,
     random: Math.random,
     loadCounters: usage,
     actsOnForecast: settings.forecastActs,
-    ...(goods ? { objects: goods.objects, idempotency: goods.desk } : {}),
+    ...(goods ? { objects: goods.objects, idempotency: goods.idempotencyClient } : {}),
   });
 
   updates.events.on("changed", (facts) => {
-    table.take(facts);
-    pool.take(facts);
-    rollouts.retain(table.isInForce);
+    table.applyUpdates(facts);
+    pool.applyUpdates(facts);
+    rollouts.retain(table.isCurrent);
     front.applyLimits();
-    front.setZoneDrained(pool.isEmptied(settings.zone));
+    front.setZoneDrained(pool.isDrained(settings.zone));
     front.wake();
   });
   updates.events.on("forgotten", (keys) => {
-    pool.forget(keys);
+    pool.forgetKeys(keys);
     keys.forEach((key) => counts.remove(key));
   });
   subscriber.events.on("crew", (told) => {
     clusterSize = told;
-    pool.setNodes({
-      here: Math.max(1, told.zones[settings.zone] ?? 1),
-      everywhere: Math.max(1, told.gateways),
+    pool.setNodeCount({
+      inZone: Math.max(1, told.zones[settings.zone] ?? 1),
+      total: Math.max(1, told.gateways),
     });
   });
 
   const isReady = (): boolean =>
-    !leaving && !pool.isEmptied(settings.zone) && table.isLoaded && pool.size > 0;
+    !leaving && !pool.isDrained(settings.zone) && table.isLoaded && pool.size > 0;
   const ready = await serveApi(settings.ready, [
     {
       method: "GET",
@@ -151,7 +151,7 @@
     {
       method: "GET",
       path: "/tell/goods",
-      handle: async () => ({ outcome: "taken", body: { goods: goods?.objects.tell() ?? {} } }),
+      handle: async () => ({ outcome: "taken", body: { goods: goods?.objects.snapshot() ?? {} } }),
     },
     {
       method: "GET",
@@ -162,9 +162,9 @@
           workers: pool.all().map((worker) => ({
             id: worker.id,
             service: worker.service,
-            cell: worker.cell,
+            cell: worker.zone,
             state: worker.state,
-            usage: worker.usage(0),
+            usage: worker.load(0),
             ejected: pool.isEjected(worker),
           })),
         },
@@ -183,7 +183,7 @@
     if (message) subscriber.report(message);
     const used = usage.takeReport();
     if (used) subscriber.report(used);
-    pool.trim();
+    pool.evictIdleConnections();
   });
   log.info(`Up at ${settings.front}.`);
 
--- a/src/programs/gateway/node-queries.ts
+++ b/src/programs/gateway/node-queries.ts
@@ -1,7 +1,7 @@
 import type { RequestCounters } from "../../proxy/request-counters.js";
-import { forecastMoves, type BackendChange } from "../../proxy/reassignment-forecast.js";
+import { forecastReassignment, type BackendChange } from "../../proxy/reassignment-forecast.js";
 import type { RetryBudgets } from "../../proxy/retry-budget.js";
-import type { ConnectionPool } from "../../proxy/connection-pool.js";
+import type { WorkerDirectory } from "../../proxy/connection-pool.js";
 import {
   asRecord,
   readFlag,
@@ -12,12 +12,12 @@
 } from "../../common/decode.js";
 import type { Message } from "../../transport/connection.js";
 
-export interface AnswersOptions {
+export interface NodeQueryOptions {
   readonly node: string;
-  readonly cell: string;
-  readonly pool: ConnectionPool;
-  readonly calls: RequestCounters;
-  readonly budgets: RetryBudgets;
+  readonly zone: string;
+  readonly workers: WorkerDirectory;
+  readonly requestCounters: RequestCounters;
+  readonly retryBudgets: RetryBudgets;
 }
 
 export const readBackendChange = (message: Message): BackendChange => ({
@@ -36,28 +36,28 @@
 /** What a pointsman answers a signalbox that asks on an operator's behalf. Queries only: they count, and change nothing. */
 export const nodeQueryHandlers = ({
   node,
-  cell: zone,
-  pool,
-  calls,
-  budgets: retryBudgets,
-}: AnswersOptions): ((question: Message) => Message | undefined) => {
+  zone,
+  workers: pool,
+  requestCounters: calls,
+  retryBudgets,
+}: NodeQueryOptions): ((question: Message) => Message | undefined) => {
   const moves = (question: Message): Message => {
     const change = readBackendChange(question);
     const forecasts = readList(question, "services", asString).map((service) => ({
       service,
-      ...forecastMoves({
+      ...forecastReassignment({
         node,
-        cell: zone,
-        nodes: pool.nodeCount,
+        zone,
+        nodeCount: pool.nodeCount,
         service,
-        workers: pool.ready(service),
+        workers: pool.readyWorkersOf(service),
         change,
         ...readCalls(service),
       }),
     }));
     const loads = forecasts
       .flatMap((forecast) => forecast.loads)
-      .map((load) => ({ ...load, tookUs: pool.tookUs(load.worker) }));
+      .map((load) => ({ ...load, tookUs: pool.meanLatencyUs(load.worker) }));
     return {
       kind: "moves",
       rows: forecasts.flatMap((forecast) => forecast.rows),
@@ -66,7 +66,7 @@
     };
   };
   const readCalls = (service: string) => {
-    const { spanUs, counts } = calls.of(service);
+    const { spanUs, counts } = calls.countsFor(service);
     return { spanUs, calls: counts };
   };
   const seen = (question: Message): Message => ({
@@ -79,7 +79,7 @@
   return (question) => {
     switch (question.kind) {
       case "retries":
-        return { kind: "retries", rows: retryBudgets.tell() };
+        return { kind: "retries", rows: retryBudgets.snapshot() };
       case "moves":
         return moves(question);
       case "seen":
--- a/src/programs/gateway/object-cache.ts
+++ b/src/programs/gateway/object-cache.ts
@@ -6,14 +6,14 @@
 import { OriginFetcher } from "../../cache/origin-fetch.js";
 import { RateLeaseRenewer } from "../../quota/rate-lease-renewer.js";
 import { RateLimiter } from "../../quota/rate-limiter.js";
-import { ObjectStore, type Found } from "../../cache/object-store.js";
+import { ObjectStore, type LookupResult } from "../../cache/object-store.js";
 import type { UpdateStore } from "../../membership/update-store.js";
 import type { UpdateSubscriber } from "../../membership/update-subscriber.js";
 import { LoadBalancer } from "../../proxy/load-balancer.js";
 import { IdempotencyClient } from "../../idempotency/key-client.js";
 import type { RetryBudgets } from "../../proxy/retry-budget.js";
 import type { RouteTable } from "../../proxy/route-table.js";
-import type { ConnectionPool } from "../../proxy/connection-pool.js";
+import type { WorkerDirectory } from "../../proxy/connection-pool.js";
 import type { Clock } from "../../common/clock.js";
 import { loggerFor } from "../../common/logger.js";
 import type { Receiver } from "../../transport/listener.js";
@@ -25,19 +25,19 @@
   readonly clock: Clock;
   readonly updates: UpdateStore;
   readonly subscriber: UpdateSubscriber;
-  readonly table: RouteTable;
-  readonly pool: ConnectionPool;
-  readonly life: string;
-  readonly budgets: RetryBudgets;
+  readonly routes: RouteTable;
+  readonly workers: WorkerDirectory;
+  readonly incarnation: string;
+  readonly retryBudgets: RetryBudgets;
   readonly connectionShare: (service: string) => number;
   readonly countFault: (worker: string, isFault: boolean) => void;
 }
 
 export interface GatewayObjectCache {
   readonly objects: ObjectClient;
-  readonly desk: IdempotencyClient;
+  readonly idempotencyClient: IdempotencyClient;
   /** Serves those who ask this node for objects. */
-  readonly receiver: Receiver;
+  readonly serveObjects: Receiver;
   readonly stop: () => void;
 }
 
@@ -56,55 +56,55 @@
     clock,
     updates,
     subscriber,
-    table,
-    pool,
-    life,
-    budgets: retryBudgets,
+    routes: table,
+    workers: pool,
+    incarnation: life,
+    retryBudgets,
     connectionShare,
     countFault,
   } = options;
   const distance = distanceFrom(settings.zone, settings.regions);
   const depots = new PeerCaches(clock, distance);
   const halls = new PeerCaches(clock);
-  const rate = new RateLimiter(clock, (service) => table.service(service)?.ratePerS ?? 0);
+  const rate = new RateLimiter(clock, (service) => table.service(service)?.maxRequestsPerS ?? 0);
   const freshness = new Freshness({
     clock,
     purgeUs: settings.purgeUs,
-    stretchUs: settings.stretchUs,
-    isFed: () => subscriber.isUpToDate,
+    disconnectedExtraUs: settings.stretchUs,
+    isUpToDate: () => subscriber.isUpToDate,
   });
   const chooser = new LoadBalancer({
-    pool,
-    cell: settings.zone,
+    workers: pool,
+    zone: settings.zone,
     random: Math.random,
     connectionShare,
   });
   const origin = new OriginFetcher({
     clock,
-    pool,
-    chooser,
-    rate,
-    budgets: retryBudgets,
+    workers: pool,
+    loadBalancer: chooser,
+    rateLimiter: rate,
+    retryBudgets,
     countFault,
-    mostBytes: MOST_OBJECT_BYTES,
+    maxObjectBytes: MOST_OBJECT_BYTES,
   });
   const goods = new ObjectClient({
     clock,
-    roomBytes: ((settings.memoryMb || DEFAULT_MEMORY_MB) * MB) / COPIES_PART,
-    depots,
-    halls,
+    maxBytes: ((settings.memoryMb || DEFAULT_MEMORY_MB) * MB) / COPIES_PART,
+    sharedCaches: depots,
+    zoneCaches: halls,
     origin,
-    rate,
+    rateLimiter: rate,
     isFresh: freshness.isFresh,
-    slackUs: settings.staleSlackUs / 2,
+    staleIfErrorUs: settings.staleSlackUs / 2,
   });
   const follow = subscribeToPurges({
     clock,
     updates,
     subscriber,
     freshness,
-    copies: goods.copies,
-    detach: goods.detach,
+    copies: goods.cachedObjects,
+    detach: goods.detachInFlight,
   });
 
   /** What this node gives out if it is its cell's hall: copies of large objects, kept new without their bodies travelling. */
@@ -114,10 +114,10 @@
   );
   const store = new ObjectStore({
     clock,
-    copies,
+    cachedObjects: copies,
     isFresh: freshness.isFresh,
-    slackUs: settings.staleSlackUs / 2,
-    source: async (want, old): Promise<Found> => {
+    staleIfErrorUs: settings.staleSlackUs / 2,
+    source: async (want, old): Promise<LookupResult> => {
       const askedUs = clock.nowUs();
       const reply = await depots.ask(
         keyOf(want),
@@ -140,16 +140,16 @@
     subscriber,
     freshness,
     copies,
-    detach: store.detach,
+    detach: store.detachInFlight,
   });
-  const counter = new ObjectServer({ clock, store, rate, log: loggerFor("hall") });
+  const counter = new ObjectServer({ clock, store, rateLimiter: rate, log: loggerFor("hall") });
   const here = `${settings.ip}:${settings.relayPort}`;
   subscriber.events.on("crew", (clusterSize) => {
-    depots.learn(clusterSize.caches ?? []);
+    depots.setAddresses(clusterSize.caches ?? []);
     const ofCell = (clusterSize.zoneDistributors ?? []).filter(
       ({ zone, address }) => zone === settings.zone && address !== here,
     );
-    halls.learn(
+    halls.setAddresses(
       (clusterSize.caches ?? []).some(({ zone }) => zone === settings.zone) ? [] : ofCell,
     );
   });
@@ -164,8 +164,8 @@
   keeper.start();
   return {
     objects: goods,
-    desk: new IdempotencyClient(clock, subscriber.ask, subscriber.report),
-    receiver: counter.serve,
+    idempotencyClient: new IdempotencyClient(clock, subscriber.ask, subscriber.report),
+    serveObjects: counter.serve,
     stop: () => {
       keeper.stop();
       follow.stop();
--- a/src/programs/gateway/retry-budgets.ts
+++ b/src/programs/gateway/retry-budgets.ts
@@ -7,7 +7,7 @@
 import { defaultLimits, readRetryLimits, type RetryMaximum } from "../../quota/retry-limits.js";
 import type { Settings } from "../../common/settings.js";
 
-export const ceilingOf = (settings: Settings): RetryMaximum => ({
+export const retryMaximumOf = (settings: Settings): RetryMaximum => ({
   ratio: settings.retryRatio,
   slack: settings.retrySlack,
   windowUs: settings.retryWindowUs,
@@ -21,7 +21,7 @@
   subscriber: UpdateSubscriber,
   life: string,
 ): RetryBudgets => {
-  let limits = defaultLimits(ceilingOf(settings));
+  let limits = defaultLimits(retryMaximumOf(settings));
   updates.events.on("changed", (facts) => {
     const written = facts.find(({ key }) => key === RETRIES_KEY);
     if (written) limits = readRetryLimits(written.body);
--- a/src/programs/purge-subscriber.ts
+++ b/src/programs/purge-subscriber.ts
@@ -57,9 +57,9 @@
     if (applied.length > 0) detach();
   });
   updates.events.on("forgotten", (keys) =>
-    keys.filter((key) => key.startsWith(PURGE_PREFIX)).forEach(copies.forget),
+    keys.filter((key) => key.startsWith(PURGE_PREFIX)).forEach(copies.forgetPurge),
   );
-  subscriber.events.on("fresh", freshness.hear);
+  subscriber.events.on("fresh", freshness.confirm);
   return clock.every(SECOND_US, () => {
     if (freshness.ageUs() > MAX_UPDATE_AGE_US) copies.clear();
   });
--- a/src/proxy/admission-queue.ts
+++ b/src/proxy/admission-queue.ts
@@ -34,7 +34,7 @@
     const worker = this.choose(context);
     if (worker || waitUs <= 0) return Promise.resolve(worker);
     return new Promise((resolve) => {
-      const priority = context.route?.rank ?? 0;
+      const priority = context.route?.priority ?? 0;
       const entry: QueuedRequest = {
         context,
         priority,
--- a/src/proxy/cached-requests.ts
+++ b/src/proxy/cached-requests.ts
@@ -29,7 +29,7 @@
    */
   readonly serve = async (context: RequestContext, route: Route, host: string): Promise<void> => {
     const { req, service, deadlineUs } = context;
-    const { cacheForUs, latencyTargetUs } = route;
+    const { cacheTtlUs: cacheForUs, latencyTargetUs } = route;
     const request = {
       service,
       host,
--- a/src/proxy/forwarding.ts
+++ b/src/proxy/forwarding.ts
@@ -7,7 +7,7 @@
 import { AdmissionQueue } from "./admission-queue.js";
 import { isBodyBuffered } from "./body-reader.js";
 import { isBehindClose } from "./client-connection.js";
-import type { ConnectionPool, Worker } from "./connection-pool.js";
+import type { WorkerDirectory, Worker } from "./connection-pool.js";
 import { beginAttempt, markRejected, markRun } from "./delivery-state.js";
 import { EXPECTED_WORKER_HEADER, forwardedHeaders, TIME_LEFT_HEADER } from "./headers.js";
 import type { KeyedRequests } from "./keyed-requests.js";
@@ -35,7 +35,7 @@
   readonly clock: Clock;
   /** The zone of this node. */
   readonly zone: string;
-  readonly pool: ConnectionPool;
+  readonly pool: WorkerDirectory;
   readonly loadBalancer: LoadBalancer;
   readonly memory: MemoryBudget;
   readonly keyed: KeyedRequests;
@@ -93,8 +93,8 @@
     return (
       actsOnForecast &&
       !route.isSafe &&
-      pool.pressure(context.service) === "overrun" &&
-      worker.guessUs(worker.usage(0)) > context.deadlineUs - clock.nowUs()
+      pool.capacityForecast(context.service) === "overrun" &&
+      worker.expectedLatencyUs(worker.load(0)) > context.deadlineUs - clock.nowUs()
     );
   };
 
@@ -154,8 +154,8 @@
   /** Where the worker stands to this node; the canary analysis compares only like with like. */
   private readonly stratumOf = (worker: Worker): string => {
     const { clock, zone } = this.options;
-    const distance = worker.cell === zone ? "near" : "far";
-    return `${distance}|${clock.nowUs() < worker.warmUntilUs ? "cold" : "warm"}`;
+    const distance = worker.zone === zone ? "near" : "far";
+    return `${distance}|${clock.nowUs() < worker.warmingUpUntilUs ? "cold" : "warm"}`;
   };
 
   /** Moves the delivery state, and counts for and against the worker. */
@@ -167,7 +167,7 @@
   ): void => {
     const { clock, pool, countFault, countAnswer } = this.options;
     if (result.kind === "answered" || result.kind === "lost")
-      countAnswer?.(context.service, worker.cell, clock.nowUs() - startedUs);
+      countAnswer?.(context.service, worker.zone, clock.nowUs() - startedUs);
     if (result.kind === "answered") markRun(context.deliveryState);
     if (result.kind === "rejected") markRejected(context.deliveryState);
     // Nothing of it arrived anywhere, so what is sent next is no retry.
@@ -175,9 +175,10 @@
     const isUnreachable = result.kind === "not-sent" && result.reason === "unreachable";
     const isDown =
       isUnreachable || (result.kind === "not-sent" && result.reason === "connection-refused");
-    if (isDown || result.kind === "lost") worker.shun();
+    if (isDown || result.kind === "lost") worker.avoid();
     if (isUnreachable) context.isOwnLinkSuspected = true;
-    if (result.kind === "rejected" && result.reason === "wrong-worker") pool.misdirected(worker);
+    if (result.kind === "rejected" && result.reason === "wrong-worker")
+      pool.removeMisdirected(worker);
     const isAttributable =
       result.kind === "answered" || result.kind === "rejected" || result.kind === "lost" || isDown;
     if (isAttributable) countFault(worker.id, result.kind === "lost" || isDown);
--- a/src/proxy/load-balancer.ts
+++ b/src/proxy/load-balancer.ts
@@ -1,13 +1,13 @@
-import type { Worker, ConnectionPool } from "./connection-pool.js";
+import type { Worker, WorkerDirectory } from "./connection-pool.js";
 
 export interface LoadBalancerOptions {
-  readonly pool: ConnectionPool;
-  readonly cell: string;
+  readonly workers: WorkerDirectory;
+  readonly zone: string;
   readonly random: () => number;
   /** How many connections this node may hold to one worker of the service. */
   readonly connectionShare: (service: string) => number;
   /** Whether what the forecast says is acted on. */
-  readonly acts?: boolean;
+  readonly actsOnForecast?: boolean;
 }
 
 /** Beyond this many calls for each slot a worker is left alone, since a full one resets connections. */
@@ -29,7 +29,7 @@
  */
 export class LoadBalancer {
   /** The usage of this node's near workers of late, by service. */
-  private readonly nearUsage = new Map<string, number>();
+  private readonly localLoad = new Map<string, number>();
 
   constructor(private readonly options: LoadBalancerOptions) {}
 
@@ -39,31 +39,36 @@
     latencyTargetUs: number,
     isSafe = true,
   ): Worker | undefined => {
-    const { pool, connectionShare, random } = this.options;
+    const { workers: pool, connectionShare, random } = this.options;
     const share = connectionShare(service);
-    const avoided = pool.avoidedCell(isSafe, random);
+    const avoided = pool.avoidedZone(isSafe, random);
     const fullAt =
-      isSafe && this.options.acts === true && pool.pressure(service) !== "" ? PRESSED_AT : FULL_AT;
-    const { near, far, spare } = pool.subset(service);
+      isSafe && this.options.actsOnForecast === true && pool.capacityForecast(service) !== ""
+        ? PRESSED_AT
+        : FULL_AT;
+    const { local: near, remote: far, backup: spare } = pool.subsetFor(service);
     const isUsable: Fits = (worker, usage) =>
       !tried.has(worker.id) &&
-      worker.hasRoom(share) &&
-      !worker.isShunned() &&
+      worker.canConnect(share) &&
+      !worker.isAvoided() &&
       usage < worker.capacity * fullAt;
     const isWanted: Fits = (worker, usage) => isUsable(worker, usage) && !pool.isEjected(worker);
     const isWantedThere: Fits = (worker, usage) =>
-      worker.cell !== avoided && isWanted(worker, usage);
-    const here = this.quickest(near, isWantedThere);
-    const there = this.quickest(far, isWantedThere);
+      worker.zone !== avoided && isWanted(worker, usage);
+    const here = this.leastExpectedLatency(near, isWantedThere);
+    const there = this.leastExpectedLatency(far, isWantedThere);
     if (here && there)
-      return this.guessUs(here) <= this.guessUs(there) + latencyTargetUs / FAR_PART ? here : there;
+      return this.expectedLatencyUs(here) <=
+        this.expectedLatencyUs(there) + latencyTargetUs / FAR_PART
+        ? here
+        : there;
     const all = () => [...near, ...far, ...spare];
     return (
       here ??
       there ??
-      this.quickest(spare, isWantedThere) ??
-      this.quickest(all(), isWanted) ??
-      this.quickest(all(), isUsable)
+      this.leastExpectedLatency(spare, isWantedThere) ??
+      this.leastExpectedLatency(all(), isWanted) ??
+      this.leastExpectedLatency(all(), isUsable)
     );
   };
 
@@ -71,29 +76,35 @@
    * Others are assumed to use a near worker as much as this node does. Of a far one, which its own cell's nodes use most,
    * it is assumed that it is as busy as a near one, but not that it has calls waiting: a full cell must look elsewhere.
    */
-  private readonly usageOf = (worker: Worker): number => {
-    const { pool, cell: zone } = this.options;
-    const usual = this.nearUsage.get(worker.service) ?? 0;
-    if (worker.cell !== zone) return worker.usage(Math.min(usual, worker.capacity));
-    const usage = worker.usage(worker.ownAverage() * (pool.subset(worker.service).holders - 1));
-    this.nearUsage.set(worker.service, usual + (usage - usual) * LOOK_WEIGHT);
+  private readonly loadOf = (worker: Worker): number => {
+    const { workers: pool, zone } = this.options;
+    const usual = this.localLoad.get(worker.service) ?? 0;
+    if (worker.zone !== zone) return worker.load(Math.min(usual, worker.capacity));
+    const usage = worker.load(
+      worker.averageInFlight() * (pool.subsetFor(worker.service).nodesPerWorker - 1),
+    );
+    this.localLoad.set(worker.service, usual + (usage - usual) * LOOK_WEIGHT);
     return usage;
   };
 
-  private readonly guessUs = (worker: Worker): number => worker.guessUs(this.usageOf(worker));
+  private readonly expectedLatencyUs = (worker: Worker): number =>
+    worker.expectedLatencyUs(this.loadOf(worker));
 
   /** The quickest of some that fit, looked for from a random place on, so that equals take turns. */
-  private readonly quickest = (workers: readonly Worker[], fits: Fits): Worker | undefined => {
+  private readonly leastExpectedLatency = (
+    workers: readonly Worker[],
+    fits: Fits,
+  ): Worker | undefined => {
     let best: Worker | undefined;
     let bestUs = 0;
     const from = Math.floor(this.options.random() * workers.length);
     for (let at = 0, looks = 0; at < workers.length && looks < LOOKS; at += 1) {
       const worker = workers[(from + at) % workers.length];
       if (!worker) continue;
-      const usage = this.usageOf(worker);
+      const usage = this.loadOf(worker);
       if (!fits(worker, usage)) continue;
       looks += 1;
-      const tookUs = worker.guessUs(usage);
+      const tookUs = worker.expectedLatencyUs(usage);
       if (best && tookUs >= bestUs) continue;
       best = worker;
       bestUs = tookUs;
--- a/src/proxy/outcome-recorder.ts
+++ b/src/proxy/outcome-recorder.ts
@@ -81,4 +81,4 @@
 
 /** Whether the route sends to more than one service, so that their outcomes are compared. */
 const isWeighted = (route: Route | undefined): route is Route =>
-  route !== undefined && route.shares.length > 1;
+  route !== undefined && route.weightedServices.length > 1;
--- a/src/proxy/pipeline.ts
+++ b/src/proxy/pipeline.ts
@@ -7,7 +7,7 @@
 import type { IdempotencyClient } from "../idempotency/key-client.js";
 import { BodyReader } from "./body-reader.js";
 import { CachedRequests } from "./cached-requests.js";
-import type { ConnectionPool } from "./connection-pool.js";
+import type { WorkerDirectory } from "./connection-pool.js";
 import { Forwarder } from "./forwarding.js";
 import { KeyedRequests } from "./keyed-requests.js";
 import { LoadBalancer } from "./load-balancer.js";
@@ -43,7 +43,7 @@
   /** How much memory buffered bodies may take, all in all. */
   readonly bufferMemoryBytes: number;
   readonly routes: RouteTable;
-  readonly pool: ConnectionPool;
+  readonly pool: WorkerDirectory;
   readonly retryBudgets: RetryBudgets;
   /** How many connections this node may hold to one worker of a service. */
   readonly connectionShare: (service: string) => number;
@@ -110,7 +110,7 @@
       MAX_FORWARDING,
       MAX_FORWARDING,
       retrying.forward,
-      (context) => context.route?.rank ?? 0,
+      (context) => context.route?.priority ?? 0,
     );
     const router = new RequestRouter({
       routes,
@@ -160,7 +160,13 @@
       clock,
       zone,
       pool,
-      loadBalancer: new LoadBalancer({ pool, cell: zone, random, connectionShare, acts }),
+      loadBalancer: new LoadBalancer({
+        workers: pool,
+        zone,
+        random,
+        connectionShare,
+        actsOnForecast: acts,
+      }),
       memory: this.memory,
       keyed,
       countFault,
--- a/src/proxy/proxy-server.ts
+++ b/src/proxy/proxy-server.ts
@@ -73,7 +73,11 @@
 
   /** Applies the configuration's limits to connections and requests that begin from now on. */
   readonly applyLimits = (): void => {
-    const { maxHeaderBytes, headerWaitUs, idleUs } = this.options.routes.limits;
+    const {
+      maxHeaderBytes,
+      headerTimeoutUs: headerWaitUs,
+      idleTimeoutUs: idleUs,
+    } = this.options.routes.limits;
     this.server.headersTimeout = headerWaitUs / MILLISECOND_US;
     this.server.keepAliveTimeout = idleUs / MILLISECOND_US;
     Object.assign(this.server, { maxHeaderSize: maxHeaderBytes });
--- a/src/proxy/reassignment-forecast.ts
+++ b/src/proxy/reassignment-forecast.ts
@@ -1,6 +1,6 @@
 import { mean, probit, sampleStandardDeviation } from "simple-statistics";
 import type { RequestCount } from "./request-counters.js";
-import { subsetOf, type NodeCount, type Placed, type Subset } from "./subset.js";
+import { subsetOf, type NodeCount, type SubsetCandidate, type Subset } from "./subset.js";
 
 /** What the planners ask about: backends added, by service and cell, and workers retired. */
 export interface BackendChange {
@@ -15,11 +15,11 @@
 
 export interface ReassignmentQuery {
   readonly node: string;
-  readonly cell: string;
-  readonly nodes: NodeCount;
+  readonly zone: string;
+  readonly nodeCount: NodeCount;
   readonly service: string;
   /** The ready workers of the service. */
-  readonly workers: readonly Placed[];
+  readonly workers: readonly SubsetCandidate[];
   readonly calls: readonly RequestCount[];
   readonly spanUs: number;
   readonly change: BackendChange;
@@ -65,21 +65,21 @@
 
 export const CONFIDENCE = 0.9;
 /** With fewer calls than this no share is told. */
-export const LEAST_CALLS = 30;
+export const MIN_REQUESTS = 30;
 /** A worker that is to come has no name yet, and its name decides whose subset it joins: so many are tried. */
 export const DRAWS = 16;
 /** Calls are not independent: load-aware choosing follows workers that are quick or slow for a while (measured in moves.feature). */
 const OVERDISPERSION = 6;
 
 /** How unevenly a service's workers share its calls over the whole fleet. */
-export const unevennessOf = (perWorker: readonly number[]): number =>
+export const coefficientOfVariation = (perWorker: readonly number[]): number =>
   perWorker.length < 2 ? 0 : sampleStandardDeviation(perWorker) / Math.max(1e-9, mean(perWorker));
 
-const groupsOf = (subset: Subset<Placed>): readonly (readonly Placed[])[] => [
-  subset.near,
-  subset.far,
+const groupsOf = (subset: Subset<SubsetCandidate>): readonly (readonly SubsetCandidate[])[] => [
+  subset.local,
+  subset.remote,
 ];
-const idsOf = (workers: readonly Placed[]): ReadonlySet<string> =>
+const idsOf = (workers: readonly SubsetCandidate[]): ReadonlySet<string> =>
   new Set(workers.map(({ id }) => id));
 
 interface Shift {
@@ -99,13 +99,13 @@
  * before. What moves is what was pinned to leavers; where backends are added, what newcomers draw may be more.
  */
 const shiftOf = (
-  before: Subset<Placed>,
-  after: Subset<Placed>,
+  before: Subset<SubsetCandidate>,
+  after: Subset<SubsetCandidate>,
   shareOf: (id: string) => number,
   isAdding: boolean,
 ): Shift => {
   let [moved, leave, join, joiners] = [0, 0, 0, 0];
-  const unevenness = unevennessOf(before.near.map(({ id }) => shareOf(id)));
+  const unevenness = coefficientOfVariation(before.local.map(({ id }) => shareOf(id)));
   const leavers: string[] = [];
   const then = new Map<string, number>();
   groupsOf(before).forEach((group, at) => {
@@ -132,16 +132,20 @@
 };
 
 /** Half of the band of a share that is taken from some calls and will be seen in as many. */
-export const bandOf = (share: number, calls: number): number => {
+export const confidenceHalfWidth = (share: number, calls: number): number => {
   const z = probit((1 + CONFIDENCE) / 2);
   const smoothed = (share * calls + 1) / (calls + 2);
   return z * Math.sqrt((OVERDISPERSION * 2 * smoothed * (1 - smoothed)) / Math.max(1, calls));
 };
 
 /** The band of what newcomers would get: nobody knows yet how quick they are, so they may differ as workers now do. */
-export const joinBandOf = (join: number, calls: number, unevenness: number): number => {
+export const joinConfidenceHalfWidth = (
+  join: number,
+  calls: number,
+  unevenness: number,
+): number => {
   const z = probit((1 + CONFIDENCE) / 2);
-  return Math.hypot(bandOf(join, calls), z * unevenness * join);
+  return Math.hypot(confidenceHalfWidth(join, calls), z * unevenness * join);
 };
 
 const sumBy = (
@@ -157,10 +161,10 @@
  * The forecast of one node for one service. A query: it changes nothing, draws no random number, and calls the same
  * function that choosing goes by.
  */
-export const forecastMoves = ({
+export const forecastReassignment = ({
   node,
-  cell: zone,
-  nodes,
+  zone,
+  nodeCount: nodes,
   service,
   workers,
   calls,
@@ -170,7 +174,7 @@
   const stay = workers.filter(({ id }) => !change.retire.includes(id));
   const added = change.add.filter((one) => one.service === service);
   const before = subsetOf(node, zone, workers, nodes);
-  const afterOf = (draw: number): Subset<Placed> =>
+  const afterOf = (draw: number): Subset<SubsetCandidate> =>
     subsetOf(
       node,
       zone,
@@ -179,7 +183,7 @@
         ...added.flatMap((one, at) =>
           Array.from({ length: one.count }, (_none, each) => ({
             id: `to-come-${draw}-${at}-${each}`,
-            cell: one.cell,
+            zone: one.cell,
           })),
         ),
       ],
@@ -188,7 +192,7 @@
   const afters = Array.from({ length: added.length > 0 ? DRAWS : 1 }, (_none, draw) =>
     afterOf(draw),
   );
-  const cellOf = new Map(workers.map((worker) => [worker.id, worker.cell]));
+  const cellOf = new Map(workers.map((worker) => [worker.id, worker.zone]));
   const groups = sumBy(calls, (call) =>
     change.byRoute ? `${call.kind}\n${call.route}` : `${call.kind}\n`,
   );
@@ -204,8 +208,9 @@
     const draws = shifts.map(({ moved }) => moved);
     const moved = mean(draws);
     const unevenness = shifts[0]?.unevenness ?? 0;
-    const joinBand = (share: number) => joinBandOf(share, total, unevenness);
-    const band = (share: number) => (added.length > 0 ? joinBand(share) : bandOf(share, total));
+    const joinBand = (share: number) => joinConfidenceHalfWidth(share, total, unevenness);
+    const band = (share: number) =>
+      added.length > 0 ? joinBand(share) : confidenceHalfWidth(share, total);
     const toCells: Record<string, number> = {};
     shifts.forEach(({ after }) =>
       after.forEach((share, id) => {
--- a/src/proxy/request-counters.ts
+++ b/src/proxy/request-counters.ts
@@ -14,7 +14,7 @@
   readonly counts: Map<string, number>;
 }
 
-export const CALLS_WINDOW_US = 60 * SECOND_US;
+export const REQUEST_WINDOW_US = 60 * SECOND_US;
 const SLOTS = 6;
 
 /** What this node has lately sent to each worker, by service, kind and route. Invariant: nothing older than a window and a slot is held. */
@@ -26,14 +26,14 @@
     this.sinceUs = clock.nowUs();
   }
 
-  readonly count = (service: string, kind: string, route: string, worker: string): void => {
+  readonly record = (service: string, kind: string, route: string, worker: string): void => {
     const { counts } = this.slot();
     const key = `${service}\n${kind}\n${route}\n${worker}`;
     counts.set(key, (counts.get(key) ?? 0) + 1);
   };
 
   /** The calls of a service, and over which span they were counted. */
-  readonly of = (
+  readonly countsFor = (
     service: string,
   ): { readonly spanUs: number; readonly counts: readonly RequestCount[] } => {
     this.slot();
@@ -55,9 +55,9 @@
 
   private readonly slot = (): Slot => {
     const nowUs = this.clock.nowUs();
-    this.slots = this.slots.filter(({ sinceUs }) => nowUs - sinceUs < CALLS_WINDOW_US);
+    this.slots = this.slots.filter(({ sinceUs }) => nowUs - sinceUs < REQUEST_WINDOW_US);
     const last = this.slots[this.slots.length - 1];
-    if (last && nowUs - last.sinceUs < CALLS_WINDOW_US / SLOTS) return last;
+    if (last && nowUs - last.sinceUs < REQUEST_WINDOW_US / SLOTS) return last;
     const slot = { sinceUs: nowUs, counts: new Map<string, number>() };
     this.slots.push(slot);
     return slot;
--- a/src/proxy/request-routing.ts
+++ b/src/proxy/request-routing.ts
@@ -23,13 +23,13 @@
 }
 
 const drawService = (route: Route, random: number): string => {
-  const totalWeight = route.shares.reduce((sum, { share }) => sum + share, 0);
+  const totalWeight = route.weightedServices.reduce((sum, { share }) => sum + share, 0);
   let remaining = random * totalWeight;
-  for (const { service, share } of route.shares) {
+  for (const { service, share } of route.weightedServices) {
     remaining -= share;
     if (remaining < 0) return service;
   }
-  return route.shares[route.shares.length - 1]?.service ?? "";
+  return route.weightedServices[route.weightedServices.length - 1]?.service ?? "";
 };
 
 /** Routes requests. */
@@ -47,15 +47,15 @@
     const route = routes.find(host, path);
     if (!route) return reject(context, "unknownRoute");
     context.route = route;
-    context.service = routes.unlessStopped(route, drawService(route, random()));
-    context.deadlineUs = Math.min(context.deadlineUs, context.arrivedUs + route.giveUpUs);
+    context.service = routes.effectiveService(route, drawService(route, random()));
+    context.deadlineUs = Math.min(context.deadlineUs, context.arrivedUs + route.timeoutUs);
     const { serveCached } = this.options;
     if (serveCached && route.kind === "cached" && (req.method === "GET" || req.method === "HEAD")) {
       void serveCached(context, route, host);
       return;
     }
     if (context.attemptId === "") return reject(context, "noTryId");
-    retryBudgets.of(context.service, toRouteKind(route.kind)).count();
+    retryBudgets.of(context.service, toRouteKind(route.kind)).recordRequest();
     this.options.countArrival?.(context.service);
     this.options.forward(context);
   };
--- a/src/proxy/retry-and-hedging.ts
+++ b/src/proxy/retry-and-hedging.ts
@@ -7,7 +7,7 @@
 import { toRouteKind } from "../quota/retry-limits.js";
 import { isBodyBuffered } from "./body-reader.js";
 import { isBehindClose } from "./client-connection.js";
-import type { ConnectionPool, Worker } from "./connection-pool.js";
+import type { WorkerDirectory, Worker } from "./connection-pool.js";
 import { mayForwardStatus } from "./delivery-state.js";
 import type { Forwarder } from "./forwarding.js";
 import type { KeyedRequests } from "./keyed-requests.js";
@@ -29,7 +29,7 @@
 export interface RetryingForwarderOptions {
   readonly clock: Clock;
   readonly routes: RouteTable;
-  readonly pool: ConnectionPool;
+  readonly pool: WorkerDirectory;
   readonly retryBudgets: RetryBudgets;
   readonly forwarder: Forwarder;
   readonly keyed: KeyedRequests;
@@ -76,7 +76,7 @@
           break;
         }
         const isFault = response.status >= 500;
-        if (!isFault || !route.isSafe || context.attempts >= route.tries)
+        if (!isFault || !route.isSafe || context.attempts >= route.maxAttempts)
           return writer.send(context, response);
         lastResponse = response;
         continue;
@@ -102,15 +102,15 @@
   };
 
   private readonly isRateLimited = (service: string): boolean =>
-    (this.options.routes.service(service)?.ratePerS ?? 0) > 0;
+    (this.options.routes.service(service)?.maxRequestsPerS ?? 0) > 0;
 
   /** Whether one more worker may be asked; a retry is taken out of the budget here. */
   private readonly mayAttempt = (context: RequestContext, route: Route): boolean => {
     if (context.isFinished || isBehindClose(context)) return false;
-    if (context.triedWorkers.size >= route.tries + MAX_UNREACHABLE_WORKERS) return false;
+    if (context.triedWorkers.size >= route.maxAttempts + MAX_UNREACHABLE_WORKERS) return false;
     if (context.attempts === 0) return true;
     return (
-      context.attempts < route.tries &&
+      context.attempts < route.maxAttempts &&
       isBodyBuffered(context) &&
       !this.isOverloaded(context, route) &&
       this.spendRetry(context, route)
@@ -121,10 +121,10 @@
   private readonly isOverloaded = (context: RequestContext, route: Route): boolean =>
     this.options.actsOnForecast &&
     route.isSafe &&
-    this.options.pool.pressure(context.service) !== "";
+    this.options.pool.capacityForecast(context.service) !== "";
 
   private readonly spendRetry = (context: RequestContext, route: Route): boolean =>
-    this.options.retryBudgets.of(context.service, toRouteKind(route.kind)).spend();
+    this.options.retryBudgets.of(context.service, toRouteKind(route.kind)).trySpend();
 
   /**
    * One attempt; beside a safe request whose worker has fallen silent a hedged request goes to a
@@ -163,10 +163,10 @@
   ): CancellableRequest | undefined => {
     const { forwarder } = this.options;
     if (
-      !first.isSilent() ||
+      !first.isUnresponsive() ||
       forwarder.isPastDeadline(context) ||
       this.isOverloaded(context, route) ||
-      context.attempts >= route.tries ||
+      context.attempts >= route.maxAttempts ||
       !isBodyBuffered(context)
     )
       return undefined;
--- a/src/proxy/retry-budget.ts
+++ b/src/proxy/retry-budget.ts
@@ -17,13 +17,13 @@
 }
 
 /** A part of the slack of the fleet's limit, leased to this node. */
-export interface Lease {
+export interface RetryLease {
   readonly tokens: number;
-  readonly endUs: number;
+  readonly expiresUs: number;
 }
 
 const SLOTS = 20;
-const NO_LEASE: Lease = { tokens: 0, endUs: 0 };
+const NO_LEASE: RetryLease = { tokens: 0, expiresUs: 0 };
 
 /**
  * How often requests of one kind to one service may be sent on again from this node.
@@ -34,7 +34,7 @@
 export class RetryBudget {
   private slots: Slot[] = [];
   private lease = NO_LEASE;
-  private refusedSinceAsked = 0;
+  private rejectedSinceLeaseRequest = 0;
   private loggedUs = -Infinity;
 
   constructor(
@@ -45,16 +45,16 @@
   ) {}
 
   /** Counts a request's first sending. */
-  readonly count = (): void => {
+  readonly recordRequest = (): void => {
     this.slot().requests += 1;
   };
 
   /** Takes one retry, or says that there is none left. */
-  readonly spend = (): boolean => {
+  readonly trySpend = (): boolean => {
     const slot = this.slot();
-    if (this.sum("retries") + 1 > this.earned() + this.leased()) {
+    if (this.sum("retries") + 1 > this.earnedTokens() + this.leasedTokens()) {
       slot.refused += 1;
-      this.refusedSinceAsked += 1;
+      this.rejectedSinceLeaseRequest += 1;
       const isFirstOfSpan = this.clock.nowUs() - this.loggedUs >= this.windowUs;
       if (isFirstOfSpan) this.loggedUs = this.clock.nowUs();
       this.onRefused(isFirstOfSpan);
@@ -64,21 +64,23 @@
     return true;
   };
 
-  readonly take = (lease: Lease): void => {
+  readonly setLease = (lease: RetryLease): void => {
     this.lease = lease;
   };
 
-  readonly leased = (): number => (this.clock.nowUs() < this.lease.endUs ? this.lease.tokens : 0);
+  readonly leasedTokens = (): number =>
+    this.clock.nowUs() < this.lease.expiresUs ? this.lease.tokens : 0;
 
   /** How many tokens would serve what was spent beyond the ratio, and what was refused since the last asking. */
-  readonly takeWant = (): number => {
+  readonly takeDemand = (): number => {
     this.slot();
-    const want = Math.max(0, this.sum("retries") - this.earned()) + 2 * this.refusedSinceAsked;
-    this.refusedSinceAsked = 0;
+    const want =
+      Math.max(0, this.sum("retries") - this.earnedTokens()) + 2 * this.rejectedSinceLeaseRequest;
+    this.rejectedSinceLeaseRequest = 0;
     return Math.ceil(want);
   };
 
-  readonly tell = (): {
+  readonly snapshot = (): {
     readonly requests: number;
     readonly retries: number;
     readonly refused: number;
@@ -89,11 +91,12 @@
       requests: this.sum("requests"),
       retries: this.sum("retries"),
       refused: this.sum("refused"),
-      leased: this.leased(),
+      leased: this.leasedTokens(),
     };
   };
 
-  private readonly earned = (): number => this.sum("requests") * this.limit().ratio * USED_FRACTION;
+  private readonly earnedTokens = (): number =>
+    this.sum("requests") * this.limit().ratio * USED_FRACTION;
 
   private readonly sum = (what: "requests" | "retries" | "refused"): number =>
     this.slots.reduce((total, slot) => total + slot[what], 0);
@@ -126,7 +129,7 @@
     { readonly service: string; readonly kind: RouteKind; readonly budget: RetryBudget }
   >();
   /** Called when a budget has refused: a lease of the slack would help. */
-  onShort: () => void = () => undefined;
+  onExhausted: () => void = () => undefined;
 
   constructor(private readonly options: RetryBudgetsOptions) {}
 
@@ -141,7 +144,7 @@
       () => findLimit(limits(), service, kind),
       (isFirstOfSpan) => {
         if (isFirstOfSpan) log.warn(`No retry is left for ${kind} requests to ${service}.`);
-        this.onShort();
+        this.onExhausted();
       },
     );
     this.budgets.set(key, { service, kind, budget });
@@ -149,16 +152,16 @@
   };
 
   /** Service, kind, tokens wanted, tokens held; only of budgets that want some. */
-  readonly takeWants = (): readonly (readonly [string, RouteKind, number, number])[] =>
+  readonly takeDemands = (): readonly (readonly [string, RouteKind, number, number])[] =>
     [...this.budgets.values()].flatMap(({ service, kind, budget }) => {
-      const want = budget.takeWant();
-      return want > 0 ? [[service, kind, want, budget.leased()] as const] : [];
+      const want = budget.takeDemand();
+      return want > 0 ? [[service, kind, want, budget.leasedTokens()] as const] : [];
     });
 
-  readonly tell = (): readonly UnknownRecord[] =>
+  readonly snapshot = (): readonly UnknownRecord[] =>
     [...this.budgets.values()].map(({ service, kind, budget }) => ({
       service,
       kind,
-      ...budget.tell(),
+      ...budget.snapshot(),
     }));
 }
--- a/src/proxy/subset.ts
+++ b/src/proxy/subset.ts
@@ -1,26 +1,26 @@
 import { crc32 } from "node:zlib";
 
 /** A worker as subsetting sees it. */
-export interface Placed {
+export interface SubsetCandidate {
   readonly id: string;
-  readonly cell: string;
+  readonly zone: string;
 }
 
 /** How many nodes there are in a node's cell, and in all; itself included. */
 export interface NodeCount {
-  readonly here: number;
-  readonly everywhere: number;
+  readonly inZone: number;
+  readonly total: number;
 }
 
-export interface Subset<W extends Placed> {
+export interface Subset<W extends SubsetCandidate> {
   /** Workers of the node's own cell, the first in rank first. */
-  readonly near: readonly W[];
+  readonly local: readonly W[];
   /** Workers of other cells. */
-  readonly far: readonly W[];
+  readonly remote: readonly W[];
   /** The next in rank of both, used while those before are ill or busy. */
-  readonly spare: readonly W[];
+  readonly backup: readonly W[];
   /** How many nodes send to one near worker, on average. */
-  readonly holders: number;
+  readonly nodesPerWorker: number;
 }
 
 /** Up to so many workers a service is used whole by every node. */
@@ -52,7 +52,7 @@
  * Invariants: `near` and `far` are bounded by what evenness needs, whatever the number of workers, as long as nodes
  * grow with them; a worker that comes or goes changes at most one place of each; all workers where there are few.
  */
-export const subsetOf = <W extends Placed>(
+export const subsetOf = <W extends SubsetCandidate>(
   node: string,
   zone: string,
   workers: readonly W[],
@@ -61,22 +61,23 @@
   const ranked = workers
     .map((worker) => ({ worker, rank: rankOf(node, worker.id) }))
     .sort((a, b) => b.rank - a.rank || (a.worker.id < b.worker.id ? -1 : 1));
-  const own = ranked.filter(({ worker }) => worker.cell === zone).map(({ worker }) => worker);
-  const others = ranked.filter(({ worker }) => worker.cell !== zone).map(({ worker }) => worker);
-  if (workers.length <= FEW) return { near: own, far: others, spare: [], holders: nodes.here };
+  const own = ranked.filter(({ worker }) => worker.zone === zone).map(({ worker }) => worker);
+  const others = ranked.filter(({ worker }) => worker.zone !== zone).map(({ worker }) => worker);
+  if (workers.length <= FEW)
+    return { local: own, remote: others, backup: [], nodesPerWorker: nodes.inZone };
   const near = own.slice(
     0,
-    Math.max(NEAR_LEAST, Math.ceil((HOLDERS * own.length) / roundUp(nodes.here))),
+    Math.max(NEAR_LEAST, Math.ceil((HOLDERS * own.length) / roundUp(nodes.inZone))),
   );
   // A cell with few workers of its own takes the rest of its share from elsewhere.
   const far = others.slice(0, FAR + Math.max(0, NEAR_LEAST - near.length));
   return {
-    near,
-    far,
-    spare: [
+    local: near,
+    remote: far,
+    backup: [
       ...own.slice(near.length, near.length + SPARE),
       ...others.slice(far.length, far.length + SPARE),
     ],
-    holders: (nodes.here * near.length) / Math.max(1, own.length),
+    nodesPerWorker: (nodes.inZone * near.length) / Math.max(1, own.length),
   };
 };
--- a/src/proxy/upstream-request.ts
+++ b/src/proxy/upstream-request.ts
@@ -133,7 +133,7 @@
       this.resolve = resolve;
     });
     this.call = worker.begin();
-    this.connection = worker.couple(request.usesOwnConnection === true);
+    this.connection = worker.acquireConnection(request.usesOwnConnection === true);
     const { method, path, headers, body } = request;
     try {
       this.connection.client.dispatch(
@@ -181,7 +181,7 @@
     const reason = reasonToDistrust(statusCode, this.headers, this.request);
     if (reason !== undefined) return this.finish(true, false, { kind: "lost", reason });
     const load = readWorkerLoad(headerValue(this.headers, WORKER_LOAD_HEADER));
-    if (load) this.worker.tell(...load);
+    if (load) this.worker.reportLoad(...load);
   };
 
   /** A chunk of the body has come. */
@@ -216,7 +216,7 @@
     else if (isRejection(this.status, this.headers))
       this.finish(true, isReusable, { kind: "rejected", reason: "overloaded" });
     else {
-      this.worker.learn(this.nowUs() - this.call.sinceUs);
+      this.worker.recordLatency(this.nowUs() - this.call.sinceUs);
       this.finish(true, isReusable, {
         kind: "answered",
         response: {
@@ -290,7 +290,7 @@
 
   private readonly release = (isHeard: boolean, isReusable: boolean): void => {
     this.worker.finish(this.call, isHeard);
-    this.worker.uncouple(this.connection, isReusable);
+    this.worker.releaseConnection(this.connection, isReusable);
     if (!isReusable) this.controller?.abort(new Error("done with"));
   };
 }
--- a/src/quota/retry-lease-renewer.ts
+++ b/src/quota/retry-lease-renewer.ts
@@ -23,7 +23,7 @@
 
   /** Asks soon after a budget has refused a retry. */
   readonly start = (): void => {
-    this.retryBudgets.onShort = () => this.schedule(FIRST_DELAY_US);
+    this.retryBudgets.onExhausted = () => this.schedule(FIRST_DELAY_US);
   };
 
   private readonly schedule = (waitUs: number): void => {
@@ -34,7 +34,7 @@
 
   /** A lease is counted from before the request, so that it expires here no later than at the allocator. */
   private readonly renew = async (): Promise<void> => {
-    const wants = this.retryBudgets.takeWants();
+    const wants = this.retryBudgets.takeDemands();
     const requestedUs = this.clock.nowUs();
     const reply =
       wants.length === 0
@@ -44,7 +44,7 @@
     response?.allotments.forEach(({ service, kind, tokens }) => {
       this.retryBudgets
         .of(service, toRouteKind(kind))
-        .take({ tokens, endUs: requestedUs + response.durationUs });
+        .setLease({ tokens, expiresUs: requestedUs + response.durationUs });
     });
     this.isScheduled = false;
     if (wants.length > 0) this.schedule(RENEWAL_INTERVAL_US);
