--- a/features/steps/subset.ts
+++ b/features/steps/subset.ts
@@ -8,7 +8,9 @@
   type SubsetCandidate,
   type Subset,
 } from "../../src/proxy/subset.js";
-import { ServiceLatency, Worker, WorkerDirectory } from "../../src/proxy/connection-pool.js";
+import { ServiceLatency } from "../../src/proxy/latency-estimate.js";
+import { Worker } from "../../src/proxy/worker.js";
+import { WorkerDirectory } from "../../src/proxy/worker-directory.js";
 import { FLEET_TERMS, seeded, SimFleet, type Sent, type SimWorker } from "../support/fleet.js";
 import { ManualClock } from "../support/manual-clock.js";
 
@@ -268,7 +270,7 @@
 
 Given("a worker whose calls usually take {int} ms", (ms: number) => {
   worker = new Worker("w", clock, new ServiceLatency());
-  for (let call = 0; call < 40; call += 1) worker.recordLatency(ms * 1_000);
+  for (let call = 0; call < 40; call += 1) worker.latency.record(ms * 1_000);
 });
 When("a call to it has been waiting for {int} ms", async (ms: number) => {
   worker.begin();
--- a/features/steps/traffic.ts
+++ b/features/steps/traffic.ts
@@ -8,7 +8,7 @@
 import { ProxyServer } from "../../src/proxy/proxy-server.js";
 import { IdempotencyClient } from "../../src/idempotency/key-client.js";
 import { RouteTable } from "../../src/proxy/route-table.js";
-import { WorkerDirectory } from "../../src/proxy/connection-pool.js";
+import { WorkerDirectory } from "../../src/proxy/worker-directory.js";
 import { summarize, generateLoad, type LoadReport } from "../../src/programs/loadgen/loadgen.js";
 import type { Message } from "../../src/transport/connection.js";
 import { silentLogger } from "../../src/common/logger.js";
@@ -278,7 +278,7 @@
 
 After({ tags: "not @none" }, () => {
   workers.forEach((one) => one.stop());
-  pool.all().forEach((one) => one.closeIdleConnections());
+  pool.all().forEach((one) => one.connections.closeIdle());
   if (port !== 0) front.stopListening();
   port = 0;
 });
--- a/features/support/fleet.ts
+++ b/features/support/fleet.ts
@@ -1,5 +1,6 @@
 import { LoadBalancer } from "../../src/proxy/load-balancer.js";
-import { WorkerDirectory, type Worker } from "../../src/proxy/connection-pool.js";
+import { WorkerDirectory } from "../../src/proxy/worker-directory.js";
+import type { Worker } from "../../src/proxy/worker.js";
 import { WORKER_PREFIX, type Update } from "../../src/membership/update-store.js";
 import type { Clock } from "../../src/common/clock.js";
 
@@ -315,7 +316,7 @@
       sentUs,
       done: (tookUs, kind) => {
         worker.finish(call, true);
-        if (kind === "answered") worker.recordLatency(tookUs);
+        if (kind === "answered") worker.latency.record(tookUs);
         else worker.avoid();
         this.sent.push({ atUs: sentUs, node: node.name, worker: worker.id, tookUs, kind });
       },
--- a/fuzz/proxy-harness.ts
+++ b/fuzz/proxy-harness.ts
@@ -7,7 +7,7 @@
 import { IdempotencyClient } from "../src/idempotency/key-client.js";
 import { RetryBudgets } from "../src/proxy/retry-budget.js";
 import { RouteTable } from "../src/proxy/route-table.js";
-import { WorkerDirectory } from "../src/proxy/connection-pool.js";
+import { WorkerDirectory } from "../src/proxy/worker-directory.js";
 import type { Clock, Timer } from "../src/common/clock.js";
 import { silentLogger } from "../src/common/logger.js";
 import { defaultLimits, type RouteKind } from "../src/quota/retry-limits.js";
@@ -209,7 +209,7 @@
   };
 
   readonly stop = (): void => {
-    this.pool.all().forEach((one) => one.closeIdleConnections());
+    this.pool.all().forEach((one) => one.connections.closeIdle());
     this.proxy.stopListening();
   };
 }
--- a/scalability/node.ts
+++ b/scalability/node.ts
@@ -6,7 +6,7 @@
 import { summarize, generateLoad } from "../src/programs/loadgen/loadgen.js";
 import { UpdateStore, PLAN_PREFIX, WORKER_PREFIX } from "../src/membership/update-store.js";
 import { RouteTable } from "../src/proxy/route-table.js";
-import { WorkerDirectory } from "../src/proxy/connection-pool.js";
+import { WorkerDirectory } from "../src/proxy/worker-directory.js";
 import { sleep, SteadyClock } from "../src/common/clock.js";
 import { asRecord, readNumber, type UnknownRecord } from "../src/common/decode.js";
 import { MILLISECOND_US, SECOND_US } from "../src/common/duration.js";
--- a/src/cache/origin-fetch.ts
+++ b/src/cache/origin-fetch.ts
@@ -14,7 +14,8 @@
   forwardedHeaders,
   ATTEMPT_ID_HEADER,
 } from "../proxy/headers.js";
-import type { Worker, WorkerDirectory } from "../proxy/connection-pool.js";
+import type { Worker } from "../proxy/worker.js";
+import type { WorkerDirectory } from "../proxy/worker-directory.js";
 import type { CachedObject } from "./cached-objects.js";
 import type { RateLimiter } from "../quota/rate-limiter.js";
 import type { LookupResult, Want } from "./object-store.js";
--- a/src/programs/cache/cache.ts
+++ b/src/programs/cache/cache.ts
@@ -11,7 +11,7 @@
 import { joinCluster } from "../data-plane-node.js";
 import { LoadBalancer } from "../../proxy/load-balancer.js";
 import { RouteTable } from "../../proxy/route-table.js";
-import { WorkerDirectory } from "../../proxy/connection-pool.js";
+import { WorkerDirectory } from "../../proxy/worker-directory.js";
 import type { Clock } from "../../common/clock.js";
 import { loggerFor } from "../../common/logger.js";
 import type { Settings } from "../../common/settings.js";
--- a/src/programs/gateway/gateway.ts
+++ b/src/programs/gateway/gateway.ts
@@ -5,7 +5,7 @@
 import { RequestCounters } from "../../proxy/request-counters.js";
 import { ProxyServer } from "../../proxy/proxy-server.js";
 import { RouteTable } from "../../proxy/route-table.js";
-import { WorkerDirectory } from "../../proxy/connection-pool.js";
+import { WorkerDirectory } from "../../proxy/worker-directory.js";
 import { sleep, type Clock } from "../../common/clock.js";
 import { loggerFor } from "../../common/logger.js";
 import type { Settings } from "../../common/settings.js";
--- a/src/programs/gateway/node-queries.ts
+++ b/src/programs/gateway/node-queries.ts
@@ -1,7 +1,7 @@
 import type { RequestCounters } from "../../proxy/request-counters.js";
 import { forecastReassignment, type BackendChange } from "../../proxy/reassignment-forecast.js";
 import type { RetryBudgets } from "../../proxy/retry-budget.js";
-import type { WorkerDirectory } from "../../proxy/connection-pool.js";
+import type { WorkerDirectory } from "../../proxy/worker-directory.js";
 import {
   asRecord,
   readFlag,
--- a/src/programs/gateway/object-cache.ts
+++ b/src/programs/gateway/object-cache.ts
@@ -13,7 +13,7 @@
 import { IdempotencyClient } from "../../idempotency/key-client.js";
 import type { RetryBudgets } from "../../proxy/retry-budget.js";
 import type { RouteTable } from "../../proxy/route-table.js";
-import type { WorkerDirectory } from "../../proxy/connection-pool.js";
+import type { WorkerDirectory } from "../../proxy/worker-directory.js";
 import type { Clock } from "../../common/clock.js";
 import { loggerFor } from "../../common/logger.js";
 import type { Receiver } from "../../transport/listener.js";
--- a/src/proxy/admission-queue.ts
+++ b/src/proxy/admission-queue.ts
@@ -1,6 +1,6 @@
 /** The queue of requests that wait for a worker with free capacity. */
 import type { Clock, Timer } from "../common/clock.js";
-import type { Worker } from "./connection-pool.js";
+import type { Worker } from "./worker.js";
 import type { RequestContext } from "./request-context.js";
 
 interface QueuedRequest {
--- a/src/proxy/load-balancer.ts
+++ b/src/proxy/load-balancer.ts
@@ -1,4 +1,5 @@
-import type { Worker, WorkerDirectory } from "./connection-pool.js";
+import type { Worker } from "./worker.js";
+import type { WorkerDirectory } from "./worker-directory.js";
 
 export interface LoadBalancerOptions {
   readonly workers: WorkerDirectory;
@@ -49,7 +50,7 @@
     const { local: near, remote: far, backup: spare } = pool.subsetFor(service);
     const isUsable: Fits = (worker, usage) =>
       !tried.has(worker.id) &&
-      worker.canConnect(share) &&
+      worker.connections.hasCapacity(share) &&
       !worker.isAvoided() &&
       usage < worker.capacity * fullAt;
     const isWanted: Fits = (worker, usage) => isUsable(worker, usage) && !pool.isEjected(worker);
--- a/src/proxy/pipeline.ts
+++ b/src/proxy/pipeline.ts
@@ -7,7 +7,7 @@
 import type { IdempotencyClient } from "../idempotency/key-client.js";
 import { BodyReader } from "./body-reader.js";
 import { CachedRequests } from "./cached-requests.js";
-import type { WorkerDirectory } from "./connection-pool.js";
+import type { WorkerDirectory } from "./worker-directory.js";
 import { Forwarder } from "./forwarding.js";
 import { KeyedRequests } from "./keyed-requests.js";
 import { LoadBalancer } from "./load-balancer.js";
--- a/src/proxy/upstream-request.ts
+++ b/src/proxy/upstream-request.ts
@@ -1,7 +1,7 @@
 /** One request on one connection to a worker, and what its response proves. */
 import type { Readable } from "node:stream";
 import type { Dispatcher } from "undici";
-import type { Worker } from "./connection-pool.js";
+import type { Worker } from "./worker.js";
 import { headerValue, WORKER_LOAD_HEADER, type FlatHeaders } from "./headers.js";
 import {
   isRejection,
@@ -216,7 +216,7 @@
     else if (isRejection(this.status, this.headers))
       this.finish(true, isReusable, { kind: "rejected", reason: "overloaded" });
     else {
-      this.worker.recordLatency(this.nowUs() - this.call.sinceUs);
+      this.worker.latency.record(this.nowUs() - this.call.sinceUs);
       this.finish(true, isReusable, {
         kind: "answered",
         response: {
--- /dev/null
+++ b/src/proxy/worker-directory.ts
@@ -0,0 +1,185 @@
+/** What updates say of the workers: which there are, which are ejected, and which zone traffic is shifted away from. */
+import {
+  EJECTIONS_KEY,
+  FORECAST_KEY,
+  WORKER_PREFIX,
+  type Update,
+} from "../membership/update-store.js";
+import type { Clock } from "../common/clock.js";
+import { asRecord, readList, readString, readNumber } from "../common/decode.js";
+import { ServiceLatency } from "./latency-estimate.js";
+import { subsetOf, type NodeCount, type Subset } from "./subset.js";
+import { Worker } from "./worker.js";
+
+/** A zonal shift: the fractions of safe and of unsafe requests that avoid a zone, 0 to 1. */
+interface ZonalShift {
+  readonly zone: string;
+  readonly reason: string;
+  readonly safe: number;
+  readonly unsafe: number;
+}
+
+const NO_SHIFT: ZonalShift = { zone: "", reason: "", safe: 0, unsafe: 0 };
+/** The reason of a shift that a planned maintenance window causes. */
+const MAINTENANCE_WINDOW = "window";
+
+const readShift = (value: unknown): ZonalShift => {
+  if (value === undefined || value === null) return NO_SHIFT;
+  const record = asRecord(value);
+  const fraction = (field: string) =>
+    typeof record[field] === "number" ? readNumber(record, field) : 1;
+  return {
+    zone: readString(record, "cell"),
+    reason: readString(record, "why"),
+    safe: fraction("safe"),
+    unsafe: fraction("unsafe"),
+  };
+};
+
+/** All workers, by id and by service, and what the health checks decided of them. */
+export class WorkerDirectory {
+  private readonly workers = new Map<string, Worker>();
+  private readonly byService = new Map<string, Worker[]>();
+  /** Invariant: an entry is removed when the workers of its service or the number of nodes change. */
+  private readonly subsets = new Map<string, Subset<Worker>>();
+  private currentNodeCount: NodeCount = { inZone: 1, total: 1 };
+  private readonly latencies = new Map<string, ServiceLatency>();
+  private ejected: ReadonlySet<string> = new Set();
+  private shift = NO_SHIFT;
+  /** By service, what the capacity forecast says; services that keep up aren't in it. */
+  private forecasts: ReadonlyMap<string, string> = new Map();
+
+  constructor(
+    private readonly clock: Clock,
+    private readonly node: string,
+    private readonly zone: string,
+  ) {}
+
+  /** How many workers there are, of all services. */
+  get size(): number {
+    return this.workers.size;
+  }
+
+  /** The workers of a service, draining ones included. */
+  readonly workersOf = (service: string): readonly Worker[] => this.byService.get(service) ?? [];
+
+  readonly readyWorkersOf = (service: string): readonly Worker[] =>
+    this.workersOf(service).filter(({ state }) => state === "ready");
+
+  get nodeCount(): NodeCount {
+    return this.currentNodeCount;
+  }
+
+  /** The mean time of requests to a worker, as this node has seen it, in microseconds; 0 if it isn't known. */
+  readonly meanLatencyUs = (id: string): number => this.workers.get(id)?.latency.meanUs() ?? 0;
+
+  /** The ready workers of a service that this node sends to. */
+  readonly subsetFor = (service: string): Subset<Worker> => {
+    const known = this.subsets.get(service);
+    if (known) return known;
+    const subset = subsetOf(
+      this.node,
+      this.zone,
+      this.readyWorkersOf(service),
+      this.currentNodeCount,
+    );
+    this.subsets.set(service, subset);
+    return subset;
+  };
+
+  /** Sets how many nodes there are, this one included. */
+  readonly setNodeCount = (count: NodeCount): void => {
+    this.currentNodeCount = count;
+    this.subsets.clear();
+  };
+
+  /** All workers, in the order of their first update. */
+  readonly all = (): readonly Worker[] => [...this.workers.values()];
+
+  readonly isEjected = (worker: Worker): boolean => this.ejected.has(worker.id);
+
+  /** The zone that one request must avoid, or ""; with a partial shift it is drawn for each request. */
+  readonly avoidedZone = (isSafe: boolean, random: () => number): string => {
+    const { zone, safe, unsafe } = this.shift;
+    const fraction = isSafe ? safe : unsafe;
+    return zone !== "" && (fraction >= 1 || random() < fraction) ? zone : "";
+  };
+
+  /** Whether a maintenance window drains the zone completely, its clients included. */
+  readonly isDrained = (zone: string): boolean =>
+    this.shift.reason === MAINTENANCE_WINDOW && this.shift.zone === zone && this.shift.unsafe >= 1;
+
+  /** What the capacity forecast says of a service, such as "overrun"; "" while it keeps up. */
+  readonly capacityForecast = (service: string): string => this.forecasts.get(service) ?? "";
+
+  /** Takes over updates of workers, ejections, zonal shift and capacity forecast; others are ignored. */
+  readonly applyUpdates = (updates: readonly Update[]): void => {
+    updates.forEach((update) => {
+      if (update.key === FORECAST_KEY)
+        this.forecasts = new Map(
+          Object.entries(update.body).map(([service, result]) => [service, String(result)]),
+        );
+      else if (update.key === EJECTIONS_KEY) this.applyHealthDecisions(update);
+      else if (update.key.startsWith(WORKER_PREFIX)) this.applyWorker(update);
+    });
+  };
+
+  /** Removes the workers whose updates have been dropped. */
+  readonly forgetKeys = (keys: readonly string[]): void => {
+    keys
+      .filter((key) => key.startsWith(WORKER_PREFIX))
+      .forEach((key) => this.remove(key.slice(WORKER_PREFIX.length)));
+  };
+
+  /** Removes a worker whose address answers as another one, before an update says so. */
+  readonly removeMisdirected = (worker: Worker): void => this.remove(worker.id);
+
+  /** Closes connections long unused, to all workers. */
+  readonly evictIdleConnections = (): void =>
+    this.workers.forEach((worker) => worker.connections.evictIdle());
+
+  private readonly applyWorker = (update: Update): void => {
+    const id = update.key.slice(WORKER_PREFIX.length);
+    if (update.body["state"] === "gone") return this.remove(id);
+    const known = this.workers.get(id);
+    const worker =
+      known ?? new Worker(id, this.clock, this.latencyOf(readString(update.body, "service")));
+    if (known) this.removeFromService(known);
+    worker.applyUpdate(update);
+    this.workers.set(id, worker);
+    const listed = this.byService.get(worker.service);
+    if (listed) listed.push(worker);
+    else this.byService.set(worker.service, [worker]);
+    this.subsets.delete(worker.service);
+  };
+
+  private readonly latencyOf = (service: string): ServiceLatency => {
+    const mean = this.latencies.get(service) ?? new ServiceLatency();
+    this.latencies.set(service, mean);
+    return mean;
+  };
+
+  private readonly applyHealthDecisions = (update: Update): void => {
+    this.ejected = new Set(
+      readList(update.body, "ejections", (value) => readString(asRecord(value), "worker")),
+    );
+    this.shift = readShift(update.body["shift"]);
+  };
+
+  private readonly remove = (id: string): void => {
+    const worker = this.workers.get(id);
+    if (!worker) return;
+    worker.state = "gone";
+    worker.connections.closeIdle();
+    this.workers.delete(id);
+    this.removeFromService(worker);
+  };
+
+  private readonly removeFromService = (worker: Worker): void => {
+    this.byService.set(
+      worker.service,
+      this.workersOf(worker.service).filter((other) => other !== worker),
+    );
+    this.subsets.delete(worker.service);
+  };
+}
