--- a/features/compatibility.feature
+++ b/features/compatibility.feature
@@ -42,3 +42,8 @@
     Then each forwarded order of before is read and packed again as the frame that it was
     And each answer to a forwarded order of before is read and packed again as the frame that it was
     And each kind of message that was forwarded before still has its name
+
+  Scenario: Requests for objects, the server's answers and what a client makes of them keep their form
+    Then requests for objects are packed as before
+    And the object server's answers are word for word those of before
+    And the object client makes of the replies of before what it made of them
--- /dev/null
+++ b/features/steps/object-messages.ts
@@ -0,0 +1,280 @@
+import assert from "node:assert/strict";
+import { readFile } from "node:fs/promises";
+import { Then } from "@cucumber/cucumber";
+import { CachedObjects, type CachedObject } from "../../src/cache/cached-objects.js";
+import { ObjectClient } from "../../src/cache/object-client.js";
+import { ObjectServer, packWant } from "../../src/cache/object-server.js";
+import { ObjectStore, type LookupResult, type Want } from "../../src/cache/object-store.js";
+import { OriginFetcher } from "../../src/cache/origin-fetch.js";
+import { PeerCaches } from "../../src/cache/peer-caches.js";
+import { sleep, type Clock } from "../../src/common/clock.js";
+import {
+  asList,
+  asRecord,
+  asString,
+  isRecord,
+  parseJson,
+  readFlag,
+  readList,
+  readNumber,
+  readString,
+  type UnknownRecord,
+} from "../../src/common/decode.js";
+import { silentLogger } from "../../src/common/logger.js";
+import { LoadBalancer } from "../../src/proxy/load-balancer.js";
+import type { ObjectResult } from "../../src/proxy/object-source.js";
+import { RetryBudgets } from "../../src/proxy/retry-budget.js";
+import { WorkerDirectory } from "../../src/proxy/worker-directory.js";
+import { RateLimiter } from "../../src/quota/rate-limiter.js";
+import type { Message } from "../../src/transport/connection.js";
+import { plain } from "../support/golden.js";
+import { ManualClock, settle } from "../support/manual-clock.js";
+
+const FILE = "features/data/before-2026-12-objects/objects.json";
+const CACHE_TTL_US = 40_000_000;
+
+const golden = async (): Promise<UnknownRecord> =>
+  asRecord(parseJson(await readFile(FILE, "utf8")), FILE);
+
+/** What `plain` made of a value, with its bytes again. */
+const live = (value: unknown): unknown => {
+  if (Array.isArray(value)) return value.map(live);
+  if (!isRecord(value)) return value;
+  if (typeof value["bytes"] === "string" && Object.keys(value).length === 1)
+    return Buffer.from(value["bytes"], "base64");
+  return Object.fromEntries(Object.entries(value).map(([key, inner]) => [key, live(inner)]));
+};
+const messageOf = (value: unknown): Message => {
+  const record = asRecord(live(value), "message");
+  return { ...record, kind: readString(record, "kind") };
+};
+
+const wantOf = (clock: Clock, url: string, leftUs = 900_000): Want => ({
+  service: "s",
+  host: "h.example",
+  url,
+  cacheForUs: CACHE_TTL_US,
+  maxAgeUs: CACHE_TTL_US,
+  latencyTargetUs: 500_000,
+  deadlineUs: clock.nowUs() + leftUs,
+});
+
+const objectOf = (etag: string): CachedObject => ({
+  service: "s",
+  host: "h.example",
+  url: "/small",
+  status: 200,
+  heads: [],
+  etag,
+  labels: [],
+  body: Buffer.from("old"),
+  bornUs: 0,
+});
+
+Then("requests for objects are packed as before", async () => {
+  const clock = new ManualClock();
+  const rows = asList((await golden())["packed"]).map((row) => asRecord(row));
+  assert.equal(rows.length, 4);
+  for (const row of rows) {
+    const { range, etag } = row;
+    const packed = packWant(
+      wantOf(clock, readString(row, "url"), readNumber(row, "leftUs")),
+      clock.nowUs(),
+      range === undefined ? undefined : asString(range),
+      etag === undefined ? undefined : objectOf(asString(etag)),
+      readFlag(row, "isHop"),
+    );
+    assert.deepEqual(plain(packed), row["message"]);
+  }
+});
+
+/** The origin of the golden conversation. */
+const originOf =
+  (clock: Clock, data: UnknownRecord) =>
+  async (want: Want): Promise<LookupResult> => {
+    const none = asRecord(data["none"])[want.url];
+    if (isRecord(none))
+      return {
+        kind: "none",
+        reason: readString(none, "why") === "rate" ? "rate" : "full",
+        retryAfterUs: readNumber(none, "comeBackUs"),
+      };
+    const row = asList(data["objects"])
+      .map((value) => asRecord(value))
+      .find(({ url }) => url === want.url);
+    assert.ok(row, want.url);
+    const bornUs = clock.nowUs() - readNumber(row, "ageUs");
+    const slowUs = readNumber(row, "slowUs");
+    if (slowUs > 0) await sleep(clock, slowUs);
+    return {
+      kind: "found",
+      copy: {
+        service: want.service,
+        host: want.host,
+        url: want.url,
+        status: readNumber(row, "status"),
+        heads: readList(row, "heads", asString),
+        etag: readString(row, "etag"),
+        labels: readList(row, "labels", asString),
+        body: Buffer.from(readString(row, "text").repeat(readNumber(row, "times"))),
+        bornUs,
+      },
+    };
+  };
+
+/** Messages that come in one by one, as they are pushed. */
+class Incoming implements AsyncIterable<Message> {
+  private readonly queue: Message[] = [];
+  private wake: () => void = () => undefined;
+
+  readonly push = (message: Message): void => {
+    this.queue.push(message);
+    this.wake();
+  };
+
+  async *[Symbol.asyncIterator](): AsyncGenerator<Message> {
+    for (;;) {
+      const message = this.queue.shift();
+      if (message) yield message;
+      else await new Promise<void>((resolve) => (this.wake = resolve));
+    }
+  }
+}
+
+Then("the object server's answers are word for word those of before", async () => {
+  const data = await golden();
+  const clock = new ManualClock();
+  const storeOf = () =>
+    new ObjectStore({
+      clock,
+      cachedObjects: new CachedObjects(clock, 10_000_000),
+      isFresh: () => true,
+      staleIfErrorUs: 1_000_000,
+      source: originOf(clock, data),
+    });
+  const server = new ObjectServer({
+    clock,
+    store: storeOf(),
+    ownStore: storeOf(),
+    // A service with a rate, of which no share was ever leased, has none left.
+    rateLimiter: new RateLimiter(clock, (service) => (service === "spent" ? 1 : 0)),
+    log: silentLogger,
+  });
+  const sent: unknown[] = [];
+  const incoming = new Incoming();
+  void server.serve(
+    { send: (message: Message) => void sent.push(plain(message)) },
+    { kind: "goods" },
+    incoming,
+  );
+  await settle();
+  const rows = asList(data["server"]).map((row) => asRecord(row));
+  assert.equal(rows.length, 14);
+  for (const { message, sent: wanted } of rows) {
+    if (message !== null) {
+      incoming.push(messageOf(message));
+      await settle();
+      await clock.pass(200_000);
+    }
+    assert.deepEqual(sent.splice(0), wanted, JSON.stringify(message));
+  }
+});
+
+/** A cache that gives the next reply of the golden conversation, and records what it was sent. */
+class RecordedCache extends PeerCaches {
+  reply: unknown = null;
+  private readonly asked: unknown[] = [];
+
+  override get isAnyConnected(): boolean {
+    return true;
+  }
+
+  override readonly ask = async (
+    key: string,
+    message: Message,
+    waitUs: number,
+  ): Promise<Message | undefined> => {
+    this.asked.push(plain({ key, message, waitUs }));
+    return this.reply === null ? undefined : messageOf(this.reply);
+  };
+
+  readonly takeAsked = (): unknown => this.asked.splice(0);
+}
+
+const originFetcher = (clock: Clock, rateLimiter: RateLimiter): OriginFetcher => {
+  const workers = new WorkerDirectory(clock, "n1", "c1");
+  const origin = new OriginFetcher({
+    clock,
+    workers,
+    loadBalancer: new LoadBalancer({
+      workers,
+      zone: "c1",
+      random: () => 0,
+      connectionShare: () => 1,
+    }),
+    rateLimiter,
+    retryBudgets: new RetryBudgets({
+      clock,
+      log: silentLogger,
+      windowUs: 1_000_000,
+      limits: () => ({}),
+    }),
+    countFault: () => undefined,
+    maxObjectBytes: 0,
+  });
+  origin.fetches = 1;
+  origin.revalidations = 2;
+  origin.rateLimited = 3;
+  return origin;
+};
+
+const newClient = (
+  clock: Clock,
+): { readonly client: ObjectClient; readonly cache: RecordedCache } => {
+  const cache = new RecordedCache(clock);
+  const rateLimiter = new RateLimiter(clock, () => 0);
+  rateLimiter.applyLease({ share: 0.25, expiresAtUs: Number.POSITIVE_INFINITY });
+  const client = new ObjectClient({
+    clock,
+    maxBytes: 1_000_000,
+    sharedCaches: cache,
+    zoneCaches: new PeerCaches(clock),
+    origin: originFetcher(clock, rateLimiter),
+    rateLimiter,
+    isFresh: () => true,
+    staleIfErrorUs: 1_000_000,
+  });
+  return { client, cache };
+};
+
+/** The result with the field names that it had in memory when the golden data was written. */
+const formerResult = (result: ObjectResult): unknown =>
+  plain(
+    result.kind === "served"
+      ? { kind: "served", status: result.status, heads: result.heads, body: result.body }
+      : { kind: "none", why: result.reason, comeBackUs: result.retryAfterUs },
+  );
+
+Then("the object client makes of the replies of before what it made of them", async () => {
+  const data = await golden();
+  const clock = new ManualClock();
+  const { client, cache } = newClient(clock);
+  const rows = asList(data["client"]).map((row) => asRecord(row));
+  assert.equal(rows.length, 15);
+  for (const row of rows) {
+    await clock.pass(typeof row["afterUs"] === "number" ? row["afterUs"] : 1_000);
+    cache.reply = row["reply"];
+    const result = await client.fetch(
+      wantOf(clock, readString(row, "url")),
+      row["range"] === undefined ? undefined : asString(row["range"]),
+    );
+    assert.deepEqual(cache.takeAsked(), row["asked"]);
+    assert.deepEqual(formerResult(result), row["result"]);
+  }
+  for (const row of asList(data["permits"]).map((value) => asRecord(value))) {
+    cache.reply = row["reply"];
+    assert.equal(await client.permit("s"), row["isPermitted"]);
+    assert.deepEqual(cache.takeAsked(), row["asked"]);
+  }
+  assert.deepEqual(plain(client.snapshot()), data["snapshot"]);
+});
--- a/src/cache/object-server.ts
+++ b/src/cache/object-server.ts
@@ -56,7 +56,7 @@
   constructor(private readonly options: ObjectServerOptions) {}
 
   readonly serve = async (
-    connection: Connection,
+    connection: Pick<Connection, "send">,
     _hello: Message,
     incoming: AsyncIterable<Message>,
   ): Promise<void> => {
