--- a/src/proxy/request-counters.ts
+++ b/src/proxy/request-counters.ts
@@ -1,6 +1,8 @@
+/** Counts of the requests that this node sent, by service, kind, route and worker, over a sliding window. */
 import type { Clock } from "../common/clock.js";
 import { SECOND_US } from "../common/duration.js";
 
+/** The field names are those that controllers and stored forecasts read. */
 export interface RequestCount {
   readonly service: string;
   readonly kind: string;
@@ -14,10 +16,11 @@
   readonly counts: Map<string, number>;
 }
 
+/** The window; counts are kept for a sixth of it at a time. */
 export const REQUEST_WINDOW_US = 60 * SECOND_US;
 const SLOTS = 6;
 
-/** What this node has lately sent to each worker, by service, kind and route. Invariant: nothing older than a window and a slot is held. */
+/** Invariant: nothing older than the window is counted. */
 export class RequestCounters {
   private slots: Slot[] = [];
   private readonly sinceUs: number;
@@ -26,13 +29,14 @@
     this.sinceUs = clock.nowUs();
   }
 
+  /** Counts one request. */
   readonly record = (service: string, kind: string, route: string, worker: string): void => {
     const { counts } = this.slot();
     const key = `${service}\n${kind}\n${route}\n${worker}`;
     counts.set(key, (counts.get(key) ?? 0) + 1);
   };
 
-  /** The calls of a service, and over which span they were counted. */
+  /** The requests to a service, and the time over which they were counted. */
   readonly countsFor = (
     service: string,
   ): { readonly spanUs: number; readonly counts: readonly RequestCount[] } => {
--- a/src/proxy/retry-budget.ts
+++ b/src/proxy/retry-budget.ts
@@ -1,3 +1,7 @@
+/**
+ * Retry budgets: token buckets over a sliding window, refilled by a ratio of this node's requests and by a leased part of
+ * the fleet's slack (docs/retries.md).
+ */
 import type { Clock } from "../common/clock.js";
 import type { Logger } from "../common/logger.js";
 import {
@@ -13,12 +17,13 @@
   readonly sinceUs: number;
   requests: number;
   retries: number;
-  refused: number;
+  rejected: number;
 }
 
-/** A part of the slack of the fleet's limit, leased to this node. */
+/** The part of the fleet's slack that is leased to this node, in retries a window. */
 export interface RetryLease {
   readonly tokens: number;
+  /** On this process's clock. */
   readonly expiresUs: number;
 }
 
@@ -26,9 +31,9 @@
 const NO_LEASE: RetryLease = { tokens: 0, expiresUs: 0 };
 
 /**
- * How often requests of one kind to one service may be sent on again from this node.
- * Invariant: within any window the retries stay within the ratio of this node's own requests in it, and what it has
- * leased of the slack. The requests of all nodes add up, and the leases in force or ended less than a window ago stay
+ * How many retries this node may send of one kind of request to one service.
+ * Invariant: within any window the retries stay within the ratio of this node's own requests in it, plus what it has
+ * leased of the slack. The requests of all nodes add up, and the leases in force or expired less than a window ago stay
  * within the slack, so the sum over all nodes, restarted ones too, stays within the limit.
  */
 export class RetryBudget {
@@ -41,45 +46,48 @@
     private readonly clock: Clock,
     private readonly windowUs: number,
     private readonly limit: () => RetryLimit,
-    private readonly onRefused: (isFirstOfSpan: boolean) => void,
+    private readonly onRejected: (isFirstInWindow: boolean) => void,
   ) {}
 
-  /** Counts a request's first sending. */
+  /** Counts a request's first attempt, which earns a fraction of a retry. */
   readonly recordRequest = (): void => {
     this.slot().requests += 1;
   };
 
-  /** Takes one retry, or says that there is none left. */
+  /** Takes one retry; false if none is left. */
   readonly trySpend = (): boolean => {
     const slot = this.slot();
     if (this.sum("retries") + 1 > this.earnedTokens() + this.leasedTokens()) {
-      slot.refused += 1;
+      slot.rejected += 1;
       this.rejectedSinceLeaseRequest += 1;
-      const isFirstOfSpan = this.clock.nowUs() - this.loggedUs >= this.windowUs;
-      if (isFirstOfSpan) this.loggedUs = this.clock.nowUs();
-      this.onRefused(isFirstOfSpan);
+      const isFirstInWindow = this.clock.nowUs() - this.loggedUs >= this.windowUs;
+      if (isFirstInWindow) this.loggedUs = this.clock.nowUs();
+      this.onRejected(isFirstInWindow);
       return false;
     }
     slot.retries += 1;
     return true;
   };
 
+  /** Takes a new lease in place of the one before. */
   readonly setLease = (lease: RetryLease): void => {
     this.lease = lease;
   };
 
+  /** The tokens leased now; 0 once the lease has expired. */
   readonly leasedTokens = (): number =>
     this.clock.nowUs() < this.lease.expiresUs ? this.lease.tokens : 0;
 
-  /** How many tokens would serve what was spent beyond the ratio, and what was refused since the last asking. */
+  /** How many leased tokens would cover the retries beyond the ratio, and those rejected since the last call. */
   readonly takeDemand = (): number => {
     this.slot();
-    const want =
+    const demand =
       Math.max(0, this.sum("retries") - this.earnedTokens()) + 2 * this.rejectedSinceLeaseRequest;
     this.rejectedSinceLeaseRequest = 0;
-    return Math.ceil(want);
+    return Math.ceil(demand);
   };
 
+  /** The figures of the window. The field names are those that operators and controllers read. */
   readonly snapshot = (): {
     readonly requests: number;
     readonly retries: number;
@@ -90,7 +98,7 @@
     return {
       requests: this.sum("requests"),
       retries: this.sum("retries"),
-      refused: this.sum("refused"),
+      refused: this.sum("rejected"),
       leased: this.leasedTokens(),
     };
   };
@@ -98,8 +106,8 @@
   private readonly earnedTokens = (): number =>
     this.sum("requests") * this.limit().ratio * USED_FRACTION;
 
-  private readonly sum = (what: "requests" | "retries" | "refused"): number =>
-    this.slots.reduce((total, slot) => total + slot[what], 0);
+  private readonly sum = (counter: "requests" | "retries" | "rejected"): number =>
+    this.slots.reduce((total, slot) => total + slot[counter], 0);
 
   private readonly slot = (): Slot => {
     const nowUs = this.clock.nowUs();
@@ -108,31 +116,33 @@
     );
     const last = this.slots[this.slots.length - 1];
     if (last && nowUs - last.sinceUs < this.windowUs / SLOTS) return last;
-    const slot = { sinceUs: nowUs, requests: 0, retries: 0, refused: 0 };
+    const slot = { sinceUs: nowUs, requests: 0, retries: 0, rejected: 0 };
     this.slots.push(slot);
     return slot;
   };
 }
 
+/** What the budgets of a node are made with. */
 export interface RetryBudgetsOptions {
   readonly clock: Clock;
   readonly log: Logger;
   readonly windowUs: number;
-  /** The written limits, as the news tells them. */
+  /** The configured limits, as the latest update gives them. */
   readonly limits: () => RetryLimits;
 }
 
-/** The budgets of one node, by service and kind of route. */
+/** The retry budgets of one node, by service and kind of route. */
 export class RetryBudgets {
   private readonly budgets = new Map<
     string,
     { readonly service: string; readonly kind: RouteKind; readonly budget: RetryBudget }
   >();
-  /** Called when a budget has refused: a lease of the slack would help. */
+  /** Called when a budget has rejected a retry: a lease of the slack would help. */
   onExhausted: () => void = () => undefined;
 
   constructor(private readonly options: RetryBudgetsOptions) {}
 
+  /** The budget of a service and kind of route, made on first use. */
   readonly of = (service: string, kind: RouteKind): RetryBudget => {
     const key = `${service}|${kind}`;
     const known = this.budgets.get(key);
@@ -142,8 +152,8 @@
       clock,
       windowUs,
       () => findLimit(limits(), service, kind),
-      (isFirstOfSpan) => {
-        if (isFirstOfSpan) log.warn(`No retry is left for ${kind} requests to ${service}.`);
+      (isFirstInWindow) => {
+        if (isFirstInWindow) log.warn("retry budget exhausted", { service, kind });
         this.onExhausted();
       },
     );
@@ -151,13 +161,14 @@
     return budget;
   };
 
-  /** Service, kind, tokens wanted, tokens held; only of budgets that want some. */
+  /** Service, kind, tokens demanded and tokens leased, of the budgets that demand some. */
   readonly takeDemands = (): readonly (readonly [string, RouteKind, number, number])[] =>
     [...this.budgets.values()].flatMap(({ service, kind, budget }) => {
-      const want = budget.takeDemand();
-      return want > 0 ? [[service, kind, want, budget.leasedTokens()] as const] : [];
+      const demand = budget.takeDemand();
+      return demand > 0 ? [[service, kind, demand, budget.leasedTokens()] as const] : [];
     });
 
+  /** One row of figures a budget. */
   readonly snapshot = (): readonly UnknownRecord[] =>
     [...this.budgets.values()].map(({ service, kind, budget }) => ({
       service,
--- a/src/proxy/route-table.ts
+++ b/src/proxy/route-table.ts
@@ -1,34 +1,43 @@
+/** Routes, services and limits as the data plane uses them, kept up to date from updates. */
 import { PLAN_PREFIX, ROLLOUTS_KEY, type Update } from "../membership/update-store.js";
 import { asList, asRecord, parseJson, readString, readNumber } from "../common/decode.js";
 import { readWeightedServices, type WeightedService } from "../common/weighted-split.js";
 import { parseDuration, SECOND_US } from "../common/duration.js";
 
+/** Used where a service doesn't set one. */
+const DEFAULT_MAX_CONNECTIONS = 1_000;
+
+/** One route: which requests it matches, and what becomes of them. */
 export interface Route {
   readonly name: string;
   readonly host: string;
   readonly pathPrefix: string;
   readonly kind: string;
-  /** Whether a request may run more than once. */
+  /** Whether a request may run more than once, as on safe and cached routes. */
   readonly isSafe: boolean;
-  /** How long an answer may be kept; 0 unless the route is cached. */
+  /** How long a response may be cached; 0 unless the route is cached. */
   readonly cacheTtlUs: number;
   readonly latencyTargetUs: number;
   readonly priority: number;
   readonly version: number;
-  /** Invariant: not empty, and the shares add up to more than 0. */
+  /** Invariant: not empty, and the weights add up to more than 0. */
   readonly weightedServices: readonly WeightedService[];
+  /** How long a request may take in all. */
   readonly timeoutUs: number;
+  /** How often a request may be sent, the first time included. */
   readonly maxAttempts: number;
 }
 
+/** A service that routes send to. */
 export interface Service {
   readonly name: string;
   readonly healthCheckPath: string;
   readonly maxConnections: number;
-  /** The most requests a second that the service is to receive from everyone; 0 where there is no such bound. */
+  /** The rate limit over all nodes, in requests a second; 0 where there is none. */
   readonly maxRequestsPerS: number;
 }
 
+/** What clients may send, and how long they may take. */
 export interface ClientLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -36,10 +45,10 @@
   readonly idleTimeoutUs: number;
 }
 
-const stopKey = (route: string, version: number, candidate: string): string =>
+const rollbackKey = (route: string, version: number, candidate: string): string =>
   `${route}\n${version}\n${candidate}`;
 
-const FIRST_LIMITS: ClientLimits = {
+const DEFAULT_LIMITS: ClientLimits = {
   maxHeaderBytes: 16_384,
   maxBodyBytes: 64 * 1024 * 1024,
   headerTimeoutUs: 5 * SECOND_US,
@@ -66,73 +75,80 @@
   };
 };
 
-/** The plan as the data plane uses it. Invariant: the routes of a host are sorted by the length of their prefix, longest first. */
+/** Invariant: the routes of a host are sorted by the length of their path prefix, longest first. */
 export class RouteTable {
   private readonly routes = new Map<string, Route>();
   private readonly byHost = new Map<string, readonly Route[]>();
   private readonly services = new Map<string, Service>();
-  /** Of a route's version, by its name, version and candidate: the service that a stop gives the share to. */
-  private stops: ReadonlyMap<string, string> = new Map();
+  /** Rolled-back candidates, by route, version and candidate: the baseline that gets their requests. */
+  private rollbacks: ReadonlyMap<string, string> = new Map();
   private hasConfiguration = false;
-  limits: ClientLimits = FIRST_LIMITS;
+  limits: ClientLimits = DEFAULT_LIMITS;
 
-  /** Whether any plan has come yet; without one nothing may be called unknown. */
+  /** Whether any configuration has come yet; before that no route may be called unknown. */
   get isLoaded(): boolean {
     return this.hasConfiguration;
   }
 
   readonly service = (name: string): Service | undefined => this.services.get(name);
 
-  /** The service itself, or the baseline where the rollout inspector stopped it for this version. */
+  /** The service itself, or the baseline where a rollout of this version was rolled back. */
   readonly effectiveService = (route: Route, service: string): string =>
-    this.stops.get(stopKey(route.name, route.version, service)) ?? service;
+    this.rollbacks.get(rollbackKey(route.name, route.version, service)) ?? service;
 
+  /** Whether this version of a route is in force. */
   readonly isCurrent = (name: string, version: number): boolean =>
     this.routes.get(`route/${name}`)?.version === version;
 
-  readonly applyUpdates = (facts: readonly Update[]): void => {
-    const stopped = facts.find((fact) => fact.key === ROLLOUTS_KEY);
-    if (stopped) this.applyStops(stopped);
+  /** Takes over updates of configuration items and of rollbacks; others are ignored. */
+  readonly applyUpdates = (updates: readonly Update[]): void => {
+    const rollbacks = updates.find((update) => update.key === ROLLOUTS_KEY);
+    if (rollbacks) this.applyRollbacks(rollbacks);
     const hosts = new Set<string>();
-    facts
-      .filter((fact) => fact.key.startsWith(PLAN_PREFIX))
-      .forEach((fact) => {
+    updates
+      .filter((update) => update.key.startsWith(PLAN_PREFIX))
+      .forEach((update) => {
         this.hasConfiguration = true;
-        this.applyItem(fact, hosts);
+        this.applyItem(update, hosts);
       });
     if (hosts.size > 0) this.sortHosts(hosts);
   };
 
+  /** The route with the longest matching path prefix. */
   readonly find = (host: string, path: string): Route | undefined =>
     this.byHost.get(host)?.find((route) => path.startsWith(route.pathPrefix));
 
-  private readonly applyStops = (fact: Update): void => {
-    const rows = asList(fact.body["stops"], "stops").map((value) => asRecord(value, "stop"));
-    this.stops = new Map(
+  private readonly applyRollbacks = (update: Update): void => {
+    const rows = asList(update.body["stops"], "stops").map((value) => asRecord(value, "rollback"));
+    this.rollbacks = new Map(
       rows.map((row) => [
-        stopKey(readString(row, "route"), readNumber(row, "version"), readString(row, "candidate")),
+        rollbackKey(
+          readString(row, "route"),
+          readNumber(row, "version"),
+          readString(row, "candidate"),
+        ),
         readString(row, "baseline"),
       ]),
     );
   };
 
-  private readonly applyItem = (fact: Update, hosts: Set<string>): void => {
-    const key = fact.key.slice(PLAN_PREFIX.length);
-    const dropped = fact.body["dropped"] === true;
-    const item = readString(fact.body, "item");
+  private readonly applyItem = (update: Update, hosts: Set<string>): void => {
+    const key = update.key.slice(PLAN_PREFIX.length);
+    const isDeleted = update.body["dropped"] === true;
+    const item = readString(update.body, "item");
     if (key.startsWith("route/")) {
       const before = this.routes.get(key);
       if (before) hosts.add(before.host);
-      if (dropped) this.routes.delete(key);
+      if (isDeleted) this.routes.delete(key);
       else {
         const route = readRoute(item);
         this.routes.set(key, route);
         hosts.add(route.host);
       }
     } else if (key.startsWith("service/")) {
-      if (dropped) this.services.delete(key.slice("service/".length));
+      if (isDeleted) this.services.delete(key.slice("service/".length));
       else this.applyService(item);
-    } else if (!dropped) this.applyLimits(item);
+    } else if (!isDeleted) this.applyLimits(item);
   };
 
   private readonly applyService = (item: string): void => {
@@ -141,7 +157,7 @@
     const maxConnections =
       typeof record["maxConnections"] === "number" && record["maxConnections"] > 0
         ? record["maxConnections"]
-        : 1_000;
+        : DEFAULT_MAX_CONNECTIONS;
     this.services.set(name, {
       name,
       healthCheckPath: readString(record, "statusPath"),
@@ -153,10 +169,10 @@
   private readonly applyLimits = (item: string): void => {
     const record = asRecord(parseJson(item));
     this.limits = {
-      maxHeaderBytes: Number(record["maxHeaderBytes"]) || FIRST_LIMITS.maxHeaderBytes,
-      maxBodyBytes: Number(record["maxBodyBytes"]) || FIRST_LIMITS.maxBodyBytes,
-      headerTimeoutUs: parseDuration(record["headerWait"]).unwrapOr(FIRST_LIMITS.headerTimeoutUs),
-      idleTimeoutUs: parseDuration(record["idle"]).unwrapOr(FIRST_LIMITS.idleTimeoutUs),
+      maxHeaderBytes: Number(record["maxHeaderBytes"]) || DEFAULT_LIMITS.maxHeaderBytes,
+      maxBodyBytes: Number(record["maxBodyBytes"]) || DEFAULT_LIMITS.maxBodyBytes,
+      headerTimeoutUs: parseDuration(record["headerWait"]).unwrapOr(DEFAULT_LIMITS.headerTimeoutUs),
+      idleTimeoutUs: parseDuration(record["idle"]).unwrapOr(DEFAULT_LIMITS.idleTimeoutUs),
     };
   };
 
--- a/src/proxy/subset.ts
+++ b/src/proxy/subset.ts
@@ -1,3 +1,7 @@
+/**
+ * Deterministic subsetting by rendezvous hashing (highest random weight; Thaler and Ravishankar 1998): which of a
+ * service's workers a node sends to. docs/design.md gives the reasons for the sizes.
+ */
 import { crc32 } from "node:zlib";
 
 /** A worker as subsetting sees it. */
@@ -6,51 +10,54 @@
   readonly zone: string;
 }
 
-/** How many nodes there are in a node's cell, and in all; itself included. */
+/** How many nodes there are; the node itself included. */
 export interface NodeCount {
   readonly inZone: number;
+  /** In all zones. */
   readonly total: number;
 }
 
+/** The workers of one service that a node sends to, each list in the order of rank. */
 export interface Subset<W extends SubsetCandidate> {
-  /** Workers of the node's own cell, the first in rank first. */
+  /** Workers of the node's own zone. */
   readonly local: readonly W[];
-  /** Workers of other cells. */
+  /** Workers of other zones. */
   readonly remote: readonly W[];
-  /** The next in rank of both, used while those before are ill or busy. */
+  /** The next in rank of both, used while those before are unhealthy or busy. */
   readonly backup: readonly W[];
-  /** How many nodes send to one near worker, on average. */
+  /** How many nodes of the zone send to one local worker, on average. */
   readonly nodesPerWorker: number;
 }
 
-/** Up to so many workers a service is used whole by every node. */
-const FEW = 16;
-/** The least part of a subset in the own cell: with fewer, one worker that is ill is felt. */
-const NEAR_LEAST = 6;
-/** Each worker is to be held by so many nodes of its cell, so that their uneven traffic evens out at it. */
-const HOLDERS = 8;
-const FAR = 3;
-const SPARE = 8;
+/** Up to this number of workers every node sends to all of them. */
+const ALL_UP_TO = 16;
+/** With fewer local workers than this, a single unhealthy one would be felt. */
+const MIN_LOCAL = 6;
+/** Each worker is to be in the subset of this many nodes of its zone, so that their uneven traffic evens out. */
+const NODES_PER_WORKER = 8;
+const REMOTE = 3;
+const BACKUP = 8;
 
-/** Mixes what crc32 leaves alike: ids that differ in one digit only would else rank alike for many nodes. */
+/** The finalizer of MurmurHash3: crc32 alone ranks ids that differ in one digit alike for many nodes. */
 const mix = (value: number): number => {
   const once = Math.imul(value ^ (value >>> 16), 0x85ebca6b);
   const twice = Math.imul(once ^ (once >>> 13), 0xc2b2ae35);
   return (twice ^ (twice >>> 16)) >>> 0;
 };
 
-/** How much a node wants a worker (rendezvous hashing): whoever comes or goes moves no other pair. */
-const rankOf = (node: string, worker: string): number => mix(crc32(`${node}\n${worker}`));
+/** The rendezvous weight of a worker for a node: a pair's weight doesn't depend on who else is there. */
+const weightOf = (node: string, worker: string): number => mix(crc32(`${node}\n${worker}`));
 
-/** A count between two powers of two stands for the upper one, so that a node more or less changes no subset. */
+/** Rounds up to a power of two, so that one node more or less rarely changes a subset. */
 const roundUp = (count: number): number => 2 ** Math.ceil(Math.log2(Math.max(1, count)));
 
 /**
- * The workers of one service that a node sends to: a pure function of the node, its cell, the ready workers and the
- * rounded count of nodes. Small subsets keep connections few, and let each node know its workers' usage: with all of
- * hundreds, what an answer told of a worker is long old when that worker is next looked at.
- * Invariants: `near` and `far` are bounded by what evenness needs, whatever the number of workers, as long as nodes
- * grow with them; a worker that comes or goes changes at most one place of each; all workers where there are few.
+ * The workers of one service that a node sends to: a pure function of the node, its zone, the ready workers and the
+ * rounded number of nodes. Small subsets keep connections few, and keep a node's knowledge of its workers' load new:
+ * with hundreds of workers, a reported load would be long outdated when that worker is next looked at.
+ * Invariants: `local` and `remote` are bounded by what even load needs, whatever the number of workers, as long as the
+ * nodes grow with them; a worker that comes or goes changes at most one place of each; where there are few workers, all
+ * of them are in it.
  */
 export const subsetOf = <W extends SubsetCandidate>(
   node: string,
@@ -59,25 +66,25 @@
   nodes: NodeCount,
 ): Subset<W> => {
   const ranked = workers
-    .map((worker) => ({ worker, rank: rankOf(node, worker.id) }))
-    .sort((a, b) => b.rank - a.rank || (a.worker.id < b.worker.id ? -1 : 1));
-  const own = ranked.filter(({ worker }) => worker.zone === zone).map(({ worker }) => worker);
+    .map((worker) => ({ worker, weight: weightOf(node, worker.id) }))
+    .sort((a, b) => b.weight - a.weight || (a.worker.id < b.worker.id ? -1 : 1));
+  const inZone = ranked.filter(({ worker }) => worker.zone === zone).map(({ worker }) => worker);
   const others = ranked.filter(({ worker }) => worker.zone !== zone).map(({ worker }) => worker);
-  if (workers.length <= FEW)
-    return { local: own, remote: others, backup: [], nodesPerWorker: nodes.inZone };
-  const near = own.slice(
+  if (workers.length <= ALL_UP_TO)
+    return { local: inZone, remote: others, backup: [], nodesPerWorker: nodes.inZone };
+  const local = inZone.slice(
     0,
-    Math.max(NEAR_LEAST, Math.ceil((HOLDERS * own.length) / roundUp(nodes.inZone))),
+    Math.max(MIN_LOCAL, Math.ceil((NODES_PER_WORKER * inZone.length) / roundUp(nodes.inZone))),
   );
-  // A cell with few workers of its own takes the rest of its share from elsewhere.
-  const far = others.slice(0, FAR + Math.max(0, NEAR_LEAST - near.length));
+  // A zone with few workers takes the rest of its minimum from elsewhere.
+  const remote = others.slice(0, REMOTE + Math.max(0, MIN_LOCAL - local.length));
   return {
-    local: near,
-    remote: far,
+    local,
+    remote,
     backup: [
-      ...own.slice(near.length, near.length + SPARE),
-      ...others.slice(far.length, far.length + SPARE),
+      ...inZone.slice(local.length, local.length + BACKUP),
+      ...others.slice(remote.length, remote.length + BACKUP),
     ],
-    nodesPerWorker: (nodes.inZone * near.length) / Math.max(1, own.length),
+    nodesPerWorker: (nodes.inZone * local.length) / Math.max(1, inZone.length),
   };
 };
