--- /dev/null
+++ b/src/programs/gateway/data-plane.ts
@@ -0,0 +1,88 @@
+/** The state of the data plane on one gateway: routes, workers, counters and budgets, kept up to date from updates. */
+import type { Clock } from "../../common/clock.js";
+import type { Settings } from "../../common/settings.js";
+import { CanaryCounters } from "../../health/canary-counters.js";
+import { FaultCounters } from "../../health/fault-counters.js";
+import { LoadCounters } from "../../health/load-counters.js";
+import type { ClusterSize } from "../../membership/cluster.js";
+import type { ProxyServer } from "../../proxy/proxy-server.js";
+import { RequestCounters } from "../../proxy/request-counters.js";
+import type { RetryBudgets } from "../../proxy/retry-budget.js";
+import { RouteTable } from "../../proxy/route-table.js";
+import { WorkerDirectory } from "../../proxy/worker-directory.js";
+import type { DataPlaneNode } from "../data-plane-node.js";
+import { OutcomeCounts } from "./outcome-counts.js";
+import { openRetryBudgets } from "./retry-budgets.js";
+
+/** What requests are served with. */
+export interface DataPlane {
+  readonly routes: RouteTable;
+  readonly workers: WorkerDirectory;
+  readonly faults: FaultCounters;
+  readonly canary: CanaryCounters;
+  readonly load: LoadCounters;
+  readonly requestCounters: RequestCounters;
+  readonly outcomes: OutcomeCounts;
+  readonly retryBudgets: RetryBudgets;
+  /** Tells this run of the process from others in its reports. */
+  readonly incarnation: string;
+  /** How many connections this node may hold to one worker of a service: an equal part of the service's limit. */
+  readonly connectionShare: (service: string) => number;
+  /** Has updates and the cluster's size applied from now on, and the server told of changes. */
+  readonly follow: (server: ProxyServer) => void;
+}
+
+const DEFAULT_MAX_CONNECTIONS = 16;
+
+/** Opens the data plane's state; it is empty until updates come. */
+export const openDataPlane = (
+  settings: Settings,
+  clock: Clock,
+  { updates, subscriber }: Pick<DataPlaneNode, "updates" | "subscriber">,
+): DataPlane => {
+  const routes = new RouteTable();
+  const workers = new WorkerDirectory(clock, settings.name, settings.zone);
+  const incarnation = `${process.pid}-${clock.nowUs()}-${Math.random()}`;
+  const faults = new FaultCounters(incarnation);
+  const canary = new CanaryCounters(incarnation);
+  let clusterSize: ClusterSize = { gateways: 1, zones: {} };
+
+  const follow = (server: ProxyServer): void => {
+    updates.events.on("changed", (changed) => {
+      routes.applyUpdates(changed);
+      workers.applyUpdates(changed);
+      canary.retain(routes.isCurrent);
+      server.applyLimits();
+      server.setZoneDrained(workers.isDrained(settings.zone));
+      server.wake();
+    });
+    updates.events.on("forgotten", (keys) => {
+      workers.forgetKeys(keys);
+      keys.forEach((key) => faults.remove(key));
+    });
+    subscriber.events.on("crew", (size) => {
+      clusterSize = size;
+      workers.setNodeCount({
+        inZone: Math.max(1, size.zones[settings.zone] ?? 1),
+        total: Math.max(1, size.gateways),
+      });
+    });
+  };
+
+  return {
+    routes,
+    workers,
+    faults,
+    canary,
+    load: new LoadCounters(incarnation),
+    requestCounters: new RequestCounters(clock),
+    outcomes: new OutcomeCounts(settings.zone),
+    retryBudgets: openRetryBudgets(settings, clock, updates, subscriber, incarnation),
+    incarnation,
+    connectionShare: (service) => {
+      const limit = routes.service(service)?.maxConnections ?? DEFAULT_MAX_CONNECTIONS;
+      return Math.max(1, Math.floor(limit / Math.max(1, clusterSize.gateways)));
+    },
+    follow,
+  };
+};
--- a/src/programs/gateway/gateway.ts
+++ b/src/programs/gateway/gateway.ts
@@ -1,211 +1,127 @@
-import { FaultCounters } from "../../health/fault-counters.js";
-import { LoadCounters } from "../../health/load-counters.js";
-import { CanaryCounters } from "../../health/canary-counters.js";
-import type { ClusterSize } from "../../membership/cluster.js";
-import { RequestCounters } from "../../proxy/request-counters.js";
-import { ProxyServer } from "../../proxy/proxy-server.js";
-import { RouteTable } from "../../proxy/route-table.js";
-import { WorkerDirectory } from "../../proxy/worker-directory.js";
+/** The gateway program: joins the cluster, and serves requests until it is told to stop. */
 import { sleep, type Clock } from "../../common/clock.js";
+import { MILLISECOND_US } from "../../common/duration.js";
 import { loggerFor } from "../../common/logger.js";
 import type { Settings } from "../../common/settings.js";
-import { MILLISECOND_US, SECOND_US } from "../../common/duration.js";
-import { serveApi } from "../http-api.js";
+import { ProxyServer } from "../../proxy/proxy-server.js";
 import { joinCluster } from "../data-plane-node.js";
+import { serveApi } from "../http-api.js";
+import type { RunningProgram } from "../running-program.js";
+import { adminRoutes } from "./admin-api.js";
+import { openDataPlane, type DataPlane } from "./data-plane.js";
 import { nodeQueryHandlers } from "./node-queries.js";
 import type { GatewayObjectCache, GatewayObjectCacheOptions } from "./object-cache.js";
-import { openRetryBudgets } from "./retry-budgets.js";
-import type { RunningProgram } from "../running-program.js";
+import { startReports } from "./reports.js";
 
 const MB = 1024 * 1024;
 const DEFAULT_MEMORY_MB = 256;
-/** Bodies held whole take at most this part of the memory. */
-const ROOM_PART = 4;
-const REPORT_US = 2 * SECOND_US;
-const ROLLOUT_REPORT_US = 500 * MILLISECOND_US;
-/** How long after SIGTERM new connections may still come, until everyone has seen that this node is not ready. */
-const NOTICE_US = 2_800 * MILLISECOND_US;
-const END_MARGIN_US = 400 * MILLISECOND_US;
+/** Buffered bodies take at most this part (1/n) of the memory. */
+const BUFFER_MEMORY_DIVISOR = 4;
+/** How long after SIGTERM connections are still accepted, until everyone has seen that this node isn't ready. */
+const DRAIN_NOTICE_US = 2_800 * MILLISECOND_US;
+/** Kept back of the grace period, for closing what is left. */
+const SHUTDOWN_MARGIN_US = 400 * MILLISECOND_US;
+const DRAIN_CHECK_US = 50 * MILLISECOND_US;
 
-/** Only a deployment of this kind loads and runs what objects and operation keys need. */
+/** The kind of deployment with an object cache and idempotency keys; others don't load their code. */
 const CONTENT = "content";
-const openGoods = async (options: GatewayObjectCacheOptions): Promise<GatewayObjectCache> =>
+const openObjectCache = async (options: GatewayObjectCacheOptions): Promise<GatewayObjectCache> =>
   (await import("./object-cache.js")).openGatewayObjectCache(options);
 
-/** Puts the data plane together on one machine. */
-export const runGateway = async (settings: Settings, clock: Clock): Promise<RunningProgram> => {
-  const log = loggerFor("pointsman");
-  const { updates, subscriber, relay } = joinCluster(
-    settings,
-    clock,
-    "gateway",
-    { goods: (...session) => goods?.serveObjects(...session) ?? Promise.resolve() },
-    (question) => answers(question),
-  );
-  const table = new RouteTable();
-  const pool = new WorkerDirectory(clock, settings.name, settings.zone);
-  const life = `${process.pid}-${clock.nowUs()}-${Math.random()}`;
-  const counts = new FaultCounters(life);
-  const rollouts = new CanaryCounters(life);
-  const usage = new LoadCounters(life);
-  const calls = new RequestCounters(clock);
-  const retryBudgets = openRetryBudgets(settings, clock, updates, subscriber, life);
-  const answers = nodeQueryHandlers({
-    node: settings.name,
-    zone: settings.zone,
-    workers: pool,
-    requestCounters: calls,
-    retryBudgets,
-  });
-  const tallies = new Map<string, number>();
-  let clusterSize: ClusterSize = { gateways: 1, zones: {} };
-  let leaving = false;
-
-  const connectionShare = (service: string): number =>
-    Math.max(
-      1,
-      Math.floor(
-        (table.service(service)?.maxConnections ?? 16) / Math.max(1, clusterSize.gateways),
-      ),
-    );
-
-  const goods =
-    settings.deployment === CONTENT
-      ? await openGoods({
-          settings,
-          clock,
-          updates,
-          subscriber,
-          routes: table,
-          workers: pool,
-          incarnation: life,
-          retryBudgets,
-          connectionShare,
-          countFault: counts.count,
-        })
-      : undefined;
-  const front = new ProxyServer({
+const openProxyServer = (
+  settings: Settings,
+  clock: Clock,
+  dataPlane: DataPlane,
+  objectCache: GatewayObjectCache | undefined,
+): ProxyServer => {
+  const { canary, faults, load, outcomes, requestCounters } = dataPlane;
+  const { zone } = settings;
+  return new ProxyServer({
     clock,
     log: loggerFor("front"),
-    zone: settings.zone,
-    bufferMemoryBytes: ((settings.memoryMb || DEFAULT_MEMORY_MB) * MB) / ROOM_PART,
-    routes: table,
-    pool,
-    retryBudgets,
-    connectionShare,
-    countFault: counts.count,
-    countOutcome: (route, kind, outcome) => {
-      const key = `${route}|${kind}|${settings.zone}|${outcome}`;
-      tallies.set(key, (tallies.get(key) ?? 0) + 1);
-    },
+    zone,
+    bufferMemoryBytes: ((settings.memoryMb || DEFAULT_MEMORY_MB) * MB) / BUFFER_MEMORY_DIVISOR,
+    routes: dataPlane.routes,
+    pool: dataPlane.workers,
+    retryBudgets: dataPlane.retryBudgets,
+    connectionShare: dataPlane.connectionShare,
+    countFault: faults.count,
+    countOutcome: outcomes.count,
     countCanaryOutcome: (route, service, stratum, outcome) =>
-      rollouts.count(route.name, route.version, service, `${settings.zone}|${stratum}`, outcome),
-    countAttempt: calls.record,
+      canary.count(route.name, route.version, service, `${zone}|${stratum}`, outcome),
+    countAttempt: requestCounters.record,
     random: Math.random,
-    loadCounters: usage,
+    loadCounters: load,
     actsOnForecast: settings.forecastActs,
-    ...(goods ? { objects: goods.objects, idempotency: goods.idempotencyClient } : {}),
+    ...(objectCache
+      ? { objects: objectCache.objects, idempotency: objectCache.idempotencyClient }
+      : {}),
   });
+};
 
-  updates.events.on("changed", (facts) => {
-    table.applyUpdates(facts);
-    pool.applyUpdates(facts);
-    rollouts.retain(table.isCurrent);
-    front.applyLimits();
-    front.setZoneDrained(pool.isDrained(settings.zone));
-    front.wake();
-  });
-  updates.events.on("forgotten", (keys) => {
-    pool.forgetKeys(keys);
-    keys.forEach((key) => counts.remove(key));
-  });
-  subscriber.events.on("crew", (told) => {
-    clusterSize = told;
-    pool.setNodeCount({
-      inZone: Math.max(1, told.zones[settings.zone] ?? 1),
-      total: Math.max(1, told.gateways),
-    });
-  });
+/** Stops accepting connections once others have seen that this node isn't ready, then waits for open requests. */
+const drain = async (server: ProxyServer, clock: Clock, graceUs: number): Promise<void> => {
+  const deadlineUs = clock.nowUs() + graceUs - SHUTDOWN_MARGIN_US;
+  server.startDraining();
+  await sleep(clock, Math.min(DRAIN_NOTICE_US, (graceUs - SHUTDOWN_MARGIN_US) / 2));
+  server.stopListening();
+  while (server.openRequests > 0 && clock.nowUs() < deadlineUs) {
+    await sleep(clock, DRAIN_CHECK_US);
+    server.closeIdleConnections();
+  }
+};
 
+/** Runs a gateway. Resolves once it listens. */
+export const runGateway = async (settings: Settings, clock: Clock): Promise<RunningProgram> => {
+  const log = loggerFor("gateway");
+  let objectCache: GatewayObjectCache | undefined;
+  const node = joinCluster(
+    settings,
+    clock,
+    "gateway",
+    { goods: (...session) => objectCache?.serveObjects(...session) ?? Promise.resolve() },
+    (question) => answerQuery(question),
+  );
+  const { updates, subscriber, relay } = node;
+  const dataPlane = openDataPlane(settings, clock, node);
+  const { workers, routes, outcomes } = dataPlane;
+  const answerQuery = nodeQueryHandlers({ ...dataPlane, node: settings.name, zone: settings.zone });
+  if (settings.deployment === CONTENT)
+    objectCache = await openObjectCache({
+      ...dataPlane,
+      settings,
+      clock,
+      updates,
+      subscriber,
+      countFault: dataPlane.faults.count,
+    });
+  const server = openProxyServer(settings, clock, dataPlane, objectCache);
+  dataPlane.follow(server);
+  let isStopping = false;
   const isReady = (): boolean =>
-    !leaving && !pool.isDrained(settings.zone) && table.isLoaded && pool.size > 0;
-  const ready = await serveApi(settings.ready, [
-    {
-      method: "GET",
-      path: "/ready",
-      handle: async () => ({ outcome: isReady() ? "taken" : "noPlan" }),
-    },
-    {
-      method: "GET",
-      path: "/tell/counts",
-      handle: async () => ({
-        outcome: "taken",
-        body: {
-          counts: [...tallies].map(([key, count]) => {
-            const [route, kind, zone, outcome] = key.split("|");
-            return { route, kind, cell: zone, outcome, count };
-          }),
-        },
-      }),
-    },
-    {
-      method: "GET",
-      path: "/tell/goods",
-      handle: async () => ({ outcome: "taken", body: { goods: goods?.objects.snapshot() ?? {} } }),
-    },
-    {
-      method: "GET",
-      path: "/tell/workers",
-      handle: async () => ({
-        outcome: "taken",
-        body: {
-          workers: pool.all().map((worker) => ({
-            id: worker.id,
-            service: worker.service,
-            cell: worker.zone,
-            state: worker.state,
-            usage: worker.load(0),
-            ejected: pool.isEjected(worker),
-          })),
-        },
-      }),
-    },
-  ]);
-  await front.listen(settings.front);
+    !isStopping && !workers.isDrained(settings.zone) && routes.isLoaded && workers.size > 0;
+  const objectCacheFigures = () => objectCache?.objects.snapshot() ?? {};
+  const adminApi = await serveApi(
+    settings.ready,
+    adminRoutes({ isReady, outcomes, workers, objectCacheFigures }),
+  );
+  await server.listen(settings.front);
   await relay.listen(settings.ip, settings.relayPort);
   void subscriber.run();
-  const rolloutReport = clock.every(ROLLOUT_REPORT_US, () => {
-    const message = rollouts.takeReport();
-    if (message) subscriber.report(message);
-  });
-  const report = clock.every(REPORT_US, () => {
-    const message = counts.takeReport();
-    if (message) subscriber.report(message);
-    const used = usage.takeReport();
-    if (used) subscriber.report(used);
-    pool.evictIdleConnections();
-  });
-  log.info(`Up at ${settings.front}.`);
+  const reports = startReports({ ...dataPlane, clock, subscriber });
+  log.info("gateway is listening", { address: settings.front });
 
   return {
     applySettings: ({ seedNodes }) => subscriber.renewSeeds(seedNodes),
     stop: async () => {
-      const endUs = clock.nowUs() + settings.graceUs - END_MARGIN_US;
-      log.info("Leaving.");
-      leaving = true;
-      front.startDraining();
-      await sleep(clock, Math.min(NOTICE_US, (settings.graceUs - END_MARGIN_US) / 2));
-      front.stopListening();
-      while (front.openRequests > 0 && clock.nowUs() < endUs) {
-        await sleep(clock, 50 * MILLISECOND_US);
-        front.closeIdleConnections();
-      }
-      report.stop();
-      rolloutReport.stop();
-      goods?.stop();
+      log.info("gateway is shutting down");
+      isStopping = true;
+      await drain(server, clock, settings.graceUs);
+      reports.stop();
+      objectCache?.stop();
       subscriber.stop();
       relay.close();
-      ready.close();
+      adminApi.close();
     },
   };
 };
