--- a/features/steps/object-messages.ts
+++ b/features/steps/object-messages.ts
@@ -251,7 +251,7 @@
 const formerResult = (result: ObjectResult): unknown =>
   plain(
     result.kind === "served"
-      ? { kind: "served", status: result.status, heads: result.heads, body: result.body }
+      ? { kind: "served", status: result.status, heads: result.headers, body: result.body }
       : { kind: "none", why: result.reason, comeBackUs: result.retryAfterUs },
   );
 
