--- a/fuzz/scenario-run.ts
+++ b/fuzz/scenario-run.ts
@@ -96,7 +96,8 @@
   /** Waits until nothing is open any more; what still is when the wait is over is left behind. */
   private readonly waitForClose = async (): Promise<number> => {
     const { proxy, pool, clock } = this.harness;
-    const open = () => proxy.openRequests + pool.all().reduce((sum, { inFlight }) => sum + inFlight, 0);
+    const open = () =>
+      proxy.openRequests + pool.all().reduce((sum, { inFlight }) => sum + inFlight, 0);
     for (let step = 0; step < MAX_CLOSING_STEPS && open() > 0; step += 1) await clock.pass(STEP_US);
     return open();
   };
