--- a/features/steps/plan.ts
+++ b/features/steps/plan.ts
@@ -20,10 +20,10 @@
 let acknowledged = false;
 let first = "";
 const acks = new Map<string, number>();
-/** What became of each order, in the order they were sent. */
+/** What became of each write, in the order in which they were sent. */
 const outcomes: { readonly body: string; readonly outcome: Outcome }[] = [];
 
-type Outcome = "taken" | ReplicatedStoreError["code"];
+type Outcome = "confirmed" | ReplicatedStoreError["code"];
 
 const write = async (
   name: string,
@@ -37,7 +37,7 @@
       .member(through)
       .store.propose([makeRegister(key(name), version, dropped ? "" : body, dropped)]),
   );
-  return done.isOk ? "taken" : done.error.code;
+  return done.isOk ? "confirmed" : done.error.code;
 };
 
 const put = async (
@@ -46,7 +46,7 @@
   through: string,
   body?: string,
   dropped = false,
-): Promise<boolean> => (await write(name, version, through, body, dropped)) === "taken";
+): Promise<boolean> => (await write(name, version, through, body, dropped)) === "confirmed";
 
 const readThrough = async (id: string, name: string): Promise<Register | undefined> => {
   const { store } = cluster.member(id);
@@ -125,7 +125,7 @@
 
 Then("exactly one of the two was ever confirmed, and never rejected", () => {
   const confirmed = new Set(
-    outcomes.filter(({ outcome }) => outcome === "taken").map(({ body }) => body),
+    outcomes.filter(({ outcome }) => outcome === "confirmed").map(({ body }) => body),
   );
   const refused = new Set(
     outcomes.filter(({ outcome }) => outcome === "VERSION_CONFLICT").map(({ body }) => body),
@@ -145,7 +145,7 @@
       makeRegister(key(name), version, `{"together":"${name}"}`),
     );
     const done = await cluster.withClock(cluster.member(controllerId(number)).store.propose(call));
-    outcomes.push({ body: "", outcome: done.isOk ? "taken" : done.error.code });
+    outcomes.push({ body: "", outcome: done.isOk ? "confirmed" : done.error.code });
   },
 );
 
@@ -160,7 +160,7 @@
         .member(controllerId(number))
         .store.propose(call, () => `${wrong} names an unknown service`),
     );
-    outcomes.push({ body: "", outcome: done.isOk ? "taken" : done.error.code });
+    outcomes.push({ body: "", outcome: done.isOk ? "confirmed" : done.error.code });
   },
 );
 
@@ -171,7 +171,7 @@
 Then(
   "the write of route {string} at version {int} is acknowledged again through controller {int}",
   async (name: string, version: number, number: number) => {
-    assert.equal(await write(name, version, controllerId(number)), "taken");
+    assert.equal(await write(name, version, controllerId(number)), "confirmed");
   },
 );
 
@@ -206,7 +206,7 @@
   "a rival of route {string} at version {int} is confirmed while controller 1 is partitioned",
   async (name: string, version: number) => {
     cluster.partitioned.add(controllerId(1));
-    assert.equal(await write(name, version, controllerId(2), '{"of":"the rival"}'), "taken");
+    assert.equal(await write(name, version, controllerId(2), '{"of":"the rival"}'), "confirmed");
     cluster.partitioned.delete(controllerId(1));
   },
 );
@@ -405,7 +405,7 @@
       if (found.kind !== "empty") found.records.forEach(state.replay);
       return found.kind === "verified" && state.entry(key(name)).register?.version === version;
     });
-    assert.ok(holding.length >= count, `${holding.length} copies hold it`);
+    assert.ok(holding.length >= count, `${holding.length} replicas hold it`);
   },
 );
 
@@ -500,7 +500,7 @@
   },
 );
 
-// --- duty -----------------------------------------------------------------------------------------------------------
+// --- leader lease -----------------------------------------------------------------------------------------------------------
 
 let oldHolder: ClusterMember | undefined;
 let oldTerm = 0;
@@ -534,7 +534,7 @@
 
 const rememberHolder = (): ClusterMember => {
   const holder = reachableHolder();
-  assert.ok(holder, "nobody holds the duty");
+  assert.ok(holder, "nobody holds the leader lease");
   oldHolder = holder;
   oldTerm = holder.lease.term();
   return holder;
--- a/features/steps/terms.ts
+++ b/features/steps/terms.ts
@@ -10,7 +10,7 @@
 import { debounce } from "../../src/common/clock.js";
 import { ManualClock } from "../support/manual-clock.js";
 
-const RIGHT = `[node]
+const VALID = `[node]
 name = "n1"
 cell = "c1"
 ip = "10.0.0.1"
@@ -31,7 +31,7 @@
 
 const FLAWS: Readonly<Record<string, readonly [string, string]>> = {
   "the name is empty": ['name = "n1"', 'name = ""'],
-  "the grace is no span": ['grace = "6s"', 'grace = "soon"'],
+  "the grace is no duration": ['grace = "6s"', 'grace = "soon"'],
   "the ports are one": ["[7540, 7555]", "[7540]"],
   "the seeds are a text": ['["10.0.0.1:80"]', '"10.0.0.1:80"'],
   "the log level is unknown": ['logLevel = "info"', 'logLevel = "loud"'],
@@ -40,14 +40,14 @@
   "nothing is wrong": ["", ""],
 };
 
-let read = parseSettings(RIGHT);
+let read = parseSettings(VALID);
 
 When(/^settings are read in which (.*)$/, (flaw: string) => {
   const change = FLAWS[flaw];
   assert.ok(change, `no such flaw: ${flaw}`);
-  read = parseSettings(RIGHT.replace(...change));
+  read = parseSettings(VALID.replace(...change));
 });
-Then("they are refused in one line that names {string}", (field: string) => {
+Then("they are rejected in one line that names {string}", (field: string) => {
   assert.ok(read.isErr);
   assert.ok(read.error.sentence.includes(field), read.error.sentence);
   assert.ok(!read.error.sentence.includes("\n"));
@@ -58,11 +58,11 @@
 });
 
 const clock = new ManualClock();
-let told = 0;
+let announced = 0;
 let join: () => void = () => undefined;
-Given("news that is gathered for {int} ms", (ms: number) => {
-  told = 0;
-  join = debounce(clock, ms * 1_000, () => (told += 1));
+Given("an announcement that is debounced for {int} ms", (ms: number) => {
+  announced = 0;
+  join = debounce(clock, ms * 1_000, () => (announced += 1));
 });
 When("{int} nodes join within {int} ms", async (count: number, ms: number) => {
   for (let at = 0; at < count; at += 1) {
@@ -77,7 +77,7 @@
     await clock.pass(ms * 1_000);
   }
 });
-Then("it is told {int} time(s)", (count: number) => assert.equal(told, count));
+Then("it is made {int} time(s)", (count: number) => assert.equal(announced, count));
 
 let registry: WorkerRegistry;
 
@@ -101,7 +101,7 @@
   },
 );
 When(
-  "a beat of call {int} says that {string} is {word}",
+  "a heartbeat of call {int} says that {string} is {word}",
   (callCount: number, id: string, state: string) => {
     registry.take(heartbeat(id, state, callCount));
   },
--- a/features/terms.feature
+++ b/features/terms.feature
@@ -1,48 +1,48 @@
-Feature: Settings and the registry keep their terms
+Feature: Settings are validated, the worker registry keeps states, usage is exported
 
-  Scenario Outline: A wrong settings file is refused with one line naming the field
+  Scenario Outline: An invalid settings file is rejected with one line naming the field
     When settings are read in which <flaw>
-    Then they are refused in one line that names "<field>"
+    Then they are rejected in one line that names "<field>"
 
     Examples:
       | flaw                          | field           |
       | the name is empty             | node.name       |
-      | the grace is no span          | bounds.grace    |
+      | the grace is no duration          | bounds.grace    |
       | the ports are one             | node.sparePorts |
       | the seeds are a text          | node.seedNodes  |
       | the log level is unknown      | node.logLevel   |
       | a rollout weight is negative  | rollout.late    |
       | the file is no TOML           | Invalid         |
 
-  Scenario: Settings that are right are whole microseconds
+  Scenario: Valid settings are whole microseconds
     When settings are read in which nothing is wrong
     Then the grace is 6000000 microseconds
 
-  Scenario: What many joins would tell is told once for all that came together
-    Given news that is gathered for 60 ms
+  Scenario: Joins that come together are announced once
+    Given an announcement that is debounced for 60 ms
     When 430 nodes join within 50 ms
-    Then it is told 1 time
+    Then it is made 1 time
     When 3 nodes join 100 ms apart
-    Then it is told 4 times
+    Then it is made 4 times
 
-  Scenario: A late beat does not make a draining worker ready again
+  Scenario: A late heartbeat does not make a draining worker ready again
     Given a registry that knows worker "w1" as draining at call 5
-    When a beat of call 4 says that "w1" is ready
+    When a heartbeat of call 4 says that "w1" is ready
     Then "w1" is draining
-    When a beat of call 6 says that "w1" is ready
+    When a heartbeat of call 6 says that "w1" is ready
     Then "w1" is draining
 
-  Scenario: A worker not heard for some beats is missing, and back with its next beat
+  Scenario: A worker without heartbeats for some time is missing, and back with its next one
     Given a registry that knows worker "w1" as ready at call 5
     When 6 seconds go by
     Then "w1" is missing
-    When a beat of call 6 says that "w1" is ready
+    When a heartbeat of call 6 says that "w1" is ready
     Then "w1" is ready
 
   Scenario: A worker that left stays gone
     Given a registry that knows worker "w1" as ready at call 5
     When "w1" leaves
-    And a beat of call 9 says that "w1" is ready
+    And a heartbeat of call 9 says that "w1" is ready
     Then "w1" is gone
 
   Scenario: Usage is exported alike to CSV and Parquet, by the stated schema
--- a/src/consensus/acceptor.ts
+++ b/src/consensus/acceptor.ts
@@ -71,7 +71,7 @@
 
   private readonly prepare = async (request: PrepareRequest): Promise<Message> => {
     const { local } = this.options;
-    const { ballot, keys, heldBallots } = request;
+    const { ballot, keys, knownBallots } = request;
     const rejection =
       this.rejectWriter(request.voterSet, request.term) ?? this.rejectLowerBallot(keys, ballot);
     if (rejection) return rejection;
@@ -80,8 +80,8 @@
     if (!(await local.persisted())) return encodeRejection("disk-failure");
     const reports = entries.flatMap((entry, at): EntryReport[] => {
       if (entry.ballot.number === 0) return [];
-      const isHeld = isSameBallot(entry.ballot, heldBallots[at] ?? NO_BALLOT);
-      return [isHeld ? withoutRegister(entry) : entry];
+      const isUnchanged = isSameBallot(entry.ballot, knownBallots[at] ?? NO_BALLOT);
+      return [isUnchanged ? withoutRegister(entry) : entry];
     });
     return encodePrepareResponse({ incarnation: local.incarnation, entries: reports });
   };
--- a/src/consensus/local-replica.ts
+++ b/src/consensus/local-replica.ts
@@ -14,6 +14,9 @@
 import { committedEntry, type CommitMark, type Replica } from "./replica.js";
 import { allMembersOf, quorumSetsOf, type VoterSet } from "./voter-set.js";
 
+/** One of the reasons that `ctl duty` shows; docs/operations.md lists them. */
+const NOT_A_MEMBER = "it is not on the roster";
+
 /** What listeners of a replicated store are told. */
 export interface ReplicatedStoreEvents {
   /** Registers that were not known to be committed until now. */
@@ -101,7 +104,7 @@
       if ((await writeAheadLog.writeVerifiedSnapshot()).isErr)
         this.stopVoting("its disk refused the first state");
     } else if (this.isVoting && !this.isMember()) {
-      this.stopVoting("it is not in the voter set");
+      this.stopVoting(NOT_A_MEMBER);
     } else if (!this.isVoting) {
       this.reason = loaded.kind === "empty" ? "its disk is empty" : "it never caught up";
     }
@@ -145,7 +148,7 @@
   readonly learnVoterSet = (voterSet: VoterSet | undefined): void => {
     if (!voterSet || voterSet.number <= this.voterSet.number) return;
     this.record(this.state.adoptVoterSet(voterSet));
-    if (!this.isMember() && this.isVoting) this.stopVoting("it is not in the voter set");
+    if (!this.isMember() && this.isVoting) this.stopVoting(NOT_A_MEMBER);
     void this.events.emit("voterSet", voterSet);
   };
 
@@ -159,14 +162,14 @@
 
   /** Takes what others show to be committed. */
   readonly learnCommitted = (entries: readonly Entry[]): void => {
-    const isHeld = ({ key, ballot }: Entry): boolean =>
+    const isUnchanged = ({ key, ballot }: Entry): boolean =>
       isSameBallot(this.state.entry(key).ballot, ballot);
     const fresh = entries.filter(({ key, ballot }) => {
       const own = this.state.entry(key);
       return !own.isCommitted || isHigherBallot(ballot, own.ballot);
     });
-    const marks = fresh.filter(isHeld).map(({ key, ballot }): CommitMark => [key, ballot]);
-    this.record(this.state.learn(fresh.filter((entry) => !isHeld(entry))));
+    const marks = fresh.filter(isUnchanged).map(({ key, ballot }): CommitMark => [key, ballot]);
+    this.record(this.state.learn(fresh.filter((entry) => !isUnchanged(entry))));
     this.markCommitted(marks);
     this.announce(
       fresh
--- a/src/consensus/message-types.ts
+++ b/src/consensus/message-types.ts
@@ -16,7 +16,7 @@
   readonly voterSet: VoterSet;
   readonly keys: readonly string[];
   /** What the proposer holds under each key; a register at the same ballot is left out of the response. */
-  readonly heldBallots: readonly Ballot[];
+  readonly knownBallots: readonly Ballot[];
   /** The term under which the proposer writes, where it does so as holder of the leader lease. */
   readonly term?: Term | undefined;
 }
--- a/src/consensus/messages.ts
+++ b/src/consensus/messages.ts
@@ -69,7 +69,7 @@
 const VOTER_SET_NUMBER = "under";
 const INCARNATION = "life";
 const INCARNATIONS = "lives";
-const HELD_BALLOTS = "have";
+const KNOWN_BALLOTS = "have";
 const BUCKET_HASHES = "sums";
 const UNCOMMITTED_KEYS = "unsure";
 const FROM_BUCKET = "from";
@@ -129,7 +129,7 @@
   [BALLOT]: encodeBallot(request.ballot),
   [VOTER_SET]: encodeVoterSet(request.voterSet),
   keys: request.keys,
-  [HELD_BALLOTS]: request.heldBallots.map(encodeBallot),
+  [KNOWN_BALLOTS]: request.knownBallots.map(encodeBallot),
   ...(request.term ? { [TERM]: encodeTerm(request.term) } : {}),
 });
 
@@ -182,7 +182,7 @@
   ballot: decodeBallot(message[BALLOT]),
   voterSet: decodeVoterSet(message[VOTER_SET]),
   keys: readList(message, "keys", asString),
-  heldBallots: readList(message, HELD_BALLOTS, decodeBallot),
+  knownBallots: readList(message, KNOWN_BALLOTS, decodeBallot),
   term: isRecord(message[TERM]) ? decodeTerm(message[TERM]) : undefined,
 });
 
--- a/src/consensus/proposer.ts
+++ b/src/consensus/proposer.ts
@@ -95,13 +95,20 @@
     const { voterSet } = local;
     const ballot = local.nextBallot();
     const entries = keys.map(local.state.entry);
-    const heldBallots = entries.map((entry) => entry.ballot);
+    const knownBallots = entries.map((entry) => entry.ballot);
     const own = new Map(entries.map((entry) => [entry.key, entry]));
     const incarnations = new Map<string, string>();
     const found = new Map<string, EntryReport>();
     const promised = await this.runPhase({
       voterSet,
-      message: encodePrepareRequest({ type: "prepare", ballot, voterSet, keys, heldBallots, term }),
+      message: encodePrepareRequest({
+        type: "prepare",
+        ballot,
+        voterSet,
+        keys,
+        knownBallots,
+        term,
+      }),
       timeoutUs: READ_TIMEOUT_US,
       isWanted: isPrepareResponse,
       onResponse: (id, response) => {
--- a/src/consensus/quorum-calls.ts
+++ b/src/consensus/quorum-calls.ts
@@ -83,7 +83,7 @@
           this.options.clock.after(graceUs, () => resolve(ok(undefined)));
         }
       };
-      const askNewMembers = () =>
+      const requestNewMembers = () =>
         new Set(sets().flat()).forEach((id) => {
           if (asked.has(id)) return;
           asked.add(id);
@@ -94,11 +94,11 @@
             .then((response) => {
               if (response !== undefined) responded.add(id);
               pending -= 1;
-              askNewMembers();
+              requestNewMembers();
               evaluate();
             });
         });
-      askNewMembers();
+      requestNewMembers();
       if (pending === 0) evaluate();
     });
   };
--- a/src/consensus/reconfiguration.ts
+++ b/src/consensus/reconfiguration.ts
@@ -120,13 +120,13 @@
     if (looked.isErr) return err(looked.error);
     const missing = [...ownEntries.values()]
       .filter(
-        (entry) => entry.ballot.number > 0 && !this.isHeldByQuorums(entry, voterSet, collected),
+        (entry) => entry.ballot.number > 0 && !this.isStoredByQuorums(entry, voterSet, collected),
       )
       .map(({ key }) => key);
     return writer.recommit(missing);
   };
 
-  private readonly isHeldByQuorums = (
+  private readonly isStoredByQuorums = (
     entry: Entry,
     voterSet: VoterSet,
     views: ReadonlyMap<string, ReplicaView>,
--- a/src/consensus/replica.ts
+++ b/src/consensus/replica.ts
@@ -48,12 +48,12 @@
 });
 
 /** Whether an entry tells more than the one that is held: of a higher ballot, or that it is accepted or committed. */
-const isNews = (entry: Entry, held: Entry): boolean => {
-  if (entry.ballot.number === 0 || isHigherBallot(held.ballot, entry.ballot)) return false;
+const isNewer = (entry: Entry, current: Entry): boolean => {
+  if (entry.ballot.number === 0 || isHigherBallot(current.ballot, entry.ballot)) return false;
   return (
-    !isSameBallot(entry.ballot, held.ballot) ||
-    (entry.isCommitted && !held.isCommitted) ||
-    (entry.isAccepted && !held.isAccepted)
+    !isSameBallot(entry.ballot, current.ballot) ||
+    (entry.isCommitted && !current.isCommitted) ||
+    (entry.isAccepted && !current.isAccepted)
   );
 };
 
@@ -277,14 +277,14 @@
     }
   };
 
-  /** Holds the entry unless a higher one is held; true if anything but a promise changed. */
+  /** Holds the entry unless a higher one is current; true if anything but a promise changed. */
   private readonly put = (entry: Entry): boolean => {
     const before = this.entry(entry.key);
     this.observe(entry.ballot);
     this.observe(entry.promised);
     const promised = higherBallot(before.promised, entry.promised);
     if (entry.isCommitted) this.recordCommitted(entry);
-    if (!isNews(entry, before)) {
+    if (!isNewer(entry, before)) {
       if (promised !== before.promised) this.entries.set(entry.key, { ...before, promised });
       return false;
     }
