--- a/src/consensus/replica.ts
+++ b/src/consensus/replica.ts
@@ -48,7 +48,7 @@
 });
 
 /** Whether an entry tells more than the one that is held: of a higher ballot, or that it is accepted or committed. */
-const isNewer = (entry: Entry, current: Entry): boolean => {
+const tellsMore = (entry: Entry, current: Entry): boolean => {
   if (entry.ballot.number === 0 || isHigherBallot(current.ballot, entry.ballot)) return false;
   return (
     !isSameBallot(entry.ballot, current.ballot) ||
@@ -277,14 +277,14 @@
     }
   };
 
-  /** Holds the entry unless a higher one is current; true if anything but a promise changed. */
+  /** Holds the entry unless a higher one is held; true if anything but a promise changed. */
   private readonly put = (entry: Entry): boolean => {
     const before = this.entry(entry.key);
     this.observe(entry.ballot);
     this.observe(entry.promised);
     const promised = higherBallot(before.promised, entry.promised);
     if (entry.isCommitted) this.recordCommitted(entry);
-    if (!isNewer(entry, before)) {
+    if (!tellsMore(entry, before)) {
       if (promised !== before.promised) this.entries.set(entry.key, { ...before, promised });
       return false;
     }
