--- a/features/support/replica-cluster.ts
+++ b/features/support/replica-cluster.ts
@@ -30,7 +30,10 @@
 export const STATE_FOLDER = "/state";
 export const KEY_WINDOW_US = 60_000_000;
 
-/** The control state of several controllers over a network and disks of the test's own; idempotency keys are in real files, if `diskBytes` is given. */
+/**
+ * The control state of several controllers over a network and disks of the test's own; idempotency
+ * keys are in real files, if `diskBytes` is given.
+ */
 export class ReplicaCluster {
   readonly clock = new ManualClock();
   readonly partitioned = new Set<string>();
@@ -164,7 +167,10 @@
     for (const id of [...this.running.keys()]) await this.kill(id);
   };
 
-  /** Kills a process. A write that the disk has begun comes to its end, so that no two incarnations write one folder. */
+  /**
+   * Kills a process. A write that the disk has begun comes to its end, so that no two incarnations
+   * write one folder.
+   */
   readonly kill = async (id: string): Promise<void> => {
     const member = this.running.get(id);
     member?.lease.stop();
--- a/src/consensus/acceptor.ts
+++ b/src/consensus/acceptor.ts
@@ -1,6 +1,7 @@
 /**
- * What a replica answers to its peers: the acceptor's part of Paxos for registers and for voter sets, reads, and signs of
- * life. Every promise and every vote is on the disk before it is answered.
+ * What a replica answers to its peers: the acceptor's part of Paxos for registers and for voter
+ * sets, reads, and signs of life. Every promise and every vote is on the disk before it is
+ * answered.
  */
 import type { Message } from "../transport/connection.js";
 import { isHigherBallot, isSameBallot, NO_BALLOT, type Ballot } from "./ballot.js";
@@ -43,9 +44,15 @@
   readonly isSuperseded: (term: Term) => boolean;
 }
 
-/** Invariant: a replica that doesn't vote neither promises nor accepts, nor lets another catch up from it. */
+/**
+ * Invariant: a replica that doesn't vote neither promises nor accepts, nor lets another catch up
+ * from it.
+ */
 export class Acceptor {
-  /** The last floor raised for each replica that caught up; the further chunks of its read bear the same one. */
+  /**
+   * The last floor raised for each replica that caught up; the further chunks of its read bear the
+   * same one.
+   */
   private readonly floors = new Map<string, Ballot>();
 
   constructor(private readonly options: AcceptorOptions) {}
@@ -123,7 +130,9 @@
     return term && this.options.isSuperseded(term) ? encodeRejection("stale-term") : undefined;
   };
 
-  /** Learns the sender's voter set; where it is older than the one known here, tells the newer one. */
+  /**
+   * Learns the sender's voter set; where it is older than the one known here, tells the newer one.
+   */
   private readonly rejectStaleVoterSet = (theirs: VoterSet): Message | undefined => {
     const { local } = this.options;
     local.learnVoterSet(theirs);
@@ -144,7 +153,10 @@
     return encodeReadResponse({ isVoting, equalBuckets, entries, nextBucket, proposal });
   };
 
-  /** The floor must be higher than any ballot seen here before, so that no earlier proposal can succeed any more. */
+  /**
+   * The floor must be higher than any ballot seen here before, so that no earlier proposal can
+   * succeed any more.
+   */
   private readonly raiseFloor = (floor: Ballot | undefined): Message | undefined => {
     const { local } = this.options;
     if (!floor || isSameBallot(floor, this.floors.get(floor.proposer) ?? NO_BALLOT))
--- a/src/consensus/ballot.ts
+++ b/src/consensus/ballot.ts
@@ -1,11 +1,14 @@
-/** Ballots (proposal numbers): the total order in which proposals for a register, or for a voter set, are made. */
+/**
+ * Ballots (proposal numbers): the total order in which proposals for a register, or for a voter
+ * set, are made.
+ */
 import { asList, asNumber, asString } from "../common/decode.js";
 
 /**
  * The number of one attempt to decide a register or a voter set.
  *
- * Invariant: `proposer` names one incarnation of one controller, and an incarnation uses each number once, so no two
- * attempts ever have the same ballot.
+ * Invariant: `proposer` names one incarnation of one controller, and an incarnation uses each
+ * number once, so no two attempts ever have the same ballot.
  */
 export interface Ballot {
   readonly number: number;
--- a/src/consensus/bucket-hashes.ts
+++ b/src/consensus/bucket-hashes.ts
@@ -1,6 +1,7 @@
 /**
- * Hashes over the ballots of a replica's entries, by bucket of their keys. Two replicas that compare them learn which
- * buckets differ, so that replicas with equal contents exchange only some hundred bytes.
+ * Hashes over the ballots of a replica's entries, by bucket of their keys. Two replicas that
+ * compare them learn which buckets differ, so that replicas with equal contents exchange only some
+ * hundred bytes.
  */
 import { createHash } from "node:crypto";
 import type { Ballot } from "./ballot.js";
@@ -14,7 +15,9 @@
   return sum % BUCKETS;
 };
 
-/** Invariant: each pair is the exclusive-or of the hashes of the ballots of that bucket's entries. */
+/**
+ * Invariant: each pair is the exclusive-or of the hashes of the ballots of that bucket's entries.
+ */
 export class BucketHashes {
   private readonly pairs: (readonly [number, number])[] = new Array<readonly [number, number]>(
     BUCKETS,
--- a/src/consensus/catch-up.ts
+++ b/src/consensus/catch-up.ts
@@ -1,7 +1,8 @@
 /**
- * How a replica catches up that may have lost something. It asks as many voting replicas as share a member with every
- * quorum to accept nothing below a floor from now on, and holds the highest that any of them holds. What it may have helped
- * to commit is among that; what it had merely promised can be used by nobody any more. From then on it votes.
+ * How a replica catches up that may have lost something. It asks as many voting replicas as share a
+ * member with every quorum to accept nothing below a floor from now on, and holds the highest that
+ * any of them holds. What it may have helped to commit is among that; what it had merely promised
+ * can be used by nobody any more. From then on it votes.
  */
 import { err, ok, type Result } from "true-myth/result";
 import type { Logger } from "../common/logger.js";
@@ -101,7 +102,8 @@
     views: ReadonlyMap<string, ReplicaView>,
   ): number => {
     const { self, local, withstandMachines } = this.options;
-    // One outside the voter set was in no quorum that is still one; what it accepted long ago must not come up again.
+    // One outside the voter set was in no quorum that is still one; what it accepted long ago must
+    // not come up again.
     if (!local.isMember()) local.state.dropUncommitted();
     const reports = [...views.values()].flatMap((view) => [...view.reports.values()]);
     const keys = new Set([...ownEntries.keys(), ...reports.map(({ key }) => key)]);
@@ -114,7 +116,8 @@
       withstandMachines,
     });
     local.learnCommitted(committed);
-    // What none knows to be committed is held as it is: this replica may have been among those that accepted it.
+    // What none knows to be committed is held as it is: this replica may have been among those that
+    // accepted it.
     const isUndecided = new Set(undecided);
     const uncommitted = reports.flatMap(({ key, ballot, register }): Entry[] =>
       isUndecided.has(key) && register !== "unchanged"
--- a/src/consensus/errors.ts
+++ b/src/consensus/errors.ts
@@ -1,7 +1,9 @@
 /** What can go wrong when the replicated store is read or written, each with a stable code. */
 import { CodedError } from "../common/errors.js";
 
-/** Fewer members than a quorum needs have responded as required. Nothing is known to have changed. */
+/**
+ * Fewer members than a quorum needs have responded as required. Nothing is known to have changed.
+ */
 export class NoQuorumError extends CodedError {
   readonly code = "NO_QUORUM";
 
@@ -17,7 +19,9 @@
   }
 }
 
-/** A newer term was granted: whoever writes under the older one no longer holds the leader lease. */
+/**
+ * A newer term was granted: whoever writes under the older one no longer holds the leader lease.
+ */
 export class StaleTermError extends CodedError {
   readonly code = "STALE_TERM";
 
@@ -62,8 +66,8 @@
 }
 
 /**
- * Another attempt was promised a higher ballot, or the voter set has moved on: worth a further attempt. It stays within the
- * proposer, which retries.
+ * Another attempt was promised a higher ballot, or the voter set has moved on: worth a further
+ * attempt. It stays within the proposer, which retries.
  */
 export class CollisionError extends CodedError {
   readonly code = "COLLISION";
--- a/src/consensus/leader-lease.ts
+++ b/src/consensus/leader-lease.ts
@@ -1,6 +1,7 @@
 /**
- * The leader lease: one controller at a time changes the voters, decides ejections and leases shares. The lease has no time
- * of its own. It is a term that fences: whoever holds an older one is rejected (see term.ts).
+ * The leader lease: one controller at a time changes the voters, decides ejections and leases
+ * shares. The lease has no time of its own. It is a term that fences: whoever holds an older one is
+ * rejected (see term.ts).
  */
 import { sleep, type Clock, type Timer } from "../common/clock.js";
 import { MILLISECOND_US } from "../common/duration.js";
@@ -21,7 +22,10 @@
 const TICK_US = 250 * MILLISECOND_US;
 /** Members propose themselves one after the other, so that they don't collide. */
 const CANDIDATE_GAP_US = 300 * MILLISECOND_US;
-/** For how long a controller that stops tries to be let go where nothing else is said, and how often. */
+/**
+ * For how long a controller that stops tries to be let go where nothing else is said, and how
+ * often.
+ */
 const LEAVE_TIMEOUT_US = 5_000 * MILLISECOND_US;
 const LEAVE_RETRY_US = 200 * MILLISECOND_US;
 
@@ -49,9 +53,9 @@
 }
 
 /**
- * Invariants: a term is a register's version, decided like any other, so it has one holder, in one of its incarnations; a
- * holder acts only while it knows of no newer term, and every act carries its term, which no quorum accepts once it has
- * accepted a newer grant.
+ * Invariants: a term is a register's version, decided like any other, so it has one holder, in one
+ * of its incarnations; a holder acts only while it knows of no newer term, and every act carries
+ * its term, which no quorum accepts once it has accepted a newer grant.
  */
 export class LeaderLease {
   private readonly admission: VoterAdmission;
@@ -77,7 +81,10 @@
   /** The number of the newest term known here; 0 before the first. */
   readonly term = (): number => this.options.store.newestTerm();
 
-  /** The term under which this controller may act; undefined unless it holds the lease as far as it knows. */
+  /**
+   * The term under which this controller may act; undefined unless it holds the lease as far as it
+   * knows.
+   */
   readonly activeTerm = (): Term | undefined => {
     const { store } = this.options;
     return this.wonTerm &&
@@ -90,11 +97,16 @@
   /** Whether this controller holds the lease as far as it knows. */
   readonly isHolder = (): boolean => this.activeTerm() !== undefined;
 
-  /** Whether this controller still holds the lease, confirmed by a majority asked after this call. */
+  /**
+   * Whether this controller still holds the lease, confirmed by a majority asked after this call.
+   */
   readonly confirm = async (): Promise<boolean> =>
     this.isHolder() && (await this.options.store.confirmQuorum()) && this.isHolder();
 
-  /** Whether more than half of each set of voters is connected, this one included if it votes; a belief, no proof. */
+  /**
+   * Whether more than half of each set of voters is connected, this one included if it votes; a
+   * belief, no proof.
+   */
   readonly seesMajority = (): boolean => {
     const { self, store, isConnected } = this.options;
     return store
@@ -106,7 +118,10 @@
       );
   };
 
-  /** Answers what peers ask of the lease: whether its holder is seen here, to join, to leave, to succeed. */
+  /**
+   * Answers what peers ask of the lease: whether its holder is seen here, to join, to leave, to
+   * succeed.
+   */
   readonly handleRequest = async (message: Message): Promise<Message> => {
     const request = decodeLeaseRequest(message);
     switch (request.type) {
@@ -136,7 +151,10 @@
     return false;
   };
 
-  /** Before an orderly end: names a successor if this one holds the lease, then asks to be let go until the others hold everything. */
+  /**
+   * Before an orderly end: names a successor if this one holds the lease, then asks to be let go
+   * until the others hold everything.
+   */
   readonly stepDown = async (): Promise<void> => {
     this.stop();
     const { self, store, request, clock, logger } = this.options;
@@ -160,7 +178,10 @@
     logger.warn("stopped while still in the voter set", { reason });
   };
 
-  /** The wanted state: one connected holder, a voter set that is not joint, and every caught-up controller with a disk in it. */
+  /**
+   * The wanted state: one connected holder, a voter set that is not joint, and every caught-up
+   * controller with a disk in it.
+   */
   private readonly tick = async (): Promise<void> => {
     this.admission.observeMembers();
     if (this.isBusy) return;
@@ -211,7 +232,8 @@
   /** Takes the lease by deciding the next term, if a quorum doesn't see the holder either. */
   private readonly propose = async (namedBy: string): Promise<boolean> => {
     const { self, store, logger } = this.options;
-    // One that is partitioned proposes nothing: its terms would rise and unseat the holder once it is joined again.
+    // One that is partitioned proposes nothing: its terms would rise and unseat the holder once it
+    // is joined again.
     if (!store.isMember() || !store.isVoting || !this.seesMajority()) return false;
     const free = await store.callQuorum(
       encodeLeaseRequest({ type: "candidate", candidate: self, namedBy }),
--- a/src/consensus/lease-messages.ts
+++ b/src/consensus/lease-messages.ts
@@ -1,6 +1,6 @@
 /**
- * The messages of the leader lease and of the voters that join and leave, as they are on the wire. The names and the texts
- * of the wire stand here and never change.
+ * The messages of the leader lease and of the voters that join and leave, as they are on the wire.
+ * The names and the texts of the wire stand here and never change.
  */
 import { readFlag, readString } from "../common/decode.js";
 import type { Message } from "../transport/connection.js";
--- a/src/consensus/local-replica.ts
+++ b/src/consensus/local-replica.ts
@@ -1,6 +1,7 @@
 /**
- * The replica of this process: its durable state joined with the disk, with the listeners, and with the reason why it
- * doesn't vote where that is so. What the protocols of this folder do to the state, they do through it.
+ * The replica of this process: its durable state joined with the disk, with the listeners, and with
+ * the reason why it doesn't vote where that is so. What the protocols of this folder do to the
+ * state, they do through it.
  */
 import Emittery from "emittery";
 import type { UnknownRecord } from "../common/decode.js";
@@ -43,8 +44,8 @@
 }
 
 /**
- * Invariants: a replica answers only for what is safe on its own disk; one that may have lost what it once held does not
- * vote; only what a quorum accepted is ever shown.
+ * Invariants: a replica answers only for what is safe on its own disk; one that may have lost what
+ * it once held does not vote; only what a quorum accepted is ever shown.
  */
 export class LocalReplica {
   readonly events = new Emittery<ReplicatedStoreEvents>();
@@ -88,7 +89,10 @@
 
   readonly isMember = (): boolean => this.members().includes(this.options.self);
 
-  /** The first start of the whole system, a start with a disk that kept its files, or one that lost them. */
+  /**
+   * The first start of the whole system, a start with a disk that kept its files, or one that lost
+   * them.
+   */
   readonly start = async (firstRun: boolean): Promise<void> => {
     const { self, writeAheadLog, logger } = this.options;
     const seeds = this.options.seeds();
@@ -100,7 +104,8 @@
     } else if (loaded.kind === "empty" && firstRun && seeds.includes(self)) {
       this.state.adoptVoterSet({ number: 1, members: [...seeds].sort(), from: [] });
       this.state.setVoting();
-      // One file holds all of it: a first start that is cut short leaves either nothing or everything.
+      // One file holds all of it: a first start that is cut short leaves either nothing or
+      // everything.
       if ((await writeAheadLog.writeVerifiedSnapshot()).isErr)
         this.stopVoting("its disk refused the first state");
     } else if (this.isVoting && !this.isMember()) {
@@ -144,7 +149,10 @@
       this.state.observe({ number: highestBallotNumber, proposer: "" });
   };
 
-  /** Takes a decided voter set, unless a newer one is known. A replica that it leaves out votes no more. */
+  /**
+   * Takes a decided voter set, unless a newer one is known. A replica that it leaves out votes no
+   * more.
+   */
   readonly learnVoterSet = (voterSet: VoterSet | undefined): void => {
     if (!voterSet || voterSet.number <= this.voterSet.number) return;
     this.record(this.state.adoptVoterSet(voterSet));
@@ -152,7 +160,10 @@
     void this.events.emit("voterSet", voterSet);
   };
 
-  /** Takes what a quorum accepted on a proposal from here; a proposer that is no member holds it all the same. */
+  /**
+   * Takes what a quorum accepted on a proposal from here; a proposer that is no member holds it all
+   * the same.
+   */
   readonly learnChosen = (ballot: Ballot, items: readonly Item[]): void => {
     this.record(
       this.state.learn(items.map(([key, register]) => committedEntry(key, ballot, register))),
--- a/src/consensus/message-types.ts
+++ b/src/consensus/message-types.ts
@@ -1,4 +1,7 @@
-/** What replicas say to each other, as typed values; `messages.ts` gives them their form on the wire. */
+/**
+ * What replicas say to each other, as typed values; `messages.ts` gives them their form on the
+ * wire.
+ */
 import type { Ballot } from "./ballot.js";
 import type { Item, VoterSetProposal } from "./record-codec.js";
 import type { Register } from "./register.js";
@@ -15,7 +18,10 @@
   readonly ballot: Ballot;
   readonly voterSet: VoterSet;
   readonly keys: readonly string[];
-  /** What the proposer holds under each key; a register at the same ballot is left out of the response. */
+  /**
+   * What the proposer holds under each key; a register at the same ballot is left out of the
+   * response.
+   */
   readonly knownBallots: readonly Ballot[];
   /** The term under which the proposer writes, where it does so as holder of the leader lease. */
   readonly term?: Term | undefined;
--- a/src/consensus/messages.ts
+++ b/src/consensus/messages.ts
@@ -1,8 +1,10 @@
 /**
- * The messages that replicas exchange, as they are on the wire. All names of the wire stand here. They never change, and
- * neither does the order of a message's fields, so that controllers of different versions understand each other.
+ * The messages that replicas exchange, as they are on the wire. All names of the wire stand here.
+ * They never change, and neither does the order of a message's fields, so that controllers of
+ * different versions understand each other.
  *
- * - Registers: prepare and accept, with their responses, and the notice that something was committed.
+ * - Registers: prepare and accept, with their responses, and the notice that something was
+ *   committed.
  * - Reading: what a replica holds that differs from what the reader holds, in chunks.
  * - Quorum check: the voter set and the newest grant that a member knows.
  * - Voter set: prepare and accept for the voter set of one number.
@@ -121,7 +123,7 @@
     ]),
   );
 
-// --- requests -------------------------------------------------------------------------------------------------------
+// --- requests ------------------------------------------------------------------------------------
 
 /** The form of a prepare request. */
 export const encodePrepareRequest = (request: PrepareRequest): Message => ({
@@ -238,7 +240,7 @@
   }
 };
 
-// --- responses ------------------------------------------------------------------------------------------------------
+// --- responses -----------------------------------------------------------------------------------
 
 const encodeEntryReport = (entry: EntryReport): readonly unknown[] => [
   entry.key,
@@ -362,7 +364,7 @@
   };
 };
 
-// --- notices and what other protocols add ---------------------------------------------------------------------------
+// --- notices and what other protocols add --------------------------------------------------------
 
 /** The form of the notice that a quorum has accepted something. */
 export const encodeCommittedNotice = (
@@ -389,7 +391,9 @@
   [VOTER_SET_NUMBER]: number,
 });
 
-/** The number of the voter set that a message of another protocol was sent under, if it tells one. */
+/**
+ * The number of the voter set that a message of another protocol was sent under, if it tells one.
+ */
 export const voterSetNumberOf = (message: Message): number | undefined => {
   const number = message[VOTER_SET_NUMBER];
   return typeof number === "number" ? number : undefined;
--- a/src/consensus/proposer.ts
+++ b/src/consensus/proposer.ts
@@ -1,7 +1,7 @@
 /**
- * The proposer's part of Paxos for registers: a quorum promises a ballot and shows what it accepted before, then those
- * that promised accept the new contents. A proposer that meets another tries again with a higher ballot, after a random
- * backoff that doubles.
+ * The proposer's part of Paxos for registers: a quorum promises a ballot and shows what it accepted
+ * before, then those that promised accept the new contents. A proposer that meets another tries
+ * again with a higher ballot, after a random backoff that doubles.
  */
 import { err, ok, type Result } from "true-myth/result";
 import { sleep, type Clock } from "../common/clock.js";
@@ -34,7 +34,10 @@
 import { READ_TIMEOUT_US, WRITE_TIMEOUT_US } from "./timeouts.js";
 import { quorumSetsOf, quorumSize, type VoterSet } from "./voter-set.js";
 
-/** After a quorum has responded, so long is waited for the rest, so that all take part where all are well. */
+/**
+ * After a quorum has responded, so long is waited for the rest, so that all take part where all are
+ * well.
+ */
 export const STRAGGLER_GRACE_US = 10 * MILLISECOND_US;
 /** No attempt begins later than this after the call. */
 const MAX_RETRY_TIME_US = 900 * MILLISECOND_US;
@@ -68,7 +71,9 @@
   readonly withstandMachines: number;
 }
 
-/** One phase: a request to all members of a voter set, and which of the responses are as required. */
+/**
+ * One phase: a request to all members of a voter set, and which of the responses are as required.
+ */
 interface Phase {
   readonly voterSet: VoterSet;
   readonly message: Message;
@@ -80,8 +85,8 @@
 }
 
 /**
- * Runs the two phases. Invariants: no two attempts use the same ballot; only those that promised, in the same incarnation,
- * are asked to accept.
+ * Runs the two phases. Invariants: no two attempts use the same ballot; only those that promised,
+ * in the same incarnation, are asked to accept.
  */
 export class Proposer {
   constructor(private readonly options: ProposerOptions) {}
@@ -218,7 +223,10 @@
   };
 }
 
-/** Keeps the report with the higher ballot; a register that was left out is the one that the proposer holds. */
+/**
+ * Keeps the report with the higher ballot; a register that was left out is the one that the
+ * proposer holds.
+ */
 const keepHighest = (
   found: Map<string, EntryReport>,
   report: EntryReport,
--- a/src/consensus/quorum-calls.ts
+++ b/src/consensus/quorum-calls.ts
@@ -4,9 +4,15 @@
 import type { Message } from "../transport/connection.js";
 import { NoQuorumError } from "./errors.js";
 
-/** How a replica reaches others; the connections between controllers fit it, and so does a test's own network. */
+/**
+ * How a replica reaches others; the connections between controllers fit it, and so does a test's
+ * own network.
+ */
 export interface PeerTransport {
-  /** Resolves to the response, or to undefined once `timeoutUs` microseconds are over or the peer can't be reached. */
+  /**
+   * Resolves to the response, or to undefined once `timeoutUs` microseconds are over or the peer
+   * can't be reached.
+   */
   readonly request: (
     id: string,
     message: Message,
@@ -24,7 +30,10 @@
   readonly needed: (members: readonly string[]) => number;
   /** Asks one member; undefined, or a rejection, counts as no response. */
   readonly request: (id: string) => Promise<T | undefined>;
-  /** After a quorum has responded, so long is waited for the rest, so that all take part where all are well. */
+  /**
+   * After a quorum has responded, so long is waited for the rest, so that all take part where all
+   * are well.
+   */
   readonly graceUs?: number;
 }
 
@@ -54,7 +63,10 @@
       : transport.request(id, message, timeoutUs);
   };
 
-  /** Asks every member of the sets; ok as soon as enough of each have responded, and the rest too or a grace is over. */
+  /**
+   * Asks every member of the sets; ok as soon as enough of each have responded, and the rest too or
+   * a grace is over.
+   */
   readonly collect = <T>({
     sets,
     needed,
--- a/src/consensus/quorum-check.ts
+++ b/src/consensus/quorum-check.ts
@@ -1,6 +1,6 @@
 /**
- * Proves that this replica is in touch with a majority, and learns on the way of newer voter sets and grants of the leader
- * lease.
+ * Proves that this replica is in touch with a majority, and learns on the way of newer voter sets
+ * and grants of the leader lease.
  */
 import { Batcher } from "../common/batcher.js";
 import { sleep, type Clock } from "../common/clock.js";
@@ -63,7 +63,9 @@
     return reached.isOk;
   };
 
-  /** A newer grant that a member knows is reason enough to read, and to give the leader lease up. */
+  /**
+   * A newer grant that a member knows is reason enough to read, and to give the leader lease up.
+   */
   private readonly learnTerm = (term: number | undefined): void => {
     if (term === undefined) return;
     if (term > this.grantedTerm()) void this.options.local.events.emit("behind");
--- a/src/consensus/quorum-reader.ts
+++ b/src/consensus/quorum-reader.ts
@@ -13,7 +13,10 @@
 import type { ReplicaView, ReplicaViews } from "./replica-view.js";
 import { quorumSize } from "./voter-set.js";
 
-/** Before what is undecided is repaired, it is looked at again after this time, or up to twice of it. */
+/**
+ * Before what is undecided is repaired, it is looked at again after this time, or up to twice of
+ * it.
+ */
 const SECOND_LOOK_US = 30 * MILLISECOND_US;
 
 /** What a `QuorumReader` is made of. */
@@ -41,8 +44,9 @@
   }
 
   /**
-   * Reads a quorum, adopts what is committed, and commits anew what is found half accepted. A replica that doesn't vote
-   * catches up first. Calls that come while a read runs share the next one.
+   * Reads a quorum, adopts what is committed, and commits anew what is found half accepted. A
+   * replica that doesn't vote catches up first. Calls that come while a read runs share the next
+   * one.
    */
   readonly read = (): Promise<Result<void, ReplicatedStoreError>> => this.reads.add(undefined);
 
@@ -55,7 +59,8 @@
     }
     const read = await this.readAndRepair();
     if (read.isOk && !this.hasRead) {
-      // What the disk already showed to be committed may be old until now, and is new to the listeners.
+      // What the disk already showed to be committed may be old until now, and is new to the
+      // listeners.
       this.hasRead = true;
       await local.events.emit("committed", local.state.allCommitted());
     }
--- a/src/consensus/reconfiguration.ts
+++ b/src/consensus/reconfiguration.ts
@@ -1,7 +1,7 @@
 /**
- * Changes of the voters by joint consensus (as in Ongaro and Ousterhout, "In Search of an Understandable Consensus
- * Algorithm", 2014, section 6), without a log: a joint voter set of old and new is decided; then, once the new members hold
- * all that is committed, the new set alone.
+ * Changes of the voters by joint consensus (as in Ongaro and Ousterhout, "In Search of an
+ * Understandable Consensus Algorithm", 2014, section 6), without a log: a joint voter set of old
+ * and new is decided; then, once the new members hold all that is committed, the new set alone.
  */
 import { err, ok, type Result } from "true-myth/result";
 import { isHigherBallot } from "./ballot.js";
@@ -34,7 +34,10 @@
   readonly withstandMachines: number;
 }
 
-/** Invariant: the new members stand alone only once a quorum of them holds everything that was committed before. */
+/**
+ * Invariant: the new members stand alone only once a quorum of them holds everything that was
+ * committed before.
+ */
 export class Reconfiguration {
   private isRunning = false;
 
@@ -44,7 +47,8 @@
    * Changes who the voters are. One change at a time; one begun by another is completed first.
    *
    * @param change - tells the wanted members, given the present ones
-   * @param copyOtherState - brings what else the new members must hold to them; true once that is done
+   * @param copyOtherState - brings what else the new members must hold to them; true once that is
+   *   done
    * @returns ok: the wanted voter set is decided
    */
   readonly changeMembers = async (
@@ -72,7 +76,10 @@
     }
   };
 
-  /** Ends a joint voter set: all that is committed is brought to a quorum of the new members, then they stand alone. */
+  /**
+   * Ends a joint voter set: all that is committed is brought to a quorum of the new members, then
+   * they stand alone.
+   */
   private readonly completeJoint = async (
     copyOtherState: () => Promise<boolean>,
   ): Promise<Result<void, ReplicatedStoreError>> => {
@@ -93,7 +100,9 @@
     return isJoint(local.voterSet) ? err(new StaleVoterSetError()) : ok(undefined);
   };
 
-  /** Ok once a quorum of each set holds all that was committed before the voter set became joint. */
+  /**
+   * Ok once a quorum of each set holds all that was committed before the voter set became joint.
+   */
   private readonly copyCommitted = async (
     voterSet: VoterSet,
   ): Promise<Result<void, ReplicatedStoreError>> => {
--- a/src/consensus/record-codec.ts
+++ b/src/consensus/record-codec.ts
@@ -1,6 +1,7 @@
 /**
- * The records that a replica keeps on disk. The keys and the values of `t` are those of stored files and never change;
- * the types beside them have the names that the code uses. Records may be replayed in any order and more than once.
+ * The records that a replica keeps on disk. The keys and the values of `t` are those of stored
+ * files and never change; the types beside them have the names that the code uses. Records may be
+ * replayed in any order and more than once.
  */
 import { asList, asRecord, asString, readList, type UnknownRecord } from "../common/decode.js";
 import { decodeBallot, encodeBallot, isHigherBallot, NO_BALLOT, type Ballot } from "./ballot.js";
@@ -15,7 +16,9 @@
   readonly ballot: Ballot;
   /** Undefined where a ballot committed that nothing is there. */
   readonly register: Register | undefined;
-  /** Whether this replica itself accepted it at that ballot; else it was learned, and is no vote. */
+  /**
+   * Whether this replica itself accepted it at that ballot; else it was learned, and is no vote.
+   */
   readonly isAccepted: boolean;
   /** Whether it is known that a quorum accepted it at that ballot. */
   readonly isCommitted: boolean;
--- a/src/consensus/record-persistence.ts
+++ b/src/consensus/record-persistence.ts
@@ -13,7 +13,10 @@
 export class RecordPersistence {
   /** What has changed and is not yet on its way to the disk. */
   private unsaved: readonly UnknownRecord[] = [];
-  /** Whether the log still holds what the disk refused; it goes with what is written next, even if that is nothing. */
+  /**
+   * Whether the log still holds what the disk refused; it goes with what is written next, even if
+   * that is nothing.
+   */
   private wasRefused = false;
   private writing: Promise<boolean> | undefined;
 
--- a/src/consensus/register-writer.ts
+++ b/src/consensus/register-writer.ts
@@ -1,4 +1,7 @@
-/** Writes to registers: what an operator sends, what the holder of the leader lease decides, and repairs. */
+/**
+ * Writes to registers: what an operator sends, what the holder of the leader lease decides, and
+ * repairs.
+ */
 import { err, ok, type Result } from "true-myth/result";
 import { isSameBallot, NO_BALLOT } from "./ballot.js";
 import {
@@ -55,7 +58,10 @@
   return { next, duplicates, error };
 };
 
-/** A rejection promises that no part of the call is ever in force; it can't where parts of it were proposed. */
+/**
+ * A rejection promises that no part of the call is ever in force; it can't where parts of it were
+ * proposed.
+ */
 const withPartsProposed = (
   error: ReplicatedStoreError,
   werePartsProposed: boolean,
@@ -73,8 +79,8 @@
   constructor(private readonly options: RegisterWriterOptions) {}
 
   /**
-   * Decides one call of an operator, all registers at one ballot. Ok: every one is held by a quorum, or was written before
-   * and is, or has since been replaced by a newer one.
+   * Decides one call of an operator, all registers at one ballot. Ok: every one is held by a
+   * quorum, or was written before and is, or has since been replaced by a newer one.
    *
    * @param writes - the registers, each with the version that the operator gave it
    * @param findProblem - tells what makes the call invalid
@@ -95,7 +101,8 @@
       );
       const { next, duplicates, ...applied } = applyWrites(writes, current);
       let error: ReplicatedStoreError | undefined = applied.error;
-      // One register that is known may be another call's; a call that was confirmed before has all of them.
+      // One register that is known may be another call's; a call that was confirmed before has all
+      // of them.
       if (!error && duplicates < writes.length && !wasProposed)
         error = await this.findInvalid(findProblem, current);
       if (error) {
@@ -106,8 +113,9 @@
         result = ok(undefined);
         wasProposed = true;
       }
-      // What is in force is always accepted anew beside a refusal: a minority may have accepted parts of an earlier attempt
-      // at this call above the ballot that was committed, and they must not come up later.
+      // What is in force is always accepted anew beside a refusal: a minority may have accepted
+      // parts of an earlier attempt at this call above the ballot that was committed, and they must
+      // not come up later.
       const items: readonly Item[] = [...(error ? current : next)];
       return !error && this.areCommitted(prepared.value, items, current)
         ? ok(undefined)
@@ -162,7 +170,9 @@
     return ok(undefined);
   };
 
-  /** Whether nothing is to change, and all of it is known to be committed as the ballot found it. */
+  /**
+   * Whether nothing is to change, and all of it is known to be committed as the ballot found it.
+   */
   private readonly areCommitted = (
     { found }: PreparedBallot,
     items: readonly Item[],
--- a/src/consensus/register.ts
+++ b/src/consensus/register.ts
@@ -1,4 +1,7 @@
-/** Registers: the items of the configuration, each with a version of its own, and what a write makes of them. */
+/**
+ * Registers: the items of the configuration, each with a version of its own, and what a write makes
+ * of them.
+ */
 import { createHash } from "node:crypto";
 import {
   asList,
@@ -14,8 +17,9 @@
 /**
  * One item with a version of its own, as it was committed.
  *
- * Invariant: a version names one content for good. `past` keeps what was committed under earlier numbers, so that a write
- * that comes again long after newer ones is recognized; below `pastFrom` this is no longer known.
+ * Invariant: a version names one content for good. `past` keeps what was committed under earlier
+ * numbers, so that a write that comes again long after newer ones is recognized; below `pastFrom`
+ * this is no longer known.
  */
 export interface Register {
   readonly key: string;
--- a/src/consensus/replica-view.ts
+++ b/src/consensus/replica-view.ts
@@ -44,7 +44,8 @@
   /**
    * What one peer holds that differs, read in chunks; undefined where it stops responding.
    *
-   * @param floor - given by a replica that catches up: the peer accepts nothing below it from then on
+   * @param floor - given by a replica that catches up: the peer accepts nothing below it from then
+   *   on
    */
   readonly fetch = async (
     id: string,
--- a/src/consensus/replica.ts
+++ b/src/consensus/replica.ts
@@ -1,6 +1,7 @@
 /**
- * The durable state of one replica, as a plain state machine: what an acceptor of single-decree Paxos keeps for each
- * register (Lamport, "Paxos Made Simple", 2001), what is known to be committed, and the voter set.
+ * The durable state of one replica, as a plain state machine: what an acceptor of single-decree
+ * Paxos keeps for each register (Lamport, "Paxos Made Simple", 2001), what is known to be
+ * committed, and the voter set.
  */
 import type { UnknownRecord } from "../common/decode.js";
 import { higherBallot, isHigherBallot, isSameBallot, NO_BALLOT, type Ballot } from "./ballot.js";
@@ -47,7 +48,10 @@
   isCommitted: true,
 });
 
-/** Whether an entry tells more than the one that is held: of a higher ballot, or that it is accepted or committed. */
+/**
+ * Whether an entry tells more than the one that is held: of a higher ballot, or that it is accepted
+ * or committed.
+ */
 const tellsMore = (entry: Entry, current: Entry): boolean => {
   if (entry.ballot.number === 0 || isHigherBallot(current.ballot, entry.ballot)) return false;
   return (
@@ -58,11 +62,12 @@
 };
 
 /**
- * What one replica promised, accepted and learned. Each change gives the records that must reach the disk before it is
- * answered.
+ * What one replica promised, accepted and learned. Each change gives the records that must reach
+ * the disk before it is answered.
  *
- * Invariants: for a key neither `promised` nor `ballot` ever falls; nothing is accepted below what is promised, for
- * that key or, by `floor`, for all; records may be replayed in any order and more than once, and give the same state.
+ * Invariants: for a key neither `promised` nor `ballot` ever falls; nothing is accepted below what
+ * is promised, for that key or, by `floor`, for all; records may be replayed in any order and more
+ * than once, and give the same state.
  */
 export class Replica {
   private readonly entries = new Map<string, Entry>();
@@ -164,7 +169,10 @@
     return [voteRecord(ballot, items)];
   };
 
-  /** Takes what others hold: committed, or, for a replica that lost its own, whatever it may have accepted before. */
+  /**
+   * Takes what others hold: committed, or, for a replica that lost its own, whatever it may have
+   * accepted before.
+   */
   readonly learn = (entries: readonly Entry[]): readonly UnknownRecord[] => {
     const fresh = entries.filter((entry) => this.put({ ...entry, isAccepted: false }));
     if (fresh.length === 0) return [];
@@ -173,7 +181,10 @@
     ];
   };
 
-  /** Marks what is held at these ballots as committed; gives the registers that were not known to be so. */
+  /**
+   * Marks what is held at these ballots as committed; gives the registers that were not known to be
+   * so.
+   */
   readonly markCommitted = (marks: readonly CommitMark[]): readonly Register[] => {
     return marks.flatMap(([key, ballot]) => {
       const entry = this.entry(key);
@@ -219,12 +230,18 @@
     return [votingRecord()];
   };
 
-  /** No longer takes part in quorums: nothing on the disk proves that all is there that was accepted. */
+  /**
+   * No longer takes part in quorums: nothing on the disk proves that all is there that was
+   * accepted.
+   */
   readonly setUnverified = (): void => {
     this.voting = false;
   };
 
-  /** Leaves only what is known to be committed, with no promise for single keys; a whole snapshot must follow. */
+  /**
+   * Leaves only what is known to be committed, with no promise for single keys; a whole snapshot
+   * must follow.
+   */
   readonly dropUncommitted = (): void => {
     [...this.entries.values()].forEach((entry) => {
       this.hashes.toggle(entry.key, entry.ballot);
--- a/src/consensus/replicated-store.ts
+++ b/src/consensus/replicated-store.ts
@@ -1,7 +1,8 @@
 /**
- * The replicated store: one replica of the control state, and reads and writes over quorums of replicas. Each register is
- * decided by its own chain of ballots; there is no log of operations and no leader. The voter set is decided the same way,
- * and so is who holds the leader lease. docs/control-safety.md gives the argument.
+ * The replicated store: one replica of the control state, and reads and writes over quorums of
+ * replicas. Each register is decided by its own chain of ballots; there is no log of operations and
+ * no leader. The voter set is decided the same way, and so is who holds the leader lease.
+ * docs/control-safety.md gives the argument.
  */
 import type Emittery from "emittery";
 import type { Result } from "true-myth/result";
@@ -47,10 +48,10 @@
 }
 
 /**
- * Joins the parts that make up a member. Invariants: a replica answers only for what is safe on its own disk; a replica
- * that may have lost what it once held does not vote, and neither promises nor accepts, until it has caught up from
- * replicas that share a member with every quorum, which from then on accept nothing that was proposed before; only what a
- * quorum accepted is ever shown.
+ * Joins the parts that make up a member. Invariants: a replica answers only for what is safe on its
+ * own disk; a replica that may have lost what it once held does not vote, and neither promises nor
+ * accepts, until it has caught up from replicas that share a member with every quorum, which from
+ * then on accept nothing that was proposed before; only what a quorum accepted is ever shown.
  */
 export class ReplicatedStore {
   readonly events: Emittery<ReplicatedStoreEvents>;
@@ -64,7 +65,8 @@
 
   constructor(options: ReplicatedStoreOptions) {
     const local = new LocalReplica(options);
-    // Through the public methods, so that whoever replaces one of them replaces it for the parts too.
+    // Through the public methods, so that whoever replaces one of them replaces it for the parts
+    // too.
     const handleLocally = (message: Message) => this.handleRequest(message);
     const read = () => this.read();
     const isSuperseded = (term: Term) => this.isSuperseded(term);
@@ -135,9 +137,11 @@
     supersedes(this.get(LEADER_LEASE_KEY), term);
 
   /**
-   * Loads what the disk holds. Until it has read a quorum, the replica knows only what was committed before.
+   * Loads what the disk holds. Until it has read a quorum, the replica knows only what was
+   * committed before.
    *
-   * @param firstRun - whether the whole system starts for the first time; only then does an empty disk count as complete
+   * @param firstRun - whether the whole system starts for the first time; only then does an empty
+   *   disk count as complete
    */
   readonly start = (firstRun: boolean): Promise<void> => this.local.start(firstRun);
 
@@ -147,7 +151,10 @@
   /** Answers a peer's request of one of CONSENSUS_MESSAGE_KINDS. */
   readonly handleRequest = (message: Message): Promise<Message> => this.acceptor.handle(message);
 
-  /** Takes a peer's notice of what a quorum has accepted; what is held otherwise here waits for a read. */
+  /**
+   * Takes a peer's notice of what a quorum has accepted; what is held otherwise here waits for a
+   * read.
+   */
   readonly applyCommitted = (message: Message): void => {
     const { state } = this.local;
     const { voterSet, marks } = decodeCommittedNotice(message);
@@ -162,14 +169,14 @@
   readonly confirmQuorum = (): Promise<boolean> => this.quorumCheck.confirm();
 
   /**
-   * Reads a quorum. Ok: everything confirmed before the call is known here, and this replica votes. Calls that come while a
-   * read runs share the next one.
+   * Reads a quorum. Ok: everything confirmed before the call is known here, and this replica votes.
+   * Calls that come while a read runs share the next one.
    */
   readonly read = (): Promise<Result<void, ReplicatedStoreError>> => this.reader.read();
 
   /**
-   * Decides one call of an operator, all registers at one ballot. Ok: every one is held by a quorum, or was written before
-   * and is, or has since been replaced by a newer one.
+   * Decides one call of an operator, all registers at one ballot. Ok: every one is held by a
+   * quorum, or was written before and is, or has since been replaced by a newer one.
    *
    * @param findProblem - given what is in force, by key, tells what makes the call invalid
    */
@@ -182,7 +189,8 @@
    * Compares and sets one register. Gives what is in force afterwards.
    *
    * @param makeBody - gives the new body, or undefined to leave the register as it is
-   * @param term - where the write is made as holder of the leader lease: it fails once a newer term is granted
+   * @param term - where the write is made as holder of the leader lease: it fails once a newer term
+   *   is granted
    */
   readonly decide = (
     key: string,
@@ -195,7 +203,8 @@
    * Changes who the voters are, by way of a joint voter set. Ok: the wanted one is decided.
    *
    * @param change - tells the wanted members, given the present ones
-   * @param copyOtherState - brings what else the new members must hold to them; true once that is done
+   * @param copyOtherState - brings what else the new members must hold to them; true once that is
+   *   done
    */
   readonly changeMembers = (
     change: MemberChange,
@@ -204,8 +213,8 @@
     this.reconfiguration.changeMembers(change, copyOtherState);
 
   /**
-   * Puts a question of another part of the control state to every member; ok once a quorum of each set has given an
-   * accepted response.
+   * Puts a question of another part of the control state to every member; ok once a quorum of each
+   * set has given an accepted response.
    */
   readonly callQuorum = (
     message: Message,
@@ -218,7 +227,9 @@
   /** The message with the number of the voter set that it is sent under. */
   readonly withVoterSet = (message: Message): Message => this.fencing.withVoterSet(message);
 
-  /** The rejection of a message that was sent under an older voter set; undefined where it was not. */
+  /**
+   * The rejection of a message that was sent under an older voter set; undefined where it was not.
+   */
   readonly rejectIfOutdated = (message: Message): Message | undefined =>
     this.fencing.rejectIfOutdated(message);
 }
--- a/src/consensus/term.ts
+++ b/src/consensus/term.ts
@@ -1,6 +1,7 @@
 /**
- * Terms of the leader lease. A term is the version of one register, which is decided like any other, and serves as a
- * fencing token: replicas that have accepted a newer grant reject what is written under an older term.
+ * Terms of the leader lease. A term is the version of one register, which is decided like any
+ * other, and serves as a fencing token: replicas that have accepted a newer grant reject what is
+ * written under an older term.
  */
 import {
   asRecord,
@@ -56,7 +57,10 @@
   };
 };
 
-/** Whether the grant has a higher number than the term, or has its number with another holder or incarnation. */
+/**
+ * Whether the grant has a higher number than the term, or has its number with another holder or
+ * incarnation.
+ */
 export const supersedes = (grant: Register | undefined, term: Term): boolean => {
   const known = termOf(grant);
   if (!known) return false;
--- a/src/consensus/voter-admission.ts
+++ b/src/consensus/voter-admission.ts
@@ -31,7 +31,10 @@
   readonly isHolder: () => boolean;
 }
 
-/** Invariant: silence alone never makes the voters fewer; one that is unseen goes only where another takes its place. */
+/**
+ * Invariant: silence alone never makes the voters fewer; one that is unseen goes only where another
+ * takes its place.
+ */
 export class VoterAdmission {
   /** Since when each member has been unseen here, in microseconds of the clock. */
   private readonly unseenSinceUs = new Map<string, number>();
@@ -51,24 +54,29 @@
     });
   };
 
-  /** A newcomer takes the place of the member that has been unseen longest, or a new one if all are seen. */
+  /**
+   * A newcomer takes the place of the member that has been unseen longest, or a new one if all are
+   * seen.
+   */
   readonly join = async (id: string): Promise<LeaseResponse> => {
     const { store, clock, request, isHolder } = this.options;
     if (!isHolder()) return { isGranted: false, reason: LEASE_REASONS.notHolder };
     if (store.members().includes(id))
       return { isGranted: !isJoint(store.voterSet()), reason: LEASE_REASONS.voterSetChanging };
-    // Asked now, so that a request that was long on its way adds nobody who doesn't know that it was let go.
+    // Asked now, so that a request that was long on its way adds nobody who doesn't know that it
+    // was let go.
     const reply = await request(id, encodeContactRequest(store.voterSet()), WRITE_TIMEOUT_US);
     if (!this.hasCaughtUp(reply)) return { isGranted: false, reason: LEASE_REASONS.notCaughtUp };
     this.observeMembers();
     const unseen = this.longestUnseenOf(store.members());
     if (unseen && clock.nowUs() - unseen.sinceUs < REPLACE_AFTER_US)
       return { isGranted: false, reason: LEASE_REASONS.mayComeBack(unseen.id) };
-    // A connection may seem to be there for a while after a freeze or a partition: where all seem connected, each is asked.
+    // A connection may seem to be there for a while after a freeze or a partition: where all seem
+    // connected, each is asked.
     const silent = unseen ? undefined : await this.findSilentMember();
     if (silent !== undefined) return { isGranted: false, reason: LEASE_REASONS.silent(silent) };
-    // Chosen among those who are members then: a change that had begun may have replaced the one unseen now.
-    // It may have brought this one in too: then there is nobody to replace.
+    // Chosen among those who are members then: a change that had begun may have replaced the one
+    // unseen now. It may have brought this one in too: then there is nobody to replace.
     const isGranted = await this.change((members) => {
       if (members.includes(id)) return members;
       const replaced = this.longestUnseenOf(members)?.id;
--- a/src/consensus/voter-set-fencing.ts
+++ b/src/consensus/voter-set-fencing.ts
@@ -1,6 +1,7 @@
 /**
- * Lets other parts of the control state ask the store's quorums. Their messages bear the number of the voter set that they
- * are sent under, so that no quorum of an older one is taken for one of the newest.
+ * Lets other parts of the control state ask the store's quorums. Their messages bear the number of
+ * the voter set that they are sent under, so that no quorum of an older one is taken for one of the
+ * newest.
  */
 import type { Result } from "true-myth/result";
 import type { Message } from "../transport/connection.js";
@@ -33,7 +34,9 @@
   readonly withVoterSet = (message: Message): Message =>
     withVoterSetNumber(message, this.options.local.voterSet);
 
-  /** The rejection of a message that was sent under an older voter set; undefined where it was not. */
+  /**
+   * The rejection of a message that was sent under an older voter set; undefined where it was not.
+   */
   readonly rejectIfOutdated = (message: Message): Message | undefined => {
     const { voterSet } = this.options.local;
     const number = voterSetNumberOf(message);
--- a/src/consensus/voter-set-proposer.ts
+++ b/src/consensus/voter-set-proposer.ts
@@ -1,6 +1,6 @@
 /**
- * Decides the voter set of one number, by quorums of the voter set before it: prepare and accept, as for a register. What
- * is found half decided is completed in place of the proposer's own.
+ * Decides the voter set of one number, by quorums of the voter set before it: prepare and accept,
+ * as for a register. What is found half decided is completed in place of the proposer's own.
  */
 import type { Result } from "true-myth/result";
 import { sleep, type Clock } from "../common/clock.js";
--- a/src/consensus/voter-set.ts
+++ b/src/consensus/voter-set.ts
@@ -4,8 +4,9 @@
 /**
  * The members whose replicas vote, as decided under this number.
  *
- * Invariants: each number is decided once, by quorums of the voter set before it; while `from` is not empty the voter set
- * is joint: whatever is decided needs a quorum of `from` and one of `members`, until `members` hold all that is committed.
+ * Invariants: each number is decided once, by quorums of the voter set before it; while `from` is
+ * not empty the voter set is joint: whatever is decided needs a quorum of `from` and one of
+ * `members`, until `members` hold all that is committed.
  */
 export interface VoterSet {
   readonly number: number;
@@ -46,8 +47,8 @@
 };
 
 /**
- * `max(majority, withstandMachines + 1)`, and at most all: two quorums share a member, and no loss of as many machines as
- * must be withstood takes all replicas of what is committed.
+ * `max(majority, withstandMachines + 1)`, and at most all: two quorums share a member, and no loss
+ * of as many machines as must be withstood takes all replicas of what is committed.
  */
 export const quorumSize = (members: readonly string[], withstandMachines: number): number =>
   Math.min(members.length, Math.max(Math.floor(members.length / 2) + 1, withstandMachines + 1));
