--- a/features/steps/plan.ts
+++ b/features/steps/plan.ts
@@ -1,6 +1,7 @@
 import assert from "node:assert/strict";
 import { After, Given, Then, When } from "@cucumber/cucumber";
-import { toConfigDocument, parseChange, findUnknownService } from "../../src/config/validation.js";
+import { parseChange } from "../../src/config/change-request.js";
+import { findUnknownService, toConfigDocument } from "../../src/config/config-document.js";
 import { WriteAheadLog } from "../../src/storage/write-ahead-log.js";
 import { Replica } from "../../src/consensus/replica.js";
 import { makeRegister, type Register } from "../../src/consensus/register.js";
@@ -672,10 +673,14 @@
   call = parseChange(make());
 });
 
+const ERROR_CODES: Readonly<Record<string, string>> = {
+  unreadable: "UNREADABLE_CHANGE",
+  wrong: "INVALID_CHANGE",
+};
 Then("it is refused as {string}", (kind: string) => {
   assert.ok(call?.isErr);
-  assert.equal(call.error.kind, kind);
-  assert.ok(call.error.sentence.length > 5);
+  assert.equal(call.error.code, ERROR_CODES[kind]);
+  assert.ok(call.error.message.length > 5);
 });
 
 Then("the unknown service is {string}", (name: string) => {
--- a/features/steps/traffic.ts
+++ b/features/steps/traffic.ts
@@ -2,7 +2,7 @@
 import { request as httpRequest, type IncomingHttpHeaders } from "node:http";
 import { connect } from "node:net";
 import { After, Before, Given, Then, When } from "@cucumber/cucumber";
-import { parseChange } from "../../src/config/validation.js";
+import { parseChange } from "../../src/config/change-request.js";
 import { UpdateStore, PLAN_PREFIX, WORKER_PREFIX } from "../../src/membership/update-store.js";
 import { RetryBudgets } from "../../src/proxy/retry-budget.js";
 import { ProxyServer } from "../../src/proxy/proxy-server.js";
--- a/fuzz/proxy-harness.ts
+++ b/fuzz/proxy-harness.ts
@@ -1,7 +1,7 @@
 /** A proxy server under test, with its collaborators in memory. */
 import assert from "node:assert/strict";
 import { settle, ManualClock } from "../features/support/manual-clock.js";
-import { parseChange } from "../src/config/validation.js";
+import { parseChange } from "../src/config/change-request.js";
 import { UpdateStore, PLAN_PREFIX, WORKER_PREFIX } from "../src/membership/update-store.js";
 import { ProxyServer } from "../src/proxy/proxy-server.js";
 import { IdempotencyClient } from "../src/idempotency/key-client.js";
--- /dev/null
+++ b/src/config/item-schema.ts
@@ -0,0 +1,162 @@
+/** The schemas of the configuration's items: routes, services and limits. */
+import convict from "convict";
+import { asList, asRecord, isRecord, type UnknownRecord } from "../common/decode.js";
+import { parseDuration, SECOND_US } from "../common/duration.js";
+
+/** The longest time for which a request may be tried. */
+const MAX_GIVE_UP_US = 600 * SECOND_US;
+
+const requirePositiveDuration = (value: unknown): void => {
+  if (!(parseDuration(value).unwrapOr(0) > 0))
+    throw new Error("must be a span above 0, such as 1500ms");
+};
+/** @throws if the value is not a text of one character or more */
+export const requireName = (value: unknown): void => {
+  if (typeof value !== "string" || value === "")
+    throw new Error("must be a text that is not empty");
+};
+/** @throws if the value is not a whole number of 0 or more */
+export const requireVersion = (value: unknown): void => {
+  if (!Number.isSafeInteger(value) || Number(value) < 0)
+    throw new Error("must be a whole number of 0 or more");
+};
+convict.addFormats({
+  "plan-version": { validate: requireVersion },
+  named: { validate: requireName },
+  "span-over-0": { validate: requirePositiveDuration },
+  "span-or-none": {
+    validate: (value: unknown) => {
+      if (value !== "" && parseDuration(value).isErr)
+        throw new Error("must be a span, such as 1500ms");
+    },
+  },
+  rate: {
+    validate: (value: unknown) => {
+      if (typeof value !== "number" || !(value >= 0))
+        throw new Error("must be a number of 0 or more");
+    },
+  },
+  "give-up": {
+    validate: (value: unknown) => {
+      requirePositiveDuration(value);
+      if (parseDuration(value).unwrapOr(0) > MAX_GIVE_UP_US)
+        throw new Error("must be ten minutes or less");
+    },
+  },
+  "path-start": {
+    validate: (value: unknown) => {
+      if (typeof value !== "string" || !value.startsWith("/"))
+        throw new Error("must begin with a slash");
+    },
+  },
+  destination: {
+    validate: (list: unknown) => {
+      const [value] = asList(list);
+      if (!isRecord(value)) throw new Error("must be a table");
+      if (value["shares"] === undefined) {
+        requireName(value["service"]);
+        return;
+      }
+      const shares = asList(value["shares"]).map((share) => asRecord(share));
+      shares.forEach((share) => requireName(share["service"]));
+      const total = shares.reduce(
+        (sum, share) =>
+          sum +
+          (typeof share["share"] === "number" && share["share"] >= 0 ? share["share"] : Number.NaN),
+        0,
+      );
+      if (!(total > 0)) throw new Error("must have shares that add up to more than 0");
+    },
+  },
+});
+
+/**
+ * Made once for each kind of item: making a schema costs far more than using it. Invariant: each use gives every field
+ * of the schema, so that nothing of the item before is left; a list is replaced as a whole, so tables stand in one.
+ */
+const routeSchema = convict({
+  name: { format: "named", default: "" },
+  host: { format: "named", default: "" },
+  version: { format: "plan-version", default: -1 },
+  routeKind: { format: ["safe", "unsafe", "cached", "keyed"], default: "" },
+  cacheFor: { format: "span-or-none", default: "" },
+  target_time: { format: "span-over-0", default: "" },
+  rank: { format: "nat", default: 0 },
+  matchOn: { pathStart: { format: "path-start", default: "" } },
+  then: { format: "destination", default: [] },
+  giveUp: { format: "give-up", default: "" },
+  tries: { format: "nat", default: 1 },
+});
+
+const serviceSchema = convict({
+  name: { format: "named", default: "" },
+  version: { format: "plan-version", default: -1 },
+  statusPath: { format: "path-start", default: "" },
+  maxConnections: { format: "nat", default: 0 },
+  ratePerS: { format: "rate", default: 0 },
+  dropsRepeats: { format: Boolean, default: false },
+});
+
+const limitsSchema = convict({
+  version: { format: "plan-version", default: -1 },
+  maxHeaderBytes: { format: "nat", default: 0 },
+  maxBodyBytes: { format: "nat", default: 0 },
+  headerWait: { format: "span-over-0", default: "" },
+  idle: { format: "span-over-0", default: "" },
+});
+
+const ROUTE_DEFAULTS: UnknownRecord = {
+  name: "",
+  host: "",
+  version: -1,
+  routeKind: "",
+  cacheFor: "",
+  target_time: "",
+  rank: 0,
+  giveUp: "",
+  tries: 1,
+};
+const SERVICE_DEFAULTS: UnknownRecord = {
+  name: "",
+  version: -1,
+  statusPath: "",
+  maxConnections: 0,
+  ratePerS: 0,
+  dropsRepeats: false,
+};
+const LIMITS_DEFAULTS: UnknownRecord = {
+  version: -1,
+  maxHeaderBytes: 0,
+  maxBodyBytes: 0,
+  headerWait: "",
+  idle: "",
+};
+
+const validate = (
+  schema: { load: (conf: UnknownRecord) => unknown; validate: () => unknown },
+  defaults: UnknownRecord,
+  value: UnknownRecord,
+): void => {
+  schema.load({ ...defaults, ...value });
+  schema.validate();
+};
+
+/** The given fields of a record, of which those that are undefined are left out. */
+export const pickFields = (record: UnknownRecord, fields: readonly string[]): UnknownRecord => {
+  const kept = fields
+    .filter((field) => record[field] !== undefined)
+    .map((field): [string, unknown] => [field, record[field]]);
+  return Object.fromEntries(kept);
+};
+
+/** @throws if a field of the route breaks a rule */
+export const validateRoute = (route: UnknownRecord): void =>
+  validate(routeSchema, ROUTE_DEFAULTS, route);
+
+/** @throws if a field of the service breaks a rule */
+export const validateService = (service: UnknownRecord): void =>
+  validate(serviceSchema, SERVICE_DEFAULTS, service);
+
+/** @throws if a field of the limits breaks a rule */
+export const validateLimits = (limits: UnknownRecord): void =>
+  validate(limitsSchema, LIMITS_DEFAULTS, limits);
--- a/src/programs/controller/admin-api.ts
+++ b/src/programs/controller/admin-api.ts
@@ -1,6 +1,6 @@
 /** What the routes of the admin API share: errors, responses, and the reading of bodies. */
 import type { Result } from "true-myth/result";
-import type { ConfigError } from "../../config/validation.js";
+import type { ConfigError } from "../../config/errors.js";
 import type { ReplicatedStoreError } from "../../consensus/errors.js";
 import { isRecord, parseJson, type UnknownRecord } from "../../common/decode.js";
 import { CodedError } from "../../common/errors.js";
@@ -22,7 +22,9 @@
 
 /** A change that can't be read, or that says what can't be. */
 export const fromConfigError = (error: ConfigError): AdminApiError =>
-  new AdminApiError(error.kind === "unreadable" ? "unreadable" : "wrong", error.sentence);
+  new AdminApiError(error.code === "UNREADABLE_CHANGE" ? "unreadable" : "wrong", error.message, {
+    cause: error,
+  });
 
 /** Only what can never be in force is refused; all else has no clear answer. */
 export const fromStoreError = (error: ReplicatedStoreError): AdminApiError => {
--- a/src/programs/controller/config.ts
+++ b/src/programs/controller/config.ts
@@ -5,12 +5,9 @@
  * publisher sends to the nodes.
  */
 import { err, type Result } from "true-myth/result";
-import {
-  isConfigKey,
-  parseChangeInTurns,
-  toConfigDocument,
-  findUnknownService,
-} from "../../config/validation.js";
+import { parseChangeInTurns } from "../../config/change-request.js";
+import { findUnknownService, toConfigDocument } from "../../config/config-document.js";
+import { isConfigKey } from "../../config/config-keys.js";
 import type { Register } from "../../consensus/register.js";
 import type { ReplicatedStore } from "../../consensus/replicated-store.js";
 import type { NodeSessions } from "../../membership/node-sessions.js";
--- a/src/programs/controller/retry-quota.ts
+++ b/src/programs/controller/retry-quota.ts
@@ -2,7 +2,7 @@
  * The fleet's limits on retries: kept in a register, leased to the nodes by the holder of the
  * leader lease, and set and shown by operators.
  */
-import { serviceKey } from "../../config/validation.js";
+import { serviceKey } from "../../config/config-keys.js";
 import type { LeaderLease } from "../../consensus/leader-lease.js";
 import type { ReplicatedStore } from "../../consensus/replicated-store.js";
 import { WRITE_TIMEOUT_US } from "../../consensus/timeouts.js";
