--- a/features/content.feature
+++ b/features/content.feature
@@ -1,7 +1,7 @@
-Feature: Keyed and cached requests at the front
+Feature: Keyed and cached requests at the gateway
 
   Background:
-    Given a front with the plan's routes "/safe/" and "/unsafe/"
+    Given a gateway with the plan's routes "/safe/" and "/unsafe/"
 
   Scenario: A key runs once, and a repeat gets the first run's answer under its own id
     Given a worker "w1" that answers well
@@ -32,9 +32,9 @@
     Then the answer is 503 with Retry-After
     And its token was taken back
 
-  Scenario: A run whose caller has left is kept, not broken off
+  Scenario: A run whose client has left is kept, not broken off
     Given a worker "w1" that stays silent
-    When key "k1" is redeemed and its caller leaves while the worker is silent
+    When key "k1" is redeemed and its client leaves while the worker is silent
     Then its token was not taken back
     When key "k1" is redeemed
     Then the answer is 409
@@ -49,11 +49,11 @@
     And all workers together saw 0 requests
 
   Scenario: A cached object comes with the try's own id, and the range is asked for
-    When a caller gets "/cached/x" with the range "bytes=0-3"
+    When a client gets "/cached/x" with the range "bytes=0-3"
     Then the answer is 200 with the try's own id and "an object"
     And "/cached/x" was asked for with the range "bytes=0-3"
 
   Scenario: When the rate is spent the answer is 503 at once, and says when to come back
     When the origin's rate is spent
-    And a caller gets "/cached/x" with the range "bytes=0-3"
+    And a client gets "/cached/x" with the range "bytes=0-3"
     Then the answer is 503 with Retry-After
--- a/features/steps/answers.ts
+++ b/features/steps/answers.ts
@@ -81,7 +81,7 @@
   await settle();
 });
 
-Given("a front and a worker that keeps its connections", async () => {
+Given("a gateway and a worker that keeps its connections", async () => {
   await newRig();
   await join(
     new ScriptedWorker("w1", { onRequest: (request, socket) => void socket.write(own(request)) }),
@@ -112,7 +112,7 @@
     assert.deepEqual([order?.attemptId, order?.connection], [`t-${tries}`, 1]);
   },
 );
-Then("the order's caller is told {int}", (status: number) =>
+Then("the order's client is told {int}", (status: number) =>
   assert.equal(response?.status, status),
 );
 Then("the order ran once, and no promise was given for it", () => {
@@ -266,11 +266,12 @@
       ? arrivalsOf(response.attemptId).some(({ worker }) => worker === "w1") &&
         response.attemptId !== ""
         ? "w1"
-        : "front"
+        : "gateway"
       : (response?.seal.split(".")[1] ?? "");
   return (
-    { w1: "by the first worker", w2: "by the second worker", front: "by the front" }[byWorker] ??
-    byWorker
+    { w1: "by the first worker", w2: "by the second worker", gateway: "by the gateway" }[
+      byWorker
+    ] ?? byWorker
   );
 };
 const sawOf = (worker: ScriptedWorker, attemptId: string): boolean =>
@@ -299,13 +300,13 @@
   await untilFirstSees("POST", "/unsafe/x", "an order");
 });
 Then(
-  /^the order's caller is told (\d+) (by the [a-z]+(?: worker)?)$/,
+  /^the order's client is told (\d+) (by the [a-z]+(?: worker)?)$/,
   (status: string, who: string) =>
     assert.deepEqual([response?.status, whose()], [Number(status), who]),
 );
 /** A reset may or may not come before the first byte leaves; either way what is told must be true. */
-Then("the order's caller is told 502 or 200 by the front or the second worker", () =>
-  assert.ok(whose() === (response?.status === 502 ? "by the front" : "by the second worker")),
+Then("the order's client is told 502 or 200 by the gateway or the second worker", () =>
+  assert.ok(whose() === (response?.status === 502 ? "by the gateway" : "by the second worker")),
 );
 Then(
   /^the order was sent (once|to both), and what is told is true of what the workers saw$/,
@@ -421,30 +422,30 @@
       onRequest: (request, socket) => void (request.method === "GET" && socket.write(own(request))),
     };
     tries += 1;
-    caller = new RawClient(harness.host, harness.port);
-    caller.send("POST", "/unsafe/x", { "Yewreel-Try-Id": `t-${tries}`, ...LEFT }, LONG);
-    await harness.until(() => caller?.responses.length === 1 || caller?.isClosed === true);
-    response = caller.responses[0];
+    client = new RawClient(harness.host, harness.port);
+    client.send("POST", "/unsafe/x", { "Yewreel-Try-Id": `t-${tries}`, ...LEFT }, LONG);
+    await harness.until(() => client?.responses.length === 1 || client?.isClosed === true);
+    response = client.responses[0];
   },
 );
-let caller: RawClient | undefined;
-Then("the caller's connection serves another request", async () => {
+let client: RawClient | undefined;
+Then("the client's connection serves another request", async () => {
   tries += 1;
-  caller?.send("GET", "/safe/x", { "Yewreel-Try-Id": `t-${tries}`, ...LEFT });
-  await harness.until(() => caller?.responses.length === 2 || caller?.isClosed === true);
+  client?.send("GET", "/safe/x", { "Yewreel-Try-Id": `t-${tries}`, ...LEFT });
+  await harness.until(() => client?.responses.length === 2 || client?.isClosed === true);
   assert.deepEqual(
-    [caller?.responses[1]?.status, caller?.responses[1]?.body],
+    [client?.responses[1]?.status, client?.responses[1]?.body],
     [200, `ran t-${tries}`],
   );
-  caller?.socket.destroy();
+  client?.socket.destroy();
 });
 
 When("an order comes without an id", async () => {
-  caller = new RawClient(harness.host, harness.port);
-  caller.send("POST", "/unsafe/x", LEFT, "an order");
-  await harness.until(() => caller?.responses.length === 1 || caller?.isClosed === true);
-  response = caller.responses[0];
-  caller.socket.destroy();
+  client = new RawClient(harness.host, harness.port);
+  client.send("POST", "/unsafe/x", LEFT, "an order");
+  await harness.until(() => client?.responses.length === 1 || client?.isClosed === true);
+  response = client.responses[0];
+  client.socket.destroy();
 });
 Then("no worker saw an order", () =>
   assert.deepEqual(
@@ -452,7 +453,7 @@
     [],
   ),
 );
-When("a caller sends a request of the method {string}", async (method: string) => {
+When("a client sends a request of the method {string}", async (method: string) => {
   response = await ask(method, "/safe/x");
 });
 Then("the worker saw the method {string}", (method: string) =>
@@ -461,15 +462,15 @@
     [method],
   ),
 );
-When("a caller sends a request with two hosts", async () => {
-  caller = new RawClient(harness.host, harness.port);
-  caller.expect("GET");
-  caller.write(
+When("a client sends a request with two hosts", async () => {
+  client = new RawClient(harness.host, harness.port);
+  client.expect("GET");
+  client.write(
     "GET /safe/x HTTP/1.1\r\nHost: a.example\r\nHost: b.example\r\nYewreel-Try-Id: t-hosts\r\nYewreel-Time-Left-Ms: 2000\r\n\r\n",
   );
-  await harness.until(() => caller?.responses.length === 1 || caller?.isClosed === true);
-  response = caller.responses[0];
-  caller.socket.destroy();
+  await harness.until(() => client?.responses.length === 1 || client?.isClosed === true);
+  response = client.responses[0];
+  client.socket.destroy();
 });
 Then("no worker is shunned", () =>
   assert.deepEqual(
@@ -481,7 +482,7 @@
 Given("the first worker is silent", () => {
   first().script = {};
 });
-When("a caller sends a read and an order behind it, and resets the connection", async () => {
+When("a client sends a read and an order behind it, and resets the connection", async () => {
   const leaver = new RawClient(harness.host, harness.port);
   leaver.send("GET", "/safe/x", { "Yewreel-Try-Id": "t-read", ...LEFT });
   leaver.send("POST", "/unsafe/x", { "Yewreel-Try-Id": "t-order", ...LEFT }, "an order");
@@ -497,7 +498,7 @@
     [0, ...harness.pool.all().map(() => 0)],
   );
 });
-When("a caller leaves amid a large answer", async () => {
+When("a client leaves amid a large answer", async () => {
   const body = "y".repeat(8_000_000);
   first().script = { onRequest: (request, socket) => void socket.write(own(request, body)) };
   const leaver = new RawClient(harness.host, harness.port);
@@ -513,17 +514,17 @@
 let sentBefore = 0;
 const bytesSeen = (): number =>
   workers.flatMap(({ bytes }) => bytes).reduce((sum, bytes) => sum + bytes.length, 0);
-When(/^the front stands still beyond the deadline (.*)$/, async (moment: string) => {
+When(/^the gateway stands still beyond the deadline (.*)$/, async (moment: string) => {
   tries += 1;
-  caller = new RawClient(harness.host, harness.port);
+  client = new RawClient(harness.host, harness.port);
   const order = () =>
-    caller?.send("POST", "/unsafe/x", { "Yewreel-Try-Id": `t-${tries}`, ...LEFT }, "an order");
+    client?.send("POST", "/unsafe/x", { "Yewreel-Try-Id": `t-${tries}`, ...LEFT }, "an order");
   if (moment.includes("lies unread")) {
     await ask("GET", "/safe/x");
     await settle();
     sentBefore = bytesSeen();
     order();
-    caller.socket.end();
+    client.socket.end();
     harness.skippingClock.skip(9_000_000);
   } else if (moment.includes("a connection comes up")) {
     sentBefore = bytesSeen();
@@ -561,14 +562,14 @@
   await harness.clock.pass(5_000_000);
   assert.equal(bytesSeen(), sentBefore);
 });
-Then("the order's caller is told {int}, or has left", (status: number) => {
-  assert.ok(caller);
-  if (!caller.socket.writableEnded) assert.equal(caller.responses[0]?.status, status);
-  caller.socket.destroy();
+Then("the order's client is told {int}, or has left", (status: number) => {
+  assert.ok(client);
+  if (!client.socket.writableEnded) assert.equal(client.responses[0]?.status, status);
+  client.socket.destroy();
 });
 
 Given(
-  "a front with workers that refuse, reset, are full, fail and are silent, two of each",
+  "a gateway with workers that refuse, reset, are full, fail and are silent, two of each",
   async () => {
     await newRig();
     const scripts: Readonly<Record<string, Script>> = {
@@ -606,7 +607,7 @@
 });
 
 When(
-  /^a keyed order's caller leaves, and then the worker('s connection is reset| turns it away)$/,
+  /^a keyed order's client leaves, and then the worker('s connection is reset| turns it away)$/,
   async (what: string) => {
     let act: (() => void) | undefined;
     first().script = {
--- a/features/steps/traffic.ts
+++ b/features/steps/traffic.ts
@@ -2,18 +2,18 @@
 import { request as httpRequest, type IncomingHttpHeaders } from "node:http";
 import { connect } from "node:net";
 import { After, Before, Given, Then, When } from "@cucumber/cucumber";
-import { parseChange } from "../../src/config/change-request.js";
-import { UpdateStore, PLAN_PREFIX, WORKER_PREFIX } from "../../src/membership/update-store.js";
+import { UpdateStore } from "../../src/membership/update-store.js";
 import { RetryBudgets } from "../../src/proxy/retry-budget.js";
 import { ProxyServer } from "../../src/proxy/proxy-server.js";
 import { IdempotencyClient } from "../../src/idempotency/key-client.js";
 import { RouteTable } from "../../src/proxy/route-table.js";
 import { WorkerDirectory } from "../../src/proxy/worker-directory.js";
 import { summarize, generateLoad, type LoadReport } from "../../src/programs/loadgen/loadgen.js";
-import type { Message } from "../../src/transport/connection.js";
 import { silentLogger } from "../../src/common/logger.js";
 import { defaultLimits, type RouteKind } from "../../src/quota/retry-limits.js";
+import { InMemoryKeyService } from "../../fuzz/proxy-harness.js";
 import { ManualClock, settle } from "../support/manual-clock.js";
+import { configurationUpdates, workerUpdate } from "../support/proxy-updates.js";
 import { StandIn, type Manner } from "../support/stand-in.js";
 
 interface Got {
@@ -60,10 +60,10 @@
 let clock = new ManualClock();
 let updates = new UpdateStore(clock);
 let pool = new WorkerDirectory(clock, "n1", "c1");
-let front: ProxyServer;
+let gateway: ProxyServer;
 let port = 0;
-/** Every front gets an address of its own, so that no two scenarios share a port. */
-let fronts = 0;
+/** Every gateway gets an address of its own, so that no two scenarios share a port. */
+let gateways = 0;
 let host = "";
 let rolloutCounts: string[] = [];
 let isBudgetEmpty = false;
@@ -73,34 +73,18 @@
 let raw = "";
 let lastTry = 0;
 
-/** A desk of one book: who has which key, and what its run was answered with. */
-let claims = new Map<string, { readonly token: string; answer: unknown }>();
+let keyService = new InMemoryKeyService();
 let freed: string[] = [];
 let wants: string[] = [];
 let isRateSpent = false;
-let isDeskShut = false;
-const askDesk = async (message: Message): Promise<Message | undefined> => {
-  if (isDeskShut) return undefined;
-  const [key, token] = [String(message["key"]), String(message["token"])];
-  const held = claims.get(key);
-  if (message.kind === "key-done") {
-    claims.set(key, { token, answer: message["answer"] });
-    return { kind: "claim", kept: true };
-  }
-  if (held && held.token !== token)
-    return held.answer === undefined
-      ? { kind: "claim", verdict: "working" }
-      : { kind: "claim", verdict: "done", answer: held.answer };
-  claims.set(key, { token, answer: undefined });
-  return { kind: "claim", verdict: "won" };
-};
+let isKeyServiceSilent = false;
 
 const build = async (withPlan: boolean): Promise<void> => {
-  claims = new Map();
+  keyService = new InMemoryKeyService();
   freed = [];
   wants = [];
   isRateSpent = false;
-  isDeskShut = false;
+  isKeyServiceSilent = false;
   clock = new ManualClock();
   updates = new UpdateStore(clock);
   pool = new WorkerDirectory(clock, "n1", "c1");
@@ -112,7 +96,7 @@
     limits: () => defaultLimits({ ratio: isBudgetEmpty ? 0 : 100, slack: 0, windowUs: 10_000_000 }),
   });
   retriesOf = (kind) => budgets.of("s1", kind).snapshot().retries;
-  front = new ProxyServer({
+  gateway = new ProxyServer({
     clock,
     log: silentLogger,
     zone: "c1",
@@ -125,12 +109,14 @@
     countOutcome: () => undefined,
     countCanaryOutcome: (...counted) => rolloutCounts.push(counted[3]),
     random: Math.random,
-    idempotency: new IdempotencyClient(clock, askDesk, (message) => {
-      if (message.kind !== "key-free") return;
-      freed.push(String(message["token"]));
-      if (claims.get(String(message["key"]))?.token === message["token"])
-        claims.delete(String(message["key"]));
-    }),
+    idempotency: new IdempotencyClient(
+      clock,
+      async (message) => (isKeyServiceSilent ? undefined : keyService.ask(message)),
+      (message) => {
+        if (message.kind === "key-free") freed.push(String(message["token"]));
+        keyService.notify(message);
+      },
+    ),
     objects: {
       permit: async () => true,
       fetch: async (want, range) => {
@@ -149,24 +135,15 @@
   updates.events.on("changed", (facts) => {
     table.applyUpdates(facts);
     pool.applyUpdates(facts);
-    front.wake();
+    gateway.wake();
   });
   if (withPlan) {
-    const call = parseChange(PLAN);
-    assert.ok(call.isOk);
-    updates.post(
-      call.value.map((register) => ({
-        key: PLAN_PREFIX + register.key,
-        version: register.version,
-        tie: "",
-        body: { dropped: false, item: register.body },
-      })),
-    );
+    updates.post(configurationUpdates(PLAN));
   }
-  fronts += 1;
-  host = `127.4.${Math.floor(fronts / 200)}.${(fronts % 200) + 1}`;
+  gateways += 1;
+  host = `127.4.${Math.floor(gateways / 200)}.${(gateways % 200) + 1}`;
   port = 12_000;
-  await front.listen(`${host}:${port}`);
+  await gateway.listen(`${host}:${port}`);
   await settle();
 };
 
@@ -174,21 +151,7 @@
   const worker = new StandIn(id, manner);
   await worker.start();
   workers.set(id, worker);
-  updates.post([
-    {
-      key: WORKER_PREFIX + id,
-      version: 1,
-      tie: "",
-      body: {
-        service: "s1",
-        address: worker.address,
-        cell: "c1",
-        capacity: 3,
-        state: "ready",
-        warmUs: 0,
-      },
-    },
-  ]);
+  updates.post([workerUpdate(worker)]);
   await settle();
   return worker;
 };
@@ -279,19 +242,19 @@
 After({ tags: "not @none" }, () => {
   workers.forEach((one) => one.stop());
   pool.all().forEach((one) => one.connections.closeIdle());
-  if (port !== 0) front.stopListening();
+  if (port !== 0) gateway.stopListening();
   port = 0;
 });
 
 Given(
-  "a front with the plan's routes {string} and {string}",
+  "a gateway with the plan's routes {string} and {string}",
   async (one: string, other: string) => {
     assert.notEqual(one, other);
     await build(true);
   },
 );
-Given("a front without a plan", async () => {
-  front.stopListening();
+Given("a gateway without a plan", async () => {
+  gateway.stopListening();
   await build(false);
 });
 Given(/^a worker "(\w+)" that (answers .*|stays silent)$/, async (id: string, manner: string) => {
@@ -303,36 +266,36 @@
   isBudgetEmpty = true;
 });
 
-When("a caller posts {string} to {string}", async (body: string, path: string) => {
+When("a client posts {string} to {string}", async (body: string, path: string) => {
   got.push(await during(send("POST", path, body), 2_000));
 });
-When("a caller gets {string}", async (path: string) => {
+When("a client gets {string}", async (path: string) => {
   got.push(await during(send("GET", path), 2_000));
 });
-When("a caller gets {string} until {string} has been asked", async (path: string, id: string) => {
+When("a client gets {string} until {string} has been asked", async (path: string, id: string) => {
   for (let time = 0; time < 60 && worker(id).seen.length === 0; time += 1)
     got.push(await during(send("GET", path), 1_000));
   assert.ok(worker(id).seen.length > 0, `${id} was never asked`);
 });
 When(
-  "a caller posts {string} to {string} until {string} has been asked",
+  "a client posts {string} to {string} until {string} has been asked",
   async (body: string, path: string, id: string) => {
     for (let time = 0; time < 60 && worker(id).seen.length === 0; time += 1)
       got.push(await during(send("POST", path, body), 1_000));
     assert.ok(worker(id).seen.length > 0, `${id} was never asked`);
   },
 );
-When("a caller gets {string} {int} times in a row", async (path: string, times: number) => {
+When("a client gets {string} {int} times in a row", async (path: string, times: number) => {
   for (let time = 0; time < times; time += 1) got.push(await during(send("GET", path), 1_000));
 });
 When(
-  "a caller posts {string} to {string} and its time runs out",
+  "a client posts {string} to {string} and its time runs out",
   async (body: string, path: string) => {
     got.push(await during(send("POST", path, body), 200_000));
   },
 );
 When(
-  "a caller gets {string} while {string} joins and a second passes",
+  "a client gets {string} while {string} joins and a second passes",
   async (path: string, id: string) => {
     const answer = send("GET", path);
     for (let turn = 0; turn < 500 && worker("w1").seen.length === 0; turn += 1)
@@ -342,7 +305,7 @@
   },
 );
 When(
-  "a caller sends {int} requests to {string} at once on one connection",
+  "a client sends {int} requests to {string} at once on one connection",
   async (count: number, path: string) => {
     const bytes = Array.from(
       { length: count },
@@ -352,22 +315,22 @@
     raw = await converse(bytes, (answer) => answer.split("the bytes of the worker").length > count);
   },
 );
-When("the front begins to leave and a caller gets {string}", async (path: string) => {
-  front.startDraining();
+When("the gateway begins to leave and a client gets {string}", async (path: string) => {
+  gateway.startDraining();
   got.push(await during(send("GET", path), 1_000));
 });
-When("a caller sends a head that is too large", async () => {
+When("a client sends a head that is too large", async () => {
   raw = await converse(
     `GET /safe/x HTTP/1.1\r\nHost: a.example\r\nX-Large: ${"x".repeat(40_000)}\r\n\r\n`,
     (answer) => answer.includes("\r\n\r\n"),
   );
 });
-When("a caller sends what is no request", async () => {
+When("a client sends what is no request", async () => {
   raw = await converse("this is no request\r\n\r\n", (answer) => answer.includes("\r\n\r\n"));
 });
 
 When(
-  "{string} is gone without a word and a caller posts {int} orders to {string}",
+  "{string} is gone without a word and a client posts {int} orders to {string}",
   async (id: string, count: number, path: string) => {
     worker(id).stop();
     for (let at = 0; at < count; at += 1) {
@@ -468,25 +431,16 @@
 });
 
 Given("the plan splits {string} over two services", async (path: string) => {
-  const call = parseChange(
-    PLAN.replaceAll('"version":1', '"version":2').replaceAll(
-      '"service":"s1"',
-      '"shares":[{"service":"s1","share":1},{"service":"s0","share":0}]',
-    ),
-  );
-  assert.ok(call.isOk && path === "/unsafe/");
-  updates.post(
-    call.value.map((register) => ({
-      key: PLAN_PREFIX + register.key,
-      version: register.version,
-      tie: "",
-      body: { dropped: false, item: register.body },
-    })),
+  assert.equal(path, "/unsafe/");
+  const weighted = PLAN.replaceAll('"version":1', '"version":2').replaceAll(
+    '"service":"s1"',
+    '"shares":[{"service":"s1","share":1},{"service":"s0","share":0}]',
   );
+  updates.post(configurationUpdates(weighted));
   await settle();
 });
 When(
-  "a caller posts {string} to {string} and leaves after {int} ms",
+  "a client posts {string} to {string} and leaves after {int} ms",
   async (body: string, path: string, leavesAfterMs: number) => {
     const socket = connect(port, host);
     socket.on("error", () => undefined);
@@ -496,14 +450,14 @@
     for (let turn = 0; turn < 2_000 && worker("w1").seen.length === 0; turn += 1) await settle();
     await clock.pass(leavesAfterMs * 1_000);
     socket.destroy();
-    for (let turn = 0; turn < 200 && front.openRequests > 0; turn += 1) await settle();
+    for (let turn = 0; turn < 200 && gateway.openRequests > 0; turn += 1) await settle();
   },
 );
 Then(/^the rollout counts (doubled|nothing)$/, (counted: string) =>
   assert.deepEqual(rolloutCounts, counted === "nothing" ? [] : [counted]),
 );
 
-When("a caller posts {int} bytes to {string}", async (size: number, path: string) => {
+When("a client posts {int} bytes to {string}", async (size: number, path: string) => {
   got.push(await during(send("POST", path, "x".repeat(size)), 2_000));
 });
 Given("worker {string} has {int} bytes to answer with", (id: string, size: number) => {
@@ -520,10 +474,10 @@
   got.push(await during(redeem(key)));
 });
 When(
-  "key {string} is redeemed and its caller leaves while the worker is silent",
+  "key {string} is redeemed and its client leaves while the worker is silent",
   async (key: string) => {
-    const caller = connect(port, host);
-    caller.write(
+    const client = connect(port, host);
+    client.write(
       `POST /keyed/x HTTP/1.1\r\nHost: a.example\r\nYewreel-Try-Id: leaver\r\nYewreel-Time-Left-Ms: 2500\r\nYewreel-Operation-Key: ${key}\r\nContent-Length: 1\r\n\r\nx`,
     );
     for (
@@ -532,17 +486,17 @@
       step += 1
     )
       await clock.pass(5_000);
-    caller.destroy();
+    client.destroy();
     await clock.pass(50_000);
   },
 );
 When("nobody answers at the desk", () => {
-  isDeskShut = true;
+  isKeyServiceSilent = true;
 });
 When("the origin's rate is spent", () => {
   isRateSpent = true;
 });
-When("a caller gets {string} with the range {string}", async (path: string, range: string) => {
+When("a client gets {string} with the range {string}", async (path: string, range: string) => {
   got.push(await during(send("GET", path, "", { Range: range })));
 });
 Then("the answer is {int} with the try's own id and {string}", (status: number, body: string) => {
@@ -558,8 +512,12 @@
     count,
   ),
 );
-Then("its token was taken back", () => assert.equal(freed.length > 0 && claims.size === 0, true));
-Then("its token was not taken back", () => assert.deepEqual([freed, claims.size], [[], 1]));
+Then("its token was taken back", () =>
+  assert.equal(freed.length > 0 && keyService.claims.size === 0, true),
+);
+Then("its token was not taken back", () =>
+  assert.deepEqual([freed, keyService.claims.size], [[], 1]),
+);
 Then("{string} was asked for with the range {string}", (path: string, range: string) =>
   assert.deepEqual(wants, [`${path} ${range}`]),
 );
--- /dev/null
+++ b/features/support/proxy-updates.ts
@@ -0,0 +1,27 @@
+/** Updates as a proxy server gets them from the control plane. */
+import assert from "node:assert/strict";
+import { parseChange } from "../../src/config/validation.js";
+import { PLAN_PREFIX, WORKER_PREFIX, type NewUpdate } from "../../src/membership/update-store.js";
+
+/** The updates of a valid change of the configuration, given as JSON. */
+export const configurationUpdates = (change: string): NewUpdate[] => {
+  const parsed = parseChange(change);
+  assert.ok(parsed.isOk);
+  return parsed.value.map((register) => ({
+    key: PLAN_PREFIX + register.key,
+    version: register.version,
+    tie: "",
+    body: { dropped: false, item: register.body },
+  }));
+};
+
+/** The update of a worker of service "s1" in zone "c1" that is ready. */
+export const workerUpdate = (
+  { id, address }: { readonly id: string; readonly address: string },
+  capacity = 3,
+): NewUpdate => ({
+  key: WORKER_PREFIX + id,
+  version: 1,
+  tie: "",
+  body: { service: "s1", address, cell: "c1", capacity, state: "ready", warmUs: 0 },
+});
--- a/fuzz/proxy-harness.ts
+++ b/fuzz/proxy-harness.ts
@@ -1,8 +1,8 @@
 /** A proxy server under test, with its collaborators in memory. */
 import assert from "node:assert/strict";
 import { settle, ManualClock } from "../features/support/manual-clock.js";
-import { parseChange } from "../src/config/change-request.js";
-import { UpdateStore, PLAN_PREFIX, WORKER_PREFIX } from "../src/membership/update-store.js";
+import { configurationUpdates, workerUpdate } from "../features/support/proxy-updates.js";
+import { UpdateStore } from "../src/membership/update-store.js";
 import { ProxyServer } from "../src/proxy/proxy-server.js";
 import { IdempotencyClient } from "../src/idempotency/key-client.js";
 import { RetryBudgets } from "../src/proxy/retry-budget.js";
@@ -161,16 +161,7 @@
       this.pool.applyUpdates(facts);
       this.proxy.wake();
     });
-    const call = parseChange(configuration);
-    assert.ok(call.isOk);
-    this.updates.post(
-      call.value.map((register) => ({
-        key: PLAN_PREFIX + register.key,
-        version: register.version,
-        tie: "",
-        body: { dropped: false, item: register.body },
-      })),
-    );
+    this.updates.post(configurationUpdates(configuration));
   }
 
   readonly start = async (): Promise<void> => {
@@ -180,21 +171,7 @@
 
   readonly join = async (worker: ScriptedWorker, capacity = 3): Promise<void> => {
     await worker.start();
-    this.updates.post([
-      {
-        key: WORKER_PREFIX + worker.id,
-        version: 1,
-        tie: "",
-        body: {
-          service: "s1",
-          address: worker.address,
-          cell: "c1",
-          capacity,
-          state: "ready",
-          warmUs: 0,
-        },
-      },
-    ]);
+    this.updates.post([workerUpdate(worker, capacity)]);
     await settle();
   };
 
