--- a/src/programs/controller/backend-forecast.ts
+++ b/src/programs/controller/backend-forecast.ts
@@ -27,6 +27,7 @@
 /** How many of the nodes that did not answer a warning names. */
 const MAX_NAMED = 5;
 
+/** What forecasts are made from. */
 export interface BackendForecastOptions {
   readonly store: ReplicatedStore;
   readonly registry: WorkerRegistry;
--- a/src/programs/controller/canaries.ts
+++ b/src/programs/controller/canaries.ts
@@ -32,6 +32,7 @@
   CLEAR_NOT_STORED: "noQuorum",
 };
 
+/** What the canary analysis works on. */
 export interface CanariesOptions {
   readonly settings: Settings;
   readonly clock: Clock;
@@ -41,6 +42,7 @@
   readonly published: PublishedState;
 }
 
+/** The open canary analysis. */
 export interface Canaries {
   readonly analyzer: CanaryAnalyzer;
   readonly splitRoutes: SplitRoutes;
--- a/src/programs/controller/capacity-forecasts.ts
+++ b/src/programs/controller/capacity-forecasts.ts
@@ -11,6 +11,7 @@
 import { loggerFor } from "../../common/logger.js";
 import { PUBLISHED_REGISTER, type PublishedState } from "./published-state.js";
 
+/** What the forecaster works on. */
 export interface CapacityForecastsOptions {
   readonly clock: Clock;
   readonly lease: LeaderLease;
--- a/src/programs/controller/consensus.ts
+++ b/src/programs/controller/consensus.ts
@@ -21,6 +21,7 @@
  */
 const HOLDER_TIMEOUT_US = 500 * MILLISECOND_US;
 
+/** What consensus is opened on. */
 export interface ConsensusOptions {
   readonly settings: Settings;
   readonly clock: Clock;
@@ -33,6 +34,7 @@
   readonly copyOtherState: () => Promise<boolean>;
 }
 
+/** The open replicated store and leader lease. */
 export interface Consensus {
   readonly store: ReplicatedStore;
   readonly lease: LeaderLease;
--- a/src/programs/controller/content.ts
+++ b/src/programs/controller/content.ts
@@ -32,6 +32,7 @@
 const CATCH_UP_PERIOD_US = 300 * MILLISECOND_US;
 const EXPIRY_PERIOD_US = SECOND_US;
 
+/** What a content deployment works on. */
 export interface ContentOptions {
   readonly settings: Settings;
   readonly clock: Clock;
@@ -44,6 +45,7 @@
   readonly publisher: UpdatePublisher;
 }
 
+/** The open subsystem of a content deployment. */
 export interface Content {
   readonly nodeHandlers: MessageHandlers;
   readonly peerHandlers: MessageHandlers;
--- a/src/programs/controller/control-loop.ts
+++ b/src/programs/controller/control-loop.ts
@@ -17,6 +17,7 @@
  */
 const MAX_CONTACT_AGE_US = 3 * SECOND_US;
 
+/** What the loop looks after. */
 export interface ControlLoopOptions {
   readonly clock: Clock;
   readonly quorum: QuorumReader;
--- a/src/programs/controller/fleet-queries.ts
+++ b/src/programs/controller/fleet-queries.ts
@@ -17,6 +17,7 @@
 /** Answers to queries by name; a name is a segment of the path. */
 export type QueryHandlers = Readonly<Record<string, () => unknown>>;
 
+/** What {@link ReplicaStatus} describes. */
 export interface ReplicaStatusOptions {
   /** This controller's id. */
   readonly self: string;
--- a/src/programs/controller/health.ts
+++ b/src/programs/controller/health.ts
@@ -24,6 +24,7 @@
 import { PEER_REPLY, PEER_REQUEST } from "./peer-messages.js";
 import type { PublishedState } from "./published-state.js";
 
+/** What the health subsystem works on. */
 export interface HealthOptions {
   readonly settings: Settings;
   readonly clock: Clock;
@@ -41,6 +42,7 @@
 /** What decides something as the lease holder, by the name that operators ask for it by. */
 type Explanations = Readonly<Record<string, () => unknown>>;
 
+/** The open health subsystem. */
 export interface Health {
   readonly peerHandlers: MessageHandlers;
   readonly routes: readonly ApiRoute[];
--- a/src/programs/controller/heartbeat-replicator.ts
+++ b/src/programs/controller/heartbeat-replicator.ts
@@ -14,6 +14,7 @@
  */
 const BATCH_US = 100 * MILLISECOND_US;
 
+/** What heartbeats are replicated with. */
 export interface HeartbeatReplicatorOptions {
   readonly clock: Clock;
   readonly store: ReplicatedStore;
--- a/src/programs/controller/maintenance-windows.ts
+++ b/src/programs/controller/maintenance-windows.ts
@@ -51,6 +51,7 @@
 const toFailure = (error: WindowError): ApiResponse =>
   failure(WINDOW_OUTCOMES[error.code], error.message);
 
+/** What maintenance windows work on. */
 export interface MaintenanceWindowsOptions {
   readonly settings: Settings;
   readonly clock: Clock;
@@ -69,6 +70,7 @@
   readonly inFlight: () => ReadonlyMap<string, number>;
 }
 
+/** The open maintenance windows. */
 export interface OpenMaintenanceWindows {
   readonly windows: MaintenanceWindows;
   readonly peerHandlers: MessageHandlers;
--- a/src/programs/controller/node-sessions.ts
+++ b/src/programs/controller/node-sessions.ts
@@ -22,6 +22,7 @@
  */
 const ANNOUNCE_DELAY_US = 60 * MILLISECOND_US;
 
+/** What the nodes' sessions work on. */
 export interface NodeSessionsOptions {
   readonly settings: Settings;
   readonly clock: Clock;
@@ -36,6 +37,7 @@
   readonly emptiedZone: () => string;
 }
 
+/** The open sessions of nodes. */
 export interface OpenNodeSessions {
   readonly sessions: NodeSessions;
   /** Answers what nodes ask over their sessions; other subsystems register their handlers here. */
--- a/src/programs/controller/outlier-detection.ts
+++ b/src/programs/controller/outlier-detection.ts
@@ -25,6 +25,7 @@
 const PRACTICE = "practice";
 const BY_HAND = "by hand";
 
+/** What the outlier detection works on. */
 export interface OutlierDetectionOptions {
   readonly clock: Clock;
   readonly lease: LeaderLease;
@@ -33,6 +34,7 @@
   readonly published: PublishedState;
 }
 
+/** The open outlier detection. */
 export interface OutlierDetection {
   readonly detector: OutlierDetector;
   readonly peerHandlers: MessageHandlers;
--- a/src/programs/controller/peer-messages.ts
+++ b/src/programs/controller/peer-messages.ts
@@ -53,12 +53,14 @@
   readonly why: string;
 }
 
+/** The message that forwards a {@link ZoneShift} to the lease holder. */
 export const packZoneShift = ({ zone, why }: ZoneShift): Message => ({
   kind: PEER_REQUEST.shiftZone,
   cell: zone,
   why,
 });
 
+/** Reads what {@link packZoneShift} gave; throws a DecodeError where a field is missing. */
 export const readZoneShift = (message: Message): ZoneShift => ({
   zone: readString(message, "cell"),
   why: readString(message, "why"),
@@ -71,12 +73,14 @@
   readonly version: number | undefined;
 }
 
+/** The message that forwards a {@link CanaryClearance} to the lease holder. */
 export const packCanaryClearance = ({ route, version }: CanaryClearance): Message => ({
   kind: PEER_REQUEST.clearCanary,
   route,
   ...(version === undefined ? {} : { version }),
 });
 
+/** Reads what {@link packCanaryClearance} gave; throws a DecodeError where the route is missing. */
 export const readCanaryClearance = (message: Message): CanaryClearance => ({
   route: readString(message, "route"),
   version: typeof message["version"] === "number" ? message["version"] : undefined,
@@ -96,6 +100,7 @@
   | { readonly action: "cancel"; readonly id: string }
   | { readonly action: "extend"; readonly id: string; readonly byUs: number };
 
+/** The message that forwards a {@link WindowCommand} to the lease holder. */
 export const packWindowCommand = (command: WindowCommand): Message => {
   const kind = PEER_REQUEST.changeWindow;
   switch (command.action) {
@@ -114,6 +119,7 @@
   }
 };
 
+/** Reads what {@link packWindowCommand} gave; throws a DecodeError where a field is missing. */
 export const readWindowCommand = (message: Message): WindowCommand => {
   switch (readString(message, "what")) {
     case "add":
--- a/src/programs/controller/peer-server.ts
+++ b/src/programs/controller/peer-server.ts
@@ -11,6 +11,7 @@
 import type { Connection, Message } from "../../transport/connection.js";
 import type { MessageDispatcher } from "./message-dispatcher.js";
 
+/** What a {@link PeerServer} hands messages on to. */
 export interface PeerServerOptions {
   readonly peers: Peers;
   readonly sessions: NodeSessions;
--- a/src/programs/controller/quorum-reader.ts
+++ b/src/programs/controller/quorum-reader.ts
@@ -11,6 +11,7 @@
  */
 const MAX_SNAPSHOT_AGE_US = 2 * SECOND_US;
 
+/** What a {@link QuorumReader} reads. */
 export interface QuorumReaderOptions {
   readonly clock: Clock;
   readonly store: ReplicatedStore;
--- a/src/programs/controller/retry-quota.ts
+++ b/src/programs/controller/retry-quota.ts
@@ -38,6 +38,7 @@
 import { packApiResponse, PEER_REPLY, PEER_REQUEST } from "./peer-messages.js";
 import { PUBLISHED_REGISTER, type PublishedState } from "./published-state.js";
 
+/** What the retry quota works on. */
 export interface RetryQuotaOptions {
   readonly settings: Settings;
   readonly clock: Clock;
--- a/src/programs/controller/worker-memory.ts
+++ b/src/programs/controller/worker-memory.ts
@@ -15,6 +15,7 @@
 /** Changes to the workers within this time share a write. */
 const WRITE_DELAY_US = 500 * MILLISECOND_US;
 
+/** What is remembered, and where. */
 export interface WorkerMemoryOptions {
   readonly settings: Settings;
   readonly clock: Clock;
--- a/src/programs/controller/workers.ts
+++ b/src/programs/controller/workers.ts
@@ -20,6 +20,7 @@
 import type { MessageHandlers } from "./message-dispatcher.js";
 import { isYes, packDecision, PEER_REQUEST } from "./peer-messages.js";
 
+/** What the handling of heartbeats works on. */
 export interface WorkersOptions {
   readonly settings: Settings;
   readonly clock: Clock;
@@ -29,6 +30,7 @@
   readonly isWithoutQuorum: () => boolean;
 }
 
+/** The open handling of heartbeats. */
 export interface Workers {
   /**
    * Resolves to true once a majority answered after the call; calls within a tenth of a second
--- a/src/programs/http-api.ts
+++ b/src/programs/http-api.ts
@@ -118,8 +118,11 @@
   app.disable("etag");
   app.use(async (request: Request, response: Response) => {
     const body = await readBody(request);
-    if (body === undefined) return send(response, { outcome: "unreadable" });
-    send(response, await dispatch(routes, request.method, request.path, body));
+    const result: ApiResponse =
+      body === undefined
+        ? { outcome: "unreadable" }
+        : await dispatch(routes, request.method, request.path, body);
+    send(response, result);
   });
   const server = createServer(app);
   const { ip, port } = splitAddress(address);
