--- a/features/support/proxy-updates.ts
+++ b/features/support/proxy-updates.ts
@@ -1,6 +1,6 @@
 /** Updates as a proxy server gets them from the control plane. */
 import assert from "node:assert/strict";
-import { parseChange } from "../../src/config/validation.js";
+import { parseChange } from "../../src/config/change-request.js";
 import { PLAN_PREFIX, WORKER_PREFIX, type NewUpdate } from "../../src/membership/update-store.js";
 
 /** The updates of a valid change of the configuration, given as JSON. */
