--- a/features/steps/system.ts
+++ b/features/steps/system.ts
@@ -147,7 +147,7 @@
   }
 };
 
-/** Until the work is done; a signalbox that leaves still hears the workers. */
+/** Until the work is done; a controller that leaves still hears the workers. */
 const whileBeating = async (work: Promise<void>): Promise<void> => {
   let isDone = false;
   const finished = work.finally(() => {
@@ -218,7 +218,7 @@
     .filter(([id]) => id.startsWith(prefix))
     .reduce((sum, [, worker]) => sum + worker.seen.length, 0);
 
-Given("3 signalboxes and 5 pointsmen in 3 cells that start for the first time", async () => {
+Given("3 controllers and 5 gateways in 3 cells that start for the first time", async () => {
   setLogLevel("silent");
   clock = new ManualClock();
   running = new Map();
@@ -235,7 +235,7 @@
   for (let number = 1; number <= 5; number += 1) await startNode(number);
   await clock.pass(3_000_000);
 });
-Given("an old and a new service with 3 workers each that beat", async () => {
+Given("an old and a new service with 3 workers each that send heartbeats", async () => {
   for (const id of ["old-1", "old-2", "old-3", "new-1", "new-2", "new-3"]) {
     const worker = new StandIn(id);
     await worker.start();
@@ -243,11 +243,11 @@
   }
   await beatAll();
 });
-Given("the operator's plan with {string} on the old service", async (name: string) => {
+Given("the operator's configuration with {string} on the old service", async (name: string) => {
   assert.equal(name, "r-unsafe");
   await apply(liveBox(), planOf(1, { service: "s-old" }));
 });
-Given("every pointsman is ready", async () => {
+Given("every gateway is ready", async () => {
   for (const node of nodes)
     await until(
       async () => (await during(call(node.ready, "GET", "/ready"))).status === 200,
@@ -257,7 +257,7 @@
 });
 
 When(
-  "the operator moves {string} to the new service at version {int} through box {int}",
+  "the operator moves {string} to the new service at version {int} through controller {int}",
   async (_name: string, version: number, number: number) => {
     const box = boxes[number - 1];
     assert.ok(box);
@@ -280,7 +280,7 @@
     await live(1_500_000);
   },
 );
-When("every signalbox ends", async () => {
+When("every controller ends", async () => {
   for (const box of boxes) {
     await whileBeating(running.get(box.name)?.stop() ?? Promise.resolve());
     running.delete(box.name);
@@ -288,7 +288,7 @@
 });
 When("{int} seconds pass on the clock", async (seconds: number) => clock.pass(seconds * 1_000_000));
 When(
-  "worker {string} says through box {int} that it is draining",
+  "worker {string} says through controller {int} that it is draining",
   async (id: string, number: number) => {
     const [worker, box] = [workers.get(id), boxes[number - 1]];
     assert.ok(worker && box);
@@ -299,8 +299,8 @@
     workers.forEach((one) => one.seen.splice(0));
   },
 );
-When("the news has spread", async () => clock.pass(200_000));
-When("a sixth pointsman starts", async () => {
+When("the updates have spread", async () => clock.pass(200_000));
+When("a sixth gateway starts", async () => {
   await startNode(6);
   const node = nodes[5];
   assert.ok(node);
@@ -314,49 +314,52 @@
     if (id.startsWith("new")) worker.manner = "resets";
   });
 });
-When("the holder of the duty ends in order", async () => {
+When("the lease holder ends in order", async () => {
   const lease = asRecord(
     asRecord(parseJson((await during(call(liveBox().control, "GET", "/tell/duty"))).body))["duty"],
   );
   const holder = boxes.find((box) => box.control === lease["holder"]);
-  assert.ok(holder, "nobody holds the duty");
+  assert.ok(holder, "nobody holds the leader lease");
   await during(running.get(holder.name)?.stop() ?? Promise.resolve());
   running.delete(holder.name);
   await live(3_000_000);
 });
-When("{int} orders are placed over all pointsmen", async (count: number) => {
+When("{int} orders are placed over all gateways", async (count: number) => {
   for (let at = 0; at < count; at += 1) {
     const node = nodes[at % nodes.length];
     assert.ok(node);
     await order(node);
   }
 });
-When("worker {string} of another cell beats at box {int}", async (id: string, number: number) => {
-  const [worker, box] = [workers.get(id), boxes[number - 1]];
-  assert.ok(worker && box);
-  reply = asRecord(
-    parseJson(
-      (await during(call(box.control, "POST", `/workers/${id}/heartbeat`, beatOf(worker)))).body,
-    ),
-  );
-});
+When(
+  "worker {string} of another cell sends a heartbeat to controller {int}",
+  async (id: string, number: number) => {
+    const [worker, box] = [workers.get(id), boxes[number - 1]];
+    assert.ok(worker && box);
+    reply = asRecord(
+      parseJson(
+        (await during(call(box.control, "POST", `/workers/${id}/heartbeat`, beatOf(worker)))).body,
+      ),
+    );
+  },
+);
 
-Then("every pointsman serves an order", async () => {
+Then("every gateway serves an order", async () => {
   for (const node of nodes) assert.equal((await order(node)).status, 200, node.name);
 });
-Then("every pointsman sends orders to the new service", async () => {
+Then("every gateway sends orders to the new service", async () => {
   workers.forEach((worker) => worker.seen.splice(0));
   for (const node of nodes) assert.equal((await order(node)).status, 200);
   assert.deepEqual([seenBy("old"), seenBy("new")], [0, nodes.length]);
 });
-Then("every pointsman sends orders to the old service only", async () => {
+Then("every gateway sends orders to the old service only", async () => {
   await clock.pass(300_000);
   workers.forEach((worker) => worker.seen.splice(0));
   for (const node of nodes)
     for (let time = 0; time < 4; time += 1) assert.equal((await order(node)).status, 200);
   assert.deepEqual([seenBy("old"), seenBy("new")], [nodes.length * 4, 0]);
 });
-Then("no pointsman sends an order to {string}", async (id: string) => {
+Then("no gateway sends an order to {string}", async (id: string) => {
   for (const node of nodes)
     for (let time = 0; time < 5; time += 1) assert.equal((await order(node)).status, 200);
   assert.equal(workers.get(id)?.seen.length, 0);
@@ -374,7 +377,7 @@
     assert.deepEqual([row["route"], row["candidate"], row["baseline"]], [name, "s-new", "s-old"]);
   },
 );
-Then("it is told to report to the signalbox of its own cell", () =>
+Then("it is told to report to the controller of its own cell", () =>
   assert.equal(reply["reportTo"], boxes[2]?.control),
 );
 
@@ -425,7 +428,7 @@
 };
 
 When(
-  "a window of {string} that opens in {int} s and lasts {int} s is planned through box {int}",
+  "a window of {string} that opens in {int} s and lasts {int} s is planned through controller {int}",
   async (zone: string, opens: number, lasts: number, number: number) => {
     placed = [];
     darkCell = "";
@@ -443,7 +446,7 @@
   },
 );
 When(
-  "orders go on at every ready pointsman until the window is {string}",
+  "orders go on at every ready gateway until the window is {string}",
   { timeout: 60_000 },
   async (stage: string) => {
     for (let at = 0; at < 120 && (await stageOf()) !== stage; at += 1) {
@@ -453,7 +456,7 @@
     assert.equal(await stageOf(), stage);
   },
 );
-When("the workers and pointsmen of {string} go dark", { timeout: 60_000 }, async (zone: string) => {
+When("the workers and gateways of {string} go dark", { timeout: 60_000 }, async (zone: string) => {
   darkCell = zone;
   workers.forEach((worker, id) => {
     if (cellOfWorker(id) === zone) worker.stop();
@@ -464,7 +467,7 @@
   }
 });
 When(
-  "orders go on at every ready pointsman for {int} s",
+  "orders go on at every ready gateway for {int} s",
   { timeout: 60_000 },
   async (seconds: number) => {
     for (let at = 0; at < seconds * 2; at += 1) {
@@ -474,7 +477,7 @@
   },
 );
 Then(
-  "the pointsmen of {string} are not ready, and its workers have seen no order for {int} s or more",
+  "the gateways of {string} are not ready, and its workers have seen no order for {int} s or more",
   async (zone: string, seconds: number) => {
     for (const node of nodes.filter((one) => one.zone === zone))
       assert.notEqual((await during(call(node.ready, "GET", "/ready"))).status, 200);
@@ -502,7 +505,7 @@
 };
 let setStatuses: number[] = [];
 When(
-  "the retry limit of {string} is set to {float} and {int} through each signalbox in turn",
+  "the retry limit of {string} is set to {float} and {int} through each controller in turn",
   async (kind: string, ratio: number, slack: number) => {
     setStatuses = [];
     for (const box of boxes)
@@ -576,7 +579,7 @@
 const openedInAll = (): number =>
   [...workers.values()].reduce((sum, { connections }) => sum + connections, 0);
 When(
-  "the forecast of retiring {string} is asked of box {int}",
+  "the forecast of retiring {string} is asked of controller {int}",
   async (id: string, number: number) => {
     [sentBefore, openBefore] = [sentInAll(), openedInAll()];
     const answer = await post(boxes[number - 1], "/backends/forecast", {
