--- a/examples/settings.sh
+++ b/examples/settings.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Prints the settings of a node for trying yewreel on one machine: settings.sh NAME IP CELL [FOLDER]
+# Prints the settings of a node for trying yewreel on one machine: settings.sh NAME IP ZONE [FOLDER]
 set -euo pipefail
 cat <<TOML
 [node]
