--- a/features/compatibility.feature
+++ b/features/compatibility.feature
@@ -47,3 +47,8 @@
     Then requests for objects are packed as before
     And the object server's answers are word for word those of before
     And the object client makes of the replies of before what it made of them
+
+  Scenario: A controller and nodes of any version take each other's messages
+    Then a controller and six nodes say to each other what they said before
+    And a node says to controllers and its relay what it said before
+    And a controller greets its peers, and takes their greeting, as before
--- a/features/steps/compatibility.ts
+++ b/features/steps/compatibility.ts
@@ -154,7 +154,7 @@
     const updates = new UpdateStore(clock);
     const registry = new WorkerRegistry(clock, updates, 1_000_000);
     asList(calls).forEach((call) =>
-      registry.take(readHeartbeat(asString(asList(call)[0]), asList(call)[1])),
+      registry.record(readHeartbeat(asString(asList(call)[0]), asList(call)[1])),
     );
     assert.deepEqual(
       [
@@ -240,7 +240,7 @@
         assert.deepEqual(packClusterSize(size), message);
         taken.crew += 1;
       } else if (message.kind === "news") {
-        updates.take(asList(message["facts"]));
+        updates.merge(asList(message["facts"]));
         assert.deepEqual(plain(updates.pack(updates.all())), plain(message["facts"]));
         taken.news += 1;
       } else if (message.kind === "sessions") {
--- a/features/steps/contact.ts
+++ b/features/steps/contact.ts
@@ -19,12 +19,9 @@
   readString,
   type UnknownRecord,
 } from "../../src/common/decode.js";
-import {
-  connectTo,
-  sentFrames,
-  type Message,
-  type Connection,
-} from "../../src/transport/connection.js";
+import { connectTo } from "../../src/transport/connect.js";
+import type { Connection, Message } from "../../src/transport/connection.js";
+import { sentFrames } from "../../src/transport/frame-codec.js";
 import { CuttableNet } from "../support/cuttable-net.js";
 import { ManualClock, settle } from "../support/manual-clock.js";
 
@@ -252,15 +249,19 @@
   const heard: Message[] = [];
   const read = async () => {
     for await (const message of connection.incoming())
-      if (!asks.settle(message)) heard.push(message);
-    asks.drop();
+      if (!asks.resolve(message)) heard.push(message);
+    asks.abandonAll();
   };
   void read();
   connection.send({
     kind: "pointsman",
     node: { name, cell: box.settings.zone, relay: `127.6.0.1:${base + 1}`, role: "pointsman" },
   });
-  return { wire: connection, heard, ask: (message) => asks.ask(connection.send, message, 500_000) };
+  return {
+    wire: connection,
+    heard,
+    ask: (message) => asks.request(connection.send, message, 500_000),
+  };
 };
 
 Then(
@@ -438,9 +439,8 @@
   seeds: readonly string[],
 ): Promise<{ readonly subscriber: UpdateSubscriber; readonly updates: UpdateStore }> => {
   const updates = new UpdateStore(nodeClock);
-  const info = (sentence: string) => {
-    const box = /^Session with (.*) stands/.exec(sentence)?.[1];
-    if (box !== undefined) sessionsAt.push(box);
+  const info = (event: string, fields: UnknownRecord = {}) => {
+    if (event === "session opened") sessionsAt.push(readString(fields, "controller"));
   };
   const subscriber = new UpdateSubscriber({
     name: "n1",
@@ -521,8 +521,8 @@
   "a beat of {string} is shared that is {int} s old, and one of {string} that is {int} s old",
   (one: string, oneS: number, other: string, otherS: number) => {
     registry = new WorkerRegistry(nodeClock, new UpdateStore(nodeClock), 1_500_000);
-    registry.take(readHeartbeat(one, beatOf("s1", "c1")), oneS * 1_000_000);
-    registry.take(readHeartbeat(other, beatOf("s1", "c1")), otherS * 1_000_000);
+    registry.record(readHeartbeat(one, beatOf("s1", "c1")), oneS * 1_000_000);
+    registry.record(readHeartbeat(other, beatOf("s1", "c1")), otherS * 1_000_000);
   },
 );
 Then(
@@ -536,7 +536,7 @@
 Then(
   "workers that couldn't be heard for {int} s are no more missing than before",
   async (seconds: number) => {
-    registry.take(readHeartbeat("w-heard", beatOf("s1", "c1")));
+    registry.record(readHeartbeat("w-heard", beatOf("s1", "c1")));
     await nodeClock.pass(seconds * 1_000_000);
     registry.restartListening();
     registry.sweep();
--- a/features/steps/relay.ts
+++ b/features/steps/relay.ts
@@ -2,7 +2,8 @@
 import { After, Given, Then, When } from "@cucumber/cucumber";
 import { UpdateStore } from "../../src/membership/update-store.js";
 import { UpdatePublisher } from "../../src/membership/update-publisher.js";
-import { FAN_OUT, NodeSessions } from "../../src/membership/node-sessions.js";
+import { NodeSessions } from "../../src/membership/node-sessions.js";
+import { FAN_OUT } from "../../src/membership/relay-tree.js";
 import { Listener } from "../../src/transport/listener.js";
 import { UpdateSubscriber } from "../../src/membership/update-subscriber.js";
 import { silentLogger } from "../../src/common/logger.js";
@@ -62,7 +63,7 @@
   const relay = new Listener(clock, TIMES, { child: serveChild }, silentLogger);
   await relay.listen(ip, port + 1);
   void subscriber.run();
-  subscriber.events.on("fresh", publisher.sendFreshness);
+  subscriber.events.on("freshness", publisher.sendFreshness);
   nodes.push({ address: `${ip}:${port + 1}`, subscriber, updates, publisher, relay });
   await pass(200);
 };
@@ -150,7 +151,7 @@
 When("a plan of {int} routes is posted at the signalbox", (count: number) => {
   heldWhenFresh = [];
   nodes.forEach(({ subscriber, updates }) =>
-    subscriber.events.on("fresh", () => {
+    subscriber.events.on("freshness", () => {
       heldWhenFresh = [...heldWhenFresh, routesAt(updates)];
     }),
   );
--- a/features/steps/terms.ts
+++ b/features/steps/terms.ts
@@ -97,13 +97,13 @@
   "a registry that knows worker {string} as {word} at call {int}",
   (id: string, state: string, callCount: number) => {
     registry = new WorkerRegistry(clock, new UpdateStore(clock), 1_500_000);
-    registry.take(heartbeat(id, state, callCount));
+    registry.record(heartbeat(id, state, callCount));
   },
 );
 When(
   "a heartbeat of call {int} says that {string} is {word}",
   (callCount: number, id: string, state: string) => {
-    registry.take(heartbeat(id, state, callCount));
+    registry.record(heartbeat(id, state, callCount));
   },
 );
 When("{int} seconds go by", async (seconds: number) => {
--- a/features/support/cuttable-net.ts
+++ b/features/support/cuttable-net.ts
@@ -1,6 +1,6 @@
 import { connect, createServer, type Server, type Socket } from "node:net";
 import { asRecord } from "../../src/common/decode.js";
-import { unpackValue } from "../../src/transport/connection.js";
+import { unpackValue } from "../../src/transport/frame-codec.js";
 
 const DEFLATED = 0x4000_0000;
 /** No frame but a pulse is as short. */
--- a/features/support/golden.ts
+++ b/features/support/golden.ts
@@ -2,7 +2,8 @@
 import { makeRegister } from "../../src/consensus/register.js";
 import { CONSENSUS_MESSAGE_KINDS } from "../../src/consensus/messages.js";
 import { isRecord } from "../../src/common/decode.js";
-import { connectTo, type Message } from "../../src/transport/connection.js";
+import { connectTo } from "../../src/transport/connect.js";
+import type { Message } from "../../src/transport/message.js";
 import { STATE_FOLDER, type ReplicaCluster } from "./replica-cluster.js";
 import { ManualClock } from "./manual-clock.js";
 
--- a/features/support/proxy-updates.ts
+++ b/features/support/proxy-updates.ts
@@ -1,14 +1,14 @@
 /** Updates as a proxy server gets them from the control plane. */
 import assert from "node:assert/strict";
 import { parseChange } from "../../src/config/change-request.js";
-import { PLAN_PREFIX, WORKER_PREFIX, type NewUpdate } from "../../src/membership/update-store.js";
+import { CONFIG_PREFIX, WORKER_PREFIX, type NewUpdate } from "../../src/membership/update-store.js";
 
 /** The updates of a valid change of the configuration, given as JSON. */
 export const configurationUpdates = (change: string): NewUpdate[] => {
   const parsed = parseChange(change);
   assert.ok(parsed.isOk);
   return parsed.value.map((register) => ({
-    key: PLAN_PREFIX + register.key,
+    key: CONFIG_PREFIX + register.key,
     version: register.version,
     tie: "",
     body: { dropped: false, item: register.body },
--- a/scalability/host-process.ts
+++ b/scalability/host-process.ts
@@ -3,7 +3,7 @@
 import { joinCluster, type DataPlaneNode } from "../src/programs/data-plane-node.js";
 import { runGateway } from "../src/programs/gateway/gateway.js";
 import { runController } from "../src/programs/controller/controller.js";
-import { PLAN_PREFIX, WORKER_PREFIX } from "../src/membership/update-store.js";
+import { CONFIG_PREFIX, WORKER_PREFIX } from "../src/membership/update-store.js";
 import { SteadyClock, type Timer } from "../src/common/clock.js";
 import { setLogLevel } from "../src/common/logger.js";
 import {
@@ -15,7 +15,7 @@
   type UnknownRecord,
 } from "../src/common/decode.js";
 import { MILLISECOND_US, SECOND_US } from "../src/common/duration.js";
-import { sentFrames } from "../src/transport/connection.js";
+import { sentFrames } from "../src/transport/frame-codec.js";
 import { controllerAddress, steadyUs, nodeIp, settingsOf } from "./loopback.js";
 
 /** One process of a run: a controller, many light nodes, many light workers, or one real gateway; its parent says which. */
@@ -46,7 +46,7 @@
   markUs: number;
 }
 
-const MARK_KEY = `${PLAN_PREFIX}route/mark`;
+const MARK_KEY = `${CONFIG_PREFIX}route/mark`;
 const lightNodes = new Map<number, LightNode>();
 let zones = 1;
 let controllers = 1;
@@ -76,7 +76,7 @@
     node.items = 0;
     node.workers = 0;
     member.updates.all().forEach(({ key }) => {
-      if (key.startsWith(PLAN_PREFIX)) node.items += 1;
+      if (key.startsWith(CONFIG_PREFIX)) node.items += 1;
       else if (key.startsWith(WORKER_PREFIX)) node.workers += 1;
     });
   });
--- a/scalability/node.ts
+++ b/scalability/node.ts
@@ -4,7 +4,7 @@
 import { Command } from "commander";
 import { StandIn } from "../features/support/stand-in.js";
 import { summarize, generateLoad } from "../src/programs/loadgen/loadgen.js";
-import { UpdateStore, PLAN_PREFIX, WORKER_PREFIX } from "../src/membership/update-store.js";
+import { UpdateStore, CONFIG_PREFIX, WORKER_PREFIX } from "../src/membership/update-store.js";
 import { RouteTable } from "../src/proxy/route-table.js";
 import { WorkerDirectory } from "../src/proxy/worker-directory.js";
 import { sleep, SteadyClock } from "../src/common/clock.js";
@@ -50,7 +50,7 @@
   );
   updates.post(
     Array.from({ length: routes }, (_none, at) => ({
-      key: `${PLAN_PREFIX}route/r-${at}`,
+      key: `${CONFIG_PREFIX}route/r-${at}`,
       version: 1,
       tie: "x",
       body: {
--- a/simulator/simulated-controller.ts
+++ b/simulator/simulated-controller.ts
@@ -193,7 +193,7 @@
     this.lastEchoUs.set(from.id, Math.max(echoUs, this.lastEchoUs.get(from.id) ?? -1));
     if (typeof message["re"] === "number") {
       const link = this.links.get(from.id);
-      if (link?.peer === from) link.requests.settle(message);
+      if (link?.peer === from) link.requests.resolve(message);
       return;
     }
     void this.options.components
@@ -328,7 +328,7 @@
     const link = this.links.get(id);
     const peer = link?.peer;
     if (!link || !peer) return Promise.resolve(undefined);
-    return link.requests.ask(
+    return link.requests.request(
       (sent) => this.options.network.send(this, peer, sent),
       message,
       waitUs,
--- a/simulator/simulated-network.ts
+++ b/simulator/simulated-network.ts
@@ -155,7 +155,7 @@
       link.peer = undefined;
       link.silentSinceUs = undefined;
       link.readySinceUs = undefined;
-      link.requests.drop();
+      link.requests.abandonAll();
       return;
     }
     if (!isReady) {
--- a/src/cache/peer-caches.ts
+++ b/src/cache/peer-caches.ts
@@ -67,7 +67,7 @@
     message: Message,
     waitUs: number,
   ): Promise<Message | undefined> =>
-    this.peers.get(address)?.link.ask(message, waitUs) ?? Promise.resolve(undefined);
+    this.peers.get(address)?.link.request(message, waitUs) ?? Promise.resolve(undefined);
 
   readonly stop = (): void => this.peers.forEach(({ link }) => link.stop());
 
@@ -83,7 +83,7 @@
     for (const depot of ranked) {
       const askedUs = clock.nowUs();
       if (askedUs >= untilUs) return undefined;
-      const reply = depot.link.ask(message, untilUs - askedUs);
+      const reply = depot.link.request(message, untilUs - askedUs);
       const early = await withTimeout(
         clock,
         Math.min(PATIENCE_US, untilUs - askedUs),
@@ -123,8 +123,8 @@
       port,
       clock,
       times: TIMES,
-      dialUs: DIAL_US,
-      restUs: REST_US,
+      connectTimeoutUs: DIAL_US,
+      backoffUs: REST_US,
       hello: () => ({ kind: "goods" }),
     });
     const depot: PeerCache = { link, cell: zone, heardUs: 0, doubtfulUntilUs: 0 };
--- a/src/membership/node-sessions.ts
+++ b/src/membership/node-sessions.ts
@@ -1,61 +1,59 @@
+/** The sessions of data plane nodes with a controller, and what its peers say of theirs. */
 import Emittery from "emittery";
-import { PendingRequests } from "../transport/pending-requests.js";
 import type { Clock } from "../common/clock.js";
-import type { Logger } from "../common/logger.js";
 import { readString } from "../common/decode.js";
-import type { Message, Connection } from "../transport/connection.js";
-import type {
-  CacheAddress,
-  ClusterNode,
-  ClusterSize,
-  ControllerAddress,
-  NodeAnswer,
-} from "./cluster.js";
+import type { Logger } from "../common/logger.js";
+import type { Connection, Message } from "../transport/connection.js";
+import { asReply, PendingRequests, requestIdOf } from "../transport/pending-requests.js";
+import type { ClusterNode, ClusterSize, ControllerAddress, NodeAnswer } from "./cluster.js";
+import { clusterSizeOf } from "./cluster-size.js";
 import { MessageKind, packControllers, packNodes, readNode, readNodes } from "./messages.js";
+import { chooseParent } from "./relay-tree.js";
 import type { UpdatePublisher } from "./update-publisher.js";
 
 interface Session {
   readonly node: ClusterNode;
   readonly connection: Connection;
   readonly pendingRequests: PendingRequests;
-  /** The relay that feeds this node; empty when the signalbox feeds it itself. */
+  /** The relay that sends this node updates; empty when this controller does so itself. */
   parent: string;
 }
 
-/** How many children a signalbox feeds itself, as long as none has lost its relay. */
-export const FAN_OUT = 4;
-/** How many it feeds at most: one whose relay failed comes back to it first. */
-const MAX_DIRECT_CHILDREN = 16;
-/** Beyond any cost of a relay that has room. */
-const FULL_RELAY_COST = 1_000_000;
-/** How many children a relay feeds before those below it become relays too. */
-const MAX_RELAY_CHILDREN = 8;
-
 export interface NodeSessionsOptions {
   readonly clock: Clock;
   readonly publisher: UpdatePublisher;
   readonly log: Logger;
-  /** Whether this signalbox may feed: it has a plan to give, and a majority was heard after the call. */
+  /** Whether this controller may serve nodes: it has a configuration, and a majority answered after the call. */
   readonly mayServe: () => Promise<boolean>;
-  /** The cell that a planned window empties: it feeds nobody, and its signalbox serves its own nodes only. */
+  /**
+   * The zone that a maintenance window drains, or empty: its nodes relay nothing, and its controller serves its own
+   * zone's nodes only.
+   */
   readonly drainedZone: () => string;
+  /** This controller's own zone. */
   readonly zone: string;
   readonly controllers: () => readonly ControllerAddress[];
-  /** Answers what a node asks over its session. */
+  /** Answers the request of a node over its session. */
   readonly answer: (message: Message, node: string) => Promise<Message>;
 }
 
 /**
- * The sessions of pointsmen with this signalbox, and those that colleagues tell of.
- * Invariant: a node is a member exactly while a session of it stands here or at a colleague whose link stands.
+ * The nodes with a session here, and those with a session at a peer.
+ * Invariant: a node is a member exactly while it has a session here, or at a peer whose link is connected.
  */
 export class NodeSessions {
-  readonly events = new Emittery<{ report: Message; own: undefined; changed: undefined }>();
+  /** `report`: a node's message that wants no reply. The others say which part of the membership changed. */
+  readonly events = new Emittery<{
+    report: Message;
+    localChanged: undefined;
+    peersChanged: undefined;
+  }>();
   private readonly sessions = new Map<string, Session>();
   private readonly peerNodes = new Map<string, readonly ClusterNode[]>();
 
   constructor(private readonly options: NodeSessionsOptions) {}
 
+  /** Serves one node's session until its connection ends. Throws `DecodeError` where the hello is malformed. */
   readonly serve = async (
     connection: Connection,
     hello: Message,
@@ -73,76 +71,56 @@
       pendingRequests: new PendingRequests(this.options.clock),
       parent: "",
     };
-    this.sessions.get(node.name)?.connection.close();
-    this.sessions.set(node.name, session);
-    this.options.log.info(`${node.name} joined.`);
-    connection.send(packControllers(MessageKind.welcome, this.options.controllers()));
-    this.assign(session, "");
-    void this.events.emit("own");
-    for await (const message of incoming) {
-      if (session.pendingRequests.settle(message)) continue;
-      if (typeof message["ask"] === "number")
-        void this.answerNode(session, message, message["ask"]);
-      else if (message.kind === MessageKind.parentLost)
-        this.assign(session, readString(message, "parent"));
-      else void this.events.emit("report", { ...message, node: node.name });
-    }
-    this.options.publisher.removeChild(connection);
-    session.pendingRequests.drop();
-    if (this.sessions.get(node.name) !== session) return;
-    this.sessions.delete(node.name);
-    this.options.log.info(`${node.name} left.`);
-    [...this.sessions.values()]
-      .filter((other) => other.parent === node.relay)
-      .forEach((other) => this.assign(other, node.relay));
-    void this.events.emit("own");
+    this.open(session);
+    for await (const message of incoming) this.receive(session, message);
+    this.end(session);
   };
 
-  /** Ends every session, so that the pointsmen look for a signalbox that has a majority. */
+  /** Closes every session, so that the nodes look for a controller that has a majority. */
   readonly closeAll = (): void => this.sessions.forEach((session) => session.connection.close());
 
-  /** Moves everybody off the relays and the signalbox of the emptied cell. */
+  /** Moves all nodes off the relays and the controller of the drained zone. */
   readonly leaveDrainedZone = (): void => {
-    const emptied = this.options.drainedZone();
+    const drained = this.options.drainedZone();
     this.sessions.forEach((session) => {
       if (this.isElsewhere(session.node)) session.connection.close();
-      else if (
-        session.node.zone !== emptied &&
-        [...this.sessions.values()].some(
-          ({ node }) => node.relay === session.parent && node.zone === emptied,
-        )
-      )
-        this.assign(session, session.parent);
+      else if (session.node.zone !== drained && this.hasParentIn(session, drained))
+        this.assignParent(session, session.parent);
     });
   };
 
+  /** Sends every node the connected controllers. */
   readonly announceControllers = (): void =>
     this.sessions.forEach((session) =>
       session.connection.send(packControllers(MessageKind.controllers, this.options.controllers())),
     );
 
-  /** Asks every node with a session here; who doesn't answer in time is named without an answer. */
-  readonly askAll = (question: Message, waitUs: number): Promise<readonly NodeAnswer[]> =>
+  /** Sends a query to every node with a session here; a node that doesn't answer in time is listed without an answer. */
+  readonly queryAll = (query: Message, timeoutUs: number): Promise<readonly NodeAnswer[]> =>
     Promise.all(
-      [...this.sessions.values()].map(async ({ node, connection, pendingRequests: asks }) => ({
+      [...this.sessions.values()].map(async ({ node, connection, pendingRequests }) => ({
         node: node.name,
         zone: node.zone,
-        answer: await asks.ask(connection.send, question, waitUs),
+        answer: await pendingRequests.request(connection.send, query, timeoutUs),
       })),
     );
 
-  readonly pack = (): Message =>
+  /** The nodes with a session here, as peers are told of them. */
+  readonly packNodes = (): Message =>
     packNodes([...this.sessions.values()].map((session) => session.node));
 
+  /** Takes the nodes that have a session with a peer. */
   readonly applyPeerSessions = (from: string, message: Message): void => {
     this.peerNodes.set(from, readNodes(message));
-    void this.events.emit("changed");
+    void this.events.emit("peersChanged");
   };
 
+  /** Forgets the nodes of a peer whose link is lost. */
   readonly forget = (from: string): void => {
-    if (this.peerNodes.delete(from)) void this.events.emit("changed");
+    if (this.peerNodes.delete(from)) void this.events.emit("peersChanged");
   };
 
+  /** All members, here and at peers. */
   readonly nodes = (): readonly ClusterNode[] => {
     const all = new Map<string, ClusterNode>();
     [
@@ -152,102 +130,77 @@
     return [...all.values()];
   };
 
-  readonly clusterSize = (): ClusterSize => {
-    const zones: Record<string, number> = {};
-    const all = this.nodes();
-    const nodes = all.filter(({ role }) => role === "gateway");
-    const caches = all
-      .filter(({ role }) => role === "cache")
-      .map(({ relay, zone }) => ({ address: relay, zone }));
-    nodes.forEach((node) => {
-      zones[node.zone] = (zones[node.zone] ?? 0) + 1;
-    });
-    const zoneDistributors = caches.length > 0 ? distributorsOf(nodes) : [];
-    return {
-      gateways: nodes.length,
-      zones,
-      ...(zoneDistributors.length > 0 ? { zoneDistributors } : {}),
-      ...(caches.length > 0 ? { caches } : {}),
-    };
+  readonly clusterSize = (): ClusterSize => clusterSizeOf(this.nodes());
+
+  private readonly open = (session: Session): void => {
+    const { node, connection } = session;
+    this.sessions.get(node.name)?.connection.close();
+    this.sessions.set(node.name, session);
+    this.options.log.info("node joined", { node: node.name });
+    connection.send(packControllers(MessageKind.welcome, this.options.controllers()));
+    this.assignParent(session, "");
+    void this.events.emit("localChanged");
   };
 
+  private readonly receive = (session: Session, message: Message): void => {
+    if (session.pendingRequests.resolve(message)) return;
+    const requestId = requestIdOf(message);
+    if (requestId !== undefined) void this.answerNode(session, message, requestId);
+    else if (message.kind === MessageKind.parentLost)
+      this.assignParent(session, readString(message, "parent"));
+    else void this.events.emit("report", { ...message, node: session.node.name });
+  };
+
+  private readonly end = (session: Session): void => {
+    const { node, connection } = session;
+    this.options.publisher.removeChild(connection);
+    session.pendingRequests.abandonAll();
+    // A later session of the same node may have replaced this one.
+    if (this.sessions.get(node.name) !== session) return;
+    this.sessions.delete(node.name);
+    this.options.log.info("node left", { node: node.name });
+    [...this.sessions.values()]
+      .filter((other) => other.parent === node.relay)
+      .forEach((other) => this.assignParent(other, node.relay));
+    void this.events.emit("localChanged");
+  };
+
+  /** Whether this controller's zone is drained, so that it serves no node of another zone. */
   private readonly isElsewhere = (node: ClusterNode): boolean => {
-    const emptied = this.options.drainedZone();
-    return emptied !== "" && emptied === this.options.zone && node.zone !== emptied;
+    const drained = this.options.drainedZone();
+    return drained !== "" && drained === this.options.zone && node.zone !== drained;
   };
 
+  private readonly hasParentIn = (session: Session, zone: string): boolean =>
+    [...this.sessions.values()].some(
+      ({ node }) => node.relay === session.parent && node.zone === zone,
+    );
+
   private readonly answerNode = async (
     session: Session,
     message: Message,
-    ask: number,
+    requestId: number,
   ): Promise<void> => {
+    const { answer, log } = this.options;
     try {
-      session.connection.send({
-        ...(await this.options.answer(message, session.node.name)),
-        re: ask,
-      });
+      session.connection.send(asReply(await answer(message, session.node.name), requestId));
     } catch (error) {
-      this.options.log.warn(`A question of ${session.node.name} failed: ${String(error)}.`);
+      log.warn("node request failed", { node: session.node.name, kind: message.kind, err: error });
     }
   };
 
-  /** How far below this signalbox a node is fed; undefined if it hangs below the one that looks for a parent, or on none. */
-  private readonly depthBelow = (
-    session: Session,
-    seeker: Session,
-    byRelay: ReadonlyMap<string, Session>,
-  ): number | undefined => {
-    let at: Session | undefined = session;
-    for (let depth = 0; at && at !== seeker && depth <= byRelay.size; depth += 1) {
-      if (at.parent === "") return depth;
-      at = byRelay.get(at.parent);
-    }
-    return undefined;
-  };
-
-  /** Feeds the node here while there is room, else below the shallowest relay that has room, and there the one with the fewest children. */
-  private readonly assign = (session: Session, failed: string): void => {
-    const { publisher } = this.options;
+  /** Gives a node its place in the relay tree: first, or because it lost `failedRelay`. */
+  private readonly assignParent = (session: Session, failedRelay: string): void => {
+    const { publisher, drainedZone } = this.options;
     publisher.removeChild(session.connection);
-    const children = new Map<string, number>();
-    this.sessions.forEach(({ parent }) => children.set(parent, (children.get(parent) ?? 0) + 1));
-    const byRelay = new Map([...this.sessions.values()].map((other) => [other.node.relay, other]));
-    const emptied = this.options.drainedZone();
-    let best: Session | undefined;
-    let bestCost = Infinity;
-    this.sessions.forEach((other) => {
-      if (other === session || other.node.relay === failed || other.node.zone === emptied) return;
-      const depth = this.depthBelow(other, session, byRelay);
-      if (depth === undefined) return;
-      const count = children.get(other.node.relay) ?? 0;
-      const cost =
-        count < MAX_RELAY_CHILDREN ? depth * MAX_RELAY_CHILDREN + count : FULL_RELAY_COST + count;
-      if (cost >= bestCost) return;
-      best = other;
-      bestCost = cost;
-    });
-    session.parent =
-      publisher.size < (failed === "" ? FAN_OUT : MAX_DIRECT_CHILDREN) || !best
-        ? ""
-        : best.node.relay;
+    session.parent = chooseParent(
+      session,
+      [...this.sessions.values()],
+      publisher.size,
+      failedRelay,
+      drainedZone(),
+    );
     session.connection.send({ kind: MessageKind.parent, parent: session.parent });
     if (session.parent === "") publisher.addChild(session.connection);
   };
 }
-
-/** How much wider than the usual link of its cell one must be for its node to give large objects out to the others. */
-const DISTRIBUTOR_LINK_FACTOR = 4;
-
-/** In each cell the first node whose link is far wider than the usual one there, where there is such a node. */
-const distributorsOf = (nodes: readonly ClusterNode[]): readonly CacheAddress[] => {
-  const byCell = new Map<string, ClusterNode[]>();
-  nodes.forEach((node) => byCell.set(node.zone, [...(byCell.get(node.zone) ?? []), node]));
-  return [...byCell].flatMap(([zone, all]) => {
-    const widths = all.map(({ linkMbps }) => linkMbps).sort((a, b) => a - b);
-    const usual = widths[Math.floor(widths.length / 2)] ?? 0;
-    const wide = all
-      .filter(({ linkMbps }) => usual > 0 && linkMbps >= usual * DISTRIBUTOR_LINK_FACTOR)
-      .sort((a, b) => (a.name < b.name ? -1 : 1))[0];
-    return wide ? [{ address: wide.relay, zone }] : [];
-  });
-};
--- a/src/membership/peers.ts
+++ b/src/membership/peers.ts
@@ -18,7 +18,11 @@
 
 /** Links to every other signalbox that is known; each tells the others whom it knows. */
 export class Peers {
-  readonly events = new Emittery<{ up: string; down: string; met: string }>();
+  readonly events = new Emittery<{
+    connected: string;
+    disconnected: string;
+    discovered: string;
+  }>();
   private readonly links = new Map<string, PeerLink>();
   private readonly zones = new Map<string, string>();
 
@@ -46,7 +50,7 @@
   };
 
   /** Takes what a hello or a welcome of a colleague tells. */
-  readonly meet = (hello: Message): void => {
+  readonly learnFrom = (hello: Message): void => {
     const zone = readPeerZone(hello);
     if (typeof hello["from"] === "string" && zone !== undefined)
       this.zones.set(hello["from"], zone);
@@ -64,10 +68,10 @@
     this.links.delete(id);
   };
 
-  readonly send = (message: Message): void => this.links.forEach((link) => link.send(message));
+  readonly broadcast = (message: Message): void => this.links.forEach((link) => link.send(message));
 
-  readonly ask = (id: string, message: Message, waitUs: number): Promise<Message | undefined> =>
-    this.links.get(id)?.ask(message, waitUs) ?? Promise.resolve(undefined);
+  readonly request = (id: string, message: Message, waitUs: number): Promise<Message | undefined> =>
+    this.links.get(id)?.request(message, waitUs) ?? Promise.resolve(undefined);
 
   readonly stop = (): void => this.links.forEach((link) => link.stop());
 
@@ -78,17 +82,17 @@
       port: signalPort,
       clock,
       times,
-      dialUs: times.timeoutUs,
-      restUs: times.heartbeatUs,
+      connectTimeoutUs: times.timeoutUs,
+      backoffUs: times.heartbeatUs,
       hello: this.hello,
     });
     this.links.set(id, link);
-    link.events.on("up", (welcome) => {
-      this.meet(welcome);
-      void this.events.emit("up", id);
+    link.events.on("connected", (welcome) => {
+      this.learnFrom(welcome);
+      void this.events.emit("connected", id);
     });
-    link.events.on("down", () => void this.events.emit("down", id));
-    void this.events.emit("met", id);
+    link.events.on("disconnected", () => void this.events.emit("disconnected", id));
+    void this.events.emit("discovered", id);
     void link.run();
   };
 }
--- a/src/membership/update-store.ts
+++ b/src/membership/update-store.ts
@@ -61,7 +61,7 @@
     }));
   };
 
-  readonly take = (packed: readonly unknown[]): void => {
+  readonly merge = (packed: readonly unknown[]): void => {
     const ages = new Map<NewUpdate, number>();
     const facts = packed.map((value) => {
       const record = asRecord(value, "fact");
@@ -80,7 +80,7 @@
 
 export const WORKER_PREFIX = "worker/";
 export const PURGE_PREFIX = "purge/";
-export const PLAN_PREFIX = "plan/";
+export const CONFIG_PREFIX = "plan/";
 export const EJECTIONS_KEY = "ejections";
 export const FORECAST_KEY = "forecast";
 export const ROLLOUTS_KEY = "rollouts";
--- a/src/membership/update-subscriber.ts
+++ b/src/membership/update-subscriber.ts
@@ -13,12 +13,8 @@
   readNumber,
 } from "../common/decode.js";
 import { MILLISECOND_US } from "../common/duration.js";
-import {
-  connectTo,
-  type Message,
-  type Connection,
-  type KeepAliveTimes,
-} from "../transport/connection.js";
+import { connectTo } from "../transport/connect.js";
+import type { Connection, KeepAliveTimes, Message } from "../transport/connection.js";
 import { WORKER_PREFIX, type UpdateStore } from "./update-store.js";
 import type { ClusterSize, ControllerAddress, NodeRole } from "./cluster.js";
 import { MessageKind, packNodeHello, readClusterSize, readControllers } from "./messages.js";
@@ -53,10 +49,13 @@
  */
 export class UpdateSubscriber {
   readonly events = new Emittery<{
-    crew: ClusterSize;
-    whole: undefined;
-    fresh: number;
-    unfed: undefined;
+    clusterSize: ClusterSize;
+    /** A snapshot of all updates came. */
+    snapshot: undefined;
+    /** Every purge acknowledged before so many microseconds ago has come. */
+    freshness: number;
+    /** Updates stopped coming, so children can't be served. */
+    disconnected: undefined;
   }>();
   private state: SessionState = "looking";
   /** Every signalbox that was told of, those told last first; who is no longer told of is kept behind, since a teller may be cut off. */
@@ -112,9 +111,9 @@
   };
 
   /** Asks the signalbox; undefined when the session ends or the wait is over first. */
-  readonly ask = (message: Message, waitUs: number): Promise<Message | undefined> => {
+  readonly request = (message: Message, waitUs: number): Promise<Message | undefined> => {
     return this.state === "standing" && this.connection
-      ? this.pendingRequests.ask(this.connection.send, message, waitUs)
+      ? this.pendingRequests.request(this.connection.send, message, waitUs)
       : Promise.resolve(undefined);
   };
 
@@ -157,17 +156,17 @@
         if (first && !first.done) {
           this.learnBoxes(first.value);
           if (first.value.kind === MessageKind.welcome) {
-            log.info(`Session with ${controller} stands.`);
+            log.info("session opened", { controller });
             this.tried.clear();
             this.looks = 0;
             yield "standing";
             for await (const message of incoming) this.take(message);
-            log.info(`Session with ${controller} is over.`);
+            log.info("session closed", { controller });
           }
         }
         connection.close();
         this.connection = undefined;
-        this.pendingRequests.drop();
+        this.pendingRequests.abandonAll();
         yield "looking";
         this.sayUnfed();
       }
@@ -210,11 +209,11 @@
 
   /** Without news of its own a relay feeds nobody. */
   private readonly sayUnfed = (): void => {
-    if (!this.isUpToDate) void this.events.emit("unfed");
+    if (!this.isUpToDate) void this.events.emit("disconnected");
   };
 
   private readonly take = (message: Message): void => {
-    if (this.pendingRequests.settle(message)) return;
+    if (this.pendingRequests.resolve(message)) return;
     if (typeof message["ask"] === "number")
       return this.report({
         ...(this.options.answer?.(message) ?? { kind: MessageKind.unknown }),
@@ -233,17 +232,17 @@
   private readonly takeNews = (message: Message): void => {
     const { updates } = this.options;
     if (message.kind === MessageKind.clusterSize)
-      void this.events.emit("crew", readClusterSize(message));
+      void this.events.emit("clusterSize", readClusterSize(message));
     if (message.kind === MessageKind.freshness)
-      void this.events.emit("fresh", readNumber(message, "ageUs"));
+      void this.events.emit("freshness", readNumber(message, "ageUs"));
     if (message.kind !== MessageKind.updates) return;
     const facts = asList(message["facts"], "facts");
-    updates.take(facts);
+    updates.merge(facts);
     updates.forget(readList(message, "forget", asString));
     if (readFlag(message, "whole")) {
       if (readFlag(message, "complete"))
         this.forgetUntold(new Set(facts.map((fact) => readString(asRecord(fact), "key"))));
-      void this.events.emit("whole");
+      void this.events.emit("snapshot");
     }
   };
 
--- a/src/membership/worker-registry.ts
+++ b/src/membership/worker-registry.ts
@@ -56,13 +56,13 @@
 
   /** Takes up workers known before this start; those that are not heard soon go missing like any other. */
   readonly restore = (heartbeats: readonly Heartbeat[]): void =>
-    heartbeats.forEach((heartbeat) => this.take({ ...heartbeat, state: "ready", warmUs: 0 }));
+    heartbeats.forEach((heartbeat) => this.record({ ...heartbeat, state: "ready", warmUs: 0 }));
 
   /**
    * Takes a beat, heard here or shared after `ageUs` elsewhere; false if it is old. One so old that its worker is missing
    * counts as such at once: a colleague that was cut off tells of workers long gone.
    */
-  readonly take = (told: Heartbeat, ageUs = 0): boolean => {
+  readonly record = (told: Heartbeat, ageUs = 0): boolean => {
     const nowUs = this.clock.nowUs() - ageUs;
     const heartbeat: Heartbeat =
       told.state === "ready" && ageUs > this.heartbeatUs * MISSING_HEARTBEATS
@@ -103,13 +103,13 @@
       state: "gone",
       callCount: before.heartbeat.callCount + 1,
     };
-    this.take(heartbeat);
+    this.record(heartbeat);
     return heartbeat;
   };
 
   readonly drop = (id: string): void => {
     const entry = this.entries.get(id);
-    if (entry) this.take({ ...entry.heartbeat, state: "gone" });
+    if (entry) this.record({ ...entry.heartbeat, state: "gone" });
   };
 
   readonly packAll = (): readonly UnknownRecord[] => {
--- a/src/programs/cache/cache.ts
+++ b/src/programs/cache/cache.ts
@@ -143,7 +143,7 @@
       ownStore.detachInFlight();
     },
   });
-  subscriber.events.on("crew", (told) => {
+  subscriber.events.on("clusterSize", (told) => {
     const depots = told.caches ?? [];
     addresses = [
       here,
@@ -161,7 +161,7 @@
     limiter: rate,
     incarnation: life,
     role: "depot",
-    request: subscriber.ask,
+    request: subscriber.request,
     isNeeded: () => true,
   });
   await relay.listen(settings.ip, settings.relayPort);
--- a/src/programs/controller/config.ts
+++ b/src/programs/controller/config.ts
@@ -14,7 +14,7 @@
 import {
   EJECTIONS_KEY,
   FORECAST_KEY,
-  PLAN_PREFIX,
+  CONFIG_PREFIX,
   RETRIES_KEY,
   ROLLOUTS_KEY,
   type NewUpdate,
@@ -34,7 +34,7 @@
 };
 
 const toConfigUpdate = (register: Register): NewUpdate => ({
-  key: PLAN_PREFIX + register.key,
+  key: CONFIG_PREFIX + register.key,
   version: register.version,
   tie: register.digest,
   body: { dropped: register.dropped, item: register.body },
--- a/src/programs/controller/consensus.ts
+++ b/src/programs/controller/consensus.ts
@@ -74,7 +74,7 @@
     replica,
     // At the first start no peer is known; later the seed nodes may all be gone.
     seeds: () => [...new Set([...settings.seedNodes, ...peers.known()])],
-    transport: { request: peers.ask, broadcast: peers.send },
+    transport: { request: peers.request, broadcast: peers.broadcast },
     clock,
     random: Math.random,
     withstandMachines: settings.withstandMachines,
@@ -86,7 +86,7 @@
     clock,
     logger: loggerFor("leader-lease"),
     isConnected: peers.isConnected,
-    request: peers.ask,
+    request: peers.request,
     hasDisk: writeAheadLog.hasDisk,
     withstandMachines: settings.withstandMachines,
     holderTimeoutUs: HOLDER_TIMEOUT_US,
@@ -99,7 +99,7 @@
     store,
     lease,
     isWithoutQuorum: () => !lease.seesMajority(),
-    askHolder: (message, waitUs) => peers.ask(lease.holder(), message, waitUs),
+    askHolder: (message, waitUs) => peers.request(lease.holder(), message, waitUs),
     peerHandlers: {
       ...Object.fromEntries(
         [...CONSENSUS_MESSAGE_KINDS].map((kind) => [kind, store.handleRequest]),
--- a/src/programs/controller/content.ts
+++ b/src/programs/controller/content.ts
@@ -114,9 +114,9 @@
     self: settings.control,
     table,
     store,
-    request: peers.ask,
+    request: peers.request,
     isConnected: peers.isConnected,
-    send: peers.send,
+    send: peers.broadcast,
     withstandMachines: settings.withstandMachines,
     logger: loggerFor("idempotency-keys"),
     onPurge: ({ id, host, path, label }) =>
--- a/src/programs/controller/fleet-queries.ts
+++ b/src/programs/controller/fleet-queries.ts
@@ -88,7 +88,7 @@
     const status =
       controller === self
         ? this.ofThisReplica()
-        : await peers.ask(controller, { kind: PEER_REQUEST.describeReplica }, WRITE_TIMEOUT_US);
+        : await peers.request(controller, { kind: PEER_REQUEST.describeReplica }, WRITE_TIMEOUT_US);
     const isMember = store.members().includes(controller);
     if (!status)
       return {
--- a/src/programs/controller/heartbeat-replicator.ts
+++ b/src/programs/controller/heartbeat-replicator.ts
@@ -56,7 +56,7 @@
     peers
       .known()
       .filter((id) => !store.members().includes(id))
-      .forEach((id) => void peers.ask(id, message, WRITE_TIMEOUT_US));
+      .forEach((id) => void peers.request(id, message, WRITE_TIMEOUT_US));
     const [held, isConfirmed] = await Promise.all([
       store.callQuorum(
         message,
@@ -71,7 +71,7 @@
 
   private readonly sendPending = (): void => {
     if (this.pending.size > 0)
-      this.options.peers.send({
+      this.options.peers.broadcast({
         kind: MessageKind.heartbeats,
         beats: [...this.pending.values()].map(packHeartbeat),
       });
--- a/src/programs/controller/node-queries.ts
+++ b/src/programs/controller/node-queries.ts
@@ -28,8 +28,8 @@
     const { sessions, peers } = this;
     const known = sessions.nodes();
     const request: Message = { kind: MessageKind.queryNodes, question };
-    const asked = peers.known().map((id) => peers.ask(id, request, PEER_TIMEOUT_US));
-    const own = await sessions.askAll(question, NODE_TIMEOUT_US);
+    const asked = peers.known().map((id) => peers.request(id, request, PEER_TIMEOUT_US));
+    const own = await sessions.queryAll(question, NODE_TIMEOUT_US);
     const replies = await Promise.all(asked);
     const others = replies.flatMap((reply) =>
       reply ? readList(reply, "answers", readNodeAnswer) : [],
@@ -43,7 +43,7 @@
   /** Asks the nodes with a session here, for a peer. */
   readonly answerPeer = async (message: Message): Promise<Message> => {
     const question = asRecord(message["question"], "question");
-    const answers = await this.sessions.askAll(
+    const answers = await this.sessions.queryAll(
       { ...question, kind: readString(question, "kind") },
       NODE_TIMEOUT_US,
     );
--- a/src/programs/controller/node-sessions.ts
+++ b/src/programs/controller/node-sessions.ts
@@ -67,17 +67,19 @@
   const announceClusterSize = debounce(clock, ANNOUNCE_DELAY_US, () =>
     publisher.setClusterSize(sessions.clusterSize()),
   );
-  const announceToPeers = debounce(clock, ANNOUNCE_DELAY_US, () => peers.send(sessions.pack()));
-  sessions.events.on("own", () => {
+  const announceToPeers = debounce(clock, ANNOUNCE_DELAY_US, () =>
+    peers.broadcast(sessions.packNodes()),
+  );
+  sessions.events.on("localChanged", () => {
     announceToPeers();
     announceClusterSize();
   });
-  sessions.events.on("changed", announceClusterSize);
-  peers.events.on("up", () => {
-    peers.send(sessions.pack());
+  sessions.events.on("peersChanged", announceClusterSize);
+  peers.events.on("connected", () => {
+    peers.broadcast(sessions.packNodes());
     sessions.announceControllers();
   });
-  peers.events.on("down", (id) => {
+  peers.events.on("disconnected", (id) => {
     sessions.forget(id);
     sessions.announceControllers();
     if (isWithoutQuorum()) sessions.closeAll();
--- a/src/programs/controller/peer-server.ts
+++ b/src/programs/controller/peer-server.ts
@@ -39,7 +39,7 @@
     const { peers, sessions, announceToPeers } = this.options;
     const peer = readString(hello, "from");
     connection.send({ ...peers.hello(), kind: MessageKind.welcome });
-    peers.meet(hello);
+    peers.learnFrom(hello);
     this.newest.set(peer, connection);
     // A peer that dials anew may have forgotten the sessions here while its link was down.
     announceToPeers();
--- a/src/programs/controller/peers.ts
+++ b/src/programs/controller/peers.ts
@@ -15,7 +15,7 @@
     clock,
     times: KEEP_ALIVE,
   });
-  peers.events.on("up", (peer) => log.info("link to peer is up", { peer }));
-  peers.events.on("down", (peer) => log.info("link to peer is down", { peer }));
+  peers.events.on("connected", (peer) => log.info("link to peer is up", { peer }));
+  peers.events.on("disconnected", (peer) => log.info("link to peer is down", { peer }));
   return peers;
 };
--- a/src/programs/controller/workers.ts
+++ b/src/programs/controller/workers.ts
@@ -60,7 +60,7 @@
       return wrong(error instanceof Error ? error.message : "unreadable");
     }
     if (isWithoutQuorum()) return { outcome: "adrift" };
-    registry.take(heartbeat);
+    registry.record(heartbeat);
     const merged = registry.get(heartbeat.id) ?? heartbeat;
     const [isReplicated, reportTo] = await Promise.all([
       heartbeat.state === "ready"
@@ -88,7 +88,7 @@
     if (controller === undefined || controller.id === settings.control || settings.zone === zone)
       return undefined;
     const question: Message = { kind: PEER_REQUEST.confirmQuorum };
-    const reply = await peers.ask(controller.id, question, WRITE_TIMEOUT_US);
+    const reply = await peers.request(controller.id, question, WRITE_TIMEOUT_US);
     return isYes(reply) ? controller.id : undefined;
   };
 }
@@ -103,7 +103,7 @@
     const heartbeat = readSharedHeartbeat(record);
     const ageUs = typeof record["ageUs"] === "number" ? record["ageUs"] : 0;
     if (heartbeat.state === "gone" && registry.get(heartbeat.id)) registry.drop(heartbeat.id);
-    else registry.take(heartbeat, ageUs);
+    else registry.record(heartbeat, ageUs);
   });
 };
 
@@ -112,8 +112,8 @@
   const { registry, store, peers } = options;
   const replicator = new HeartbeatReplicator(options);
   const routes = new HeartbeatRoutes(options, replicator);
-  peers.events.on("up", () =>
-    peers.send({ kind: MessageKind.heartbeats, beats: registry.packAll() }),
+  peers.events.on("connected", () =>
+    peers.broadcast({ kind: MessageKind.heartbeats, beats: registry.packAll() }),
   );
   return {
     confirmQuorum: replicator.confirmQuorum,
--- a/src/programs/data-plane-node.ts
+++ b/src/programs/data-plane-node.ts
@@ -1,7 +1,7 @@
 import { UpdateStore } from "../membership/update-store.js";
 import { UpdatePublisher } from "../membership/update-publisher.js";
 import type { NodeRole } from "../membership/cluster.js";
-import { Listener, type Receiver } from "../transport/listener.js";
+import { Listener, type SessionHandler } from "../transport/listener.js";
 import { UpdateSubscriber, type UpdateSubscriberOptions } from "../membership/update-subscriber.js";
 import type { Clock } from "../common/clock.js";
 import { loggerFor } from "../common/logger.js";
@@ -22,7 +22,7 @@
   settings: Settings,
   clock: Clock,
   role: NodeRole,
-  receivers: Readonly<Record<string, Receiver>> = {},
+  receivers: Readonly<Record<string, SessionHandler>> = {},
   answer?: UpdateSubscriberOptions["answer"],
 ): DataPlaneNode => {
   const log = loggerFor("relay");
@@ -49,12 +49,13 @@
   ): Promise<void> => {
     if (!subscriber.isUpToDate) return;
     publisher.addChild(connection);
-    for await (const message of incoming) log.debug(`A child said ${message.kind}.`);
+    for await (const message of incoming)
+      log.debug("message from a child ignored", { kind: message.kind });
     publisher.removeChild(connection);
   };
-  subscriber.events.on("crew", publisher.setClusterSize);
-  subscriber.events.on("fresh", publisher.sendFreshness);
-  subscriber.events.on("unfed", publisher.closeAll);
+  subscriber.events.on("clusterSize", publisher.setClusterSize);
+  subscriber.events.on("freshness", publisher.sendFreshness);
+  subscriber.events.on("disconnected", publisher.closeAll);
   return {
     updates,
     subscriber,
--- a/src/programs/gateway/data-plane.ts
+++ b/src/programs/gateway/data-plane.ts
@@ -60,7 +60,7 @@
       workers.forgetKeys(keys);
       keys.forEach((key) => faults.remove(key));
     });
-    subscriber.events.on("crew", (size) => {
+    subscriber.events.on("clusterSize", (size) => {
       clusterSize = size;
       workers.setNodeCount({
         inZone: Math.max(1, size.zones[settings.zone] ?? 1),
--- a/src/programs/gateway/object-cache.ts
+++ b/src/programs/gateway/object-cache.ts
@@ -16,7 +16,7 @@
 import type { WorkerDirectory } from "../../proxy/worker-directory.js";
 import type { Clock } from "../../common/clock.js";
 import { loggerFor } from "../../common/logger.js";
-import type { Receiver } from "../../transport/listener.js";
+import type { SessionHandler } from "../../transport/listener.js";
 import type { Settings } from "../../common/settings.js";
 import { subscribeToPurges } from "../purge-subscriber.js";
 
@@ -37,7 +37,7 @@
   readonly objects: ObjectClient;
   readonly idempotencyClient: IdempotencyClient;
   /** Serves those who ask this node for objects. */
-  readonly serveObjects: Receiver;
+  readonly serveObjects: SessionHandler;
   readonly stop: () => void;
 }
 
@@ -144,7 +144,7 @@
   });
   const counter = new ObjectServer({ clock, store, rateLimiter: rate, log: loggerFor("hall") });
   const here = `${settings.ip}:${settings.relayPort}`;
-  subscriber.events.on("crew", (clusterSize) => {
+  subscriber.events.on("clusterSize", (clusterSize) => {
     depots.setAddresses(clusterSize.caches ?? []);
     const ofCell = (clusterSize.zoneDistributors ?? []).filter(
       ({ zone, address }) => zone === settings.zone && address !== here,
@@ -158,13 +158,13 @@
     limiter: rate,
     incarnation: life,
     role: "pointsman",
-    request: subscriber.ask,
+    request: subscriber.request,
     isNeeded: () => !depots.isAnyConnected,
   });
   keeper.start();
   return {
     objects: goods,
-    idempotencyClient: new IdempotencyClient(clock, subscriber.ask, subscriber.report),
+    idempotencyClient: new IdempotencyClient(clock, subscriber.request, subscriber.report),
     serveObjects: counter.serve,
     stop: () => {
       keeper.stop();
--- a/src/programs/gateway/retry-budgets.ts
+++ b/src/programs/gateway/retry-budgets.ts
@@ -32,7 +32,7 @@
     windowUs: settings.retryWindowUs,
     limits: () => limits,
   });
-  const keeper = new RetryLeaseRenewer(clock, retryBudgets, life, subscriber.ask);
+  const keeper = new RetryLeaseRenewer(clock, retryBudgets, life, subscriber.request);
   keeper.start();
   return retryBudgets;
 };
--- a/src/programs/purge-subscriber.ts
+++ b/src/programs/purge-subscriber.ts
@@ -59,7 +59,7 @@
   updates.events.on("forgotten", (keys) =>
     keys.filter((key) => key.startsWith(PURGE_PREFIX)).forEach(copies.forgetPurge),
   );
-  subscriber.events.on("fresh", freshness.confirm);
+  subscriber.events.on("freshness", freshness.confirm);
   return clock.every(SECOND_US, () => {
     if (freshness.ageUs() > MAX_UPDATE_AGE_US) copies.clear();
   });
--- a/src/proxy/route-table.ts
+++ b/src/proxy/route-table.ts
@@ -1,5 +1,5 @@
 /** Routes, services and limits as the data plane uses them, kept up to date from updates. */
-import { PLAN_PREFIX, ROLLOUTS_KEY, type Update } from "../membership/update-store.js";
+import { CONFIG_PREFIX, ROLLOUTS_KEY, type Update } from "../membership/update-store.js";
 import { asList, asRecord, parseJson, readString, readNumber } from "../common/decode.js";
 import { readWeightedServices, type WeightedService } from "../common/weighted-split.js";
 import { parseDuration, SECOND_US } from "../common/duration.js";
@@ -106,7 +106,7 @@
     if (rollbacks) this.applyRollbacks(rollbacks);
     const hosts = new Set<string>();
     updates
-      .filter((update) => update.key.startsWith(PLAN_PREFIX))
+      .filter((update) => update.key.startsWith(CONFIG_PREFIX))
       .forEach((update) => {
         this.hasConfiguration = true;
         this.applyItem(update, hosts);
@@ -133,7 +133,7 @@
   };
 
   private readonly applyItem = (update: Update, hosts: Set<string>): void => {
-    const key = update.key.slice(PLAN_PREFIX.length);
+    const key = update.key.slice(CONFIG_PREFIX.length);
     const isDeleted = update.body["dropped"] === true;
     const item = readString(update.body, "item");
     if (key.startsWith("route/")) {
--- a/src/storage/log-codec.ts
+++ b/src/storage/log-codec.ts
@@ -11,7 +11,7 @@
   readString,
   type UnknownRecord,
 } from "../common/decode.js";
-import { packValue, unpackValue } from "../transport/connection.js";
+import { packValue, unpackValue } from "../transport/frame-codec.js";
 
 /** A snapshot holds the whole state, an increment the records of one round of appends. */
 export type LogFileKind = "snapshot" | "increment";
--- a/src/storage/segment-codec.ts
+++ b/src/storage/segment-codec.ts
@@ -3,7 +3,7 @@
  * body (4 bytes), and the body: one MessagePack value. Stored data; the form never changes.
  */
 import { crc32 } from "node:zlib";
-import { packValue, unpackValue } from "../transport/connection.js";
+import { packValue, unpackValue } from "../transport/frame-codec.js";
 
 const FILE_NAME = /^log-(\d+)\.bin$/;
 const CHECKSUM_OFFSET = 4;
--- a/src/transport/peer-link.ts
+++ b/src/transport/peer-link.ts
@@ -1,87 +1,101 @@
+/** A lasting link to one process of the cluster, connected again whenever its connection ends. */
 import Emittery from "emittery";
-import { PendingRequests } from "./pending-requests.js";
 import { sleep, type Clock } from "../common/clock.js";
-import { connectTo, type Message, type Connection, type KeepAliveTimes } from "./connection.js";
+import { connectTo } from "./connect.js";
+import type { Message, Connection, KeepAliveTimes } from "./connection.js";
+import { PendingRequests } from "./pending-requests.js";
 
 export interface PeerLinkOptions {
   readonly ip: string;
   readonly port: number;
   readonly clock: Clock;
   readonly times: KeepAliveTimes;
-  readonly dialUs: number;
-  readonly restUs: number;
-  /** Said first on every new connection. */
+  /** How long an attempt to connect may take. */
+  readonly connectTimeoutUs: number;
+  /** The pause between the end of one connection, or a failed attempt, and the next attempt. */
+  readonly backoffUs: number;
+  /** The first message over every new connection. */
   readonly hello: () => Message;
 }
 
-export type LinkState = "dialling" | "greeting" | "standing" | "resting" | "stopped";
+/**
+ * `handshaking`: the hello is sent and nothing has come back; `backing-off`: the connection has ended or failed;
+ * `closed`: stopped, for good.
+ */
+export type PeerLinkState = "connecting" | "handshaking" | "connected" | "backing-off" | "closed";
 
-/** The dialling side of a session with a colleague: one task that dials, greets, reads, rests and dials again. */
+/** The connecting side of a link. Its events give the peer's first message as `connected`, all later ones as `message`. */
 export class PeerLink {
-  readonly events = new Emittery<{ up: Message; down: undefined; message: Message }>();
-  /** Invariant: `wire` is set exactly while greeting or standing. */
+  readonly events = new Emittery<{
+    connected: Message;
+    disconnected: undefined;
+    message: Message;
+  }>();
+  /** Invariant: set exactly while handshaking or connected. */
   private connection: Connection | undefined;
-  private state: LinkState = "dialling";
+  private state: PeerLinkState = "connecting";
   private readonly pendingRequests: PendingRequests;
-  private stopping = false;
+  private isStopping = false;
 
   constructor(private readonly options: PeerLinkOptions) {
     this.pendingRequests = new PendingRequests(options.clock);
   }
 
   get isConnected(): boolean {
-    return this.state === "standing";
+    return this.state === "connected";
   }
 
+  /** Keeps the link up until `stop` is called. */
   readonly run = async (): Promise<void> => {
     for await (const state of this.states()) this.state = state;
   };
 
   readonly stop = (): void => {
-    this.stopping = true;
+    this.isStopping = true;
     this.connection?.close();
   };
 
+  /** Sends a message; does nothing unless the link is connected. */
   readonly send = (message: Message): void => {
     if (this.isConnected) this.connection?.send(message);
   };
 
-  /** Resolves to the reply, or to undefined when the session ends or the wait is over first. */
-  readonly ask = (message: Message, waitUs: number): Promise<Message | undefined> => {
+  /** Resolves to the reply, or to undefined when the link isn't connected, or is lost or times out first. */
+  readonly request = (message: Message, timeoutUs: number): Promise<Message | undefined> => {
     return this.isConnected && this.connection
-      ? this.pendingRequests.ask(this.connection.send, message, waitUs)
+      ? this.pendingRequests.request(this.connection.send, message, timeoutUs)
       : Promise.resolve(undefined);
   };
 
-  private async *states(): AsyncGenerator<LinkState, void, undefined> {
-    const { ip, port, clock, dialUs, restUs, times, hello } = this.options;
-    while (!this.stopping) {
-      yield "dialling";
-      this.connection = await connectTo(ip, port, clock, dialUs, times);
-      if (this.connection && !this.stopping) {
-        yield "greeting";
+  private async *states(): AsyncGenerator<PeerLinkState, void, undefined> {
+    const { ip, port, clock, connectTimeoutUs, backoffUs, times, hello } = this.options;
+    while (!this.isStopping) {
+      yield "connecting";
+      this.connection = await connectTo(ip, port, clock, connectTimeoutUs, times);
+      if (this.connection && !this.isStopping) {
+        yield "handshaking";
         this.connection.send(hello());
-        let greeted = false;
+        let isAccepted = false;
         for await (const message of this.connection.incoming()) {
-          if (this.pendingRequests.settle(message)) continue;
-          if (!greeted) {
-            greeted = true;
-            yield "standing";
-            void this.events.emit("up", message);
-          } else {
+          if (this.pendingRequests.resolve(message)) continue;
+          if (isAccepted) {
             void this.events.emit("message", message);
+            continue;
           }
+          isAccepted = true;
+          yield "connected";
+          void this.events.emit("connected", message);
         }
-        yield "resting";
-        this.pendingRequests.drop();
-        if (greeted) void this.events.emit("down");
+        yield "backing-off";
+        this.pendingRequests.abandonAll();
+        if (isAccepted) void this.events.emit("disconnected");
       }
       this.connection?.close();
       this.connection = undefined;
-      if (this.stopping) break;
-      yield "resting";
-      await sleep(clock, restUs);
+      if (this.isStopping) break;
+      yield "backing-off";
+      await sleep(clock, backoffUs);
     }
-    yield "stopped";
+    yield "closed";
   }
 }
