--- a/scalability/table.ts
+++ b/scalability/table.ts
@@ -82,7 +82,7 @@
     (r) => numberAt(r, "restart.tookUs") / 1_000_000,
   ],
   [
-    "a seventh restarts, controlleres' processor ms a node",
+    "a seventh restarts, controllers' processor ms a node",
     (r) => numberAt(r, "restart.boxes.cpuUs") / 1_000 / numberAt(r, "restart.nodes"),
   ],
   [
