--- a/src/quota/retry-lease-renewer.ts
+++ b/src/quota/retry-lease-renewer.ts
@@ -1,22 +1,37 @@
 /** Leases retry tokens for one node's budgets while they are short of retries. */
 import type { Clock } from "../common/clock.js";
 import { packRetryRequest, readRetryResponse } from "./quota-codec.js";
-import { toRouteKind } from "./retry-limits.js";
+import { toRouteKind, type RouteKind } from "./retry-limits.js";
 import { MILLISECOND_US } from "../common/duration.js";
 import type { Message } from "../transport/connection.js";
-import type { RetryBudgets } from "../proxy/retry-budget.js";
 
 const FIRST_DELAY_US = 30 * MILLISECOND_US;
 const RENEWAL_INTERVAL_US = 700 * MILLISECOND_US;
 const TIMEOUT_US = 500 * MILLISECOND_US;
 
+/** The retry budgets of one node, as far as leasing goes. */
+export interface LeasableRetryBudgets {
+  /** Called when a budget has rejected a retry. */
+  onExhausted: () => void;
+  /** The budget of a service and kind of route. */
+  readonly of: (
+    service: string,
+    kind: RouteKind,
+  ) => {
+    /** Takes a new lease in place of the one before; `expiresUs` is on this process's clock. */
+    readonly setLease: (lease: { readonly tokens: number; readonly expiresUs: number }) => void;
+  };
+  /** Service, kind, tokens demanded and tokens leased, of the budgets that demand some. */
+  readonly takeDemands: () => readonly (readonly [string, RouteKind, number, number])[];
+}
+
 /** Asks for leases while some budget is short of retries; while none is, nothing runs and nothing is sent. */
 export class RetryLeaseRenewer {
   private isScheduled = false;
 
   constructor(
     private readonly clock: Clock,
-    private readonly retryBudgets: RetryBudgets,
+    private readonly retryBudgets: LeasableRetryBudgets,
     private readonly incarnation: string,
     private readonly request: (message: Message, waitUs: number) => Promise<Message | undefined>,
   ) {}
