--- a/chaos/day-generator.ts
+++ b/chaos/day-generator.ts
@@ -165,8 +165,8 @@
 ): Day => {
   const draws = new RandomDraws(seed);
   const mix = MIXES[draws.integer(0, MIXES.length - 1)] ?? "few";
-  const length_s = draws.integer(length[0], length[1]);
-  const moment = () => draws.number(FIRST_S, length_s - QUIET_END_S);
+  const lengthS = draws.integer(length[0], length[1]);
+  const moment = () => draws.number(FIRST_S, lengthS - QUIET_END_S);
   const change = list.kinds.find((kind) => kind.name === "config_change");
   const entries: { readonly book: "plan" | "faults"; readonly entry: Entry }[] = drawChanges(
     draws,
@@ -182,7 +182,7 @@
   }
   const close = draws.occurs(0.6) ? draws.pick(list.closingFaults) : undefined;
   const closeHow = draws.occurs(0.4) ? draws.pick(list.closingVariants) : undefined;
-  const down_s = draws.number(0.5, 2);
+  const downS = draws.number(0.5, 2);
   const of = (book: "plan" | "faults") =>
     entries
       .filter((one) => one.book === book)
@@ -191,10 +191,16 @@
   return {
     name: `${mix}-${seed}`,
     seed,
-    length_s,
+    length_s: lengthS,
     ...(close === undefined
       ? {}
-      : { closing: { kind: close, down_s, ...(closeHow === undefined ? {} : { how: closeHow }) } }),
+      : {
+          closing: {
+            kind: close,
+            down_s: downS,
+            ...(closeHow === undefined ? {} : { how: closeHow }),
+          },
+        }),
     plan: of("plan"),
     faults: of("faults"),
   };
--- a/features/steps/answers.ts
+++ b/features/steps/answers.ts
@@ -419,7 +419,9 @@
               ? responseBytes(503, { ...ID({ ...head, body: "" }), ...NOT_RUN })
               : responseBytes(413, SEALED({ ...head, body: "" }), "too large"),
         ),
-      onRequest: (request, socket) => void (request.method === "GET" && socket.write(own(request))),
+      onRequest: (request, socket) => {
+        if (request.method === "GET") socket.write(own(request));
+      },
     };
     tries += 1;
     client = new RawClient(harness.host, harness.port);
@@ -612,10 +614,11 @@
     let act: (() => void) | undefined;
     first().script = {
       onRequest: (request, socket) => {
-        act = () =>
-          void (what === " turns it away"
-            ? socket.write(responseBytes(503, { ...ID(request), ...NOT_RUN }))
-            : socket.resetAndDestroy());
+        act = () => {
+          if (what === " turns it away")
+            socket.write(responseBytes(503, { ...ID(request), ...NOT_RUN }));
+          else socket.resetAndDestroy();
+        };
       },
     };
     const leaver = new RawClient(harness.host, harness.port);
--- a/features/steps/archive.ts
+++ b/features/steps/archive.ts
@@ -26,6 +26,7 @@
 let writtenBytes = 0;
 const files = new NodeFileSystem();
 const disk: FileSystem = {
+  // eslint-disable-next-line @typescript-eslint/no-misused-spread -- its methods are fields of the instance
   ...files,
   write: (path, bytes) => {
     writtenBytes += bytes.length;
--- a/features/steps/contact.ts
+++ b/features/steps/contact.ts
@@ -64,6 +64,7 @@
   });
   await settle();
   let tookUs = 0;
+  // eslint-disable-next-line @typescript-eslint/no-unnecessary-condition -- set by the callback above
   for (; !isDone && tookUs < mostUs; tookUs += STEP_US) await pass(STEP_US);
   return { result: await finished, tookUs };
 };
@@ -376,7 +377,8 @@
       const fact = asList(news["facts"])
         .map((value) => asRecord(value))
         .find((one) => one["key"] === "plan/route/r1");
-      return assert.equal(fact?.["version"], version, `after ${at} hellos`);
+      assert.equal(fact?.["version"], version, `after ${at} hellos`);
+      return;
     }
     assert.fail("no node was fed");
   },
--- a/features/steps/forecast.ts
+++ b/features/steps/forecast.ts
@@ -267,5 +267,6 @@
     level(1.5, NODES, 1);
     await simulation.pass();
   }
+  // eslint-disable-next-line @typescript-eslint/no-unnecessary-condition -- it changes with each pass
   assert.ok(simulation.publishes > 0);
 });
--- a/features/steps/moves.ts
+++ b/features/steps/moves.ts
@@ -206,6 +206,7 @@
 });
 Then("every node chose the same workers in the same order", () => {
   const [asking, silent] = chosen;
+  // eslint-disable-next-line @typescript-eslint/prefer-optional-chain -- the assertion also tells that there is a first
   assert.ok(asking && asking.every((node) => node.length > 50));
   assert.deepEqual(asking, silent);
 });
--- a/features/steps/subset.ts
+++ b/features/steps/subset.ts
@@ -114,7 +114,7 @@
 /** How often choosing reads the clock: each look at a worker reads it a fixed number of times. */
 const readsOf = (choices: number): number => {
   let count = 0;
-  const counting = { ...clock, nowUs: () => (count += 1), after: clock.after, every: clock.every };
+  const counting = { nowUs: () => (count += 1), after: clock.after, every: clock.every };
   const [node] = nodes;
   assert.ok(node);
   const pool = new WorkerDirectory(counting, node.name, node.zone);
--- a/features/steps/system.ts
+++ b/features/steps/system.ts
@@ -94,6 +94,7 @@
   const finished = work.finally(() => {
     isDone = true;
   });
+  // eslint-disable-next-line @typescript-eslint/no-unnecessary-condition -- set by the callback above
   for (let step = 0; step < 4_000 && !isDone; step += 1) await clock.pass(stepUs);
   return finished;
 };
@@ -153,6 +154,7 @@
   const finished = work.finally(() => {
     isDone = true;
   });
+  // eslint-disable-next-line @typescript-eslint/no-unnecessary-condition -- set by the callback above
   while (!isDone) await live(100_000);
   await finished;
 };
@@ -368,7 +370,7 @@
   "within {int} seconds the new service is stopped on {string}",
   async (seconds: number, name: string) => {
     await until(
-      async () => /"verdict":"stop"/.test(await tellRollouts()),
+      async () => (await tellRollouts()).includes('"verdict":"stop"'),
       "the candidate is stopped",
       seconds,
     );
--- a/features/support/broken-controllers.ts
+++ b/features/support/broken-controllers.ts
@@ -21,6 +21,7 @@
   ...REAL_COMPONENTS,
   store: (options) => {
     const store = new ReplicatedStore(options);
+    // eslint-disable-next-line @typescript-eslint/no-misused-spread -- its methods are fields of the instance
     return Object.assign(store, broken({ ...store }, options));
   },
 });
--- a/features/support/golden.ts
+++ b/features/support/golden.ts
@@ -99,7 +99,7 @@
 ): Promise<readonly unknown[]> => {
   await cluster.startAll();
   cluster.dropsMessage = () => true;
-  const { store, lease: lease, keys } = cluster.member(id);
+  const { store, lease, keys } = cluster.member(id);
   const answers: unknown[] = [];
   for (const message of messages) {
     if (message.kind === "settled") answers.push((store.applyCommitted(message), null));
@@ -126,7 +126,7 @@
       const read = async (): Promise<readonly Message[]> => {
         const connection = await connectTo(
           "127.0.0.1",
-          isRecord(at) ? Number(at["port"]) : 0,
+          isRecord(at) ? Number(at.port) : 0,
           new ManualClock(),
           1_000_000,
           { heartbeatUs: 1_000_000, timeoutUs: 1_000_000 },
@@ -154,7 +154,7 @@
     });
     server.listen(0, "127.0.0.1", () => {
       const at = server.address();
-      connectTo("127.0.0.1", isRecord(at) ? Number(at["port"]) : 0, new ManualClock(), 1_000_000, {
+      connectTo("127.0.0.1", isRecord(at) ? Number(at.port) : 0, new ManualClock(), 1_000_000, {
         heartbeatUs: 1_000_000,
         timeoutUs: 1_000_000,
       }).then((connection) => {
--- a/features/support/replica-cluster.ts
+++ b/features/support/replica-cluster.ts
@@ -136,6 +136,7 @@
     const finished = work.finally(() => {
       isDone = true;
     });
+    // eslint-disable-next-line @typescript-eslint/no-unnecessary-condition -- set by the callback above
     for (let step = 0; step < 2_000 && !isDone; step += 1) await this.clock.pass(5_000);
     return finished;
   };
--- a/fuzz/checks.ts
+++ b/fuzz/checks.ts
@@ -123,8 +123,7 @@
 const unchangedRequest: Check = ({ sent, received }) =>
   received.flatMap((one) => {
     const operation = sent.find(({ attemptId }) => attemptId === one.attemptId);
-    return operation &&
-      operation.method === one.method &&
+    return operation?.method === one.method &&
       operation.path === one.path &&
       operation.digest === one.digest
       ? []
--- a/fuzz/play-seed.ts
+++ b/fuzz/play-seed.ts
@@ -40,6 +40,7 @@
     seed,
     numRuns: 1,
     endOnFailure: !shrinks,
+    // eslint-disable-next-line @typescript-eslint/no-deprecated -- its replacement has not been compared with it yet
     interruptAfterTimeLimit: SHRINK_MS,
   });
   return { seed, tries: attempts, runs, violations, shortest: result.counterexample?.[0] };
--- a/fuzz/scripted-worker.ts
+++ b/fuzz/scripted-worker.ts
@@ -97,7 +97,7 @@
     let head: Omit<WorkerRequest, "body"> | undefined;
     socket.on("data", (chunk) => {
       const text = chunk.toString("latin1");
-      this.bytes[connection - 1] += text;
+      this.bytes[connection - 1] = (this.bytes[connection - 1] ?? "") + text;
       unread += text;
       for (;;) {
         if (head === undefined) {
