--- a/src/common/clock.ts
+++ b/src/common/clock.ts
@@ -10,6 +10,7 @@
   readonly every: (gapUs: number, act: () => void) => Timer;
 }
 
+/** The monotonic clock of the process. Delays are rounded up to whole milliseconds, so a timer is never early by rounding. */
 export class SteadyClock implements Clock {
   readonly nowUs = (): number => Math.round(performance.now() * 1_000);
 
@@ -24,6 +25,7 @@
   };
 }
 
+/** Resolves once `waitUs` microseconds have passed on the clock. */
 export const sleep = (clock: Clock, waitUs: number): Promise<void> =>
   new Promise((resolve) => {
     clock.after(waitUs, resolve);
--- a/src/common/http-outcomes.ts
+++ b/src/common/http-outcomes.ts
@@ -14,6 +14,7 @@
   closes,
 });
 
+/** Each outcome with its status, its problem text, whether it asks the client to come back, and whether it closes the connection. */
 export const HTTP_OUTCOMES = {
   taken: row(200, ""),
   unreadable: row(400, "unreadable"),
@@ -45,7 +46,9 @@
   tooLate: row(504, "out of time"),
 } as const satisfies Readonly<Record<string, HttpOutcome>>;
 
+/** The name of a row of the table. */
 export type OutcomeName = keyof typeof HTTP_OUTCOMES;
 
 const isName = (name: string): name is OutcomeName => name in HTTP_OUTCOMES;
+/** All names of the table, in its order. */
 export const OUTCOME_NAMES: readonly OutcomeName[] = Object.keys(HTTP_OUTCOMES).filter(isName);
--- a/src/common/settings.ts
+++ b/src/common/settings.ts
@@ -5,7 +5,11 @@
 import { isRecord } from "./decode.js";
 import { parseDuration, SECOND_US } from "./duration.js";
 
-export type SettingsError = { readonly kind: "unreadable" | "wrong"; readonly sentence: string };
+/** Why settings could not be read: the file is unreadable, or its content is wrong; with a sentence for the operator. */
+export interface SettingsError {
+  readonly kind: "unreadable" | "wrong";
+  readonly sentence: string;
+}
 
 convict.addFormat({
   name: "span",
@@ -170,6 +174,7 @@
   };
 }
 
+/** Parses and validates settings given as TOML. The error's sentence is the first complaint. */
 export const parseSettings = (raw: string): Result<Settings, SettingsError> => {
   try {
     const cfg = schema();
@@ -218,11 +223,12 @@
     const sentence =
       (error instanceof Error ? error.message : String(error))
         .split("\n")
-        .filter((line) => line.trim() !== "")[0] ?? "";
+        .find((line) => line.trim() !== "") ?? "";
     return err({ kind: "wrong", sentence });
   }
 };
 
+/** Reads and validates a settings file. */
 export const readSettings = async (path: string): Promise<Result<Settings, SettingsError>> => {
   try {
     return parseSettings(await readFile(path, "utf8"));
--- a/src/health/route-comparison.ts
+++ b/src/health/route-comparison.ts
@@ -82,6 +82,7 @@
   });
 
   /** One candidate as the operator's query answers it; the names of the fields stay. */
+  // eslint-disable-next-line complexity -- one flat record, whose optional fields count as branches
   readonly explain = (candidate: string, state: CanaryState): UnknownRecord => {
     const { route, baseline } = this;
     const stop = findStop(state, route, candidate);
--- a/src/health/sequential-test.ts
+++ b/src/health/sequential-test.ts
@@ -5,8 +5,10 @@
 
 /** What became of one request. The order is the order of weight. */
 export const OUTCOME_KINDS = ["inTime", "late", "lost", "doubled"] as const;
+/** One of the outcomes a request can have. */
 export type OutcomeKind = (typeof OUTCOME_KINDS)[number];
 
+/** How many requests had each outcome. */
 export interface OutcomeCounts {
   readonly inTime: number;
   readonly late: number;
@@ -14,11 +16,14 @@
   readonly doubled: number;
 }
 
+/** The counts before the first request. */
 export const NO_OUTCOMES: OutcomeCounts = { inTime: 0, late: 0, lost: 0, doubled: 0 };
 
+/** The number of requests, over all outcomes. */
 export const countRequests = (counts: OutcomeCounts): number =>
   counts.inTime + counts.late + counts.lost + counts.doubled;
 
+/** The sum of two counts, outcome by outcome. */
 export const addCounts = (one: OutcomeCounts, other: OutcomeCounts): OutcomeCounts => ({
   inTime: one.inTime + other.inTime,
   late: one.late + other.late,
@@ -26,6 +31,7 @@
   doubled: one.doubled + other.doubled,
 });
 
+/** The loss of a request by its outcome; one in time has none. A lost request weighs more on an unsafe route. */
 export interface LossWeights {
   readonly late: number;
   readonly lostSafe: number;
@@ -33,6 +39,7 @@
   readonly doubled: number;
 }
 
+/** Error probabilities, margins and limits of the tests. Rates and losses are per request. */
 export interface SequentialTestSettings {
   readonly weights: LossWeights;
   /** The chance at most that a candidate no worse than the baseline is ever stopped by the test of all losses. */
@@ -52,6 +59,7 @@
   readonly maxRequests: number;
 }
 
+/** The settings used unless an operator gives others. */
 export const SEQUENTIAL_TEST_SETTINGS: SequentialTestSettings = {
   weights: { late: 0.3, lostSafe: 1, lostUnsafe: 2, doubled: 5 },
   maxFalseStopProbability: 0.01,
@@ -124,8 +132,10 @@
   readonly evidence = (): number => averageOf(this.logs);
 }
 
+/** What the tests say so far: go on observing, stop the candidate, pass it, or end undecided. */
 export type TestDecision = "observing" | "stop" | "pass" | "inconclusive";
 
+/** The decision of the tests with the figures that it rests on. Evidence is a product of bets: 1/a or more rejects at level a. */
 export interface TestResult {
   readonly decision: TestDecision;
   readonly reason: string;
