--- a/src/membership/cluster.ts
+++ b/src/membership/cluster.ts
@@ -44,6 +44,7 @@
   readonly answer: UnknownRecord | undefined;
 }
 
+/** Whether a worker takes requests: `missing` without recent heartbeats, `draining` when it is leaving, `gone` once it has left. */
 export type WorkerState = "ready" | "missing" | "draining" | "gone";
 
 /** What is known of a worker by its last heartbeat. */
--- a/src/membership/messages.ts
+++ b/src/membership/messages.ts
@@ -25,6 +25,7 @@
 } from "./cluster.js";
 
 /** The `kind` of each message. */
+// eslint-disable-next-line @typescript-eslint/naming-convention -- an enumeration, named like a type
 export const MessageKind = {
   /** Controller to controller: the first message over a link. */
   peerHello: "colleague",
@@ -126,6 +127,7 @@
   linkMbps: node.linkMbps,
 });
 
+/** Reads a node packed by `packNode`; throws a DecodeError if a field is missing or of the wrong type. */
 export const readNode = (value: unknown): ClusterNode => {
   const record = asRecord(value, "node");
   return {
@@ -155,11 +157,13 @@
   },
 });
 
+/** The nodes that have sessions with a controller, for its peers. */
 export const packNodes = (nodes: readonly ClusterNode[]): Message => ({
   kind: MessageKind.sessions,
   nodes: nodes.map(packNode),
 });
 
+/** The nodes that a peer has sessions with. */
 export const readNodes = (message: Message): readonly ClusterNode[] =>
   readList(message, "nodes", readNode);
 
@@ -189,6 +193,7 @@
   [CONTROLLERS]: controllers.map(({ id, zone }) => ({ id, [ZONE]: zone })),
 });
 
+/** The controllers that a message lists; empty where it lists none. */
 export const readControllers = (message: Message): readonly ControllerAddress[] =>
   readList(message, CONTROLLERS, (value) => {
     const record = asRecord(value);
@@ -206,6 +211,7 @@
     return { address: readString(record, "address"), zone: readString(record, ZONE) };
   });
 
+/** The size of the cluster for a node. Zone distributors and caches are left out where there are none. */
 export const packClusterSize = (size: ClusterSize): Message => ({
   kind: MessageKind.clusterSize,
   [GATEWAYS]: size.gateways,
@@ -214,6 +220,7 @@
   ...(size.caches ? { [CACHES]: size.caches.map(packAddress) } : {}),
 });
 
+/** Reads what `packClusterSize` packed; an empty list reads like a missing one. */
 export const readClusterSize = (message: Message): ClusterSize => {
   const zones = asRecord(message[ZONES], ZONES);
   const caches = readAddresses(message, CACHES);
@@ -233,6 +240,7 @@
   answer,
 });
 
+/** Reads what `packNodeAnswer` packed; an answer that is no record reads like none. */
 export const readNodeAnswer = (value: unknown): NodeAnswer => {
   const record = asRecord(value, "answer");
   return {
--- a/src/membership/node-sessions.ts
+++ b/src/membership/node-sessions.ts
@@ -19,6 +19,7 @@
   parent: string;
 }
 
+/** What the sessions of a controller with nodes are made with. */
 export interface NodeSessionsOptions {
   readonly clock: Clock;
   readonly publisher: UpdatePublisher;
--- a/src/membership/peers.ts
+++ b/src/membership/peers.ts
@@ -7,6 +7,7 @@
 import type { ControllerAddress } from "./cluster.js";
 import { packPeerHello, readPeerZone } from "./messages.js";
 
+/** What the links of a controller to its peers are made with. */
 export interface PeersOptions {
   /** This signalbox's id: its control address. */
   readonly self: string;
--- a/src/membership/update-store.ts
+++ b/src/membership/update-store.ts
@@ -15,6 +15,7 @@
   readonly sinceUs: number;
 }
 
+/** An update that has not been stored yet; its age is given apart. */
 export type NewUpdate = Omit<Update, "sinceUs">;
 
 const outranks = (one: NewUpdate, other: Update | undefined): boolean =>
@@ -78,10 +79,17 @@
   };
 }
 
+/** Prefix of the keys of workers, followed by the worker's id. */
 export const WORKER_PREFIX = "worker/";
+/** Prefix of the keys of purges. */
 export const PURGE_PREFIX = "purge/";
+/** Prefix of the keys of configuration items. */
 export const CONFIG_PREFIX = "plan/";
+/** Key of the ejected workers. */
 export const EJECTIONS_KEY = "ejections";
+/** Key of the capacity forecast. */
 export const FORECAST_KEY = "forecast";
+/** Key of the states of rollouts. */
 export const ROLLOUTS_KEY = "rollouts";
+/** Key of the retry limits. */
 export const RETRIES_KEY = "retries";
--- a/src/membership/update-subscriber.ts
+++ b/src/membership/update-subscriber.ts
@@ -19,6 +19,7 @@
 import type { ClusterSize, ControllerAddress, NodeRole } from "./cluster.js";
 import { MessageKind, packNodeHello, readClusterSize, readControllers } from "./messages.js";
 
+/** What a node's subscription to updates is made with. */
 export interface UpdateSubscriberOptions {
   readonly name: string;
   readonly zone: string;
@@ -35,6 +36,7 @@
   readonly answer?: (question: Message) => Message | undefined;
 }
 
+/** State of the session with a controller: none yet, hello sent and not answered, or open. */
 export type SessionState = "looking" | "greeting" | "standing";
 
 const LOOK_AGAIN_US = 150 * MILLISECOND_US;
@@ -155,11 +157,13 @@
         const first = await withTimeout(clock, times.timeoutUs, incoming.next(), undefined);
         if (first && !first.done) {
           this.learnBoxes(first.value);
+          // eslint-disable-next-line max-depth -- each yield is a state; a nested generator would add turns between them
           if (first.value.kind === MessageKind.welcome) {
             log.info("session opened", { controller });
             this.tried.clear();
             this.looks = 0;
             yield "standing";
+            // eslint-disable-next-line max-depth -- as above
             for await (const message of incoming) this.take(message);
             log.info("session closed", { controller });
           }
@@ -171,6 +175,7 @@
         this.sayUnfed();
       }
       this.tried.set(controller, clock.nowUs());
+      // eslint-disable-next-line @typescript-eslint/no-unnecessary-condition -- set by `stop` during an await
       if (!this.stopping) await sleep(clock, LOOK_AGAIN_US);
     }
   }
@@ -214,18 +219,22 @@
 
   private readonly take = (message: Message): void => {
     if (this.pendingRequests.resolve(message)) return;
-    if (typeof message["ask"] === "number")
-      return this.report({
+    if (typeof message["ask"] === "number") {
+      this.report({
         ...(this.options.answer?.(message) ?? { kind: MessageKind.unknown }),
         re: message["ask"],
       });
+      return;
+    }
     switch (message.kind) {
       case MessageKind.controllers:
-        return this.learnBoxes(message);
+        this.learnBoxes(message);
+        return;
       case MessageKind.parent:
-        return this.follow(readString(message, "parent"));
+        this.follow(readString(message, "parent"));
+        return;
       default:
-        return this.takeNews(message);
+        this.takeNews(message);
     }
   };
 
--- a/src/membership/worker-registry.ts
+++ b/src/membership/worker-registry.ts
@@ -62,6 +62,7 @@
    * Takes a beat, heard here or shared after `ageUs` elsewhere; false if it is old. One so old that its worker is missing
    * counts as such at once: a colleague that was cut off tells of workers long gone.
    */
+  // eslint-disable-next-line complexity -- the order of the comparisons is the rule, and stays in one place
   readonly record = (told: Heartbeat, ageUs = 0): boolean => {
     const nowUs = this.clock.nowUs() - ageUs;
     const heartbeat: Heartbeat =
--- a/src/transport/connection.ts
+++ b/src/transport/connection.ts
@@ -89,6 +89,7 @@
         this.lastReceivedUs = this.clock.nowUs();
         reader.append(chunk);
         for (let message = reader.next(); message !== undefined; message = reader.next())
+          // eslint-disable-next-line max-depth -- a nested generator would cost a turn for each message
           if (message.kind !== KEEP_ALIVE_KIND) yield message;
       }
     } catch {
--- a/src/transport/frame-codec.ts
+++ b/src/transport/frame-codec.ts
@@ -95,12 +95,18 @@
   readonly next = (): Message | undefined => {
     const { buffered, offset } = this;
     const available = buffered.length - offset;
-    if (available < LENGTH_BYTES) return this.keepRest();
+    if (available < LENGTH_BYTES) {
+      this.keepRest();
+      return undefined;
+    }
     const length = buffered.readUInt32BE(offset);
     const size = length & ~DEFLATED_FLAG;
     if (size > MAX_FRAME_BYTES)
       throw new FrameError(`a frame of ${size} bytes is longer than ${MAX_FRAME_BYTES}`);
-    if (available - LENGTH_BYTES < size) return this.keepRest();
+    if (available - LENGTH_BYTES < size) {
+      this.keepRest();
+      return undefined;
+    }
     const start = offset + LENGTH_BYTES;
     const body = buffered.subarray(start, start + size);
     this.offset = start + size;
--- a/src/transport/peer-link.ts
+++ b/src/transport/peer-link.ts
@@ -5,6 +5,7 @@
 import type { Message, Connection, KeepAliveTimes } from "./connection.js";
 import { PendingRequests } from "./pending-requests.js";
 
+/** What a link is made with; times are in microseconds. */
 export interface PeerLinkOptions {
   readonly ip: string;
   readonly port: number;
@@ -72,12 +73,15 @@
     while (!this.isStopping) {
       yield "connecting";
       this.connection = await connectTo(ip, port, clock, connectTimeoutUs, times);
+      // eslint-disable-next-line @typescript-eslint/no-unnecessary-condition -- set by `stop` during the await
       if (this.connection && !this.isStopping) {
         yield "handshaking";
         this.connection.send(hello());
         let isAccepted = false;
         for await (const message of this.connection.incoming()) {
+          // eslint-disable-next-line max-depth -- each yield is a state; a nested generator would add turns between them
           if (this.pendingRequests.resolve(message)) continue;
+          // eslint-disable-next-line max-depth -- as above
           if (isAccepted) {
             void this.events.emit("message", message);
             continue;
@@ -92,6 +96,7 @@
       }
       this.connection?.close();
       this.connection = undefined;
+      // eslint-disable-next-line @typescript-eslint/no-unnecessary-condition -- set by `stop` during an await
       if (this.isStopping) break;
       yield "backing-off";
       await sleep(clock, backoffUs);
