--- a/src/programs/data-plane-node.ts
+++ b/src/programs/data-plane-node.ts
@@ -9,8 +9,10 @@
 import { MILLISECOND_US } from "../common/duration.js";
 import type { Message, Connection } from "../transport/connection.js";
 
+/** Intervals of the connections between nodes and controllers, in microseconds. */
 export const KEEP_ALIVE = { heartbeatUs: 300 * MILLISECOND_US, timeoutUs: 1_000 * MILLISECOND_US };
 
+/** The parts of a node that take updates and relay them. */
 export interface DataPlaneNode {
   readonly updates: UpdateStore;
   readonly subscriber: UpdateSubscriber;
--- a/src/programs/gateway/node-queries.ts
+++ b/src/programs/gateway/node-queries.ts
@@ -12,6 +12,7 @@
 } from "../../common/decode.js";
 import type { Message } from "../../transport/connection.js";
 
+/** What the answers to operators' queries are taken from. */
 export interface NodeQueryOptions {
   readonly node: string;
   readonly zone: string;
@@ -20,6 +21,7 @@
   readonly retryBudgets: RetryBudgets;
 }
 
+/** Reads the change of backends that a query asks about; throws a DecodeError if a field is missing or wrong. */
 export const readBackendChange = (message: Message): BackendChange => ({
   add: readList(message, "add", (value) => {
     const record = asRecord(value);
--- a/src/programs/gateway/retry-budgets.ts
+++ b/src/programs/gateway/retry-budgets.ts
@@ -7,6 +7,7 @@
 import { defaultLimits, readRetryLimits, type RetryMaximum } from "../../quota/retry-limits.js";
 import type { Settings } from "../../common/settings.js";
 
+/** The highest retry limits that the settings allow; the window is in microseconds. */
 export const retryMaximumOf = (settings: Settings): RetryMaximum => ({
   ratio: settings.retryRatio,
   slack: settings.retrySlack,
--- a/src/proxy/body-reader.ts
+++ b/src/proxy/body-reader.ts
@@ -25,6 +25,7 @@
 const NO_MEMORY: BodyFailure = { kind: "no-memory", outcome: "full" };
 const TIMED_OUT: BodyFailure = { kind: "timed-out", outcome: "slowBody" };
 
+/** What the reader of request bodies is made with. */
 export interface BodyReaderOptions {
   readonly clock: Clock;
   readonly memory: MemoryBudget;
@@ -68,11 +69,15 @@
     const { req } = context;
     const length = Number(req.headers["content-length"] ?? 0);
     const hasBody = length > 0 || req.headers["transfer-encoding"] !== undefined;
-    if (length > routes.limits.maxBodyBytes) return reject(context, "bodyTooLarge");
+    if (length > routes.limits.maxBodyBytes) {
+      reject(context, "bodyTooLarge");
+      return;
+    }
     if (!hasBody || length > MAX_BUFFERED_BODY_BYTES) {
       if (hasBody) context.body = streamOf(req);
       if (stalls.noteRequest()) await twoEventLoopTurns();
-      return next(context);
+      next(context);
+      return;
     }
     const body = await withTimeout(
       clock,
@@ -84,9 +89,13 @@
     if (context.isFinished) return;
     if (Buffer.isBuffer(body)) {
       context.body = body;
-      return next(context);
+      next(context);
+      return;
+    }
+    if (body.outcome === undefined) {
+      finish(context);
+      return;
     }
-    if (body.outcome === undefined) return finish(context);
     reject(context, body.outcome);
   };
 
--- a/src/proxy/forwarding.ts
+++ b/src/proxy/forwarding.ts
@@ -32,6 +32,7 @@
   "expect",
 ]);
 
+/** What the forwarder of single attempts is made with. */
 export interface ForwarderOptions {
   readonly clock: Clock;
   /** The zone of this node. */
@@ -160,6 +161,7 @@
   };
 
   /** Moves the delivery state, and counts for and against the worker. */
+  // eslint-disable-next-line complexity -- one branch for each kind of result
   private readonly record = (
     context: RequestContext,
     worker: Worker,
--- a/src/proxy/headers.ts
+++ b/src/proxy/headers.ts
@@ -67,4 +67,4 @@
 };
 
 const isNamed = (header: string | undefined, name: string): boolean =>
-  header !== undefined && header.length === name.length && header.toLowerCase() === name;
+  header?.length === name.length && header.toLowerCase() === name;
--- a/src/proxy/keyed-requests.ts
+++ b/src/proxy/keyed-requests.ts
@@ -36,6 +36,7 @@
 ]);
 const NO_REPLY = { kind: "none" } as const;
 
+/** What the handling of requests with an idempotency key is made with. */
 export interface KeyedRequestsOptions {
   readonly clock: Clock;
   /** Without it every keyed request is rejected. */
@@ -76,6 +77,7 @@
         NO_REPLY,
       );
       if (result.kind === "won") {
+        // eslint-disable-next-line @typescript-eslint/no-unnecessary-condition -- the client may have left during the claim
         if (!context.isFinished) {
           context.claim = { key, token, askedUs };
           return true;
--- a/src/proxy/load-balancer.ts
+++ b/src/proxy/load-balancer.ts
@@ -5,6 +5,7 @@
 import type { Worker } from "./worker.js";
 import type { WorkerDirectory } from "./worker-directory.js";
 
+/** What the load balancer of a node is made with. */
 export interface LoadBalancerOptions {
   readonly workers: WorkerDirectory;
   /** The zone of this node. */
--- a/src/proxy/object-source.ts
+++ b/src/proxy/object-source.ts
@@ -29,6 +29,7 @@
   readonly body: Buffer;
 }
 
+/** What came of a fetch: the object, or why there is none. */
 export type ObjectResult = ServedObject | ObjectUnavailable;
 
 /** Where the proxy gets objects of cached routes from. */
--- a/src/proxy/outcome-recorder.ts
+++ b/src/proxy/outcome-recorder.ts
@@ -14,6 +14,7 @@
  */
 const CLIENT_PATIENCE_FRACTION = 0.8;
 
+/** What the recorder of outcomes reports to. */
 export interface OutcomeRecorderOptions {
   readonly clock: Clock;
   readonly countOutcome: (route: string, kind: string, outcome: string) => void;
--- a/src/proxy/pipeline.ts
+++ b/src/proxy/pipeline.ts
@@ -36,6 +36,7 @@
   readonly answered: (service: string, zone: string, tookUs: number) => void;
 }
 
+/** What the request pipeline is made with. */
 export interface PipelineOptions {
   readonly clock: Clock;
   /** The zone of this node. */
--- a/src/proxy/proxy-server.ts
+++ b/src/proxy/proxy-server.ts
@@ -18,6 +18,7 @@
 import { RequestPipeline, type PipelineOptions } from "./pipeline.js";
 import type { RequestContext } from "./request-context.js";
 
+/** What the proxy of a gateway is made with. */
 export interface ProxyServerOptions extends PipelineOptions {
   readonly log: Logger;
 }
--- a/src/proxy/reassignment-forecast.ts
+++ b/src/proxy/reassignment-forecast.ts
@@ -13,6 +13,7 @@
   readonly byRoute: boolean;
 }
 
+/** One node's view of one service, and the change that is asked about. `calls` were counted over `spanUs` microseconds. */
 export interface ReassignmentQuery {
   readonly node: string;
   readonly zone: string;
@@ -50,12 +51,14 @@
   readonly draws: readonly number[];
 }
 
+/** The requests a second that the node sends to a worker now, and would send after the change. */
 export interface LoadRow {
   readonly worker: string;
   readonly perSNow: number;
   readonly perSThen: number;
 }
 
+/** What one node forecasts for one service. */
 export interface ReassignmentForecast {
   readonly rows: readonly ReassignmentRow[];
   /** The workers that the node sends to now. */
@@ -63,6 +66,7 @@
   readonly loads: readonly LoadRow[];
 }
 
+/** The probability that the bands of the forecast cover the shares. */
 export const CONFIDENCE = 0.9;
 /** With fewer calls than this no share is told. */
 export const MIN_REQUESTS = 30;
@@ -161,6 +165,7 @@
  * The forecast of one node for one service. A query: it changes nothing, draws no random number, and calls the same
  * function that choosing goes by.
  */
+// eslint-disable-next-line max-lines-per-function -- one computation, whose steps share most of their values
 export const forecastReassignment = ({
   node,
   zone,
--- a/src/proxy/request-routing.ts
+++ b/src/proxy/request-routing.ts
@@ -8,6 +8,7 @@
 import type { RetryBudgets } from "./retry-budget.js";
 import type { Route, RouteTable } from "./route-table.js";
 
+/** What the router of requests is made with. */
 export interface RequestRouterOptions {
   readonly routes: RouteTable;
   readonly retryBudgets: RetryBudgets;
@@ -37,15 +38,22 @@
   constructor(private readonly options: RequestRouterOptions) {}
 
   /** Sets the route, the service and the deadline of a request, and hands it on. */
+  // eslint-disable-next-line complexity -- a sequence of early returns without nesting
   readonly route = (context: RequestContext): void => {
     const { routes, random, retryBudgets, reject } = this.options;
     const { req } = context;
     if (context.isFinished) return;
-    if (!routes.isLoaded) return reject(context, "noPlan");
+    if (!routes.isLoaded) {
+      reject(context, "noPlan");
+      return;
+    }
     const host = (req.headers.host ?? "").toLowerCase().replace(/:\d+$/, "");
     const path = (req.url ?? "/").split("?")[0] ?? "/";
     const route = routes.find(host, path);
-    if (!route) return reject(context, "unknownRoute");
+    if (!route) {
+      reject(context, "unknownRoute");
+      return;
+    }
     context.route = route;
     context.service = routes.effectiveService(route, drawService(route, random()));
     context.deadlineUs = Math.min(context.deadlineUs, context.arrivedUs + route.timeoutUs);
@@ -54,7 +62,10 @@
       void serveCached(context, route, host);
       return;
     }
-    if (context.attemptId === "") return reject(context, "noTryId");
+    if (context.attemptId === "") {
+      reject(context, "noTryId");
+      return;
+    }
     retryBudgets.of(context.service, toRouteKind(route.kind)).recordRequest();
     this.options.countArrival?.(context.service);
     this.options.forward(context);
--- a/src/proxy/response-writer.ts
+++ b/src/proxy/response-writer.ts
@@ -9,6 +9,7 @@
 import type { Route } from "./route-table.js";
 import type { BodyStream, UpstreamResponse } from "./upstream-request.js";
 
+/** What the writer of responses is made with. */
 export interface ResponseWriterOptions {
   readonly outcomes: OutcomeRecorder;
   readonly completion: RequestCompletion;
--- a/src/proxy/retry-and-hedging.ts
+++ b/src/proxy/retry-and-hedging.ts
@@ -27,6 +27,7 @@
 /** How many workers that can't be reached a request looks for beyond its tries. */
 const MAX_UNREACHABLE_WORKERS = 2;
 
+/** What the forwarder that retries and hedges is made with. */
 export interface RetryingForwarderOptions {
   readonly clock: Clock;
   readonly routes: RouteTable;
@@ -48,6 +49,7 @@
   constructor(private readonly options: RetryingForwarderOptions) {}
 
   /** Forwards a routed request, again where that is allowed, and gives the one response. */
+  // eslint-disable-next-line complexity -- one loop over the attempts, whose early ends are easier to follow in one place
   readonly forward = async (context: RequestContext): Promise<void> => {
     const { stalls, forwarder, keyed, writer, objects } = this.options;
     const { route } = context;
@@ -58,13 +60,22 @@
     }
     this.startDeadline(context);
     if (route.kind === "keyed" && !(await keyed.claim(context, route))) return;
-    if (objects && this.isRateLimited(context.service) && !(await objects.permit(context.service)))
-      return writer.reject(context, "noRate");
+    if (
+      objects &&
+      this.isRateLimited(context.service) &&
+      !(await objects.permit(context.service))
+    ) {
+      writer.reject(context, "noRate");
+      return;
+    }
     let lastResponse: UpstreamResponse | undefined;
     while (this.mayAttempt(context, route)) {
       const worker = await forwarder.waitForWorker(context, route);
       if (context.isFinished || !worker) break;
-      if (forwarder.isPastDeadline(context)) return writer.reject(context, "tooLate");
+      if (forwarder.isPastDeadline(context)) {
+        writer.reject(context, "tooLate");
+        return;
+      }
       if (forwarder.wouldBeLate(context, route, worker)) break;
       const result = await this.attempt(context, route, worker);
       if (result.kind === "answered") {
@@ -72,20 +83,26 @@
         // A status that promises too much may not pass: the request has run.
         const mayForward = mayForwardStatus(response.status, route.isSafe);
         if (mayForward && context.claim) await keyed.store(context, response);
+        // eslint-disable-next-line @typescript-eslint/no-unnecessary-condition -- the request may end during an await
         if (context.isFinished || !mayForward) {
           response.remainder?.abort();
           break;
         }
         const isFault = response.status >= 500;
-        if (!isFault || !route.isSafe || context.attempts >= route.maxAttempts)
-          return writer.send(context, response);
+        if (!isFault || !route.isSafe || context.attempts >= route.maxAttempts) {
+          writer.send(context, response);
+          return;
+        }
         lastResponse = response;
         continue;
       }
       const mayHaveRun = result.kind === "lost" && !route.isSafe;
+      // eslint-disable-next-line @typescript-eslint/no-unnecessary-condition -- the request may end during the attempt
       if (context.isFinished || result.kind === "cancelled" || mayHaveRun) break;
-      if (result.kind === "not-sent" && result.reason === "invalid-request")
-        return writer.reject(context, "malformed");
+      if (result.kind === "not-sent" && result.reason === "invalid-request") {
+        writer.reject(context, "malformed");
+        return;
+      }
     }
     this.conclude(context, lastResponse);
   };
--- a/src/proxy/upstream-request.ts
+++ b/src/proxy/upstream-request.ts
@@ -161,9 +161,14 @@
   /** The connection is up, and the library writes as soon as this returns. */
   readonly onRequestStart = (controller: Dispatcher.DispatchController): void => {
     this.controller = controller;
-    if (this.isFinished) return controller.abort(new Error("cancelled"));
-    if (!this.request.maySend())
-      return this.finish(false, false, { kind: "not-sent", reason: "withheld" });
+    if (this.isFinished) {
+      controller.abort(new Error("cancelled"));
+      return;
+    }
+    if (!this.request.maySend()) {
+      this.finish(false, false, { kind: "not-sent", reason: "withheld" });
+      return;
+    }
     this.isSent = true;
   };
 
@@ -179,7 +184,10 @@
       : [];
     this.status = statusCode;
     const reason = reasonToDistrust(statusCode, this.headers, this.request);
-    if (reason !== undefined) return this.finish(true, false, { kind: "lost", reason });
+    if (reason !== undefined) {
+      this.finish(true, false, { kind: "lost", reason });
+      return;
+    }
     const load = readWorkerLoad(headerValue(this.headers, WORKER_LOAD_HEADER));
     if (load) this.worker.reportLoad(...load);
   };
--- a/src/proxy/worker-directory.ts
+++ b/src/proxy/worker-directory.ts
@@ -140,7 +140,10 @@
 
   private readonly applyWorker = (update: Update): void => {
     const id = update.key.slice(WORKER_PREFIX.length);
-    if (update.body["state"] === "gone") return this.remove(id);
+    if (update.body["state"] === "gone") {
+      this.remove(id);
+      return;
+    }
     const known = this.workers.get(id);
     const worker =
       known ?? new Worker(id, this.clock, this.latencyOf(readString(update.body, "service")));
