--- a/src/common/clock.ts
+++ b/src/common/clock.ts
@@ -1,4 +1,4 @@
-/** A pulse is a timer that can be stopped. */
+/** A timer that can be stopped. */
 export interface Timer {
   readonly stop: () => void;
 }
--- a/src/common/decode.ts
+++ b/src/common/decode.ts
@@ -1,4 +1,4 @@
-/** Reading of untyped data without casts: each reader gives the value or throws a ShapeMishap naming the field. */
+/** Reading of untyped data without casts: each reader gives the value or throws a DecodeError naming the field. */
 export class DecodeError extends Error {
   constructor(
     readonly field: string,
--- a/src/health/sequential-test.ts
+++ b/src/health/sequential-test.ts
@@ -31,7 +31,7 @@
   doubled: one.doubled + other.doubled,
 });
 
-/** The loss of a request by its outcome; one in time has none. A lost request weighs more on an unsafe route. */
+/** The loss of a request by its outcome; one in time has none. A lost request is weighed by whether its route is safe. */
 export interface LossWeights {
   readonly late: number;
   readonly lostSafe: number;
@@ -59,7 +59,7 @@
   readonly maxRequests: number;
 }
 
-/** The settings used unless an operator gives others. */
+/** The settings of the tests; a deployment may replace the weights. */
 export const SEQUENTIAL_TEST_SETTINGS: SequentialTestSettings = {
   weights: { late: 0.3, lostSafe: 1, lostUnsafe: 2, doubled: 5 },
   maxFalseStopProbability: 0.01,
@@ -135,7 +135,7 @@
 /** What the tests say so far: go on observing, stop the candidate, pass it, or end undecided. */
 export type TestDecision = "observing" | "stop" | "pass" | "inconclusive";
 
-/** The decision of the tests with the figures that it rests on. Evidence is a product of bets: 1/a or more rejects at level a. */
+/** The decision of the tests with the figures that it rests on. Evidence of 1/a or more rejects its null at level a. */
 export interface TestResult {
   readonly decision: TestDecision;
   readonly reason: string;
