--- a/eslint.config.js
+++ b/eslint.config.js
@@ -46,7 +46,7 @@
       files: [`src/${folder}/**`],
       rules: {
         "no-restricted-imports": [
-          folder === "quota" ? "warn" : "error",
+          "error",
           {
             patterns: [
               {
@@ -63,11 +63,11 @@
 
 /** Limits on size and nesting, in all code that ships. */
 const sizeLimits = {
-  "max-lines": ["warn", { max: 400 }],
-  "max-lines-per-function": ["warn", { max: 60 }],
-  "max-depth": ["warn", 3],
-  complexity: ["warn", 12],
-  "no-nested-ternary": "warn",
+  "max-lines": ["error", { max: 400 }],
+  "max-lines-per-function": ["error", { max: 60 }],
+  "max-depth": ["error", 3],
+  complexity: ["error", 12],
+  "no-nested-ternary": "error",
 };
 
 export default tseslint.config(
@@ -98,20 +98,20 @@
       "@typescript-eslint/require-await": "off",
       "@typescript-eslint/no-misused-promises": ["error", { checksVoidReturn: false }],
       // Untyped data is read by index signature, where a bracket shows that the field may be missing.
-      "@typescript-eslint/dot-notation": ["warn", { allowIndexSignaturePropertyAccess: true }],
-      "@typescript-eslint/no-confusing-void-expression": ["warn", { ignoreArrowShorthand: true }],
-      "@typescript-eslint/restrict-template-expressions": ["warn", { allowNumber: true }],
-      "@typescript-eslint/consistent-type-definitions": "warn",
-      "@typescript-eslint/no-unnecessary-condition": "warn",
-      "@typescript-eslint/prefer-optional-chain": "warn",
-      "@typescript-eslint/prefer-find": "warn",
-      "@typescript-eslint/prefer-includes": "warn",
-      "@typescript-eslint/no-misused-spread": "warn",
-      "@typescript-eslint/no-meaningless-void-operator": "warn",
-      "@typescript-eslint/no-deprecated": "warn",
-      "@typescript-eslint/restrict-plus-operands": "warn",
+      "@typescript-eslint/dot-notation": ["error", { allowIndexSignaturePropertyAccess: true }],
+      "@typescript-eslint/no-confusing-void-expression": ["error", { ignoreArrowShorthand: true }],
+      "@typescript-eslint/restrict-template-expressions": ["error", { allowNumber: true }],
+      "@typescript-eslint/consistent-type-definitions": "error",
+      "@typescript-eslint/no-unnecessary-condition": "error",
+      "@typescript-eslint/prefer-optional-chain": "error",
+      "@typescript-eslint/prefer-find": "error",
+      "@typescript-eslint/prefer-includes": "error",
+      "@typescript-eslint/no-misused-spread": "error",
+      "@typescript-eslint/no-meaningless-void-operator": "error",
+      "@typescript-eslint/no-deprecated": "error",
+      "@typescript-eslint/restrict-plus-operands": "error",
       "@typescript-eslint/naming-convention": [
-        "warn",
+        "error",
         { selector: "default", format: ["camelCase"], leadingUnderscore: "allow" },
         { selector: "variable", format: ["camelCase", "UPPER_CASE"] },
         { selector: "typeLike", format: ["PascalCase"] },
@@ -129,7 +129,7 @@
     plugins: { jsdoc },
     rules: {
       "jsdoc/require-jsdoc": [
-        "warn",
+        "error",
         {
           publicOnly: true,
           enableFixer: false,
@@ -144,6 +144,17 @@
       ],
     },
   },
+  // Not yet converted: these files still have items without documentation, and long or branching functions.
+  {
+    files: ["src/cache/**", "src/programs/cache/**", "src/programs/gateway/object-cache.ts"],
+    rules: {
+      "jsdoc/require-jsdoc": "warn",
+      "@typescript-eslint/consistent-type-definitions": "warn",
+      "max-lines-per-function": "warn",
+      complexity: "warn",
+      "no-nested-ternary": "warn",
+    },
+  },
   ...importBoundaries,
   prettier,
 );
