--- a/chaos/day-generator.ts
+++ b/chaos/day-generator.ts
@@ -8,7 +8,10 @@
   readonly zones: readonly string[];
 }
 
-/** One entry of a day; `at`, `for_s` and `gap_s` in seconds from the start of traffic, as day files write them. */
+/**
+ * One entry of a day; `at`, `for_s` and `gap_s` in seconds from the start of traffic, as day files
+ * write them.
+ */
 export interface Entry {
   readonly at: number;
   readonly kind: string;
@@ -32,7 +35,10 @@
   readonly faults: readonly Entry[];
 }
 
-/** What a drawn day is made of: a few faults and changes; many faults; hundreds of changes with some faults. */
+/**
+ * What a drawn day is made of: a few faults and changes; many faults; hundreds of changes with some
+ * faults.
+ */
 export const MIXES = ["few", "many", "changes"] as const;
 export type Mix = (typeof MIXES)[number];
 export const MAX_CHANGES_AT_ONCE = 8;
@@ -156,7 +162,10 @@
   return entries;
 };
 
-/** One day, a pure function of its seed, the site, the list and the bounds of its length (whole seconds). */
+/**
+ * One day, a pure function of its seed, the site, the list and the bounds of its length (whole
+ * seconds).
+ */
 export const drawDay = (
   seed: number,
   site: Site,
--- a/chaos/fault-kinds.ts
+++ b/chaos/fault-kinds.ts
@@ -1,12 +1,19 @@
-/** Reads the bench's list of kinds: which faults and changes a day may hold, and which figures each takes. */
+/**
+ * Reads the bench's list of kinds: which faults and changes a day may hold, and which figures each
+ * takes.
+ */
 import { err, ok, type Result } from "true-myth/result";
 
-/** What a kind of fault strikes. Servers and machines may be selected in more ways than other things. */
+/**
+ * What a kind of fault strikes. Servers and machines may be selected in more ways than other
+ * things.
+ */
 export type Target = "servers" | "machines" | "disks" | "links" | "clients" | "orders";
 
 /**
- * Kinds that this system is built for: in which section of a day they stand, and what they strike. A kind that is not here
- * needs a part which is not built, or is new; it is left out of drawn days and named. Its figures come from the list alone.
+ * Kinds that this system is built for: in which section of a day they stand, and what they strike.
+ * A kind that is not here needs a part which is not built, or is new; it is left out of drawn days
+ * and named. Its figures come from the list alone.
  */
 const SUPPORTED: Readonly<Record<string, readonly ["plan" | "faults", Target]>> = {
   burst: ["faults", "clients"],
@@ -55,7 +62,10 @@
 /** A figure that a kind takes: the bracketed default of the list; "open" if the list gives none. */
 export type Figure = number | "open";
 
-/** One kind as the list describes it. `variants` are its own values of `how`; `countsThings`: x is a number of things. */
+/**
+ * One kind as the list describes it. `variants` are its own values of `how`; `countsThings`: x is a
+ * number of things.
+ */
 export interface FaultKind {
   readonly name: string;
   readonly section: "plan" | "faults";
@@ -71,9 +81,10 @@
 }
 
 /**
- * A list of kinds. `machineSelectors` and `serverSelectors` say which are struck; `concurrentChanges` are two variants that
- * exclude each other; `restartVariants` go with any machine that comes back, `rollVariants` with a rolling restart;
- * `partitionVariants` are the ways of a partition that is not silent; `closingVariants` are ways to time closing faults.
+ * A list of kinds. `machineSelectors` and `serverSelectors` say which are struck;
+ * `concurrentChanges` are two variants that exclude each other; `restartVariants` go with any
+ * machine that comes back, `rollVariants` with a rolling restart; `partitionVariants` are the ways
+ * of a partition that is not silent; `closingVariants` are ways to time closing faults.
  */
 export interface FaultKinds {
   readonly kinds: readonly FaultKind[];
@@ -96,7 +107,10 @@
 const isVariant = (word: string): boolean =>
   /^[a-z]\w*$/.test(word) && word !== "and" && word !== "or";
 
-/** The words that follow `how`: "how: a b, c (why); how d: why". A part that explains itself after a comma gives its first word. */
+/**
+ * The words that follow `how`: "how: a b, c (why); how d: why". A part that explains itself after a
+ * comma gives its first word.
+ */
 const readVariants = (text: string): readonly string[] => {
   const timed = [...text.matchAll(/how (\w+):/g)].map((found) => found[1] ?? "");
   const listed = [...text.matchAll(/how:((?:[^()]|\((?:[^()]|\([^()]*\))*\))*)/g)].flatMap(
@@ -113,7 +127,10 @@
   return [...new Set([...listed, ...timed].filter(isVariant))];
 };
 
-/** A figure's default; undefined where the kind does not take it, or the list says in words what it is if left out. */
+/**
+ * A figure's default; undefined where the kind does not take it, or the list says in words what it
+ * is if left out.
+ */
 const readFigure = (text: string, pattern: RegExp): Figure | undefined => {
   const found = pattern.exec(text);
   if (!found) return undefined;
--- a/chaos/journal.ts
+++ b/chaos/journal.ts
@@ -11,8 +11,9 @@
 } from "../src/common/decode.js";
 
 /**
- * One run of a day, as a journal entry records it. `key` is the same for every run of one day at one size: deployment,
- * name, seed, full or small. `violations` are rules with how often, and what else failed the gate, in the entry's own words.
+ * One run of a day, as a journal entry records it. `key` is the same for every run of one day at
+ * one size: deployment, name, seed, full or small. `violations` are rules with how often, and what
+ * else failed the gate, in the entry's own words.
  */
 export interface DayRun {
   readonly entry: string;
@@ -60,7 +61,10 @@
   return typeof told === "string" ? told : (/([^/]+)\.toml$/.exec(argv[0] ?? "")?.[1] ?? "unknown");
 };
 
-/** The days of one journal entry, in the order they stand there. Throws a DecodeError that names a field which is not as it should be. */
+/**
+ * The days of one journal entry, in the order they stand there. Throws a DecodeError that names a
+ * field which is not as it should be.
+ */
 export const readEntry = (
   value: unknown,
 ): { readonly runs: readonly DayRun[]; readonly partialRuns: readonly PartialRun[] } => {
--- a/chaos/run.ts
+++ b/chaos/run.ts
@@ -1,4 +1,7 @@
-/** `npm run chaos`: draws days of faults and changes for the bench, and tables what the journal says of days that were run. */
+/**
+ * `npm run chaos`: draws days of faults and changes for the bench, and tables what the journal says
+ * of days that were run.
+ */
 import { mkdir, readdir, readFile, writeFile } from "node:fs/promises";
 import { basename, dirname, join } from "node:path";
 import { text as textOfStream } from "node:stream/consumers";
--- a/chaos/summary.ts
+++ b/chaos/summary.ts
@@ -2,7 +2,10 @@
 import { asRecord, readList, readString } from "../src/common/decode.js";
 import type { DayRun, PartialRun } from "./journal.js";
 
-/** What is known of a broken rule, from chaos/notes.toml: which day (its key begins so), which rule, what became of it and on which page it is written up. */
+/**
+ * What is known of a broken rule, from chaos/notes.toml: which day (its key begins so), which rule,
+ * what became of it and on which page it is written up.
+ */
 export interface Note {
   readonly day: string;
   readonly rule: string;
@@ -93,7 +96,10 @@
 const unbrokenOf = (runs: readonly DayRun[]): number =>
   runs.reduce((row, run) => (hasViolations(run) ? 0 : row + 1), 0);
 
-/** Sums what the journal says; runs in any order. `since` leaves out what began before it (an ISO time; empty: nothing). */
+/**
+ * Sums what the journal says; runs in any order. `since` leaves out what began before it (an ISO
+ * time; empty: nothing).
+ */
 export const summarize = (
   allRuns: readonly DayRun[],
   allPartialRuns: readonly PartialRun[],
--- a/eslint.config.js
+++ b/eslint.config.js
@@ -32,7 +32,10 @@
   ["programs"],
 ];
 
-/** Imports that the order of the layers would allow and that are wrong all the same: the data plane needs no agreement. */
+/**
+ * Imports that the order of the layers would allow and that are wrong all the same: the data plane
+ * needs no agreement.
+ */
 const FORBIDDEN_BESIDES = { proxy: ["consensus", "storage", "config"] };
 
 const importBoundaries = LAYERS.flatMap((folders, level) =>
@@ -94,10 +97,12 @@
       "object-shorthand": ["error", "properties"],
       "@typescript-eslint/no-explicit-any": "error",
       "@typescript-eslint/consistent-type-assertions": ["error", { assertionStyle: "never" }],
-      // An interface that others implement may be asynchronous where one implementation has nothing to wait for.
+      // An interface that others implement may be asynchronous where one implementation has nothing
+      // to wait for.
       "@typescript-eslint/require-await": "off",
       "@typescript-eslint/no-misused-promises": ["error", { checksVoidReturn: false }],
-      // Untyped data is read by index signature, where a bracket shows that the field may be missing.
+      // Untyped data is read by index signature, where a bracket shows that the field may be
+      // missing.
       "@typescript-eslint/dot-notation": ["error", { allowIndexSignaturePropertyAccess: true }],
       "@typescript-eslint/no-confusing-void-expression": ["error", { ignoreArrowShorthand: true }],
       "@typescript-eslint/restrict-template-expressions": ["error", { allowNumber: true }],
@@ -144,7 +149,8 @@
       ],
     },
   },
-  // Not yet converted: these files still have items without documentation, and long or branching functions.
+  // Not yet converted: these files still have items without documentation, and long or branching
+  // functions.
   {
     files: ["src/cache/**", "src/programs/cache/**", "src/programs/gateway/object-cache.ts"],
     rules: {
--- a/features/steps/answers.ts
+++ b/features/steps/answers.ts
@@ -241,7 +241,10 @@
     ),
 };
 
-/** Requests are sent until the first worker gets one of the method; which worker is chosen is not the test's business. */
+/**
+ * Requests are sent until the first worker gets one of the method; which worker is chosen is not
+ * the test's business.
+ */
 const untilFirstSees = async (method: string, path: string, body: string): Promise<void> => {
   const before = first().requests.length;
   for (
@@ -304,7 +307,9 @@
   (status: string, who: string) =>
     assert.deepEqual([response?.status, whose()], [Number(status), who]),
 );
-/** A reset may or may not come before the first byte leaves; either way what is told must be true. */
+/**
+ * A reset may or may not come before the first byte leaves; either way what is told must be true.
+ */
 Then("the order's client is told 502 or 200 by the gateway or the second worker", () =>
   assert.ok(whose() === (response?.status === 502 ? "by the gateway" : "by the second worker")),
 );
@@ -338,7 +343,10 @@
 );
 
 const LONG = "x".repeat(400_000);
-/** Whole requests seen once the first worker's sockets have seen this try: what "amid" and "as soon as" act on. */
+/**
+ * Whole requests seen once the first worker's sockets have seen this try: what "amid" and "as soon
+ * as" act on.
+ */
 const MOMENTS: Readonly<Record<string, Script>> = {
   "as soon as it is up": { onConnect: (socket) => void socket.resetAndDestroy() },
   "at the first byte": {
--- a/features/steps/archive.ts
+++ b/features/steps/archive.ts
@@ -250,13 +250,19 @@
   readonly wholeStarts: number;
   /** Starts that found it verified and lacked something kept. */
   readonly missing: readonly string[];
-  /** Starts without proof where there was no cause for doubt, and keeps refused by a disk that was well again. */
+  /**
+   * Starts without proof where there was no cause for doubt, and keeps refused by a disk that was
+   * well again.
+   */
   readonly needless: readonly string[];
 }
 
 const KEYS = 60;
 
-/** Lives of one box on one disk. What was kept is known to the test, as to a quorum, from which the box catches up. */
+/**
+ * Lives of one box on one disk. What was kept is known to the test, as to a quorum, from which the
+ * box catches up.
+ */
 const play = async (seed: number, spoils: boolean, fault: Fault): Promise<Played> => {
   const random = randomOf(seed);
   const box = new FaultyDisk(random);
--- a/features/steps/contact.ts
+++ b/features/steps/contact.ts
@@ -44,7 +44,10 @@
 let wires: Connection[] = [];
 let heartbeats = 0;
 
-/** Each box, and the nodes, have a clock of their own; all move on together, but for one that is frozen. */
+/**
+ * Each box, and the nodes, have a clock of their own; all move on together, but for one that is
+ * frozen.
+ */
 const pass = async (spanUs: number): Promise<void> => {
   for (let passedUs = 0; passedUs < spanUs; passedUs += STEP_US) {
     for (const clock of [nodeClock, ...boxes.map((box) => box.clock)])
@@ -407,7 +410,10 @@
 
 let holder: Box | undefined;
 let bare: Awaited<ReturnType<typeof join>> | undefined;
-/** Tokens leased by the answer; the node says that it holds some, so that a new holder of the duty would renew them. */
+/**
+ * Tokens leased by the answer; the node says that it holds some, so that a new holder of the duty
+ * would renew them.
+ */
 const leased = async (): Promise<number | undefined> => {
   assert.ok(bare);
   const { result } = await during(
--- a/features/steps/forwarded-messages.ts
+++ b/features/steps/forwarded-messages.ts
@@ -1,4 +1,7 @@
-/** Messages between controllers for operators: those of before the renames are read, and written as they were. */
+/**
+ * Messages between controllers for operators: those of before the renames are read, and written as
+ * they were.
+ */
 import assert from "node:assert/strict";
 import { readFile } from "node:fs/promises";
 import { join } from "node:path";
@@ -29,7 +32,10 @@
   readonly message: Message;
 }
 
-/** The frames of before as this code's reader gives them, each compared with the message that it held. */
+/**
+ * The frames of before as this code's reader gives them, each compared with the message that it
+ * held.
+ */
 const forwardedFrames = async (): Promise<readonly ForwardedFrame[]> => {
   const rows = asList(parseJson(await readFile(FILE, "utf8"))).map((value) => asRecord(value));
   const frames = rows.map((row) => Buffer.from(readString(row, "frame"), "base64"));
--- a/features/steps/goods.ts
+++ b/features/steps/goods.ts
@@ -161,7 +161,8 @@
   },
 );
 
-// --- the rate -------------------------------------------------------------------------------------------------------
+// --- the rate
+// -------------------------------------------------------------------------------------------------------
 
 let rate = 0;
 let ceiling = 0;
@@ -211,7 +212,8 @@
     let lives = 0;
     for (let step = 0; step < seconds * 20; step += 1) {
       await clock.pass(50_000);
-      // Every 7 s one is killed and starts again as another life; every 11 s one is cut off for 4 s; every 20 s the duty moves.
+      // Every 7 s one is killed and starts again as another life; every 11 s one is cut off for 4
+      // s; every 20 s the duty moves.
       if (step % 140 === 139) {
         lives += 1;
         depots[lives % count] = newDepot(`again-${lives}`);
--- a/features/steps/inspection.ts
+++ b/features/steps/inspection.ts
@@ -17,7 +17,8 @@
 import { seeded } from "../support/fleet.js";
 import { ManualClock } from "../support/manual-clock.js";
 
-// --- the simulation -------------------------------------------------------------------------------------------------
+// --- the simulation
+// -------------------------------------------------------------------------------------------------
 
 interface Rates {
   readonly late: number;
@@ -36,7 +37,9 @@
 
 const SECONDS = 900;
 
-/** One run: 27 baseline and 3 candidate requests a second over four cells, looked at every second. */
+/**
+ * One run: 27 baseline and 3 candidate requests a second over four cells, looked at every second.
+ */
 const playRun = (isSafe: boolean, baseline: Rates, candidate: Rates, seed: number): TestResult => {
   const random = seeded(seed);
   const trial = new SequentialTest(isSafe, SEQUENTIAL_TEST_SETTINGS, random);
@@ -115,7 +118,8 @@
   assert.ok(having("pass").length <= most, `${having("pass").length} passed`),
 );
 
-// --- the rollout inspector ------------------------------------------------------------------------------------------
+// --- the rollout inspector
+// ------------------------------------------------------------------------------------------
 
 let clock = new ManualClock();
 let state: CanaryState = NO_CANARIES;
@@ -256,7 +260,8 @@
   assert.equal((await rollouts.clearStop("r1", 6))?.code, "STALE_ROUTE_VERSION");
 });
 
-// --- the inspector --------------------------------------------------------------------------------------------------
+// --- the inspector
+// --------------------------------------------------------------------------------------------------
 
 interface OneWorker {
   readonly id: string;
--- a/features/steps/keys.ts
+++ b/features/steps/keys.ts
@@ -145,7 +145,8 @@
 );
 When("new keys are claimed until one is refused", async () => {
   for (let at = 0; at < 2_000; at += 1) {
-    // The clock stands still: on a busy machine it would outrun the window of the key that must not be forgotten.
+    // The clock stands still: on a busy machine it would outrun the window of the key that must not
+    // be forgotten.
     const result = await net().member("b1").keys.claim(`filler-${at}`, "t");
     if (result.kind === "none") return;
   }
--- a/features/steps/membership-golden.ts
+++ b/features/steps/membership-golden.ts
@@ -56,7 +56,10 @@
   for (let passedMs = 0; passedMs < waitMs; passedMs += 20) await clock.pass(20_000);
 };
 
-/** A node of the golden conversation: sends the hello as it was, answers questions, keeps what it is sent. */
+/**
+ * A node of the golden conversation: sends the hello as it was, answers questions, keeps what it is
+ * sent.
+ */
 const joinAsNode = async (
   got: Record<string, Message[]>,
   name: string,
--- a/features/steps/moves.ts
+++ b/features/steps/moves.ts
@@ -104,7 +104,8 @@
       new Set([...pool.subsetFor("s").local, ...pool.subsetFor("s").remote].map(({ id }) => id)),
     ]),
   );
-  // Retired: the calls that would have gone to them, had they stayed. Added: the calls that the newcomers and their likes got.
+  // Retired: the calls that would have gone to them, had they stayed. Added: the calls that the
+  // newcomers and their likes got.
   const isAdding = change.add.length > 0;
   if (isAdding)
     for (let at = 0; at < (change.add[0]?.count ?? 0); at += 1)
--- a/features/steps/retries.ts
+++ b/features/steps/retries.ts
@@ -99,7 +99,10 @@
   },
 );
 
-/** What the keeper does, over a net that delays and loses: asks go to whichever office the node can reach. */
+/**
+ * What the keeper does, over a net that delays and loses: asks go to whichever office the node can
+ * reach.
+ */
 const renew = (node: Node): void => {
   const wants = node.budgets.takeDemands();
   if (wants.length === 0 || timeline.nowUs() < node.cutUntilUs) return;
@@ -149,7 +152,8 @@
     const node = nodes[pick()];
     if (node) node.cutUntilUs = timeline.nowUs() + 6_000_000;
   });
-  // The holder is cut off and goes on giving for a second, till its links are given up; the next one takes the duty 1.5 s later.
+  // The holder is cut off and goes on giving for a second, till its links are given up; the next
+  // one takes the duty 1.5 s later.
   timeline.every(40_000_000, () => {
     const last = offices[offices.length - 1];
     timeline.after(1_000_000, () => {
--- a/features/steps/simulator.ts
+++ b/features/steps/simulator.ts
@@ -38,8 +38,8 @@
   );
 
 /**
- * A change that controller 2 hears of only after all three have lost power, controller 1 with its disk; controller 0 comes
- * back last.
+ * A change that controller 2 hears of only after all three have lost power, controller 1 with its
+ * disk; controller 0 comes back last.
  */
 const lateThirdSchedule = (seed: number, harm: string): Schedule => {
   const change = (id: number, atUs: number): Event => ({
--- a/features/steps/system.ts
+++ b/features/steps/system.ts
@@ -495,7 +495,8 @@
   placed.forEach(({ id, status }) => assert.deepEqual([id, status, runs.get(id)], [id, 200, 1]));
 });
 
-// --- the written retry limit, and the forecast of what would move ------------------------------------------------------
+// --- the written retry limit, and the forecast of what would move
+// ------------------------------------------------------
 
 const post = async (
   box: Settings | undefined,
--- a/features/support/cuttable-net.ts
+++ b/features/support/cuttable-net.ts
@@ -7,8 +7,9 @@
 const PULSE_BYTES = 20;
 
 /**
- * Stands between signalboxes: dialled at the address that a box is known by, it carries to where the box listens. What a
- * cut holds up, ends of connections too, comes through once it is healed; nodes' connections are never cut.
+ * Stands between signalboxes: dialled at the address that a box is known by, it carries to where
+ * the box listens. What a cut holds up, ends of connections too, comes through once it is healed;
+ * nodes' connections are never cut.
  */
 export class CuttableNet {
   private readonly cuts = new Set<string>();
--- a/features/support/faulty-disk.ts
+++ b/features/support/faulty-disk.ts
@@ -1,7 +1,10 @@
 import { dirname } from "node:path";
 import type { FileSystem, FolderFileSystem } from "../../src/storage/file-system.js";
 
-/** What a name stands for. Invariant: `written` is what a reader sees; `synced` is what a loss of power leaves for sure. */
+/**
+ * What a name stands for. Invariant: `written` is what a reader sees; `synced` is what a loss of
+ * power leaves for sure.
+ */
 interface Node {
   synced: Uint8Array;
   written: Uint8Array;
@@ -35,10 +38,11 @@
 };
 
 /**
- * A disk in memory that is full, slow, refuses, or loses power. A loss of power leaves of a name made, renamed or removed
- * since the last sync of its folder the old or the new, each by itself (also both names of one renamed file), and of bytes
- * written since their sync none, all or a torn part. A renamed folder comes back under its old or its new name, as a whole,
- * unless the folder that holds the two was synced since.
+ * A disk in memory that is full, slow, refuses, or loses power. A loss of power leaves of a name
+ * made, renamed or removed since the last sync of its folder the old or the new, each by itself
+ * (also both names of one renamed file), and of bytes written since their sync none, all or a torn
+ * part. A renamed folder comes back under its old or its new name, as a whole, unless the folder
+ * that holds the two was synced since.
  */
 export class FaultyDisk {
   capacityBytes = Number.POSITIVE_INFINITY;
--- a/features/support/fleet.ts
+++ b/features/support/fleet.ts
@@ -14,7 +14,10 @@
   };
 };
 
-/** Events in the order of their time, in a binary heap, with a clock that jumps from one to the next. */
+/**
+ * Events in the order of their time, in a binary heap, with a clock that jumps from one to the
+ * next.
+ */
 export class Timeline implements Clock {
   private timeUs = 1_000_000;
   private order = 0;
@@ -139,7 +142,10 @@
   readonly done: (tookUs: number, kind: "answered" | "reset") => void;
 }
 
-/** A worker of the simulation: slots, a queue, a speed, and a reset for what comes when both are full. */
+/**
+ * A worker of the simulation: slots, a queue, a speed, and a reset for what comes when both are
+ * full.
+ */
 export class SimWorker {
   running = 0;
   served = 0;
@@ -207,7 +213,9 @@
   readonly kind: "answered" | "reset" | "refused";
 }
 
-/** Nodes that choose with the real yard and chooser among workers of one service, without sockets. */
+/**
+ * Nodes that choose with the real yard and chooser among workers of one service, without sockets.
+ */
 export class SimFleet {
   readonly timeline = new Timeline();
   readonly workers = new Map<string, SimWorker>();
--- a/features/support/golden.ts
+++ b/features/support/golden.ts
@@ -21,8 +21,9 @@
   );
 
 /**
- * Fields of values in memory that have been renamed since the golden data was written: today's name, and the name then.
- * Only for comparing what was loaded; frames, stored records and answers are compared without it.
+ * Fields of values in memory that have been renamed since the golden data was written: today's
+ * name, and the name then. Only for comparing what was loaded; frames, stored records and answers
+ * are compared without it.
  */
 const FORMER_NAMES: ReadonlyMap<string, string> = new Map([
   ["isAccepted", "isVoted"],
@@ -53,7 +54,10 @@
   makeRegister("route/pay", 1, JSON.stringify({ service: "pay", pad: "x".repeat(3_000) })),
 ];
 
-/** One conversation of four boxes, all of it begun by `a`, but for the catching up of `d`. What was sent, in order. */
+/**
+ * One conversation of four boxes, all of it begun by `a`, but for the catching up of `d`. What was
+ * sent, in order.
+ */
 export const converse = async (cluster: ReplicaCluster): Promise<readonly Said[]> => {
   const said: Said[] = [];
   cluster.dropsMessage = (to, message) => {
--- a/features/support/health-run.ts
+++ b/features/support/health-run.ts
@@ -1,7 +1,7 @@
 /**
- * One fixed run of each part of src/health: what the nodes report, what the leader stores in its registers and what the
- * operators are answered, in order. Compared word for word with what the code before the renames gave
- * (features/data/before-2026-12/health.json).
+ * One fixed run of each part of src/health: what the nodes report, what the leader stores in its
+ * registers and what the operators are answered, in order. Compared word for word with what the
+ * code before the renames gave (features/data/before-2026-12/health.json).
  */
 import { asRecord, parseJson } from "../../src/common/decode.js";
 import { SECOND_US } from "../../src/common/duration.js";
@@ -45,7 +45,10 @@
 const shiftOf = (text: string): ZonalShift | undefined =>
   text === "" ? undefined : readHealthDecisions(parseJson(text)).shift;
 
-/** Ejection, a spent token, a return, a zonal shift and its end, manual shifts, practice, malformed reports. */
+/**
+ * Ejection, a spent token, a return, a zonal shift and its end, manual shifts, practice, malformed
+ * reports.
+ */
 export const runOutlierDetector = async (): Promise<Transcript> => {
   const clock = new ManualClock();
   const out: Transcript = [];
@@ -113,7 +116,10 @@
   return out;
 };
 
-/** The names that the errors of clearing had in memory when the golden data was made; they were never sent. */
+/**
+ * The names that the errors of clearing had in memory when the golden data was made; they were
+ * never sent.
+ */
 const FORMER_CLEAR_NAMES: Readonly<Record<string, string>> = {
   ROUTE_NOT_SPLIT: "unknown-route",
   STALE_ROUTE_VERSION: "stale-version",
@@ -123,7 +129,9 @@
 const formerClearName = (error: ClearError | undefined): string | undefined =>
   error === undefined ? "cleared" : FORMER_CLEAR_NAMES[error.code];
 
-/** Reports, a pass, a stop for possibly doubled requests, every outcome of a clearing, a takeover. */
+/**
+ * Reports, a pass, a stop for possibly doubled requests, every outcome of a clearing, a takeover.
+ */
 export const runCanaryAnalyzer = async (): Promise<Transcript> => {
   const clock = new ManualClock();
   const out: Transcript = [];
@@ -253,7 +261,10 @@
 /** Enough reports to see their form without all of them. */
 const isWanted = (out: Transcript): boolean => out.filter(([what]) => what === "report").length < 9;
 
-/** The names that the errors of windows had in memory when the golden data was made; they were never sent. */
+/**
+ * The names that the errors of windows had in memory when the golden data was made; they were never
+ * sent.
+ */
 const FORMER_NAMES: Readonly<Record<string, string>> = {
   UNKNOWN_ZONE: "unknownCell",
   WINDOW_TOO_SOON: "tooLate",
--- a/features/support/manual-clock.ts
+++ b/features/support/manual-clock.ts
@@ -6,7 +6,10 @@
   readonly act: () => void;
 }
 
-/** Lets everything that is ready to run, run: promises, and the event loop's turn for sockets and files. */
+/**
+ * Lets everything that is ready to run, run: promises, and the event loop's turn for sockets and
+ * files.
+ */
 export const settle = async (turns = 12): Promise<void> => {
   for (let turn = 0; turn < turns; turn += 1) await new Promise((resolve) => setImmediate(resolve));
 };
@@ -47,7 +50,9 @@
     };
   };
 
-  /** As a process sees it that was frozen: time has passed, and nothing that fell due has run yet. */
+  /**
+   * As a process sees it that was frozen: time has passed, and nothing that fell due has run yet.
+   */
   readonly jump = (spanUs: number): void => {
     this.time += spanUs;
   };
--- a/features/support/memory-disk.ts
+++ b/features/support/memory-disk.ts
@@ -1,6 +1,9 @@
 import type { FileSystem } from "../../src/storage/file-system.js";
 
-/** Files in memory, safe at once: for tests that move the clock on by hand, beside which a real disk would seem slow. */
+/**
+ * Files in memory, safe at once: for tests that move the clock on by hand, beside which a real disk
+ * would seem slow.
+ */
 export class MemoryDisk implements FileSystem {
   readonly files = new Map<string, Uint8Array>();
 
--- a/scalability/changes.ts
+++ b/scalability/changes.ts
@@ -159,7 +159,10 @@
     call.on("error", () => resolve(""));
   });
 
-/** A controller is down over many changes, with its disk kept or lost; how long it takes to have them while two more come each second. */
+/**
+ * A controller is down over many changes, with its disk kept or lost; how long it takes to have
+ * them while two more come each second.
+ */
 const measureCatchUp = async (
   orders: number,
   routes: number,
--- a/scalability/host-process.ts
+++ b/scalability/host-process.ts
@@ -18,7 +18,10 @@
 import { sentFrames } from "../src/transport/frame-codec.js";
 import { controllerAddress, steadyUs, nodeIp, settingsOf } from "./loopback.js";
 
-/** One process of a run: a controller, many light nodes, many light workers, or one real gateway; its parent says which. */
+/**
+ * One process of a run: a controller, many light nodes, many light workers, or one real gateway;
+ * its parent says which.
+ */
 setLogLevel("silent");
 const clock = new SteadyClock();
 
@@ -34,7 +37,8 @@
   };
 };
 
-// --- light nodes: the real session, relay, update and report code, without a proxy -------------------------------------
+// --- light nodes: the real session, relay, update and report code, without a proxy
+// -------------------------------------
 
 interface LightNode {
   readonly at: number;
@@ -91,7 +95,8 @@
   lightNodes.delete(node.at);
 };
 
-// --- light workers: their heartbeats over HTTP, nothing else --------------------------------------------------------------
+// --- light workers: their heartbeats over HTTP, nothing else
+// --------------------------------------------------------------
 
 const agent = new Agent({ keepAlive: true, maxSockets: 16 });
 let heartbeatsAccepted = 0;
@@ -137,7 +142,8 @@
   }
 };
 
-// --- what the parent requests ----------------------------------------------------------------------------------------------
+// --- what the parent requests
+// ----------------------------------------------------------------------------------------------
 
 const handleRequest = async (request: UnknownRecord): Promise<UnknownRecord> => {
   switch (readString(request, "what")) {
--- a/scalability/loopback.ts
+++ b/scalability/loopback.ts
@@ -7,7 +7,10 @@
 export const FRONT_PORT = 17_601;
 export const READY_PORT = 17_602;
 
-/** Each run has a part of the loopback range of its own, so that two don't meet; children have that of their parent. */
+/**
+ * Each run has a part of the loopback range of its own, so that two don't meet; children have that
+ * of their parent.
+ */
 const net = process.env["SCALABILITY_NET"] ?? String(60 + (process.pid % 150));
 process.env["SCALABILITY_NET"] = net;
 
--- a/scalability/measurement.ts
+++ b/scalability/measurement.ts
@@ -1,6 +1,6 @@
 /**
- * Measures one size of the control plane: real controllers, a process each, before light nodes and workers that share a few
- * processes, all over loopback.
+ * Measures one size of the control plane: real controllers, a process each, before light nodes and
+ * workers that share a few processes, all over loopback.
  */
 import { mkdtemp, rm } from "node:fs/promises";
 import { loadavg, tmpdir } from "node:os";
@@ -243,8 +243,8 @@
 });
 
 /**
- * One size: start, settle, measure at rest, time one change, restart a seventh of the nodes, kill a controller. Gives one
- * entry of a result file; rejects if a step does not come to its end in time.
+ * One size: start, settle, measure at rest, time one change, restart a seventh of the nodes, kill a
+ * controller. Gives one entry of a result file; rejects if a step does not come to its end in time.
  */
 export const measureSize = async (size: Size): Promise<UnknownRecord> => {
   const folder = await mkdtemp(join(tmpdir(), "scalability-"));
--- a/scalability/node.ts
+++ b/scalability/node.ts
@@ -89,7 +89,10 @@
     child.on("exit", (code) => reject(new Error(`it ended with ${String(code)}`)));
   });
 
-/** A real gateway before stand-in workers, at several rates; the same load straight to a worker beside it. */
+/**
+ * A real gateway before stand-in workers, at several rates; the same load straight to a worker
+ * beside it.
+ */
 const measureLoad = async (
   rates: readonly number[],
   seconds: number,
--- a/scalability/run.ts
+++ b/scalability/run.ts
@@ -1,4 +1,7 @@
-/** `npm run scalability`: measures how the control plane grows with nodes, workers, routes or services. */
+/**
+ * `npm run scalability`: measures how the control plane grows with nodes, workers, routes or
+ * services.
+ */
 import { writeFile } from "node:fs/promises";
 import { cpus, totalmem } from "node:os";
 import { Command } from "commander";
--- a/scalability/size.ts
+++ b/scalability/size.ts
@@ -20,7 +20,10 @@
   readonly settleSeconds: number;
 }
 
-/** A size as results hold it; their field names stay, so that earlier results can be tabled beside new ones. */
+/**
+ * A size as results hold it; their field names stay, so that earlier results can be tabled beside
+ * new ones.
+ */
 export const packSize = ({
   controllers,
   settleSeconds,
--- a/simulator/change-generator.ts
+++ b/simulator/change-generator.ts
@@ -77,7 +77,10 @@
     return { key, version, body: random.occurs(0.06) ? "" : this.nextBody() };
   };
 
-  /** An item that a change names a second time: as it was, with another body, or under another version. */
+  /**
+   * An item that a change names a second time: as it was, with another body, or under another
+   * version.
+   */
   private readonly repeated = (item: Item): Item => {
     const body = `{"order":${this.lastId + 1},"again":1}`;
     return this.random.pick([
@@ -109,7 +112,10 @@
   };
 }
 
-/** Changes one after the other and in bursts, at times two under one version, at times sent again much later. */
+/**
+ * Changes one after the other and in bursts, at times two under one version, at times sent again
+ * much later.
+ */
 export const generateChanges = (
   random: SeededRandom,
   deployment: Deployment,
--- a/simulator/configuration-invariants.ts
+++ b/simulator/configuration-invariants.ts
@@ -1,4 +1,7 @@
-/** What must hold of configuration changes and reads: they behave as registers that only ever go forward. */
+/**
+ * What must hold of configuration changes and reads: they behave as registers that only ever go
+ * forward.
+ */
 import type { Register } from "../src/consensus/register.js";
 import type { Attempt } from "./history.js";
 import {
@@ -36,7 +39,10 @@
   return undefined;
 };
 
-/** What was rejected, or can never be valid, is never in force, and what was confirmed is never rejected. */
+/**
+ * What was rejected, or can never be valid, is never in force, and what was confirmed is never
+ * rejected.
+ */
 export const rejected: Invariant = (outcome) => {
   const { history } = outcome;
   const carriers = changesByDigest(outcome);
@@ -86,8 +92,8 @@
 };
 
 /**
- * Each register behaves as one memory cell whose version only rises: a read sees no less than what was acknowledged or read
- * before it began, and nothing that nobody had sent by its end.
+ * Each register behaves as one memory cell whose version only rises: a read sees no less than what
+ * was acknowledged or read before it began, and nothing that nobody had sent by its end.
  */
 export const linearizable: Invariant = ({ history }) => {
   interface Point {
@@ -160,7 +166,10 @@
   return ({ key, version, digest }) => agreed.has(`${key} ${version} ${digest}`);
 };
 
-/** Every item of a confirmed change is committed, by the last read that was served after its confirmation. */
+/**
+ * Every item of a confirmed change is committed, by the last read that was served after its
+ * confirmation.
+ */
 export const complete: Invariant = (outcome) => {
   const { history } = outcome;
   const isAgreed = agreementOf(outcome);
--- a/simulator/control-plane-invariants.ts
+++ b/simulator/control-plane-invariants.ts
@@ -1,11 +1,17 @@
-/** What must hold of the controllers among themselves: the leader lease, quorum contact, availability and the voter set. */
+/**
+ * What must hold of the controllers among themselves: the leader lease, quorum contact,
+ * availability and the voter set.
+ */
 import type { VoterSet } from "../src/consensus/voter-set.js";
 import { observedRegisters, seconds, type Invariant } from "./observations.js";
 import { deploymentOf } from "./schedule.js";
 import { LEADER_WRITE_KEY } from "./simulated-controller.js";
 import { SERVE_TIMEOUT_US } from "./simulation.js";
 
-/** One leader a term, no write of an older term after one of a newer, and no lease confirmed after a newer leader's write. */
+/**
+ * One leader a term, no write of an older term after one of a newer, and no lease confirmed after a
+ * newer leader's write.
+ */
 export const leaderTerms: Invariant = (outcome) => {
   const { history } = outcome;
   const holders = new Map<number, string>();
@@ -40,7 +46,9 @@
   return undefined;
 };
 
-/** Quorum contact is confirmed only once a majority has answered something sent after the question. */
+/**
+ * Quorum contact is confirmed only once a majority has answered something sent after the question.
+ */
 export const quorumContact: Invariant = ({ history }) => {
   const wrong = history.quorumContacts.find(
     ({ heardFrom, voterSets }) =>
@@ -69,7 +77,10 @@
   );
 };
 
-/** One voter set a number; none shrinks below what the tolerance needs; the last names just the machines that are there. */
+/**
+ * One voter set a number; none shrinks below what the tolerance needs; the last names just the
+ * machines that are there.
+ */
 export const voterSets: Invariant = ({ history, liveIds }, schedule) => {
   const { controllers, withstandMachines } = deploymentOf(schedule.deployment);
   const known = new Map<number, VoterSet>();
--- a/simulator/fault-generator.ts
+++ b/simulator/fault-generator.ts
@@ -1,4 +1,7 @@
-/** Draws the faults of a schedule, within what the deployment withstands unless the options say otherwise. */
+/**
+ * Draws the faults of a schedule, within what the deployment withstands unless the options say
+ * otherwise.
+ */
 import { MILLISECOND_US, SECOND_US } from "../src/common/duration.js";
 import {
   CATCH_UP_US,
@@ -16,7 +19,10 @@
 import type { DiskFault } from "./simulated-disk.js";
 
 const LAST_FAULT_US = 26 * SECOND_US;
-/** A partition as short as this only delays messages or, where an end is killed, loses them; nobody counts as lost by it. */
+/**
+ * A partition as short as this only delays messages or, where an end is killed, loses them; nobody
+ * counts as lost by it.
+ */
 const SHORT_PARTITION_US = 20 * MILLISECOND_US;
 const DISK_FAULTS: readonly DiskFault[] = ["full", "refusing", "stalled", "slow"];
 const DIRECTIONS: readonly Direction[] = ["both", "from", "to"];
@@ -26,8 +32,9 @@
 type MachineFaultKind = Exclude<FaultKind, "noise" | "stop-all">;
 
 /**
- * Faults one after the other, as many at once as the deployment withstands; all processes, or all power, may go in any
- * case. Many strike while a change is in flight or just confirmed, and in the noise.
+ * Faults one after the other, as many at once as the deployment withstands; all processes, or all
+ * power, may go in any case. Many strike while a change is in flight or just confirmed, and in the
+ * noise.
  */
 export class FaultGenerator {
   private readonly events: Event[] = [];
@@ -38,8 +45,8 @@
   private calmUs = CATCH_UP_US;
   private disksLost = 0;
   /**
-   * A machine killed while it shuts down has not left gracefully, and nobody comes in its place; so all are not killed
-   * before then.
+   * A machine killed while it shuts down has not left gracefully, and nobody comes in its place; so
+   * all are not killed before then.
    */
   private drainingUntilUs = 0;
 
@@ -170,7 +177,10 @@
     return sound.filter(() => random.occurs(0.5)).slice(0, Math.max(0, withstandMachines - lost));
   };
 
-  /** Strikes one machine, or none if too many are lost already; gives the moment from which the next fault is drawn. */
+  /**
+   * Strikes one machine, or none if too many are lost already; gives the moment from which the next
+   * fault is drawn.
+   */
   private readonly strikeOne = (atUs: number, kind: MachineFaultKind): number => {
     const { random, slots } = this;
     const { controllers, withstandMachines } = this.deployment;
--- a/simulator/fleet.ts
+++ b/simulator/fleet.ts
@@ -1,4 +1,7 @@
-/** The machines of a simulated deployment: their disks, their processes, and who starts, stops and replaces them. */
+/**
+ * The machines of a simulated deployment: their disks, their processes, and who starts, stops and
+ * replaces them.
+ */
 import { SECOND_US } from "../src/common/duration.js";
 import type { History } from "./history.js";
 import type { Deployment, StopMode } from "./schedule.js";
@@ -31,12 +34,16 @@
 /** A machine that is gone stays on the operator's list for so long. */
 const LIST_LAG_US = 3 * SECOND_US;
 /**
- * Stands in what the simulated disks hold. So, like the bodies of changes, it is part of what a seed comes to, and stays
- * the same as long as seeds named in docs/simulator.md must run as they did.
+ * Stands in what the simulated disks hold. So, like the bodies of changes, it is part of what a
+ * seed comes to, and stays the same as long as seeds named in docs/simulator.md must run as they
+ * did.
  */
 const ID_PREFIX = "box";
 
-/** Invariant: each slot names a machine of the deployment; `machines` also holds those that were replaced. */
+/**
+ * Invariant: each slot names a machine of the deployment; `machines` also holds those that were
+ * replaced.
+ */
 export class Fleet {
   readonly machines: Machine[] = [];
   readonly slots: Machine[];
@@ -146,7 +153,10 @@
   private readonly liveControllers = (): readonly SimulatedController[] =>
     this.machines.flatMap(({ controller }) => (controller?.isAlive === true ? [controller] : []));
 
-  /** Three of the operator's list, which may name one that has gone meanwhile; two are there when the file is written. */
+  /**
+   * Three of the operator's list, which may name one that has gone meanwhile; two are there when
+   * the file is written.
+   */
   private readonly seedsFor = (machine: Machine): readonly string[] => {
     const { random } = this.options;
     const others = this.listed().filter((other) => other !== machine);
--- a/simulator/history.ts
+++ b/simulator/history.ts
@@ -1,10 +1,15 @@
-/** What one simulated run recorded, for the invariants to check. Times are virtual, in microseconds. */
+/**
+ * What one simulated run recorded, for the invariants to check. Times are virtual, in microseconds.
+ */
 import type { Register } from "../src/consensus/register.js";
 import type { VoterSet } from "../src/consensus/voter-set.js";
 
 export type ChangeResult = "open" | "ok" | "conflict" | "invalid" | "unclear";
 
-/** One attempt of a change at one controller, as that controller answered it, whether or not the operator got the answer. */
+/**
+ * One attempt of a change at one controller, as that controller answered it, whether or not the
+ * operator got the answer.
+ */
 export interface Attempt {
   readonly change: number;
   readonly controller: string;
--- a/simulator/invariants.ts
+++ b/simulator/invariants.ts
@@ -44,7 +44,9 @@
   "voter-set": voterSets,
 };
 
-/** What is always checked. `atomic` is asked for by name: it does not hold yet (docs/simulator.md). */
+/**
+ * What is always checked. `atomic` is asked for by name: it does not hold yet (docs/simulator.md).
+ */
 export const DEFAULT_INVARIANTS: readonly InvariantName[] = [
   "error",
   "single-value",
--- a/simulator/run.ts
+++ b/simulator/run.ts
@@ -1,4 +1,7 @@
-/** `npm run simulate`: runs seeds, shows those that violate an invariant, and ends with code 1 if any does. */
+/**
+ * `npm run simulate`: runs seeds, shows those that violate an invariant, and ends with code 1 if
+ * any does.
+ */
 import { availableParallelism } from "node:os";
 import { isMainThread, parentPort, workerData } from "node:worker_threads";
 import { Command } from "commander";
--- a/simulator/schedule.ts
+++ b/simulator/schedule.ts
@@ -1,6 +1,7 @@
 /**
- * What a simulated run consists of: the size of the deployment, the changes that operators send, and the faults that are
- * injected, each at its moment. Plain data, so that a failing schedule can be shrunk and shown.
+ * What a simulated run consists of: the size of the deployment, the changes that operators send,
+ * and the faults that are injected, each at its moment. Plain data, so that a failing schedule can
+ * be shrunk and shown.
  */
 import { SECOND_US } from "../src/common/duration.js";
 import type { DiskFault } from "./simulated-disk.js";
@@ -36,10 +37,16 @@
 /** Which messages of a machine a partition stops: those it sends, those it receives, or both. */
 export type Direction = "both" | "from" | "to";
 
-/** How a process ends: killed, with its power (unsynced data may go), with its disk, or with one corrupt byte on disk. */
+/**
+ * How a process ends: killed, with its power (unsynced data may go), with its disk, or with one
+ * corrupt byte on disk.
+ */
 export type StopMode = "kill" | "power-loss" | "wipe" | "corrupt";
 
-/** What happens besides the system's own work. `slot` is a machine's index in the deployment; `others` are slots too. */
+/**
+ * What happens besides the system's own work. `slot` is a machine's index in the deployment;
+ * `others` are slots too.
+ */
 export type Event = { readonly atUs: number } & (
   | {
       readonly kind: "change";
@@ -85,7 +92,10 @@
 export interface Schedule {
   readonly seed: number;
   readonly deployment: string;
-  /** Whether more may be lost at once than the deployment withstands; then availability is not checked. */
+  /**
+   * Whether more may be lost at once than the deployment withstands; then availability is not
+   * checked.
+   */
   readonly exceedsTolerance: boolean;
   readonly events: readonly Event[];
   /** Blanks after each body; with many, reads are paged and snapshots are due often. */
--- a/simulator/seed-runner.ts
+++ b/simulator/seed-runner.ts
@@ -81,7 +81,10 @@
     report(await simulateSeed(seed, range));
 };
 
-/** Spreads a range over `threads` workers that run `script`; resolves when all have ended, rejects if one fails. */
+/**
+ * Spreads a range over `threads` workers that run `script`; resolves when all have ended, rejects
+ * if one fails.
+ */
 export const simulateInThreads = async (
   script: URL,
   range: SeedRange,
--- a/simulator/shrink.ts
+++ b/simulator/shrink.ts
@@ -12,7 +12,10 @@
   readonly runs: number;
 }
 
-/** Leaves out events, first many at once and then one by one, for as long as the same invariant is still violated. */
+/**
+ * Leaves out events, first many at once and then one by one, for as long as the same invariant is
+ * still violated.
+ */
 export const shrink = async (
   schedule: Schedule,
   violation: Violation,
--- a/simulator/simulated-controller.ts
+++ b/simulator/simulated-controller.ts
@@ -1,4 +1,7 @@
-/** One process of a simulated controller: the real control state over simulated network, disk and clock. */
+/**
+ * One process of a simulated controller: the real control state over simulated network, disk and
+ * clock.
+ */
 import { WriteAheadLog } from "../src/storage/write-ahead-log.js";
 import { Replica } from "../src/consensus/replica.js";
 import { LeaderLease, type LeaderLeaseOptions } from "../src/consensus/leader-lease.js";
@@ -64,8 +67,8 @@
 
 /**
  * One incarnation of a controller: its replicated store, write-ahead log and leader lease, and what
- * src/programs/controller does around them.
- * Invariant: nothing of a dead process runs any more; of a frozen one, all that came meanwhile runs after the thaw.
+ * src/programs/controller does around them. Invariant: nothing of a dead process runs any more; of
+ * a frozen one, all that came meanwhile runs after the thaw.
  */
 export class SimulatedController {
   readonly id: string;
@@ -75,7 +78,10 @@
   readonly links = new Map<string, Link>();
   isAlive = true;
   isListening = false;
-  /** Whether its peers notice its end at once: a killed process resets its connections, a machine without power does not. */
+  /**
+   * Whether its peers notice its end at once: a killed process resets its connections, a machine
+   * without power does not.
+   */
   wasReset = false;
   private isFrozen = false;
   private frozenWork: (() => void)[] = [];
@@ -209,7 +215,10 @@
       );
   };
 
-  /** One change of an operator, as the admin API takes it; the answer is recorded as it leaves the controller. */
+  /**
+   * One change of an operator, as the admin API takes it; the answer is recorded as it leaves the
+   * controller.
+   */
   readonly submitChange = async (change: {
     readonly id: number;
     readonly registers: readonly Register[];
@@ -275,7 +284,10 @@
     history.leaderWrites.push({ controller: this.id, term: number, startUs, endUs: time.nowUs() });
   };
 
-  /** Has the leader lease confirmed or, as all others do before they serve, the contact with a quorum. */
+  /**
+   * Has the leader lease confirmed or, as all others do before they serve, the contact with a
+   * quorum.
+   */
   private readonly checkContact = async (): Promise<void> => {
     const { history, time } = this.options;
     const startUs = time.nowUs();
--- a/simulator/simulated-disk.ts
+++ b/simulator/simulated-disk.ts
@@ -1,4 +1,7 @@
-/** A simulated disk: it takes its time, has faults, and loses what was not synced when the power goes. */
+/**
+ * A simulated disk: it takes its time, has faults, and loses what was not synced when the power
+ * goes.
+ */
 import type { FileSystem } from "../src/storage/file-system.js";
 import { MILLISECOND_US } from "../src/common/duration.js";
 import type { SeededRandom } from "./seeded-random.js";
@@ -23,9 +26,9 @@
 const nameOf = (path: string): string => path.slice(path.lastIndexOf("/") + 1);
 
 /**
- * A machine's disk, which outlives processes.
- * Invariants: `durable` is what a loss of power leaves for sure; a name in which `names` differs from it is `unsynced`,
- * and kept or lost by itself. A write that was interrupted leaves a part of its bytes.
+ * A machine's disk, which outlives processes. Invariants: `durable` is what a loss of power leaves
+ * for sure; a name in which `names` differs from it is `unsynced`, and kept or lost by itself. A
+ * write that was interrupted leaves a part of its bytes.
  */
 export class SimulatedDisk {
   private readonly names = new Map<string, FileContent>();
@@ -140,7 +143,10 @@
     });
   };
 
-  /** One system call: it takes its time, and may have its effect even if the process is dead by then. */
+  /**
+   * One system call: it takes its time, and may have its effect even if the process is dead by
+   * then.
+   */
   private readonly call = <T>(
     client: DiskClient,
     allocates: boolean,
--- a/simulator/simulated-network.ts
+++ b/simulator/simulated-network.ts
@@ -1,4 +1,7 @@
-/** The network between simulated controllers: connections with time-outs, loss, delay, duplication and partitions. */
+/**
+ * The network between simulated controllers: connections with time-outs, loss, delay, duplication
+ * and partitions.
+ */
 import { PendingRequests } from "../src/transport/pending-requests.js";
 import type { Message } from "../src/transport/connection.js";
 import { MILLISECOND_US, SECOND_US } from "../src/common/duration.js";
@@ -46,7 +49,10 @@
 
 const directionOf = (from: string, to: string): string => `${from}>${to}`;
 
-/** Connects controllers, gives connections up after a second without contact, and delivers messages or loses them. */
+/**
+ * Connects controllers, gives connections up after a second without contact, and delivers messages
+ * or loses them.
+ */
 export class SimulatedNetwork {
   noise: NetworkNoise = NO_NOISE;
   private readonly partitions = new Map<string, number>();
--- a/simulator/simulated-operator.ts
+++ b/simulator/simulated-operator.ts
@@ -1,4 +1,7 @@
-/** Operators who send changes and reads to controllers, as `yewreel ctl` does, and try the next one without a clear answer. */
+/**
+ * Operators who send changes and reads to controllers, as `yewreel ctl` does, and try the next one
+ * without a clear answer.
+ */
 import { MILLISECOND_US, SECOND_US } from "../src/common/duration.js";
 import { makeRegister, type Register } from "../src/consensus/register.js";
 import type { Fleet, Machine } from "./fleet.js";
@@ -45,7 +48,9 @@
 
   constructor(private readonly options: OperatorOptions) {}
 
-  /** Sends a change until it has a clear answer or the operator gives up; true if it was confirmed. */
+  /**
+   * Sends a change until it has a clear answer or the operator gives up; true if it was confirmed.
+   */
   readonly submit = (
     { id, items, requires, slot, answerLossProbability }: ChangeRequest,
     timeoutUs = CHANGE_TIMEOUT_US,
--- a/simulator/simulation.ts
+++ b/simulator/simulation.ts
@@ -1,4 +1,7 @@
-/** Runs one schedule in virtual time, from the first start of all controllers to a calm end, and records what was seen. */
+/**
+ * Runs one schedule in virtual time, from the first start of all controllers to a calm end, and
+ * records what was seen.
+ */
 import { MILLISECOND_US, SECOND_US } from "../src/common/duration.js";
 import { Fleet, type Machine } from "./fleet.js";
 import { History, type FinalRequest } from "./history.js";
@@ -20,7 +23,10 @@
 import { VirtualTime } from "./virtual-time.js";
 
 const SAMPLE_INTERVAL_US = 500 * MILLISECOND_US;
-/** Once `CATCH_UP_US` have passed after the last fault, a change must be confirmed and a read served in so much time. */
+/**
+ * Once `CATCH_UP_US` have passed after the last fault, a change must be confirmed and a read served
+ * in so much time.
+ */
 export const SERVE_TIMEOUT_US = 4 * SECOND_US;
 /** The voter set must be as it should so long after that. */
 const VOTER_SET_TIMEOUT_US = 4 * SECOND_US;
@@ -205,7 +211,9 @@
     time.after(SAMPLE_INTERVAL_US, this.sampleRepeatedly);
   };
 
-  /** In the calm at the end, each controller that is there must confirm a change and serve a read. */
+  /**
+   * In the calm at the end, each controller that is there must confirm a change and serve a read.
+   */
   private readonly sendFinalRequests = (): void =>
     this.fleet.present().forEach((machine, at) => this.sendFinalRequestsAt(machine, at));
 
--- a/simulator/virtual-time.ts
+++ b/simulator/virtual-time.ts
@@ -8,12 +8,15 @@
   isCancelled: boolean;
 }
 
-/** How many events run before the event loop's own round: only promises must settle between two, which they do. */
+/**
+ * How many events run before the event loop's own round: only promises must settle between two,
+ * which they do.
+ */
 const EVENTS_PER_ROUND = 64;
 
 /**
- * Invariants: events run in the order of their time, and in the order in which they were scheduled where that is the
- * same; between two events every promise that can settle has settled.
+ * Invariants: events run in the order of their time, and in the order in which they were scheduled
+ * where that is the same; between two events every promise that can settle has settled.
  */
 export class VirtualTime {
   private currentUs = 0;
--- a/src/common/clock.ts
+++ b/src/common/clock.ts
@@ -10,7 +10,10 @@
   readonly every: (gapUs: number, act: () => void) => Timer;
 }
 
-/** The monotonic clock of the process. Delays are rounded up to whole milliseconds, so a timer is never early by rounding. */
+/**
+ * The monotonic clock of the process. Delays are rounded up to whole milliseconds, so a timer is
+ * never early by rounding.
+ */
 export class SteadyClock implements Clock {
   readonly nowUs = (): number => Math.round(performance.now() * 1_000);
 
@@ -44,7 +47,10 @@
   };
 };
 
-/** Work done once for all who ask within `gatherUs` of the first. It begins after each of them has asked. */
+/**
+ * Work done once for all who ask within `gatherUs` of the first. It begins after each of them has
+ * asked.
+ */
 export const coalesce = <R>(
   clock: Clock,
   gatherUs: number,
@@ -60,7 +66,10 @@
   };
 };
 
-/** Resolves to the work's value, or to `late` once the wait is over; a rejected work counts as late too. */
+/**
+ * Resolves to the work's value, or to `late` once the wait is over; a rejected work counts as late
+ * too.
+ */
 export const withTimeout = <T, L>(
   clock: Clock,
   waitUs: number,
--- a/src/common/decode.ts
+++ b/src/common/decode.ts
@@ -1,4 +1,7 @@
-/** Reading of untyped data without casts: each reader gives the value or throws a DecodeError naming the field. */
+/**
+ * Reading of untyped data without casts: each reader gives the value or throws a DecodeError naming
+ * the field.
+ */
 export class DecodeError extends Error {
   constructor(
     readonly field: string,
@@ -45,7 +48,10 @@
 /** A boolean field; anything but `true`, a missing field included, is false. */
 export const readFlag = (record: UnknownRecord, field: string): boolean => record[field] === true;
 
-/** A field that is a list, each entry read by `read`; empty if the field is missing. Throws a DecodeError if it is something else. */
+/**
+ * A field that is a list, each entry read by `read`; empty if the field is missing. Throws a
+ * DecodeError if it is something else.
+ */
 export const readList = <T>(
   record: UnknownRecord,
   field: string,
--- a/src/common/duration.ts
+++ b/src/common/duration.ts
@@ -1,6 +1,9 @@
 import { err, ok, type Result } from "true-myth/result";
 
-/** Spans of time are whole microseconds everywhere inside; on the wire and in settings they are text. */
+/**
+ * Spans of time are whole microseconds everywhere inside; on the wire and in settings they are
+ * text.
+ */
 export const MILLISECOND_US = 1_000;
 /** A second in microseconds. */
 export const SECOND_US = 1_000_000;
--- a/src/common/errors.ts
+++ b/src/common/errors.ts
@@ -1,8 +1,11 @@
-/** The base of all errors that this project makes, so that each has a stable code beside its sentence. */
+/**
+ * The base of all errors that this project makes, so that each has a stable code beside its
+ * sentence.
+ */
 
 /**
- * An error with a code that stays the same when its sentence is reworded.
- * Each layer derives its own errors from this one and turns those of the layer below into its own, as their `cause`.
+ * An error with a code that stays the same when its sentence is reworded. Each layer derives its
+ * own errors from this one and turns those of the layer below into its own, as their `cause`.
  */
 export abstract class CodedError extends Error {
   /** Stable and unique in the project, in upper snake case, for example `NO_QUORUM`. */
--- a/src/common/http-outcomes.ts
+++ b/src/common/http-outcomes.ts
@@ -1,8 +1,12 @@
-/** The one table of outcomes: what each is answered with, to callers, workers and operators alike. */
+/**
+ * The one table of outcomes: what each is answered with, to callers, workers and operators alike.
+ */
 export interface HttpOutcome {
   readonly status: number;
   readonly problem: string;
-  /** Whether it promises that the request has not run and never will, and so says when to come back. */
+  /**
+   * Whether it promises that the request has not run and never will, and so says when to come back.
+   */
   readonly retryAfter: boolean;
   readonly closes: boolean;
 }
@@ -14,7 +18,10 @@
   closes,
 });
 
-/** Each outcome with its status, its problem text, whether it asks the client to come back, and whether it closes the connection. */
+/**
+ * Each outcome with its status, its problem text, whether it asks the client to come back, and
+ * whether it closes the connection.
+ */
 export const HTTP_OUTCOMES = {
   taken: row(200, ""),
   unreadable: row(400, "unreadable"),
--- a/src/common/logger.ts
+++ b/src/common/logger.ts
@@ -1,13 +1,19 @@
 /**
- * Structured logging. Every line is one JSON object with the component that wrote it, a constant message that can be
- * searched for, and the values as fields of their own (`peer`, `term`, `version`, `zone`, ...).
+ * Structured logging. Every line is one JSON object with the component that wrote it, a constant
+ * message that can be searched for, and the values as fields of their own (`peer`, `term`,
+ * `version`, `zone`, ...).
  */
 import { destination, pino, type Logger as PinoLogger } from "pino";
 
-/** The values of one log line, by name. An `error` given under `err` is written with its message and cause. */
+/**
+ * The values of one log line, by name. An `error` given under `err` is written with its message and
+ * cause.
+ */
 export type LogFields = Readonly<Record<string, unknown>>;
 
-/** What a component logs with. The message is constant text; whatever varies goes into the fields. */
+/**
+ * What a component logs with. The message is constant text; whatever varies goes into the fields.
+ */
 export interface Logger {
   readonly info: (message: string, fields?: LogFields) => void;
   readonly warn: (message: string, fields?: LogFields) => void;
--- a/src/common/settings.ts
+++ b/src/common/settings.ts
@@ -5,7 +5,10 @@
 import { isRecord } from "./decode.js";
 import { parseDuration, SECOND_US } from "./duration.js";
 
-/** Why settings could not be read: the file is unreadable, or its content is wrong; with a sentence for the operator. */
+/**
+ * Why settings could not be read: the file is unreadable, or its content is wrong; with a sentence
+ * for the operator.
+ */
 export interface SettingsError {
   readonly kind: "unreadable" | "wrong";
   readonly sentence: string;
@@ -128,7 +131,10 @@
   readonly name: string;
   readonly zone: string;
   readonly ip: string;
-  /** Invariant: the first port carries calls between signalboxes and from pointsmen, the second the relays' news. */
+  /**
+   * Invariant: the first port carries calls between signalboxes and from pointsmen, the second the
+   * relays' news.
+   */
   readonly peerPort: number;
   readonly relayPort: number;
   readonly seedNodes: readonly string[];
--- a/src/config/change-request.ts
+++ b/src/config/change-request.ts
@@ -15,7 +15,10 @@
 const listOf = (value: unknown, field: string): readonly unknown[] =>
   value === undefined ? [] : asList(value, field);
 
-/** Reads a change item by item; it yields between items, so that the reader of a large one can let others have a turn. */
+/**
+ * Reads a change item by item; it yields between items, so that the reader of a large one can let
+ * others have a turn.
+ */
 function* readItems(
   body: string,
 ): Generator<undefined, Result<readonly Register[], ConfigError>, undefined> {
@@ -63,7 +66,10 @@
 
 const ITEMS_PER_TURN = 16;
 
-/** The same, with a turn of the event loop after every few items: heartbeats must go on while a large change is read. */
+/**
+ * The same, with a turn of the event loop after every few items: heartbeats must go on while a
+ * large change is read.
+ */
 export const parseChangeInTurns = async (
   body: string,
 ): Promise<Result<readonly Register[], ConfigError>> => {
--- a/src/config/config-document.ts
+++ b/src/config/config-document.ts
@@ -9,7 +9,10 @@
   return readWeightedServices(then).map(({ service }) => service);
 };
 
-/** The first service that a route of the change names and that neither the change nor the replica has. */
+/**
+ * The first service that a route of the change names and that neither the change nor the replica
+ * has.
+ */
 export const findUnknownService = (
   change: readonly Register[],
   current: (key: string) => Register | undefined,
--- a/src/config/config-keys.ts
+++ b/src/config/config-keys.ts
@@ -1,4 +1,7 @@
-/** The keys of the registers that hold the configuration. They are stored and sent, and never change. */
+/**
+ * The keys of the registers that hold the configuration. They are stored and sent, and never
+ * change.
+ */
 
 const ROUTE_PREFIX = "route/";
 const SERVICE_PREFIX = "service/";
--- a/src/config/item-schema.ts
+++ b/src/config/item-schema.ts
@@ -71,8 +71,9 @@
 });
 
 /**
- * Made once for each kind of item: making a schema costs far more than using it. Invariant: each use gives every field
- * of the schema, so that nothing of the item before is left; a list is replaced as a whole, so tables stand in one.
+ * Made once for each kind of item: making a schema costs far more than using it. Invariant: each
+ * use gives every field of the schema, so that nothing of the item before is left; a list is
+ * replaced as a whole, so tables stand in one.
  */
 const routeSchema = convict({
   name: { format: "named", default: "" },
--- a/src/health/canary-analysis.ts
+++ b/src/health/canary-analysis.ts
@@ -1,4 +1,7 @@
-/** Canary analysis on the leader: compares the candidates of split routes with their baselines, and stops the bad ones. */
+/**
+ * Canary analysis on the leader: compares the candidates of split routes with their baselines, and
+ * stops the bad ones.
+ */
 import type { Clock, Timer } from "../common/clock.js";
 import type { UnknownRecord } from "../common/decode.js";
 import { MILLISECOND_US } from "../common/duration.js";
@@ -37,7 +40,10 @@
   /** The service that the route's previous version sent the most to, where that is known here. */
   readonly previousPrimary: (route: string) => string | undefined;
   readonly state: () => CanaryState;
-  /** Makes the state durable under the leader's term; false if a newer term or no quorum prevented it. */
+  /**
+   * Makes the state durable under the leader's term; false if a newer term or no quorum prevented
+   * it.
+   */
   readonly publish: (state: CanaryState) => Promise<boolean>;
 }
 
@@ -51,7 +57,10 @@
 /** Every controller counts the reports that it gets; only the leader decides. */
 export class CanaryAnalyzer {
   private readonly comparisons = new Map<string, RouteComparison>();
-  /** Invariant: by node and row, what was last counted; a report repeated or out of order adds nothing. */
+  /**
+   * Invariant: by node and row, what was last counted; a report repeated or out of order adds
+   * nothing.
+   */
   private readonly reported = new Map<string, NodeRows>();
   private timer: Timer | undefined;
   private isTicking = false;
@@ -67,7 +76,10 @@
   /** Ends deciding. */
   readonly stop = (): void => this.timer?.stop();
 
-  /** Counts a report; what is malformed, or of an unknown route, service or version, is dropped and counted as such. */
+  /**
+   * Counts a report; what is malformed, or of an unknown route, service or version, is dropped and
+   * counted as such.
+   */
   readonly receive = (message: Message): void => {
     try {
       const { node, incarnation, rows } = readRowsReport(message, readOutcomeRow);
@@ -147,7 +159,10 @@
     comparison.add(row, increase, Math.max(0, row.ownFailures - (before?.ownFailures ?? 0)));
   };
 
-  /** The wanted state is one comparison for each split route in force; what is no longer in force is dropped. */
+  /**
+   * The wanted state is one comparison for each split route in force; what is no longer in force is
+   * dropped.
+   */
   private readonly followRoutes = (): void => {
     const { splitRoutes, clock, settings, random } = this.options;
     const inForce = new Map(splitRoutes().map((route) => [route.name, route]));
--- a/src/health/canary-counters.ts
+++ b/src/health/canary-counters.ts
@@ -2,7 +2,9 @@
 import { packRowsReport } from "./reports-codec.js";
 import type { OutcomeKind } from "./sequential-test.js";
 
-/** "own" are failures of the system itself or of this node's links, which count against no service. */
+/**
+ * "own" are failures of the system itself or of this node's links, which count against no service.
+ */
 export type CanaryOutcome = OutcomeKind | "own";
 
 interface Row {
@@ -20,8 +22,9 @@
 const MAX_ROWS = 2_000;
 
 /**
- * What one node saw of routes that send their traffic to more than one service.
- * Invariants: counts only rise within an incarnation; rows exist only for route versions in force, so memory is bounded by them.
+ * What one node saw of routes that send their traffic to more than one service. Invariants: counts
+ * only rise within an incarnation; rows exist only for route versions in force, so memory is
+ * bounded by them.
  */
 export class CanaryCounters {
   private readonly rows = new Map<string, Row>();
--- a/src/health/canary-state.ts
+++ b/src/health/canary-state.ts
@@ -1,4 +1,7 @@
-/** What the canary analysis decides, and its form in the register `duty/rollouts`: the same names in both. */
+/**
+ * What the canary analysis decides, and its form in the register `duty/rollouts`: the same names in
+ * both.
+ */
 import {
   asRecord,
   readList,
@@ -8,7 +11,9 @@
 } from "../common/decode.js";
 import type { WeightedService } from "../common/weighted-split.js";
 
-/** A route that sends its traffic to more than one service, as the configuration in force has it. */
+/**
+ * A route that sends its traffic to more than one service, as the configuration in force has it.
+ */
 export interface SplitRoute {
   readonly name: string;
   readonly version: number;
@@ -38,8 +43,8 @@
 }
 
 /**
- * What is published. Invariants: a baseline is chosen once for a route's version; a stop holds for that version only,
- * and goes only by the operator's clearing or a newer version.
+ * What is published. Invariants: a baseline is chosen once for a route's version; a stop holds for
+ * that version only, and goes only by the operator's clearing or a newer version.
  */
 export interface CanaryState {
   readonly baselines: readonly BaselineChoice[];
--- a/src/health/capacity-forecast.ts
+++ b/src/health/capacity-forecast.ts
@@ -1,6 +1,7 @@
 /**
- * Capacity forecast on the leader: warns that a service nears what it can keep up with, from what all nodes see arriving
- * and being completed, whether arrivals rise, workers slow down, or workers go.
+ * Capacity forecast on the leader: warns that a service nears what it can keep up with, from what
+ * all nodes see arriving and being completed, whether arrivals rise, workers slow down, or workers
+ * go.
  */
 import type { Clock, Timer } from "../common/clock.js";
 import type { UnknownRecord } from "../common/decode.js";
@@ -78,7 +79,10 @@
   readonly states = (): CapacityStates =>
     Object.fromEntries([...this.monitors].map(([key, { state }]) => [key, state]));
 
-  /** The requests in flight of each service in the last interval, which other zones would have to carry. */
+  /**
+   * The requests in flight of each service in the last interval, which other zones would have to
+   * carry.
+   */
   readonly inFlight = (): ReadonlyMap<string, number> => {
     const slots = this.slots();
     return new Map(
--- a/src/health/capacity-monitor.ts
+++ b/src/health/capacity-monitor.ts
@@ -34,7 +34,9 @@
 
 const round = (value: number): number => Math.round(value * 1_000) / 1_000;
 
-/** Enters a state after some intervals in a row and leaves it after more, so that it does not flap. */
+/**
+ * Enters a state after some intervals in a row and leaves it after more, so that it does not flap.
+ */
 export class CapacityMonitor {
   state: CapacityState = "unknown";
   reason = "nothing seen yet";
--- a/src/health/capacity-state.ts
+++ b/src/health/capacity-state.ts
@@ -1,4 +1,6 @@
-/** How near a service is to its capacity: the states, their order and the thresholds between them. */
+/**
+ * How near a service is to its capacity: the states, their order and the thresholds between them.
+ */
 import { asRecord, isRecord } from "../common/decode.js";
 import { SECOND_US } from "../common/duration.js";
 
--- a/src/health/decisions-codec.ts
+++ b/src/health/decisions-codec.ts
@@ -1,8 +1,13 @@
-/** The form in which health decisions are stored in the register `duty/ejections` and sent as an update. */
+/**
+ * The form in which health decisions are stored in the register `duty/ejections` and sent as an
+ * update.
+ */
 import { asRecord, readList, readString, type UnknownRecord } from "../common/decode.js";
 import type { HealthDecisions, ShiftCause, ZonalShift } from "./health-decisions.js";
 
-/** Names of the fields. Stored data and the nodes of other versions have them: they never change. */
+/**
+ * Names of the fields. Stored data and the nodes of other versions have them: they never change.
+ */
 const ZONE = "cell";
 const CAUSE = "why";
 const SAFE_SHARE = "safe";
--- a/src/health/fault-counters.ts
+++ b/src/health/fault-counters.ts
@@ -3,8 +3,8 @@
 import { packFaultReport } from "./reports-codec.js";
 
 /**
- * Cheap and local; no request waits for it.
- * Invariant: counts only rise within an incarnation, so a report that comes twice or late adds nothing.
+ * Cheap and local; no request waits for it. Invariant: counts only rise within an incarnation, so a
+ * report that comes twice or late adds nothing.
  */
 export class FaultCounters {
   private readonly counts = new Map<string, number>();
--- a/src/health/health-decisions.ts
+++ b/src/health/health-decisions.ts
@@ -1,4 +1,7 @@
-/** What the health subsystem decides for the data plane. `decisions-codec.ts` has its stored and sent form. */
+/**
+ * What the health subsystem decides for the data plane. `decisions-codec.ts` has its stored and
+ * sent form.
+ */
 import type { UnknownRecord } from "../common/decode.js";
 
 /** A worker that gets no requests for a while, with what led to it. */
@@ -27,7 +30,10 @@
 
 /** What the data plane follows. Invariant: at most one zone is shifted away from at a time. */
 export interface HealthDecisions {
-  /** How many ejections were ever decided; it tells a new leader whether the removal token may be spent. */
+  /**
+   * How many ejections were ever decided; it tells a new leader whether the removal token may be
+   * spent.
+   */
   readonly removals: number;
   readonly ejections: readonly Ejection[];
   readonly shift: ZonalShift | undefined;
--- a/src/health/load-counters.ts
+++ b/src/health/load-counters.ts
@@ -1,7 +1,10 @@
 import type { Message } from "../transport/connection.js";
 import { packRowsReport } from "./reports-codec.js";
 
-/** Invariant: every figure only rises within an incarnation, so a report that comes twice, late or out of order adds nothing. */
+/**
+ * Invariant: every figure only rises within an incarnation, so a report that comes twice, late or
+ * out of order adds nothing.
+ */
 interface Usage {
   arrived: number;
   refused: number;
@@ -10,8 +13,9 @@
 }
 
 /**
- * What one node sees arriving and being answered, by service and by the zone of the workers: cheap, local, and
- * never waited on. What arrives and what is refused for want of room has no workers' zone, and stands under "".
+ * What one node sees arriving and being answered, by service and by the zone of the workers: cheap,
+ * local, and never waited on. What arrives and what is refused for want of room has no workers'
+ * zone, and stands under "".
  */
 export class LoadCounters {
   private readonly counts = new Map<string, Usage>();
--- a/src/health/load-window.ts
+++ b/src/health/load-window.ts
@@ -5,7 +5,10 @@
 import type { Message } from "../transport/connection.js";
 import { readRowsReport } from "./reports-codec.js";
 
-/** Arrived, rejected and completed requests, and the sum of the completed ones' times in microseconds. */
+/**
+ * Arrived, rejected and completed requests, and the sum of the completed ones' times in
+ * microseconds.
+ */
 export type LoadFigures = readonly number[];
 
 /** Nothing arrived. */
@@ -15,7 +18,10 @@
 export const addLoad = (one: LoadFigures, other: LoadFigures): LoadFigures =>
   one.map((value, at) => value + (other[at] ?? 0));
 
-/** Counts are by service and zone of its workers; without a zone they are for the service as a whole. */
+/**
+ * Counts are by service and zone of its workers; without a zone they are for the service as a
+ * whole.
+ */
 export const loadKey = (service: string, zone = ""): string => `${service}|${zone}`;
 
 interface NodeLoad {
@@ -50,7 +56,8 @@
     this.reported.set(node, load);
     rows.forEach(({ key, figures }) => {
       const last = load.rows.get(key);
-      // A node heard for the first time has counted from before this leader looked: it only sets the start.
+      // A node heard for the first time has counted from before this leader looked: it only sets
+      // the start.
       if (last || !isNew)
         this.add(
           key,
--- a/src/health/maintenance-window.ts
+++ b/src/health/maintenance-window.ts
@@ -2,7 +2,10 @@
 import { SECOND_US } from "../common/duration.js";
 import type { ZonalShift } from "./health-decisions.js";
 
-/** The stages in their order; a cancelled window goes to returning, or to ended before anything moved. */
+/**
+ * The stages in their order; a cancelled window goes to returning, or to ended before anything
+ * moved.
+ */
 export const WINDOW_STAGES = [
   "announced",
   "moving",
@@ -15,8 +18,9 @@
 export type WindowStage = (typeof WINDOW_STAGES)[number];
 
 /**
- * A window as it is stored. Invariants: stages only go forward, and `remainingUs` is the time left until the window
- * opens (announced, moving, clear) or closes (open), as of when this version was written.
+ * A window as it is stored. Invariants: stages only go forward, and `remainingUs` is the time left
+ * until the window opens (announced, moving, clear) or closes (open), as of when this version was
+ * written.
  */
 export interface MaintenanceWindow {
   readonly id: string;
@@ -40,12 +44,18 @@
   /** Safe requests leave, and come back, in so many steps. */
   readonly steps: number;
   readonly stepUs: number;
-  /** How long the last unsafe request must be gone before the zone counts as clear, beyond the longest deadline. */
+  /**
+   * How long the last unsafe request must be gone before the zone counts as clear, beyond the
+   * longest deadline.
+   */
   readonly marginUs: number;
   readonly minDurationUs: number;
   readonly maxDurationUs: number;
   readonly maxOpensInUs: number;
-  /** How often the remaining time is stored; after the loss of every process as much is taken off it. */
+  /**
+   * How often the remaining time is stored; after the loss of every process as much is taken off
+   * it.
+   */
   readonly saveIntervalUs: number;
   /** Beyond this share of the other zones' slots the operator is warned. */
   readonly maxUtilization: number;
--- a/src/health/maintenance-windows.ts
+++ b/src/health/maintenance-windows.ts
@@ -1,6 +1,6 @@
 /**
- * Maintenance windows on the leader: takes each window through its stages, stores every step before it shifts traffic by
- * it, and takes the operator's commands. The stages are in `window-stages.ts`.
+ * Maintenance windows on the leader: takes each window through its stages, stores every step before
+ * it shifts traffic by it, and takes the operator's commands. The stages are in `window-stages.ts`.
  */
 import { err, ok, type Result } from "true-myth/result";
 import type { Clock, Timer } from "../common/clock.js";
@@ -45,9 +45,15 @@
   readonly settings: WindowSettings;
   readonly isLeader: () => boolean;
   readonly state: () => WindowState;
-  /** For how long this process has known the present version of the state; undefined after a start from disk. */
+  /**
+   * For how long this process has known the present version of the state; undefined after a start
+   * from disk.
+   */
   readonly stateAgeUs: () => number | undefined;
-  /** Makes the state durable under the leader's term; false if a newer term or no quorum prevented it. */
+  /**
+   * Makes the state durable under the leader's term; false if a newer term or no quorum prevented
+   * it.
+   */
   readonly publish: (state: WindowState) => Promise<boolean>;
   readonly shift: () => ZonalShift | undefined;
   readonly setShift: (shift: ZonalShift | undefined) => Promise<boolean>;
@@ -163,7 +169,8 @@
         return;
       }
       if (!this.wasLeader) {
-        // How long every process was gone is not known: what may have passed since the last save is taken off.
+        // How long every process was gone is not known: what may have passed since the last save is
+        // taken off.
         state().forEach((window) =>
           this.times.track(window, stateAgeUs() ?? settings.saveIntervalUs),
         );
@@ -279,7 +286,10 @@
     };
   };
 
-  /** Makes the new state durable first, then shifts by it; if the leader fails between, the next one shifts by it. */
+  /**
+   * Makes the new state durable first, then shifts by it; if the leader fails between, the next one
+   * shifts by it.
+   */
   private readonly store = async (window: MaintenanceWindow): Promise<void> => {
     const { publish, clock, log, setShift } = this.options;
     const before = this.current();
@@ -298,7 +308,10 @@
     await setShift(shiftFor(window));
   };
 
-  /** Corrects a shift that is not as the stages want it, and stores the remaining times now and then. */
+  /**
+   * Corrects a shift that is not as the stages want it, and stores the remaining times now and
+   * then.
+   */
   private readonly reconcile = async (): Promise<void> => {
     const { clock, settings, publish, setShift } = this.options;
     const nowUs = clock.nowUs();
--- a/src/health/outcome-report.ts
+++ b/src/health/outcome-report.ts
@@ -41,7 +41,10 @@
 export const keyOf = (row: OutcomeRow): string =>
   `${row.route}\n${row.version}\n${row.service}\n${row.stratum}`;
 
-/** By how much the counts have risen since an earlier row; undefined if any fell: the row is older or repeated. */
+/**
+ * By how much the counts have risen since an earlier row; undefined if any fell: the row is older
+ * or repeated.
+ */
 export const increaseOf = (
   row: OutcomeRow,
   earlier: OutcomeRow | undefined,
--- a/src/health/outlier-detector.ts
+++ b/src/health/outlier-detector.ts
@@ -1,6 +1,7 @@
 /**
- * Outlier detection on the leader: rank workers by faults, alarm on an outlier, take a token, eject one worker. The
- * mechanism is that of "Building on AWS resilience: Innovations for critical success", ARC207.
+ * Outlier detection on the leader: rank workers by faults, alarm on an outlier, take a token, eject
+ * one worker. The mechanism is that of "Building on AWS resilience: Innovations for critical
+ * success", ARC207.
  */
 import type { Clock, Timer } from "../common/clock.js";
 import type { UnknownRecord } from "../common/decode.js";
@@ -29,7 +30,10 @@
   readonly term: () => number;
   readonly workers: () => readonly ObservedWorker[];
   readonly decisions: () => HealthDecisions;
-  /** Makes decisions durable under the leader's term; false if a newer term or no quorum prevented it. */
+  /**
+   * Makes decisions durable under the leader's term; false if a newer term or no quorum prevented
+   * it.
+   */
   readonly publish: (decisions: HealthDecisions) => Promise<boolean>;
 }
 
--- a/src/health/outlier-ranking.ts
+++ b/src/health/outlier-ranking.ts
@@ -20,8 +20,8 @@
 }
 
 /**
- * The figures of the paper ("Building on AWS resilience: Innovations for critical success", ARC207): 66% of the faults
- * in 5 minutes, one removal in 10, and a cap.
+ * The figures of the paper ("Building on AWS resilience: Innovations for critical success",
+ * ARC207): 66% of the faults in 5 minutes, one removal in 10, and a cap.
  */
 export const OUTLIER_SETTINGS: OutlierSettings = {
   windowUs: 300 * SECOND_US,
--- a/src/health/removal-token-bucket.ts
+++ b/src/health/removal-token-bucket.ts
@@ -2,8 +2,8 @@
 import type { Clock } from "../common/clock.js";
 
 /**
- * A token bucket of one token, refilled `intervalUs` after it was taken ("Building on AWS resilience: Innovations for
- * critical success", ARC207: one token in ten minutes).
+ * A token bucket of one token, refilled `intervalUs` after it was taken ("Building on AWS
+ * resilience: Innovations for critical success", ARC207: one token in ten minutes).
  */
 export class RemovalTokenBucket {
   private takenUs: number | undefined;
@@ -28,7 +28,8 @@
   /**
    * Whether there is a token.
    *
-   * @param removals - how many were ever made: after the first one, a new leader starts with the token spent
+   * @param removals - how many were ever made: after the first one, a new leader starts with the
+   *   token spent
    */
   readonly hasToken = (removals: number): boolean => {
     const sinceUs = this.takenUs ?? (removals > 0 ? this.leaderSinceUs : undefined);
--- a/src/health/reports-codec.ts
+++ b/src/health/reports-codec.ts
@@ -1,6 +1,6 @@
 /**
- * The messages in which nodes report what they counted: `faults`, `rollout` and `usage`. A node sends them without its
- * name, which its session adds.
+ * The messages in which nodes report what they counted: `faults`, `rollout` and `usage`. A node
+ * sends them without its name, which its session adds.
  */
 import { asList, asNumber, asString, readList, readString } from "../common/decode.js";
 import type { Message } from "../transport/connection.js";
--- a/src/health/sequential-test.ts
+++ b/src/health/sequential-test.ts
@@ -1,6 +1,7 @@
 /**
- * Sequential tests that stay valid however often one looks: each is a product of bets whose mean is at most 1 while
- * its null holds, so by Ville's inequality it ever reaches 1/a with probability a at most.
+ * Sequential tests that stay valid however often one looks: each is a product of bets whose mean is
+ * at most 1 while its null holds, so by Ville's inequality it ever reaches 1/a with probability a
+ * at most.
  */
 
 /** What became of one request. The order is the order of weight. */
@@ -31,7 +32,10 @@
   doubled: one.doubled + other.doubled,
 });
 
-/** The loss of a request by its outcome; one in time has none. A lost request is weighed by whether its route is safe. */
+/**
+ * The loss of a request by its outcome; one in time has none. A lost request is weighed by whether
+ * its route is safe.
+ */
 export interface LossWeights {
   readonly late: number;
   readonly lostSafe: number;
@@ -42,17 +46,28 @@
 /** Error probabilities, margins and limits of the tests. Rates and losses are per request. */
 export interface SequentialTestSettings {
   readonly weights: LossWeights;
-  /** The chance at most that a candidate no worse than the baseline is ever stopped by the test of all losses. */
+  /**
+   * The chance at most that a candidate no worse than the baseline is ever stopped by the test of
+   * all losses.
+   */
   readonly maxFalseStopProbability: number;
   /** The same for the stricter test of possibly doubled requests alone. */
   readonly maxFalseDuplicationStopProbability: number;
   /** The chance at most that a candidate worse by the tolerance or more ever passes. */
   readonly maxFalsePassProbability: number;
-  /** How many times the baseline's rate of a loss a candidate may have and still count as no worse. */
+  /**
+   * How many times the baseline's rate of a loss a candidate may have and still count as no worse.
+   */
   readonly maxRateRatio: number;
-  /** The difference in weighted loss for each request below which nobody is stopped, but for doubled ones. */
+  /**
+   * The difference in weighted loss for each request below which nobody is stopped, but for doubled
+   * ones.
+   */
   readonly minStopDifference: number;
-  /** The difference in weighted loss for each request that a pass rules out, as a part of the heaviest loss. */
+  /**
+   * The difference in weighted loss for each request that a pass rules out, as a part of the
+   * heaviest loss.
+   */
   readonly nonInferiorityMargin: number;
   /** The difference in the rate of possibly doubled requests that a pass rules out besides. */
   readonly duplicationMargin: number;
@@ -79,9 +94,10 @@
 const WORSE_BY = [2, 5, 15];
 
 /**
- * Whose are the events? While the candidate's rate of an event is at most `leeway` times the baseline's, an event is
- * the candidate's with a chance of at most its part of the concurrent requests. The bets say that it is 2, 5 or 15
- * times that, and are averaged, since an average of such products is one too.
+ * Whose are the events? While the candidate's rate of an event is at most `leeway` times the
+ * baseline's, an event is the candidate's with a chance of at most its part of the concurrent
+ * requests. The bets say that it is 2, 5 or 15 times that, and are averaged, since an average of
+ * such products is one too.
  */
 export class InferiorityTest {
   /** Invariant: one logarithm of a product for each of WORSE_BY. */
@@ -89,7 +105,9 @@
 
   constructor(private readonly leeway: number) {}
 
-  /** Events of one kind among concurrent requests; a weight below 1 makes the bet that much smaller. */
+  /**
+   * Events of one kind among concurrent requests; a weight below 1 makes the bet that much smaller.
+   */
   readonly take = (
     candidateEvents: number,
     baselineEvents: number,
@@ -114,8 +132,9 @@
 const PARTS = [0.25, 0.5, 0.9];
 
 /**
- * Is the candidate worse by the tolerance or more? Each candidate's loss, of 0 to 1, is set against the mean loss of
- * concurrent baseline requests; while it is that much worse, the bets on the opposite have a mean of at most 1.
+ * Is the candidate worse by the tolerance or more? Each candidate's loss, of 0 to 1, is set against
+ * the mean loss of concurrent baseline requests; while it is that much worse, the bets on the
+ * opposite have a mean of at most 1.
  */
 export class NonInferiorityTest {
   private readonly logs = PARTS.map(() => 0);
@@ -135,7 +154,10 @@
 /** What the tests say so far: go on observing, stop the candidate, pass it, or end undecided. */
 export type TestDecision = "observing" | "stop" | "pass" | "inconclusive";
 
-/** The decision of the tests with the figures that it rests on. Evidence of 1/a or more rejects its null at level a. */
+/**
+ * The decision of the tests with the figures that it rests on. Evidence of 1/a or more rejects its
+ * null at level a.
+ */
 export interface TestResult {
   readonly decision: TestDecision;
   readonly reason: string;
@@ -177,9 +199,10 @@
 const zoneOf = (stratum: string): string => stratum.split("|")[0] ?? "";
 
 /**
- * One candidate against the baseline. Being late is compared within the full stratum (cell, near or far, warm or cold),
- * so that a far or cold candidate is not condemned for it; all else within the cell of the node that saw it.
- * Invariant: a stop is final; a pass or an inconclusive trial goes on and can only become a stop.
+ * One candidate against the baseline. Being late is compared within the full stratum (cell, near or
+ * far, warm or cold), so that a far or cold candidate is not condemned for it; all else within the
+ * cell of the node that saw it. Invariant: a stop is final; a pass or an inconclusive trial goes on
+ * and can only become a stop.
  */
 export class SequentialTest {
   private readonly byStratum = new Map<string, Pending>();
@@ -215,7 +238,10 @@
     });
   };
 
-  /** Weighs what came since the last look, wherever a stratum has requests of both sides, and gives the verdict. */
+  /**
+   * Weighs what came since the last look, wherever a stratum has requests of both sides, and gives
+   * the verdict.
+   */
   readonly evaluate = (): TestResult => {
     if (this.final?.verdict !== "stop") {
       takeBothSided(this.byStratum, this.weighLate);
@@ -303,7 +329,10 @@
     this.baseline = addCounts(this.baseline, baseline);
   };
 
-  /** The outcomes one by one in random order, which under any null is as good as the order they came in. */
+  /**
+   * The outcomes one by one in random order, which under any null is as good as the order they came
+   * in.
+   */
   private readonly shuffled = (counts: OutcomeCounts): readonly OutcomeKind[] => {
     const kinds = OUTCOME_KINDS.flatMap((kind) => new Array<OutcomeKind>(counts[kind]).fill(kind));
     for (let at = kinds.length - 1; at > 0; at -= 1) {
--- a/src/health/split-routes.ts
+++ b/src/health/split-routes.ts
@@ -10,7 +10,10 @@
   readonly giveUpUs: number;
 }
 
-/** Follows the routes of the plan: which are split now, how long their requests may take, and which service each sent the most to before. */
+/**
+ * Follows the routes of the plan: which are split now, how long their requests may take, and which
+ * service each sent the most to before.
+ */
 export class SplitRoutes {
   private readonly seen = new Map<string, Seen>();
   private readonly mainsBefore = new Map<string, string>();
--- a/src/health/utilization-trend.ts
+++ b/src/health/utilization-trend.ts
@@ -1,4 +1,6 @@
-/** When the slots of a service will all be in use, by a straight line through the recent samples. */
+/**
+ * When the slots of a service will all be in use, by a straight line through the recent samples.
+ */
 import { linearRegression, linearRegressionLine, sampleVariance } from "simple-statistics";
 
 /** The time until utilization reaches 1, in seconds from the last sample. */
@@ -35,7 +37,8 @@
   const spread = sampleVariance(samples.map(({ atS }) => atS)) * (samples.length - 1);
   const residual =
     points.reduce((sum, [x = 0, y = 0]) => sum + (y - line(x)) ** 2, 0) / (samples.length - 2);
-  // Neighbouring samples are alike, so that fewer speak than there are: twice the error that independent ones would have.
+  // Neighbouring samples are alike, so that fewer speak than there are: twice the error that
+  // independent ones would have.
   const slopeError = 2 * Math.sqrt(residual / spread) + 1e-9;
   if (fit.m <= slopeErrors * slopeError) return undefined;
   const left = Math.max(0, 1 - line(last.atS));
--- a/src/health/window-stages.ts
+++ b/src/health/window-stages.ts
@@ -1,6 +1,6 @@
 /**
- * The state machine of a maintenance window: what is to be done for a window now. It reads no clock and stores nothing,
- * so that any leader can go on from the stored stage.
+ * The state machine of a maintenance window: what is to be done for a window now. It reads no clock
+ * and stores nothing, so that any leader can go on from the stored stage.
  */
 import type { LogFields } from "../common/logger.js";
 import { SECOND_US } from "../common/duration.js";
@@ -34,7 +34,10 @@
   | { readonly kind: "store"; readonly window: MaintenanceWindow }
   | { readonly kind: "moveLeadership" }
   | { readonly kind: "noteDark" }
-  /** A line for the operator; `isRepeated`: it comes with every look, and only its first one is written. */
+  /**
+   * A line for the operator; `isRepeated`: it comes with every look, and only its first one is
+   * written.
+   */
   | {
       readonly kind: "warn";
       readonly message: string;
--- a/src/health/window-times.ts
+++ b/src/health/window-times.ts
@@ -21,7 +21,10 @@
 
   constructor(private readonly clock: Clock) {}
 
-  /** Takes the remaining time of a stored window as of now, less what has passed since it was stored. */
+  /**
+   * Takes the remaining time of a stored window as of now, less what has passed since it was
+   * stored.
+   */
   readonly track = (window: MaintenanceWindow, passedUs: number): void => {
     const nowUs = this.clock.nowUs();
     const remainingUs = window.remainingUs - passedUs;
--- a/src/health/windows-codec.ts
+++ b/src/health/windows-codec.ts
@@ -13,7 +13,9 @@
   type WindowState,
 } from "./maintenance-window.js";
 
-/** Names of the fields. Stored data and controllers of other versions have them: they never change. */
+/**
+ * Names of the fields. Stored data and controllers of other versions have them: they never change.
+ */
 const WINDOWS = "windows";
 const ZONE = "cell";
 const DURATION_US = "lastsUs";
--- a/src/health/zonal-shift.ts
+++ b/src/health/zonal-shift.ts
@@ -1,4 +1,7 @@
-/** Zonal shift: takes all traffic away from one zone, for an outlier, for practice, by an operator or for a window. */
+/**
+ * Zonal shift: takes all traffic away from one zone, for an outlier, for practice, by an operator
+ * or for a window.
+ */
 import type { Clock } from "../common/clock.js";
 import { SECOND_US } from "../common/duration.js";
 import type { Logger } from "../common/logger.js";
@@ -29,7 +32,10 @@
   readonly isLeader: () => boolean;
   readonly workers: () => readonly ObservedWorker[];
   readonly decisions: () => HealthDecisions;
-  /** Makes decisions durable under the leader's term; false if a newer term or no quorum prevented it. */
+  /**
+   * Makes decisions durable under the leader's term; false if a newer term or no quorum prevented
+   * it.
+   */
   readonly publish: (decisions: HealthDecisions) => Promise<boolean>;
   /** The faults of the window, by worker. */
   readonly faults: () => ReadonlyMap<string, number>;
@@ -43,8 +49,8 @@
 const MIN_ZONES = 3;
 
 /**
- * Decides on the zonal shift. The source of one zone at a time and of regular practice is "Building on AWS resilience:
- * Innovations for critical success", ARC207.
+ * Decides on the zonal shift. The source of one zone at a time and of regular practice is "Building
+ * on AWS resilience: Innovations for critical success", ARC207.
  */
 export class ZonalShiftController {
   private shiftSinceUs: number | undefined;
--- a/src/idempotency/key-client.ts
+++ b/src/idempotency/key-client.ts
@@ -1,4 +1,6 @@
-/** A gateway's side of idempotency keys: what it asks the controller that it has its session with. */
+/**
+ * A gateway's side of idempotency keys: what it asks the controller that it has its session with.
+ */
 import { sleep, type Clock } from "../common/clock.js";
 import { asRecord, isRecord, readList, asString, readNumber } from "../common/decode.js";
 import { MILLISECOND_US } from "../common/duration.js";
--- a/src/idempotency/key-codec.ts
+++ b/src/idempotency/key-codec.ts
@@ -1,6 +1,7 @@
 /**
- * The form of what idempotency keys put on the wire and on disk: the kinds and keys of messages between controllers, and
- * of the records of a key table. Nodes and controllers of other versions read both, so no text in here ever changes.
+ * The form of what idempotency keys put on the wire and on disk: the kinds and keys of messages
+ * between controllers, and of the records of a key table. Nodes and controllers of other versions
+ * read both, so no text in here ever changes.
  */
 import {
   asRecord,
@@ -37,7 +38,10 @@
   uninitialized: "unbegun",
 } as const;
 
-/** What the first run of a key was answered with. Without a body it is stored elsewhere, or was too large to store. */
+/**
+ * What the first run of a key was answered with. Without a body it is stored elsewhere, or was too
+ * large to store.
+ */
 export interface StoredResponse {
   readonly status: number;
   /** Names and values in turn. */
@@ -59,10 +63,15 @@
   readonly token: string;
 }
 
-/** What one replica's table makes of a claim: it has the token, it has another one, or it takes no claims. */
+/**
+ * What one replica's table makes of a claim: it has the token, it has another one, or it takes no
+ * claims.
+ */
 export type TableClaimResult = "taken" | "other" | "full";
 
-/** A replica's response to a claim. `isCompleted` is true if it knows that the key's run has ended. */
+/**
+ * A replica's response to a claim. `isCompleted` is true if it knows that the key's run has ended.
+ */
 export interface ClaimResponse {
   readonly result: TableClaimResult;
   readonly isCompleted: boolean;
@@ -110,7 +119,10 @@
   done: isCompleted,
 });
 
-/** Reads a replica's response to a claim. A result of a later version counts as a replica that takes no claims. */
+/**
+ * Reads a replica's response to a claim. A result of a later version counts as a replica that takes
+ * no claims.
+ */
 export const readClaimResponse = (message: Message): ClaimResponse => {
   const result = message["verdict"];
   return {
--- a/src/idempotency/key-replication.ts
+++ b/src/idempotency/key-replication.ts
@@ -1,4 +1,6 @@
-/** Idempotency keys over the voter set: claims by quorum, responses stored at a quorum, and purges. */
+/**
+ * Idempotency keys over the voter set: claims by quorum, responses stored at a quorum, and purges.
+ */
 import { randomUUID } from "node:crypto";
 import { asString, readFlag, readList, readString } from "../common/decode.js";
 import { MILLISECOND_US } from "../common/duration.js";
@@ -29,7 +31,10 @@
   | { readonly kind: "done"; readonly answer: StoredResponse }
   /** Another attempt has the key, and may have run. */
   | { readonly kind: "working" }
-  /** Two attempts came at once and neither won: the token is to be released, and another tried after a while. */
+  /**
+   * Two attempts came at once and neither won: the token is to be released, and another tried after
+   * a while.
+   */
   | { readonly kind: "split" }
   /** Too few replicas responded. */
   | { readonly kind: "none" };
@@ -51,14 +56,19 @@
 const CLAIM_TIMEOUT_US = 400 * MILLISECOND_US;
 const STORE_TIMEOUT_US = 250 * MILLISECOND_US;
 const REFRESH_TIMEOUT_US = 1_500 * MILLISECOND_US;
-/** A body up to this size is sent to all members at once, a larger one only to as many as make a quorum. */
+/**
+ * A body up to this size is sent to all members at once, a larger one only to as many as make a
+ * quorum.
+ */
 const SMALL_BODY_BYTES = 256;
 
 /**
- * Idempotency keys over the voter set: who may run an operation, and what its run was answered with.
+ * Idempotency keys over the voter set: who may run an operation, and what its run was answered
+ * with.
  *
- * Invariant: a replica that may have lost claims accepts none until it has read so many of the others that every claim
- * once held by a quorum is among theirs; so within the window no two tokens of a key ever win.
+ * Invariant: a replica that may have lost claims accepts none until it has read so many of the
+ * others that every claim once held by a quorum is among theirs; so within the window no two tokens
+ * of a key ever win.
  */
 export class IdempotencyKeyReplication {
   private voting = false;
@@ -80,7 +90,10 @@
       this.voting = await this.options.table.markInitialized();
   };
 
-  /** Reads what a replica that lost its table needs; called until it votes. Does nothing before it is a member. */
+  /**
+   * Reads what a replica that lost its table needs; called until it votes. Does nothing before it
+   * is a member.
+   */
   readonly catchUp = async (): Promise<void> => {
     const { table, store, logger } = this.options;
     if (this.voting || this.catchingUp || !store.isMember() || !store.isVoting) return;
@@ -93,7 +106,10 @@
     logger.info("caught up with idempotency keys", { keys: table.size });
   };
 
-  /** Has a quorum of the new members read what a quorum of the old ones stores; true once that is done. */
+  /**
+   * Has a quorum of the new members read what a quorum of the old ones stores; true once that is
+   * done.
+   */
   readonly replicateToNewMembers = async (): Promise<boolean> => {
     const { store } = this.options;
     const refreshed = await store.callQuorum(
@@ -156,7 +172,10 @@
     this.options.send({ kind: KEY_MESSAGE.release, key, token });
   };
 
-  /** Stores the response with its body at a quorum, and without it at the rest; false if no quorum stored it in time. */
+  /**
+   * Stores the response with its body at a quorum, and without it at the rest; false if no quorum
+   * stored it in time.
+   */
   readonly complete = async (
     key: string,
     token: string,
@@ -207,7 +226,10 @@
     return stored.isOk;
   };
 
-  /** Learns the purges that a read quorum stores; true if every purge acknowledged before the call is known now. */
+  /**
+   * Learns the purges that a read quorum stores; true if every purge acknowledged before the call
+   * is known now.
+   */
   readonly readPurges = async (): Promise<boolean> => {
     const { table } = this.options;
     const ids = table.purges().map(({ id }) => id);
--- a/src/idempotency/key-table.ts
+++ b/src/idempotency/key-table.ts
@@ -30,7 +30,9 @@
   readonly diskBytes: number;
 }
 
-/** How much longer than the window a claim is kept, for all that clocks and network hops may add. */
+/**
+ * How much longer than the window a claim is kept, for all that clocks and network hops may add.
+ */
 const MARGIN_FRACTION = 0.1;
 const MARGIN_US = 5 * SECOND_US;
 /** The part of the disk space that the table may take. */
@@ -41,8 +43,9 @@
 /**
  * One controller's own replica of the idempotency keys and of the purges, durable on its disk.
  *
- * Invariants: a key has one token at a time, and another is taken only after that one was released or its time is over;
- * a token is released only by who took it, and only if it has not run; what is said to be taken is synced.
+ * Invariants: a key has one token at a time, and another is taken only after that one was released
+ * or its time is over; a token is released only by who took it, and only if it has not run; what is
+ * said to be taken is synced.
  */
 export class IdempotencyKeyTable {
   private readonly entries = new Map<string, Entry>();
@@ -51,7 +54,10 @@
     { readonly purge: Purge; readonly sinceUs: number }
   >();
   private readonly segments: SegmentLog;
-  /** Invariant: true exactly if this replica holds all that it must; each segment begins with how that was then. */
+  /**
+   * Invariant: true exactly if this replica holds all that it must; each segment begins with how
+   * that was then.
+   */
   private isInitialized = false;
   private readonly retentionUs: number;
 
@@ -76,14 +82,19 @@
     return this.segments.sizeBytes;
   }
 
-  /** False where no log was found, or one that never held all it must: what it once held may be lost. */
+  /**
+   * False where no log was found, or one that never held all it must: what it once held may be
+   * lost.
+   */
   readonly load = async (): Promise<boolean> => {
     const records = await this.segments.load();
     records?.forEach((record) => this.replay(asRecord(record)));
     return this.isInitialized;
   };
 
-  /** Writes a record by which a later start knows that nothing was lost; false if the disk refuses. */
+  /**
+   * Writes a record by which a later start knows that nothing was lost; false if the disk refuses.
+   */
   readonly markInitialized = async (): Promise<boolean> => {
     this.isInitialized = (await this.segments.append({ kind: KEY_RECORD.initialized })).isOk;
     return this.isInitialized;
@@ -116,7 +127,9 @@
       void this.segments.append({ kind: KEY_RECORD.release, key, token });
   };
 
-  /** Stores the response of the key's run; false if another token has the key, or the disk refuses. */
+  /**
+   * Stores the response of the key's run; false if another token has the key, or the disk refuses.
+   */
   readonly complete = async (
     key: string,
     token: string,
@@ -151,7 +164,9 @@
     return { keys, purges: this.purges() };
   };
 
-  /** Takes what another replica packed; what is here already stays. True once all of it is durable. */
+  /**
+   * Takes what another replica packed; what is here already stays. True once all of it is durable.
+   */
   readonly merge = async (packed: UnknownRecord): Promise<boolean> => {
     const nowUs = this.options.clock.nowUs();
     const kept = readList(packed, "keys", asRecord).flatMap((row) => {
@@ -179,7 +194,10 @@
     );
   };
 
-  /** Removes what has expired; entries are in the order they came. Returns the ids of the purges removed. */
+  /**
+   * Removes what has expired; entries are in the order they came. Returns the ids of the purges
+   * removed.
+   */
   readonly removeExpired = (): readonly string[] => {
     const nowUs = this.options.clock.nowUs();
     for (const [key, entry] of this.entries) {
@@ -211,7 +229,10 @@
     else this.entries.set(key, { token, sinceUs: this.options.clock.nowUs(), answer });
   };
 
-  /** Replays a record found on disk; its time counts from now, since how long the process was gone isn't known. */
+  /**
+   * Replays a record found on disk; its time counts from now, since how long the process was gone
+   * isn't known.
+   */
   private readonly replay = (record: UnknownRecord): void => {
     const nowUs = this.options.clock.nowUs();
     if (record["kind"] === KEY_RECORD.purge) {
--- a/src/main.ts
+++ b/src/main.ts
@@ -21,7 +21,10 @@
   }
 };
 
-/** The settings file may change with a signal or without one; what is wrong in it then changes nothing. */
+/**
+ * The settings file may change with a signal or without one; what is wrong in it then changes
+ * nothing.
+ */
 const watchSettings = async (
   path: string,
   clock: Clock,
--- a/src/membership/cluster-size.ts
+++ b/src/membership/cluster-size.ts
@@ -1,12 +1,21 @@
-/** The size of the cluster by its nodes, and which gateways distribute large objects within their zone. */
+/**
+ * The size of the cluster by its nodes, and which gateways distribute large objects within their
+ * zone.
+ */
 import type { CacheAddress, ClusterNode, ClusterSize } from "./cluster.js";
 
-/** How many times wider than the median link of its zone a gateway's link must be for it to distribute large objects. */
+/**
+ * How many times wider than the median link of its zone a gateway's link must be for it to
+ * distribute large objects.
+ */
 const DISTRIBUTOR_LINK_FACTOR = 4;
 
 const byName = (one: ClusterNode, other: ClusterNode): number => (one.name < other.name ? -1 : 1);
 
-/** In each zone the first gateway, by name, whose link is far wider than the median there, where there is one. */
+/**
+ * In each zone the first gateway, by name, whose link is far wider than the median there, where
+ * there is one.
+ */
 const distributorsOf = (gateways: readonly ClusterNode[]): readonly CacheAddress[] => {
   const byZone = new Map<string, ClusterNode[]>();
   gateways.forEach((node) => byZone.set(node.zone, [...(byZone.get(node.zone) ?? []), node]));
@@ -20,7 +29,9 @@
   });
 };
 
-/** The size of a cluster of these nodes. Only where there are caches do gateways distribute objects. */
+/**
+ * The size of a cluster of these nodes. Only where there are caches do gateways distribute objects.
+ */
 export const clusterSizeOf = (nodes: readonly ClusterNode[]): ClusterSize => {
   const gateways = nodes.filter(({ role }) => role === "gateway");
   const caches = nodes
--- a/src/membership/cluster.ts
+++ b/src/membership/cluster.ts
@@ -1,4 +1,7 @@
-/** Who belongs to the cluster: the nodes of the data plane, their number and place, and the controllers. */
+/**
+ * Who belongs to the cluster: the nodes of the data plane, their number and place, and the
+ * controllers.
+ */
 import type { UnknownRecord } from "../common/decode.js";
 
 /** What a node of the data plane does: `gateway` proxies requests, `cache` keeps shared objects. */
@@ -21,13 +24,17 @@
   readonly zone: string;
 }
 
-/** How many live gateways there are, in all and by zone, and which nodes serve objects to others. */
+/**
+ * How many live gateways there are, in all and by zone, and which nodes serve objects to others.
+ */
 export interface ClusterSize {
   readonly gateways: number;
   readonly zones: Readonly<Record<string, number>>;
   /** The caches with a session; left out where there are none. */
   readonly caches?: readonly CacheAddress[];
-  /** The gateways that distribute large objects within their zone; left out where there are none. */
+  /**
+   * The gateways that distribute large objects within their zone; left out where there are none.
+   */
   readonly zoneDistributors?: readonly CacheAddress[];
 }
 
@@ -44,7 +51,10 @@
   readonly answer: UnknownRecord | undefined;
 }
 
-/** Whether a worker takes requests: `missing` without recent heartbeats, `draining` when it is leaving, `gone` once it has left. */
+/**
+ * Whether a worker takes requests: `missing` without recent heartbeats, `draining` when it is
+ * leaving, `gone` once it has left.
+ */
 export type WorkerState = "ready" | "missing" | "draining" | "gone";
 
 /** What is known of a worker by its last heartbeat. */
--- a/src/membership/messages.ts
+++ b/src/membership/messages.ts
@@ -1,7 +1,7 @@
 /**
- * The wire form of membership: message kinds and keys between controllers, nodes and their relays, in the remembered
- * workers' file, and in the answers to operators. Other versions of the program read and write these names, so they
- * never change; the types in memory have names of their own.
+ * The wire form of membership: message kinds and keys between controllers, nodes and their relays,
+ * in the remembered workers' file, and in the answers to operators. Other versions of the program
+ * read and write these names, so they never change; the types in memory have names of their own.
  */
 import {
   asRecord,
@@ -33,7 +33,10 @@
   nodeHello: "pointsman",
   /** The answer to either hello, when the session or link is accepted. */
   welcome: "welcome",
-  /** The answer to a node's hello from a controller that is without quorum or serves only its own zone. */
+  /**
+   * The answer to a node's hello from a controller that is without quorum or serves only its own
+   * zone.
+   */
   rejected: "adrift",
   /** Controller to node: the connected controllers. */
   controllers: "boxes",
@@ -127,7 +130,10 @@
   linkMbps: node.linkMbps,
 });
 
-/** Reads a node packed by `packNode`; throws a DecodeError if a field is missing or of the wrong type. */
+/**
+ * Reads a node packed by `packNode`; throws a DecodeError if a field is missing or of the wrong
+ * type.
+ */
 export const readNode = (value: unknown): ClusterNode => {
   const record = asRecord(value, "node");
   return {
@@ -139,7 +145,9 @@
   };
 };
 
-/** A node's first message to a controller. `linkMbps` is left out where the node doesn't know it. */
+/**
+ * A node's first message to a controller. `linkMbps` is left out where the node doesn't know it.
+ */
 export const packNodeHello = (node: {
   readonly name: string;
   readonly zone: string;
@@ -211,7 +219,10 @@
     return { address: readString(record, "address"), zone: readString(record, ZONE) };
   });
 
-/** The size of the cluster for a node. Zone distributors and caches are left out where there are none. */
+/**
+ * The size of the cluster for a node. Zone distributors and caches are left out where there are
+ * none.
+ */
 export const packClusterSize = (size: ClusterSize): Message => ({
   kind: MessageKind.clusterSize,
   [GATEWAYS]: size.gateways,
--- a/src/membership/node-sessions.ts
+++ b/src/membership/node-sessions.ts
@@ -24,11 +24,14 @@
   readonly clock: Clock;
   readonly publisher: UpdatePublisher;
   readonly log: Logger;
-  /** Whether this controller may serve nodes: it has a configuration, and a majority answered after the call. */
+  /**
+   * Whether this controller may serve nodes: it has a configuration, and a majority answered after
+   * the call.
+   */
   readonly mayServe: () => Promise<boolean>;
   /**
-   * The zone that a maintenance window drains, or empty: its nodes relay nothing, and its controller serves its own
-   * zone's nodes only.
+   * The zone that a maintenance window drains, or empty: its nodes relay nothing, and its
+   * controller serves its own zone's nodes only.
    */
   readonly drainedZone: () => string;
   /** This controller's own zone. */
@@ -39,11 +42,14 @@
 }
 
 /**
- * The nodes with a session here, and those with a session at a peer.
- * Invariant: a node is a member exactly while it has a session here, or at a peer whose link is connected.
+ * The nodes with a session here, and those with a session at a peer. Invariant: a node is a member
+ * exactly while it has a session here, or at a peer whose link is connected.
  */
 export class NodeSessions {
-  /** `report`: a node's message that wants no reply. The others say which part of the membership changed. */
+  /**
+   * `report`: a node's message that wants no reply. The others say which part of the membership
+   * changed.
+   */
   readonly events = new Emittery<{
     report: Message;
     localChanged: undefined;
@@ -54,7 +60,10 @@
 
   constructor(private readonly options: NodeSessionsOptions) {}
 
-  /** Serves one node's session until its connection ends. Throws `DecodeError` where the hello is malformed. */
+  /**
+   * Serves one node's session until its connection ends. Throws `DecodeError` where the hello is
+   * malformed.
+   */
   readonly serve = async (
     connection: Connection,
     hello: Message,
@@ -96,7 +105,10 @@
       session.connection.send(packControllers(MessageKind.controllers, this.options.controllers())),
     );
 
-  /** Sends a query to every node with a session here; a node that doesn't answer in time is listed without an answer. */
+  /**
+   * Sends a query to every node with a session here; a node that doesn't answer in time is listed
+   * without an answer.
+   */
   readonly queryAll = (query: Message, timeoutUs: number): Promise<readonly NodeAnswer[]> =>
     Promise.all(
       [...this.sessions.values()].map(async ({ node, connection, pendingRequests }) => ({
--- a/src/membership/relay-tree.ts
+++ b/src/membership/relay-tree.ts
@@ -1,4 +1,7 @@
-/** Which node relays updates to which: a tree below each controller, kept shallow and with few children a relay. */
+/**
+ * Which node relays updates to which: a tree below each controller, kept shallow and with few
+ * children a relay.
+ */
 
 /** How many children a controller sends updates to itself, as long as none has lost its relay. */
 export const FAN_OUT = 4;
@@ -16,7 +19,10 @@
   readonly parent: string;
 }
 
-/** How far below the controller a node is; undefined if it is below the one that looks for a parent, or below nobody. */
+/**
+ * How far below the controller a node is; undefined if it is below the one that looks for a parent,
+ * or below nobody.
+ */
 const depthBelow = <Node extends RelayNode>(
   node: Node,
   seeker: Node,
@@ -58,8 +64,8 @@
 };
 
 /**
- * The relay that a node is to get its updates from; empty where the controller sends them itself, which it does while
- * it has room.
+ * The relay that a node is to get its updates from; empty where the controller sends them itself,
+ * which it does while it has room.
  *
  * @param seeker - the node that needs a parent, one of `nodes`
  * @param nodes - all nodes with a session here, in the order in which they came
--- a/src/membership/update-publisher.ts
+++ b/src/membership/update-publisher.ts
@@ -8,8 +8,9 @@
 const FLUSH_DELAY_US = 4 * MILLISECOND_US;
 
 /**
- * Hands the news on to the children of this node in the relay tree: everything on joining, then what changed.
- * Invariant: a child has been sent every fact of the board, but for those in `changed`, which the next pulse sends.
+ * Hands the news on to the children of this node in the relay tree: everything on joining, then
+ * what changed. Invariant: a child has been sent every fact of the board, but for those in
+ * `changed`, which the next pulse sends.
  */
 export class UpdatePublisher {
   private readonly children = new Set<Connection>();
--- a/src/membership/update-store.ts
+++ b/src/membership/update-store.ts
@@ -4,7 +4,8 @@
 
 /**
  * A fact is what the data plane is told: a plan item held by a quorum, a worker, the ejections.
- * Invariant: for a key the higher (version, tie) wins, so facts may come twice, late and by any way.
+ * Invariant: for a key the higher (version, tie) wins, so facts may come twice, late and by any
+ * way.
  */
 export interface Update {
   readonly key: string;
--- a/src/membership/update-subscriber.ts
+++ b/src/membership/update-subscriber.ts
@@ -46,8 +46,8 @@
 const OTHERS_EVERY = 3;
 
 /**
- * A pointsman's way to the news: one session with a signalbox, and the news from it or from the relay it names.
- * Cut off, it goes on with the board as it is.
+ * A pointsman's way to the news: one session with a signalbox, and the news from it or from the
+ * relay it names. Cut off, it goes on with the board as it is.
  */
 export class UpdateSubscriber {
   readonly events = new Emittery<{
@@ -60,7 +60,10 @@
     disconnected: undefined;
   }>();
   private state: SessionState = "looking";
-  /** Every signalbox that was told of, those told last first; who is no longer told of is kept behind, since a teller may be cut off. */
+  /**
+   * Every signalbox that was told of, those told last first; who is no longer told of is kept
+   * behind, since a teller may be cut off.
+   */
   private boxes: readonly (ControllerAddress & { readonly isTold: boolean })[] = [];
   private seeds: readonly string[];
   private connection: Connection | undefined;
@@ -181,8 +184,9 @@
   }
 
   /**
-   * Of the signalboxes told last, that of the own cell first, else the one whose failure is longest ago. Every third look
-   * goes to the others, seeds and those told before: after replacements many of these are gone, and each costs a wait.
+   * Of the signalboxes told last, that of the own cell first, else the one whose failure is longest
+   * ago. Every third look goes to the others, seeds and those told before: after replacements many
+   * of these are gone, and each costs a wait.
    */
   private readonly choose = (): string => {
     this.looks += 1;
@@ -255,7 +259,10 @@
     }
   };
 
-  /** A complete telling names every worker there is; plan items never vanish, since drops stay as tombstones. */
+  /**
+   * A complete telling names every worker there is; plan items never vanish, since drops stay as
+   * tombstones.
+   */
   private readonly forgetUntold = (told: ReadonlySet<string>): void => {
     const { updates } = this.options;
     updates.forget(
--- a/src/membership/worker-registry.ts
+++ b/src/membership/worker-registry.ts
@@ -24,8 +24,9 @@
 const MISSING_HEARTBEATS = 3;
 
 /**
- * The workers as their beats tell them. Only changes become facts; a beat that changes nothing only freshens.
- * Invariant: for one id the call count held never falls, and a worker that is draining or gone never becomes ready.
+ * The workers as their beats tell them. Only changes become facts; a beat that changes nothing only
+ * freshens. Invariant: for one id the call count held never falls, and a worker that is draining or
+ * gone never becomes ready.
  */
 export class WorkerRegistry {
   private readonly entries = new Map<string, Entry>();
@@ -40,7 +41,10 @@
     this.listeningSinceUs = clock.nowUs();
   }
 
-  /** After a time in which beats could not come in: their lack says nothing, and workers may have come that aren't known here. */
+  /**
+   * After a time in which beats could not come in: their lack says nothing, and workers may have
+   * come that aren't known here.
+   */
   readonly restartListening = (): void => {
     this.listeningSinceUs = this.clock.nowUs();
   };
@@ -54,13 +58,17 @@
 
   readonly get = (id: string): Heartbeat | undefined => this.entries.get(id)?.heartbeat;
 
-  /** Takes up workers known before this start; those that are not heard soon go missing like any other. */
+  /**
+   * Takes up workers known before this start; those that are not heard soon go missing like any
+   * other.
+   */
   readonly restore = (heartbeats: readonly Heartbeat[]): void =>
     heartbeats.forEach((heartbeat) => this.record({ ...heartbeat, state: "ready", warmUs: 0 }));
 
   /**
-   * Takes a beat, heard here or shared after `ageUs` elsewhere; false if it is old. One so old that its worker is missing
-   * counts as such at once: a colleague that was cut off tells of workers long gone.
+   * Takes a beat, heard here or shared after `ageUs` elsewhere; false if it is old. One so old that
+   * its worker is missing counts as such at once: a colleague that was cut off tells of workers
+   * long gone.
    */
   // eslint-disable-next-line complexity -- the order of the comparisons is the rule, and stays in one place
   readonly record = (told: Heartbeat, ageUs = 0): boolean => {
--- a/src/programs/controller/config.ts
+++ b/src/programs/controller/config.ts
@@ -1,8 +1,8 @@
 /**
  * The configuration: changes and reads by the admin API, and updates to the nodes of what is
  * committed. A change comes in by its route and is proposed to the store; what a quorum has agreed
- * comes back as `committed`, here and at every other controller, and is posted as updates, which the
- * publisher sends to the nodes.
+ * comes back as `committed`, here and at every other controller, and is posted as updates, which
+ * the publisher sends to the nodes.
  */
 import { err, type Result } from "true-myth/result";
 import { parseChangeInTurns } from "../../config/change-request.js";
--- a/src/programs/ctl/command-line.ts
+++ b/src/programs/ctl/command-line.ts
@@ -1,4 +1,7 @@
-/** What all commands of `yewreel ctl` share: their options, their output, and how an error ends them. */
+/**
+ * What all commands of `yewreel ctl` share: their options, their output, and how an error ends
+ * them.
+ */
 import type { Command } from "commander";
 import { CommandError } from "./errors.js";
 import { ControllerClient } from "./controller-client.js";
@@ -41,7 +44,9 @@
   process.stdout.write(`${JSON.stringify(value, undefined, 2)}\n`);
 };
 
-/** Wraps a command's action: a `CommandError` becomes one line on standard error and the exit code. */
+/**
+ * Wraps a command's action: a `CommandError` becomes one line on standard error and the exit code.
+ */
 export const commandAction =
   <Args extends readonly unknown[]>(action: (...args: Args) => Promise<void>) =>
   async (...args: Args): Promise<void> => {
--- a/src/programs/ctl/commands/backends.ts
+++ b/src/programs/ctl/commands/backends.ts
@@ -1,4 +1,7 @@
-/** `backends forecast`: what adding or retiring workers would move, before it is done and checked after it. */
+/**
+ * `backends forecast`: what adding or retiring workers would move, before it is done and checked
+ * after it.
+ */
 import type { Command } from "commander";
 import { isRecord, type UnknownRecord } from "../../../common/decode.js";
 import {
--- a/src/programs/ctl/commands/configuration.ts
+++ b/src/programs/ctl/commands/configuration.ts
@@ -13,8 +13,8 @@
 import { parseJsonFile, readTextFile } from "../files.js";
 
 /**
- * The change request that a file stands for: its text as it is if it has `putItems` or `remove`, or else a request that
- * puts the items of the file.
+ * The change request that a file stands for: its text as it is if it has `putItems` or `remove`, or
+ * else a request that puts the items of the file.
  */
 const readChangeRequest = async (path: string): Promise<string> => {
   const text = await readTextFile(path);
--- a/src/programs/ctl/commands/leadership.ts
+++ b/src/programs/ctl/commands/leadership.ts
@@ -1,4 +1,6 @@
-/** `duty` and `copies`: the leader lease, the voter set, and what each controller knows by itself. */
+/**
+ * `duty` and `copies`: the leader lease, the voter set, and what each controller knows by itself.
+ */
 import type { Command } from "commander";
 import { isRecord, type UnknownRecord } from "../../../common/decode.js";
 import {
@@ -15,7 +17,10 @@
 import { rowsOf, textsOf } from "../json-values.js";
 import { formatTable } from "../table.js";
 
-/** The leader, its term and the voter set, and below them every controller with why it does not count. */
+/**
+ * The leader, its term and the voter set, and below them every controller with why it does not
+ * count.
+ */
 const formatLeadership = (answer: UnknownRecord): string => {
   const { holder, term, roster, boxes } = isRecord(answer["duty"]) ? answer["duty"] : answer;
   const { number, is, members, from } = isRecord(roster) ? roster : {};
@@ -32,7 +37,10 @@
   return [formatTable([summary]), "", formatTable(rowsOf(boxes))].join("\n");
 };
 
-/** What one controller says of itself, also one that is partitioned off; its failure is a row as well. */
+/**
+ * What one controller says of itself, also one that is partitioned off; its failure is a row as
+ * well.
+ */
 const describeController = async (address: string): Promise<UnknownRecord> => {
   try {
     const answer = await callAddress(address, { method: "GET", path: "/tell/copy" });
--- a/src/programs/ctl/commands/queries.ts
+++ b/src/programs/ctl/commands/queries.ts
@@ -11,7 +11,9 @@
 } from "../command-line.js";
 import { formatTable } from "../table.js";
 
-/** By command; the admin API has the same name below `/tell/`, and its answer a field of that name. */
+/**
+ * By command; the admin API has the same name below `/tell/`, and its answer a field of that name.
+ */
 const QUERIES: Readonly<Record<string, string>> = {
   nodes: "list the gateways with a session",
   workers: "list the workers by their last heartbeats",
--- a/src/programs/ctl/controller-client.ts
+++ b/src/programs/ctl/controller-client.ts
@@ -69,7 +69,8 @@
   });
 
 /**
- * Sends a call to one address and follows temporary redirects (307, RFC 9110 section 15.4.8: same method and body).
+ * Sends a call to one address and follows temporary redirects (307, RFC 9110 section 15.4.8: same
+ * method and body).
  *
  * @param address - as `ip:port`
  * @returns the JSON object of the 200 response
@@ -100,7 +101,10 @@
 
 /** Sends calls to the controllers that the command line or the environment names. */
 export class ControllerClient {
-  /** @param addresses - of the controllers' admin API, as `ip:port`, in the order in which they are tried */
+  /**
+   * @param addresses - of the controllers' admin API, as `ip:port`, in the order in which they are
+   * tried
+   */
   constructor(readonly addresses: readonly string[]) {}
 
   /** Reads; see `call`. */
--- a/src/programs/ctl/ctl.ts
+++ b/src/programs/ctl/ctl.ts
@@ -1,6 +1,6 @@
 /**
- * `yewreel ctl`: the operator's command line. It talks to any controller over HTTP. Queries take `--json`; commands
- * answer with one line. Exit codes are in `exit-codes.ts`.
+ * `yewreel ctl`: the operator's command line. It talks to any controller over HTTP. Queries take
+ * `--json`; commands answer with one line. Exit codes are in `exit-codes.ts`.
  */
 import type { Command } from "commander";
 import { addBackendCommands } from "./commands/backends.js";
--- a/src/programs/ctl/errors.ts
+++ b/src/programs/ctl/errors.ts
@@ -20,7 +20,10 @@
   readonly exitCode = EXIT_REJECTED;
 }
 
-/** An address did not answer, broke off, or answered with a status of 500 or more. Another one may still answer. */
+/**
+ * An address did not answer, broke off, or answered with a status of 500 or more. Another one may
+ * still answer.
+ */
 export class UnreachableError extends CommandError {
   readonly code = "UNREACHABLE";
   readonly exitCode = EXIT_UNREACHABLE;
--- a/src/programs/ctl/exit-codes.ts
+++ b/src/programs/ctl/exit-codes.ts
@@ -1,4 +1,7 @@
-/** The exit codes of `yewreel ctl` and `yewreel loadgen`. Scripts depend on them: they never change their meaning. */
+/**
+ * The exit codes of `yewreel ctl` and `yewreel loadgen`. Scripts depend on them: they never change
+ * their meaning.
+ */
 
 /** The command was done. */
 export const EXIT_DONE = 0;
--- a/src/programs/ctl/forecast-check.ts
+++ b/src/programs/ctl/forecast-check.ts
@@ -1,4 +1,7 @@
-/** Compares a saved forecast of `ctl backends forecast` with what the nodes counted after the change. */
+/**
+ * Compares a saved forecast of `ctl backends forecast` with what the nodes counted after the
+ * change.
+ */
 import { MIN_REQUESTS } from "../../proxy/reassignment-forecast.js";
 import {
   asNumber,
@@ -81,7 +84,8 @@
 };
 
 /**
- * Compares by node, service and kind. To be asked one counting window after the change, when nothing older is counted.
+ * Compares by node, service and kind. To be asked one counting window after the change, when
+ * nothing older is counted.
  *
  * @param forecast - as `readKept` accepts it
  * @param seen - rows of `/backends/seen`, one for each node that was asked
--- a/src/programs/ctl/json-values.ts
+++ b/src/programs/ctl/json-values.ts
@@ -1,4 +1,7 @@
-/** Reading the controllers' JSON answers leniently: what has another form is left out, never an error. */
+/**
+ * Reading the controllers' JSON answers leniently: what has another form is left out, never an
+ * error.
+ */
 import { isRecord, type UnknownRecord } from "../../common/decode.js";
 
 /** A value as one cell of a table: text as it is, nothing for `undefined`, JSON for the rest. */
--- a/src/programs/ctl/table.ts
+++ b/src/programs/ctl/table.ts
@@ -2,7 +2,10 @@
 import type { UnknownRecord } from "../../common/decode.js";
 import { textOf } from "./json-values.js";
 
-/** Rows below a heading, with every column that any of them has, in the order of first appearance; `none` without rows. */
+/**
+ * Rows below a heading, with every column that any of them has, in the order of first appearance;
+ * `none` without rows.
+ */
 export const formatTable = (rows: readonly UnknownRecord[]): string => {
   if (rows.length === 0) return "none";
   const columns = [...new Set(rows.flatMap((row) => Object.keys(row)))];
--- a/src/programs/ctl/usage-export.ts
+++ b/src/programs/ctl/usage-export.ts
@@ -5,8 +5,8 @@
 import { asRecord, readString, readNumber } from "../../common/decode.js";
 
 /**
- * One row for each node, route, kind, zone and outcome; `cell` is the column's and the answer's name of the zone.
- * Invariant: `count` is cumulative for the node's present incarnation.
+ * One row for each node, route, kind, zone and outcome; `cell` is the column's and the answer's
+ * name of the zone. Invariant: `count` is cumulative for the node's present incarnation.
  */
 export interface UsageRow {
   readonly node: string;
@@ -59,7 +59,10 @@
   return new Uint8Array(parquetWriteBuffer({ columnData }));
 };
 
-/** Writes the format that the file's extension names; false, and nothing written, for any other extension. */
+/**
+ * Writes the format that the file's extension names; false, and nothing written, for any other
+ * extension.
+ */
 export const writeUsage = async (path: string, rows: readonly UsageRow[]): Promise<boolean> => {
   if (path.endsWith(".csv")) await writeFile(path, usageAsCsv(rows));
   else if (path.endsWith(".parquet")) await writeFile(path, usageAsParquet(rows));
--- a/src/programs/data-plane-node.ts
+++ b/src/programs/data-plane-node.ts
@@ -19,7 +19,10 @@
   readonly relay: Listener;
 }
 
-/** A node of the data plane among the others: its session with a signalbox, and its place in the relay tree. */
+/**
+ * A node of the data plane among the others: its session with a signalbox, and its place in the
+ * relay tree.
+ */
 export const joinCluster = (
   settings: Settings,
   clock: Clock,
--- a/src/programs/gateway/admin-api.ts
+++ b/src/programs/gateway/admin-api.ts
@@ -1,4 +1,6 @@
-/** The gateway's admin API: readiness for load balancers in front of it, and figures for operators. */
+/**
+ * The gateway's admin API: readiness for load balancers in front of it, and figures for operators.
+ */
 import type { UnknownRecord } from "../../common/decode.js";
 import type { Worker } from "../../proxy/worker.js";
 import type { WorkerDirectory } from "../../proxy/worker-directory.js";
--- a/src/programs/gateway/data-plane.ts
+++ b/src/programs/gateway/data-plane.ts
@@ -1,4 +1,7 @@
-/** The state of the data plane on one gateway: routes, workers, counters and budgets, kept up to date from updates. */
+/**
+ * The state of the data plane on one gateway: routes, workers, counters and budgets, kept up to
+ * date from updates.
+ */
 import type { Clock } from "../../common/clock.js";
 import type { Settings } from "../../common/settings.js";
 import { CanaryCounters } from "../../health/canary-counters.js";
@@ -26,7 +29,10 @@
   readonly retryBudgets: RetryBudgets;
   /** Tells this run of the process from others in its reports. */
   readonly incarnation: string;
-  /** How many connections this node may hold to one worker of a service: an equal part of the service's limit. */
+  /**
+   * How many connections this node may hold to one worker of a service: an equal part of the
+   * service's limit.
+   */
   readonly connectionShare: (service: string) => number;
   /** Has updates and the cluster's size applied from now on, and the server told of changes. */
   readonly follow: (server: ProxyServer) => void;
--- a/src/programs/gateway/gateway.ts
+++ b/src/programs/gateway/gateway.ts
@@ -17,13 +17,18 @@
 const DEFAULT_MEMORY_MB = 256;
 /** Buffered bodies take at most this part (1/n) of the memory. */
 const BUFFER_MEMORY_DIVISOR = 4;
-/** How long after SIGTERM connections are still accepted, until everyone has seen that this node isn't ready. */
+/**
+ * How long after SIGTERM connections are still accepted, until everyone has seen that this node
+ * isn't ready.
+ */
 const DRAIN_NOTICE_US = 2_800 * MILLISECOND_US;
 /** Kept back of the grace period, for closing what is left. */
 const SHUTDOWN_MARGIN_US = 400 * MILLISECOND_US;
 const DRAIN_CHECK_US = 50 * MILLISECOND_US;
 
-/** The kind of deployment with an object cache and idempotency keys; others don't load their code. */
+/**
+ * The kind of deployment with an object cache and idempotency keys; others don't load their code.
+ */
 const CONTENT = "content";
 const openObjectCache = async (options: GatewayObjectCacheOptions): Promise<GatewayObjectCache> =>
   (await import("./object-cache.js")).openGatewayObjectCache(options);
@@ -59,7 +64,10 @@
   });
 };
 
-/** Stops accepting connections once others have seen that this node isn't ready, then waits for open requests. */
+/**
+ * Stops accepting connections once others have seen that this node isn't ready, then waits for open
+ * requests.
+ */
 const drain = async (server: ProxyServer, clock: Clock, graceUs: number): Promise<void> => {
   const deadlineUs = clock.nowUs() + graceUs - SHUTDOWN_MARGIN_US;
   server.startDraining();
--- a/src/programs/gateway/node-queries.ts
+++ b/src/programs/gateway/node-queries.ts
@@ -21,7 +21,10 @@
   readonly retryBudgets: RetryBudgets;
 }
 
-/** Reads the change of backends that a query asks about; throws a DecodeError if a field is missing or wrong. */
+/**
+ * Reads the change of backends that a query asks about; throws a DecodeError if a field is missing
+ * or wrong.
+ */
 export const readBackendChange = (message: Message): BackendChange => ({
   add: readList(message, "add", (value) => {
     const record = asRecord(value);
@@ -35,7 +38,10 @@
   byRoute: readFlag(message, "byRoute"),
 });
 
-/** What a pointsman answers a signalbox that asks on an operator's behalf. Queries only: they count, and change nothing. */
+/**
+ * What a pointsman answers a signalbox that asks on an operator's behalf. Queries only: they count,
+ * and change nothing.
+ */
 export const nodeQueryHandlers = ({
   node,
   zone,
--- a/src/programs/gateway/retry-budgets.ts
+++ b/src/programs/gateway/retry-budgets.ts
@@ -14,7 +14,9 @@
   windowUs: settings.retryWindowUs,
 });
 
-/** The retry budgets of one node, kept to the written limit by the news and to the slack by leases. */
+/**
+ * The retry budgets of one node, kept to the written limit by the news and to the slack by leases.
+ */
 export const openRetryBudgets = (
   settings: Settings,
   clock: Clock,
--- a/src/programs/loadgen/loadgen.ts
+++ b/src/programs/loadgen/loadgen.ts
@@ -1,4 +1,6 @@
-/** `yewreel loadgen`: an open-loop load generator that reports latency from the intended send time. */
+/**
+ * `yewreel loadgen`: an open-loop load generator that reports latency from the intended send time.
+ */
 import { Agent, request } from "node:http";
 import { hostname } from "node:os";
 import type { Command } from "commander";
@@ -24,7 +26,10 @@
 export interface RequestResult {
   /** The status, or `broken`, `out of time`, `no connection`. */
   readonly outcome: string;
-  /** From the intended send time, so that a target that stalls cannot hide its stall (coordinated omission). */
+  /**
+   * From the intended send time, so that a target that stalls cannot hide its stall (coordinated
+   * omission).
+   */
   readonly tookUs: number;
 }
 
@@ -97,7 +102,10 @@
   return results;
 };
 
-/** The nearest-rank percentile: the smallest value that the given share of all values does not exceed. */
+/**
+ * The nearest-rank percentile: the smallest value that the given share of all values does not
+ * exceed.
+ */
 const percentile = (sorted: readonly number[], share: number): number =>
   sorted[Math.max(0, Math.ceil(sorted.length * share) - 1)] ?? 0;
 
--- a/src/proxy/latency-estimate.ts
+++ b/src/proxy/latency-estimate.ts
@@ -1,4 +1,7 @@
-/** Estimates of how long requests take: per service, and per worker with the service's mean as the prior. */
+/**
+ * Estimates of how long requests take: per service, and per worker with the service's mean as the
+ * prior.
+ */
 import type { Clock } from "../common/clock.js";
 import { MILLISECOND_US, SECOND_US } from "../common/duration.js";
 
@@ -22,9 +25,9 @@
 }
 
 /**
- * The mean time of requests to one worker: a running mean of its own requests, which fades, shrunk towards the mean of
- * its service.
- * Invariant: at most MAX_SAMPLES own requests weigh in the mean, and the service's mean weighs as PRIOR_SAMPLES.
+ * The mean time of requests to one worker: a running mean of its own requests, which fades, shrunk
+ * towards the mean of its service. Invariant: at most MAX_SAMPLES own requests weigh in the mean,
+ * and the service's mean weighs as PRIOR_SAMPLES.
  */
 export class LatencyEstimate {
   private ownMeanUs = 0;
--- a/src/proxy/load-balancer.ts
+++ b/src/proxy/load-balancer.ts
@@ -1,6 +1,7 @@
 /**
- * Chooses a worker for a request: the one with the least expected latency among a bounded number of candidates of this
- * node's subset (cf. "The Power of Two Choices in Randomized Load Balancing", Mitzenmacher 2001).
+ * Chooses a worker for a request: the one with the least expected latency among a bounded number of
+ * candidates of this node's subset (cf. "The Power of Two Choices in Randomized Load Balancing",
+ * Mitzenmacher 2001).
  */
 import type { Worker } from "./worker.js";
 import type { WorkerDirectory } from "./worker-directory.js";
@@ -14,15 +15,24 @@
   readonly random: () => number;
   /** How many connections this node may hold to one worker of the service. */
   readonly connectionShare: (service: string) => number;
-  /** Whether safe requests leave room while the capacity forecast warns of an overload; default false. */
+  /**
+   * Whether safe requests leave room while the capacity forecast warns of an overload; default
+   * false.
+   */
   readonly actsOnForecast?: boolean;
 }
 
 /** A worker gets no more requests at this load per slot, since a full one resets connections. */
 const MAX_LOAD_PER_SLOT = 2;
-/** The same for safe requests while the forecast warns; the rest is left to requests that can't be repeated. */
+/**
+ * The same for safe requests while the forecast warns; the rest is left to requests that can't be
+ * repeated.
+ */
 const MAX_LOAD_PER_SLOT_WARNED = 1.5;
-/** A remote worker must be faster by this fraction (1/n) of the latency target, for the time and bytes between zones. */
+/**
+ * A remote worker must be faster by this fraction (1/n) of the latency target, for the time and
+ * bytes between zones.
+ */
 const REMOTE_PENALTY_DIVISOR = 5;
 /** How many usable candidates are compared. */
 const MAX_CANDIDATES = 9;
@@ -39,8 +49,9 @@
   constructor(private readonly options: LoadBalancerOptions) {}
 
   /**
-   * The worker to send to, or undefined if none can take a request now. Local workers come first, unless a remote one
-   * is clearly faster; then backups; then workers in an avoided zone, and at last ejected ones.
+   * The worker to send to, or undefined if none can take a request now. Local workers come first,
+   * unless a remote one is clearly faster; then backups; then workers in an avoided zone, and at
+   * last ejected ones.
    *
    * @param tried - ids of workers that this request was sent to already
    * @param isSafe - whether the request may run more than once
@@ -87,9 +98,10 @@
   };
 
   /**
-   * The load of a worker, with an assumption about other nodes. They are assumed to use a local worker as much as this
-   * node does. A remote one, which the nodes of its own zone use most, is assumed to be as busy as a local one but to
-   * have no requests waiting, since a zone that is full must look elsewhere.
+   * The load of a worker, with an assumption about other nodes. They are assumed to use a local
+   * worker as much as this node does. A remote one, which the nodes of its own zone use most, is
+   * assumed to be as busy as a local one but to have no requests waiting, since a zone that is full
+   * must look elsewhere.
    */
   private readonly loadOf = (worker: Worker): number => {
     const { workers, zone } = this.options;
@@ -104,7 +116,10 @@
   private readonly expectedLatencyUs = (worker: Worker): number =>
     worker.expectedLatencyUs(this.loadOf(worker));
 
-  /** The fastest of the first candidates that pass the filter, from a random position on, so that equals take turns. */
+  /**
+   * The fastest of the first candidates that pass the filter, from a random position on, so that
+   * equals take turns.
+   */
   private readonly leastExpectedLatency = (
     workers: readonly Worker[],
     passes: Filter,
--- a/src/proxy/reassignment-forecast.ts
+++ b/src/proxy/reassignment-forecast.ts
@@ -13,7 +13,10 @@
   readonly byRoute: boolean;
 }
 
-/** One node's view of one service, and the change that is asked about. `calls` were counted over `spanUs` microseconds. */
+/**
+ * One node's view of one service, and the change that is asked about. `calls` were counted over
+ * `spanUs` microseconds.
+ */
 export interface ReassignmentQuery {
   readonly node: string;
   readonly zone: string;
@@ -34,11 +37,16 @@
   /** The calls that the shares are taken from, and their rate. */
   readonly calls: number;
   readonly perS: number;
-  /** The share of calls that would go elsewhere, and the band that the share seen lies in, as often as CONFIDENCE says. */
+  /**
+   * The share of calls that would go elsewhere, and the band that the share seen lies in, as often
+   * as CONFIDENCE says.
+   */
   readonly moved: number;
   readonly low: number;
   readonly high: number;
-  /** The share at workers that would leave the subset, and the one that workers new to it would get. */
+  /**
+   * The share at workers that would leave the subset, and the one that workers new to it would get.
+   */
   readonly leave: number;
   readonly join: number;
   readonly joinLow: number;
@@ -70,9 +78,15 @@
 export const CONFIDENCE = 0.9;
 /** With fewer calls than this no share is told. */
 export const MIN_REQUESTS = 30;
-/** A worker that is to come has no name yet, and its name decides whose subset it joins: so many are tried. */
+/**
+ * A worker that is to come has no name yet, and its name decides whose subset it joins: so many are
+ * tried.
+ */
 export const DRAWS = 16;
-/** Calls are not independent: load-aware choosing follows workers that are quick or slow for a while (measured in moves.feature). */
+/**
+ * Calls are not independent: load-aware choosing follows workers that are quick or slow for a while
+ * (measured in moves.feature).
+ */
 const OVERDISPERSION = 6;
 
 /** How unevenly a service's workers share its calls over the whole fleet. */
@@ -99,8 +113,9 @@
 }
 
 /**
- * Within each of near and far, newcomers get an equal part of the group's calls, and those who stay share the rest as
- * before. What moves is what was pinned to leavers; where backends are added, what newcomers draw may be more.
+ * Within each of near and far, newcomers get an equal part of the group's calls, and those who stay
+ * share the rest as before. What moves is what was pinned to leavers; where backends are added,
+ * what newcomers draw may be more.
  */
 const shiftOf = (
   before: Subset<SubsetCandidate>,
@@ -142,7 +157,10 @@
   return z * Math.sqrt((OVERDISPERSION * 2 * smoothed * (1 - smoothed)) / Math.max(1, calls));
 };
 
-/** The band of what newcomers would get: nobody knows yet how quick they are, so they may differ as workers now do. */
+/**
+ * The band of what newcomers would get: nobody knows yet how quick they are, so they may differ as
+ * workers now do.
+ */
 export const joinConfidenceHalfWidth = (
   join: number,
   calls: number,
@@ -162,8 +180,8 @@
 };
 
 /**
- * The forecast of one node for one service. A query: it changes nothing, draws no random number, and calls the same
- * function that choosing goes by.
+ * The forecast of one node for one service. A query: it changes nothing, draws no random number,
+ * and calls the same function that choosing goes by.
  */
 // eslint-disable-next-line max-lines-per-function -- one computation, whose steps share most of their values
 export const forecastReassignment = ({
--- a/src/proxy/request-counters.ts
+++ b/src/proxy/request-counters.ts
@@ -1,4 +1,7 @@
-/** Counts of the requests that this node sent, by service, kind, route and worker, over a sliding window. */
+/**
+ * Counts of the requests that this node sent, by service, kind, route and worker, over a sliding
+ * window.
+ */
 import type { Clock } from "../common/clock.js";
 import { SECOND_US } from "../common/duration.js";
 
--- a/src/proxy/retry-budget.ts
+++ b/src/proxy/retry-budget.ts
@@ -1,6 +1,6 @@
 /**
- * Retry budgets: token buckets over a sliding window, refilled by a ratio of this node's requests and by a leased part of
- * the fleet's slack (docs/retries.md).
+ * Retry budgets: token buckets over a sliding window, refilled by a ratio of this node's requests
+ * and by a leased part of the fleet's slack (docs/retries.md).
  */
 import type { Clock } from "../common/clock.js";
 import type { Logger } from "../common/logger.js";
@@ -31,10 +31,11 @@
 const NO_LEASE: RetryLease = { tokens: 0, expiresUs: 0 };
 
 /**
- * How many retries this node may send of one kind of request to one service.
- * Invariant: within any window the retries stay within the ratio of this node's own requests in it, plus what it has
- * leased of the slack. The requests of all nodes add up, and the leases in force or expired less than a window ago stay
- * within the slack, so the sum over all nodes, restarted ones too, stays within the limit.
+ * How many retries this node may send of one kind of request to one service. Invariant: within any
+ * window the retries stay within the ratio of this node's own requests in it, plus what it has
+ * leased of the slack. The requests of all nodes add up, and the leases in force or expired less
+ * than a window ago stay within the slack, so the sum over all nodes, restarted ones too, stays
+ * within the limit.
  */
 export class RetryBudget {
   private slots: Slot[] = [];
@@ -78,7 +79,10 @@
   readonly leasedTokens = (): number =>
     this.clock.nowUs() < this.lease.expiresUs ? this.lease.tokens : 0;
 
-  /** How many leased tokens would cover the retries beyond the ratio, and those rejected since the last call. */
+  /**
+   * How many leased tokens would cover the retries beyond the ratio, and those rejected since the
+   * last call.
+   */
   readonly takeDemand = (): number => {
     this.slot();
     const demand =
--- a/src/proxy/route-table.ts
+++ b/src/proxy/route-table.ts
@@ -80,7 +80,9 @@
   private readonly routes = new Map<string, Route>();
   private readonly byHost = new Map<string, readonly Route[]>();
   private readonly services = new Map<string, Service>();
-  /** Rolled-back candidates, by route, version and candidate: the baseline that gets their requests. */
+  /**
+   * Rolled-back candidates, by route, version and candidate: the baseline that gets their requests.
+   */
   private rollbacks: ReadonlyMap<string, string> = new Map();
   private hasConfiguration = false;
   limits: ClientLimits = DEFAULT_LIMITS;
--- a/src/proxy/subset.ts
+++ b/src/proxy/subset.ts
@@ -1,6 +1,7 @@
 /**
- * Deterministic subsetting by rendezvous hashing (highest random weight; Thaler and Ravishankar 1998): which of a
- * service's workers a node sends to. docs/design.md gives the reasons for the sizes.
+ * Deterministic subsetting by rendezvous hashing (highest random weight; Thaler and Ravishankar
+ * 1998): which of a service's workers a node sends to. docs/design.md gives the reasons for the
+ * sizes.
  */
 import { crc32 } from "node:zlib";
 
@@ -33,31 +34,41 @@
 const ALL_UP_TO = 16;
 /** With fewer local workers than this, a single unhealthy one would be felt. */
 const MIN_LOCAL = 6;
-/** Each worker is to be in the subset of this many nodes of its zone, so that their uneven traffic evens out. */
+/**
+ * Each worker is to be in the subset of this many nodes of its zone, so that their uneven traffic
+ * evens out.
+ */
 const NODES_PER_WORKER = 8;
 const REMOTE = 3;
 const BACKUP = 8;
 
-/** The finalizer of MurmurHash3: crc32 alone ranks ids that differ in one digit alike for many nodes. */
+/**
+ * The finalizer of MurmurHash3: crc32 alone ranks ids that differ in one digit alike for many
+ * nodes.
+ */
 const mix = (value: number): number => {
   const once = Math.imul(value ^ (value >>> 16), 0x85ebca6b);
   const twice = Math.imul(once ^ (once >>> 13), 0xc2b2ae35);
   return (twice ^ (twice >>> 16)) >>> 0;
 };
 
-/** The rendezvous weight of a worker for a node: a pair's weight doesn't depend on who else is there. */
+/**
+ * The rendezvous weight of a worker for a node: a pair's weight doesn't depend on who else is
+ * there.
+ */
 const weightOf = (node: string, worker: string): number => mix(crc32(`${node}\n${worker}`));
 
 /** Rounds up to a power of two, so that one node more or less rarely changes a subset. */
 const roundUp = (count: number): number => 2 ** Math.ceil(Math.log2(Math.max(1, count)));
 
 /**
- * The workers of one service that a node sends to: a pure function of the node, its zone, the ready workers and the
- * rounded number of nodes. Small subsets keep connections few, and keep a node's knowledge of its workers' load new:
- * with hundreds of workers, a reported load would be long outdated when that worker is next looked at.
- * Invariants: `local` and `remote` are bounded by what even load needs, whatever the number of workers, as long as the
- * nodes grow with them; a worker that comes or goes changes at most one place of each; where there are few workers, all
- * of them are in it.
+ * The workers of one service that a node sends to: a pure function of the node, its zone, the ready
+ * workers and the rounded number of nodes. Small subsets keep connections few, and keep a node's
+ * knowledge of its workers' load new: with hundreds of workers, a reported load would be long
+ * outdated when that worker is next looked at. Invariants: `local` and `remote` are bounded by what
+ * even load needs, whatever the number of workers, as long as the nodes grow with them; a worker
+ * that comes or goes changes at most one place of each; where there are few workers, all of them
+ * are in it.
  */
 export const subsetOf = <W extends SubsetCandidate>(
   node: string,
--- a/src/proxy/worker-directory.ts
+++ b/src/proxy/worker-directory.ts
@@ -1,4 +1,7 @@
-/** What updates say of the workers: which there are, which are ejected, and which zone traffic is shifted away from. */
+/**
+ * What updates say of the workers: which there are, which are ejected, and which zone traffic is
+ * shifted away from.
+ */
 import {
   EJECTIONS_KEY,
   FORECAST_KEY,
@@ -40,7 +43,9 @@
 export class WorkerDirectory {
   private readonly workers = new Map<string, Worker>();
   private readonly byService = new Map<string, Worker[]>();
-  /** Invariant: an entry is removed when the workers of its service or the number of nodes change. */
+  /**
+   * Invariant: an entry is removed when the workers of its service or the number of nodes change.
+   */
   private readonly subsets = new Map<string, Subset<Worker>>();
   private currentNodeCount: NodeCount = { inZone: 1, total: 1 };
   private readonly latencies = new Map<string, ServiceLatency>();
@@ -70,7 +75,10 @@
     return this.currentNodeCount;
   }
 
-  /** The mean time of requests to a worker, as this node has seen it, in microseconds; 0 if it isn't known. */
+  /**
+   * The mean time of requests to a worker, as this node has seen it, in microseconds; 0 if it isn't
+   * known.
+   */
   readonly meanLatencyUs = (id: string): number => this.workers.get(id)?.latency.meanUs() ?? 0;
 
   /** The ready workers of a service that this node sends to. */
@@ -98,7 +106,9 @@
 
   readonly isEjected = (worker: Worker): boolean => this.ejected.has(worker.id);
 
-  /** The zone that one request must avoid, or ""; with a partial shift it is drawn for each request. */
+  /**
+   * The zone that one request must avoid, or ""; with a partial shift it is drawn for each request.
+   */
   readonly avoidedZone = (isSafe: boolean, random: () => number): string => {
     const { zone, safe, unsafe } = this.shift;
     const fraction = isSafe ? safe : unsafe;
@@ -112,7 +122,10 @@
   /** What the capacity forecast says of a service, such as "overrun"; "" while it keeps up. */
   readonly capacityForecast = (service: string): string => this.forecasts.get(service) ?? "";
 
-  /** Takes over updates of workers, ejections, zonal shift and capacity forecast; others are ignored. */
+  /**
+   * Takes over updates of workers, ejections, zonal shift and capacity forecast; others are
+   * ignored.
+   */
   readonly applyUpdates = (updates: readonly Update[]): void => {
     updates.forEach((update) => {
       if (update.key === FORECAST_KEY)
--- a/src/proxy/worker.ts
+++ b/src/proxy/worker.ts
@@ -15,7 +15,10 @@
 /** What a worker reported of its load counts less with time, and not at all after this. */
 const REPORT_EXPIRY_US = 600 * MILLISECOND_US;
 const IN_FLIGHT_AVERAGE_US = 1 * SECOND_US;
-/** A worker is unresponsive when requests wait this many times the mean latency, and this long at least. */
+/**
+ * A worker is unresponsive when requests wait this many times the mean latency, and this long at
+ * least.
+ */
 const UNRESPONSIVE_FACTOR = 6;
 const UNRESPONSIVE_MIN_US = 500 * MILLISECOND_US;
 /** During slow start a request is expected to take this many times as long. */
@@ -31,7 +34,9 @@
   state = "ready";
   /** Until when it is in slow start, on this process's clock. */
   warmingUpUntilUs = 0;
-  /** Invariant: counts this node's requests under way; each holds one connection that is not idle. */
+  /**
+   * Invariant: counts this node's requests under way; each holds one connection that is not idle.
+   */
   inFlight = 0;
   private reportedByOthers = 0;
   private reportedUs = 0;
@@ -66,8 +71,8 @@
   };
 
   /**
-   * The worker's load in requests: this node's own in flight, and those of other nodes. The latter are as many as the
-   * worker last reported; as that report ages, `assumedOthers` takes its place.
+   * The worker's load in requests: this node's own in flight, and those of other nodes. The latter
+   * are as many as the worker last reported; as that report ages, `assumedOthers` takes its place.
    */
   readonly load = (assumedOthers: number): number => {
     const age = Math.min(1, (this.clock.nowUs() - this.reportedUs) / REPORT_EXPIRY_US);
@@ -83,7 +88,9 @@
     return this.smoothedInFlight;
   };
 
-  /** Takes the load that the worker reported in a response, which includes the request it answered. */
+  /**
+   * Takes the load that the worker reported in a response, which includes the request it answered.
+   */
   readonly reportLoad = (running: number, waiting: number, slots: number): void => {
     if (slots > 0) this.capacity = slots;
     this.reportedByOthers = Math.max(0, running + waiting - Math.max(0, this.inFlight - 1));
@@ -100,7 +107,9 @@
     );
   };
 
-  /** Leaves the worker out for a moment, after a fault that shows the worker itself to be unhealthy. */
+  /**
+   * Leaves the worker out for a moment, after a fault that shows the worker itself to be unhealthy.
+   */
   readonly avoid = (): void => {
     this.avoidedUntilUs = this.clock.nowUs() + AVOID_US;
     this.connections.closeIdle();
@@ -109,7 +118,10 @@
   readonly isAvoided = (): boolean =>
     this.clock.nowUs() < this.avoidedUntilUs || this.isUnresponsive();
 
-  /** Whether the oldest request has waited far longer than usual, with no response since it was sent. */
+  /**
+   * Whether the oldest request has waited far longer than usual, with no response since it was
+   * sent.
+   */
   readonly isUnresponsive = (): boolean => {
     const nowUs = this.clock.nowUs();
     const patienceUs = Math.max(UNRESPONSIVE_MIN_US, UNRESPONSIVE_FACTOR * this.latency.meanUs());
@@ -139,11 +151,15 @@
   readonly acquireConnection = (isNew = false): PooledConnection =>
     this.connections.acquire(this.address, isNew);
 
-  /** Gives a connection back; it is closed if it isn't sound, or the worker isn't ready any more. */
+  /**
+   * Gives a connection back; it is closed if it isn't sound, or the worker isn't ready any more.
+   */
   readonly releaseConnection = (connection: PooledConnection, isSound: boolean): void =>
     this.connections.release(connection, isSound && this.state === "ready");
 
-  /** The oldest request without a response shows that the worker is slow before its response does. */
+  /**
+   * The oldest request without a response shows that the worker is slow before its response does.
+   */
   private readonly longestWaitUs = (): number => {
     const [oldest] = this.awaitingResponse;
     return oldest === undefined ? 0 : this.clock.nowUs() - oldest.sinceUs;
--- a/src/quota/lease-allocator.ts
+++ b/src/quota/lease-allocator.ts
@@ -1,4 +1,7 @@
-/** Leases a quota out in shares, so that all that are in force stay within it, also across changes of the leader. */
+/**
+ * Leases a quota out in shares, so that all that are in force stay within it, also across changes
+ * of the leader.
+ */
 import type { Clock } from "../common/clock.js";
 
 /** What one lease gave, and when it expires by this process's clock. */
@@ -16,16 +19,20 @@
 }
 
 /**
- * Leases a quota out in shares, each to one incarnation of a node, at the holder of the leader lease.
+ * Leases a quota out in shares, each to one incarnation of a node, at the holder of the leader
+ * lease.
  *
- * Invariants: the shares whose leases have not expired, or did less than the grace time ago, add up to at most the quota;
- * for that long after taking over, a leader only renews what nodes say they have from the one before, since it doesn't
- * know what that one allocated.
+ * Invariants: the shares whose leases have not expired, or did less than the grace time ago, add up
+ * to at most the quota; for that long after taking over, a leader only renews what nodes say they
+ * have from the one before, since it doesn't know what that one allocated.
  */
 export class LeaseAllocator {
   private readonly allotments = new Map<string, Allotment[]>();
 
-  /** @param sinceUs - since when the leader lease is held here; if not given, since the first request */
+  /**
+   * @param sinceUs - since when the leader lease is held here; if not given, since the first
+   * request
+   */
   constructor(
     private readonly clock: Clock,
     private readonly terms: LeaseTerms,
--- a/src/quota/quota-codec.ts
+++ b/src/quota/quota-codec.ts
@@ -1,6 +1,7 @@
 /**
- * The form of the messages that lease quota: the requests of nodes and the responses of the controller that holds the
- * leader lease. Nodes and controllers of other versions read both, so no text in here ever changes.
+ * The form of the messages that lease quota: the requests of nodes and the responses of the
+ * controller that holds the leader lease. Nodes and controllers of other versions read both, so no
+ * text in here ever changes.
  */
 import {
   asList,
@@ -47,7 +48,10 @@
   held: share,
 });
 
-/** Reads the share and its duration in microseconds; undefined if the controller could not allocate any. */
+/**
+ * Reads the share and its duration in microseconds; undefined if the controller could not allocate
+ * any.
+ */
 export const readRateResponse = (
   message: Message | undefined,
 ): { readonly share: number; readonly durationUs: number } | undefined => {
@@ -58,7 +62,10 @@
     : undefined;
 };
 
-/** Writes a node's request for retry tokens, from rows of service, kind, tokens wanted and tokens held. */
+/**
+ * Writes a node's request for retry tokens, from rows of service, kind, tokens wanted and tokens
+ * held.
+ */
 export const packRetryRequest = (
   incarnation: string,
   rows: readonly (readonly [string, string, number, number])[],
--- a/src/quota/rate-lease-renewer.ts
+++ b/src/quota/rate-lease-renewer.ts
@@ -32,7 +32,10 @@
 
   readonly stop = (): void => this.timer?.stop();
 
-  /** A lease is counted from before the request, so that it expires here no later than at the allocator. */
+  /**
+   * A lease is counted from before the request, so that it expires here no later than at the
+   * allocator.
+   */
   private readonly renew = async (): Promise<void> => {
     const { clock, limiter, incarnation, role, request, isNeeded } = this.options;
     if (!isNeeded()) return;
--- a/src/quota/rate-limiter.ts
+++ b/src/quota/rate-limiter.ts
@@ -7,7 +7,9 @@
   readonly expiresAtUs: number;
 }
 
-/** The part of a rate that is used. With the burst it stays within a limit a tenth above the rate. */
+/**
+ * The part of a rate that is used. With the burst it stays within a limit a tenth above the rate.
+ */
 const USED_FRACTION = 0.96;
 /** The burst that all shares together may make, in seconds of the rate. */
 const BURST_S = 0.2;
@@ -22,8 +24,9 @@
 /**
  * A token bucket for each service with a rate, filled by this process's share of the rate.
  *
- * Invariants: no token is taken without a lease that has not expired; a bucket starts empty and never holds more than its
- * share of the burst, so over all shares that add up to at most 1 a span t sees at most rate * (0.96 t + 0.2 s).
+ * Invariants: no token is taken without a lease that has not expired; a bucket starts empty and
+ * never holds more than its share of the burst, so over all shares that add up to at most 1 a span
+ * t sees at most rate * (0.96 t + 0.2 s).
  */
 export class RateLimiter {
   private lease: RateLease = { share: 0, expiresAtUs: 0 };
--- a/src/quota/retry-allocator.ts
+++ b/src/quota/retry-allocator.ts
@@ -29,8 +29,8 @@
 /**
  * Leases the slack of each service and kind of route to the nodes that are short of retries.
  *
- * Invariant: for any window, the tokens of all leases under which something was sent in it add up to at most the slack:
- * a lease's tokens are allocated again only a whole window after it expired.
+ * Invariant: for any window, the tokens of all leases under which something was sent in it add up
+ * to at most the slack: a lease's tokens are allocated again only a whole window after it expired.
  */
 export class RetryAllocator {
   private readonly allocators = new Map<string, LeaseAllocator>();
@@ -38,7 +38,10 @@
 
   constructor(private readonly options: RetryAllocatorOptions) {}
 
-  /** Called every second or so: a new leader's wait begins when it takes over, not when it is first asked. */
+  /**
+   * Called every second or so: a new leader's wait begins when it takes over, not when it is first
+   * asked.
+   */
   readonly refresh = (): void => {
     if (!this.options.isLeader()) {
       this.allocators.clear();
--- a/src/quota/retry-lease-renewer.ts
+++ b/src/quota/retry-lease-renewer.ts
@@ -25,7 +25,10 @@
   readonly takeDemands: () => readonly (readonly [string, RouteKind, number, number])[];
 }
 
-/** Asks for leases while some budget is short of retries; while none is, nothing runs and nothing is sent. */
+/**
+ * Asks for leases while some budget is short of retries; while none is, nothing runs and nothing is
+ * sent.
+ */
 export class RetryLeaseRenewer {
   private isScheduled = false;
 
@@ -47,7 +50,10 @@
     this.clock.after(waitUs, () => void this.renew());
   };
 
-  /** A lease is counted from before the request, so that it expires here no later than at the allocator. */
+  /**
+   * A lease is counted from before the request, so that it expires here no later than at the
+   * allocator.
+   */
   private readonly renew = async (): Promise<void> => {
     const wants = this.retryBudgets.takeDemands();
     const requestedUs = this.clock.nowUs();
--- a/src/quota/retry-limits.ts
+++ b/src/quota/retry-limits.ts
@@ -1,4 +1,7 @@
-/** The limits of retries over the whole fleet, by service and kind of route: form, defaults, checks and changes. */
+/**
+ * The limits of retries over the whole fleet, by service and kind of route: form, defaults, checks
+ * and changes.
+ */
 import convict from "convict";
 import { err, ok, type Result } from "true-myth/result";
 import { isRecord, type UnknownRecord } from "../common/decode.js";
@@ -14,13 +17,19 @@
 /** Reads a kind of route. An unknown one is treated as unsafe, which allows least. */
 export const toRouteKind = (value: string): RouteKind => (isRouteKind(value) ? value : "unsafe");
 
-/** Over all nodes, in any window, the retries of one kind at a service stay within ratio x its requests + slack. */
+/**
+ * Over all nodes, in any window, the retries of one kind at a service stay within ratio x its
+ * requests + slack.
+ */
 export interface RetryLimit {
   readonly ratio: number;
   readonly slack: number;
 }
 
-/** The part of a ratio that nodes use, and of a slack that is leased out: windows slide in steps, and nodes come and go. */
+/**
+ * The part of a ratio that nodes use, and of a slack that is leased out: windows slide in steps,
+ * and nodes come and go.
+ */
 export const USED_FRACTION = 0.8;
 
 /** What no limit may exceed: the deployment's own maximum for a service, over all kinds. */
@@ -39,7 +48,10 @@
 /** The key of the limits for services that have none of their own. */
 export const EVERY_SERVICE = "*";
 
-/** The limits before any are written: half of the ratio, and a small part of the slack, where a repeat may do harm. */
+/**
+ * The limits before any are written: half of the ratio, and a small part of the slack, where a
+ * repeat may do harm.
+ */
 export const defaultLimits = ({ ratio, slack }: RetryMaximum): RetryLimits => ({
   [EVERY_SERVICE]: {
     safe: { ratio, slack: slack * 0.6 },
@@ -95,7 +107,10 @@
   );
 };
 
-/** Changes the limit of one kind, of one service or of every service; or a sentence on what is wrong with it. */
+/**
+ * Changes the limit of one kind, of one service or of every service; or a sentence on what is wrong
+ * with it.
+ */
 export const withLimit = (
   limits: RetryLimits,
   maximum: RetryMaximum,
--- a/src/storage/data-folder.ts
+++ b/src/storage/data-folder.ts
@@ -1,6 +1,7 @@
 /**
- * Takes over the data folder that a role used under its earlier name, so that a fleet whose platform names each data
- * folder after its role keeps its state across the change of the roles' names.
+ * Takes over the data folder that a role used under its earlier name, so that a fleet whose
+ * platform names each data folder after its role keeps its state across the change of the roles'
+ * names.
  */
 import { basename, dirname, join } from "node:path";
 import { messageOf } from "../common/errors.js";
@@ -35,12 +36,14 @@
 };
 
 /**
- * Renames the folder of the role's earlier name into the place of the own one, if the own one is missing or empty and the
- * other holds anything. To be awaited before anything in the folder is read. A folder whose name doesn't contain the
- * role's name has no earlier name, so nothing is done. A failure is logged, and the program goes on with its own folder.
+ * Renames the folder of the role's earlier name into the place of the own one, if the own one is
+ * missing or empty and the other holds anything. To be awaited before anything in the folder is
+ * read. A folder whose name doesn't contain the role's name has no earlier name, so nothing is
+ * done. A failure is logged, and the program goes on with its own folder.
  *
- * Invariant: the state is whole under exactly one of the two names at every moment, since one atomic rename moves it. A
- * crash before the parent is synced leaves it under either; where it is the earlier one, the next start renames it again.
+ * Invariant: the state is whole under exactly one of the two names at every moment, since one
+ * atomic rename moves it. A crash before the parent is synced leaves it under either; where it is
+ * the earlier one, the next start renames it again.
  *
  * @returns whether a folder was taken over
  */
--- a/src/storage/errors.ts
+++ b/src/storage/errors.ts
@@ -11,7 +11,10 @@
   }
 }
 
-/** The increments have taken all the space that they may, and no snapshot could be written in their place. */
+/**
+ * The increments have taken all the space that they may, and no snapshot could be written in their
+ * place.
+ */
 export class SnapshotOverdueError extends CodedError {
   readonly code = "SNAPSHOT_OVERDUE";
 
--- a/src/storage/file-system.ts
+++ b/src/storage/file-system.ts
@@ -4,9 +4,10 @@
 import { isRecord } from "../common/decode.js";
 
 /**
- * The few calls on files that durable state needs. Every method rejects with an Error when the file system refuses.
- * After a loss of power the bytes of a written file are as `write` left them; a name that was made, renamed or removed
- * since the last `syncFolder` of its folder may be kept or lost, each by itself.
+ * The few calls on files that durable state needs. Every method rejects with an Error when the file
+ * system refuses. After a loss of power the bytes of a written file are as `write` left them; a
+ * name that was made, renamed or removed since the last `syncFolder` of its folder may be kept or
+ * lost, each by itself.
  */
 export interface FileSystem {
   /** The names in a folder; none if there is no such folder. */
@@ -19,7 +20,10 @@
   rename(from: string, to: string): Promise<void>;
   /** No error if there is no such file. */
   remove(path: string): Promise<void>;
-  /** Makes the folder with all parents missing; the names of all that were made are durable once this resolves. */
+  /**
+   * Makes the folder with all parents missing; the names of all that were made are durable once
+   * this resolves.
+   */
   makeFolder(path: string): Promise<void>;
   /** Makes the names in the folder durable: those made, renamed and removed. */
   syncFolder(path: string): Promise<void>;
@@ -28,9 +32,11 @@
 /** The calls on folders that a take-over needs. */
 export interface FolderFileSystem extends Pick<FileSystem, "list" | "syncFolder"> {
   /**
-   * Renames a folder with all that is in it, in one atomic step. An empty folder under the new name is replaced.
+   * Renames a folder with all that is in it, in one atomic step. An empty folder under the new name
+   * is replaced.
    *
-   * @throws if the folder under the new name isn't empty, or the file system refuses, for example across devices
+   * @throws if the folder under the new name isn't empty, or the file system refuses, for example
+   *   across devices
    */
   renameFolder(from: string, to: string): Promise<void>;
 }
@@ -38,7 +44,10 @@
 /** The code of a system error, such as `ENOENT`. */
 const codeOf = (error: unknown): unknown => (isRecord(error) ? error["code"] : undefined);
 
-/** Error codes of a folder that belongs to another user, so that this process made no name in it either. */
+/**
+ * Error codes of a folder that belongs to another user, so that this process made no name in it
+ * either.
+ */
 const FOREIGN_FOLDER_CODES: ReadonlySet<unknown> = new Set(["EACCES", "EPERM", "EROFS"]);
 
 const syncFolderAt = async (folder: string): Promise<void> => {
@@ -102,8 +111,9 @@
   readonly remove = (path: string): Promise<void> => rm(path, { force: true });
 
   /**
-   * Works from the top down, each name synced before the next is made. So after a crash on the way at most the lowest
-   * folder that exists has a name not synced yet; that is why the parent of an existing folder is synced too.
+   * Works from the top down, each name synced before the next is made. So after a crash on the way
+   * at most the lowest folder that exists has a name not synced yet; that is why the parent of an
+   * existing folder is synced too.
    */
   readonly makeFolder = async (path: string): Promise<void> => {
     const parent = dirname(path);
--- a/src/storage/log-codec.ts
+++ b/src/storage/log-codec.ts
@@ -1,6 +1,7 @@
 /**
- * The form of the write-ahead log's files. A file is the SHA-256 checksum of its body, then the body: one MessagePack
- * map. The keys of that map and the names of the files are stored data and never change.
+ * The form of the write-ahead log's files. A file is the SHA-256 checksum of its body, then the
+ * body: one MessagePack map. The keys of that map and the names of the files are stored data and
+ * never change.
  */
 import { createHash } from "node:crypto";
 import {
@@ -19,7 +20,8 @@
 /** What a file of the log holds. */
 export interface LogFileContent {
   /**
-   * Of an increment, the checksum of the increment before it. Of a snapshot, the `link` that the next increment has.
+   * Of an increment, the checksum of the increment before it. Of a snapshot, the `link` that the
+   * next increment has.
    */
   readonly link: string;
   /** Whether the writer vouched that nothing ever appended was missing from its state. */
@@ -31,7 +33,10 @@
 export interface LogFileName {
   readonly kind: LogFileKind;
   readonly number: number;
-  /** True until the file is renamed to the name under which it counts; nothing in it was acknowledged. */
+  /**
+   * True until the file is renamed to the name under which it counts; nothing in it was
+   * acknowledged.
+   */
   readonly isTemporary: boolean;
   readonly name: string;
 }
--- a/src/storage/log-files.ts
+++ b/src/storage/log-files.ts
@@ -1,4 +1,7 @@
-/** The write-ahead log's files in their folder: listing, reading, writing under a final name, and removing old ones. */
+/**
+ * The write-ahead log's files in their folder: listing, reading, writing under a final name, and
+ * removing old ones.
+ */
 import { join } from "node:path";
 import type { FileSystem } from "./file-system.js";
 import {
@@ -48,13 +51,17 @@
     return files;
   };
 
-  /** Writes a file under a temporary name, synced, and gives it its final name; durable once this resolves. */
+  /**
+   * Writes a file under a temporary name, synced, and gives it its final name; durable once this
+   * resolves.
+   */
   readonly write = async (kind: LogFileKind, number: number, bytes: Uint8Array): Promise<void> => {
     const temporary = join(this.folder, logFileName(kind, number, true));
     try {
       await this.fileSystem.write(temporary, bytes);
     } catch (error) {
-      // Half a file on a full disk would take the space of the next attempt; the write's own error is what matters.
+      // Half a file on a full disk would take the space of the next attempt; the write's own error
+      // is what matters.
       await this.fileSystem.remove(temporary).catch(() => undefined);
       throw error;
     }
@@ -70,7 +77,8 @@
       );
       for (const { name } of old) await this.fileSystem.remove(join(this.folder, name));
     } catch {
-      // A recovery ignores files that a snapshot stands for, so what is left here goes the next time.
+      // A recovery ignores files that a snapshot stands for, so what is left here goes the next
+      // time.
     }
   };
 
--- a/src/storage/recovery.ts
+++ b/src/storage/recovery.ts
@@ -1,10 +1,14 @@
-/** What a start makes of the write-ahead log's files: whether they prove that nothing appended is missing. */
+/**
+ * What a start makes of the write-ahead log's files: whether they prove that nothing appended is
+ * missing.
+ */
 import type { UnknownRecord } from "../common/decode.js";
 import type { LogFile } from "./log-files.js";
 
 /**
- * What a start finds. `verified`: proof that nothing is missing that was ever appended. `unverified`: whatever could be
- * read, and one line why it may not be all. `empty`: nothing was ever appended, or all of it is lost.
+ * What a start finds. `verified`: proof that nothing is missing that was ever appended.
+ * `unverified`: whatever could be read, and one line why it may not be all. `empty`: nothing was
+ * ever appended, or all of it is lost.
  */
 export type Recovery =
   | { readonly kind: "verified"; readonly records: readonly UnknownRecord[] }
@@ -15,13 +19,19 @@
     }
   | { readonly kind: "empty" };
 
-/** The files that the state is replayed from, and why they may not be all of it; no reason where they are. */
+/**
+ * The files that the state is replayed from, and why they may not be all of it; no reason where
+ * they are.
+ */
 export interface RecoveredChain {
   readonly files: readonly LogFile[];
   readonly reason: string | undefined;
 }
 
-/** Why these files, in order, don't prove that they hold all that was appended; undefined where they do. */
+/**
+ * Why these files, in order, don't prove that they hold all that was appended; undefined where they
+ * do.
+ */
 const findBreak = (files: readonly LogFile[]): string | undefined => {
   const newest = files.filter(({ kind }) => kind === "snapshot").at(-1);
   if (!newest) return "there are increments without a snapshot";
@@ -43,8 +53,9 @@
 };
 
 /**
- * Verifies the chain of the newest snapshot and the increments after it. Where it holds, only these count; where it
- * doesn't, every readable file does, since a record too many does no harm to a state that must catch up anyway.
+ * Verifies the chain of the newest snapshot and the increments after it. Where it holds, only these
+ * count; where it doesn't, every readable file does, since a record too many does no harm to a
+ * state that must catch up anyway.
  *
  * @param files - in the order of their numbers, an increment before the snapshot that stands for it
  */
--- a/src/storage/segment-codec.ts
+++ b/src/storage/segment-codec.ts
@@ -1,6 +1,7 @@
 /**
- * The form of a segment: frames one after the other, each the length of its body (4 bytes, big-endian), the CRC-32 of the
- * body (4 bytes), and the body: one MessagePack value. Stored data; the form never changes.
+ * The form of a segment: frames one after the other, each the length of its body (4 bytes,
+ * big-endian), the CRC-32 of the body (4 bytes), and the body: one MessagePack value. Stored data;
+ * the form never changes.
  */
 import { crc32 } from "node:zlib";
 import { packValue, unpackValue } from "../transport/frame-codec.js";
@@ -12,7 +13,10 @@
 /** The name of a segment's file. */
 export const segmentFileName = (number: number): string => `log-${number}.bin`;
 
-/** The number in the name of a segment's file; undefined for another file. Segments are numbered from 1. */
+/**
+ * The number in the name of a segment's file; undefined for another file. Segments are numbered
+ * from 1.
+ */
 export const parseSegmentFileName = (name: string): number | undefined => {
   const number = Number(FILE_NAME.exec(name)?.[1] ?? 0);
   return number > 0 ? number : undefined;
@@ -28,7 +32,10 @@
   return frame;
 };
 
-/** Reads all records up to the first that is torn: what comes after a torn one was never acknowledged. */
+/**
+ * Reads all records up to the first that is torn: what comes after a torn one was never
+ * acknowledged.
+ */
 export const decodeFrames = (bytes: Buffer): readonly unknown[] => {
   const records: unknown[] = [];
   for (let offset = 0; offset + HEADER_BYTES <= bytes.length;) {
--- a/src/storage/segment-log.ts
+++ b/src/storage/segment-log.ts
@@ -1,4 +1,7 @@
-/** An append-only log of short-lived records in segment files, which are removed whole once they are old enough. */
+/**
+ * An append-only log of short-lived records in segment files, which are removed whole once they are
+ * old enough.
+ */
 import { open, readdir, readFile, rm, type FileHandle } from "node:fs/promises";
 import { join } from "node:path";
 import { err, ok, type Result } from "true-myth/result";
@@ -43,8 +46,9 @@
 /**
  * An append-only log in segments, with one sync for all records that came meanwhile.
  *
- * Invariants: a record is acknowledged only after the sync that covers it; a start never appends to a segment that it
- * found, but begins a new one; a segment is removed whole, and only once all its records are older than `retentionUs`.
+ * Invariants: a record is acknowledged only after the sync that covers it; a start never appends to
+ * a segment that it found, but begins a new one; a segment is removed whole, and only once all its
+ * records are older than `retentionUs`.
  */
 export class SegmentLog {
   private file: FileHandle | undefined;
@@ -86,7 +90,8 @@
       }
       return numbers.length === 0 ? undefined : records;
     } catch {
-      // A folder that can't be read counts as lost: the state is then read from a quorum of the others.
+      // A folder that can't be read counts as lost: the state is then read from a quorum of the
+      // others.
       return undefined;
     }
   };
@@ -129,8 +134,8 @@
       this.segmentBytes += all.length;
       return ok(undefined);
     } catch (error) {
-      // What the failed write left may be torn, so nothing more is appended to the segment. That it can't be closed
-      // either changes nothing: the write's own error is what the caller must know.
+      // What the failed write left may be torn, so nothing more is appended to the segment. That it
+      // can't be closed either changes nothing: the write's own error is what the caller must know.
       await this.closeSegment().catch(() => undefined);
       return err(new DiskWriteError(error));
     }
--- a/src/storage/write-ahead-log.ts
+++ b/src/storage/write-ahead-log.ts
@@ -1,4 +1,7 @@
-/** The control state on disk: a snapshot and the increments after it, chained by checksums. See docs/archive.md. */
+/**
+ * The control state on disk: a snapshot and the increments after it, chained by checksums. See
+ * docs/archive.md.
+ */
 import { err, ok, type Result } from "true-myth/result";
 import { Batcher } from "../common/batcher.js";
 import type { UnknownRecord } from "../common/decode.js";
@@ -14,7 +17,10 @@
   /** Empty on a machine without a disk: then memory is all there is. */
   readonly folder: string;
   readonly fileSystem: FileSystem;
-  /** The whole state as records, taken in one go; holds every record that was handed to `append` before. */
+  /**
+   * The whole state as records, taken in one go; holds every record that was handed to `append`
+   * before.
+   */
   readonly snapshot: () => readonly UnknownRecord[];
 }
 
@@ -23,31 +29,41 @@
   readonly isVerified: boolean;
 }
 
-/** A snapshot is due once the increments are as large as the last one, or this large, or this many. */
+/**
+ * A snapshot is due once the increments are as large as the last one, or this large, or this many.
+ */
 const MIN_SNAPSHOT_BYTES = 64 * 1024;
 const MAX_INCREMENTS = 512;
 /** At this many times what makes one due, increments wait for the snapshot. */
 const BLOCKING_FRACTION = 2;
-/** A snapshot that the disk refused is tried again once so much more of what makes one due has accumulated. */
+/**
+ * A snapshot that the disk refused is tried again once so much more of what makes one due has
+ * accumulated.
+ */
 const RETRY_FRACTION = 0.25;
 /** Past so many records that the disk refused to write, a snapshot takes their place. */
 const MAX_UNWRITTEN = 2_000;
 
 /**
- * `snapshot-N` is the whole state and stands for all numbers up to N; `increment-N` holds the records of one round of
- * appends and names the checksum of the one before. Each is one file, written under a temporary name, synced, renamed,
- * and the folder synced, before anything in it is acknowledged.
+ * `snapshot-N` is the whole state and stands for all numbers up to N; `increment-N` holds the
+ * records of one round of appends and names the checksum of the one before. Each is one file,
+ * written under a temporary name, synced, renamed, and the folder synced, before anything in it is
+ * acknowledged.
  *
- * Invariants: increment N+1 gets its name only after increment N's name is durable, so that what an unsynced name can lose
- * was never acknowledged; a file is removed only once a newer snapshot's name is durable, so that one that comes back is
- * below that snapshot and is ignored; `isVerified` is false from a start without proof until `writeVerifiedSnapshot`.
+ * Invariants: increment N+1 gets its name only after increment N's name is durable, so that what an
+ * unsynced name can lose was never acknowledged; a file is removed only once a newer snapshot's
+ * name is durable, so that one that comes back is below that snapshot and is ignored; `isVerified`
+ * is false from a start without proof until `writeVerifiedSnapshot`.
  */
 export class WriteAheadLog {
   /** Invariant: this increment, or a snapshot that stands for it, is durable. */
   private lastNumber = 0;
   private link = "";
   private isVerified = false;
-  /** True until a snapshot of this process, or a verified one that was found, is there to add increments to. */
+  /**
+   * True until a snapshot of this process, or a verified one that was found, is there to add
+   * increments to.
+   */
   private needsSnapshot = true;
   private snapshotBytes = 0;
   /** The bytes of each increment that no durable snapshot stands for, by number. */
@@ -69,7 +85,9 @@
     return this.options.folder !== "";
   }
 
-  /** To be called once, before anything is appended. What it calls verified is durable from then on. */
+  /**
+   * To be called once, before anything is appended. What it calls verified is durable from then on.
+   */
   readonly load = async (): Promise<Recovery> => {
     if (!this.hasDisk) return { kind: "empty" };
     const { folder, fileSystem } = this.options;
@@ -81,7 +99,8 @@
       await fileSystem.makeFolder(folder);
       const [oldest] = files;
       if (!oldest) return { kind: "empty" };
-      // A killed process may have renamed a file and not synced the folder; what is acted on now must not be lost later.
+      // A killed process may have renamed a file and not synced the folder; what is acted on now
+      // must not be lost later.
       await fileSystem.syncFolder(folder);
       this.continueChain(files);
       await this.files.removeOlderThan(oldest.number);
@@ -92,15 +111,17 @@
   };
 
   /**
-   * Resolves once these records are durable; calls made meanwhile share one file. The order of calls is that of the
-   * records. What the disk refused goes into the next file, whatever is appended then: so `append([])` is a plain retry.
+   * Resolves once these records are durable; calls made meanwhile share one file. The order of
+   * calls is that of the records. What the disk refused goes into the next file, whatever is
+   * appended then: so `append([])` is a plain retry.
    */
   readonly append = (records: readonly UnknownRecord[]): Promise<Result<void, DiskWriteError>> =>
     this.hasDisk ? this.rounds.add({ records, isVerified: false }) : Promise.resolve(ok(undefined));
 
   /**
-   * Writes the whole state and vouches that nothing ever appended is missing from it: for the first start of all, and for
-   * a replica that has caught up. Until then a later start is unverified, whatever was appended.
+   * Writes the whole state and vouches that nothing ever appended is missing from it: for the first
+   * start of all, and for a replica that has caught up. Until then a later start is unverified,
+   * whatever was appended.
    */
   readonly writeVerifiedSnapshot = (): Promise<Result<void, DiskWriteError>> =>
     this.hasDisk
@@ -146,7 +167,10 @@
     }
   };
 
-  /** Writes a snapshot under a number of its own, above every name found; on a failure the next round tries again. */
+  /**
+   * Writes a snapshot under a number of its own, above every name found; on a failure the next
+   * round tries again.
+   */
   private readonly writeOwnSnapshot = async (isVerified: boolean): Promise<void> => {
     await this.snapshotting;
     await this.options.fileSystem.makeFolder(this.options.folder);
@@ -194,7 +218,10 @@
     }
   };
 
-  /** Writes the state as it is now, which holds all that was appended up to this call; durable once this resolves. */
+  /**
+   * Writes the state as it is now, which holds all that was appended up to this call; durable once
+   * this resolves.
+   */
   private readonly writeSnapshot = async (number: number, isVerified: boolean): Promise<void> => {
     const { bytes } = encodeLogFile("snapshot", number, {
       link: this.link,
--- a/src/transport/connect.ts
+++ b/src/transport/connect.ts
@@ -3,7 +3,10 @@
 import type { Clock } from "../common/clock.js";
 import { Connection, type KeepAliveTimes } from "./connection.js";
 
-/** Connects to a listener; resolves to undefined when nobody accepts within `timeoutUs`. Never rejects. */
+/**
+ * Connects to a listener; resolves to undefined when nobody accepts within `timeoutUs`. Never
+ * rejects.
+ */
 export const connectTo = (
   ip: string,
   port: number,
--- a/src/transport/connection.ts
+++ b/src/transport/connection.ts
@@ -1,4 +1,7 @@
-/** One connection between processes of the cluster: messages both ways over a TCP socket, kept alive by heartbeats. */
+/**
+ * One connection between processes of the cluster: messages both ways over a TCP socket, kept alive
+ * by heartbeats.
+ */
 import type { Socket } from "node:net";
 import type { Clock, Timer } from "../common/clock.js";
 import { countSentFrame, encodeFrame, FrameReader } from "./frame-codec.js";
@@ -6,7 +9,10 @@
 
 export type { Message } from "./message.js";
 
-/** How often a connection without traffic sends a heartbeat, and how long it may receive nothing before it is closed. */
+/**
+ * How often a connection without traffic sends a heartbeat, and how long it may receive nothing
+ * before it is closed.
+ */
 export interface KeepAliveTimes {
   readonly heartbeatUs: number;
   readonly timeoutUs: number;
@@ -15,17 +21,23 @@
 /** The kind of the heartbeat on the wire. */
 const KEEP_ALIVE_KIND = "pulse";
 const KEEP_ALIVE: Message = { kind: KEEP_ALIVE_KIND };
-/** A heartbeat is due when this part of the interval has passed, since the timer itself fires a little early or late. */
+/**
+ * A heartbeat is due when this part of the interval has passed, since the timer itself fires a
+ * little early or late.
+ */
 const HEARTBEAT_DUE_PART = 0.9;
 /** A connection whose peer takes so little that more than this waits to be sent is closed. */
 const MAX_UNSENT_BYTES = 16 * 1024 * 1024;
 
 /**
- * Length-prefixed msgpack frames over a socket. A network partition sends no reset, so a connection that has received
- * nothing for `timeoutUs` is closed.
+ * Length-prefixed msgpack frames over a socket. A network partition sends no reset, so a connection
+ * that has received nothing for `timeoutUs` is closed.
  */
 export class Connection {
-  /** Invariant: `closed` never goes back to false; after it nothing is sent and nothing more comes in. */
+  /**
+   * Invariant: `closed` never goes back to false; after it nothing is sent and nothing more comes
+   * in.
+   */
   private closed = false;
   private lastReceivedUs: number;
   private lastSentUs: number;
@@ -48,7 +60,10 @@
     return this.closed;
   }
 
-  /** Sends a message; does nothing once the connection is closed. The message must not change afterwards. */
+  /**
+   * Sends a message; does nothing once the connection is closed. The message must not change
+   * afterwards.
+   */
   readonly send = (message: Message): void => {
     if (this.closed) return;
     const frame = encodeFrame(message);
@@ -93,7 +108,8 @@
           if (message.kind !== KEEP_ALIVE_KIND) yield message;
       }
     } catch {
-      // A broken frame or a reset ends the connection like any other end: its owner sees that and connects again.
+      // A broken frame or a reset ends the connection like any other end: its owner sees that and
+      // connects again.
     } finally {
       this.close();
     }
