--- a/src/transport/frame-codec.ts
+++ b/src/transport/frame-codec.ts
@@ -1,6 +1,7 @@
 /**
- * The frames of a connection: a length of four bytes, big-endian, then one message in msgpack, deflated where a flag in
- * the length says so. The layout, the flag and the kinds named here are part of the protocol between versions.
+ * The frames of a connection: a length of four bytes, big-endian, then one message in msgpack,
+ * deflated where a flag in the length says so. The layout, the flag and the kinds named here are
+ * part of the protocol between versions.
  */
 import { deflateRawSync, inflateRawSync } from "node:zlib";
 import { Packr } from "msgpackr";
@@ -9,14 +10,17 @@
 import type { Message } from "./message.js";
 
 const LENGTH_BYTES = 4;
-/** Set in the length of a frame whose body is deflated. Invariant: no body is so long that its length reaches this bit. */
+/**
+ * Set in the length of a frame whose body is deflated. Invariant: no body is so long that its
+ * length reaches this bit.
+ */
 const DEFLATED_FLAG = 0x4000_0000;
 /** The longest body that is read, before and after inflating. */
 const MAX_FRAME_BYTES = 32 * 1024 * 1024;
 
 /**
- * Kinds of messages that are deflated when large. Configurations, updates and copies of state shrink to a tenth, which
- * thin links need; bodies of objects don't shrink at all.
+ * Kinds of messages that are deflated when large. Configurations, updates and copies of state
+ * shrink to a tenth, which thin links need; bodies of objects don't shrink at all.
  */
 const COMPRESSED_KINDS: ReadonlySet<string> = new Set([
   "news",
@@ -52,7 +56,10 @@
   } else sentFrames.set(kind, { frames: 1, bytes });
 };
 
-/** The frames of messages that are still in use, so that what goes to several connections is packed once. */
+/**
+ * The frames of messages that are still in use, so that what goes to several connections is packed
+ * once.
+ */
 const frames = new WeakMap<Message, Buffer>();
 
 /** The frame of a message, length included. A message must not change once it has been encoded. */
@@ -89,8 +96,8 @@
   };
 
   /**
-   * The next message, or undefined until more bytes have been appended. Throws `FrameError`, or what decoding throws,
-   * where the bytes are no frame; the reader is of no use afterwards.
+   * The next message, or undefined until more bytes have been appended. Throws `FrameError`, or
+   * what decoding throws, where the bytes are no frame; the reader is of no use afterwards.
    */
   readonly next = (): Message | undefined => {
     const { buffered, offset } = this;
--- a/src/transport/listener.ts
+++ b/src/transport/listener.ts
@@ -4,14 +4,20 @@
 import type { Logger } from "../common/logger.js";
 import { Connection, type Message, type KeepAliveTimes } from "./connection.js";
 
-/** Serves one connection for as long as it lasts. `hello` is its first message, `incoming` gives all that follow. */
+/**
+ * Serves one connection for as long as it lasts. `hello` is its first message, `incoming` gives all
+ * that follow.
+ */
 export type SessionHandler = (
   connection: Connection,
   hello: Message,
   incoming: AsyncIterable<Message>,
 ) => Promise<void>;
 
-/** Accepts connections, and hands each to the handler of its first message's kind; where there is none, closes it. */
+/**
+ * Accepts connections, and hands each to the handler of its first message's kind; where there is
+ * none, closes it.
+ */
 export class Listener {
   private server: Server | undefined;
   private readonly connections = new Set<Connection>();
--- a/src/transport/peer-link.ts
+++ b/src/transport/peer-link.ts
@@ -20,12 +20,15 @@
 }
 
 /**
- * `handshaking`: the hello is sent and nothing has come back; `backing-off`: the connection has ended or failed;
- * `closed`: stopped, for good.
+ * `handshaking`: the hello is sent and nothing has come back; `backing-off`: the connection has
+ * ended or failed; `closed`: stopped, for good.
  */
 export type PeerLinkState = "connecting" | "handshaking" | "connected" | "backing-off" | "closed";
 
-/** The connecting side of a link. Its events give the peer's first message as `connected`, all later ones as `message`. */
+/**
+ * The connecting side of a link. Its events give the peer's first message as `connected`, all later
+ * ones as `message`.
+ */
 export class PeerLink {
   readonly events = new Emittery<{
     connected: Message;
@@ -61,7 +64,10 @@
     if (this.isConnected) this.connection?.send(message);
   };
 
-  /** Resolves to the reply, or to undefined when the link isn't connected, or is lost or times out first. */
+  /**
+   * Resolves to the reply, or to undefined when the link isn't connected, or is lost or times out
+   * first.
+   */
   readonly request = (message: Message, timeoutUs: number): Promise<Message | undefined> => {
     return this.isConnected && this.connection
       ? this.pendingRequests.request(this.connection.send, message, timeoutUs)
--- a/src/transport/pending-requests.ts
+++ b/src/transport/pending-requests.ts
@@ -1,4 +1,7 @@
-/** Requests and replies over one connection: a request carries a number, and its reply the same number. */
+/**
+ * Requests and replies over one connection: a request carries a number, and its reply the same
+ * number.
+ */
 import { withTimeout, type Clock } from "../common/clock.js";
 import type { Message } from "./message.js";
 
@@ -19,14 +22,20 @@
   [IN_REPLY_TO]: requestId,
 });
 
-/** Requests sent over one connection and not yet answered. Invariant: each resolves once, at the latest at its time-out. */
+/**
+ * Requests sent over one connection and not yet answered. Invariant: each resolves once, at the
+ * latest at its time-out.
+ */
 export class PendingRequests {
   private lastId = 0;
   private readonly pending = new Map<number, (reply: Message | undefined) => void>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Sends a request. Resolves to the reply, or to undefined when the connection ends or `timeoutUs` is over first. */
+  /**
+   * Sends a request. Resolves to the reply, or to undefined when the connection ends or `timeoutUs`
+   * is over first.
+   */
   readonly request = (
     send: (message: Message) => void,
     message: Message,
@@ -41,7 +50,9 @@
     );
   };
 
-  /** Takes a message if it is a reply, whether or not its request still waits; false if it is none. */
+  /**
+   * Takes a message if it is a reply, whether or not its request still waits; false if it is none.
+   */
   readonly resolve = (message: Message): boolean => {
     const id = message[IN_REPLY_TO];
     if (typeof id !== "number") return false;
