--- a/features/steps/object-messages.ts
+++ b/features/steps/object-messages.ts
@@ -3,7 +3,8 @@
 import { Then } from "@cucumber/cucumber";
 import { CachedObjects, type CachedObject } from "../../src/cache/cached-objects.js";
 import { ObjectClient } from "../../src/cache/object-client.js";
-import { ObjectServer, packWant } from "../../src/cache/object-server.js";
+import { packObjectRequest } from "../../src/cache/messages.js";
+import { ObjectServer } from "../../src/cache/object-server.js";
 import { ObjectStore, type LookupResult, type Want } from "../../src/cache/object-store.js";
 import { OriginFetcher } from "../../src/cache/origin-fetch.js";
 import { PeerCaches } from "../../src/cache/peer-caches.js";
@@ -77,7 +78,7 @@
   assert.equal(rows.length, 4);
   for (const row of rows) {
     const { range, etag } = row;
-    const packed = packWant(
+    const packed = packObjectRequest(
       wantOf(clock, readString(row, "url"), readNumber(row, "leftUs")),
       clock.nowUs(),
       range === undefined ? undefined : asString(range),
--- a/src/cache/cached-objects.ts
+++ b/src/cache/cached-objects.ts
@@ -1,20 +1,16 @@
 import { LRUCache } from "lru-cache";
 import type { Clock } from "../common/clock.js";
-import {
-  asRecord,
-  readList,
-  readString,
-  asString,
-  readNumber,
-  type UnknownRecord,
-} from "../common/decode.js";
 
-/** An object as a worker gave it, whole and checked. */
-export interface CachedObject {
+/** What an object is known by. */
+export interface ObjectName {
   readonly service: string;
   readonly host: string;
   /** The path with its query. */
   readonly url: string;
+}
+
+/** An object as a worker gave it, whole and checked. */
+export interface CachedObject extends ObjectName {
   readonly status: number;
   readonly heads: readonly string[];
   readonly etag: string;
@@ -37,46 +33,11 @@
 
 const pathOf = (url: string): string => url.split("?")[0] ?? url;
 
-export const keyOf = (what: {
-  readonly service: string;
-  readonly host: string;
-  readonly url: string;
-}): string => `${what.service}\n${what.host}\n${what.url}`;
+export const keyOf = ({ service, host, url }: ObjectName): string => `${service}\n${host}\n${url}`;
 
 const namesUrl = (purge: Purge, host: string, url: string): boolean =>
   purge.label === "" && purge.host === host && (purge.path === url || purge.path === pathOf(url));
 
-/** Copies travel with their age, to which every hop adds; so it is an upper bound, on steady clocks alone. */
-export const packCachedObject = (copy: CachedObject, nowUs: number): UnknownRecord => ({
-  status: copy.status,
-  heads: copy.heads,
-  etag: copy.etag,
-  labels: copy.labels,
-  body: copy.body,
-  ageUs: nowUs - copy.bornUs,
-});
-
-/** `askedUs` is when it was asked for, so the way counts as age too. */
-export const readCachedObject = (
-  value: unknown,
-  what: { readonly service: string; readonly host: string; readonly url: string },
-  askedUs: number,
-): CachedObject => {
-  const record = asRecord(value, "copy");
-  const body = record["body"];
-  return {
-    service: what.service,
-    host: what.host,
-    url: what.url,
-    status: readNumber(record, "status"),
-    heads: readList(record, "heads", asString),
-    etag: readString(record, "etag"),
-    labels: readList(record, "labels", asString),
-    body: body instanceof Uint8Array ? Buffer.from(body) : Buffer.alloc(0),
-    bornUs: askedUs - readNumber(record, "ageUs"),
-  };
-};
-
 /**
  * The copies one process keeps, in memory alone, since their age could not be known across a restart.
  * Invariant: none is kept, or taken, that a purge names and that was born before this process learned of the purge.
--- a/src/cache/object-client.ts
+++ b/src/cache/object-client.ts
@@ -1,10 +1,19 @@
 import type { Clock } from "../common/clock.js";
-import { isRecord, readString, readNumber, type UnknownRecord } from "../common/decode.js";
+import type { UnknownRecord } from "../common/decode.js";
 import { forwardedHeaders, SERVER_SEAL_HEADER } from "../proxy/headers.js";
 import type { ObjectUnavailable, ObjectResult } from "../proxy/object-source.js";
 import { MILLISECOND_US } from "../common/duration.js";
 import { CachedObjects, keyOf, type CachedObject } from "./cached-objects.js";
-import { copyIn, isPermitted, packWant, SMALL_BYTES } from "./object-server.js";
+import {
+  isPermitted,
+  packObjectRequest,
+  packPermitRequest,
+  readObject,
+  readRange,
+  readRetryAfterUs,
+  unavailableReason,
+} from "./messages.js";
+import { SMALL_BYTES } from "./object-server.js";
 import type { PeerCaches } from "./peer-caches.js";
 import type { OriginFetcher } from "./origin-fetch.js";
 import { resolveRange, type ByteRange } from "./byte-range.js";
@@ -39,20 +48,6 @@
   retryAfterUs: 100 * MILLISECOND_US,
 };
 
-const readCut = (
-  value: unknown,
-): { readonly cut: ByteRange; readonly size: number } | undefined => {
-  if (!isRecord(value)) return undefined;
-  const size = readNumber(value, "size");
-  return {
-    size,
-    cut:
-      readString(value, "kind") === "past"
-        ? { kind: "past" }
-        : { kind: "part", from: readNumber(value, "from"), to: readNumber(value, "to") },
-  };
-};
-
 const groupOf = (want: Want): string =>
   `${want.service}\n${want.host}\n${want.url.split("/")[1] ?? ""}`;
 
@@ -107,7 +102,7 @@
   readonly permit = async (service: string): Promise<boolean> => {
     const { sharedCaches: depots, rateLimiter: rate } = this.options;
     if (!depots.isAnyConnected) return rate.takeToken(service).ok;
-    return isPermitted(await depots.ask(service, { kind: "permit", service }, PERMIT_WAIT_US));
+    return isPermitted(await depots.ask(service, packPermitRequest(service), PERMIT_WAIT_US));
   };
 
   private readonly source = async (
@@ -143,7 +138,7 @@
   ): Promise<Got | ObjectUnavailable> => {
     const { clock, sharedCaches: depots, zoneCaches: halls } = this.options;
     const askedUs = clock.nowUs();
-    const message = packWant(want, askedUs, range, old);
+    const message = packObjectRequest(want, askedUs, range, old);
     const viaHall = halls.isAnyConnected && this.isLarge(want);
     const early = viaHall
       ? await halls.ask(keyOf(want), message, (want.deadlineUs - askedUs) / 2)
@@ -151,18 +146,17 @@
     const reply =
       early ?? (await depots.ask(keyOf(want), message, want.deadlineUs - clock.nowUs()));
     if (!reply) return FULL;
-    const copy = copyIn(reply, want, old, askedUs);
+    const copy = readObject(reply, want, old, askedUs);
     if (copy === undefined) {
       return {
         kind: "none",
-        reason: reply["none"] === "rate" ? "rate" : "full",
-        retryAfterUs:
-          typeof reply["comeBackUs"] === "number" ? reply["comeBackUs"] : FULL.retryAfterUs,
+        reason: unavailableReason(reply),
+        retryAfterUs: readRetryAfterUs(reply) ?? FULL.retryAfterUs,
       };
     }
-    const told = readCut(reply["cut"]);
+    const told = readRange(reply);
     this.learnSize(want, told?.size ?? copy.body.length);
-    if (told) return { copy, ...told };
+    if (told) return { copy, cut: told.range, size: told.size };
     const cut =
       copy.status === 200 ? resolveRange(range, copy.body.length) : { kind: "whole" as const };
     if (range === undefined) return { copy, cut, size: copy.body.length };
--- a/src/cache/peer-caches.ts
+++ b/src/cache/peer-caches.ts
@@ -4,6 +4,7 @@
 import { splitAddress } from "../common/settings.js";
 import type { Message } from "../transport/connection.js";
 import { PeerLink } from "../transport/peer-link.js";
+import { packHello } from "./messages.js";
 import type { CacheAddress } from "../membership/cluster.js";
 
 /** Slow pulses, since each ask has a patience of its own and every pointsman holds a link to every depot. */
@@ -125,7 +126,7 @@
       times: TIMES,
       connectTimeoutUs: DIAL_US,
       backoffUs: REST_US,
-      hello: () => ({ kind: "goods" }),
+      hello: packHello,
     });
     const depot: PeerCache = { link, cell: zone, heardUs: 0, doubtfulUntilUs: 0 };
     link.events.on("message", () => {
--- a/src/programs/cache/cache.ts
+++ b/src/programs/cache/cache.ts
@@ -1,6 +1,13 @@
 import { FaultCounters } from "../../health/fault-counters.js";
 import { CachedObjects, keyOf, type CachedObject } from "../../cache/cached-objects.js";
-import { copyIn, ObjectServer, packWant } from "../../cache/object-server.js";
+import {
+  CACHE_REPORT_KIND,
+  OBJECT_MESSAGE,
+  packObjectRequest,
+  readObject,
+  unavailableReason,
+} from "../../cache/messages.js";
+import { ObjectServer } from "../../cache/object-server.js";
 import { PeerCaches, ownerOf } from "../../cache/peer-caches.js";
 import { Freshness } from "../../cache/freshness.js";
 import { OriginFetcher } from "../../cache/origin-fetch.js";
@@ -42,7 +49,7 @@
     settings,
     clock,
     "cache",
-    { goods: serve },
+    { [OBJECT_MESSAGE.hello]: serve },
     (question) =>
       question.kind === "retries" ? { kind: "retries", rows: retryBudgets.snapshot() } : undefined,
   );
@@ -102,16 +109,16 @@
       ? undefined
       : await others.askOne(
           owner,
-          packWant(want, askedUs, undefined, old, true),
+          packObjectRequest(want, askedUs, undefined, old, true),
           Math.min(OWNER_WAIT_US, want.deadlineUs - askedUs),
         );
     if (!reply) return ownStore.get(want);
-    const copy = copyIn(reply, want, old, askedUs);
+    const copy = readObject(reply, want, old, askedUs);
     return copy
       ? { kind: "found", copy }
       : {
           kind: "none",
-          reason: reply["none"] === "rate" ? "rate" : "full",
+          reason: unavailableReason(reply),
           retryAfterUs: want.latencyTargetUs / 4,
         };
   };
@@ -171,7 +178,7 @@
     const message = counts.takeReport();
     if (message) subscriber.report(message);
     subscriber.report({
-      kind: "goods",
+      kind: CACHE_REPORT_KIND,
       counts: {
         ...store.counts,
         ownerHits: ownStore.counts.hits,
--- a/src/programs/gateway/object-cache.ts
+++ b/src/programs/gateway/object-cache.ts
@@ -1,5 +1,6 @@
 import { CachedObjects, keyOf } from "../../cache/cached-objects.js";
-import { copyIn, ObjectServer, packWant } from "../../cache/object-server.js";
+import { packObjectRequest, readObject, unavailableReason } from "../../cache/messages.js";
+import { ObjectServer } from "../../cache/object-server.js";
 import { PeerCaches, distanceFrom } from "../../cache/peer-caches.js";
 import { Freshness } from "../../cache/freshness.js";
 import { ObjectClient } from "../../cache/object-client.js";
@@ -121,15 +122,15 @@
       const askedUs = clock.nowUs();
       const reply = await depots.ask(
         keyOf(want),
-        packWant(want, askedUs, undefined, old),
+        packObjectRequest(want, askedUs, undefined, old),
         want.deadlineUs - askedUs,
       );
-      const copy = reply && copyIn(reply, want, old, askedUs);
+      const copy = reply && readObject(reply, want, old, askedUs);
       return copy
         ? { kind: "found", copy }
         : {
             kind: "none",
-            reason: reply?.["none"] === "rate" ? "rate" : "full",
+            reason: unavailableReason(reply),
             retryAfterUs: want.latencyTargetUs / 4,
           };
     },
