--- a/features/steps/object-messages.ts
+++ b/features/steps/object-messages.ts
@@ -5,7 +5,7 @@
 import { ObjectClient } from "../../src/cache/object-client.js";
 import { packObjectRequest } from "../../src/cache/messages.js";
 import { ObjectServer } from "../../src/cache/object-server.js";
-import { ObjectStore, type LookupResult, type Want } from "../../src/cache/object-store.js";
+import { ObjectStore, type LookupResult } from "../../src/cache/object-store.js";
 import { OriginFetcher } from "../../src/cache/origin-fetch.js";
 import { PeerCaches } from "../../src/cache/peer-caches.js";
 import { sleep, type Clock } from "../../src/common/clock.js";
@@ -23,7 +23,7 @@
 } from "../../src/common/decode.js";
 import { silentLogger } from "../../src/common/logger.js";
 import { LoadBalancer } from "../../src/proxy/load-balancer.js";
-import type { ObjectResult } from "../../src/proxy/object-source.js";
+import type { ObjectResult, ObjectRequest } from "../../src/proxy/object-source.js";
 import { RetryBudgets } from "../../src/proxy/retry-budget.js";
 import { WorkerDirectory } from "../../src/proxy/worker-directory.js";
 import { RateLimiter } from "../../src/quota/rate-limiter.js";
@@ -50,7 +50,7 @@
   return { ...record, kind: readString(record, "kind") };
 };
 
-const wantOf = (clock: Clock, url: string, leftUs = 900_000): Want => ({
+const wantOf = (clock: Clock, url: string, leftUs = 900_000): ObjectRequest => ({
   service: "s",
   host: "h.example",
   url,
@@ -65,11 +65,11 @@
   host: "h.example",
   url: "/small",
   status: 200,
-  heads: [],
+  headers: [],
   etag,
   labels: [],
   body: Buffer.from("old"),
-  bornUs: 0,
+  validatedAtUs: 0,
 });
 
 Then("requests for objects are packed as before", async () => {
@@ -92,7 +92,7 @@
 /** The origin of the golden conversation. */
 const originOf =
   (clock: Clock, data: UnknownRecord) =>
-  async (want: Want): Promise<LookupResult> => {
+  async (want: ObjectRequest): Promise<LookupResult> => {
     const none = asRecord(data["none"])[want.url];
     if (isRecord(none))
       return {
@@ -114,11 +114,11 @@
         host: want.host,
         url: want.url,
         status: readNumber(row, "status"),
-        heads: readList(row, "heads", asString),
+        headers: readList(row, "heads", asString),
         etag: readString(row, "etag"),
         labels: readList(row, "labels", asString),
         body: Buffer.from(readString(row, "text").repeat(readNumber(row, "times"))),
-        bornUs,
+        validatedAtUs: bornUs,
       },
     };
   };
--- a/src/cache/byte-range.ts
+++ b/src/cache/byte-range.ts
@@ -1,17 +1,25 @@
+/** Resolution of the `Range` header (RFC 9110, section 14) against the size of an object. */
 import parseRange from "range-parser";
 
-export type ByteRange =
-  | { readonly kind: "whole" }
-  | { readonly kind: "part"; readonly from: number; readonly to: number }
-  | { readonly kind: "past" };
+/** All of a body, the bytes `from` to `to` inclusive, or a range that begins beyond the end. */
+export type RangeResult =
+  | { readonly kind: "full" }
+  | { readonly kind: "partial"; readonly from: number; readonly to: number }
+  | { readonly kind: "unsatisfiable" };
 
-/** What of a body is wanted: only a single range that gives its first byte is cut, as workers do. */
-export const resolveRange = (range: string | undefined, size: number): ByteRange => {
-  if (range === undefined || !/^bytes=\d+-\d*$/.test(range.trim())) return { kind: "whole" };
+/**
+ * Resolves a range. Only a single range that gives its first byte is honored, as workers do; any
+ * other gets the full body, which RFC 9110 allows.
+ *
+ * @param range - the value of a `Range` header
+ * @param size - the size of the body in bytes
+ */
+export const resolveRange = (range: string | undefined, size: number): RangeResult => {
+  if (range === undefined || !/^bytes=\d+-\d*$/.test(range.trim())) return { kind: "full" };
   const parsed = parseRange(size, range.trim());
-  if (parsed === -1) return { kind: "past" };
+  if (parsed === -1) return { kind: "unsatisfiable" };
   const first = parsed === -2 ? undefined : parsed[0];
   return first === undefined
-    ? { kind: "whole" }
-    : { kind: "part", from: first.start, to: first.end };
+    ? { kind: "full" }
+    : { kind: "partial", from: first.start, to: first.end };
 };
--- a/src/cache/cached-objects.ts
+++ b/src/cache/cached-objects.ts
@@ -1,3 +1,4 @@
+/** The cached objects of one process, and the purges that end them. */
 import { LRUCache } from "lru-cache";
 import type { Clock } from "../common/clock.js";
 
@@ -9,18 +10,18 @@
   readonly url: string;
 }
 
-/** An object as a worker gave it, whole and checked. */
+/** An object as a worker gave it, complete and checked. */
 export interface CachedObject extends ObjectName {
   readonly status: number;
-  readonly heads: readonly string[];
+  readonly headers: readonly string[];
   readonly etag: string;
   readonly labels: readonly string[];
   readonly body: Buffer;
   /** Invariant: no later than the moment, on this process's clock, at which the worker still had this version. */
-  readonly bornUs: number;
+  readonly validatedAtUs: number;
 }
 
-/** What ends the copies it names. */
+/** Ends the cached objects that it names, by address or by label. */
 export interface Purge {
   readonly id: string;
   readonly host: string;
@@ -29,18 +30,21 @@
   readonly receivedUs: number;
 }
 
-const OVERHEAD_BYTES = 512;
+const ENTRY_OVERHEAD_BYTES = 512;
 
 const pathOf = (url: string): string => url.split("?")[0] ?? url;
 
-export const keyOf = ({ service, host, url }: ObjectName): string => `${service}\n${host}\n${url}`;
+/** The key of an object in caches and in consistent placement. */
+export const cacheKey = ({ service, host, url }: ObjectName): string =>
+  `${service}\n${host}\n${url}`;
 
-const namesUrl = (purge: Purge, host: string, url: string): boolean =>
+const purgesUrl = (purge: Purge, host: string, url: string): boolean =>
   purge.label === "" && purge.host === host && (purge.path === url || purge.path === pathOf(url));
 
 /**
- * The copies one process keeps, in memory alone, since their age could not be known across a restart.
- * Invariant: none is kept, or taken, that a purge names and that was born before this process learned of the purge.
+ * The cached objects of one process, in memory alone, since their age could not be known across a
+ * restart. Invariant: none is kept, or taken, that a purge names and that was validated before this
+ * process received the purge.
  */
 export class CachedObjects {
   private readonly objects: LRUCache<string, CachedObject>;
@@ -49,56 +53,60 @@
 
   constructor(
     private readonly clock: Clock,
-    roomBytes: number,
-    private readonly mostBytes = roomBytes / 4,
+    maxBytes: number,
+    private readonly maxObjectBytes = maxBytes / 4,
   ) {
     this.objects = new LRUCache<string, CachedObject>({
-      maxSize: Math.max(1, Math.floor(roomBytes)),
-      sizeCalculation: (copy) => copy.body.length + OVERHEAD_BYTES,
+      maxSize: Math.max(1, Math.floor(maxBytes)),
+      sizeCalculation: (copy) => copy.body.length + ENTRY_OVERHEAD_BYTES,
     });
   }
 
+  /** The number of cached objects. */
   get size(): number {
     return this.objects.size;
   }
 
+  /** Their size in bytes, with an estimate of the overhead. */
   get bytes(): number {
     return this.objects.calculatedSize;
   }
 
+  /** The object of a key, whatever its age. */
   readonly get = (key: string): CachedObject | undefined => this.objects.get(key);
 
-  /** False if a purge covers it. One too large for the room is not kept, but still good. */
+  /** False if a purge covers the object. One too large for the cache is not kept, but still valid. */
   readonly put = (copy: CachedObject): boolean => {
     if (this.coveringPurgeUs(copy) !== undefined) return false;
-    if (copy.etag !== "" && copy.body.length <= this.mostBytes) this.objects.set(keyOf(copy), copy);
+    if (copy.etag !== "" && copy.body.length <= this.maxObjectBytes)
+      this.objects.set(cacheKey(copy), copy);
     return true;
   };
 
-  /** When the last purge was learned that ends this copy, or undefined. */
+  /** When the last purge was received that covers this object; undefined without one. */
   readonly coveringPurgeUs = (copy: CachedObject): number | undefined => {
     let lastUs: number | undefined;
     this.purges.forEach((purge) => {
       const names =
         purge.label === ""
-          ? namesUrl(purge, copy.host, copy.url)
+          ? purgesUrl(purge, copy.host, copy.url)
           : copy.labels.includes(purge.label);
-      if (names && copy.bornUs <= purge.receivedUs)
+      if (names && copy.validatedAtUs <= purge.receivedUs)
         lastUs = Math.max(lastUs ?? 0, purge.receivedUs);
     });
     return lastUs;
   };
 
-  /** When the last purge was learned that names this address. */
+  /** When the last purge was received that names this address; undefined without one. */
   readonly lastPurgeUs = (host: string, url: string): number | undefined => {
     let lastUs: number | undefined;
     this.purges.forEach((purge) => {
-      if (namesUrl(purge, host, url)) lastUs = Math.max(lastUs ?? 0, purge.receivedUs);
+      if (purgesUrl(purge, host, url)) lastUs = Math.max(lastUs ?? 0, purge.receivedUs);
     });
     return lastUs;
   };
 
-  /** False if it is known already. */
+  /** Applies a purge; false if it is known already. */
   readonly purge = (purge: Omit<Purge, "receivedUs">): boolean => {
     if (this.purges.has(purge.id)) return false;
     this.purges.set(purge.id, { ...purge, receivedUs: this.clock.nowUs() });
@@ -110,9 +118,11 @@
     return true;
   };
 
+  /** Forgets a purge that no object from before it can outlast. */
   readonly forgetPurge = (purgeId: string): void => {
     this.purges.delete(purgeId);
   };
 
+  /** Drops every cached object. */
   readonly clear = (): void => this.objects.clear();
 }
--- a/src/cache/messages.ts
+++ b/src/cache/messages.ts
@@ -15,7 +15,7 @@
 } from "../common/decode.js";
 import type { ObjectRequest, ObjectUnavailable } from "../proxy/object-source.js";
 import type { Message } from "../transport/connection.js";
-import type { ByteRange } from "./byte-range.js";
+import type { RangeResult } from "./byte-range.js";
 import type { CachedObject, ObjectName } from "./cached-objects.js";
 
 /** The kinds of the messages. */
@@ -76,7 +76,7 @@
 
 /** The part of a body that a reply holds, and the size of the complete body in bytes. */
 export interface RangeOfSize {
-  readonly range: ByteRange;
+  readonly range: RangeResult;
   readonly size: number;
 }
 
@@ -87,14 +87,14 @@
  * Packs a request for an object.
  *
  * @param range - the value of a `Range` header
- * @param old - a copy whose body need not be sent again if it is still the newest
+ * @param previous - a cached object whose body need not be sent again if it is still the newest
  * @param isHop - asks a cache that must not ask another one
  */
 export const packObjectRequest = (
   request: ObjectRequest,
   nowUs: number,
   range: string | undefined,
-  old?: CachedObject,
+  previous?: CachedObject,
   isHop = false,
 ): Message => ({
   kind: OBJECT_MESSAGE.request,
@@ -106,7 +106,7 @@
   [REQUEST_KEY.latencyTargetUs]: request.latencyTargetUs,
   [REQUEST_KEY.timeLeftUs]: Math.max(0, request.deadlineUs - nowUs),
   ...(range === undefined ? {} : { [REQUEST_KEY.range]: range }),
-  ...(old === undefined || old.etag === "" ? {} : { [REQUEST_KEY.etag]: old.etag }),
+  ...(previous === undefined || previous.etag === "" ? {} : { [REQUEST_KEY.etag]: previous.etag }),
   ...(isHop ? { [REQUEST_KEY.isHop]: isHop } : {}),
 });
 
@@ -175,7 +175,7 @@
   return typeof retryAfterUs === "number" ? retryAfterUs : undefined;
 };
 
-/** Says that the client's copy is still the newest, as of an age. */
+/** Says that the client's cached object is still the newest, as of an age. */
 export const packUnchanged = (ageUs: number): UnknownRecord => ({
   [REPLY_KEY.unchangedAgeUs]: ageUs,
 });
@@ -186,19 +186,23 @@
  */
 const packCachedObject = (copy: CachedObject, body: Buffer, nowUs: number): UnknownRecord => ({
   [OBJECT_KEY.status]: copy.status,
-  [OBJECT_KEY.headers]: copy.heads,
+  [OBJECT_KEY.headers]: copy.headers,
   [OBJECT_KEY.etag]: copy.etag,
   [OBJECT_KEY.labels]: copy.labels,
   [OBJECT_KEY.body]: body,
-  [OBJECT_KEY.ageUs]: nowUs - copy.bornUs,
+  [OBJECT_KEY.ageUs]: nowUs - copy.validatedAtUs,
 });
 
 /** A reply with all of an object, or with the part of it that a range names. */
-export const packObject = (copy: CachedObject, range: ByteRange, nowUs: number): UnknownRecord => {
-  if (range.kind === "whole")
+export const packObject = (
+  copy: CachedObject,
+  range: RangeResult,
+  nowUs: number,
+): UnknownRecord => {
+  if (range.kind === "full")
     return { [REPLY_KEY.object]: packCachedObject(copy, copy.body, nowUs) };
   const size = copy.body.length;
-  if (range.kind === "past")
+  if (range.kind === "unsatisfiable")
     return {
       [REPLY_KEY.object]: packCachedObject(copy, Buffer.alloc(0), nowUs),
       [REPLY_KEY.range]: { [RANGE_KEY.kind]: RANGE_KIND.unsatisfiable, [RANGE_KEY.size]: size },
@@ -216,7 +220,7 @@
 };
 
 /** `askedUs` is when the object was asked for, so the time on the way counts as age too. */
-const readCachedObject = (value: unknown, name: ObjectName, askedUs: number): CachedObject => {
+const readCachedObject = (value: unknown, name: ObjectName, sentAtUs: number): CachedObject => {
   const record = asRecord(value, REPLY_KEY.object);
   const body = record[OBJECT_KEY.body];
   return {
@@ -224,30 +228,33 @@
     host: name.host,
     url: name.url,
     status: readNumber(record, OBJECT_KEY.status),
-    heads: readList(record, OBJECT_KEY.headers, asString),
+    headers: readList(record, OBJECT_KEY.headers, asString),
     etag: readString(record, OBJECT_KEY.etag),
     labels: readList(record, OBJECT_KEY.labels, asString),
     body: body instanceof Uint8Array ? Buffer.from(body) : Buffer.alloc(0),
-    bornUs: askedUs - readNumber(record, OBJECT_KEY.ageUs),
+    validatedAtUs: sentAtUs - readNumber(record, OBJECT_KEY.ageUs),
   };
 };
 
 /**
- * The object out of a reply: a new one, or the old one that is still the newest as of its age.
+ * The object out of a reply: a new one, or the previous one, that is still the newest as of its age.
  *
- * @param askedUs - when the request was sent, on this process's clock
+ * @param sentAtUs - when the request was sent, on this process's clock
  */
 export const readObject = (
   reply: Message,
   name: ObjectName,
-  old: CachedObject | undefined,
-  askedUs: number,
+  previous: CachedObject | undefined,
+  sentAtUs: number,
 ): CachedObject | undefined => {
   const unchangedAgeUs = reply[REPLY_KEY.unchangedAgeUs];
-  if (old && typeof unchangedAgeUs === "number")
-    return { ...old, bornUs: Math.max(old.bornUs, askedUs - unchangedAgeUs) };
+  if (previous && typeof unchangedAgeUs === "number")
+    return {
+      ...previous,
+      validatedAtUs: Math.max(previous.validatedAtUs, sentAtUs - unchangedAgeUs),
+    };
   const object = reply[REPLY_KEY.object];
-  return object === undefined ? undefined : readCachedObject(object, name, askedUs);
+  return object === undefined ? undefined : readCachedObject(object, name, sentAtUs);
 };
 
 /** The part of the object that a reply holds; undefined where it holds all of it. */
@@ -256,7 +263,7 @@
   if (!isRecord(value)) return undefined;
   const size = readNumber(value, RANGE_KEY.size);
   if (readString(value, RANGE_KEY.kind) === RANGE_KIND.unsatisfiable)
-    return { size, range: { kind: "past" } };
+    return { size, range: { kind: "unsatisfiable" } };
   const from = readNumber(value, RANGE_KEY.from);
-  return { size, range: { kind: "part", from, to: readNumber(value, RANGE_KEY.to) } };
+  return { size, range: { kind: "partial", from, to: readNumber(value, RANGE_KEY.to) } };
 };
--- a/src/cache/object-client.ts
+++ b/src/cache/object-client.ts
@@ -1,9 +1,11 @@
+/** How a gateway gets objects of cached routes. */
 import type { Clock } from "../common/clock.js";
+import type { Message } from "../transport/connection.js";
 import type { UnknownRecord } from "../common/decode.js";
 import { forwardedHeaders, SERVER_SEAL_HEADER } from "../proxy/headers.js";
-import type { ObjectUnavailable, ObjectResult } from "../proxy/object-source.js";
+import type { ObjectUnavailable, ObjectResult, ObjectRequest } from "../proxy/object-source.js";
 import { MILLISECOND_US } from "../common/duration.js";
-import { CachedObjects, keyOf, type CachedObject } from "./cached-objects.js";
+import { CachedObjects, cacheKey, type CachedObject } from "./cached-objects.js";
 import {
   isPermitted,
   packObjectRequest,
@@ -13,18 +15,22 @@
   readRetryAfterUs,
   unavailableReason,
 } from "./messages.js";
-import { SMALL_BYTES } from "./object-server.js";
+import { MAX_SMALL_OBJECT_BYTES } from "./object-server.js";
 import type { PeerCaches } from "./peer-caches.js";
 import type { OriginFetcher } from "./origin-fetch.js";
-import { resolveRange, type ByteRange } from "./byte-range.js";
+import { resolveRange, type RangeResult } from "./byte-range.js";
 import type { RateLimiter } from "../quota/rate-limiter.js";
-import { ObjectStore, type LookupResult, type Want } from "./object-store.js";
+import { ObjectStore, type LookupResult } from "./object-store.js";
 
+/** What an `ObjectClient` works on. */
 export interface ObjectClientOptions {
   readonly clock: Clock;
   readonly maxBytes: number;
   readonly sharedCaches: PeerCaches;
-  /** Who gives large objects out in this cell; nobody where a depot stands in it, or this node itself does. */
+  /**
+   * Who distributes large objects in this zone; nobody where a cache runs in it, or where this node
+   * is the distributor.
+   */
   readonly zoneCaches: PeerCaches;
   readonly origin: OriginFetcher;
   readonly rateLimiter: RateLimiter;
@@ -32,46 +38,55 @@
   readonly staleIfErrorUs: number;
 }
 
-/** A route whose objects are mostly larger than this goes by the cell's hall, where there is one. */
-const LARGE_BYTES = 32 * 1024;
-const SIZE_WEIGHT = 0.1;
+/** A route whose mean object is larger goes through the zone's distributor, where there is one. */
+const LARGE_OBJECT_BYTES = 32 * 1024;
+const MEAN_SIZE_WEIGHT = 0.1;
 
-const SEALS: ReadonlySet<string> = new Set([SERVER_SEAL_HEADER]);
+const SEAL_HEADERS: ReadonlySet<string> = new Set([SERVER_SEAL_HEADER]);
 
-type Got = { readonly copy: CachedObject; readonly cut: ByteRange; readonly size: number };
+interface ClientReply {
+  readonly copy: CachedObject;
+  readonly range: RangeResult;
+  readonly size: number;
+}
 
-const MOST_ROUNDS = 3;
-const PERMIT_WAIT_US = 100 * MILLISECOND_US;
-const FULL: ObjectUnavailable = {
+const MAX_FETCH_ATTEMPTS = 3;
+const PERMIT_TIMEOUT_US = 100 * MILLISECOND_US;
+const OVERLOADED: ObjectUnavailable = {
   kind: "none",
   reason: "full",
   retryAfterUs: 100 * MILLISECOND_US,
 };
 
-const groupOf = (want: Want): string =>
-  `${want.service}\n${want.host}\n${want.url.split("/")[1] ?? ""}`;
+const pathGroup = (request: ObjectRequest): string =>
+  `${request.service}\n${request.host}\n${request.url.split("/")[1] ?? ""}`;
 
-/** A pointsman's way to objects: a small store of its own, then the depots, and without any of them the origin itself. */
+/**
+ * A gateway's access to objects: a small store of its own, then the caches, and without a connected
+ * cache the origin itself.
+ */
 export class ObjectClient {
   readonly cachedObjects: CachedObjects;
   private readonly store: ObjectStore;
   /** The mean size of the objects asked for, by service and the first part of the path. */
-  private readonly sizes = new Map<string, number>();
+  private readonly meanSizes = new Map<string, number>();
 
   constructor(private readonly options: ObjectClientOptions) {
-    const { clock, maxBytes: roomBytes, isFresh, staleIfErrorUs: slackUs } = options;
-    this.cachedObjects = new CachedObjects(clock, roomBytes, SMALL_BYTES);
+    const { clock, maxBytes, isFresh, staleIfErrorUs } = options;
+    this.cachedObjects = new CachedObjects(clock, maxBytes, MAX_SMALL_OBJECT_BYTES);
     this.store = new ObjectStore({
       clock,
       cachedObjects: this.cachedObjects,
       isFresh,
-      staleIfErrorUs: slackUs,
-      source: this.source,
+      staleIfErrorUs,
+      source: this.fetchOnMiss,
     });
   }
 
+  /** After a purge: fetches in flight serve no later requests. */
   readonly detachInFlight = (): void => this.store.detachInFlight();
 
+  /** The counters that the status of the gateway shows. */
   readonly snapshot = (): UnknownRecord => ({
     ...this.store.counts,
     copies: this.cachedObjects.size,
@@ -83,118 +98,153 @@
     share: this.options.rateLimiter.share,
   });
 
-  readonly fetch = async (want: Want, range: string | undefined): Promise<ObjectResult> => {
-    const { sharedCaches: depots } = this.options;
-    if (range !== undefined && this.store.peek(want) === undefined && depots.isAnyConnected) {
-      const got = await this.part(want, range);
-      return "copy" in got ? this.served(got) : got;
+  /** Fetches an object, or the part of it that `range`, the value of a `Range` header, names. */
+  readonly fetch = async (
+    request: ObjectRequest,
+    range: string | undefined,
+  ): Promise<ObjectResult> => {
+    const { sharedCaches: caches } = this.options;
+    if (range !== undefined && this.store.peek(request) === undefined && caches.isAnyConnected) {
+      const reply = await this.fetchRange(request, range);
+      return "copy" in reply ? this.toServedObject(reply) : reply;
     }
-    const found = await this.store.get(want);
+    const found = await this.store.get(request);
     if (found.kind === "none") return found;
     const { copy } = found;
     const size = copy.body.length;
-    const cut = copy.status === 200 ? resolveRange(range, size) : { kind: "whole" as const };
-    const body = cut.kind === "part" ? copy.body.subarray(cut.from, cut.to + 1) : copy.body;
-    return this.served({ copy: { ...copy, body }, cut, size });
+    const resolvedRange =
+      copy.status === 200 ? resolveRange(range, size) : { kind: "full" as const };
+    const body =
+      resolvedRange.kind === "partial"
+        ? copy.body.subarray(resolvedRange.from, resolvedRange.to + 1)
+        : copy.body;
+    return this.toServedObject({ copy: { ...copy, body }, range: resolvedRange, size });
   };
 
-  /** Whether one more request may go to a service with a rate: of this node's share, or of a depot's. */
+  /** Whether one more request may go to a service with a rate: of this node's share, or of a cache's. */
   readonly permit = async (service: string): Promise<boolean> => {
-    const { sharedCaches: depots, rateLimiter: rate } = this.options;
-    if (!depots.isAnyConnected) return rate.takeToken(service).ok;
-    return isPermitted(await depots.ask(service, packPermitRequest(service), PERMIT_WAIT_US));
+    const { sharedCaches: caches, rateLimiter } = this.options;
+    if (!caches.isAnyConnected) return rateLimiter.takeToken(service).ok;
+    return isPermitted(await caches.ask(service, packPermitRequest(service), PERMIT_TIMEOUT_US));
   };
 
-  private readonly source = async (
-    want: Want,
-    old: CachedObject | undefined,
+  private readonly fetchOnMiss = async (
+    request: ObjectRequest,
+    previous: CachedObject | undefined,
   ): Promise<LookupResult> => {
-    const { sharedCaches: depots, origin } = this.options;
-    if (!depots.isAnyConnected) return origin.fetch(want, old);
-    const got = await this.ask(want, undefined, old);
-    return "copy" in got ? { kind: "found", copy: got.copy } : got;
+    const { sharedCaches: caches, origin } = this.options;
+    if (!caches.isAnyConnected) return origin.fetch(request, previous);
+    const reply = await this.requestObject(request, undefined, previous);
+    return "copy" in reply ? { kind: "found", copy: reply.copy } : reply;
   };
 
-  /** A part comes straight from a depot; whatever a purge covers meanwhile is asked for anew. */
-  private readonly part = async (want: Want, range: string): Promise<Got | ObjectUnavailable> => {
+  /** Fetches a range from a cache; what a purge covers meanwhile is requested again. */
+  private readonly fetchRange = async (
+    request: ObjectRequest,
+    range: string,
+  ): Promise<ClientReply | ObjectUnavailable> => {
     const { clock } = this.options;
-    let { maxAgeUs } = want;
-    for (let round = 0; round < MOST_ROUNDS; round += 1) {
-      const purgedUs = this.cachedObjects.lastPurgeUs(want.host, want.url);
-      if (purgedUs !== undefined) maxAgeUs = Math.min(maxAgeUs, clock.nowUs() - purgedUs);
-      const got = await this.ask({ ...want, maxAgeUs }, range);
-      if (!("copy" in got)) return got;
-      const coveredUs = this.cachedObjects.coveringPurgeUs(got.copy);
-      if (coveredUs === undefined) return got;
-      maxAgeUs = Math.min(maxAgeUs, clock.nowUs() - coveredUs);
+    let { maxAgeUs } = request;
+    for (let round = 0; round < MAX_FETCH_ATTEMPTS; round += 1) {
+      const purgeReceivedUs = this.cachedObjects.lastPurgeUs(request.host, request.url);
+      if (purgeReceivedUs !== undefined)
+        maxAgeUs = Math.min(maxAgeUs, clock.nowUs() - purgeReceivedUs);
+      const reply = await this.requestObject({ ...request, maxAgeUs }, range);
+      if (!("copy" in reply)) return reply;
+      const coveringUs = this.cachedObjects.coveringPurgeUs(reply.copy);
+      if (coveringUs === undefined) return reply;
+      maxAgeUs = Math.min(maxAgeUs, clock.nowUs() - coveringUs);
     }
-    return FULL;
+    return OVERLOADED;
   };
 
-  private readonly ask = async (
-    want: Want,
+  /** Requests an object from the zone's distributor if it is large, then from the caches. */
+  private readonly requestObject = async (
+    request: ObjectRequest,
     range: string | undefined,
-    old?: CachedObject,
-  ): Promise<Got | ObjectUnavailable> => {
-    const { clock, sharedCaches: depots, zoneCaches: halls } = this.options;
-    const askedUs = clock.nowUs();
-    const message = packObjectRequest(want, askedUs, range, old);
-    const viaHall = halls.isAnyConnected && this.isLarge(want);
-    const early = viaHall
-      ? await halls.ask(keyOf(want), message, (want.deadlineUs - askedUs) / 2)
+    previous?: CachedObject,
+  ): Promise<ClientReply | ObjectUnavailable> => {
+    const { clock, sharedCaches: caches, zoneCaches: zoneDistributors } = this.options;
+    const sentAtUs = clock.nowUs();
+    const message = packObjectRequest(request, sentAtUs, range, previous);
+    const viaDistributor = zoneDistributors.isAnyConnected && this.isLarge(request);
+    const early = viaDistributor
+      ? await zoneDistributors.ask(cacheKey(request), message, (request.deadlineUs - sentAtUs) / 2)
       : undefined;
     const reply =
-      early ?? (await depots.ask(keyOf(want), message, want.deadlineUs - clock.nowUs()));
-    if (!reply) return FULL;
-    const copy = readObject(reply, want, old, askedUs);
-    if (copy === undefined) {
-      return {
-        kind: "none",
-        reason: unavailableReason(reply),
-        retryAfterUs: readRetryAfterUs(reply) ?? FULL.retryAfterUs,
-      };
-    }
-    const told = readRange(reply);
-    this.learnSize(want, told?.size ?? copy.body.length);
-    if (told) return { copy, cut: told.range, size: told.size };
-    const cut =
-      copy.status === 200 ? resolveRange(range, copy.body.length) : { kind: "whole" as const };
-    if (range === undefined) return { copy, cut, size: copy.body.length };
+      early ?? (await caches.ask(cacheKey(request), message, request.deadlineUs - clock.nowUs()));
+    if (!reply) return OVERLOADED;
+    const copy = readObject(reply, request, previous, sentAtUs);
+    if (copy) return this.acceptReply(reply, request, copy, range);
+    return {
+      kind: "none",
+      reason: unavailableReason(reply),
+      retryAfterUs: readRetryAfterUs(reply) ?? OVERLOADED.retryAfterUs,
+    };
+  };
+
+  /** Takes the requested range of the object in a reply, and keeps an object that came complete. */
+  private readonly acceptReply = (
+    reply: Message,
+    request: ObjectRequest,
+    copy: CachedObject,
+    range: string | undefined,
+  ): ClientReply => {
+    const partial = readRange(reply);
+    this.recordSize(request, partial?.size ?? copy.body.length);
+    if (partial) return { copy, range: partial.range, size: partial.size };
+    const resolvedRange =
+      copy.status === 200 ? resolveRange(range, copy.body.length) : { kind: "full" as const };
+    if (range === undefined) return { copy, range: resolvedRange, size: copy.body.length };
     this.cachedObjects.put(copy);
     return {
       copy:
-        cut.kind === "part" ? { ...copy, body: copy.body.subarray(cut.from, cut.to + 1) } : copy,
-      cut,
+        resolvedRange.kind === "partial"
+          ? { ...copy, body: copy.body.subarray(resolvedRange.from, resolvedRange.to + 1) }
+          : copy,
+      range: resolvedRange,
       size: copy.body.length,
     };
   };
 
-  private readonly isLarge = (want: Want): boolean =>
-    (this.sizes.get(groupOf(want)) ?? 0) > LARGE_BYTES;
+  private readonly isLarge = (request: ObjectRequest): boolean =>
+    (this.meanSizes.get(pathGroup(request)) ?? 0) > LARGE_OBJECT_BYTES;
 
-  private readonly learnSize = (want: Want, size: number): void => {
-    const before = this.sizes.get(groupOf(want));
-    this.sizes.set(
-      groupOf(want),
-      before === undefined ? size : before + (size - before) * SIZE_WEIGHT,
+  private readonly recordSize = (request: ObjectRequest, size: number): void => {
+    const before = this.meanSizes.get(pathGroup(request));
+    this.meanSizes.set(
+      pathGroup(request),
+      before === undefined ? size : before + (size - before) * MEAN_SIZE_WEIGHT,
     );
   };
 
-  private readonly served = ({ copy, cut, size }: Got): ObjectResult => {
-    if (cut.kind === "whole")
-      return { kind: "served", status: copy.status, headers: copy.heads, body: copy.body };
+  private readonly toServedObject = ({
+    copy,
+    range: resolvedRange,
+    size,
+  }: ClientReply): ObjectResult => {
+    if (resolvedRange.kind === "full")
+      return { kind: "served", status: copy.status, headers: copy.headers, body: copy.body };
     // No worker answered this with 416, so it bears no worker's seal.
-    if (cut.kind === "past")
+    if (resolvedRange.kind === "unsatisfiable")
       return {
         kind: "served",
         status: 416,
-        headers: [...forwardedHeaders(copy.heads, SEALS), "Content-Range", `bytes */${size}`],
+        headers: [
+          ...forwardedHeaders(copy.headers, SEAL_HEADERS),
+          "Content-Range",
+          `bytes */${size}`,
+        ],
         body: Buffer.alloc(0),
       };
     return {
       kind: "served",
       status: 206,
-      headers: [...copy.heads, "Content-Range", `bytes ${cut.from}-${cut.to}/${size}`],
+      headers: [
+        ...copy.headers,
+        "Content-Range",
+        `bytes ${resolvedRange.from}-${resolvedRange.to}/${size}`,
+      ],
       body: copy.body,
     };
   };
--- a/src/cache/object-store.ts
+++ b/src/cache/object-store.ts
@@ -1,123 +1,144 @@
+/** A store of cached objects with a source behind it, from which it fetches on a miss. */
 import { withTimeout, type Clock } from "../common/clock.js";
+import { MILLISECOND_US } from "../common/duration.js";
 import type { ObjectUnavailable, ObjectRequest } from "../proxy/object-source.js";
-import { keyOf, type CachedObjects, type CachedObject } from "./cached-objects.js";
-
-export type { ObjectRequest as Want };
+import { cacheKey, type CachedObjects, type CachedObject } from "./cached-objects.js";
 
+/** What a lookup gave: an object, or why there is none. */
 export type LookupResult =
   { readonly kind: "found"; readonly copy: CachedObject } | ObjectUnavailable;
 
-/** Where an object comes from on a miss; `old` is a copy that may still be the newest. */
+/** Fetches an object on a miss; `previous` is a cached object that may still be the newest. */
 export type ObjectFetch = (
-  want: ObjectRequest,
-  old: CachedObject | undefined,
+  request: ObjectRequest,
+  previous: CachedObject | undefined,
 ) => Promise<LookupResult>;
 
+/** What an `ObjectStore` works on. */
 export interface ObjectStoreOptions {
   readonly clock: Clock;
   readonly cachedObjects: CachedObjects;
-  /** Whether the news is so new that a copy no purge names may be served. */
+  /** Whether the known purges are recent enough to serve a cached object that none of them names. */
   readonly isFresh: () => boolean;
   readonly source: ObjectFetch;
-  /** How far beyond its age a copy may be used when nothing else is to be had. */
+  /** How far beyond its maximum age a cached object may be served when the source fails. */
   readonly staleIfErrorUs: number;
 }
 
+/** Lookups so far. These names are part of the status that operators read. */
 export interface ObjectStoreCounts {
   hits: number;
   misses: number;
+  /** Misses that joined a fetch in flight. */
   joined: number;
+  /** Lookups for which the source gave no object. */
   refused: number;
 }
 
-interface Running {
-  readonly want: ObjectRequest;
+interface InFlightFetch {
+  readonly request: ObjectRequest;
   readonly beganUs: number;
-  readonly found: Promise<LookupResult>;
+  readonly result: Promise<LookupResult>;
 }
 
-const MOST_ROUNDS = 3;
+const MAX_FETCH_ATTEMPTS = 3;
 
 /**
- * Copies with a source behind them. Simultaneous misses share one fetch.
- * Invariant: what `get` gives was born after every purge naming it that was known when `get` was called.
+ * Cached objects with a source behind them. Simultaneous misses share one fetch.
+ * Invariant: what `get` returns was validated after every purge naming it that was known when `get`
+ * was called.
  */
 export class ObjectStore {
   readonly counts: ObjectStoreCounts = { hits: 0, misses: 0, joined: 0, refused: 0 };
-  private readonly inFlight = new Map<string, Running>();
+  private readonly inFlight = new Map<string, InFlightFetch>();
 
   constructor(private readonly options: ObjectStoreOptions) {}
 
-  /** A copy that may be given at once. */
-  readonly peek = (want: ObjectRequest): CachedObject | undefined => {
-    const { clock, cachedObjects: copies, isFresh } = this.options;
-    const copy = copies.get(keyOf(want));
-    return copy && clock.nowUs() - copy.bornUs <= want.maxAgeUs && isFresh() ? copy : undefined;
+  /** The cached object, if it may be served without a fetch. */
+  readonly peek = (request: ObjectRequest): CachedObject | undefined => {
+    const { clock, cachedObjects, isFresh } = this.options;
+    const copy = cachedObjects.get(cacheKey(request));
+    return copy && clock.nowUs() - copy.validatedAtUs <= request.maxAgeUs && isFresh()
+      ? copy
+      : undefined;
   };
 
-  readonly get = async (want: ObjectRequest): Promise<LookupResult> => {
+  /** Serves an object from the cache, or fetches it; resolves by the deadline of the request. */
+  readonly get = async (request: ObjectRequest): Promise<LookupResult> => {
     const { clock } = this.options;
-    const copy = this.peek(want);
+    const copy = this.peek(request);
     if (copy) {
       this.counts.hits += 1;
       return { kind: "found", copy };
     }
-    const key = keyOf(want);
-    const running = this.inFlight.get(key);
-    const joins =
-      running !== undefined &&
-      clock.nowUs() - running.beganUs <= want.maxAgeUs &&
-      running.want.maxAgeUs <= want.maxAgeUs;
-    if (joins) this.counts.joined += 1;
+    const key = cacheKey(request);
+    const inFlightFetch = this.inFlight.get(key);
+    const canJoin =
+      inFlightFetch !== undefined &&
+      clock.nowUs() - inFlightFetch.beganUs <= request.maxAgeUs &&
+      inFlightFetch.request.maxAgeUs <= request.maxAgeUs;
+    if (canJoin) this.counts.joined += 1;
     else this.counts.misses += 1;
     const found = await withTimeout(
       clock,
-      want.deadlineUs - clock.nowUs(),
-      joins ? running.found : this.begin(key, want),
+      request.deadlineUs - clock.nowUs(),
+      canJoin ? inFlightFetch.result : this.begin(key, request),
       TIMED_OUT,
     );
     if (found.kind === "found") return found;
     this.counts.refused += 1;
-    return this.staleIfError(want) ?? found;
+    return this.staleIfError(request) ?? found;
   };
 
-  /** On learning of a purge: what runs already serves who waits for it, and nobody who comes later. */
+  /** After a purge: fetches in flight serve the requests that wait for them, and no later ones. */
   readonly detachInFlight = (): void => this.inFlight.clear();
 
-  private readonly begin = (key: string, want: ObjectRequest): Promise<LookupResult> => {
-    const running: Running = { want, beganUs: this.options.clock.nowUs(), found: this.fetch(want) };
-    this.inFlight.set(key, running);
-    const over = () => {
-      if (this.inFlight.get(key) === running) this.inFlight.delete(key);
+  private readonly begin = (key: string, request: ObjectRequest): Promise<LookupResult> => {
+    const inFlightFetch: InFlightFetch = {
+      request,
+      beganUs: this.options.clock.nowUs(),
+      result: this.fetch(request),
+    };
+    this.inFlight.set(key, inFlightFetch);
+    const forget = () => {
+      if (this.inFlight.get(key) === inFlightFetch) this.inFlight.delete(key);
     };
-    running.found.then(over, over);
-    return running.found;
+    inFlightFetch.result.then(forget, forget);
+    return inFlightFetch.result;
   };
 
-  private readonly fetch = async (want: ObjectRequest): Promise<LookupResult> => {
-    const { cachedObjects: copies, source, clock } = this.options;
-    let maxAgeUs = want.maxAgeUs;
-    for (let round = 0; round < MOST_ROUNDS; round += 1) {
-      const purgedUs = copies.lastPurgeUs(want.host, want.url);
-      if (purgedUs !== undefined) maxAgeUs = Math.min(maxAgeUs, clock.nowUs() - purgedUs);
-      const found = await source({ ...want, maxAgeUs }, copies.get(keyOf(want)));
-      if (found.kind === "none" || copies.put(found.copy)) return found;
-      maxAgeUs = Math.min(maxAgeUs, clock.nowUs() - (copies.coveringPurgeUs(found.copy) ?? 0));
+  private readonly fetch = async (request: ObjectRequest): Promise<LookupResult> => {
+    const { cachedObjects, source, clock } = this.options;
+    let maxAgeUs = request.maxAgeUs;
+    for (let round = 0; round < MAX_FETCH_ATTEMPTS; round += 1) {
+      const purgeReceivedUs = cachedObjects.lastPurgeUs(request.host, request.url);
+      if (purgeReceivedUs !== undefined)
+        maxAgeUs = Math.min(maxAgeUs, clock.nowUs() - purgeReceivedUs);
+      const found = await source({ ...request, maxAgeUs }, cachedObjects.get(cacheKey(request)));
+      if (found.kind === "none" || cachedObjects.put(found.copy)) return found;
+      maxAgeUs = Math.min(
+        maxAgeUs,
+        clock.nowUs() - (cachedObjects.coveringPurgeUs(found.copy) ?? 0),
+      );
     }
     return TIMED_OUT;
   };
 
-  /** A copy a little beyond its age, where the bound on staleness still has room for it. */
-  private readonly staleIfError = (want: ObjectRequest): LookupResult | undefined => {
-    const { clock, cachedObjects: copies, isFresh, staleIfErrorUs: slackUs } = this.options;
-    const copy = copies.get(keyOf(want));
+  /** A cached object a little beyond its maximum age, where the bound on staleness allows it. */
+  private readonly staleIfError = (request: ObjectRequest): LookupResult | undefined => {
+    const { clock, cachedObjects, isFresh, staleIfErrorUs } = this.options;
+    const copy = cachedObjects.get(cacheKey(request));
     const usable =
       copy &&
       isFresh() &&
-      want.maxAgeUs === want.cacheForUs &&
-      clock.nowUs() - copy.bornUs <= want.cacheForUs + slackUs;
+      request.maxAgeUs === request.cacheForUs &&
+      clock.nowUs() - copy.validatedAtUs <= request.cacheForUs + staleIfErrorUs;
     return usable ? { kind: "found", copy } : undefined;
   };
 }
 
-const TIMED_OUT: LookupResult = { kind: "none", reason: "late", retryAfterUs: 100_000 };
+const TIMED_OUT: LookupResult = {
+  kind: "none",
+  reason: "late",
+  retryAfterUs: 100 * MILLISECOND_US,
+};
--- a/src/cache/origin-fetch.ts
+++ b/src/cache/origin-fetch.ts
@@ -1,3 +1,5 @@
+import type { ObjectRequest } from "../proxy/object-source.js";
+/** Fetches objects from the workers of their service. */
 import { randomBytes } from "node:crypto";
 import { sleep, withTimeout, type Clock } from "../common/clock.js";
 import { MILLISECOND_US } from "../common/duration.js";
@@ -18,8 +20,9 @@
 import type { WorkerDirectory } from "../proxy/worker-directory.js";
 import type { CachedObject } from "./cached-objects.js";
 import type { RateLimiter } from "../quota/rate-limiter.js";
-import type { LookupResult, Want } from "./object-store.js";
+import type { LookupResult } from "./object-store.js";
 
+/** What an `OriginFetcher` works on. */
 export interface OriginFetcherOptions {
   readonly clock: Clock;
   readonly workers: WorkerDirectory;
@@ -27,17 +30,17 @@
   readonly rateLimiter: RateLimiter;
   readonly retryBudgets: RetryBudgets;
   readonly countFault: (worker: string, isFault: boolean) => void;
-  /** The largest object that is read whole. */
+  /** The size of the largest object that is read. */
   readonly maxObjectBytes: number;
 }
 
-const TRIES = 3;
-const LOOK_US = 15 * MILLISECOND_US;
-const SILENCE_CHECK_US = 120 * MILLISECOND_US;
-/** The parts of the aim for which a fetch waits for its turn, and for room at a worker. */
-const TURN_PART = 0.4;
-const ROOM_PART = 0.25;
-const NOT_KEPT: ReadonlySet<string> = new Set([
+const MAX_ATTEMPTS = 3;
+const POLL_INTERVAL_US = 15 * MILLISECOND_US;
+const LIVENESS_CHECK_INTERVAL_US = 120 * MILLISECOND_US;
+/** The fractions of the latency target for which a fetch waits for the rate, and for a free worker. */
+const RATE_WAIT_FRACTION = 0.4;
+const WORKER_WAIT_FRACTION = 0.25;
+const UNCACHED_HEADERS: ReadonlySet<string> = new Set([
   ATTEMPT_ID_HEADER,
   "content-length",
   "date",
@@ -49,102 +52,125 @@
   revalidations = 0;
   fetches = 0;
   rateLimited = 0;
-  /** Who waits for a turn, by service; the first comes first. */
-  private readonly waiting = new Map<string, number>();
+  /** How many fetches wait for the rate, by service. */
+  private readonly waitingByService = new Map<string, number>();
 
   constructor(private readonly options: OriginFetcherOptions) {}
 
-  readonly fetch = async (want: Want, old: CachedObject | undefined): Promise<LookupResult> => {
+  /** Fetches an object, with retries; `previous` is revalidated with its entity tag. */
+  readonly fetch = async (
+    request: ObjectRequest,
+    previous: CachedObject | undefined,
+  ): Promise<LookupResult> => {
     const { clock, retryBudgets } = this.options;
-    const budget = retryBudgets.of(want.service, "cached");
+    const budget = retryBudgets.of(request.service, "cached");
     const tried = new Set<string>();
-    let bad: CachedObject | undefined;
-    for (let round = 0; round < TRIES; round += 1) {
-      if (clock.nowUs() >= want.deadlineUs || (round > 0 && !budget.trySpend())) break;
-      const turn = await this.turn(want);
-      if (turn !== undefined) return bad ? { kind: "found", copy: bad } : turn;
+    let errorResponse: CachedObject | undefined;
+    for (let round = 0; round < MAX_ATTEMPTS; round += 1) {
+      if (clock.nowUs() >= request.deadlineUs || (round > 0 && !budget.trySpend())) break;
+      const rateRefusal = await this.waitForRate(request);
+      if (rateRefusal !== undefined)
+        return errorResponse ? { kind: "found", copy: errorResponse } : rateRefusal;
       if (round === 0) budget.recordRequest();
-      const worker = await this.worker(want, tried);
+      const worker = await this.chooseWorker(request, tried);
       if (!worker) break;
       tried.add(worker.id);
       const beganUs = clock.nowUs();
-      const result = await this.call(want, old, worker);
+      const result = await this.sendToWorker(request, previous, worker);
       if (result.kind !== "answered") continue;
-      const { response: answer } = result;
-      if (answer.status === 304 && old) return { kind: "found", copy: { ...old, bornUs: beganUs } };
+      const { response } = result;
+      if (response.status === 304 && previous)
+        return { kind: "found", copy: { ...previous, validatedAtUs: beganUs } };
       const body = await withTimeout(
         clock,
-        want.deadlineUs - clock.nowUs(),
-        this.whole(answer),
+        request.deadlineUs - clock.nowUs(),
+        this.readBody(response),
         "broken" as const,
       );
       if (!Buffer.isBuffer(body)) {
-        answer.remainder?.abort();
-        if (body === "broken") this.fault(worker);
+        response.remainder?.abort();
+        if (body === "broken") this.recordFault(worker);
         continue;
       }
-      const copy = this.copyOf(want, answer, body, beganUs);
-      if (answer.status < 500) return { kind: "found", copy };
-      bad = copy;
+      const copy = this.toCachedObject(request, response, body, beganUs);
+      if (response.status < 500) return { kind: "found", copy };
+      errorResponse = copy;
     }
-    return bad
-      ? { kind: "found", copy: bad }
-      : { kind: "none", reason: "full", retryAfterUs: want.latencyTargetUs / 4 };
+    return errorResponse
+      ? { kind: "found", copy: errorResponse }
+      : { kind: "none", reason: "full", retryAfterUs: request.latencyTargetUs / 4 };
   };
 
-  /** Waits for one request's worth of the rate; at once says none where it would come too late. */
-  private readonly turn = async (want: Want): Promise<LookupResult | undefined> => {
-    const { clock, rateLimiter: rate } = this.options;
-    const untilUs = Math.min(clock.nowUs() + want.latencyTargetUs * TURN_PART, want.deadlineUs);
-    const before = this.waiting.get(want.service) ?? 0;
-    const first = before === 0 ? rate.takeToken(want.service) : rate.delayToNextToken(want.service);
-    if (first.ok) return undefined;
-    const none: LookupResult = {
+  /**
+   * Waits for a token of the service's rate; undefined once it has one. Refuses at once where the
+   * token would come too late.
+   */
+  private readonly waitForRate = async (
+    request: ObjectRequest,
+  ): Promise<LookupResult | undefined> => {
+    const { clock, rateLimiter } = this.options;
+    const untilUs = Math.min(
+      clock.nowUs() + request.latencyTargetUs * RATE_WAIT_FRACTION,
+      request.deadlineUs,
+    );
+    const waitingCount = this.waitingByService.get(request.service) ?? 0;
+    const token =
+      waitingCount === 0
+        ? rateLimiter.takeToken(request.service)
+        : rateLimiter.delayToNextToken(request.service);
+    if (token.ok) return undefined;
+    const refusal: LookupResult = {
       kind: "none",
       reason: "rate",
-      retryAfterUs: first.waitUs * (before + 1),
+      retryAfterUs: token.waitUs * (waitingCount + 1),
     };
-    if (clock.nowUs() + first.waitUs * (before + 1) > untilUs) {
+    if (clock.nowUs() + token.waitUs * (waitingCount + 1) > untilUs) {
       this.rateLimited += 1;
-      return none;
+      return refusal;
     }
-    this.waiting.set(want.service, before + 1);
+    this.waitingByService.set(request.service, waitingCount + 1);
     try {
       while (clock.nowUs() < untilUs) {
-        await sleep(clock, LOOK_US);
-        if (rate.takeToken(want.service).ok) return undefined;
+        await sleep(clock, POLL_INTERVAL_US);
+        if (rateLimiter.takeToken(request.service).ok) return undefined;
       }
       this.rateLimited += 1;
-      return none;
+      return refusal;
     } finally {
-      this.waiting.set(want.service, (this.waiting.get(want.service) ?? 1) - 1);
+      this.waitingByService.set(
+        request.service,
+        (this.waitingByService.get(request.service) ?? 1) - 1,
+      );
     }
   };
 
-  private readonly worker = async (
-    want: Want,
+  private readonly chooseWorker = async (
+    request: ObjectRequest,
     tried: ReadonlySet<string>,
   ): Promise<Worker | undefined> => {
-    const { clock, loadBalancer: chooser } = this.options;
-    const untilUs = Math.min(clock.nowUs() + want.latencyTargetUs * ROOM_PART, want.deadlineUs);
+    const { clock, loadBalancer } = this.options;
+    const untilUs = Math.min(
+      clock.nowUs() + request.latencyTargetUs * WORKER_WAIT_FRACTION,
+      request.deadlineUs,
+    );
     for (;;) {
-      const worker = chooser.choose(want.service, tried, want.latencyTargetUs);
+      const worker = loadBalancer.choose(request.service, tried, request.latencyTargetUs);
       if (worker || clock.nowUs() >= untilUs) return worker;
-      await sleep(clock, LOOK_US);
+      await sleep(clock, POLL_INTERVAL_US);
     }
   };
 
-  private readonly call = async (
-    want: Want,
-    old: CachedObject | undefined,
+  private readonly sendToWorker = async (
+    request: ObjectRequest,
+    previous: CachedObject | undefined,
     worker: Worker,
   ): Promise<UpstreamResult> => {
-    const { clock, countFault, workers: pool } = this.options;
+    const { clock, countFault, workers } = this.options;
     const attemptId = randomBytes(8).toString("hex");
-    const leftMs = Math.max(1, Math.floor((want.deadlineUs - clock.nowUs()) / MILLISECOND_US));
+    const leftMs = Math.max(1, Math.floor((request.deadlineUs - clock.nowUs()) / MILLISECOND_US));
     const headers = [
       "Host",
-      want.host,
+      request.host,
       "Yewreel-Try-Id",
       attemptId,
       "Yewreel-Time-Left-Ms",
@@ -152,51 +178,53 @@
       "Yewreel-Expect-Worker",
       worker.id,
     ];
-    if (old && old.etag !== "") {
-      headers.push("If-None-Match", old.etag);
+    if (previous && previous.etag !== "") {
+      headers.push("If-None-Match", previous.etag);
       this.revalidations += 1;
     } else this.fetches += 1;
     const call = new UpstreamRequest(
       worker,
       {
         method: "GET",
-        path: want.url,
+        path: request.url,
         headers,
         body: null,
         attemptId,
         usesOwnConnection: true,
         reserveMemory: () => true,
-        maySend: () => clock.nowUs() < want.deadlineUs,
+        maySend: () => clock.nowUs() < request.deadlineUs,
       },
       clock.nowUs,
     );
     let result: UpstreamResult | undefined;
     while (result === undefined) {
-      result = await withTimeout(clock, SILENCE_CHECK_US, call.result, undefined);
-      if (result === undefined && (worker.isUnresponsive() || clock.nowUs() > want.deadlineUs)) {
+      result = await withTimeout(clock, LIVENESS_CHECK_INTERVAL_US, call.result, undefined);
+      if (result === undefined && (worker.isUnresponsive() || clock.nowUs() > request.deadlineUs)) {
         call.cancel();
         result = { kind: "lost", reason: "silence" };
       }
     }
     if (result.kind === "rejected" && result.reason === "wrong-worker")
-      pool.removeMisdirected(worker);
-    const isOut =
+      workers.removeMisdirected(worker);
+    const isFault =
       result.kind === "lost" ||
       (result.kind === "not-sent" &&
         (result.reason === "unreachable" || result.reason === "connection-refused"));
-    if (isOut) this.fault(worker);
+    if (isFault) this.recordFault(worker);
     else countFault(worker.id, false);
     return result;
   };
 
-  private readonly fault = (worker: Worker): void => {
+  private readonly recordFault = (worker: Worker): void => {
     worker.avoid();
     this.options.countFault(worker.id, true);
   };
 
-  /** All of the body, unless it broke off or is too large. */
-  private readonly whole = (answer: UpstreamResponse): Promise<Buffer | "broken" | "too large"> => {
-    const { remainder: more, body: start } = answer;
+  /** Reads the complete body, unless the connection broke or the body is too large. */
+  private readonly readBody = (
+    response: UpstreamResponse,
+  ): Promise<Buffer | "broken" | "too large"> => {
+    const { remainder: more, body: start } = response;
     if (!more) return Promise.resolve(start);
     const chunks = [start];
     let size = start.length;
@@ -207,34 +235,31 @@
           if (size <= this.options.maxObjectBytes) chunks.push(chunk);
           return true;
         },
-        (isWhole) =>
-          resolve(
-            !isWhole
-              ? "broken"
-              : size > this.options.maxObjectBytes
-                ? "too large"
-                : Buffer.concat(chunks),
-          ),
+        (isComplete) => {
+          if (!isComplete) resolve("broken");
+          else if (size > this.options.maxObjectBytes) resolve("too large");
+          else resolve(Buffer.concat(chunks));
+        },
       );
     });
   };
 
-  private readonly copyOf = (
-    want: Want,
-    answer: UpstreamResponse,
+  private readonly toCachedObject = (
+    request: ObjectRequest,
+    response: UpstreamResponse,
     body: Buffer,
     beganUs: number,
   ): CachedObject => ({
-    service: want.service,
-    host: want.host,
-    url: want.url,
-    status: answer.status,
-    heads: forwardedHeaders(answer.headers, NOT_KEPT),
-    etag: answer.status === 200 ? (headerValue(answer.headers, "etag") ?? "") : "",
-    labels: (headerValue(answer.headers, LABELS_HEADER) ?? "")
+    service: request.service,
+    host: request.host,
+    url: request.url,
+    status: response.status,
+    headers: forwardedHeaders(response.headers, UNCACHED_HEADERS),
+    etag: response.status === 200 ? (headerValue(response.headers, "etag") ?? "") : "",
+    labels: (headerValue(response.headers, LABELS_HEADER) ?? "")
       .split(" ")
       .filter((label) => label !== ""),
     body,
-    bornUs: beganUs,
+    validatedAtUs: beganUs,
   });
 }
--- a/src/cache/peer-caches.ts
+++ b/src/cache/peer-caches.ts
@@ -1,3 +1,4 @@
+/** Connections to caches, and the placement of objects on them. */
 import { crc32 } from "node:zlib";
 import { withTimeout, type Clock } from "../common/clock.js";
 import { MILLISECOND_US, SECOND_US } from "../common/duration.js";
@@ -7,36 +8,40 @@
 import { packHello } from "./messages.js";
 import type { CacheAddress } from "../membership/cluster.js";
 
-/** Slow pulses, since each ask has a patience of its own and every pointsman holds a link to every depot. */
-const TIMES = { heartbeatUs: 1_500 * MILLISECOND_US, timeoutUs: 3_500 * MILLISECOND_US };
-const DIAL_US = 500 * MILLISECOND_US;
-const REST_US = 300 * MILLISECOND_US;
-/** A depot says at once when it has to fetch; one that says nothing for so long is doubtful. */
-const PATIENCE_US = 300 * MILLISECOND_US;
-const DOUBT_US = 1 * SECOND_US;
+/** Long intervals: each request has its own timeout, and every gateway connects to every cache. */
+const LINK_TIMES = { heartbeatUs: 1_500 * MILLISECOND_US, timeoutUs: 3_500 * MILLISECOND_US };
+const CONNECT_TIMEOUT_US = 500 * MILLISECOND_US;
+const RECONNECT_BACKOFF_US = 300 * MILLISECOND_US;
+/** A cache says at once when it has to fetch; one that is silent for so long is suspected. */
+const FIRST_SIGN_TIMEOUT_US = 300 * MILLISECOND_US;
+const SUSPECT_DURATION_US = 1 * SECOND_US;
 
 interface PeerCache {
   readonly link: PeerLink;
-  readonly cell: string;
-  heardUs: number;
-  doubtfulUntilUs: number;
+  readonly zone: string;
+  lastHeardUs: number;
+  suspectedUntilUs: number;
 }
 
-/** How far a cell is from another: 0 itself, 1 in the same region, 2 elsewhere. */
+/** How far a zone is from another: 0 itself, 1 in the same region, 2 elsewhere. */
 export type Distance = (zone: string) => number;
 
-export const distanceFrom = (zone: string, regions: ReadonlyMap<string, string>): Distance => {
+/** Distances from a zone, by the region of each zone. */
+export const zoneDistance = (zone: string, regions: ReadonlyMap<string, string>): Distance => {
   const region = regions.get(zone);
-  return (other) => (other === zone ? 0 : regions.get(other) === region ? 1 : 2);
+  return (other) => {
+    if (other === zone) return 0;
+    return regions.get(other) === region ? 1 : 2;
+  };
 };
 
-/** The owner of an object among these, by rendezvous. */
+/** The owner of an object among these, by rendezvous hashing. */
 export const ownerOf = (key: string, addresses: readonly string[]): string | undefined =>
   [...addresses].sort((a, b) => crc32(`${key}\n${b}`) - crc32(`${key}\n${a}`))[0];
 
 /**
- * Links to the depots. Each object has a first depot, a second and so on: the nearer ones first, and among those as near
- * by rendezvous.
+ * Connections to the caches. Each object ranks them: the nearer ones first, and those at the same
+ * distance by rendezvous hashing.
  */
 export class PeerCaches {
   private readonly peers = new Map<string, PeerCache>();
@@ -46,15 +51,17 @@
     private readonly distance: Distance = () => 0,
   ) {}
 
+  /** Whether a request would find a connected cache. */
   get isAnyConnected(): boolean {
     return [...this.peers.values()].some(({ link }) => link.isConnected);
   }
 
-  readonly setAddresses = (told: readonly CacheAddress[]): void => {
-    const wanted = new Map(told.map(({ address, zone }) => [address, zone]));
-    this.peers.forEach((depot, address) => {
+  /** Connects to the caches of this list, and disconnects from all others. */
+  readonly setAddresses = (addresses: readonly CacheAddress[]): void => {
+    const wanted = new Map(addresses.map(({ address, zone }) => [address, zone]));
+    this.peers.forEach((cache, address) => {
       if (wanted.has(address)) return;
-      depot.link.stop();
+      cache.link.stop();
       this.peers.delete(address);
     });
     wanted.forEach((zone, address) => {
@@ -62,7 +69,7 @@
     });
   };
 
-  /** Asks one depot alone, such as an object's owner. */
+  /** Asks one cache alone, such as an object's owner. */
   readonly askOne = (
     address: string,
     message: Message,
@@ -70,34 +77,40 @@
   ): Promise<Message | undefined> =>
     this.peers.get(address)?.link.request(message, waitUs) ?? Promise.resolve(undefined);
 
+  /** Closes every connection. */
   readonly stop = (): void => this.peers.forEach(({ link }) => link.stop());
 
-  /** Asks the object's depot, and the next one in rank where it is doubtful; undefined when none answers in time. */
+  /**
+   * Asks the first cache of an object, and the next one in rank where that is suspected; undefined
+   * when none answers in time.
+   */
   readonly ask = async (
     key: string,
     message: Message,
     waitUs: number,
   ): Promise<Message | undefined> => {
     const { clock } = this;
-    const untilUs = clock.nowUs() + waitUs;
+    const deadlineUs = clock.nowUs() + waitUs;
     const ranked = this.rank(key);
-    for (const depot of ranked) {
-      const askedUs = clock.nowUs();
-      if (askedUs >= untilUs) return undefined;
-      const reply = depot.link.request(message, untilUs - askedUs);
+    for (const cache of ranked) {
+      const sentAtUs = clock.nowUs();
+      if (sentAtUs >= deadlineUs) return undefined;
+      const reply = cache.link.request(message, deadlineUs - sentAtUs);
       const early = await withTimeout(
         clock,
-        Math.min(PATIENCE_US, untilUs - askedUs),
+        Math.min(FIRST_SIGN_TIMEOUT_US, deadlineUs - sentAtUs),
         reply,
-        "nothing" as const,
+        "silent" as const,
       );
-      if (early === "nothing") {
+      if (early === "silent") {
         const late =
-          depot.heardUs >= askedUs || depot === ranked[ranked.length - 1] ? await reply : undefined;
+          cache.lastHeardUs >= sentAtUs || cache === ranked[ranked.length - 1]
+            ? await reply
+            : undefined;
         if (late) return late;
-        depot.doubtfulUntilUs = clock.nowUs() + DOUBT_US;
+        cache.suspectedUntilUs = clock.nowUs() + SUSPECT_DURATION_US;
       } else if (early) {
-        depot.heardUs = clock.nowUs();
+        cache.lastHeardUs = clock.nowUs();
         return early;
       }
     }
@@ -106,14 +119,14 @@
 
   private readonly rank = (key: string): readonly PeerCache[] => {
     const nowUs = this.clock.nowUs();
-    const standing = [...this.peers].filter(([, { link }]) => link.isConnected);
-    const scored = standing.map(([address, depot]) => ({
-      depot,
+    const connected = [...this.peers].filter(([, { link }]) => link.isConnected);
+    const scored = connected.map(([address, cache]) => ({
+      cache,
       score:
         crc32(`${key}\n${address}`) -
-        2 ** 33 * (this.distance(depot.cell) + (nowUs < depot.doubtfulUntilUs ? 3 : 0)),
+        2 ** 33 * (this.distance(cache.zone) + (nowUs < cache.suspectedUntilUs ? 3 : 0)),
     }));
-    return scored.sort((a, b) => b.score - a.score).map(({ depot }) => depot);
+    return scored.sort((a, b) => b.score - a.score).map(({ cache }) => cache);
   };
 
   private readonly open = (address: string, zone: string): void => {
@@ -123,16 +136,16 @@
       ip,
       port,
       clock,
-      times: TIMES,
-      connectTimeoutUs: DIAL_US,
-      backoffUs: REST_US,
+      times: LINK_TIMES,
+      connectTimeoutUs: CONNECT_TIMEOUT_US,
+      backoffUs: RECONNECT_BACKOFF_US,
       hello: packHello,
     });
-    const depot: PeerCache = { link, cell: zone, heardUs: 0, doubtfulUntilUs: 0 };
+    const cache: PeerCache = { link, zone, lastHeardUs: 0, suspectedUntilUs: 0 };
     link.events.on("message", () => {
-      depot.heardUs = clock.nowUs();
+      cache.lastHeardUs = clock.nowUs();
     });
-    this.peers.set(address, depot);
+    this.peers.set(address, cache);
     void link.run();
   };
 }
--- a/src/programs/cache/cache.ts
+++ b/src/programs/cache/cache.ts
@@ -1,5 +1,7 @@
+/** The shared object cache: subsystems are opened here, in the order in which they start. */
+import type { ObjectRequest } from "../../proxy/object-source.js";
 import { FaultCounters } from "../../health/fault-counters.js";
-import { CachedObjects, keyOf, type CachedObject } from "../../cache/cached-objects.js";
+import { CachedObjects, cacheKey, type CachedObject } from "../../cache/cached-objects.js";
 import {
   CACHE_REPORT_KIND,
   OBJECT_MESSAGE,
@@ -13,7 +15,7 @@
 import { OriginFetcher } from "../../cache/origin-fetch.js";
 import { RateLeaseRenewer } from "../../quota/rate-lease-renewer.js";
 import { RateLimiter } from "../../quota/rate-limiter.js";
-import { ObjectStore, type LookupResult, type Want } from "../../cache/object-store.js";
+import { ObjectStore, type LookupResult } from "../../cache/object-store.js";
 import type { DataPlaneNode } from "../data-plane-node.js";
 import { joinCluster } from "../data-plane-node.js";
 import { LoadBalancer } from "../../proxy/load-balancer.js";
@@ -30,21 +32,21 @@
 
 const MB = 1024 * 1024;
 const DEFAULT_MEMORY_MB = 512;
-/** The copies take at most this part of the memory. */
-const COPIES_PART = 0.35;
-/** For how long another depot is waited for, before the origin is read instead. */
-const OWNER_WAIT_US = SECOND_US;
-const MOST_OBJECT_BYTES = 16 * MB;
-const REPORT_US = 2 * SECOND_US;
+/** Cached objects take at most this fraction of the memory. */
+const CACHE_MEMORY_FRACTION = 0.35;
+/** How long the owner of an object is waited for, before the origin is read instead. */
+const OWNER_TIMEOUT_US = SECOND_US;
+const MAX_OBJECT_BYTES = 16 * MB;
+const REPORT_INTERVAL_US = 2 * SECOND_US;
 
-/** Puts the shared cache together on one machine. */
+/** Starts the shared object cache on one machine. */
 export const runCache = async (settings: Settings, clock: Clock): Promise<RunningProgram> => {
-  const log = loggerFor("depot");
+  const log = loggerFor("cache");
   const serve = (
     connection: Connection,
     hello: Message,
     incoming: AsyncIterable<Message>,
-  ): Promise<void> => counter.serve(connection, hello, incoming);
+  ): Promise<void> => server.serve(connection, hello, incoming);
   const { updates, subscriber, relay }: DataPlaneNode = joinCluster(
     settings,
     clock,
@@ -53,64 +55,70 @@
     (question) =>
       question.kind === "retries" ? { kind: "retries", rows: retryBudgets.snapshot() } : undefined,
   );
-  const table = new RouteTable();
-  const pool = new WorkerDirectory(clock, settings.name, settings.zone);
-  const life = `${process.pid}-${clock.nowUs()}-${Math.random()}`;
-  const counts = new FaultCounters(life);
+  const routes = new RouteTable();
+  const workers = new WorkerDirectory(clock, settings.name, settings.zone);
+  const incarnation = `${process.pid}-${clock.nowUs()}-${Math.random()}`;
+  const faults = new FaultCounters(incarnation);
   let clusterSize = { depots: 1, here: 1 };
 
-  const retryBudgets = openRetryBudgets(settings, clock, updates, subscriber, life);
-  const rate = new RateLimiter(clock, (service) => table.service(service)?.maxRequestsPerS ?? 0);
+  const retryBudgets = openRetryBudgets(settings, clock, updates, subscriber, incarnation);
+  const rateLimiter = new RateLimiter(
+    clock,
+    (service) => routes.service(service)?.maxRequestsPerS ?? 0,
+  );
   const freshness = new Freshness({
     clock,
-    purgeUs: settings.purgeUs,
+    maxPurgeDelayUs: settings.purgeUs,
     disconnectedExtraUs: settings.stretchUs,
     isUpToDate: () => subscriber.isUpToDate,
   });
-  const copies = new CachedObjects(
+  const cachedObjects = new CachedObjects(
     clock,
-    (settings.memoryMb || DEFAULT_MEMORY_MB) * MB * COPIES_PART,
+    (settings.memoryMb || DEFAULT_MEMORY_MB) * MB * CACHE_MEMORY_FRACTION,
   );
-  const chooser = new LoadBalancer({
-    workers: pool,
+  const loadBalancer = new LoadBalancer({
+    workers,
     zone: settings.zone,
     random: Math.random,
     connectionShare: (service) =>
       Math.max(
         1,
-        Math.floor((table.service(service)?.maxConnections ?? 16) / (2 * clusterSize.depots)),
+        Math.floor((routes.service(service)?.maxConnections ?? 16) / (2 * clusterSize.depots)),
       ),
   });
   const origin = new OriginFetcher({
     clock,
-    workers: pool,
-    loadBalancer: chooser,
-    rateLimiter: rate,
+    workers,
+    loadBalancer,
+    rateLimiter,
     retryBudgets,
-    countFault: counts.count,
-    maxObjectBytes: MOST_OBJECT_BYTES,
+    countFault: faults.count,
+    maxObjectBytes: MAX_OBJECT_BYTES,
   });
   const here = `${settings.ip}:${settings.relayPort}`;
-  const others = new PeerCaches(clock);
+  const peers = new PeerCaches(clock);
   let addresses: readonly string[] = [here];
   const ownStore = new ObjectStore({
     clock,
-    cachedObjects: copies,
+    cachedObjects,
     isFresh: freshness.isFresh,
     staleIfErrorUs: settings.staleSlackUs / 2,
     source: origin.fetch,
   });
   /** The object's owner among all depots reads the origin; another asks it, and sends the body over only once a version. */
-  const fetch = async (want: Want, old: CachedObject | undefined): Promise<LookupResult> => {
-    const owner = ownerOf(keyOf(want), addresses);
+  const fetch = async (
+    want: ObjectRequest,
+    old: CachedObject | undefined,
+  ): Promise<LookupResult> => {
+    const owner = ownerOf(cacheKey(want), addresses);
     const askedUs = clock.nowUs();
     const isOwn = owner === undefined || owner === here;
     const reply = isOwn
       ? undefined
-      : await others.askOne(
+      : await peers.askOne(
           owner,
           packObjectRequest(want, askedUs, undefined, old, true),
-          Math.min(OWNER_WAIT_US, want.deadlineUs - askedUs),
+          Math.min(OWNER_TIMEOUT_US, want.deadlineUs - askedUs),
         );
     if (!reply) return ownStore.get(want);
     const copy = readObject(reply, want, old, askedUs);
@@ -124,58 +132,58 @@
   };
   const store = new ObjectStore({
     clock,
-    cachedObjects: copies,
+    cachedObjects,
     isFresh: freshness.isFresh,
     staleIfErrorUs: settings.staleSlackUs / 2,
     source: fetch,
   });
-  const counter = new ObjectServer({ clock, store, ownStore, rateLimiter: rate, log });
+  const server = new ObjectServer({ clock, store, ownStore, rateLimiter, log });
 
   updates.events.on("changed", (facts) => {
-    table.applyUpdates(facts);
-    pool.applyUpdates(facts);
+    routes.applyUpdates(facts);
+    workers.applyUpdates(facts);
   });
   updates.events.on("forgotten", (keys) => {
-    pool.forgetKeys(keys);
-    keys.forEach((key) => counts.remove(key));
+    workers.forgetKeys(keys);
+    keys.forEach((key) => faults.remove(key));
   });
-  const follow = subscribeToPurges({
+  const purges = subscribeToPurges({
     clock,
     updates,
     subscriber,
     freshness,
-    copies,
+    copies: cachedObjects,
     detach: () => {
       store.detachInFlight();
       ownStore.detachInFlight();
     },
   });
-  subscriber.events.on("clusterSize", (told) => {
-    const depots = told.caches ?? [];
+  subscriber.events.on("clusterSize", (size) => {
+    const caches = size.caches ?? [];
     addresses = [
       here,
-      ...depots.map(({ address }) => address).filter((address) => address !== here),
+      ...caches.map(({ address }) => address).filter((address) => address !== here),
     ];
-    others.setAddresses(depots.filter(({ address }) => address !== here));
+    peers.setAddresses(caches.filter(({ address }) => address !== here));
     clusterSize = {
-      depots: Math.max(1, depots.length),
-      here: Math.max(1, depots.filter(({ zone }) => zone === settings.zone).length),
+      depots: Math.max(1, caches.length),
+      here: Math.max(1, caches.filter(({ zone }) => zone === settings.zone).length),
     };
-    pool.setNodeCount({ inZone: clusterSize.here, total: clusterSize.depots });
+    workers.setNodeCount({ inZone: clusterSize.here, total: clusterSize.depots });
   });
-  const keeper = new RateLeaseRenewer({
+  const rateLeases = new RateLeaseRenewer({
     clock,
-    limiter: rate,
-    incarnation: life,
+    limiter: rateLimiter,
+    incarnation,
     role: "depot",
     request: subscriber.request,
     isNeeded: () => true,
   });
   await relay.listen(settings.ip, settings.relayPort);
   void subscriber.run();
-  keeper.start();
-  const report = clock.every(REPORT_US, () => {
-    const message = counts.takeReport();
+  rateLeases.start();
+  const report = clock.every(REPORT_INTERVAL_US, () => {
+    const message = faults.takeReport();
     if (message) subscriber.report(message);
     subscriber.report({
       kind: CACHE_REPORT_KIND,
@@ -183,26 +191,26 @@
         ...store.counts,
         ownerHits: ownStore.counts.hits,
         ownerMisses: ownStore.counts.misses,
-        copies: copies.size,
-        bytes: copies.bytes,
-        droppedByPurges: copies.droppedByPurges,
+        copies: cachedObjects.size,
+        bytes: cachedObjects.bytes,
+        droppedByPurges: cachedObjects.droppedByPurges,
         fetches: origin.fetches,
         checks: origin.revalidations,
         refusedForRate: origin.rateLimited,
-        share: rate.share,
+        share: rateLimiter.share,
       },
     });
-    pool.evictIdleConnections();
+    workers.evictIdleConnections();
   });
-  log.info(`Up at ${settings.ip}:${settings.relayPort}.`);
+  log.info("cache is listening", { address: here });
   return {
     applySettings: ({ seedNodes }) => subscriber.renewSeeds(seedNodes),
     stop: async () => {
-      log.info("Leaving.");
+      log.info("cache is shutting down");
       report.stop();
-      follow.stop();
-      keeper.stop();
-      others.stop();
+      purges.stop();
+      rateLeases.stop();
+      peers.stop();
       subscriber.stop();
       relay.close();
     },
--- a/src/programs/gateway/object-cache.ts
+++ b/src/programs/gateway/object-cache.ts
@@ -1,7 +1,8 @@
-import { CachedObjects, keyOf } from "../../cache/cached-objects.js";
+/** The part of a gateway that caches objects, and that distributes large ones within its zone. */
+import { CachedObjects, cacheKey } from "../../cache/cached-objects.js";
 import { packObjectRequest, readObject, unavailableReason } from "../../cache/messages.js";
 import { ObjectServer } from "../../cache/object-server.js";
-import { PeerCaches, distanceFrom } from "../../cache/peer-caches.js";
+import { PeerCaches, zoneDistance } from "../../cache/peer-caches.js";
 import { Freshness } from "../../cache/freshness.js";
 import { ObjectClient } from "../../cache/object-client.js";
 import { OriginFetcher } from "../../cache/origin-fetch.js";
@@ -21,6 +22,7 @@
 import type { Settings } from "../../common/settings.js";
 import { subscribeToPurges } from "../purge-subscriber.js";
 
+/** What `openGatewayObjectCache` works on. */
 export interface GatewayObjectCacheOptions {
   readonly settings: Settings;
   readonly clock: Clock;
@@ -34,94 +36,98 @@
   readonly countFault: (worker: string, isFault: boolean) => void;
 }
 
+/** The object cache of a gateway while it runs. */
 export interface GatewayObjectCache {
   readonly objects: ObjectClient;
   readonly idempotencyClient: IdempotencyClient;
-  /** Serves those who ask this node for objects. */
+  /** Serves sessions of other nodes that request objects from this one. */
   readonly serveObjects: SessionHandler;
   readonly stop: () => void;
 }
 
 const MB = 1024 * 1024;
 const DEFAULT_MEMORY_MB = 256;
-/** The own copies take at most this part of the memory. */
-const COPIES_PART = 24;
-/** And those of a hall this part. */
-const HALL_PART = 4;
-const MOST_OBJECT_BYTES = 4 * MB;
+/** The cached objects of the gateway itself take the memory divided by this. */
+const GATEWAY_CACHE_MEMORY_DIVISOR = 24;
+/** Those that it distributes in its zone take the memory divided by this. */
+const DISTRIBUTOR_MEMORY_DIVISOR = 4;
+const MAX_OBJECT_BYTES = 4 * MB;
 
-/** What a pointsman of a content deployment has besides. */
+/** Opens the object cache of a gateway, and its key client. */
 export const openGatewayObjectCache = (options: GatewayObjectCacheOptions): GatewayObjectCache => {
   const {
     settings,
     clock,
     updates,
     subscriber,
-    routes: table,
-    workers: pool,
-    incarnation: life,
+    routes,
+    workers,
+    incarnation,
     retryBudgets,
     connectionShare,
     countFault,
   } = options;
-  const distance = distanceFrom(settings.zone, settings.regions);
-  const depots = new PeerCaches(clock, distance);
-  const halls = new PeerCaches(clock);
-  const rate = new RateLimiter(clock, (service) => table.service(service)?.maxRequestsPerS ?? 0);
+  const distance = zoneDistance(settings.zone, settings.regions);
+  const caches = new PeerCaches(clock, distance);
+  const zoneDistributors = new PeerCaches(clock);
+  const rateLimiter = new RateLimiter(
+    clock,
+    (service) => routes.service(service)?.maxRequestsPerS ?? 0,
+  );
   const freshness = new Freshness({
     clock,
-    purgeUs: settings.purgeUs,
+    maxPurgeDelayUs: settings.purgeUs,
     disconnectedExtraUs: settings.stretchUs,
     isUpToDate: () => subscriber.isUpToDate,
   });
-  const chooser = new LoadBalancer({
-    workers: pool,
+  const loadBalancer = new LoadBalancer({
+    workers,
     zone: settings.zone,
     random: Math.random,
     connectionShare,
   });
   const origin = new OriginFetcher({
     clock,
-    workers: pool,
-    loadBalancer: chooser,
-    rateLimiter: rate,
+    workers,
+    loadBalancer,
+    rateLimiter,
     retryBudgets,
     countFault,
-    maxObjectBytes: MOST_OBJECT_BYTES,
+    maxObjectBytes: MAX_OBJECT_BYTES,
   });
-  const goods = new ObjectClient({
+  const objects = new ObjectClient({
     clock,
-    maxBytes: ((settings.memoryMb || DEFAULT_MEMORY_MB) * MB) / COPIES_PART,
-    sharedCaches: depots,
-    zoneCaches: halls,
+    maxBytes: ((settings.memoryMb || DEFAULT_MEMORY_MB) * MB) / GATEWAY_CACHE_MEMORY_DIVISOR,
+    sharedCaches: caches,
+    zoneCaches: zoneDistributors,
     origin,
-    rateLimiter: rate,
+    rateLimiter,
     isFresh: freshness.isFresh,
     staleIfErrorUs: settings.staleSlackUs / 2,
   });
-  const follow = subscribeToPurges({
+  const purges = subscribeToPurges({
     clock,
     updates,
     subscriber,
     freshness,
-    copies: goods.cachedObjects,
-    detach: goods.detachInFlight,
+    copies: objects.cachedObjects,
+    detach: objects.detachInFlight,
   });
 
-  /** What this node gives out if it is its cell's hall: copies of large objects, kept new without their bodies travelling. */
-  const copies = new CachedObjects(
+  /** Large objects that this node serves as a distributor of its zone, revalidated without their bodies. */
+  const cachedObjects = new CachedObjects(
     clock,
-    ((settings.memoryMb || DEFAULT_MEMORY_MB) * MB) / HALL_PART,
+    ((settings.memoryMb || DEFAULT_MEMORY_MB) * MB) / DISTRIBUTOR_MEMORY_DIVISOR,
   );
   const store = new ObjectStore({
     clock,
-    cachedObjects: copies,
+    cachedObjects,
     isFresh: freshness.isFresh,
     staleIfErrorUs: settings.staleSlackUs / 2,
     source: async (want, old): Promise<LookupResult> => {
       const askedUs = clock.nowUs();
-      const reply = await depots.ask(
-        keyOf(want),
+      const reply = await caches.ask(
+        cacheKey(want),
         packObjectRequest(want, askedUs, undefined, old),
         want.deadlineUs - askedUs,
       );
@@ -135,44 +141,49 @@
           };
     },
   });
-  const followToo = subscribeToPurges({
+  const distributorPurges = subscribeToPurges({
     clock,
     updates,
     subscriber,
     freshness,
-    copies,
+    copies: cachedObjects,
     detach: store.detachInFlight,
   });
-  const counter = new ObjectServer({ clock, store, rateLimiter: rate, log: loggerFor("hall") });
+  const server = new ObjectServer({
+    clock,
+    store,
+    rateLimiter,
+    log: loggerFor("zone-distributor"),
+  });
   const here = `${settings.ip}:${settings.relayPort}`;
   subscriber.events.on("clusterSize", (clusterSize) => {
-    depots.setAddresses(clusterSize.caches ?? []);
-    const ofCell = (clusterSize.zoneDistributors ?? []).filter(
+    caches.setAddresses(clusterSize.caches ?? []);
+    const inZone = (clusterSize.zoneDistributors ?? []).filter(
       ({ zone, address }) => zone === settings.zone && address !== here,
     );
-    halls.setAddresses(
-      (clusterSize.caches ?? []).some(({ zone }) => zone === settings.zone) ? [] : ofCell,
+    zoneDistributors.setAddresses(
+      (clusterSize.caches ?? []).some(({ zone }) => zone === settings.zone) ? [] : inZone,
     );
   });
-  const keeper = new RateLeaseRenewer({
+  const rateLeases = new RateLeaseRenewer({
     clock,
-    limiter: rate,
-    incarnation: life,
+    limiter: rateLimiter,
+    incarnation,
     role: "pointsman",
     request: subscriber.request,
-    isNeeded: () => !depots.isAnyConnected,
+    isNeeded: () => !caches.isAnyConnected,
   });
-  keeper.start();
+  rateLeases.start();
   return {
-    objects: goods,
+    objects,
     idempotencyClient: new IdempotencyClient(clock, subscriber.request, subscriber.report),
-    serveObjects: counter.serve,
+    serveObjects: server.serve,
     stop: () => {
-      keeper.stop();
-      follow.stop();
-      followToo.stop();
-      halls.stop();
-      depots.stop();
+      rateLeases.stop();
+      purges.stop();
+      distributorPurges.stop();
+      zoneDistributors.stop();
+      caches.stop();
     },
   };
 };
