--- a/src/programs/cache/cache.ts
+++ b/src/programs/cache/cache.ts
@@ -1,7 +1,6 @@
 /** The shared object cache: subsystems are opened here, in the order in which they start. */
-import type { ObjectRequest } from "../../proxy/object-source.js";
 import { FaultCounters } from "../../health/fault-counters.js";
-import { CachedObjects, cacheKey, type CachedObject } from "../../cache/cached-objects.js";
+import { CachedObjects, cacheKey } from "../../cache/cached-objects.js";
 import {
   CACHE_REPORT_KIND,
   OBJECT_MESSAGE,
@@ -15,17 +14,21 @@
 import { OriginFetcher } from "../../cache/origin-fetch.js";
 import { RateLeaseRenewer } from "../../quota/rate-lease-renewer.js";
 import { RateLimiter } from "../../quota/rate-limiter.js";
-import { ObjectStore, type LookupResult } from "../../cache/object-store.js";
+import { ObjectStore, type ObjectFetch } from "../../cache/object-store.js";
 import type { DataPlaneNode } from "../data-plane-node.js";
 import { joinCluster } from "../data-plane-node.js";
 import { LoadBalancer } from "../../proxy/load-balancer.js";
 import { RouteTable } from "../../proxy/route-table.js";
 import { WorkerDirectory } from "../../proxy/worker-directory.js";
-import type { Clock } from "../../common/clock.js";
+import type { Clock, Timer } from "../../common/clock.js";
 import { loggerFor } from "../../common/logger.js";
 import type { Settings } from "../../common/settings.js";
 import { SECOND_US } from "../../common/duration.js";
-import type { Message, Connection } from "../../transport/connection.js";
+import type { SessionHandler } from "../../transport/listener.js";
+import type { CacheAddress } from "../../membership/cluster.js";
+import type { UpdateSubscriber } from "../../membership/update-subscriber.js";
+import { NODE_KIND } from "../../quota/quota-codec.js";
+import type { RetryBudgets } from "../../proxy/retry-budget.js";
 import { subscribeToPurges } from "../purge-subscriber.js";
 import { openRetryBudgets } from "../gateway/retry-budgets.js";
 import type { RunningProgram } from "../running-program.js";
@@ -39,43 +42,68 @@
 const MAX_OBJECT_BYTES = 16 * MB;
 const REPORT_INTERVAL_US = 2 * SECOND_US;
 
-/** Starts the shared object cache on one machine. */
-export const runCache = async (settings: Settings, clock: Clock): Promise<RunningProgram> => {
-  const log = loggerFor("cache");
-  const serve = (
-    connection: Connection,
-    hello: Message,
-    incoming: AsyncIterable<Message>,
-  ): Promise<void> => server.serve(connection, hello, incoming);
-  const { updates, subscriber, relay }: DataPlaneNode = joinCluster(
-    settings,
-    clock,
-    "cache",
-    { [OBJECT_MESSAGE.hello]: serve },
-    (question) =>
-      question.kind === "retries" ? { kind: "retries", rows: retryBudgets.snapshot() } : undefined,
-  );
+const addressOf = (settings: Settings): string => `${settings.ip}:${settings.relayPort}`;
+
+/** How many caches share a service's connections, and how many of them run in this zone. */
+interface CacheCount {
+  readonly total: number;
+  readonly inZone: number;
+}
+
+/** The caches that run, as the controllers last reported them. */
+class CacheMembership {
+  readonly peers: PeerCaches;
+  count: CacheCount = { total: 1, inZone: 1 };
+  /** The addresses of all caches, this one included. */
+  addresses: readonly string[];
+  readonly ownAddress: string;
+
+  constructor(
+    clock: Clock,
+    private readonly zone: string,
+    ownAddress: string,
+  ) {
+    this.peers = new PeerCaches(clock);
+    this.ownAddress = ownAddress;
+    this.addresses = [ownAddress];
+  }
+
+  readonly apply = (caches: readonly CacheAddress[]): void => {
+    const others = caches.filter(({ address }) => address !== this.ownAddress);
+    this.addresses = [this.ownAddress, ...others.map(({ address }) => address)];
+    this.peers.setAddresses(others);
+    this.count = {
+      total: Math.max(1, caches.length),
+      inZone: Math.max(1, caches.filter(({ zone }) => zone === this.zone).length),
+    };
+  };
+}
+
+/** What the cache knows of services and workers, and the limits that bind its requests to them. */
+interface Upstream {
+  readonly routes: RouteTable;
+  readonly workers: WorkerDirectory;
+  readonly faults: FaultCounters;
+  readonly rateLimiter: RateLimiter;
+}
+
+const openUpstream = (settings: Settings, clock: Clock, incarnation: string): Upstream => {
   const routes = new RouteTable();
-  const workers = new WorkerDirectory(clock, settings.name, settings.zone);
-  const incarnation = `${process.pid}-${clock.nowUs()}-${Math.random()}`;
-  const faults = new FaultCounters(incarnation);
-  let clusterSize = { depots: 1, here: 1 };
+  return {
+    routes,
+    workers: new WorkerDirectory(clock, settings.name, settings.zone),
+    faults: new FaultCounters(incarnation),
+    rateLimiter: new RateLimiter(clock, (service) => routes.service(service)?.maxRequestsPerS ?? 0),
+  };
+};
 
-  const retryBudgets = openRetryBudgets(settings, clock, updates, subscriber, incarnation);
-  const rateLimiter = new RateLimiter(
-    clock,
-    (service) => routes.service(service)?.maxRequestsPerS ?? 0,
-  );
-  const freshness = new Freshness({
-    clock,
-    maxPurgeDelayUs: settings.purgeUs,
-    disconnectedExtraUs: settings.stretchUs,
-    isUpToDate: () => subscriber.isUpToDate,
-  });
-  const cachedObjects = new CachedObjects(
-    clock,
-    (settings.memoryMb || DEFAULT_MEMORY_MB) * MB * CACHE_MEMORY_FRACTION,
-  );
+const openOrigin = (
+  settings: Settings,
+  clock: Clock,
+  { routes, workers, faults, rateLimiter }: Upstream,
+  retryBudgets: RetryBudgets,
+  members: CacheMembership,
+): OriginFetcher => {
   const loadBalancer = new LoadBalancer({
     workers,
     zone: settings.zone,
@@ -83,10 +111,10 @@
     connectionShare: (service) =>
       Math.max(
         1,
-        Math.floor((routes.service(service)?.maxConnections ?? 16) / (2 * clusterSize.depots)),
+        Math.floor((routes.service(service)?.maxConnections ?? 16) / (2 * members.count.total)),
       ),
   });
-  const origin = new OriginFetcher({
+  return new OriginFetcher({
     clock,
     workers,
     loadBalancer,
@@ -95,53 +123,84 @@
     countFault: faults.count,
     maxObjectBytes: MAX_OBJECT_BYTES,
   });
-  const here = `${settings.ip}:${settings.relayPort}`;
-  const peers = new PeerCaches(clock);
-  let addresses: readonly string[] = [here];
-  const ownStore = new ObjectStore({
-    clock,
-    cachedObjects,
-    isFresh: freshness.isFresh,
-    staleIfErrorUs: settings.staleSlackUs / 2,
-    source: origin.fetch,
-  });
-  /** The object's owner among all depots reads the origin; another asks it, and sends the body over only once a version. */
-  const fetch = async (
-    want: ObjectRequest,
-    old: CachedObject | undefined,
-  ): Promise<LookupResult> => {
-    const owner = ownerOf(cacheKey(want), addresses);
-    const askedUs = clock.nowUs();
-    const isOwn = owner === undefined || owner === here;
+};
+
+/**
+ * Fetches through the owner of an object among all caches. The owner reads the origin; another cache
+ * asks the owner, so that a version's body is sent to it only once.
+ */
+const fetchThroughOwner =
+  (clock: Clock, members: CacheMembership, ownStore: ObjectStore): ObjectFetch =>
+  async (request, previous) => {
+    const owner = ownerOf(cacheKey(request), members.addresses);
+    const sentAtUs = clock.nowUs();
+    const isOwn = owner === undefined || owner === members.ownAddress;
     const reply = isOwn
       ? undefined
-      : await peers.askOne(
+      : await members.peers.askOne(
           owner,
-          packObjectRequest(want, askedUs, undefined, old, true),
-          Math.min(OWNER_TIMEOUT_US, want.deadlineUs - askedUs),
+          packObjectRequest(request, sentAtUs, undefined, previous, true),
+          Math.min(OWNER_TIMEOUT_US, request.deadlineUs - sentAtUs),
         );
-    if (!reply) return ownStore.get(want);
-    const copy = readObject(reply, want, old, askedUs);
-    return copy
-      ? { kind: "found", copy }
-      : {
-          kind: "none",
-          reason: unavailableReason(reply),
-          retryAfterUs: want.latencyTargetUs / 4,
-        };
+    if (!reply) return ownStore.get(request);
+    const copy = readObject(reply, request, previous, sentAtUs);
+    if (copy) return { kind: "found", copy };
+    return {
+      kind: "none",
+      reason: unavailableReason(reply),
+      retryAfterUs: request.latencyTargetUs / 4,
+    };
   };
-  const store = new ObjectStore({
+
+/** The cached objects, with the origin behind them, and with their owners behind them. */
+interface Stores {
+  readonly cachedObjects: CachedObjects;
+  readonly freshness: Freshness;
+  readonly ownStore: ObjectStore;
+  readonly store: ObjectStore;
+}
+
+const openStores = (
+  settings: Settings,
+  clock: Clock,
+  subscriber: UpdateSubscriber,
+  origin: OriginFetcher,
+  members: CacheMembership,
+): Stores => {
+  const freshness = new Freshness({
     clock,
-    cachedObjects,
-    isFresh: freshness.isFresh,
-    staleIfErrorUs: settings.staleSlackUs / 2,
-    source: fetch,
+    maxPurgeDelayUs: settings.purgeUs,
+    disconnectedExtraUs: settings.stretchUs,
+    isUpToDate: () => subscriber.isUpToDate,
   });
-  const server = new ObjectServer({ clock, store, ownStore, rateLimiter, log });
+  const cachedObjects = new CachedObjects(
+    clock,
+    (settings.memoryMb || DEFAULT_MEMORY_MB) * MB * CACHE_MEMORY_FRACTION,
+  );
+  const openStore = (source: ObjectFetch): ObjectStore =>
+    new ObjectStore({
+      clock,
+      cachedObjects,
+      isFresh: freshness.isFresh,
+      staleIfErrorUs: settings.staleSlackUs / 2,
+      source,
+    });
+  const ownStore = openStore(origin.fetch);
+  const store = openStore(fetchThroughOwner(clock, members, ownStore));
+  return { cachedObjects, freshness, ownStore, store };
+};
 
-  updates.events.on("changed", (facts) => {
-    routes.applyUpdates(facts);
-    workers.applyUpdates(facts);
+/** Applies what updates say of services, workers, purges and other caches. */
+const followUpdates = (
+  clock: Clock,
+  { updates, subscriber }: DataPlaneNode,
+  { routes, workers, faults }: Upstream,
+  { cachedObjects, freshness, ownStore, store }: Stores,
+  members: CacheMembership,
+): Timer => {
+  updates.events.on("changed", (changed) => {
+    routes.applyUpdates(changed);
+    workers.applyUpdates(changed);
   });
   updates.events.on("forgotten", (keys) => {
     workers.forgetKeys(keys);
@@ -158,31 +217,22 @@
       ownStore.detachInFlight();
     },
   });
-  subscriber.events.on("clusterSize", (size) => {
-    const caches = size.caches ?? [];
-    addresses = [
-      here,
-      ...caches.map(({ address }) => address).filter((address) => address !== here),
-    ];
-    peers.setAddresses(caches.filter(({ address }) => address !== here));
-    clusterSize = {
-      depots: Math.max(1, caches.length),
-      here: Math.max(1, caches.filter(({ zone }) => zone === settings.zone).length),
-    };
-    workers.setNodeCount({ inZone: clusterSize.here, total: clusterSize.depots });
+  subscriber.events.on("clusterSize", ({ caches = [] }) => {
+    members.apply(caches);
+    workers.setNodeCount(members.count);
   });
-  const rateLeases = new RateLeaseRenewer({
-    clock,
-    limiter: rateLimiter,
-    incarnation,
-    role: "depot",
-    request: subscriber.request,
-    isNeeded: () => true,
-  });
-  await relay.listen(settings.ip, settings.relayPort);
-  void subscriber.run();
-  rateLeases.start();
-  const report = clock.every(REPORT_INTERVAL_US, () => {
+  return purges;
+};
+
+/** Reports faults and counters to the controller, and closes idle connections to workers. */
+const startReports = (
+  clock: Clock,
+  subscriber: UpdateSubscriber,
+  { workers, faults, rateLimiter }: Upstream,
+  { cachedObjects, ownStore, store }: Stores,
+  origin: OriginFetcher,
+): Timer =>
+  clock.every(REPORT_INTERVAL_US, () => {
     const message = faults.takeReport();
     if (message) subscriber.report(message);
     subscriber.report({
@@ -202,15 +252,52 @@
     });
     workers.evictIdleConnections();
   });
-  log.info("cache is listening", { address: here });
+
+/** Starts the shared object cache on one machine. */
+export const runCache = async (settings: Settings, clock: Clock): Promise<RunningProgram> => {
+  const log = loggerFor("cache");
+  const serve: SessionHandler = (connection, hello, incoming) =>
+    server.serve(connection, hello, incoming);
+  const node = joinCluster(
+    settings,
+    clock,
+    "cache",
+    { [OBJECT_MESSAGE.hello]: serve },
+    (question) =>
+      question.kind === "retries" ? { kind: "retries", rows: retryBudgets.snapshot() } : undefined,
+  );
+  const { updates, subscriber, relay } = node;
+  const incarnation = `${process.pid}-${clock.nowUs()}-${Math.random()}`;
+  const upstream = openUpstream(settings, clock, incarnation);
+  const retryBudgets = openRetryBudgets(settings, clock, updates, subscriber, incarnation);
+  const members = new CacheMembership(clock, settings.zone, addressOf(settings));
+  const origin = openOrigin(settings, clock, upstream, retryBudgets, members);
+  const stores = openStores(settings, clock, subscriber, origin, members);
+  const { rateLimiter } = upstream;
+  const { store, ownStore } = stores;
+  const server = new ObjectServer({ clock, store, ownStore, rateLimiter, log });
+  const purges = followUpdates(clock, node, upstream, stores, members);
+  const rateLeases = new RateLeaseRenewer({
+    clock,
+    limiter: rateLimiter,
+    incarnation,
+    role: NODE_KIND.cache,
+    request: subscriber.request,
+    isNeeded: () => true,
+  });
+  await relay.listen(settings.ip, settings.relayPort);
+  void subscriber.run();
+  rateLeases.start();
+  const reports = startReports(clock, subscriber, upstream, stores, origin);
+  log.info("cache is listening", { address: members.ownAddress });
   return {
     applySettings: ({ seedNodes }) => subscriber.renewSeeds(seedNodes),
     stop: async () => {
       log.info("cache is shutting down");
-      report.stop();
+      reports.stop();
       purges.stop();
       rateLeases.stop();
-      peers.stop();
+      members.peers.stop();
       subscriber.stop();
       relay.close();
     },
--- a/src/programs/gateway/object-cache.ts
+++ b/src/programs/gateway/object-cache.ts
@@ -8,7 +8,7 @@
 import { OriginFetcher } from "../../cache/origin-fetch.js";
 import { RateLeaseRenewer } from "../../quota/rate-lease-renewer.js";
 import { RateLimiter } from "../../quota/rate-limiter.js";
-import { ObjectStore, type LookupResult } from "../../cache/object-store.js";
+import { ObjectStore, type ObjectFetch } from "../../cache/object-store.js";
 import type { UpdateStore } from "../../membership/update-store.js";
 import type { UpdateSubscriber } from "../../membership/update-subscriber.js";
 import { LoadBalancer } from "../../proxy/load-balancer.js";
@@ -16,7 +16,8 @@
 import type { RetryBudgets } from "../../proxy/retry-budget.js";
 import type { RouteTable } from "../../proxy/route-table.js";
 import type { WorkerDirectory } from "../../proxy/worker-directory.js";
-import type { Clock } from "../../common/clock.js";
+import type { Clock, Timer } from "../../common/clock.js";
+import { NODE_KIND } from "../../quota/quota-codec.js";
 import { loggerFor } from "../../common/logger.js";
 import type { SessionHandler } from "../../transport/listener.js";
 import type { Settings } from "../../common/settings.js";
@@ -53,40 +54,32 @@
 const DISTRIBUTOR_MEMORY_DIVISOR = 4;
 const MAX_OBJECT_BYTES = 4 * MB;
 
-/** Opens the object cache of a gateway, and its key client. */
-export const openGatewayObjectCache = (options: GatewayObjectCacheOptions): GatewayObjectCache => {
-  const {
+const freshnessOf = ({ settings, clock, subscriber }: GatewayObjectCacheOptions): Freshness =>
+  new Freshness({
+    clock,
+    maxPurgeDelayUs: settings.purgeUs,
+    disconnectedExtraUs: settings.stretchUs,
+    isUpToDate: () => subscriber.isUpToDate,
+  });
+
+const openOrigin = (
+  {
     settings,
     clock,
-    updates,
-    subscriber,
-    routes,
     workers,
-    incarnation,
     retryBudgets,
     connectionShare,
     countFault,
-  } = options;
-  const distance = zoneDistance(settings.zone, settings.regions);
-  const caches = new PeerCaches(clock, distance);
-  const zoneDistributors = new PeerCaches(clock);
-  const rateLimiter = new RateLimiter(
-    clock,
-    (service) => routes.service(service)?.maxRequestsPerS ?? 0,
-  );
-  const freshness = new Freshness({
-    clock,
-    maxPurgeDelayUs: settings.purgeUs,
-    disconnectedExtraUs: settings.stretchUs,
-    isUpToDate: () => subscriber.isUpToDate,
-  });
+  }: GatewayObjectCacheOptions,
+  rateLimiter: RateLimiter,
+): OriginFetcher => {
   const loadBalancer = new LoadBalancer({
     workers,
     zone: settings.zone,
     random: Math.random,
     connectionShare,
   });
-  const origin = new OriginFetcher({
+  return new OriginFetcher({
     clock,
     workers,
     loadBalancer,
@@ -95,26 +88,40 @@
     countFault,
     maxObjectBytes: MAX_OBJECT_BYTES,
   });
-  const objects = new ObjectClient({
-    clock,
-    maxBytes: ((settings.memoryMb || DEFAULT_MEMORY_MB) * MB) / GATEWAY_CACHE_MEMORY_DIVISOR,
-    sharedCaches: caches,
-    zoneCaches: zoneDistributors,
-    origin,
-    rateLimiter,
-    isFresh: freshness.isFresh,
-    staleIfErrorUs: settings.staleSlackUs / 2,
-  });
-  const purges = subscribeToPurges({
-    clock,
-    updates,
-    subscriber,
-    freshness,
-    copies: objects.cachedObjects,
-    detach: objects.detachInFlight,
-  });
+};
 
-  /** Large objects that this node serves as a distributor of its zone, revalidated without their bodies. */
+/** Fetches an object from the shared caches. */
+const fetchFromCaches =
+  (clock: Clock, caches: PeerCaches): ObjectFetch =>
+  async (request, previous) => {
+    const sentAtUs = clock.nowUs();
+    const reply = await caches.ask(
+      cacheKey(request),
+      packObjectRequest(request, sentAtUs, undefined, previous),
+      request.deadlineUs - sentAtUs,
+    );
+    const copy = reply && readObject(reply, request, previous, sentAtUs);
+    if (copy) return { kind: "found", copy };
+    return {
+      kind: "none",
+      reason: unavailableReason(reply),
+      retryAfterUs: request.latencyTargetUs / 4,
+    };
+  };
+
+/** The server of a zone distributor, and the timer that its purges need. */
+interface Distributor {
+  readonly server: ObjectServer;
+  readonly purges: Timer;
+}
+
+/** Opens the store of large objects that this node serves in its zone, revalidated without bodies. */
+const openDistributor = (
+  { settings, clock, updates, subscriber }: GatewayObjectCacheOptions,
+  caches: PeerCaches,
+  freshness: Freshness,
+  rateLimiter: RateLimiter,
+): Distributor => {
   const cachedObjects = new CachedObjects(
     clock,
     ((settings.memoryMb || DEFAULT_MEMORY_MB) * MB) / DISTRIBUTOR_MEMORY_DIVISOR,
@@ -124,24 +131,9 @@
     cachedObjects,
     isFresh: freshness.isFresh,
     staleIfErrorUs: settings.staleSlackUs / 2,
-    source: async (want, old): Promise<LookupResult> => {
-      const askedUs = clock.nowUs();
-      const reply = await caches.ask(
-        cacheKey(want),
-        packObjectRequest(want, askedUs, undefined, old),
-        want.deadlineUs - askedUs,
-      );
-      const copy = reply && readObject(reply, want, old, askedUs);
-      return copy
-        ? { kind: "found", copy }
-        : {
-            kind: "none",
-            reason: unavailableReason(reply),
-            retryAfterUs: want.latencyTargetUs / 4,
-          };
-    },
+    source: fetchFromCaches(clock, caches),
   });
-  const distributorPurges = subscribeToPurges({
+  const purges = subscribeToPurges({
     clock,
     updates,
     subscriber,
@@ -149,27 +141,63 @@
     copies: cachedObjects,
     detach: store.detachInFlight,
   });
-  const server = new ObjectServer({
-    clock,
-    store,
-    rateLimiter,
-    log: loggerFor("zone-distributor"),
-  });
-  const here = `${settings.ip}:${settings.relayPort}`;
+  const log = loggerFor("zone-distributor");
+  return { server: new ObjectServer({ clock, store, rateLimiter, log }), purges };
+};
+
+/** Connects to the caches, and to the zone's distributors while no cache runs in the zone. */
+const followClusterSize = (
+  { settings, subscriber }: GatewayObjectCacheOptions,
+  caches: PeerCaches,
+  zoneDistributors: PeerCaches,
+): void => {
+  const ownAddress = `${settings.ip}:${settings.relayPort}`;
   subscriber.events.on("clusterSize", (clusterSize) => {
     caches.setAddresses(clusterSize.caches ?? []);
     const inZone = (clusterSize.zoneDistributors ?? []).filter(
-      ({ zone, address }) => zone === settings.zone && address !== here,
+      ({ zone, address }) => zone === settings.zone && address !== ownAddress,
     );
     zoneDistributors.setAddresses(
       (clusterSize.caches ?? []).some(({ zone }) => zone === settings.zone) ? [] : inZone,
     );
   });
+};
+
+/** Opens the object cache of a gateway, and its key client. */
+export const openGatewayObjectCache = (options: GatewayObjectCacheOptions): GatewayObjectCache => {
+  const { settings, clock, updates, subscriber, routes, incarnation } = options;
+  const caches = new PeerCaches(clock, zoneDistance(settings.zone, settings.regions));
+  const zoneDistributors = new PeerCaches(clock);
+  const rateLimiter = new RateLimiter(
+    clock,
+    (service) => routes.service(service)?.maxRequestsPerS ?? 0,
+  );
+  const freshness = freshnessOf(options);
+  const objects = new ObjectClient({
+    clock,
+    maxBytes: ((settings.memoryMb || DEFAULT_MEMORY_MB) * MB) / GATEWAY_CACHE_MEMORY_DIVISOR,
+    sharedCaches: caches,
+    zoneCaches: zoneDistributors,
+    origin: openOrigin(options, rateLimiter),
+    rateLimiter,
+    isFresh: freshness.isFresh,
+    staleIfErrorUs: settings.staleSlackUs / 2,
+  });
+  const purges = subscribeToPurges({
+    clock,
+    updates,
+    subscriber,
+    freshness,
+    copies: objects.cachedObjects,
+    detach: objects.detachInFlight,
+  });
+  const distributor = openDistributor(options, caches, freshness, rateLimiter);
+  followClusterSize(options, caches, zoneDistributors);
   const rateLeases = new RateLeaseRenewer({
     clock,
     limiter: rateLimiter,
     incarnation,
-    role: "pointsman",
+    role: NODE_KIND.gateway,
     request: subscriber.request,
     isNeeded: () => !caches.isAnyConnected,
   });
@@ -177,11 +205,11 @@
   return {
     objects,
     idempotencyClient: new IdempotencyClient(clock, subscriber.request, subscriber.report),
-    serveObjects: server.serve,
+    serveObjects: distributor.server.serve,
     stop: () => {
       rateLeases.stop();
       purges.stop();
-      distributorPurges.stop();
+      distributor.purges.stop();
       zoneDistributors.stop();
       caches.stop();
     },
