--- a/eslint.config.js
+++ b/eslint.config.js
@@ -149,18 +149,6 @@
       ],
     },
   },
-  // Not yet converted: these files still have items without documentation, and long or branching
-  // functions.
-  {
-    files: ["src/cache/**", "src/programs/cache/**", "src/programs/gateway/object-cache.ts"],
-    rules: {
-      "jsdoc/require-jsdoc": "warn",
-      "@typescript-eslint/consistent-type-definitions": "warn",
-      "max-lines-per-function": "warn",
-      complexity: "warn",
-      "no-nested-ternary": "warn",
-    },
-  },
   ...importBoundaries,
   prettier,
 );
--- a/features/steps/goods.ts
+++ b/features/steps/goods.ts
@@ -165,7 +165,7 @@
   },
 );
 
-// --- the rate limit -------------------------------------------------------------------------------------------------------
+// --- the rate limit ------------------------------------------------------------------------------
 
 let rate = 0;
 let limitFactor = 0;
@@ -215,7 +215,8 @@
     let incarnations = 0;
     for (let step = 0; step < seconds * 20; step += 1) {
       await clock.pass(50_000);
-      // Every 7 s one is killed and starts again as another incarnation; every 11 s one is partitioned for 4 s; every 20 s the allocator moves.
+      // Every 7 s one is killed and starts again as another incarnation; every 11 s one is
+      // partitioned for 4 s; every 20 s the allocator moves.
       if (step % 140 === 139) {
         incarnations += 1;
         caches[incarnations % count] = newCacheNode(`again-${incarnations}`);
--- a/features/steps/inspection.ts
+++ b/features/steps/inspection.ts
@@ -18,7 +18,6 @@
 import { ManualClock } from "../support/manual-clock.js";
 
 // --- the simulation
-// -------------------------------------------------------------------------------------------------
 
 interface Rates {
   readonly late: number;
@@ -119,7 +118,6 @@
 );
 
 // --- the rollout inspector
-// ------------------------------------------------------------------------------------------
 
 let clock = new ManualClock();
 let state: CanaryState = NO_CANARIES;
@@ -261,7 +259,6 @@
 });
 
 // --- the inspector
-// --------------------------------------------------------------------------------------------------
 
 interface OneWorker {
   readonly id: string;
--- a/features/steps/plan.ts
+++ b/features/steps/plan.ts
@@ -502,7 +502,6 @@
 );
 
 // --- leader lease
-// -----------------------------------------------------------------------------------------------------------
 
 let oldHolder: ClusterMember | undefined;
 let oldTerm = 0;
@@ -620,7 +619,6 @@
 });
 
 // --- calls
-// ----------------------------------------------------------------------------------------------------------
 
 const rule = (changes: UnknownRecord = {}, then: UnknownRecord = {}): UnknownRecord => ({
   name: "r1",
--- a/features/steps/subset.ts
+++ b/features/steps/subset.ts
@@ -164,7 +164,6 @@
 );
 
 // --- load over workers
-// ----------------------------------------------------------------------------------------------
 
 Given(
   "a fleet of {int} cells with {int} nodes and {int} workers each, {int}% of all slots in use",
--- a/features/steps/system.ts
+++ b/features/steps/system.ts
@@ -496,7 +496,6 @@
 });
 
 // --- the written retry limit, and the forecast of what would move
-// ------------------------------------------------------
 
 const post = async (
   box: Settings | undefined,
--- a/scalability/host-process.ts
+++ b/scalability/host-process.ts
@@ -38,7 +38,6 @@
 };
 
 // --- light nodes: the real session, relay, update and report code, without a proxy
-// -------------------------------------
 
 interface LightNode {
   readonly at: number;
@@ -96,7 +95,6 @@
 };
 
 // --- light workers: their heartbeats over HTTP, nothing else
-// --------------------------------------------------------------
 
 const agent = new Agent({ keepAlive: true, maxSockets: 16 });
 let heartbeatsAccepted = 0;
@@ -143,7 +141,6 @@
 };
 
 // --- what the parent requests
-// ----------------------------------------------------------------------------------------------
 
 const handleRequest = async (request: UnknownRecord): Promise<UnknownRecord> => {
   switch (readString(request, "what")) {
--- a/src/cache/cached-objects.ts
+++ b/src/cache/cached-objects.ts
@@ -17,7 +17,10 @@
   readonly etag: string;
   readonly labels: readonly string[];
   readonly body: Buffer;
-  /** Invariant: no later than the moment, on this process's clock, at which the worker still had this version. */
+  /**
+   * Invariant: no later than the moment, on this process's clock, at which the worker still had
+   * this version.
+   */
   readonly validatedAtUs: number;
 }
 
@@ -75,7 +78,9 @@
   /** The object of a key, whatever its age. */
   readonly get = (key: string): CachedObject | undefined => this.objects.get(key);
 
-  /** False if a purge covers the object. One too large for the cache is not kept, but still valid. */
+  /**
+   * False if a purge covers the object. One too large for the cache is not kept, but still valid.
+   */
   readonly put = (copy: CachedObject): boolean => {
     if (this.coveringPurgeUs(copy) !== undefined) return false;
     if (copy.etag !== "" && copy.body.length <= this.maxObjectBytes)
--- a/src/cache/freshness.ts
+++ b/src/cache/freshness.ts
@@ -7,7 +7,9 @@
   readonly clock: Clock;
   /** The bound within which a purge takes effect after its acknowledgement. */
   readonly maxPurgeDelayUs: number;
-  /** By how much the bound grows while the controllers may be unsettled, which a lost session shows. */
+  /**
+   * By how much the bound grows while the controllers may be unsettled, which a lost session shows.
+   */
   readonly disconnectedExtraUs: number;
   readonly isUpToDate: () => boolean;
 }
@@ -17,8 +19,8 @@
 const DISCONNECTED_EXTRA_FRACTION = 0.5;
 
 /**
- * The age of what this process knows of purges.
- * Invariant: every purge that was acknowledged before `asOfUs`, less their propagation time, is known to this process.
+ * The age of what this process knows of purges. Invariant: every purge that was acknowledged before
+ * `asOfUs`, less their propagation time, is known to this process.
  */
 export class Freshness {
   private asOfUs = Number.NEGATIVE_INFINITY;
--- a/src/cache/messages.ts
+++ b/src/cache/messages.ts
@@ -1,7 +1,7 @@
 /**
- * The messages about cached objects, between gateways and caches and among caches: the one place that
- * knows their kinds and keys. These names are part of the protocol, so they stay as earlier versions
- * wrote them. Ages and times left travel in place of times of day, since clocks differ.
+ * The messages about cached objects, between gateways and caches and among caches: the one place
+ * that knows their kinds and keys. These names are part of the protocol, so they stay as earlier
+ * versions wrote them. Ages and times left travel in place of times of day, since clocks differ.
  */
 import {
   asRecord,
@@ -237,7 +237,8 @@
 };
 
 /**
- * The object out of a reply: a new one, or the previous one, that is still the newest as of its age.
+ * The object out of a reply: a new one, or the previous one, that is still the newest as of its
+ * age.
  *
  * @param sentAtUs - when the request was sent, on this process's clock
  */
--- a/src/cache/object-client.ts
+++ b/src/cache/object-client.ts
@@ -121,7 +121,10 @@
     return this.toServedObject({ copy: { ...copy, body }, range: resolvedRange, size });
   };
 
-  /** Whether one more request may go to a service with a rate: of this node's share, or of a cache's. */
+  /**
+   * Whether one more request may go to a service with a rate: of this node's share, or of a
+   * cache's.
+   */
   readonly permit = async (service: string): Promise<boolean> => {
     const { sharedCaches: caches, rateLimiter } = this.options;
     if (!caches.isAnyConnected) return rateLimiter.takeToken(service).ok;
--- a/src/cache/object-server.ts
+++ b/src/cache/object-server.ts
@@ -32,7 +32,9 @@
 export interface ObjectServerOptions {
   readonly clock: Clock;
   readonly store: ObjectStore;
-  /** For requests that must not be forwarded: the same cached objects, with the origin behind them. */
+  /**
+   * For requests that must not be forwarded: the same cached objects, with the origin behind them.
+   */
   readonly ownStore?: ObjectStore;
   readonly rateLimiter: RateLimiter;
   readonly log: Logger;
--- a/src/cache/object-store.ts
+++ b/src/cache/object-store.ts
@@ -18,7 +18,9 @@
 export interface ObjectStoreOptions {
   readonly clock: Clock;
   readonly cachedObjects: CachedObjects;
-  /** Whether the known purges are recent enough to serve a cached object that none of them names. */
+  /**
+   * Whether the known purges are recent enough to serve a cached object that none of them names.
+   */
   readonly isFresh: () => boolean;
   readonly source: ObjectFetch;
   /** How far beyond its maximum age a cached object may be served when the source fails. */
--- a/src/cache/origin-fetch.ts
+++ b/src/cache/origin-fetch.ts
@@ -37,7 +37,9 @@
 const MAX_ATTEMPTS = 3;
 const POLL_INTERVAL_US = 15 * MILLISECOND_US;
 const LIVENESS_CHECK_INTERVAL_US = 120 * MILLISECOND_US;
-/** The fractions of the latency target for which a fetch waits for the rate, and for a free worker. */
+/**
+ * The fractions of the latency target for which a fetch waits for the rate, and for a free worker.
+ */
 const RATE_WAIT_FRACTION = 0.4;
 const WORKER_WAIT_FRACTION = 0.25;
 const UNCACHED_HEADERS: ReadonlySet<string> = new Set([
@@ -47,7 +49,9 @@
   "yewreel-worker-load",
 ]);
 
-/** Reads objects from the workers of a service, within this process's share of the service's rate. */
+/**
+ * Reads objects from the workers of a service, within this process's share of the service's rate.
+ */
 export class OriginFetcher {
   revalidations = 0;
   fetches = 0;
--- a/src/programs/cache/cache.ts
+++ b/src/programs/cache/cache.ts
@@ -126,8 +126,8 @@
 };
 
 /**
- * Fetches through the owner of an object among all caches. The owner reads the origin; another cache
- * asks the owner, so that a version's body is sent to it only once.
+ * Fetches through the owner of an object among all caches. The owner reads the origin; another
+ * cache asks the owner, so that a version's body is sent to it only once.
  */
 const fetchThroughOwner =
   (clock: Clock, members: CacheMembership, ownStore: ObjectStore): ObjectFetch =>
--- a/src/programs/gateway/object-cache.ts
+++ b/src/programs/gateway/object-cache.ts
@@ -115,7 +115,9 @@
   readonly purges: Timer;
 }
 
-/** Opens the store of large objects that this node serves in its zone, revalidated without bodies. */
+/**
+ * Opens the store of large objects that this node serves in its zone, revalidated without bodies.
+ */
 const openDistributor = (
   { settings, clock, updates, subscriber }: GatewayObjectCacheOptions,
   caches: PeerCaches,
