--- a/src/cache/origin-fetch.ts
+++ b/src/cache/origin-fetch.ts
@@ -62,6 +62,7 @@
   constructor(private readonly options: OriginFetcherOptions) {}
 
   /** Fetches an object, with retries; `previous` is revalidated with its entity tag. */
+  // eslint-disable-next-line complexity -- one attempt after another; a split would add a turn of the event loop
   readonly fetch = async (
     request: ObjectRequest,
     previous: CachedObject | undefined,
@@ -164,6 +165,7 @@
     }
   };
 
+  // eslint-disable-next-line complexity -- one attempt and its outcomes; a split would add a turn of the event loop
   private readonly sendToWorker = async (
     request: ObjectRequest,
     previous: CachedObject | undefined,
