--- a/src/membership/peers.ts
+++ b/src/membership/peers.ts
@@ -9,7 +9,7 @@
 
 /** What the links of a controller to its peers are made with. */
 export interface PeersOptions {
-  /** This signalbox's id: its control address. */
+  /** This controller's id: its control address. */
   readonly self: string;
   readonly zone: string;
   readonly peerPort: number;
@@ -17,7 +17,7 @@
   readonly times: KeepAliveTimes;
 }
 
-/** Links to every other signalbox that is known; each tells the others whom it knows. */
+/** Links to every other known controller; each announces to the others whom it knows. */
 export class Peers {
   readonly events = new Emittery<{
     connected: string;
@@ -38,7 +38,7 @@
 
   readonly zoneOf = (id: string): string => this.zones.get(id) ?? "";
 
-  /** Every standing signalbox with its cell, this one included. */
+  /** Every connected controller with its zone, this one included. */
   readonly connectedControllers = (): readonly ControllerAddress[] =>
     [this.options.self, ...this.known().filter(this.isConnected)].map((id) => ({
       id,
@@ -50,7 +50,7 @@
     return packPeerHello({ id: self, zone }, [self, ...this.known()]);
   };
 
-  /** Takes what a hello or a welcome of a colleague tells. */
+  /** Learns from a peer's hello or welcome. */
   readonly learnFrom = (hello: Message): void => {
     const zone = readPeerZone(hello);
     if (typeof hello["from"] === "string" && zone !== undefined)
--- a/src/membership/update-subscriber.ts
+++ b/src/membership/update-subscriber.ts
@@ -32,22 +32,22 @@
   readonly times: KeepAliveTimes;
   readonly updates: UpdateStore;
   readonly log: Logger;
-  /** Answers what a signalbox asks this node. */
+  /** Answers a request of the controller. */
   readonly answer?: (question: Message) => Message | undefined;
 }
 
 /** State of the session with a controller: none yet, hello sent and not answered, or open. */
-export type SessionState = "looking" | "greeting" | "standing";
+export type SessionState = "connecting" | "handshaking" | "connected";
 
-const LOOK_AGAIN_US = 150 * MILLISECOND_US;
-const RELAY_WAIT_US = 600 * MILLISECOND_US;
-/** How many signalboxes are remembered, those told last first. */
-const MOST_BOXES = 32;
-const OTHERS_EVERY = 3;
+const RECONNECT_DELAY_US = 150 * MILLISECOND_US;
+const RELAY_CONNECT_TIMEOUT_US = 600 * MILLISECOND_US;
+/** How many controllers are remembered, those announced last first. */
+const MAX_KNOWN_CONTROLLERS = 32;
+const FALLBACK_EVERY = 3;
 
 /**
- * A pointsman's way to the news: one session with a signalbox, and the news from it or from the
- * relay it names. Cut off, it goes on with the board as it is.
+ * How a node gets its updates: one session with a controller, and updates from it or from the relay
+ * that it names. Without a session the node goes on with the updates that it has.
  */
 export class UpdateSubscriber {
   readonly events = new Emittery<{
@@ -59,21 +59,21 @@
     /** Updates stopped coming, so children can't be served. */
     disconnected: undefined;
   }>();
-  private state: SessionState = "looking";
+  private state: SessionState = "connecting";
   /**
-   * Every signalbox that was told of, those told last first; who is no longer told of is kept
-   * behind, since a teller may be cut off.
+   * Every controller that was ever announced, those of the last announcement first. The others are
+   * kept behind them, since the announcing controller may itself be partitioned.
    */
-  private boxes: readonly (ControllerAddress & { readonly isTold: boolean })[] = [];
+  private knownControllers: readonly (ControllerAddress & { readonly isAnnounced: boolean })[] = [];
   private seeds: readonly string[];
   private connection: Connection | undefined;
-  /** Invariant: set exactly while a relay feeds this node. */
+  /** Invariant: set exactly while a relay sends this node its updates. */
   private relayConnection: Connection | undefined;
   private parent = "";
   private tried = new Map<string, number>();
   private stopping = false;
-  /** How often a signalbox was looked for since the last session. */
-  private looks = 0;
+  /** How often a connection was tried since the last session. */
+  private connectAttempts = 0;
   private readonly pendingRequests: PendingRequests;
 
   constructor(private readonly options: UpdateSubscriberOptions) {
@@ -86,19 +86,21 @@
     this.seeds = seeds;
   };
 
-  /** Whether the news comes in, so that children may be fed. */
+  /** Whether updates come in, so that they may be relayed to children. */
   get isUpToDate(): boolean {
-    return this.parent === "" ? this.state === "standing" : this.relayConnection !== undefined;
+    return this.parent === "" ? this.state === "connected" : this.relayConnection !== undefined;
   }
 
-  /** The relay that is to feed this node; empty where its signalbox does. */
+  /**
+   * The relay that this node subscribes to; empty where its controller sends the updates itself.
+   */
   get parentRelay(): string {
     return this.parent;
   }
 
-  /** Whether a session with a signalbox stands. */
+  /** Whether a session with a controller is open. */
   get isConnected(): boolean {
-    return this.state === "standing";
+    return this.state === "connected";
   }
 
   readonly run = async (): Promise<void> => {
@@ -112,40 +114,30 @@
   };
 
   readonly report = (message: Message): void => {
-    if (this.state === "standing") this.connection?.send(message);
+    if (this.state === "connected") this.connection?.send(message);
   };
 
-  /** Asks the signalbox; undefined when the session ends or the wait is over first. */
+  /** Asks the controller; undefined when the session ends or the time-out comes first. */
   readonly request = (message: Message, waitUs: number): Promise<Message | undefined> => {
-    return this.state === "standing" && this.connection
+    return this.state === "connected" && this.connection
       ? this.pendingRequests.request(this.connection.send, message, waitUs)
       : Promise.resolve(undefined);
   };
 
   private async *states(): AsyncGenerator<SessionState, void, undefined> {
-    const {
-      name,
-      zone,
-      relay,
-      role,
-      linkMbps,
-      peerPort: signalPort,
-      clock,
-      times,
-      log,
-    } = this.options;
+    const { name, zone, relay, role, linkMbps, peerPort, clock, times, log } = this.options;
     while (!this.stopping) {
-      yield "looking";
+      yield "connecting";
       const controller = this.choose();
       const connection = await connectTo(
         splitAddress(controller).ip,
-        signalPort,
+        peerPort,
         clock,
         times.timeoutUs / 2,
         times,
       );
       if (connection) {
-        yield "greeting";
+        yield "handshaking";
         this.connection = connection;
         connection.send(
           packNodeHello({
@@ -159,13 +151,13 @@
         const incoming = connection.incoming();
         const first = await withTimeout(clock, times.timeoutUs, incoming.next(), undefined);
         if (first && !first.done) {
-          this.learnBoxes(first.value);
+          this.learnControllers(first.value);
           // eslint-disable-next-line max-depth -- each yield is a state; a nested generator would add turns between them
           if (first.value.kind === MessageKind.welcome) {
             log.info("session opened", { controller });
             this.tried.clear();
-            this.looks = 0;
-            yield "standing";
+            this.connectAttempts = 0;
+            yield "connected";
             // eslint-disable-next-line max-depth -- as above
             for await (const message of incoming) this.take(message);
             log.info("session closed", { controller });
@@ -174,30 +166,32 @@
         connection.close();
         this.connection = undefined;
         this.pendingRequests.abandonAll();
-        yield "looking";
-        this.sayUnfed();
+        yield "connecting";
+        this.notifyDisconnected();
       }
       this.tried.set(controller, clock.nowUs());
       // eslint-disable-next-line @typescript-eslint/no-unnecessary-condition -- set by `stop` during an await
-      if (!this.stopping) await sleep(clock, LOOK_AGAIN_US);
+      if (!this.stopping) await sleep(clock, RECONNECT_DELAY_US);
     }
   }
 
   /**
-   * Of the signalboxes told last, that of the own cell first, else the one whose failure is longest
-   * ago. Every third look goes to the others, seeds and those told before: after replacements many
-   * of these are gone, and each costs a wait.
+   * Of the controllers announced last, the one of the own zone first, else the one whose failure is
+   * longest ago. Every third attempt goes to the others, seeds and those announced before: after
+   * replacements many of these no longer exist, and each costs a time-out.
    */
   private readonly choose = (): string => {
-    this.looks += 1;
-    const told = this.boxes.filter(({ isTold }) => isTold);
-    const others = [...new Set([...this.boxes.map(({ id }) => id), ...this.seeds])].filter(
-      (id) => !told.some((controller) => controller.id === id),
-    );
+    this.connectAttempts += 1;
+    const announced = this.knownControllers.filter(({ isAnnounced }) => isAnnounced);
+    const others = [
+      ...new Set([...this.knownControllers.map(({ id }) => id), ...this.seeds]),
+    ].filter((id) => !announced.some((controller) => controller.id === id));
     const isOthersTurn =
-      told.length === 0 || (others.length > 0 && this.looks % OTHERS_EVERY === 0);
-    const near = new Set(told.filter(({ zone }) => zone === this.options.zone).map(({ id }) => id));
-    const pool = isOthersTurn ? others : told.map(({ id }) => id);
+      announced.length === 0 || (others.length > 0 && this.connectAttempts % FALLBACK_EVERY === 0);
+    const near = new Set(
+      announced.filter(({ zone }) => zone === this.options.zone).map(({ id }) => id),
+    );
+    const pool = isOthersTurn ? others : announced.map(({ id }) => id);
     const scores = new Map(
       pool.map((id) => [
         id,
@@ -207,17 +201,21 @@
     return pool.sort((a, b) => (scores.get(a) ?? 0) - (scores.get(b) ?? 0))[0] ?? "";
   };
 
-  private readonly learnBoxes = (message: Message): void => {
-    const told = readControllers(message).map(({ id, zone }) => ({ id, zone, isTold: true }));
-    const ids = new Set(told.map(({ id }) => id));
-    const others = this.boxes
+  private readonly learnControllers = (message: Message): void => {
+    const announced = readControllers(message).map(({ id, zone }) => ({
+      id,
+      zone,
+      isAnnounced: true,
+    }));
+    const ids = new Set(announced.map(({ id }) => id));
+    const others = this.knownControllers
       .filter(({ id }) => !ids.has(id))
-      .map((controller) => ({ ...controller, isTold: false }));
-    this.boxes = [...told, ...others].slice(0, MOST_BOXES);
+      .map((controller) => ({ ...controller, isAnnounced: false }));
+    this.knownControllers = [...announced, ...others].slice(0, MAX_KNOWN_CONTROLLERS);
   };
 
-  /** Without news of its own a relay feeds nobody. */
-  private readonly sayUnfed = (): void => {
+  /** A relay that gets no updates itself must not serve children. */
+  private readonly notifyDisconnected = (): void => {
     if (!this.isUpToDate) void this.events.emit("disconnected");
   };
 
@@ -232,17 +230,17 @@
     }
     switch (message.kind) {
       case MessageKind.controllers:
-        this.learnBoxes(message);
+        this.learnControllers(message);
         return;
       case MessageKind.parent:
         this.follow(readString(message, "parent"));
         return;
       default:
-        this.takeNews(message);
+        this.applyUpdates(message);
     }
   };
 
-  private readonly takeNews = (message: Message): void => {
+  private readonly applyUpdates = (message: Message): void => {
     const { updates } = this.options;
     if (message.kind === MessageKind.clusterSize)
       void this.events.emit("clusterSize", readClusterSize(message));
@@ -254,7 +252,7 @@
     updates.forget(readList(message, "forget", asString));
     if (readFlag(message, "whole")) {
       if (readFlag(message, "complete"))
-        this.forgetUntold(new Set(facts.map((fact) => readString(asRecord(fact), "key"))));
+        this.forgetUnnamed(new Set(facts.map((fact) => readString(asRecord(fact), "key"))));
       void this.events.emit("snapshot");
     }
   };
@@ -263,7 +261,7 @@
    * A complete telling names every worker there is; plan items never vanish, since drops stay as
    * tombstones.
    */
-  private readonly forgetUntold = (told: ReadonlySet<string>): void => {
+  private readonly forgetUnnamed = (told: ReadonlySet<string>): void => {
     const { updates } = this.options;
     updates.forget(
       updates
@@ -277,22 +275,22 @@
     this.parent = parent;
     this.relayConnection?.close();
     this.relayConnection = undefined;
-    if (parent !== "") void this.feedFrom(parent);
+    if (parent !== "") void this.subscribeToRelay(parent);
   };
 
-  private readonly feedFrom = async (parent: string): Promise<void> => {
+  private readonly subscribeToRelay = async (parent: string): Promise<void> => {
     const { clock, times, name } = this.options;
     const { ip, port } = splitAddress(parent);
-    const connection = await connectTo(ip, port, clock, RELAY_WAIT_US, times);
+    const connection = await connectTo(ip, port, clock, RELAY_CONNECT_TIMEOUT_US, times);
     if (connection && this.parent === parent) {
       this.relayConnection = connection;
       connection.send({ kind: MessageKind.childHello, name });
       for await (const message of connection.incoming()) {
-        if (this.parent === parent) this.takeNews(message);
+        if (this.parent === parent) this.applyUpdates(message);
       }
       if (this.relayConnection === connection) {
         this.relayConnection = undefined;
-        this.sayUnfed();
+        this.notifyDisconnected();
       }
     }
     connection?.close();
--- a/src/membership/worker-registry.ts
+++ b/src/membership/worker-registry.ts
@@ -30,7 +30,7 @@
  */
 export class WorkerRegistry {
   private readonly entries = new Map<string, Entry>();
-  /** Since when beats, and what colleagues share of them, have been able to come in. */
+  /** Since when heartbeats, direct or replicated by peers, have been able to arrive. */
   private listeningSinceUs: number;
 
   constructor(
@@ -67,7 +67,7 @@
 
   /**
    * Takes a beat, heard here or shared after `ageUs` elsewhere; false if it is old. One so old that
-   * its worker is missing counts as such at once: a colleague that was cut off tells of workers
+   * its worker is missing counts as such at once: a peer that was partitioned announces workers
    * long gone.
    */
   // eslint-disable-next-line complexity -- the order of the comparisons is the rule, and stays in one place
--- a/src/programs/data-plane-node.ts
+++ b/src/programs/data-plane-node.ts
@@ -20,7 +20,7 @@
 }
 
 /**
- * A node of the data plane among the others: its session with a signalbox, and its place in the
+ * A node of the data plane among the others: its session with a controller, and its place in the
  * relay tree.
  */
 export const joinCluster = (
--- a/src/programs/gateway/node-queries.ts
+++ b/src/programs/gateway/node-queries.ts
@@ -39,7 +39,7 @@
 });
 
 /**
- * What a pointsman answers a signalbox that asks on an operator's behalf. Queries only: they count,
+ * What a gateway answers a controller that asks on an operator's behalf. Queries only: they count,
  * and change nothing.
  */
 export const nodeQueryHandlers = ({
