--- a/features/steps/compatibility.ts
+++ b/features/steps/compatibility.ts
@@ -24,7 +24,6 @@
   asList,
   asRecord,
   readFlag,
-  isRecord,
   readList,
   parseJson,
   readString,
@@ -42,6 +41,8 @@
   plain,
   throughWire,
   withFormerNames,
+  live,
+  messageOf,
 } from "../support/golden.js";
 import { ManualClock } from "../support/manual-clock.js";
 
@@ -63,18 +64,6 @@
 const goldenRec = async (name: string): Promise<UnknownRecord> =>
   asRecord(await golden(name), name);
 
-/** What `plain` made of a value, with its bytes again. */
-const live = (value: unknown): unknown => {
-  if (Array.isArray(value)) return value.map(live);
-  if (!isRecord(value)) return value;
-  if (typeof value["bytes"] === "string" && Object.keys(value).length === 1)
-    return Buffer.from(value["bytes"], "base64");
-  return Object.fromEntries(Object.entries(value).map(([key, inner]) => [key, live(inner)]));
-};
-const messageOf = (value: unknown): Message => {
-  const record = asRecord(live(value), "message");
-  return { ...record, kind: readString(record, "kind") };
-};
 const framesOf = async (): Promise<
   readonly { readonly bytes: Buffer; readonly message: Message; readonly deflated: boolean }[]
 > =>
--- a/features/steps/object-messages.ts
+++ b/features/steps/object-messages.ts
@@ -28,7 +28,7 @@
 import { WorkerDirectory } from "../../src/proxy/worker-directory.js";
 import { RateLimiter } from "../../src/quota/rate-limiter.js";
 import type { Message } from "../../src/transport/connection.js";
-import { plain } from "../support/golden.js";
+import { plain, messageOf } from "../support/golden.js";
 import { ManualClock, settle } from "../support/manual-clock.js";
 
 const FILE = "features/data/before-2026-12-objects/objects.json";
@@ -37,19 +37,6 @@
 const golden = async (): Promise<UnknownRecord> =>
   asRecord(parseJson(await readFile(FILE, "utf8")), FILE);
 
-/** What `plain` made of a value, with its bytes again. */
-const live = (value: unknown): unknown => {
-  if (Array.isArray(value)) return value.map(live);
-  if (!isRecord(value)) return value;
-  if (typeof value["bytes"] === "string" && Object.keys(value).length === 1)
-    return Buffer.from(value["bytes"], "base64");
-  return Object.fromEntries(Object.entries(value).map(([key, inner]) => [key, live(inner)]));
-};
-const messageOf = (value: unknown): Message => {
-  const record = asRecord(live(value), "message");
-  return { ...record, kind: readString(record, "kind") };
-};
-
 const wantOf = (clock: Clock, url: string, leftUs = 900_000): ObjectRequest => ({
   service: "s",
   host: "h.example",
--- a/features/support/golden.ts
+++ b/features/support/golden.ts
@@ -1,7 +1,7 @@
 import { createServer, type Socket } from "node:net";
 import { makeRegister } from "../../src/consensus/register.js";
 import { CONSENSUS_MESSAGE_KINDS } from "../../src/consensus/messages.js";
-import { isRecord } from "../../src/common/decode.js";
+import { asRecord, isRecord, readString } from "../../src/common/decode.js";
 import { connectTo } from "../../src/transport/connect.js";
 import type { Message } from "../../src/transport/message.js";
 import { STATE_FOLDER, type ReplicaCluster } from "./replica-cluster.js";
@@ -48,6 +48,20 @@
   );
 };
 
+/** What `plain` made of a value, with its bytes again. */
+export const live = (value: unknown): unknown => {
+  if (Array.isArray(value)) return value.map(live);
+  if (!isRecord(value)) return value;
+  if (typeof value["bytes"] === "string" && Object.keys(value).length === 1)
+    return Buffer.from(value["bytes"], "base64");
+  return Object.fromEntries(Object.entries(value).map(([key, inner]) => [key, live(inner)]));
+};
+/** The message that a golden file holds in that form. */
+export const messageOf = (value: unknown): Message => {
+  const record = asRecord(live(value), "message");
+  return { ...record, kind: readString(record, "kind") };
+};
+
 export const IDS = ["a", "b", "c", "d"];
 export const ORDER = [
   makeRegister("service/pay", 1, '{"workers":1}'),
--- a/src/main.ts
+++ b/src/main.ts
@@ -60,7 +60,7 @@
   const log = loggerFor("yewreel");
   process.on("unhandledRejection", (error) =>
     log.warn(
-      `A mishap nobody took: ${error instanceof Error ? (error.stack ?? error.message) : String(error)}.`,
+      `unhandled promise rejection: ${error instanceof Error ? (error.stack ?? error.message) : String(error)}.`,
     ),
   );
   await takeOverFormerFolder({
--- a/src/programs/data-plane-node.ts
+++ b/src/programs/data-plane-node.ts
@@ -43,7 +43,7 @@
     clock,
     times: KEEP_ALIVE,
     updates,
-    log: loggerFor("taker"),
+    log: loggerFor("update-subscriber"),
     ...(answer ? { answer } : {}),
   });
   const publisher = new UpdatePublisher(clock, updates, () => false);
--- a/src/programs/gateway/gateway.ts
+++ b/src/programs/gateway/gateway.ts
@@ -43,7 +43,7 @@
   const { zone } = settings;
   return new ProxyServer({
     clock,
-    log: loggerFor("front"),
+    log: loggerFor("proxy"),
     zone,
     bufferMemoryBytes: ((settings.memoryMb || DEFAULT_MEMORY_MB) * MB) / BUFFER_MEMORY_DIVISOR,
     routes: dataPlane.routes,
