--- a/hunts/days.ts
+++ b/hunts/days.ts
@@ -36,8 +36,16 @@
 export type Mix = (typeof MIXES)[number];
 export const MOST_ORDERS_AT_ONCE = 8;
 export const MOST_CHANGES = 300;
-const TROUBLES: Readonly<Record<Mix, readonly [number, number]>> = { few: [2, 8], many: [12, 40], changes: [4, 14] };
-const CHANGES: Readonly<Record<Mix, readonly [number, number]>> = { few: [2, 10], many: [5, 40], changes: [100, MOST_CHANGES] };
+const TROUBLES: Readonly<Record<Mix, readonly [number, number]>> = {
+  few: [2, 8],
+  many: [12, 40],
+  changes: [4, 14],
+};
+const CHANGES: Readonly<Record<Mix, readonly [number, number]>> = {
+  few: [2, 10],
+  many: [5, 40],
+  changes: [100, MOST_CHANGES],
+};
 /** Nothing begins in the first and in the last seconds. */
 const FIRST_AT = 1;
 const LAST_S = 3;
@@ -45,7 +53,12 @@
 const MOST_SHARE = 0.6;
 
 /** A figure around its default, from half of it to twice as much; `open` where there is none. */
-const around = (draw: Draw, figure: Figure, open: readonly [number, number], most: number): number => {
+const around = (
+  draw: Draw,
+  figure: Figure,
+  open: readonly [number, number],
+  most: number,
+): number => {
   const [least, top] = figure === "open" ? open : [figure / 2, figure * 2];
   return draw.spread(least, Math.max(least, Math.min(top, most)));
 };
@@ -70,17 +83,37 @@
   const onCore = kind.struck === "machines" && kind.share !== undefined && draw.chance(0.5);
   const mostShare = typeof kind.share === "number" ? Math.max(MOST_SHARE, kind.share) : MOST_SHARE;
   const few = onCore && draw.chance(0.7) ? draw.whole(1, 2) : undefined;
-  const count = kind.count === undefined ? few : kind.routes ? draw.whole(20, MOST_ROUTES) : draw.whole(1, order ? 10 : 3);
+  const count =
+    kind.count === undefined
+      ? few
+      : kind.routes
+        ? draw.whole(20, MOST_ROUTES)
+        : draw.whole(1, order ? 10 : 3);
   // What is a part of things stays one.
-  const x = kind.x === undefined ? undefined : kind.atATime ? draw.whole(1, 4) : around(draw, kind.x, [1.2, 3], typeof kind.x === "number" && kind.x < 1 ? 0.95 : Infinity);
+  const x =
+    kind.x === undefined
+      ? undefined
+      : kind.atATime
+        ? draw.whole(1, 4)
+        : around(
+            draw,
+            kind.x,
+            [1.2, 3],
+            typeof kind.x === "number" && kind.x < 1 ? 0.95 : Infinity,
+          );
   const zones = how.includes("one_zone") ? { to_zone: draw.one(site.zones) } : {};
-  const zone = (kind.struck === "servers" || kind.struck === "clients") && draw.chance(0.15) ? draw.one(site.zones) : undefined;
+  const zone =
+    (kind.struck === "servers" || kind.struck === "clients") && draw.chance(0.15)
+      ? draw.one(site.zones)
+      : undefined;
   return {
     at,
     kind: kind.name,
     for_s: draw.spread(0.5, order && kind.stepped ? 6 : 20),
     ...(kind.stepped ? { gap_s: draw.spread(0.1, 2) } : {}),
-    ...(kind.share === undefined || few !== undefined ? {} : { share: around(draw, kind.share, [0.1, 0.5], mostShare) }),
+    ...(kind.share === undefined || few !== undefined
+      ? {}
+      : { share: around(draw, kind.share, [0.1, 0.5], mostShare) }),
     ...(count === undefined ? {} : { count }),
     ...(x === undefined ? {} : { x }),
     ...(onCore ? { on: "core" } : {}),
@@ -91,7 +124,12 @@
 };
 
 /** A day's changes: clumps of up to eight orders at one moment. */
-const changesOf = (draw: Draw, kind: Kind | undefined, count: number, moment: () => number): readonly Entry[] => {
+const changesOf = (
+  draw: Draw,
+  kind: Kind | undefined,
+  count: number,
+  moment: () => number,
+): readonly Entry[] => {
   if (kind === undefined) return [];
   const entries: Entry[] = [];
   // No moment is taken twice, so that no two clumps make one that is larger.
@@ -110,13 +148,23 @@
 };
 
 /** One day, a pure function of its seed, the site, the list and the bounds of its length (whole seconds). */
-export const drawDay = (seed: number, site: Site, list: KindList, length: readonly [number, number]): Day => {
+export const drawDay = (
+  seed: number,
+  site: Site,
+  list: KindList,
+  length: readonly [number, number],
+): Day => {
   const draw = new Draw(seed);
   const mix = MIXES[draw.whole(0, MIXES.length - 1)] ?? "few";
   const length_s = draw.whole(length[0], length[1]);
   const moment = () => draw.between(FIRST_AT, length_s - LAST_S);
   const change = list.kinds.find((kind) => kind.name === "config_change");
-  const entries: { readonly book: "plan" | "faults"; readonly entry: Entry }[] = changesOf(draw, change, draw.whole(...CHANGES[mix]), moment).map((entry) => ({ book: "plan", entry }));
+  const entries: { readonly book: "plan" | "faults"; readonly entry: Entry }[] = changesOf(
+    draw,
+    change,
+    draw.whole(...CHANGES[mix]),
+    moment,
+  ).map((entry) => ({ book: "plan", entry }));
   const troubles = list.kinds.filter((kind) => kind !== change);
   for (let left = draw.whole(...TROUBLES[mix]); left > 0; left -= 1) {
     const kind = draw.one(troubles);
@@ -125,12 +173,18 @@
   const close = draw.chance(0.6) ? draw.one(list.closings) : undefined;
   const closeHow = draw.chance(0.4) ? draw.one(list.closingHows) : undefined;
   const down_s = draw.between(0.5, 2);
-  const of = (book: "plan" | "faults") => entries.filter((one) => one.book === book).map(({ entry }) => entry).sort((a, b) => a.at - b.at);
+  const of = (book: "plan" | "faults") =>
+    entries
+      .filter((one) => one.book === book)
+      .map(({ entry }) => entry)
+      .sort((a, b) => a.at - b.at);
   return {
     name: `${mix}-${seed}`,
     seed,
     length_s,
-    ...(close === undefined ? {} : { closing: { kind: close, down_s, ...(closeHow === undefined ? {} : { how: closeHow }) } }),
+    ...(close === undefined
+      ? {}
+      : { closing: { kind: close, down_s, ...(closeHow === undefined ? {} : { how: closeHow }) } }),
     plan: of("plan"),
     faults: of("faults"),
   };
@@ -143,9 +197,17 @@
 };
 
 const inline = (record: object): string =>
-  `{ ${Object.entries(record).map(([field, value]) => `${field} = ${typeof value === "string" ? JSON.stringify(value) : String(value)}`).join(", ")} }`;
+  `{ ${Object.entries(record)
+    .map(
+      ([field, value]) =>
+        `${field} = ${typeof value === "string" ? JSON.stringify(value) : String(value)}`,
+    )
+    .join(", ")} }`;
 
-const block = (name: string, entries: readonly Entry[]): string => (entries.length === 0 ? `${name} = []` : `${name} = [\n${entries.map((entry) => `  ${inline(entry)},\n`).join("")}]`);
+const block = (name: string, entries: readonly Entry[]): string =>
+  entries.length === 0
+    ? `${name} = []`
+    : `${name} = [\n${entries.map((entry) => `  ${inline(entry)},\n`).join("")}]`;
 
 /** The day as a file, one entry a line. */
 export const writeDay = (day: Day, site: Site, from: string): string =>
--- a/hunts/journal.ts
+++ b/hunts/journal.ts
@@ -34,7 +34,11 @@
   const others = list(day, "short", textOf).filter((why) => !why.startsWith("fault:"));
   const acks = others.filter((why) => ACK.test(why)).length;
   const floors = others.length - acks;
-  return { ...counts, ...(acks > 0 ? { "no ack": acks } : {}), ...(floors > 0 ? { "below its floor": floors } : {}) };
+  return {
+    ...counts,
+    ...(acks > 0 ? { "no ack": acks } : {}),
+    ...(floors > 0 ? { "below its floor": floors } : {}),
+  };
 };
 
 const siteOf = (entry: Rec, argv: readonly string[]): string => {
@@ -43,7 +47,9 @@
 };
 
 /** The days of one journal entry, in the order they stand there. Throws a ShapeMishap that names a field which isn't as it should be. */
-export const readEntry = (value: unknown): { readonly played: readonly Played[]; readonly unplayed: readonly Unplayed[] } => {
+export const readEntry = (
+  value: unknown,
+): { readonly played: readonly Played[]; readonly unplayed: readonly Unplayed[] } => {
   const entry = asRec(value, "entry");
   const id = text(entry, "id");
   const argv = list(entry, "argv", textOf);
@@ -53,7 +59,10 @@
   const days = list(entry, "days", (day) => asRec(day, "day"));
   const unplayed = (why: string) => ({ played: [], unplayed: [{ ...about, why }] });
   if (argv.includes("--until")) return unplayed("played only in part");
-  if (days.length === 0) return typeof entry["error"] === "string" ? unplayed(entry["error"]) : { played: [], unplayed: [] };
+  if (days.length === 0)
+    return typeof entry["error"] === "string"
+      ? unplayed(entry["error"])
+      : { played: [], unplayed: [] };
   const small = argv.includes("--small");
   const command = text(entry, "cmd");
   const own = command === "run" && argv.slice(1).some((word) => word.endsWith(".toml"));
--- a/hunts/kinds.ts
+++ b/hunts/kinds.ts
@@ -93,13 +93,16 @@
 /** The words that follow `how`: "how: a b, c (why); how d: why". A part that explains itself after a comma gives its first word. */
 const howsOf = (text: string): readonly string[] => {
   const timed = [...text.matchAll(/how (\w+):/g)].map((found) => found[1] ?? "");
-  const listed = [...text.matchAll(/how:((?:[^()]|\((?:[^()]|\([^()]*\))*\))*)/g)].flatMap((found) =>
-    bare(found[1] ?? "").split(";").flatMap((part) => {
-      const told = part.trim();
-      if (/\bhow \w+:|^on \w+:/.test(told)) return [];
-      const explained = /^(\w+), they\b/.exec(told);
-      return explained?.[1] === undefined ? told.split(/[\s,+]+/) : [explained[1]];
-    }),
+  const listed = [...text.matchAll(/how:((?:[^()]|\((?:[^()]|\([^()]*\))*\))*)/g)].flatMap(
+    (found) =>
+      bare(found[1] ?? "")
+        .split(";")
+        .flatMap((part) => {
+          const told = part.trim();
+          if (/\bhow \w+:|^on \w+:/.test(told)) return [];
+          const explained = /^(\w+), they\b/.exec(told);
+          return explained?.[1] === undefined ? told.split(/[\s,+]+/) : [explained[1]];
+        }),
   );
   return [...new Set([...listed, ...timed].filter(isHow))];
 };
@@ -116,7 +119,11 @@
 const kindOf = (name: string, told: string): Kind | undefined => {
   const served = SERVED[name];
   if (served === undefined) return undefined;
-  const [share, count, x] = [figureOf(told, /\bshare\b(?! x\b)(?: \(([^()]*)\))?/), figureOf(told, /\bcount\b(?: \(([^()]*)\))?/), figureOf(told, /\bx\b(?: (?:ms|s))?(?: \(([^()]*)\))?/)];
+  const [share, count, x] = [
+    figureOf(told, /\bshare\b(?! x\b)(?: \(([^()]*)\))?/),
+    figureOf(told, /\bcount\b(?: \(([^()]*)\))?/),
+    figureOf(told, /\bx\b(?: (?:ms|s))?(?: \(([^()]*)\))?/),
+  ];
   return {
     name,
     book: served[0],
@@ -144,10 +151,21 @@
   const lines = text.split("\n");
   const described = lines.flatMap((line) => {
     const found = /^([a-z]\w*): (.*)$/.exec(line);
-    return found?.[1] !== undefined && found[2] !== undefined ? [{ name: found[1], told: found[2] }] : [];
+    return found?.[1] !== undefined && found[2] !== undefined
+      ? [{ name: found[1], told: found[2] }]
+      : [];
   });
-  if (described.length === 0) return err("the list of kinds holds none; give what `fleetbench kinds SITE` prints");
-  const read = described.map(({ name, told }) => ({ name, kind: kindOf(name, told.startsWith("the same,") ? (described.find((one) => one.name === "after_ack_kill")?.told ?? told) : told) }));
+  if (described.length === 0)
+    return err("the list of kinds holds none; give what `fleetbench kinds SITE` prints");
+  const read = described.map(({ name, told }) => ({
+    name,
+    kind: kindOf(
+      name,
+      told.startsWith("the same,")
+        ? (described.find((one) => one.name === "after_ack_kill")?.told ?? told)
+        : told,
+    ),
+  }));
   const closing = lines.find((line) => line.startsWith("closing")) ?? "";
   const after = wordsAfter(text, /After these may stand /);
   const meets = ["meet", "race"].filter((word) => after.includes(word));
@@ -160,7 +178,10 @@
     returns: after.filter((word) => !meets.includes(word)),
     busy: /for roll_term, busy\b/.test(text) ? ["busy"] : [],
     cuts: wordsAfter(text, /unless 'how' holds /),
-    closings: (/kind = ([\w |]+)/.exec(closing)?.[1] ?? "").split("|").map((word) => word.trim()).filter((word) => word !== ""),
+    closings: (/kind = ([\w |]+)/.exec(closing)?.[1] ?? "")
+      .split("|")
+      .map((word) => word.trim())
+      .filter((word) => word !== ""),
     closingHows: [...closing.matchAll(/how (\w+):/g)].map((found) => found[1] ?? ""),
   });
 };
--- a/hunts/run.ts
+++ b/hunts/run.ts
@@ -33,18 +33,24 @@
   try {
     return read(body);
   } catch (mishap) {
-    throw new HuntsMishap(`${path}: ${mishap instanceof Error ? (mishap.message.split("\n")[0] ?? "") : "cannot be read"}`);
+    throw new HuntsMishap(
+      `${path}: ${mishap instanceof Error ? (mishap.message.split("\n")[0] ?? "") : "cannot be read"}`,
+    );
   }
 };
 
 const siteOf = (body: string): Site => {
   const site = asRec(parse(body), "site");
-  return { name: text(site, "name"), zones: list(site, "zones", (zone) => text(asRec(zone, "zone"), "name")) };
+  return {
+    name: text(site, "name"),
+    zones: list(site, "zones", (zone) => text(asRec(zone, "zone"), "name")),
+  };
 };
 
 const wholeOf = (name: string, given: string, least: number, most: number): number => {
   const value = Number(given);
-  if (!Number.isSafeInteger(value) || value < least || value > most) throw new HuntsMishap(`${name} must be a whole number from ${least} to ${most}, not ${given}`);
+  if (!Number.isSafeInteger(value) || value < least || value > most)
+    throw new HuntsMishap(`${name} must be a whole number from ${least} to ${most}, not ${given}`);
   return value;
 };
 
@@ -68,20 +74,43 @@
   const kinds = parseKinds(await readText(options.kinds));
   if (kinds.isErr) throw new HuntsMishap(kinds.error);
   await mkdir(options.out, { recursive: true });
-  const written: { readonly file: string; readonly seed: number; readonly length_s: number; readonly changes: number; readonly troubles: number; readonly closing: string }[] = [];
+  const written: {
+    readonly file: string;
+    readonly seed: number;
+    readonly length_s: number;
+    readonly changes: number;
+    readonly troubles: number;
+    readonly closing: string;
+  }[] = [];
   for (const [at, daySeed] of seedsOf(seed, count).entries()) {
     const day = drawDay(daySeed, site, kinds.value, [shortest, longest]);
     const file = join(options.out, `${site.name}-${day.name}.toml`);
     await writeFile(file, writeDay(day, site, `seed ${seed}, day ${at + 1}`));
     const changes = day.plan.filter(({ kind }) => kind === "config_change").length;
-    written.push({ file, seed: daySeed, length_s: day.length_s, changes, troubles: day.plan.length + day.faults.length - changes, closing: day.closing?.kind ?? "none" });
-    if (written.length % PROGRESS_EVERY === 0) process.stderr.write(`${written.length} of ${count} days\n`);
+    written.push({
+      file,
+      seed: daySeed,
+      length_s: day.length_s,
+      changes,
+      troubles: day.plan.length + day.faults.length - changes,
+      closing: day.closing?.kind ?? "none",
+    });
+    if (written.length % PROGRESS_EVERY === 0)
+      process.stderr.write(`${written.length} of ${count} days\n`);
   }
   const { leftOut } = kinds.value;
-  if (options.json === true) process.stdout.write(`${JSON.stringify({ site: site.name, leftOut, days: written })}\n`);
+  if (options.json === true)
+    process.stdout.write(`${JSON.stringify({ site: site.name, leftOut, days: written })}\n`);
   else {
-    written.forEach((day) => process.stdout.write(`${day.file}  ${day.length_s} s  ${day.changes} changes  ${day.troubles} troubles  closing ${day.closing}\n`));
-    if (leftOut.length > 0) process.stdout.write(`left out, since the system isn't built for them: ${leftOut.join(", ")}\n`);
+    written.forEach((day) =>
+      process.stdout.write(
+        `${day.file}  ${day.length_s} s  ${day.changes} changes  ${day.troubles} troubles  closing ${day.closing}\n`,
+      ),
+    );
+    if (leftOut.length > 0)
+      process.stdout.write(
+        `left out, since the system isn't built for them: ${leftOut.join(", ")}\n`,
+      );
   }
 };
 
@@ -94,7 +123,10 @@
 }
 
 const makeTable = async (options: TableOptions): Promise<void> => {
-  if (options.since !== "" && Number.isNaN(Date.parse(options.since))) throw new HuntsMishap(`--since must be a time such as 2026-12-02T04:30:00Z, not ${options.since}`);
+  if (options.since !== "" && Number.isNaN(Date.parse(options.since)))
+    throw new HuntsMishap(
+      `--since must be a time such as 2026-12-02T04:30:00Z, not ${options.since}`,
+    );
   const names = await readdir(options.journal).catch(() => {
     throw new HuntsMishap(`${options.journal} cannot be read`);
   });
@@ -105,14 +137,18 @@
     const entry = await readWith(join(options.journal, name), (body) => readEntry(parseJson(body)));
     played.push(...entry.played);
     unplayed.push(...entry.unplayed);
-    if ((at + 1) % PROGRESS_EVERY === 0) process.stderr.write(`${at + 1} of ${files.length} entries\n`);
+    if ((at + 1) % PROGRESS_EVERY === 0)
+      process.stderr.write(`${at + 1} of ${files.length} entries\n`);
   }
   const notes = await readWith(options.notes, (body) => readNotes(parse(body)));
   const summary = summaryOf(played, unplayed, notes, options.since);
   await mkdir(dirname(options.out), { recursive: true });
   await writeFile(options.out, pageOf(summary));
   if (options.json === true) process.stdout.write(`${JSON.stringify(summary)}\n`);
-  else process.stdout.write(`${basename(options.out)}: ${files.length} entries, ${summary.rows.length} deployments, ${summary.findings.length} rules broken.\n`);
+  else
+    process.stdout.write(
+      `${basename(options.out)}: ${files.length} entries, ${summary.rows.length} deployments, ${summary.findings.length} rules broken.\n`,
+    );
 };
 
 /** Runs a command; what is wrong goes to stderr in one line, with code 2. */
@@ -126,10 +162,14 @@
   }
 };
 
-const cli = new Command("hunts").description("days of our own for the bench, and the table of what was hunted");
+const cli = new Command("hunts").description(
+  "days of our own for the bench, and the table of what was hunted",
+);
 cli
   .command("days")
-  .description("draws day files for a deployment from its list of kinds; the same seed gives the same files")
+  .description(
+    "draws day files for a deployment from its list of kinds; the same seed gives the same files",
+  )
   .requiredOption("--site <file>", "the deployment's site file")
   .requiredOption("--kinds <file>", "what the bench lists as kinds for it; - reads standard input")
   .requiredOption("--seed <n>", "where the draws begin")
--- a/hunts/table.ts
+++ b/hunts/table.ts
@@ -13,7 +13,12 @@
 export const readNotes = (value: unknown): readonly Note[] =>
   list(asRec(value, "notes"), "note", (one) => {
     const note = asRec(one, "note");
-    return { day: text(note, "day"), rule: text(note, "rule"), state: text(note, "state") === "mended" ? "mended" : "left", told: text(note, "told") };
+    return {
+      day: text(note, "day"),
+      rule: text(note, "rule"),
+      state: text(note, "state") === "mended" ? "mended" : "left",
+      told: text(note, "told"),
+    };
   });
 
 /** A rule that a day broke, over all plays of that day at that size, oldest first. */
@@ -32,7 +37,9 @@
 export interface SiteRow {
   readonly site: string;
   /** Different days played to their end, by whose they are and their size; and all plays with those that repeat a day. */
-  readonly days: Readonly<Record<Played["whose"], { readonly full: number; readonly small: number }>>;
+  readonly days: Readonly<
+    Record<Played["whose"], { readonly full: number; readonly small: number }>
+  >;
   readonly plays: number;
   /** How many of the plays charged no processor time. */
   readonly uncharged: number;
@@ -65,28 +72,54 @@
       const note = notes.find((one) => one.rule === rule && play.key.startsWith(one.day));
       const nowHeld = latest.get(play.key)?.broken[rule] === undefined;
       // A note alone mends nothing: the same day must have been played again.
-      const state = note === undefined ? "open" : note.state === "mended" && !nowHeld ? "open" : note.state;
-      found.set(id, { site: play.site, key: play.key, rule, times: (before?.times ?? 0) + times, entries: [...(before?.entries ?? []), play.entry], nowHeld, state, told: note?.told ?? "" });
+      const state =
+        note === undefined ? "open" : note.state === "mended" && !nowHeld ? "open" : note.state;
+      found.set(id, {
+        site: play.site,
+        key: play.key,
+        rule,
+        times: (before?.times ?? 0) + times,
+        entries: [...(before?.entries ?? []), play.entry],
+        nowHeld,
+        state,
+        told: note?.told ?? "",
+      });
     }),
   );
   return [...found.values()];
 };
 
-const unbrokenOf = (plays: readonly Played[]): number => plays.reduce((row, play) => (isBroken(play) ? 0 : row + 1), 0);
+const unbrokenOf = (plays: readonly Played[]): number =>
+  plays.reduce((row, play) => (isBroken(play) ? 0 : row + 1), 0);
 
 /** Sums what the journal tells; plays in any order. `since` leaves out what began before it (an ISO time; empty: nothing). */
-export const summaryOf = (allPlays: readonly Played[], allUnplayed: readonly Unplayed[], notes: readonly Note[], since: string): Summary => {
-  const recent = allPlays.filter((play) => play.at >= since).sort((a, b) => (a.at < b.at ? -1 : a.at > b.at ? 1 : 0));
+export const summaryOf = (
+  allPlays: readonly Played[],
+  allUnplayed: readonly Unplayed[],
+  notes: readonly Note[],
+  since: string,
+): Summary => {
+  const recent = allPlays
+    .filter((play) => play.at >= since)
+    .sort((a, b) => (a.at < b.at ? -1 : a.at > b.at ? 1 : 0));
   const plays = recent.filter((play) => play.givenUp === undefined);
   const unplayed = allUnplayed.filter((one) => one.at >= since);
   const findings = findingsOf(plays, notes);
   const sites = [...new Set([...recent, ...unplayed].map(({ site }) => site))].sort();
   const rows = sites.map((site): SiteRow => {
     const here = plays.filter((play) => play.site === site);
-    const sized = (whose: Played["whose"], small: boolean) => new Set(here.filter((play) => play.whose === whose && play.small === small).map(({ key }) => key)).size;
-    const both = (whose: Played["whose"]) => ({ full: sized(whose, false), small: sized(whose, true) });
+    const sized = (whose: Played["whose"], small: boolean) =>
+      new Set(
+        here.filter((play) => play.whose === whose && play.small === small).map(({ key }) => key),
+      ).size;
+    const both = (whose: Played["whose"]) => ({
+      full: sized(whose, false),
+      small: sized(whose, true),
+    });
     const kinds = new Map<string, number>();
-    here.forEach((play) => play.kinds.forEach((kind) => kinds.set(kind, (kinds.get(kind) ?? 0) + 1)));
+    here.forEach((play) =>
+      play.kinds.forEach((kind) => kinds.set(kind, (kinds.get(kind) ?? 0) + 1)),
+    );
     const foundHere = findings.filter((finding) => finding.site === site);
     return {
       site,
@@ -95,7 +128,10 @@
       uncharged: here.filter((play) => !play.charged).length,
       givenUp: recent.filter((play) => play.site === site && play.givenUp !== undefined).length,
       partial: unplayed.filter((one) => one.site === site).length,
-      unbroken: { full: unbrokenOf(here.filter((play) => !play.small)), small: unbrokenOf(here.filter((play) => play.small)) },
+      unbroken: {
+        full: unbrokenOf(here.filter((play) => !play.small)),
+        small: unbrokenOf(here.filter((play) => play.small)),
+      },
       kinds: [...kinds].sort(([a, timesA], [b, timesB]) => timesB - timesA || (a < b ? -1 : 1)),
       found: foundHere.length,
       mended: foundHere.filter(({ state }) => state === "mended").length,
@@ -106,7 +142,8 @@
 };
 
 const clean = (value: string): string => value.replace(/\|/g, "/").replace(/\s+/g, " ");
-const sizes = ({ full, small }: { readonly full: number; readonly small: number }): string => `${full} + ${small}`;
+const sizes = ({ full, small }: { readonly full: number; readonly small: number }): string =>
+  `${full} + ${small}`;
 
 /** One line for each entry and reason, however many of its days were given up for it. */
 const givenUpLines = (givenUp: readonly Played[]): readonly string[] => {
@@ -115,13 +152,16 @@
     const id = `${play.entry} ${play.site}: ${clean(play.givenUp ?? "").slice(0, 160)}`;
     groups.set(id, [...(groups.get(id) ?? []), play]);
   });
-  return [...groups].map(([id, plays]) => `- ${id} (${plays.length === 1 ? plays[0]?.name : `${plays.length} days`})`);
+  return [...groups].map(
+    ([id, plays]) => `- ${id} (${plays.length === 1 ? plays[0]?.name : `${plays.length} days`})`,
+  );
 };
 
 /** The page docs/hunts.md. */
 export const pageOf = ({ since, rows, findings, givenUp }: Summary): string => {
   const sum = (read: (row: SiteRow) => number) => rows.reduce((total, row) => total + read(row), 0);
-  const total = (whose: Played["whose"]) => sizes({ full: sum((row) => row.days[whose].full), small: sum((row) => row.days[whose].small) });
+  const total = (whose: Played["whose"]) =>
+    sizes({ full: sum((row) => row.days[whose].full), small: sum((row) => row.days[whose].small) });
   return [
     "# Hunts",
     "",
@@ -135,18 +175,31 @@
     "",
     "| deployment | own | bench's | standard | plays (uncharged) | given up | in part or not finished | unbroken | rules broken | mended | left |",
     "|---|---|---|---|---|---|---|---|---|---|---|",
-    ...rows.map((row) => `| ${row.site} | ${sizes(row.days.own)} | ${sizes(row.days.hunt)} | ${sizes(row.days.standard)} | ${row.plays} (${row.uncharged}) | ${row.givenUp} | ${row.partial} | ${sizes(row.unbroken)} | ${row.found} | ${row.mended} | ${row.left} |`),
+    ...rows.map(
+      (row) =>
+        `| ${row.site} | ${sizes(row.days.own)} | ${sizes(row.days.hunt)} | ${sizes(row.days.standard)} | ${row.plays} (${row.uncharged}) | ${row.givenUp} | ${row.partial} | ${sizes(row.unbroken)} | ${row.found} | ${row.mended} | ${row.left} |`,
+    ),
     `| all | ${total("own")} | ${total("hunt")} | ${total("standard")} | ${sum((row) => row.plays)} (${sum((row) => row.uncharged)}) | ${sum((row) => row.givenUp)} | ${sum((row) => row.partial)} | | ${sum((row) => row.found)} | ${sum((row) => row.mended)} | ${sum((row) => row.left)} |`,
     "",
     "## Kinds of trouble, and in how many plays each came",
     "",
-    ...rows.map((row) => `- **${row.site}**: ${row.kinds.map(([kind, times]) => `${kind} ${times}`).join(", ") || "none"}.`),
+    ...rows.map(
+      (row) =>
+        `- **${row.site}**: ${row.kinds.map(([kind, times]) => `${kind} ${times}`).join(", ") || "none"}.`,
+    ),
     "",
     "## Rules broken",
     "",
     ...(findings.length === 0
       ? ["None."]
-      : ["| day | rule | times | entries | newest play | state | told in |", "|---|---|---|---|---|---|---|", ...findings.map((finding) => `| ${clean(finding.key)} | ${finding.rule} | ${finding.times} | ${finding.entries.join(", ")} | ${finding.nowHeld ? "held" : "broken"} | ${finding.state} | ${clean(finding.told)} |`)]),
+      : [
+          "| day | rule | times | entries | newest play | state | told in |",
+          "|---|---|---|---|---|---|---|",
+          ...findings.map(
+            (finding) =>
+              `| ${clean(finding.key)} | ${finding.rule} | ${finding.times} | ${finding.entries.join(", ")} | ${finding.nowHeld ? "held" : "broken"} | ${finding.state} | ${clean(finding.told)} |`,
+          ),
+        ]),
     ...(givenUp.length === 0 ? [] : ["", "## Days given up", "", ...givenUpLines(givenUp)]),
     "",
   ].join("\n");
--- a/simulator/history.ts
+++ b/simulator/history.ts
@@ -63,7 +63,12 @@
   readonly told: Told[] = [];
   readonly acts: Act[] = [];
   readonly confirms: Act[] = [];
-  readonly holders: { readonly atUs: number; readonly box: string; readonly number: number; readonly holder: string }[] = [];
+  readonly holders: {
+    readonly atUs: number;
+    readonly box: string;
+    readonly number: number;
+    readonly holder: string;
+  }[] = [];
   readonly contacts: Contact[] = [];
   readonly rosters: { readonly atUs: number; readonly box: string; readonly roster: Roster }[] = [];
   readonly calls: Call[] = [];
@@ -71,7 +76,14 @@
   readonly mishaps: string[] = [];
 
   readonly begin = (order: number, box: string, fromUs: number): Attempt => {
-    const attempt: Attempt = { order, box, fromUs, toUs: Number.POSITIVE_INFINITY, result: "open", why: "" };
+    const attempt: Attempt = {
+      order,
+      box,
+      fromUs,
+      toUs: Number.POSITIVE_INFINITY,
+      result: "open",
+      why: "",
+    };
     this.attempts.push(attempt);
     return attempt;
   };
--- a/simulator/net.ts
+++ b/simulator/net.ts
@@ -47,11 +47,21 @@
   private readonly cuts = new Map<string, number>();
   private held: Envelope[] = [];
 
-  constructor(private readonly world: World, private readonly chance: Chance, private readonly boxOf: (id: string) => Box | undefined, private readonly boxes: () => readonly Box[]) {
+  constructor(
+    private readonly world: World,
+    private readonly chance: Chance,
+    private readonly boxOf: (id: string) => Box | undefined,
+    private readonly boxes: () => readonly Box[],
+  ) {
     this.poll();
   }
 
-  readonly newLink = (box: Box): Link => ({ asks: new Asks(box.clock), peer: undefined, silentSinceUs: undefined, readySinceUs: undefined });
+  readonly newLink = (box: Box): Link => ({
+    asks: new Asks(box.clock),
+    peer: undefined,
+    silentSinceUs: undefined,
+    readySinceUs: undefined,
+  });
 
   readonly cut = (from: string, to: string): void => {
     this.cuts.set(wayOf(from, to), (this.cuts.get(wayOf(from, to)) ?? 0) + 1);
@@ -83,7 +93,10 @@
   };
 
   /** As on a connection, what is under way reaches only the life that it was sent to. */
-  private readonly bring = ({ from, to, message, sentUs, echoUs }: Envelope, inUs: number): void => {
+  private readonly bring = (
+    { from, to, message, sentUs, echoUs }: Envelope,
+    inUs: number,
+  ): void => {
     this.world.after(inUs, () => to.run(() => to.receive(from, message, sentUs, echoUs)));
   };
 
@@ -97,7 +110,12 @@
   private readonly look = (box: Box, link: Link, id: string): void => {
     const nowUs = this.world.nowUs();
     const other = this.boxOf(id);
-    const isReady = other !== undefined && other.isAwake && other.isListening && !this.isCut(box.id, id) && !this.isCut(id, box.id);
+    const isReady =
+      other !== undefined &&
+      other.isAwake &&
+      other.isListening &&
+      !this.isCut(box.id, id) &&
+      !this.isCut(id, box.id);
     if (link.peer !== undefined) {
       if (isReady && other === link.peer) {
         link.silentSinceUs = undefined;
--- a/simulator/shrink.ts
+++ b/simulator/shrink.ts
@@ -12,7 +12,12 @@
 }
 
 /** Leaves out events, first many at once and then one by one, for as long as the same check still fails. */
-export const shrink = async (schedule: Schedule, fault: Fault, parts?: Parts, playsMost = PLAYS_MOST): Promise<Shrunk> => {
+export const shrink = async (
+  schedule: Schedule,
+  fault: Fault,
+  parts?: Parts,
+  playsMost = PLAYS_MOST,
+): Promise<Shrunk> => {
   let shortest = schedule;
   let found = fault;
   let plays = 0;
@@ -23,9 +28,9 @@
     if (same) found = same;
     return same !== undefined;
   };
-  for (let size = Math.ceil(schedule.events.length / 2); size >= 1; ) {
+  for (let size = Math.ceil(schedule.events.length / 2); size >= 1;) {
     let isShorter = false;
-    for (let at = 0; at < shortest.events.length && plays < playsMost; ) {
+    for (let at = 0; at < shortest.events.length && plays < playsMost;) {
       const events = [...shortest.events.slice(0, at), ...shortest.events.slice(at + size)];
       if (await failsWith(events)) {
         shortest = { ...shortest, events };
--- a/src/goods/copies.ts
+++ b/src/goods/copies.ts
@@ -30,7 +30,11 @@
 
 const pathOf = (url: string): string => url.split("?")[0] ?? url;
 
-export const keyOf = (what: { readonly service: string; readonly host: string; readonly url: string }): string => `${what.service}\n${what.host}\n${what.url}`;
+export const keyOf = (what: {
+  readonly service: string;
+  readonly host: string;
+  readonly url: string;
+}): string => `${what.service}\n${what.host}\n${what.url}`;
 
 const namesUrl = (purge: PurgeNote, host: string, url: string): boolean =>
   purge.label === "" && purge.host === host && (purge.path === url || purge.path === pathOf(url));
@@ -46,7 +50,11 @@
 });
 
 /** `askedUs` is when it was asked for, so the way counts as age too. */
-export const readCopy = (value: unknown, what: { readonly service: string; readonly host: string; readonly url: string }, askedUs: number): Copy => {
+export const readCopy = (
+  value: unknown,
+  what: { readonly service: string; readonly host: string; readonly url: string },
+  askedUs: number,
+): Copy => {
   const rec = asRec(value, "copy");
   const body = rec["body"];
   return {
@@ -71,8 +79,15 @@
   private readonly purges = new Map<string, PurgeNote>();
   dropped = 0;
 
-  constructor(private readonly clock: Clock, roomBytes: number, private readonly mostBytes = roomBytes / 4) {
-    this.kept = new LRUCache<string, Copy>({ maxSize: Math.max(1, Math.floor(roomBytes)), sizeCalculation: (copy) => copy.body.length + OVERHEAD_BYTES });
+  constructor(
+    private readonly clock: Clock,
+    roomBytes: number,
+    private readonly mostBytes = roomBytes / 4,
+  ) {
+    this.kept = new LRUCache<string, Copy>({
+      maxSize: Math.max(1, Math.floor(roomBytes)),
+      sizeCalculation: (copy) => copy.body.length + OVERHEAD_BYTES,
+    });
   }
 
   get size(): number {
@@ -96,7 +111,10 @@
   readonly coveredUs = (copy: Copy): number | undefined => {
     let lastUs: number | undefined;
     this.purges.forEach((purge) => {
-      const names = purge.label === "" ? namesUrl(purge, copy.host, copy.url) : copy.labels.includes(purge.label);
+      const names =
+        purge.label === ""
+          ? namesUrl(purge, copy.host, copy.url)
+          : copy.labels.includes(purge.label);
       if (names && copy.bornUs <= purge.learnedUs) lastUs = Math.max(lastUs ?? 0, purge.learnedUs);
     });
     return lastUs;
--- a/src/goods/counter.ts
+++ b/src/goods/counter.ts
@@ -22,7 +22,13 @@
 });
 
 /** `old` is a copy whose body need not be sent again; `isHop` asks a depot that must not ask on. */
-export const packWant = (want: Want, nowUs: number, range: string | undefined, old?: Copy, isHop = false): Message => ({
+export const packWant = (
+  want: Want,
+  nowUs: number,
+  range: string | undefined,
+  old?: Copy,
+  isHop = false,
+): Message => ({
   kind: "want",
   service: want.service,
   host: want.host,
@@ -49,7 +55,11 @@
 export class Counter {
   constructor(private readonly options: CounterOptions) {}
 
-  readonly serve = async (wire: Wire, _hello: Message, incoming: AsyncIterable<Message>): Promise<void> => {
+  readonly serve = async (
+    wire: Wire,
+    _hello: Message,
+    incoming: AsyncIterable<Message>,
+  ): Promise<void> => {
     wire.send({ kind: "welcome" });
     for await (const message of incoming) {
       void this.answer(message, () => wire.send({ kind: "wait" }))
@@ -67,15 +77,33 @@
     const found = kept ? await from.get(want) : await this.fetch(from, want, sayWait);
     if (found.kind === "none") return { none: found.why, comeBackUs: found.comeBackUs };
     const { copy } = found;
-    if (copy.etag !== "" && copy.etag === message["etag"]) return { sameAgeUs: clock.nowUs() - copy.bornUs };
+    if (copy.etag !== "" && copy.etag === message["etag"])
+      return { sameAgeUs: clock.nowUs() - copy.bornUs };
     const packed = packCopy(copy, clock.nowUs());
-    const cut = copy.status === 200 && copy.body.length > SMALL_BYTES ? cutOf(typeof message["range"] === "string" ? message["range"] : undefined, copy.body.length) : { kind: "whole" as const };
+    const cut =
+      copy.status === 200 && copy.body.length > SMALL_BYTES
+        ? cutOf(
+            typeof message["range"] === "string" ? message["range"] : undefined,
+            copy.body.length,
+          )
+        : { kind: "whole" as const };
     if (cut.kind === "whole") return { copy: packed };
-    if (cut.kind === "past") return { copy: { ...packed, body: Buffer.alloc(0) }, cut: { kind: "past", size: copy.body.length } };
-    return { copy: { ...packed, body: copy.body.subarray(cut.from, cut.to + 1) }, cut: { kind: "part", from: cut.from, to: cut.to, size: copy.body.length } };
+    if (cut.kind === "past")
+      return {
+        copy: { ...packed, body: Buffer.alloc(0) },
+        cut: { kind: "past", size: copy.body.length },
+      };
+    return {
+      copy: { ...packed, body: copy.body.subarray(cut.from, cut.to + 1) },
+      cut: { kind: "part", from: cut.from, to: cut.to, size: copy.body.length },
+    };
   };
 
-  private readonly fetch = (from: Store, want: Want, sayWait: () => void): ReturnType<Store["get"]> => {
+  private readonly fetch = (
+    from: Store,
+    want: Want,
+    sayWait: () => void,
+  ): ReturnType<Store["get"]> => {
     const found = from.get(want);
     void within(this.options.clock, 20 * MS, found, undefined).then((early) => {
       if (!early) sayWait();
@@ -85,10 +113,17 @@
 }
 
 /** A copy out of a reply: a new one, or the old one told to be the newest as of its age. */
-export const copyIn = (reply: Message, want: Want, old: Copy | undefined, askedUs: number): Copy | undefined => {
+export const copyIn = (
+  reply: Message,
+  want: Want,
+  old: Copy | undefined,
+  askedUs: number,
+): Copy | undefined => {
   const sameAgeUs = reply["sameAgeUs"];
-  if (old && typeof sameAgeUs === "number") return { ...old, bornUs: Math.max(old.bornUs, askedUs - sameAgeUs) };
+  if (old && typeof sameAgeUs === "number")
+    return { ...old, bornUs: Math.max(old.bornUs, askedUs - sameAgeUs) };
   return reply["copy"] === undefined ? undefined : readCopy(reply["copy"], want, askedUs);
 };
 
-export const isPermitted = (reply: Message | undefined): boolean => reply !== undefined && flag(reply, "yes");
+export const isPermitted = (reply: Message | undefined): boolean =>
+  reply !== undefined && flag(reply, "yes");
--- a/src/goods/depots.ts
+++ b/src/goods/depots.ts
@@ -44,7 +44,10 @@
 export class Depots {
   private readonly depots = new Map<string, Depot>();
 
-  constructor(private readonly clock: Clock, private readonly distance: Distance = () => 0) {}
+  constructor(
+    private readonly clock: Clock,
+    private readonly distance: Distance = () => 0,
+  ) {}
 
   get anyStands(): boolean {
     return [...this.depots.values()].some(({ link }) => link.stands);
@@ -63,13 +66,21 @@
   };
 
   /** Asks one depot alone, such as an object's owner. */
-  readonly askOne = (address: string, message: Message, waitUs: number): Promise<Message | undefined> =>
+  readonly askOne = (
+    address: string,
+    message: Message,
+    waitUs: number,
+  ): Promise<Message | undefined> =>
     this.depots.get(address)?.link.ask(message, waitUs) ?? Promise.resolve(undefined);
 
   readonly stop = (): void => this.depots.forEach(({ link }) => link.stop());
 
   /** Asks the object's depot, and the next one in rank where it is doubtful; undefined when none answers in time. */
-  readonly ask = async (key: string, message: Message, waitUs: number): Promise<Message | undefined> => {
+  readonly ask = async (
+    key: string,
+    message: Message,
+    waitUs: number,
+  ): Promise<Message | undefined> => {
     const { clock } = this;
     const untilUs = clock.nowUs() + waitUs;
     const ranked = this.rank(key);
@@ -77,9 +88,15 @@
       const askedUs = clock.nowUs();
       if (askedUs >= untilUs) return undefined;
       const reply = depot.link.ask(message, untilUs - askedUs);
-      const early = await within(clock, Math.min(PATIENCE_US, untilUs - askedUs), reply, "nothing" as const);
+      const early = await within(
+        clock,
+        Math.min(PATIENCE_US, untilUs - askedUs),
+        reply,
+        "nothing" as const,
+      );
       if (early === "nothing") {
-        const late = depot.heardUs >= askedUs || depot === ranked[ranked.length - 1] ? await reply : undefined;
+        const late =
+          depot.heardUs >= askedUs || depot === ranked[ranked.length - 1] ? await reply : undefined;
         if (late) return late;
         depot.doubtfulUntilUs = clock.nowUs() + DOUBT_US;
       } else if (early) {
@@ -93,14 +110,27 @@
   private readonly rank = (key: string): readonly Depot[] => {
     const nowUs = this.clock.nowUs();
     const standing = [...this.depots].filter(([, { link }]) => link.stands);
-    const scored = standing.map(([address, depot]) => ({ depot, score: crc32(`${key}\n${address}`) - 2 ** 33 * (this.distance(depot.cell) + (nowUs < depot.doubtfulUntilUs ? 3 : 0)) }));
+    const scored = standing.map(([address, depot]) => ({
+      depot,
+      score:
+        crc32(`${key}\n${address}`) -
+        2 ** 33 * (this.distance(depot.cell) + (nowUs < depot.doubtfulUntilUs ? 3 : 0)),
+    }));
     return scored.sort((a, b) => b.score - a.score).map(({ depot }) => depot);
   };
 
   private readonly open = (address: string, cell: string): void => {
     const { clock } = this;
     const { ip, port } = splitAddress(address);
-    const link = new Link({ ip, port, clock, times: TIMES, dialUs: DIAL_US, restUs: REST_US, hello: () => ({ kind: "goods" }) });
+    const link = new Link({
+      ip,
+      port,
+      clock,
+      times: TIMES,
+      dialUs: DIAL_US,
+      restUs: REST_US,
+      hello: () => ({ kind: "goods" }),
+    });
     const depot: Depot = { link, cell, heardUs: 0, doubtfulUntilUs: 0 };
     link.events.on("message", () => {
       depot.heardUs = clock.nowUs();
--- a/src/goods/goods.ts
+++ b/src/goods/goods.ts
@@ -38,10 +38,17 @@
 const readCut = (value: unknown): { readonly cut: Cut; readonly size: number } | undefined => {
   if (!isRec(value)) return undefined;
   const size = whole(value, "size");
-  return { size, cut: text(value, "kind") === "past" ? { kind: "past" } : { kind: "part", from: whole(value, "from"), to: whole(value, "to") } };
+  return {
+    size,
+    cut:
+      text(value, "kind") === "past"
+        ? { kind: "past" }
+        : { kind: "part", from: whole(value, "from"), to: whole(value, "to") },
+  };
 };
 
-const groupOf = (want: Want): string => `${want.service}\n${want.host}\n${want.url.split("/")[1] ?? ""}`;
+const groupOf = (want: Want): string =>
+  `${want.service}\n${want.host}\n${want.url.split("/")[1] ?? ""}`;
 
 /** A pointsman's way to objects: a small store of its own, then the depots, and without any of them the origin itself. */
 export class Goods {
@@ -114,17 +121,27 @@
     return FULL;
   };
 
-  private readonly ask = async (want: Want, range: string | undefined, old?: Copy): Promise<Got | ObjectRefusal> => {
+  private readonly ask = async (
+    want: Want,
+    range: string | undefined,
+    old?: Copy,
+  ): Promise<Got | ObjectRefusal> => {
     const { clock, depots, halls } = this.options;
     const askedUs = clock.nowUs();
     const message = packWant(want, askedUs, range, old);
     const viaHall = halls.anyStands && this.isLarge(want);
-    const early = viaHall ? await halls.ask(keyOf(want), message, (want.untilUs - askedUs) / 2) : undefined;
+    const early = viaHall
+      ? await halls.ask(keyOf(want), message, (want.untilUs - askedUs) / 2)
+      : undefined;
     const reply = early ?? (await depots.ask(keyOf(want), message, want.untilUs - clock.nowUs()));
     if (!reply) return FULL;
     const copy = copyIn(reply, want, old, askedUs);
     if (copy === undefined) {
-      return { kind: "none", why: reply["none"] === "rate" ? "rate" : "full", comeBackUs: typeof reply["comeBackUs"] === "number" ? reply["comeBackUs"] : FULL.comeBackUs };
+      return {
+        kind: "none",
+        why: reply["none"] === "rate" ? "rate" : "full",
+        comeBackUs: typeof reply["comeBackUs"] === "number" ? reply["comeBackUs"] : FULL.comeBackUs,
+      };
     }
     const told = readCut(reply["cut"]);
     this.learnSize(want, told?.size ?? copy.body.length);
@@ -132,20 +149,41 @@
     const cut = copy.status === 200 ? cutOf(range, copy.body.length) : { kind: "whole" as const };
     if (range === undefined) return { copy, cut, size: copy.body.length };
     this.copies.put(copy);
-    return { copy: cut.kind === "part" ? { ...copy, body: copy.body.subarray(cut.from, cut.to + 1) } : copy, cut, size: copy.body.length };
+    return {
+      copy:
+        cut.kind === "part" ? { ...copy, body: copy.body.subarray(cut.from, cut.to + 1) } : copy,
+      cut,
+      size: copy.body.length,
+    };
   };
 
-  private readonly isLarge = (want: Want): boolean => (this.sizes.get(groupOf(want)) ?? 0) > LARGE_BYTES;
+  private readonly isLarge = (want: Want): boolean =>
+    (this.sizes.get(groupOf(want)) ?? 0) > LARGE_BYTES;
 
   private readonly learnSize = (want: Want, size: number): void => {
     const before = this.sizes.get(groupOf(want));
-    this.sizes.set(groupOf(want), before === undefined ? size : before + (size - before) * SIZE_WEIGHT);
+    this.sizes.set(
+      groupOf(want),
+      before === undefined ? size : before + (size - before) * SIZE_WEIGHT,
+    );
   };
 
   private readonly served = ({ copy, cut, size }: Got): ObjectVerdict => {
-    if (cut.kind === "whole") return { kind: "served", status: copy.status, heads: copy.heads, body: copy.body };
+    if (cut.kind === "whole")
+      return { kind: "served", status: copy.status, heads: copy.heads, body: copy.body };
     // No worker answered this with 416, so it bears no worker's seal.
-    if (cut.kind === "past") return { kind: "served", status: 416, heads: [...passOn(copy.heads, SEALS), "Content-Range", `bytes */${size}`], body: Buffer.alloc(0) };
-    return { kind: "served", status: 206, heads: [...copy.heads, "Content-Range", `bytes ${cut.from}-${cut.to}/${size}`], body: copy.body };
+    if (cut.kind === "past")
+      return {
+        kind: "served",
+        status: 416,
+        heads: [...passOn(copy.heads, SEALS), "Content-Range", `bytes */${size}`],
+        body: Buffer.alloc(0),
+      };
+    return {
+      kind: "served",
+      status: 206,
+      heads: [...copy.heads, "Content-Range", `bytes ${cut.from}-${cut.to}/${size}`],
+      body: copy.body,
+    };
   };
 }
--- a/src/goods/origin.ts
+++ b/src/goods/origin.ts
@@ -27,7 +27,12 @@
 /** The parts of the aim for which a fetch waits for its turn, and for room at a worker. */
 const TURN_PART = 0.4;
 const ROOM_PART = 0.25;
-const NOT_KEPT: ReadonlySet<string> = new Set([TRY_ID, "content-length", "date", "yewreel-worker-load"]);
+const NOT_KEPT: ReadonlySet<string> = new Set([
+  TRY_ID,
+  "content-length",
+  "date",
+  "yewreel-worker-load",
+]);
 
 /** Reads objects from the workers of a service, within this process's share of the service's rate. */
 export class Origin {
@@ -57,7 +62,12 @@
       if (verdict.kind !== "answered") continue;
       const { answer } = verdict;
       if (answer.status === 304 && old) return { kind: "found", copy: { ...old, bornUs: beganUs } };
-      const body = await within(clock, want.untilUs - clock.nowUs(), this.whole(answer), "broken" as const);
+      const body = await within(
+        clock,
+        want.untilUs - clock.nowUs(),
+        this.whole(answer),
+        "broken" as const,
+      );
       if (!Buffer.isBuffer(body)) {
         answer.rest?.stop();
         if (body === "broken") this.fault(worker);
@@ -67,7 +77,9 @@
       if (answer.status < 500) return { kind: "found", copy };
       bad = copy;
     }
-    return bad ? { kind: "found", copy: bad } : { kind: "none", why: "full", comeBackUs: want.aimUs / 4 };
+    return bad
+      ? { kind: "found", copy: bad }
+      : { kind: "none", why: "full", comeBackUs: want.aimUs / 4 };
   };
 
   /** Waits for one request's worth of the rate; at once says none where it would come too late. */
@@ -95,7 +107,10 @@
     }
   };
 
-  private readonly worker = async (want: Want, tried: ReadonlySet<string>): Promise<Worker | undefined> => {
+  private readonly worker = async (
+    want: Want,
+    tried: ReadonlySet<string>,
+  ): Promise<Worker | undefined> => {
     const { clock, chooser } = this.options;
     const untilUs = Math.min(clock.nowUs() + want.aimUs * ROOM_PART, want.untilUs);
     for (;;) {
@@ -105,16 +120,42 @@
     }
   };
 
-  private readonly call = async (want: Want, old: Copy | undefined, worker: Worker): Promise<CallVerdict> => {
+  private readonly call = async (
+    want: Want,
+    old: Copy | undefined,
+    worker: Worker,
+  ): Promise<CallVerdict> => {
     const { clock, countFault, yard } = this.options;
     const tryId = randomBytes(8).toString("hex");
     const leftMs = Math.max(1, Math.floor((want.untilUs - clock.nowUs()) / MS));
-    const heads = ["Host", want.host, "Yewreel-Try-Id", tryId, "Yewreel-Time-Left-Ms", String(leftMs), "Yewreel-Expect-Worker", worker.id];
+    const heads = [
+      "Host",
+      want.host,
+      "Yewreel-Try-Id",
+      tryId,
+      "Yewreel-Time-Left-Ms",
+      String(leftMs),
+      "Yewreel-Expect-Worker",
+      worker.id,
+    ];
     if (old && old.etag !== "") {
       heads.push("If-None-Match", old.etag);
       this.checks += 1;
     } else this.fetches += 1;
-    const call = new WorkerCall(worker, { method: "GET", path: want.url, heads, body: null, tryId, alone: true, hold: () => true, mayBegin: () => clock.nowUs() < want.untilUs }, clock.nowUs);
+    const call = new WorkerCall(
+      worker,
+      {
+        method: "GET",
+        path: want.url,
+        heads,
+        body: null,
+        tryId,
+        alone: true,
+        hold: () => true,
+        mayBegin: () => clock.nowUs() < want.untilUs,
+      },
+      clock.nowUs,
+    );
     let verdict: CallVerdict | undefined;
     while (verdict === undefined) {
       verdict = await within(clock, SILENCE_CHECK_US, call.verdict, undefined);
@@ -124,7 +165,9 @@
       }
     }
     if (verdict.kind === "turned-away" && verdict.why === "other-worker") yard.misdirected(worker);
-    const isOut = verdict.kind === "lost" || (verdict.kind === "unsent" && (verdict.why === "unreachable" || verdict.why === "refused"));
+    const isOut =
+      verdict.kind === "lost" ||
+      (verdict.kind === "unsent" && (verdict.why === "unreachable" || verdict.why === "refused"));
     if (isOut) this.fault(worker);
     else countFault(worker.id, false);
     return verdict;
@@ -148,7 +191,14 @@
           if (size <= this.options.mostBytes) chunks.push(chunk);
           return true;
         },
-        (isWhole) => resolve(!isWhole ? "broken" : size > this.options.mostBytes ? "too large" : Buffer.concat(chunks)),
+        (isWhole) =>
+          resolve(
+            !isWhole
+              ? "broken"
+              : size > this.options.mostBytes
+                ? "too large"
+                : Buffer.concat(chunks),
+          ),
       );
     });
   };
--- a/src/goods/range.ts
+++ b/src/goods/range.ts
@@ -11,5 +11,7 @@
   const parsed = parseRange(size, range.trim());
   if (parsed === -1) return { kind: "past" };
   const first = parsed === -2 ? undefined : parsed[0];
-  return first === undefined ? { kind: "whole" } : { kind: "part", from: first.start, to: first.end };
+  return first === undefined
+    ? { kind: "whole" }
+    : { kind: "part", from: first.start, to: first.end };
 };
--- a/src/goods/rate-keeper.ts
+++ b/src/goods/rate-keeper.ts
@@ -36,6 +36,7 @@
     const reply = await ask({ kind: "rate-ask", life, who, held: rate.share }, WAIT_US);
     const share = reply?.["share"];
     const lastsUs = reply?.["lastsUs"];
-    if (typeof share === "number" && typeof lastsUs === "number") rate.take({ share, endUs: askedUs + lastsUs });
+    if (typeof share === "number" && typeof lastsUs === "number")
+      rate.take({ share, endUs: askedUs + lastsUs });
   };
 }
--- a/src/goods/rate.ts
+++ b/src/goods/rate.ts
@@ -19,7 +19,10 @@
   private grant: Grant = { share: 0, endUs: 0 };
   private readonly buckets = new Map<string, { tokens: number; sinceUs: number }>();
 
-  constructor(private readonly clock: Clock, private readonly ratePerS: (service: string) => number) {}
+  constructor(
+    private readonly clock: Clock,
+    private readonly ratePerS: (service: string) => number,
+  ) {}
 
   get share(): number {
     return this.clock.nowUs() < this.grant.endUs ? this.grant.share : 0;
@@ -31,7 +34,9 @@
   };
 
   /** Takes one request's worth, or says how long it would take to come. */
-  readonly spend = (service: string): { readonly ok: true } | { readonly ok: false; readonly waitUs: number } => {
+  readonly spend = (
+    service: string,
+  ): { readonly ok: true } | { readonly ok: false; readonly waitUs: number } => {
     const rate = this.ratePerS(service);
     if (rate <= 0) return { ok: true };
     const bucket = this.fill(service);
@@ -45,7 +50,10 @@
   /** How long the next request's worth takes to come. */
   readonly delay = (service: string): { readonly ok: false; readonly waitUs: number } => {
     const perUs = (this.ratePerS(service) * USED_PART * this.share) / 1_000_000;
-    return { ok: false, waitUs: perUs > 0 ? Math.ceil(Math.max(0, 1 - this.fill(service).tokens) / perUs) : 500_000 };
+    return {
+      ok: false,
+      waitUs: perUs > 0 ? Math.ceil(Math.max(0, 1 - this.fill(service).tokens) / perUs) : 500_000,
+    };
   };
 
   private readonly fill = (service: string): { tokens: number; sinceUs: number } => {
--- a/src/goods/store.ts
+++ b/src/goods/store.ts
@@ -60,10 +60,18 @@
     }
     const key = keyOf(want);
     const running = this.running.get(key);
-    const joins = running !== undefined && clock.nowUs() - running.beganUs <= want.mostAgeUs && running.want.mostAgeUs <= want.mostAgeUs;
+    const joins =
+      running !== undefined &&
+      clock.nowUs() - running.beganUs <= want.mostAgeUs &&
+      running.want.mostAgeUs <= want.mostAgeUs;
     if (joins) this.counts.joined += 1;
     else this.counts.misses += 1;
-    const found = await within(clock, want.untilUs - clock.nowUs(), joins ? running.found : this.begin(key, want), late);
+    const found = await within(
+      clock,
+      want.untilUs - clock.nowUs(),
+      joins ? running.found : this.begin(key, want),
+      late,
+    );
     if (found.kind === "found") return found;
     this.counts.refused += 1;
     return this.lastResort(want) ?? found;
@@ -99,7 +107,11 @@
   private readonly lastResort = (want: ObjectWant): Found | undefined => {
     const { clock, copies, isFresh, slackUs } = this.options;
     const copy = copies.get(keyOf(want));
-    const usable = copy && isFresh() && want.mostAgeUs === want.cacheForUs && clock.nowUs() - copy.bornUs <= want.cacheForUs + slackUs;
+    const usable =
+      copy &&
+      isFresh() &&
+      want.mostAgeUs === want.cacheForUs &&
+      clock.nowUs() - copy.bornUs <= want.cacheForUs + slackUs;
     return usable ? { kind: "found", copy } : undefined;
   };
 }
--- a/src/inspection/evidence.ts
+++ b/src/inspection/evidence.ts
@@ -16,7 +16,8 @@
 
 export const NO_TALLY: Tally = { inTime: 0, late: 0, lost: 0, doubled: 0 };
 
-export const sizeOf = (tally: Tally): number => tally.inTime + tally.late + tally.lost + tally.doubled;
+export const sizeOf = (tally: Tally): number =>
+  tally.inTime + tally.late + tally.lost + tally.doubled;
 
 export const add = (one: Tally, other: Tally): Tally => ({
   inTime: one.inTime + other.inTime,
@@ -64,7 +65,8 @@
 };
 
 /** The average of products given by their logarithms. */
-const averageOf = (logs: readonly number[]): number => logs.reduce((sum, log) => sum + Math.exp(Math.min(log, 500)), 0) / logs.length;
+const averageOf = (logs: readonly number[]): number =>
+  logs.reduce((sum, log) => sum + Math.exp(Math.min(log, 500)), 0) / logs.length;
 
 const WORSE_BY = [2, 5, 15];
 
@@ -80,14 +82,21 @@
   constructor(private readonly leeway: number) {}
 
   /** Events of one kind among concurrent requests; a weight below 1 makes the bet that much smaller. */
-  readonly take = (candidateEvents: number, baselineEvents: number, candidateSize: number, baselineSize: number, weight: number): void => {
+  readonly take = (
+    candidateEvents: number,
+    baselineEvents: number,
+    candidateSize: number,
+    baselineSize: number,
+    weight: number,
+  ): void => {
     if (candidateSize === 0 || baselineSize === 0) return;
     const part = (this.leeway * candidateSize) / (this.leeway * candidateSize + baselineSize);
     WORSE_BY.forEach((times, at) => {
       const bet = (times * part) / (times * part + 1 - part);
       const onCandidate = Math.log(1 + weight * (bet / part - 1));
       const onBaseline = Math.log(1 + weight * ((1 - bet) / (1 - part) - 1));
-      this.logs[at] = (this.logs[at] ?? 0) + candidateEvents * onCandidate + baselineEvents * onBaseline;
+      this.logs[at] =
+        (this.logs[at] ?? 0) + candidateEvents * onCandidate + baselineEvents * onBaseline;
     });
   };
 
@@ -141,7 +150,10 @@
 };
 
 /** Hands over what both sides have something of, and keeps the rest until they do. */
-const takeBothSided = (map: Map<string, Pending>, take: (candidate: Tally, baseline: Tally) => void): void =>
+const takeBothSided = (
+  map: Map<string, Pending>,
+  take: (candidate: Tally, baseline: Tally) => void,
+): void =>
   map.forEach(({ candidate, baseline }, key) => {
     if (sizeOf(candidate) === 0 || sizeOf(baseline) === 0) return;
     map.delete(key);
@@ -199,7 +211,10 @@
       takeBothSided(this.byCell, this.weigh);
       this.final = this.decide() ?? this.final;
     }
-    const { verdict, reason } = this.final ?? { verdict: "observing" as const, reason: "Not enough has been seen yet." };
+    const { verdict, reason } = this.final ?? {
+      verdict: "observing" as const,
+      reason: "Not enough has been seen yet.",
+    };
     return {
       verdict,
       reason,
@@ -212,11 +227,19 @@
     };
   };
 
-  private readonly at = (stratum: string): readonly Pending[] => [pendingAt(this.byStratum, stratum), pendingAt(this.byCell, cellOf(stratum))];
+  private readonly at = (stratum: string): readonly Pending[] => [
+    pendingAt(this.byStratum, stratum),
+    pendingAt(this.byCell, cellOf(stratum)),
+  ];
 
   private readonly weightOf = (kind: OutcomeKind): number => {
     const { late, lostSafe, lostUnsafe, doubled } = this.terms.weights;
-    const byKind = { inTime: 0, late, lost: this.isSafe ? lostSafe : lostUnsafe, doubled: this.isSafe ? lostSafe : doubled };
+    const byKind = {
+      inTime: 0,
+      late,
+      lost: this.isSafe ? lostSafe : lostUnsafe,
+      doubled: this.isSafe ? lostSafe : doubled,
+    };
     return byKind[kind];
   };
 
@@ -224,21 +247,38 @@
 
   private readonly lossOf = (tally: Tally): number => {
     const size = sizeOf(tally);
-    return size === 0 ? 0 : OUTCOME_KINDS.reduce((loss, kind) => loss + tally[kind] * this.weightOf(kind), 0) / size;
+    return size === 0
+      ? 0
+      : OUTCOME_KINDS.reduce((loss, kind) => loss + tally[kind] * this.weightOf(kind), 0) / size;
   };
 
   /** A pass of an unsafe route needs both, and so the weaker of the two counts. */
-  private readonly soundness = (): number => (this.isSafe ? this.sound.evidence() : Math.min(this.sound.evidence(), this.soundDoubled.evidence()));
+  private readonly soundness = (): number =>
+    this.isSafe
+      ? this.sound.evidence()
+      : Math.min(this.sound.evidence(), this.soundDoubled.evidence());
 
-  private readonly difference = (): number => this.lossOf(this.candidate) - this.lossOf(this.baseline);
+  private readonly difference = (): number =>
+    this.lossOf(this.candidate) - this.lossOf(this.baseline);
 
   private readonly weighLate = (candidate: Tally, baseline: Tally): void =>
-    this.against.take(candidate.late, baseline.late, sizeOf(candidate), sizeOf(baseline), Math.min(1, this.weightOf("late")));
+    this.against.take(
+      candidate.late,
+      baseline.late,
+      sizeOf(candidate),
+      sizeOf(baseline),
+      Math.min(1, this.weightOf("late")),
+    );
 
   private readonly weigh = (candidate: Tally, baseline: Tally): void => {
     const sizes = [sizeOf(candidate), sizeOf(baseline)] as const;
     (["lost", "doubled"] as const).forEach((kind) => {
-      this.against.take(candidate[kind], baseline[kind], ...sizes, Math.min(1, this.weightOf(kind)));
+      this.against.take(
+        candidate[kind],
+        baseline[kind],
+        ...sizes,
+        Math.min(1, this.weightOf(kind)),
+      );
     });
     if (!this.isSafe) this.doubled.take(candidate.doubled, baseline.doubled, ...sizes, 1);
     const heaviest = this.heaviest();
@@ -263,7 +303,8 @@
     return kinds;
   };
 
-  private readonly decide = (): { readonly verdict: VerdictName; readonly reason: string } | undefined => {
+  private readonly decide = ():
+    { readonly verdict: VerdictName; readonly reason: string } | undefined => {
     const { falseStop, falseStopDoubled, falsePass, leastDifference, horizonRequests } = this.terms;
     const size = sizeOf(this.candidate);
     const difference = this.difference();
@@ -272,18 +313,28 @@
       return { verdict: "stop", reason };
     }
     if (this.against.evidence() >= 1 / falseStop && difference >= leastDifference) {
-      return { verdict: "stop", reason: `The candidate loses ${difference.toFixed(3)} more for each request than the baseline, over ${size} requests.` };
+      return {
+        verdict: "stop",
+        reason: `The candidate loses ${difference.toFixed(3)} more for each request than the baseline, over ${size} requests.`,
+      };
     }
     if (this.final) return undefined;
     if (this.soundness() >= 1 / falsePass) {
-      return { verdict: "pass", reason: `Over ${size} requests the candidate is no worse than the baseline by the tolerance.` };
+      return {
+        verdict: "pass",
+        reason: `Over ${size} requests the candidate is no worse than the baseline by the tolerance.`,
+      };
     }
-    if (size >= horizonRequests) return { verdict: "inconclusive", reason: `${size} requests did not settle it.` };
+    if (size >= horizonRequests)
+      return { verdict: "inconclusive", reason: `${size} requests did not settle it.` };
     return undefined;
   };
 
   readonly totals = (): readonly [Tally, Tally] => {
     const waiting = [...this.byCell.values()];
-    return [add(this.candidate, sum(waiting.map((one) => one.candidate))), add(this.baseline, sum(waiting.map((one) => one.baseline)))];
+    return [
+      add(this.candidate, sum(waiting.map((one) => one.candidate))),
+      add(this.baseline, sum(waiting.map((one) => one.baseline))),
+    ];
   };
 }
--- a/src/inspection/forecast.ts
+++ b/src/inspection/forecast.ts
@@ -80,19 +80,27 @@
 const KEEP_NODE_US = 6 * SECOND;
 
 /** The part in use will reach 1 when, by a straight line through the samples; undefined where noise could say the same. */
-export const trendOf = (samples: readonly { readonly atS: number; readonly usedPart: number }[], slopeErrors: number): Trend | undefined => {
+export const trendOf = (
+  samples: readonly { readonly atS: number; readonly usedPart: number }[],
+  slopeErrors: number,
+): Trend | undefined => {
   const last = samples[samples.length - 1];
   if (samples.length < 6 || !last) return undefined;
   const points = samples.map(({ atS, usedPart }) => [atS, usedPart]);
   const fit = linearRegression(points);
   const line = linearRegressionLine(fit);
   const spread = sampleVariance(samples.map(({ atS }) => atS)) * (samples.length - 1);
-  const residual = points.reduce((sum, [x = 0, y = 0]) => sum + (y - line(x)) ** 2, 0) / (samples.length - 2);
+  const residual =
+    points.reduce((sum, [x = 0, y = 0]) => sum + (y - line(x)) ** 2, 0) / (samples.length - 2);
   // Neighbouring samples are alike, so that fewer speak than there are: twice the error that independent ones would have.
   const slopeError = 2 * Math.sqrt(residual / spread) + 1e-9;
   if (fit.m <= slopeErrors * slopeError) return undefined;
   const left = Math.max(0, 1 - line(last.atS));
-  return { leftS: left / fit.m, soonestS: left / (fit.m + 2 * slopeError), latestS: left / (fit.m - 2 * slopeError) };
+  return {
+    leftS: left / fit.m,
+    soonestS: left / (fit.m + 2 * slopeError),
+    latestS: left / (fit.m - 2 * slopeError),
+  };
 };
 
 export interface ForecasterOptions {
@@ -146,26 +154,42 @@
       });
       const before = this.told.get(node);
       const isNew = before === undefined;
-      const now: Told = before && before.life === life ? before : { life, heardUs: 0, rows: new Map() };
+      const now: Told =
+        before && before.life === life ? before : { life, heardUs: 0, rows: new Map() };
       now.heardUs = this.options.clock.nowUs();
       this.told.set(node, now);
       rows.forEach(({ key, figures }) => {
         const last = now.rows.get(key);
         // A node heard for the first time has counted from before this holder looked: it only sets the mark.
-        if (last || !isNew) this.rise(key, figures.map((figure, at) => Math.max(0, figure - (last?.[at] ?? 0))));
-        now.rows.set(key, figures.map((figure, at) => Math.max(figure, last?.[at] ?? 0)));
+        if (last || !isNew)
+          this.rise(
+            key,
+            figures.map((figure, at) => Math.max(0, figure - (last?.[at] ?? 0))),
+          );
+        now.rows.set(
+          key,
+          figures.map((figure, at) => Math.max(figure, last?.[at] ?? 0)),
+        );
       });
     } catch {
       this.malformed += 1;
     }
   };
 
-  readonly verdicts = (): Readonly<Record<string, ForecastName>> => Object.fromEntries([...this.watches].map(([key, { verdict }]) => [key, verdict]));
+  readonly verdicts = (): Readonly<Record<string, ForecastName>> =>
+    Object.fromEntries([...this.watches].map(([key, { verdict }]) => [key, verdict]));
 
   /** The calls in flight of each service at the last tick, for those who ask what other cells would have to carry. */
   readonly inFlight = (): ReadonlyMap<string, number> => {
     const slots = this.slots();
-    return new Map([...this.watches].filter(([key]) => key.endsWith("|")).map(([key, { samples }]) => [key.slice(0, -1), (samples[samples.length - 1]?.usedPart ?? 0) * (slots.get(key) ?? 0)]));
+    return new Map(
+      [...this.watches]
+        .filter(([key]) => key.endsWith("|"))
+        .map(([key, { samples }]) => [
+          key.slice(0, -1),
+          (samples[samples.length - 1]?.usedPart ?? 0) * (slots.get(key) ?? 0),
+        ]),
+    );
   };
 
   readonly explain = (): Rec => ({
@@ -183,7 +207,13 @@
         perS: round(last?.perS ?? 0),
         usedPart: round(last?.usedPart ?? 0),
         refusedPart: round(last?.refusedPart ?? 0),
-        ...(trend ? { leftS: round(trend.leftS), soonestS: round(trend.soonestS), latestS: round(trend.latestS) } : {}),
+        ...(trend
+          ? {
+              leftS: round(trend.leftS),
+              soonestS: round(trend.soonestS),
+              latestS: round(trend.latestS),
+            }
+          : {}),
         reason: watch.reason,
       };
     }),
@@ -215,16 +245,22 @@
 
   private readonly rise = (key: string, figures: readonly number[]): void => {
     const sum = this.rises.get(key) ?? [0, 0, 0, 0];
-    this.rises.set(key, sum.map((value, at) => value + (figures[at] ?? 0)));
+    this.rises.set(
+      key,
+      sum.map((value, at) => value + (figures[at] ?? 0)),
+    );
   };
 
   private readonly slots = (): Map<string, number> => {
     const slots = new Map<string, number>();
     const add = (key: string, capacity: number) => slots.set(key, (slots.get(key) ?? 0) + capacity);
-    this.options.workers().filter(({ isUsed }) => isUsed).forEach(({ service, cell, capacity }) => {
-      add(`${service}|${cell}`, capacity);
-      add(`${service}|`, capacity);
-    });
+    this.options
+      .workers()
+      .filter(({ isUsed }) => isUsed)
+      .forEach(({ service, cell, capacity }) => {
+        add(`${service}|${cell}`, capacity);
+        add(`${service}|`, capacity);
+      });
     return slots;
   };
 
@@ -238,26 +274,64 @@
     if (spanS <= 0) return;
     const slots = this.slots();
     const isHeard = this.heard() * 2 > nodes();
-    const services = new Set([...rises.keys(), ...this.watches.keys(), ...slots.keys()].map((key) => key.split("|")[0] ?? ""));
+    const services = new Set(
+      [...rises.keys(), ...this.watches.keys(), ...slots.keys()].map(
+        (key) => key.split("|")[0] ?? "",
+      ),
+    );
     services.forEach((service) => {
-      const cells = [...slots.keys()].filter((key) => key.startsWith(`${service}|`) && !key.endsWith("|"));
-      const called = [...rises].filter(([key]) => key.startsWith(`${service}|`)).map(([, figures]) => figures);
-      const total = called.reduce<number[]>((sum, figures) => sum.map((value, at) => value + (figures[at] ?? 0)), [0, 0, 0, 0]);
+      const cells = [...slots.keys()].filter(
+        (key) => key.startsWith(`${service}|`) && !key.endsWith("|"),
+      );
+      const called = [...rises]
+        .filter(([key]) => key.startsWith(`${service}|`))
+        .map(([, figures]) => figures);
+      const total = called.reduce<number[]>(
+        (sum, figures) => sum.map((value, at) => value + (figures[at] ?? 0)),
+        [0, 0, 0, 0],
+      );
       this.watch(`${service}|`, nowUs, spanS, total, slots.get(`${service}|`) ?? 0, isHeard);
-      cells.forEach((key) => this.watch(key, nowUs, spanS, rises.get(key) ?? [0, 0, 0, 0], slots.get(key) ?? 0, isHeard));
+      cells.forEach((key) =>
+        this.watch(key, nowUs, spanS, rises.get(key) ?? [0, 0, 0, 0], slots.get(key) ?? 0, isHeard),
+      );
     });
-    const pressed = Object.fromEntries([...this.watches].filter(([key, { verdict }]) => key.endsWith("|") && (verdict === "nearing" || verdict === "overrun")).map(([key, { verdict }]) => [key.slice(0, -1), verdict]));
-    if (JSON.stringify(sorted(pressed)) !== JSON.stringify(sorted(published()))) await publish(pressed);
+    const pressed = Object.fromEntries(
+      [...this.watches]
+        .filter(
+          ([key, { verdict }]) =>
+            key.endsWith("|") && (verdict === "nearing" || verdict === "overrun"),
+        )
+        .map(([key, { verdict }]) => [key.slice(0, -1), verdict]),
+    );
+    if (JSON.stringify(sorted(pressed)) !== JSON.stringify(sorted(published())))
+      await publish(pressed);
   };
 
-  private readonly watch = (key: string, nowUs: number, spanS: number, figures: readonly number[], slots: number, isHeard: boolean): void => {
+  private readonly watch = (
+    key: string,
+    nowUs: number,
+    spanS: number,
+    figures: readonly number[],
+    slots: number,
+    isHeard: boolean,
+  ): void => {
     const { terms, log } = this.options;
     const [arrived = 0, refused = 0, answered = 0, busyUs = 0] = figures;
-    const watch: Watch = this.watches.get(key) ?? { verdict: "unknown", samples: [], wanted: "unknown", heldTicks: 0, trend: undefined, reason: "nothing seen yet" };
+    const watch: Watch = this.watches.get(key) ?? {
+      verdict: "unknown",
+      samples: [],
+      wanted: "unknown",
+      heldTicks: 0,
+      trend: undefined,
+      reason: "nothing seen yet",
+    };
     this.watches.set(key, watch);
     const perS = Math.max(arrived, answered) / spanS;
     const usedPart = slots > 0 ? busyUs / SECOND / spanS / slots : 0;
-    watch.samples = [...watch.samples, { atS: nowUs / SECOND, perS, usedPart, refusedPart: arrived > 0 ? refused / arrived : 0 }].slice(-terms.samples);
+    watch.samples = [
+      ...watch.samples,
+      { atS: nowUs / SECOND, perS, usedPart, refusedPart: arrived > 0 ? refused / arrived : 0 },
+    ].slice(-terms.samples);
     watch.trend = trendOf(watch.samples, terms.slopeErrors);
     const wanted = this.judge(watch, slots, isHeard);
     watch.heldTicks = wanted === watch.wanted ? watch.heldTicks + 1 : 1;
@@ -266,7 +340,10 @@
     if (wanted === watch.verdict || watch.heldTicks < needed) return;
     // Pressure lifts step by step, so that what was held back doesn't come back all at once.
     const before = watch.verdict;
-    watch.verdict = before === "overrun" && RANK[wanted] < RANK.nearing && wanted !== "unknown" ? "nearing" : wanted;
+    watch.verdict =
+      before === "overrun" && RANK[wanted] < RANK.nearing && wanted !== "unknown"
+        ? "nearing"
+        : wanted;
     const [service, cell] = key.split("|");
     const sentence = `${service}${cell === "" ? "" : ` in ${cell}`} was ${before}, is ${watch.verdict}: ${watch.reason}`;
     if (watch.verdict === "nearing" || watch.verdict === "overrun") log.warn(sentence);
@@ -282,15 +359,28 @@
     const now = `${Math.round(used * 100)}% of ${slots} slots in use at ${perS.toFixed(1)} a second, ${(refusedPart * 100).toFixed(1)}% refused.`;
     watch.reason = now;
     if (!isHeard) return this.say(watch, "unknown", "Too few nodes are heard.");
-    if (slots > 0 && perS < terms.leastPerS) return this.say(watch, "unknown", "Too little traffic.");
+    if (slots > 0 && perS < terms.leastPerS)
+      return this.say(watch, "unknown", "Too little traffic.");
     const isOver = watch.verdict === "overrun";
     const isPressed = isOver || watch.verdict === "nearing";
-    if (slots === 0 || used >= (isOver ? terms.relieveAt : terms.overAt) || refusedPart > terms.refusedPart) return "overrun";
+    if (
+      slots === 0 ||
+      used >= (isOver ? terms.relieveAt : terms.overAt) ||
+      refusedPart > terms.refusedPart
+    )
+      return "overrun";
     if (used >= (isPressed ? terms.calmAt : terms.nearAt)) return "nearing";
     const { trend } = watch;
-    const rises = trend !== undefined && used >= terms.trendAt && trend.leftS * SECOND <= terms.horizonUs * (isPressed ? 2 : 1);
+    const rises =
+      trend !== undefined &&
+      used >= terms.trendAt &&
+      trend.leftS * SECOND <= terms.horizonUs * (isPressed ? 2 : 1);
     if (!rises) return "steady";
-    return this.say(watch, "nearing", `${now} All in use in ${Math.round(trend.leftS)} s (${Math.round(trend.soonestS)} to ${Math.round(trend.latestS)} s).`);
+    return this.say(
+      watch,
+      "nearing",
+      `${now} All in use in ${Math.round(trend.leftS)} s (${Math.round(trend.soonestS)} to ${Math.round(trend.latestS)} s).`,
+    );
   };
 
   private readonly say = (watch: Watch, verdict: ForecastName, reason: string): ForecastName => {
@@ -299,15 +389,28 @@
   };
 }
 
-const RANK: Readonly<Record<ForecastName, number>> = { unknown: 0, steady: 1, nearing: 2, overrun: 3 };
+const RANK: Readonly<Record<ForecastName, number>> = {
+  unknown: 0,
+  steady: 1,
+  nearing: 2,
+  overrun: 3,
+};
 
 const round = (value: number): number => Math.round(value * 1_000) / 1_000;
 
-const sorted = (verdicts: Readonly<Record<string, ForecastName>>): readonly (readonly [string, string])[] => Object.entries(verdicts).sort(([a], [b]) => (a < b ? -1 : 1));
+const sorted = (
+  verdicts: Readonly<Record<string, ForecastName>>,
+): readonly (readonly [string, string])[] =>
+  Object.entries(verdicts).sort(([a], [b]) => (a < b ? -1 : 1));
 
-const isName = (value: unknown): value is ForecastName => value === "unknown" || value === "steady" || value === "nearing" || value === "overrun";
+const isName = (value: unknown): value is ForecastName =>
+  value === "unknown" || value === "steady" || value === "nearing" || value === "overrun";
 
 export const readVerdicts = (value: unknown): Readonly<Record<string, ForecastName>> => {
   const rec = isRec(value) ? asRec(value) : {};
-  return Object.fromEntries(Object.entries(rec).flatMap(([service, verdict]) => (isName(verdict) ? [[service, verdict] as const] : [])));
+  return Object.fromEntries(
+    Object.entries(rec).flatMap(([service, verdict]) =>
+      isName(verdict) ? [[service, verdict] as const] : [],
+    ),
+  );
 };
--- a/src/inspection/inspector.ts
+++ b/src/inspection/inspector.ts
@@ -108,7 +108,10 @@
 
   /** Everything that led to what is decided, for the control query. */
   readonly explain = (): Rec => {
-    const faults = [...this.window.byWorker()].sort((a, b) => b[1] - a[1]).slice(0, 20).map(([worker, count]) => ({ worker, faults: count }));
+    const faults = [...this.window.byWorker()]
+      .sort((a, b) => b[1] - a[1])
+      .slice(0, 20)
+      .map(([worker, count]) => ({ worker, faults: count }));
     return {
       holder: this.options.isHolder(),
       term: this.options.term(),
@@ -131,18 +134,23 @@
   };
 
   /** A planned window's shift, which goes before a practice; undefined ends it. */
-  readonly setShift = (shift: Shift | undefined): Promise<boolean> => this.publish({ ...this.options.decisions(), shift });
+  readonly setShift = (shift: Shift | undefined): Promise<boolean> =>
+    this.publish({ ...this.options.decisions(), shift });
 
   /** An operator's shift, or its end when no cell is named. */
   readonly shiftByHand = async (cell: string): Promise<boolean> => {
     if (this.options.decisions().shift?.why === "window") return false;
-    const shift: Shift | undefined = cell === "" ? undefined : { cell, why: "by hand", reason: "The operator asked for it." };
+    const shift: Shift | undefined =
+      cell === "" ? undefined : { cell, why: "by hand", reason: "The operator asked for it." };
     return this.publish({ ...this.options.decisions(), shift });
   };
 
   readonly practise = async (cell: string): Promise<boolean> =>
     this.options.decisions().shift?.why !== "window" &&
-    (await this.publish({ ...this.options.decisions(), shift: { cell, why: "practice", reason: "Practice keeps the path exercised." } }));
+    (await this.publish({
+      ...this.options.decisions(),
+      shift: { cell, why: "practice", reason: "Practice keeps the path exercised." },
+    }));
 
   private readonly publish = async (decisions: Decisions): Promise<boolean> => {
     if (!this.options.isHolder()) return false;
@@ -178,10 +186,17 @@
     const nowUs = clock.nowUs();
     const living = new Set(workers().map((worker) => worker.id));
     const now = decisions();
-    now.ejections.filter(({ worker }) => !this.ejectedSinceUs.has(worker)).forEach(({ worker }) => this.ejectedSinceUs.set(worker, nowUs));
-    const kept = now.ejections.filter(({ worker }) => living.has(worker) && nowUs - (this.ejectedSinceUs.get(worker) ?? nowUs) < terms.returnUs);
+    now.ejections
+      .filter(({ worker }) => !this.ejectedSinceUs.has(worker))
+      .forEach(({ worker }) => this.ejectedSinceUs.set(worker, nowUs));
+    const kept = now.ejections.filter(
+      ({ worker }) =>
+        living.has(worker) && nowUs - (this.ejectedSinceUs.get(worker) ?? nowUs) < terms.returnUs,
+    );
     if (kept.length === now.ejections.length) return false;
-    const returned = now.ejections.filter((ejection) => !kept.includes(ejection)).map(({ worker }) => worker);
+    const returned = now.ejections
+      .filter((ejection) => !kept.includes(ejection))
+      .map(({ worker }) => worker);
     if (await this.options.publish({ ...now, ejections: kept })) {
       returned.forEach((worker) => this.ejectedSinceUs.delete(worker));
       log.info(`Returned ${returned.join(", ")}.`);
@@ -196,7 +211,8 @@
     this.shiftSinceUs ??= clock.nowUs();
     const lastsUs = shift.why === "practice" ? PRACTICE_US : terms.returnUs;
     if (clock.nowUs() - this.shiftSinceUs < lastsUs) return false;
-    if (await this.publish({ ...decisions(), shift: undefined })) log.info(`The shift away from ${shift.cell} is over.`);
+    if (await this.publish({ ...decisions(), shift: undefined }))
+      log.info(`The shift away from ${shift.cell} is over.`);
     return true;
   };
 
@@ -205,16 +221,28 @@
     const living = new Map(workers().map((worker) => [worker.id, worker]));
     const now = decisions();
     const ejected = new Set(now.ejections.map(({ worker }) => worker));
-    const sums = new Map([...this.window.byWorker()].filter(([id]) => living.has(id) && !ejected.has(id)));
+    const sums = new Map(
+      [...this.window.byWorker()].filter(([id]) => living.has(id) && !ejected.has(id)),
+    );
     const found = outlier(sums, terms.floorFaults, terms.alarmShare);
     const worker = found && living.get(found.who);
     if (!found || !worker || worker.missing) return false;
-    if (!this.hasToken()) return this.say(`${found.who} holds ${percent(found)} of the faults, but the token is spent.`);
+    if (!this.hasToken())
+      return this.say(
+        `${found.who} holds ${percent(found)} of the faults, but the token is spent.`,
+      );
     const ofService = [...living.values()].filter((other) => other.service === worker.service);
     const out = ofService.filter((other) => ejected.has(other.id) || other.missing).length;
-    if (out + 1 > ofService.length * terms.cappedShare) return this.say(`${found.who} stands out, but ${worker.service} may lose no more workers.`);
+    if (out + 1 > ofService.length * terms.cappedShare)
+      return this.say(`${found.who} stands out, but ${worker.service} may lose no more workers.`);
     const reason = `${found.who} holds ${found.faults} of ${found.ofFaults} faults (${percent(found)}).`;
-    const evidence = { faults: found.faults, ofFaults: found.ofFaults, share: found.share, token: "taken", term: term() };
+    const evidence = {
+      faults: found.faults,
+      ofFaults: found.ofFaults,
+      share: found.share,
+      token: "taken",
+      term: term(),
+    };
     const ejections = [...now.ejections, { worker: found.who, reason, evidence }];
     if (await this.options.publish({ ...now, removals: now.removals + 1, ejections })) {
       this.lastRemovalUs = clock.nowUs();
@@ -229,7 +257,8 @@
     const { shift } = decisions();
     const all = workers();
     const faults = this.window.byWorker();
-    const weightOf = (worker: InspectedWorker) => (faults.get(worker.id) ?? 0) + (worker.missing ? MISSING_WEIGHT : 0);
+    const weightOf = (worker: InspectedWorker) =>
+      (faults.get(worker.id) ?? 0) + (worker.missing ? MISSING_WEIGHT : 0);
     const sums = new Map<string, number>();
     all.forEach((worker) => sums.set(worker.cell, (sums.get(worker.cell) ?? 0) + weightOf(worker)));
     const found = outlier(sums, terms.cellFloorFaults, terms.alarmShare);
@@ -237,8 +266,14 @@
     const ofCell = all.filter((worker) => worker.cell === found.who);
     if (ofCell.filter((worker) => weightOf(worker) > 0).length * 2 < ofCell.length) return false;
     const reason = `${found.who} holds ${found.faults} of ${found.ofFaults} faults (${percent(found)}).`;
-    if (shift) return shift.cell === found.who ? false : this.say(`${reason} It is not shifted away from: ${shift.cell} is, and one cell goes at a time.`);
-    if (await this.publish({ ...decisions(), shift: { cell: found.who, why: "outlier", reason } })) log.warn(`Shifted away from ${found.who}: ${reason}`);
+    if (shift)
+      return shift.cell === found.who
+        ? false
+        : this.say(
+            `${reason} It is not shifted away from: ${shift.cell} is, and one cell goes at a time.`,
+          );
+    if (await this.publish({ ...decisions(), shift: { cell: found.who, why: "outlier", reason } }))
+      log.warn(`Shifted away from ${found.who}: ${reason}`);
     return true;
   };
 
--- a/src/inspection/ranking.ts
+++ b/src/inspection/ranking.ts
@@ -37,7 +37,10 @@
   private readonly lives = new Map<string, string>();
   private buckets: { readonly sinceUs: number; readonly byWorker: Map<string, number> }[] = [];
 
-  constructor(private readonly clock: Clock, private readonly windowUs: number) {}
+  constructor(
+    private readonly clock: Clock,
+    private readonly windowUs: number,
+  ) {}
 
   /** False if the report is malformed, and then nothing of it counts. */
   readonly take = (report: Message): boolean => {
@@ -72,7 +75,11 @@
   readonly byWorker = (): ReadonlyMap<string, number> => {
     this.trim();
     const sums = new Map<string, number>();
-    this.buckets.forEach((bucket) => bucket.byWorker.forEach((faults, worker) => sums.set(worker, (sums.get(worker) ?? 0) + faults)));
+    this.buckets.forEach((bucket) =>
+      bucket.byWorker.forEach((faults, worker) =>
+        sums.set(worker, (sums.get(worker) ?? 0) + faults),
+      ),
+    );
     return sums;
   };
 
@@ -99,9 +106,15 @@
 }
 
 /** The one that stands out: it holds the alarm's share of all faults, and there are enough of them to tell. */
-export const outlier = (sums: ReadonlyMap<string, number>, floorFaults: number, alarmShare: number): Evidence | undefined => {
+export const outlier = (
+  sums: ReadonlyMap<string, number>,
+  floorFaults: number,
+  alarmShare: number,
+): Evidence | undefined => {
   const ofFaults = [...sums.values()].reduce((sum, faults) => sum + faults, 0);
   const [who, faults] = [...sums].sort((a, b) => b[1] - a[1])[0] ?? ["", 0];
   const share = ofFaults === 0 ? 0 : faults / ofFaults;
-  return ofFaults >= floorFaults && share >= alarmShare ? { who, faults, ofFaults, share } : undefined;
+  return ofFaults >= floorFaults && share >= alarmShare
+    ? { who, faults, ofFaults, share }
+    : undefined;
 };
--- a/src/inspection/rollout-counts.ts
+++ b/src/inspection/rollout-counts.ts
@@ -28,11 +28,27 @@
 
   constructor(private readonly life: string) {}
 
-  readonly count = (route: string, version: number, service: string, stratum: string, outcome: RolloutOutcome): void => {
+  readonly count = (
+    route: string,
+    version: number,
+    service: string,
+    stratum: string,
+    outcome: RolloutOutcome,
+  ): void => {
     const key = `${route}\n${version}\n${service}\n${stratum}`;
     const known = this.rows.get(key);
     if (!known && this.rows.size >= MOST_ROWS) return;
-    const row = known ?? { route, version, service, stratum, inTime: 0, late: 0, lost: 0, doubled: 0, own: 0 };
+    const row = known ?? {
+      route,
+      version,
+      service,
+      stratum,
+      inTime: 0,
+      late: 0,
+      lost: 0,
+      doubled: 0,
+      own: 0,
+    };
     row[outcome] += 1;
     this.rows.set(key, row);
     this.changed.add(key);
@@ -49,7 +65,19 @@
 
   readonly takeReport = (): Message | undefined => {
     if (this.changed.size === 0) return undefined;
-    const rows = [...this.changed].flatMap((key) => this.rows.get(key) ?? []).map((row) => [row.route, row.version, row.service, row.stratum, row.inTime, row.late, row.lost, row.doubled, row.own]);
+    const rows = [...this.changed]
+      .flatMap((key) => this.rows.get(key) ?? [])
+      .map((row) => [
+        row.route,
+        row.version,
+        row.service,
+        row.stratum,
+        row.inTime,
+        row.late,
+        row.lost,
+        row.doubled,
+        row.own,
+      ]);
     this.changed.clear();
     return { kind: "rollout", life: this.life, rows };
   };
--- a/src/inspection/rollout-inspector.ts
+++ b/src/inspection/rollout-inspector.ts
@@ -28,7 +28,11 @@
  * and goes only by the operator's clearing or a newer version.
  */
 export interface RolloutState {
-  readonly baselines: readonly { readonly route: string; readonly version: number; readonly service: string }[];
+  readonly baselines: readonly {
+    readonly route: string;
+    readonly version: number;
+    readonly service: string;
+  }[];
   readonly stops: readonly Stop[];
 }
 
@@ -37,7 +41,11 @@
 export const readRolloutState = (value: unknown): RolloutState => {
   const rec = asRec(value, "rollouts");
   return {
-    baselines: list(rec, "baselines", asRec).map((row) => ({ route: text(row, "route"), version: whole(row, "version"), service: text(row, "service") })),
+    baselines: list(rec, "baselines", asRec).map((row) => ({
+      route: text(row, "route"),
+      version: whole(row, "version"),
+      service: text(row, "service"),
+    })),
     stops: list(rec, "stops", asRec).map((row) => ({
       route: text(row, "route"),
       version: whole(row, "version"),
@@ -88,7 +96,8 @@
   readonly version: number;
 }
 
-const isOf = (row: RouteVersion, route: SplitRoute): boolean => row.route === route.name && row.version === route.version;
+const isOf = (row: RouteVersion, route: SplitRoute): boolean =>
+  row.route === route.name && row.version === route.version;
 
 const stopOf = (state: RolloutState, route: SplitRoute, candidate: string): Stop | undefined =>
   state.stops.find((stop) => isOf(stop, route) && stop.candidate === candidate);
@@ -114,7 +123,12 @@
 };
 
 const rise = (now: Tally, before: Tally): Tally | undefined => {
-  const tally = { inTime: now.inTime - before.inTime, late: now.late - before.late, lost: now.lost - before.lost, doubled: now.doubled - before.doubled };
+  const tally = {
+    inTime: now.inTime - before.inTime,
+    late: now.late - before.late,
+    lost: now.lost - before.lost,
+    doubled: now.doubled - before.doubled,
+  };
   return Object.values(tally).every((number) => number >= 0) ? tally : undefined;
 };
 
@@ -122,7 +136,10 @@
 export class RolloutInspector {
   private readonly comparisons = new Map<string, Comparison>();
   /** Invariant: by node, life and row, what was last counted; a report repeated or out of order raises nothing. */
-  private readonly told = new Map<string, { life: string; readonly rows: Map<string, ReportRow> }>();
+  private readonly told = new Map<
+    string,
+    { life: string; readonly rows: Map<string, ReportRow> }
+  >();
   private pulse: Pulse | undefined;
   private busy = false;
   private dropped = 0;
@@ -161,12 +178,23 @@
     }
   };
 
-  readonly list = (): readonly Rec[] => [...this.comparisons.values()].flatMap((comparison) => [...comparison.trials.keys()].map((service) => this.row(comparison, service)));
+  readonly list = (): readonly Rec[] =>
+    [...this.comparisons.values()].flatMap((comparison) =>
+      [...comparison.trials.keys()].map((service) => this.row(comparison, service)),
+    );
 
-  readonly explain = (): Rec => ({ holder: this.options.isHolder(), term: this.options.term(), droppedReports: this.dropped, rollouts: this.list() });
+  readonly explain = (): Rec => ({
+    holder: this.options.isHolder(),
+    term: this.options.term(),
+    droppedReports: this.dropped,
+    rollouts: this.list(),
+  });
 
   /** The operator lifts a stop; the comparison begins anew with what comes from now on. */
-  readonly clear = async (route: string, version: number | undefined): Promise<ClearMishap | undefined> => {
+  readonly clear = async (
+    route: string,
+    version: number | undefined,
+  ): Promise<ClearMishap | undefined> => {
     const inForce = this.options.splitRoutes().find((split) => split.name === route);
     if (!inForce) return "unknown-route";
     if (version !== undefined && version !== inForce.version) return "stale-version";
@@ -175,13 +203,18 @@
     if (stops.length === state.stops.length) return "not-stopped";
     if (!(await this.options.publish({ ...state, stops }))) return "not-published";
     this.comparisons.delete(route);
-    this.options.log.info(`The operator cleared the stop of ${route} at version ${inForce.version}.`);
+    this.options.log.info(
+      `The operator cleared the stop of ${route} at version ${inForce.version}.`,
+    );
     return undefined;
   };
 
   private readonly takeRow = (rows: Map<string, ReportRow>, row: ReportRow): void => {
     const comparison = this.comparisons.get(row.route);
-    const isShare = comparison !== undefined && comparison.route.version === row.version && comparison.route.shares.some((share) => share.service === row.service);
+    const isShare =
+      comparison !== undefined &&
+      comparison.route.version === row.version &&
+      comparison.route.shares.some((share) => share.service === row.service);
     if (!isShare) {
       this.dropped += 1;
       return;
@@ -192,7 +225,8 @@
     if (!risen) return;
     rows.set(key, row);
     comparison.own += Math.max(0, row.own - (before?.own ?? 0));
-    if (row.service === comparison.baseline) comparison.trials.forEach((trial) => trial.takeBaseline(row.stratum, risen));
+    if (row.service === comparison.baseline)
+      comparison.trials.forEach((trial) => trial.takeBaseline(row.stratum, risen));
     else comparison.trials.get(row.service)?.takeCandidate(row.stratum, risen);
   };
 
@@ -203,14 +237,27 @@
     this.comparisons.forEach((comparison, name) => {
       if (inForce.get(name)?.version === comparison.route.version) return;
       this.comparisons.delete(name);
-      this.told.forEach(({ rows }) => rows.forEach((row, key) => row.route === name && rows.delete(key)));
+      this.told.forEach(({ rows }) =>
+        rows.forEach((row, key) => row.route === name && rows.delete(key)),
+      );
     });
     inForce.forEach((route, name) => {
       if (this.comparisons.has(name)) return;
       const baseline = this.baselineOf(route);
-      const candidates = route.shares.map(({ service }) => service).filter((service) => service !== baseline);
-      const trials = new Map(candidates.map((service) => [service, new Trial(route.isSafe, terms, random)]));
-      this.comparisons.set(name, { route, baseline, trials, sinceUs: clock.nowUs(), verdicts: new Map(), own: 0 });
+      const candidates = route.shares
+        .map(({ service }) => service)
+        .filter((service) => service !== baseline);
+      const trials = new Map(
+        candidates.map((service) => [service, new Trial(route.isSafe, terms, random)]),
+      );
+      this.comparisons.set(name, {
+        route,
+        baseline,
+        trials,
+        sinceUs: clock.nowUs(),
+        verdicts: new Map(),
+        own: 0,
+      });
     });
   };
 
@@ -225,16 +272,33 @@
   private readonly decide = async (): Promise<void> => {
     const { state, publish, log, clock, term } = this.options;
     const before = state();
-    const inForce = (row: RouteVersion) => this.comparisons.get(row.route)?.route.version === row.version;
+    const inForce = (row: RouteVersion) =>
+      this.comparisons.get(row.route)?.route.version === row.version;
     const fresh = [...this.comparisons.values()]
       .filter(({ route }) => !before.baselines.some((row) => isOf(row, route)))
-      .map(({ route, baseline }) => ({ route: route.name, version: route.version, service: baseline }));
-    const found = [...this.comparisons.values()].flatMap((comparison) => this.judge(comparison, before));
+      .map(({ route, baseline }) => ({
+        route: route.name,
+        version: route.version,
+        service: baseline,
+      }));
+    const found = [...this.comparisons.values()].flatMap((comparison) =>
+      this.judge(comparison, before),
+    );
     const baselines = [...before.baselines.filter(inForce), ...fresh];
-    const stops = [...before.stops.filter(inForce), ...found.map((stop) => ({ ...stop, evidence: { ...stop.evidence, term: term() } }))];
-    const isSame = fresh.length + found.length === 0 && baselines.length === before.baselines.length && stops.length === before.stops.length;
+    const stops = [
+      ...before.stops.filter(inForce),
+      ...found.map((stop) => ({ ...stop, evidence: { ...stop.evidence, term: term() } })),
+    ];
+    const isSame =
+      fresh.length + found.length === 0 &&
+      baselines.length === before.baselines.length &&
+      stops.length === before.stops.length;
     if (isSame || !(await publish({ baselines, stops }))) return;
-    found.forEach((stop) => log.warn(`Stopped ${stop.candidate} on ${stop.route} at version ${stop.version} after ${Math.round((clock.nowUs() - (this.comparisons.get(stop.route)?.sinceUs ?? 0)) / 1_000)} ms: ${stop.reason}`));
+    found.forEach((stop) =>
+      log.warn(
+        `Stopped ${stop.candidate} on ${stop.route} at version ${stop.version} after ${Math.round((clock.nowUs() - (this.comparisons.get(stop.route)?.sinceUs ?? 0)) / 1_000)} ms: ${stop.reason}`,
+      ),
+    );
   };
 
   private readonly judge = (comparison: Comparison, state: RolloutState): readonly Stop[] => {
@@ -243,10 +307,25 @@
     return [...trials].flatMap(([candidate, trial]) => {
       const verdict = trial.look();
       const before = verdicts.get(candidate);
-      if (before?.verdict !== verdict.verdict && verdict.verdict === "pass") log.info(`${candidate} passed on ${route.name} at version ${route.version}: ${verdict.reason}`);
-      verdicts.set(candidate, { ...verdict, afterUs: before?.verdict === verdict.verdict ? before.afterUs : clock.nowUs() - sinceUs });
+      if (before?.verdict !== verdict.verdict && verdict.verdict === "pass")
+        log.info(
+          `${candidate} passed on ${route.name} at version ${route.version}: ${verdict.reason}`,
+        );
+      verdicts.set(candidate, {
+        ...verdict,
+        afterUs: before?.verdict === verdict.verdict ? before.afterUs : clock.nowUs() - sinceUs,
+      });
       if (verdict.verdict !== "stop" || stopOf(state, route, candidate)) return [];
-      return [{ route: route.name, version: route.version, candidate, baseline, reason: verdict.reason, evidence: evidenceOf(verdict, terms) }];
+      return [
+        {
+          route: route.name,
+          version: route.version,
+          candidate,
+          baseline,
+          reason: verdict.reason,
+          evidence: evidenceOf(verdict, terms),
+        },
+      ];
     });
   };
 
@@ -262,7 +341,8 @@
       baseline,
       verdict: stop ? "stop" : (verdict?.verdict ?? "observing"),
       reason: stop?.reason ?? verdict?.reason ?? "Not enough has been seen yet.",
-      afterMs: verdict && verdict.verdict !== "observing" ? Math.round(verdict.afterUs / MS) : undefined,
+      afterMs:
+        verdict && verdict.verdict !== "observing" ? Math.round(verdict.afterUs / MS) : undefined,
       seen: { candidate: candidateTally, baseline: baselineTally, heldAgainstNobody: own },
       evidence: stop?.evidence ?? (verdict ? evidenceOf(verdict, this.options.terms) : {}),
     };
@@ -276,5 +356,9 @@
   against: verdict.evidenceAgainst,
   doubled: verdict.evidenceDoubled,
   sound: verdict.evidenceSound,
-  bounds: { against: 1 / terms.falseStop, doubled: 1 / terms.falseStopDoubled, sound: 1 / terms.falsePass },
+  bounds: {
+    against: 1 / terms.falseStop,
+    doubled: 1 / terms.falseStopDoubled,
+    sound: 1 / terms.falsePass,
+  },
 });
--- a/src/inspection/split-routes.ts
+++ b/src/inspection/split-routes.ts
@@ -25,10 +25,12 @@
     } else this.seen.set(name, readSeen(name, version, body));
   };
 
-  readonly all = (): readonly SplitRoute[] => [...this.seen.values()].flatMap((seen) => seen.split ?? []);
+  readonly all = (): readonly SplitRoute[] =>
+    [...this.seen.values()].flatMap((seen) => seen.split ?? []);
 
   /** For how long a request may be under way, by the longest of all routes. */
-  readonly longestGiveUpUs = (): number => [...this.seen.values()].reduce((longest, { giveUpUs }) => Math.max(longest, giveUpUs), 0);
+  readonly longestGiveUpUs = (): number =>
+    [...this.seen.values()].reduce((longest, { giveUpUs }) => Math.max(longest, giveUpUs), 0);
 
   readonly mainBefore = (name: string): string | undefined => this.mainsBefore.get(name);
 }
@@ -37,6 +39,7 @@
   const rule = asRec(asRec(parseJson(body))["rule"], "rule");
   const then = asRec(rule["then"], "then");
   const shares = readShares(then);
-  const split = shares.length > 1 ? { name, version, isSafe: rule["routeKind"] === "safe", shares } : undefined;
+  const split =
+    shares.length > 1 ? { name, version, isSafe: rule["routeKind"] === "safe", shares } : undefined;
   return { version, main: mainOf(shares), split, giveUpUs: parseSpan(then["giveUp"]).unwrapOr(0) };
 };
--- a/src/inspection/windows.ts
+++ b/src/inspection/windows.ts
@@ -132,7 +132,17 @@
   private pulse: Pulse | undefined;
   private busy = false;
   /** Invariant: `opensUs` and `closesUs` of the windows not ended, on this process's clock; made anew with each holding. */
-  private readonly marks = new Map<string, { opensUs: number; closesUs: number; stageSinceUs: number; notedUs: number; sawGone: boolean; said: string }>();
+  private readonly marks = new Map<
+    string,
+    {
+      opensUs: number;
+      closesUs: number;
+      stageSinceUs: number;
+      notedUs: number;
+      sawGone: boolean;
+      said: string;
+    }
+  >();
   private wasHolder = false;
 
   constructor(private readonly options: WindowsOptions) {}
@@ -150,52 +160,92 @@
   };
 
   /** Takes a window; warnings don't refuse it. */
-  readonly add = async (order: WindowOrder, id: string): Promise<WindowMishap | readonly string[]> => {
+  readonly add = async (
+    order: WindowOrder,
+    id: string,
+  ): Promise<WindowMishap | readonly string[]> => {
     const { terms, cells, isBorne, state, publish, isHolder } = this.options;
     if (!isHolder()) return "noQuorum";
     if (!cells().includes(order.cell)) return "unknownCell";
-    if (!(order.lastsUs >= terms.leastLastsUs && order.lastsUs <= terms.mostLastsUs) || !(order.opensUs >= 0 && order.opensUs <= terms.mostAheadUs)) return "wrongLength";
+    if (
+      !(order.lastsUs >= terms.leastLastsUs && order.lastsUs <= terms.mostLastsUs) ||
+      !(order.opensUs >= 0 && order.opensUs <= terms.mostAheadUs)
+    )
+      return "wrongLength";
     if (order.opensUs < this.leadUs()) return "tooLate";
     if (!isBorne(order.cell)) return "noQuorumWithout";
     const now = this.current();
     if (now.some((window) => this.meets(window, order))) return "overlap";
-    const window: Window = { id, cell: order.cell, stage: "announced", remainingUs: order.opensUs, lastsUs: order.lastsUs, safe: 0, unsafe: 0, note: "" };
+    const window: Window = {
+      id,
+      cell: order.cell,
+      stage: "announced",
+      remainingUs: order.opensUs,
+      lastsUs: order.lastsUs,
+      safe: 0,
+      unsafe: 0,
+      note: "",
+    };
     const kept = now.filter(({ stage }) => stage !== "ended" || now.length < MOST_KEPT);
     if (!(await publish([...kept, window]))) return "noQuorum";
     this.mark(window, 0);
-    this.options.log.info(`Window ${id} of ${order.cell} opens in ${seconds(order.opensUs)} s for ${seconds(order.lastsUs)} s.`);
+    this.options.log.info(
+      `Window ${id} of ${order.cell} opens in ${seconds(order.opensUs)} s for ${seconds(order.lastsUs)} s.`,
+    );
     return state().some((held) => held.id === id) ? this.warnings(order.cell) : "noQuorum";
   };
 
   readonly cancel = (id: string): Promise<WindowMishap | undefined> =>
-    this.change(id, (window) => (window.stage === "announced" ? { ...window, stage: "ended", note: "cancelled" } : { ...window, stage: "returning", note: "cancelled" }));
+    this.change(id, (window) =>
+      window.stage === "announced"
+        ? { ...window, stage: "ended", note: "cancelled" }
+        : { ...window, stage: "returning", note: "cancelled" },
+    );
 
   /** Makes an opened or coming window longer. */
   readonly extend = async (id: string, byUs: number): Promise<WindowMishap | undefined> => {
     const { terms } = this.options;
     const found = this.current().find((window) => window.id === id);
     if (found && !(byUs > 0 && found.lastsUs + byUs <= terms.mostLastsUs)) return "wrongLength";
-    if (found && this.current().some((other) => other.id !== id && this.meets(other, { cell: found.cell, opensUs: found.stage === "open" ? 0 : found.remainingUs, lastsUs: found.lastsUs + byUs }))) return "overlap";
+    if (
+      found &&
+      this.current().some(
+        (other) =>
+          other.id !== id &&
+          this.meets(other, {
+            cell: found.cell,
+            opensUs: found.stage === "open" ? 0 : found.remainingUs,
+            lastsUs: found.lastsUs + byUs,
+          }),
+      )
+    )
+      return "overlap";
     return this.change(id, (window) => {
       if (window.stage === "returning") return undefined;
       const mark = this.marks.get(id);
       if (mark) mark.closesUs += byUs;
-      return { ...window, lastsUs: window.lastsUs + byUs, ...(window.stage === "open" ? { remainingUs: window.remainingUs + byUs } : {}) };
+      return {
+        ...window,
+        lastsUs: window.lastsUs + byUs,
+        ...(window.stage === "open" ? { remainingUs: window.remainingUs + byUs } : {}),
+      };
     });
   };
 
   readonly explain = (): Rec => ({
-    windows: this.current().map(({ id, cell, stage, remainingUs, lastsUs, safe, unsafe, note }) => ({
-      id,
-      cell,
-      stage,
-      [stage === "open" ? "closesInS" : "opensInS"]: Math.max(0, seconds(remainingUs)),
-      lastsS: seconds(lastsUs),
-      safeMoved: safe,
-      unsafeMoved: unsafe,
-      note,
-      warnings: stage === "ended" || stage === "returning" ? [] : this.warnings(cell),
-    })),
+    windows: this.current().map(
+      ({ id, cell, stage, remainingUs, lastsUs, safe, unsafe, note }) => ({
+        id,
+        cell,
+        stage,
+        [stage === "open" ? "closesInS" : "opensInS"]: Math.max(0, seconds(remainingUs)),
+        lastsS: seconds(lastsUs),
+        safeMoved: safe,
+        unsafeMoved: unsafe,
+        note,
+        warnings: stage === "ended" || stage === "returning" ? [] : this.warnings(cell),
+      }),
+    ),
   });
 
   readonly tick = async (): Promise<void> => {
@@ -213,7 +263,9 @@
         state().forEach((window) => this.mark(window, knownUs() ?? this.options.terms.noteUs));
         this.wasHolder = true;
       }
-      const next = this.current().find(({ stage }) => stage !== "ended" && stage !== "announced") ?? this.nextAnnounced();
+      const next =
+        this.current().find(({ stage }) => stage !== "ended" && stage !== "announced") ??
+        this.nextAnnounced();
       if (next) await this.step(next);
       await this.note();
     } finally {
@@ -227,7 +279,10 @@
     return this.options.state().map((window) => {
       const mark = this.marks.get(window.id);
       if (!mark) return window;
-      return { ...window, remainingUs: (window.stage === "open" ? mark.closesUs : mark.opensUs) - nowUs };
+      return {
+        ...window,
+        remainingUs: (window.stage === "open" ? mark.closesUs : mark.opensUs) - nowUs,
+      };
     });
   };
 
@@ -236,11 +291,20 @@
     const remainingUs = window.remainingUs - passedUs;
     const opensUs = nowUs + (window.stage === "open" ? 0 : remainingUs);
     const closesUs = window.stage === "open" ? nowUs + remainingUs : opensUs + window.lastsUs;
-    this.marks.set(window.id, { opensUs, closesUs, stageSinceUs: nowUs, notedUs: nowUs, sawGone: false, said: "" });
+    this.marks.set(window.id, {
+      opensUs,
+      closesUs,
+      stageSinceUs: nowUs,
+      notedUs: nowUs,
+      sawGone: false,
+      said: "",
+    });
   };
 
   private readonly nextAnnounced = (): Window | undefined =>
-    [...this.current()].filter(({ stage }) => stage === "announced").sort((a, b) => a.remainingUs - b.remainingUs)[0];
+    [...this.current()]
+      .filter(({ stage }) => stage === "announced")
+      .sort((a, b) => a.remainingUs - b.remainingUs)[0];
 
   private readonly step = async (window: Window): Promise<void> => {
     const { clock, terms, longestBudgetUs, log, shift, leaveDuty } = this.options;
@@ -254,16 +318,22 @@
         if (window.remainingUs > this.leadUs()) return;
         const other = shift();
         if (other && other.why !== "practice" && other.cell !== window.cell) {
-          return this.say(window.id, `Window ${window.id} of ${window.cell} waits: ${other.cell} is shifted away from, and one cell goes at a time.`);
+          return this.say(
+            window.id,
+            `Window ${window.id} of ${window.cell} waits: ${other.cell} is shifted away from, and one cell goes at a time.`,
+          );
         }
-        this.warnings(window.cell).forEach((warning) => log.warn(`Window ${window.id} of ${window.cell} begins to move all the same: ${warning}`));
+        this.warnings(window.cell).forEach((warning) =>
+          log.warn(`Window ${window.id} of ${window.cell} begins to move all the same: ${warning}`),
+        );
         return this.go({ ...parts(1 / terms.steps, 0), stage: "moving" });
       }
       case "moving": {
         const step = 1 + Math.floor(sinceUs / terms.stepUs);
         const safe = Math.min(1, step / terms.steps);
         const unsafe = step > terms.steps ? 1 : 0;
-        if (safe > window.safe || unsafe > window.unsafe) return this.go(parts(Math.max(safe, window.safe), Math.max(unsafe, window.unsafe)));
+        if (safe > window.safe || unsafe > window.unsafe)
+          return this.go(parts(Math.max(safe, window.safe), Math.max(unsafe, window.unsafe)));
         if (window.unsafe < 1) return;
         await leaveDuty(window.cell);
         // The longest budget counts from when the last unsafe request may have been sent there.
@@ -282,7 +352,8 @@
         const step = Math.min(terms.steps, Math.floor(sinceUs / terms.stepUs));
         const safe = 1 - step / terms.steps;
         if (safe > 0) {
-          if (safe < window.safe || window.unsafe > 0) await this.go(parts(Math.min(window.safe, safe), 0));
+          if (safe < window.safe || window.unsafe > 0)
+            await this.go(parts(Math.min(window.safe, safe), 0));
           return;
         }
         await this.go({ ...parts(0, 0), stage: "ended" });
@@ -302,7 +373,17 @@
       log.info(`Window ${window.id} of ${window.cell} is ${window.stage}.`);
     }
     if (mark) mark.notedUs = clock.nowUs();
-    await setShift(window.stage === "ended" ? undefined : { cell: window.cell, why: "window", reason: REASON, safe: window.safe, unsafe: window.unsafe });
+    await setShift(
+      window.stage === "ended"
+        ? undefined
+        : {
+            cell: window.cell,
+            why: "window",
+            reason: REASON,
+            safe: window.safe,
+            unsafe: window.unsafe,
+          },
+    );
   };
 
   /** Writes the remaining time down now and then, and mends a shift that isn't as the stage wants it. */
@@ -312,11 +393,27 @@
     const all = this.current();
     const moved = all.find(({ stage }) => stage !== "ended" && stage !== "announced");
     const now = shift();
-    if (moved && (now?.why !== "window" || now.cell !== moved.cell || now.safe !== moved.safe || now.unsafe !== moved.unsafe)) {
-      await setShift({ cell: moved.cell, why: "window", reason: REASON, safe: moved.safe, unsafe: moved.unsafe });
+    if (
+      moved &&
+      (now?.why !== "window" ||
+        now.cell !== moved.cell ||
+        now.safe !== moved.safe ||
+        now.unsafe !== moved.unsafe)
+    ) {
+      await setShift({
+        cell: moved.cell,
+        why: "window",
+        reason: REASON,
+        safe: moved.safe,
+        unsafe: moved.unsafe,
+      });
     } else if (!moved && now?.why === "window") await setShift(undefined);
     const live = all.filter(({ stage }) => stage !== "ended");
-    if (live.length === 0 || live.every(({ id }) => nowUs - (this.marks.get(id)?.notedUs ?? nowUs) < terms.noteUs)) return;
+    if (
+      live.length === 0 ||
+      live.every(({ id }) => nowUs - (this.marks.get(id)?.notedUs ?? nowUs) < terms.noteUs)
+    )
+      return;
     if (await publish(all)) live.forEach(({ id }) => this.renote(id, nowUs));
   };
 
@@ -325,28 +422,42 @@
     if (mark) mark.notedUs = nowUs;
   };
 
-  private readonly readyIn = (cell: string): number => this.options.workers().filter((worker) => worker.cell === cell && worker.isReady).length;
+  private readonly readyIn = (cell: string): number =>
+    this.options.workers().filter((worker) => worker.cell === cell && worker.isReady).length;
 
   private readonly watchCell = (window: Window, mark: { sawGone: boolean }): void => {
     const ready = this.readyIn(window.cell);
     if (ready === 0) mark.sawGone = true;
-    else if (mark.sawGone && window.remainingUs > 0) this.say(window.id, `${window.cell} is back ${seconds(window.remainingUs)} s before its window closes: cancel the window to use it.`);
+    else if (mark.sawGone && window.remainingUs > 0)
+      this.say(
+        window.id,
+        `${window.cell} is back ${seconds(window.remainingUs)} s before its window closes: cancel the window to use it.`,
+      );
   };
 
   /** A cell that is still dark at its window's end stays shifted away from, and the operator is told. */
   private readonly isBack = (window: Window): boolean => {
     if (this.readyIn(window.cell) > 0) return true;
-    this.say(window.id, `${window.cell} is still dark though its window is over: its requests stay elsewhere.`);
+    this.say(
+      window.id,
+      `${window.cell} is still dark though its window is over: its requests stay elsewhere.`,
+    );
     return false;
   };
 
   private readonly warnings = (cell: string): readonly string[] => {
     const { workers, inFlight, terms } = this.options;
     const slots = new Map<string, number>();
-    workers().filter((worker) => worker.cell !== cell && worker.isReady).forEach(({ service, capacity }) => slots.set(service, (slots.get(service) ?? 0) + capacity));
+    workers()
+      .filter((worker) => worker.cell !== cell && worker.isReady)
+      .forEach(({ service, capacity }) => slots.set(service, (slots.get(service) ?? 0) + capacity));
     return [...inFlight()].flatMap(([service, usage]) => {
       const others = slots.get(service) ?? 0;
-      return usage > others * terms.carryPart ? [`${service} has ${usage.toFixed(1)} calls in flight, and the other cells have ${others} slots.`] : [];
+      return usage > others * terms.carryPart
+        ? [
+            `${service} has ${usage.toFixed(1)} calls in flight, and the other cells have ${others} slots.`,
+          ]
+        : [];
     });
   };
 
@@ -355,18 +466,32 @@
     const { steps, stepUs } = this.options.terms;
     const beginUs = (opensUs: number) => opensUs - this.leadUs();
     const endUs = (opensUs: number, lastsUs: number) => opensUs + lastsUs + (steps + 1) * stepUs;
-    const opensUs = window.stage === "open" ? window.remainingUs - window.lastsUs : window.remainingUs;
-    return beginUs(order.opensUs) < endUs(opensUs, window.lastsUs) && beginUs(opensUs) < endUs(order.opensUs, order.lastsUs);
+    const opensUs =
+      window.stage === "open" ? window.remainingUs - window.lastsUs : window.remainingUs;
+    return (
+      beginUs(order.opensUs) < endUs(opensUs, window.lastsUs) &&
+      beginUs(opensUs) < endUs(order.opensUs, order.lastsUs)
+    );
   };
 
-  private readonly change = async (id: string, change: (window: Window) => Window | undefined): Promise<WindowMishap | undefined> => {
+  private readonly change = async (
+    id: string,
+    change: (window: Window) => Window | undefined,
+  ): Promise<WindowMishap | undefined> => {
     if (!this.options.isHolder()) return "noQuorum";
     const found = this.current().find((window) => window.id === id);
     if (!found) return "unknownWindow";
     const changed = found.stage === "ended" ? undefined : change(found);
     if (!changed) return "windowOver";
     await this.go(changed);
-    return this.options.state().some((window) => window.id === id && window.stage === changed.stage && window.lastsUs === changed.lastsUs) ? undefined : "noQuorum";
+    return this.options
+      .state()
+      .some(
+        (window) =>
+          window.id === id && window.stage === changed.stage && window.lastsUs === changed.lastsUs,
+      )
+      ? undefined
+      : "noQuorum";
   };
 
   private readonly say = (id: string, sentence: string): void => {
--- a/src/interlocking/archive.ts
+++ b/src/interlocking/archive.ts
@@ -69,22 +69,34 @@
 /** Past so many records that a refusing disk left unkept, a snapshot takes their place. */
 const MOST_UNKEPT = 2_000;
 
-const sentenceOf = (mishap: unknown): string => (mishap instanceof Error ? mishap.message : "the disk refused");
-
-const pack = (kind: Kind, number: number, content: Content): { readonly bytes: Buffer; readonly sum: string } => {
+const sentenceOf = (mishap: unknown): string =>
+  mishap instanceof Error ? mishap.message : "the disk refused";
+
+const pack = (
+  kind: Kind,
+  number: number,
+  content: Content,
+): { readonly bytes: Buffer; readonly sum: string } => {
   const body = packValue({ kind, number, ...content });
   const sum = createHash("sha256").update(body).digest();
   return { bytes: Buffer.concat([sum, body]), sum: sum.toString("base64") };
 };
 
-const unpack = (kind: Kind, number: number, bytes: Uint8Array): Pick<ReadFile, "sum" | "content"> | undefined => {
+const unpack = (
+  kind: Kind,
+  number: number,
+  bytes: Uint8Array,
+): Pick<ReadFile, "sum" | "content"> | undefined => {
   const body = bytes.subarray(SUM_BYTES);
   const sum = createHash("sha256").update(body).digest();
   if (!sum.equals(bytes.subarray(0, SUM_BYTES))) return undefined;
   const rec = asRec(unpackValue(body));
   if (rec["kind"] !== kind || whole(rec, "number") !== number) return undefined;
   const records = asList(rec["records"], "records").map((record) => asRec(record));
-  return { sum: sum.toString("base64"), content: { link: text(rec, "link"), isWhole: flag(rec, "isWhole"), records } };
+  return {
+    sum: sum.toString("base64"),
+    content: { link: text(rec, "link"), isWhole: flag(rec, "isWhole"), records },
+  };
 };
 
 /** Why these files, in order, are no proof that they hold all that was kept; undefined where they are. */
@@ -95,9 +107,12 @@
   if (!newest.content.isWhole) return "this machine had not caught up when it last stopped";
   let { number } = newest;
   let { link } = newest.content;
-  for (const file of files.filter((other) => other.kind === "increment" && other.number > newest.number)) {
+  for (const file of files.filter(
+    (other) => other.kind === "increment" && other.number > newest.number,
+  )) {
     if (!file.content) return `${file.name} is spoiled`;
-    if (file.number !== number + 1 || file.content.link !== link) return `${file.name} doesn't follow what is before it`;
+    if (file.number !== number + 1 || file.content.link !== link)
+      return `${file.name} doesn't follow what is before it`;
     ({ number } = file);
     link = file.sum;
   }
@@ -144,9 +159,11 @@
     try {
       const files: ReadFile[] = [];
       const named = (await this.find()).filter(({ isAside }) => !isAside);
-      for (let at = 0; at < named.length; at += READ_AT_ONCE) files.push(...(await Promise.all(named.slice(at, at + READ_AT_ONCE).map(this.read))));
+      for (let at = 0; at < named.length; at += READ_AT_ONCE)
+        files.push(...(await Promise.all(named.slice(at, at + READ_AT_ONCE).map(this.read))));
       const why = files.length === 0 ? undefined : doubtOf(files);
-      const from = why === undefined ? Math.max(0, files.map(({ kind }) => kind).lastIndexOf("snapshot")) : 0;
+      const from =
+        why === undefined ? Math.max(0, files.map(({ kind }) => kind).lastIndexOf("snapshot")) : 0;
       records = files.slice(from).flatMap(({ content }) => content?.records ?? []);
       if (why !== undefined) return { kind: "doubtful", records, why };
       await disk.makeFolder(folder);
@@ -189,7 +206,10 @@
 
   /** How much of what makes a snapshot due has come together. */
   private get duePart(): number {
-    return Math.max(this.incrementBytes / Math.max(this.snapshotBytes, LEAST_BYTES), this.increments.size / MOST_INCREMENTS);
+    return Math.max(
+      this.incrementBytes / Math.max(this.snapshotBytes, LEAST_BYTES),
+      this.increments.size / MOST_INCREMENTS,
+    );
   }
 
   private readonly round = async (calls: readonly Call[]): Promise<Result<void, ArchiveMishap>> => {
@@ -225,11 +245,17 @@
 
   private readonly writeIncrement = async (): Promise<void> => {
     if (this.duePart >= HARD_PART) await this.snapshotting;
-    if (this.duePart >= Math.min(this.nextSnapshotPart, HARD_PART)) this.snapshotting ??= this.snapshotAside();
+    if (this.duePart >= Math.min(this.nextSnapshotPart, HARD_PART))
+      this.snapshotting ??= this.snapshotAside();
     if (this.duePart >= HARD_PART) await this.snapshotting;
-    if (this.duePart >= HARD_PART) throw new Error("no snapshot could be written, and the room for increments is taken");
+    if (this.duePart >= HARD_PART)
+      throw new Error("no snapshot could be written, and the room for increments is taken");
     const number = this.last + 1;
-    const { bytes, sum } = pack("increment", number, { link: this.link, isWhole: this.isWhole, records: this.unkept });
+    const { bytes, sum } = pack("increment", number, {
+      link: this.link,
+      isWhole: this.isWhole,
+      records: this.unkept,
+    });
     await this.put("increment", number, bytes);
     this.last = number;
     this.link = sum;
@@ -253,11 +279,17 @@
 
   /** The state as it is now, which holds all that was handed to `keep` up to this call; lasting once this resolves. */
   private readonly writeSnapshot = async (number: number, isWhole: boolean): Promise<void> => {
-    const { bytes } = pack("snapshot", number, { link: this.link, isWhole, records: this.options.snapshot() });
+    const { bytes } = pack("snapshot", number, {
+      link: this.link,
+      isWhole,
+      records: this.options.snapshot(),
+    });
     await this.put("snapshot", number, bytes);
     this.snapshotBytes = bytes.length;
     this.nextSnapshotPart = 1;
-    [...this.increments.keys()].filter((other) => other <= number).forEach((other) => this.increments.delete(other));
+    [...this.increments.keys()]
+      .filter((other) => other <= number)
+      .forEach((other) => this.increments.delete(other));
   };
 
   private readonly put = async (kind: Kind, number: number, bytes: Uint8Array): Promise<void> => {
@@ -278,7 +310,9 @@
   private readonly tidy = async (snapshot: number): Promise<void> => {
     const { folder, disk } = this.options;
     try {
-      const old = (await this.find()).filter(({ kind, number }) => number < snapshot || (kind === "increment" && number === snapshot));
+      const old = (await this.find()).filter(
+        ({ kind, number }) => number < snapshot || (kind === "increment" && number === snapshot),
+      );
       for (const { name } of old) await disk.remove(join(folder, name));
     } catch {
       // Files too many are no fault.
@@ -291,15 +325,28 @@
     return names
       .flatMap((name): Found[] => {
         const [, kind, number, end] = NAME.exec(name) ?? [];
-        return kind === undefined ? [] : [{ kind: kind === "snapshot" ? "snapshot" : "increment", number: Number(number), isAside: end === "tmp", name }];
+        return kind === undefined
+          ? []
+          : [
+              {
+                kind: kind === "snapshot" ? "snapshot" : "increment",
+                number: Number(number),
+                isAside: end === "tmp",
+                name,
+              },
+            ];
       })
       .sort((a, b) => a.number - b.number || a.kind.localeCompare(b.kind));
   };
 
   private readonly read = async (found: Found): Promise<ReadFile> => {
     try {
-      const bytes = (await this.options.disk.read(join(this.options.folder, found.name))) ?? new Uint8Array();
-      const { sum, content } = unpack(found.kind, found.number, bytes) ?? { sum: "", content: undefined };
+      const bytes =
+        (await this.options.disk.read(join(this.options.folder, found.name))) ?? new Uint8Array();
+      const { sum, content } = unpack(found.kind, found.number, bytes) ?? {
+        sum: "",
+        content: undefined,
+      };
       return { ...found, sum, content, bytes: bytes.length };
     } catch {
       return { ...found, sum: "", content: undefined, bytes: 0 };
--- a/src/interlocking/ballot.ts
+++ b/src/interlocking/ballot.ts
@@ -14,11 +14,14 @@
 
 export const NO_BALLOT: Ballot = { number: 0, by: "" };
 
-export const isHigher = (one: Ballot, other: Ballot): boolean => one.number > other.number || (one.number === other.number && one.by > other.by);
+export const isHigher = (one: Ballot, other: Ballot): boolean =>
+  one.number > other.number || (one.number === other.number && one.by > other.by);
 
-export const isSame = (one: Ballot, other: Ballot): boolean => one.number === other.number && one.by === other.by;
+export const isSame = (one: Ballot, other: Ballot): boolean =>
+  one.number === other.number && one.by === other.by;
 
-export const higherOf = (one: Ballot, other: Ballot): Ballot => (isHigher(other, one) ? other : one);
+export const higherOf = (one: Ballot, other: Ballot): Ballot =>
+  isHigher(other, one) ? other : one;
 
 export const packBallot = ({ number, by }: Ballot): PackedBallot => [number, by];
 
