--- a/src/proxy/admission-queue.ts
+++ b/src/proxy/admission-queue.ts
@@ -6,7 +6,7 @@
 interface QueuedRequest {
   readonly context: RequestContext;
   readonly priority: number;
-  readonly leave: (worker: Worker | undefined) => void;
+  readonly settle: (worker: Worker | undefined) => void;
 }
 
 const MAX_QUEUED_REQUESTS = 128;
@@ -38,18 +38,18 @@
       const entry: QueuedRequest = {
         context,
         priority,
-        leave: (chosen) => {
+        settle: (chosen) => {
           timer.stop();
           this.queue = this.queue.filter((other) => other !== entry);
           resolve(chosen);
         },
       };
-      const timer: Timer = this.clock.after(waitUs, () => entry.leave(undefined));
+      const timer: Timer = this.clock.after(waitUs, () => entry.settle(undefined));
       const at = this.queue.findIndex((other) => other.priority > priority);
       this.queue.splice(at < 0 ? this.queue.length : at, 0, entry);
-      context.onFinished.push(() => entry.leave(undefined));
+      context.onFinished.push(() => entry.settle(undefined));
       if (this.queue.length > MAX_QUEUED_REQUESTS)
-        this.queue[this.queue.length - 1]?.leave(undefined);
+        this.queue[this.queue.length - 1]?.settle(undefined);
     });
   };
 
@@ -64,7 +64,7 @@
       this.isScheduled = false;
       this.queue.forEach((entry) => {
         const worker = this.choose(entry.context);
-        if (worker) entry.leave(worker);
+        if (worker) entry.settle(worker);
       });
     });
   };
--- a/src/proxy/body-reader.ts
+++ b/src/proxy/body-reader.ts
@@ -47,7 +47,7 @@
  * A body as it comes. The client's connection outlives it: whoever stops reading it early still
  * owes a response.
  */
-const streamOf = (req: IncomingMessage): Readable => {
+const toStream = (req: IncomingMessage): Readable => {
   const stream = req.pipe(new PassThrough());
   // The error is that of `destroy`, or of the client, whose connection reports its own end.
   stream.on("error", () => undefined);
@@ -74,8 +74,8 @@
       return;
     }
     if (!hasBody || length > MAX_BUFFERED_BODY_BYTES) {
-      if (hasBody) context.body = streamOf(req);
-      if (stalls.noteRequest()) await twoEventLoopTurns();
+      if (hasBody) context.body = toStream(req);
+      if (stalls.observeRequest()) await twoEventLoopTurns();
       next(context);
       return;
     }
@@ -85,7 +85,7 @@
       this.buffer(context),
       TIMED_OUT,
     );
-    if (stalls.noteRequest()) await twoEventLoopTurns();
+    if (stalls.observeRequest()) await twoEventLoopTurns();
     if (context.isFinished) return;
     if (Buffer.isBuffer(body)) {
       context.body = body;
--- a/src/proxy/cached-requests.ts
+++ b/src/proxy/cached-requests.ts
@@ -3,7 +3,7 @@
  * limit.
  */
 import { SECOND_US } from "../common/duration.js";
-import { isBehindClose } from "./client-connection.js";
+import { isAfterClosingResponse } from "./client-connection.js";
 import type { ObjectSource } from "./object-source.js";
 import type { RequestContext } from "./request-context.js";
 import type { ResponseWriter } from "./response-writer.js";
@@ -41,7 +41,7 @@
     };
     const range = req.method === "GET" ? req.headers.range : undefined;
     const result = await this.objects.fetch(request, range);
-    if (context.isFinished || isBehindClose(context)) return;
+    if (context.isFinished || isAfterClosingResponse(context)) return;
     if (result.kind === "served")
       this.writer.sendStored(context, result.status, result.headers, result.body);
     else if (result.reason === "rate")
--- a/src/proxy/client-connection.ts
+++ b/src/proxy/client-connection.ts
@@ -35,7 +35,7 @@
  * Whether a response before this request's closes the connection, so that its client counts it as
  * not read.
  */
-export const isBehindClose = (context: RequestContext): boolean =>
+export const isAfterClosingResponse = (context: RequestContext): boolean =>
   context.position > context.connection.closedAfter;
 
 /**
@@ -76,9 +76,9 @@
   private readonly bySocket = new WeakMap<Socket, ClientConnection>();
 
   /** The connection of a socket, created with its first request. */
-  readonly of = (socket: Socket): ClientConnection => {
-    const known = this.bySocket.get(socket);
-    if (known) return known;
+  readonly forSocket = (socket: Socket): ClientConnection => {
+    const existing = this.bySocket.get(socket);
+    if (existing) return existing;
     const connection: ClientConnection = {
       socket,
       openRequests: 0,
@@ -94,7 +94,7 @@
    * Answers what the parser could not read and closes the connection. While earlier requests are
    * open it only closes: a response now would be taken for one of theirs.
    */
-  readonly rejectUnreadable = (error: NodeJS.ErrnoException, socket: Socket): void => {
+  readonly handleClientError = (error: NodeJS.ErrnoException, socket: Socket): void => {
     const connection = this.bySocket.get(socket);
     if (!socket.writable || (connection !== undefined && connection.openRequests > 0)) {
       socket.destroy();
--- a/src/proxy/connection-pool.ts
+++ b/src/proxy/connection-pool.ts
@@ -1,6 +1,6 @@
 /** The HTTP/1.1 connections of this node to one worker. */
 import type { Client } from "undici";
-import OneClient from "undici/lib/dispatcher/client.js";
+import UndiciClient from "undici/lib/dispatcher/client.js";
 import type { Clock } from "../common/clock.js";
 import { MILLISECOND_US, SECOND_US } from "../common/duration.js";
 
@@ -32,7 +32,7 @@
     const idle = isNew ? undefined : this.idle.pop();
     if (idle) return idle;
     this.open += 1;
-    const client = new OneClient(`http://${address}`, {
+    const client = new UndiciClient(`http://${address}`, {
       pipelining: 1,
       connect: { timeout: CONNECT_TIMEOUT_US / MILLISECOND_US },
       connectTimeout: CONNECT_TIMEOUT_US / MILLISECOND_US,
--- a/src/proxy/delivery-state.ts
+++ b/src/proxy/delivery-state.ts
@@ -82,9 +82,10 @@
  * The outcome for the client where no worker's response can be given: never a promise that may be
  * untrue.
  */
-export const clientOutcome = (delivery: DeliveryState, wanted: OutcomeName): OutcomeName => {
-  if (hasNotRun(delivery)) return wanted === "tooLate" || wanted === "lostAnswer" ? "full" : wanted;
-  return NOT_RUN_STATUSES.has(HTTP_OUTCOMES[wanted].status) ? "lostAnswer" : wanted;
+export const clientOutcome = (delivery: DeliveryState, intended: OutcomeName): OutcomeName => {
+  if (hasNotRun(delivery))
+    return intended === "tooLate" || intended === "lostAnswer" ? "full" : intended;
+  return NOT_RUN_STATUSES.has(HTTP_OUTCOMES[intended].status) ? "lostAnswer" : intended;
 };
 
 /**
--- a/src/proxy/forwarding.ts
+++ b/src/proxy/forwarding.ts
@@ -6,7 +6,7 @@
 import { MILLISECOND_US } from "../common/duration.js";
 import { AdmissionQueue } from "./admission-queue.js";
 import { isBodyBuffered } from "./body-reader.js";
-import { isBehindClose } from "./client-connection.js";
+import { isAfterClosingResponse } from "./client-connection.js";
 import type { Worker } from "./worker.js";
 import type { WorkerDirectory } from "./worker-directory.js";
 import { beginAttempt, markRejected, markRun } from "./delivery-state.js";
@@ -37,7 +37,7 @@
   readonly clock: Clock;
   /** The zone of this node. */
   readonly zone: string;
-  readonly pool: WorkerDirectory;
+  readonly workers: WorkerDirectory;
   readonly loadBalancer: LoadBalancer;
   readonly memory: MemoryBudget;
   readonly keyed: KeyedRequests;
@@ -45,7 +45,7 @@
   /** Counts what is sent to each worker, for the forecast of reassignments. */
   readonly countAttempt?: (service: string, kind: string, route: string, worker: string) => void;
   /** Counts a service's responses and how long they took, for the capacity forecast. */
-  readonly countAnswer?: (service: string, zone: string, tookUs: number) => void;
+  readonly countResponse?: (service: string, zone: string, tookUs: number) => void;
   readonly actsOnForecast: boolean;
 }
 
@@ -91,7 +91,7 @@
    * not amid its run.
    */
   readonly wouldBeLate = (context: RequestContext, route: Route, worker: Worker): boolean => {
-    const { actsOnForecast, pool, clock } = this.options;
+    const { actsOnForecast, workers: pool, clock } = this.options;
     return (
       actsOnForecast &&
       !route.isSafe &&
@@ -148,7 +148,7 @@
   private readonly maySend = (context: RequestContext, route: Route): boolean =>
     !context.isFinished &&
     !context.connection.socket.readableEnded &&
-    !isBehindClose(context) &&
+    !isAfterClosingResponse(context) &&
     !this.isPastDeadline(context) &&
     (route.kind !== "keyed" || this.options.keyed.isClaimed(context)) &&
     beginAttempt(context.deliveryState, route.isSafe);
@@ -157,7 +157,7 @@
   private readonly stratumOf = (worker: Worker): string => {
     const { clock, zone } = this.options;
     const distance = worker.zone === zone ? "near" : "far";
-    return `${distance}|${clock.nowUs() < worker.warmingUpUntilUs ? "cold" : "warm"}`;
+    return `${distance}|${clock.nowUs() < worker.slowStartUntilUs ? "cold" : "warm"}`;
   };
 
   /** Moves the delivery state, and counts for and against the worker. */
@@ -168,7 +168,7 @@
     startedUs: number,
     result: UpstreamResult,
   ): void => {
-    const { clock, pool, countFault, countAnswer } = this.options;
+    const { clock, workers: pool, countFault, countResponse: countAnswer } = this.options;
     if (result.kind === "answered" || result.kind === "lost")
       countAnswer?.(context.service, worker.zone, clock.nowUs() - startedUs);
     if (result.kind === "answered") markRun(context.deliveryState);
@@ -179,7 +179,7 @@
     const isDown =
       isUnreachable || (result.kind === "not-sent" && result.reason === "connection-refused");
     if (isDown || result.kind === "lost") worker.avoid();
-    if (isUnreachable) context.isOwnLinkSuspected = true;
+    if (isUnreachable) context.isLocalNetworkSuspected = true;
     if (result.kind === "rejected" && result.reason === "wrong-worker")
       pool.removeMisdirected(worker);
     const isAttributable =
--- a/src/proxy/keyed-requests.ts
+++ b/src/proxy/keyed-requests.ts
@@ -55,12 +55,12 @@
    */
   readonly claim = async (context: RequestContext, route: Route): Promise<boolean> => {
     const { clock, idempotency, writer, random } = this.options;
-    const given = context.req.headers[IDEMPOTENCY_KEY_HEADER];
-    if (typeof given !== "string" || given === "" || given.length > MAX_KEY_LENGTH) {
+    const keyHeader = context.req.headers[IDEMPOTENCY_KEY_HEADER];
+    if (typeof keyHeader !== "string" || keyHeader === "" || keyHeader.length > MAX_KEY_LENGTH) {
       writer.reject(context, "noKey");
       return false;
     }
-    const key = `${route.host}\n${given}`;
+    const key = `${route.host}\n${keyHeader}`;
     const untilUs = Math.min(
       context.arrivedUs + route.latencyTargetUs / CLAIM_TARGET_DIVISOR,
       context.deadlineUs,
@@ -68,7 +68,7 @@
     let isInProgress = false;
     for (let round = 0; idempotency; round += 1) {
       if (context.isFinished || clock.nowUs() >= untilUs) break;
-      const askedUs = clock.nowUs();
+      const requestedUs = clock.nowUs();
       const token = `${context.attemptId}.${round}.${random().toString(36).slice(2)}`;
       const result = await withTimeout(
         clock,
@@ -79,7 +79,7 @@
       if (result.kind === "won") {
         // eslint-disable-next-line @typescript-eslint/no-unnecessary-condition -- the client may have left during the claim
         if (!context.isFinished) {
-          context.claim = { key, token, askedUs };
+          context.claim = { key, token, requestedUs };
           return true;
         }
         idempotency.release(key, token);
@@ -101,7 +101,7 @@
 
   /** Whether the request holds a claim that covers a run begun now. */
   readonly isClaimed = ({ claim }: RequestContext): boolean =>
-    claim !== undefined && this.options.clock.nowUs() - claim.askedUs <= MAX_CLAIM_AGE_US;
+    claim !== undefined && this.options.clock.nowUs() - claim.requestedUs <= MAX_CLAIM_AGE_US;
 
   /** Stores the response for repeats of the operation, before its own client gets it. */
   readonly store = async (context: RequestContext, response: UpstreamResponse): Promise<void> => {
--- a/src/proxy/latency-estimate.ts
+++ b/src/proxy/latency-estimate.ts
@@ -11,7 +11,7 @@
 /** At most this many of a worker's own requests weigh in its mean, so that it follows changes. */
 const MAX_SAMPLES = 20;
 /** Time constant of forgetting: a worker that was slow is tried again, at first seldom. */
-const FORGET_US = 8 * SECOND_US;
+const DECAY_TIME_CONSTANT_US = 8 * SECOND_US;
 
 /** The mean time of requests to a service, over all its workers. */
 export class ServiceLatency {
@@ -55,5 +55,5 @@
 
   /** The number of own requests that still weigh, after exponential decay since the last one. */
   private readonly effectiveSamples = (): number =>
-    this.samples * Math.exp((this.recordedUs - this.clock.nowUs()) / FORGET_US);
+    this.samples * Math.exp((this.recordedUs - this.clock.nowUs()) / DECAY_TIME_CONSTANT_US);
 }
--- a/src/proxy/load-balancer.ts
+++ b/src/proxy/load-balancer.ts
@@ -39,7 +39,7 @@
 /** Weight of each local worker looked at in the average local load. */
 const LOCAL_LOAD_WEIGHT = 0.05;
 
-type Filter = (worker: Worker, load: number) => boolean;
+type WorkerFilter = (worker: Worker, load: number) => boolean;
 
 /** Invariant: the work for a request is bounded by the subset, whatever the number of workers. */
 export class LoadBalancer {
@@ -70,14 +70,14 @@
         ? MAX_LOAD_PER_SLOT_WARNED
         : MAX_LOAD_PER_SLOT;
     const { local, remote, backup } = workers.subsetFor(service);
-    const isUsable: Filter = (worker, load) =>
+    const isUsable: WorkerFilter = (worker, load) =>
       !tried.has(worker.id) &&
       worker.connections.hasCapacity(maxConnections) &&
       !worker.isAvoided() &&
       load < worker.capacity * maxLoadPerSlot;
-    const isHealthy: Filter = (worker, load) =>
+    const isHealthy: WorkerFilter = (worker, load) =>
       isUsable(worker, load) && !workers.isEjected(worker);
-    const isPreferred: Filter = (worker, load) =>
+    const isPreferred: WorkerFilter = (worker, load) =>
       worker.zone !== avoidedZone && isHealthy(worker, load);
     const bestLocal = this.leastExpectedLatency(local, isPreferred);
     const bestRemote = this.leastExpectedLatency(remote, isPreferred);
@@ -105,11 +105,11 @@
    */
   private readonly loadOf = (worker: Worker): number => {
     const { workers, zone } = this.options;
-    const usual = this.localLoad.get(worker.service) ?? 0;
-    if (worker.zone !== zone) return worker.load(Math.min(usual, worker.capacity));
+    const averageLoad = this.localLoad.get(worker.service) ?? 0;
+    if (worker.zone !== zone) return worker.load(Math.min(averageLoad, worker.capacity));
     const otherNodes = workers.subsetFor(worker.service).nodesPerWorker - 1;
     const load = worker.load(worker.averageInFlight() * otherNodes);
-    this.localLoad.set(worker.service, usual + (load - usual) * LOCAL_LOAD_WEIGHT);
+    this.localLoad.set(worker.service, averageLoad + (load - averageLoad) * LOCAL_LOAD_WEIGHT);
     return load;
   };
 
@@ -122,7 +122,7 @@
    */
   private readonly leastExpectedLatency = (
     workers: readonly Worker[],
-    passes: Filter,
+    passes: WorkerFilter,
   ): Worker | undefined => {
     let best: Worker | undefined;
     let bestUs = 0;
--- a/src/proxy/outcome-recorder.ts
+++ b/src/proxy/outcome-recorder.ts
@@ -12,7 +12,7 @@
  * A client that leaves after this part of its time has waited in vain; one that leaves earlier had
  * its own reason.
  */
-const CLIENT_PATIENCE_FRACTION = 0.8;
+const ABANDONMENT_FRACTION = 0.8;
 
 /** What the recorder of outcomes reports to. */
 export interface OutcomeRecorderOptions {
@@ -27,7 +27,7 @@
 }
 
 /** An unsafe request that may have run may be placed again by its client. */
-const lossOf = (context: RequestContext): CanaryOutcome =>
+const failureOutcome = (context: RequestContext): CanaryOutcome =>
   !hasNotRun(context.deliveryState) && context.route?.isSafe === false ? "doubled" : "lost";
 
 /** Records the outcome of each request once. */
@@ -41,7 +41,7 @@
     if (!isWeighted(route)) return;
     if (status >= 500) this.countCanary(context, route, "lost");
     else {
-      const isInTime = this.waitedUs(context) <= route.latencyTargetUs;
+      const isInTime = this.elapsedUs(context) <= route.latencyTargetUs;
       this.countCanary(context, route, isInTime ? "inTime" : "late");
     }
   };
@@ -51,8 +51,8 @@
     this.count(context, outcome);
     const { route } = context;
     if (!isWeighted(route)) return;
-    const isOwnFault = hasNotRun(context.deliveryState) && context.isOwnLinkSuspected;
-    this.countCanary(context, route, isOwnFault ? "own" : lossOf(context));
+    const isLocalFault = hasNotRun(context.deliveryState) && context.isLocalNetworkSuspected;
+    this.countCanary(context, route, isLocalFault ? "own" : failureOutcome(context));
   };
 
   /**
@@ -62,9 +62,9 @@
   readonly recordAbandoned = (context: RequestContext): void => {
     this.count(context, "caller left");
     const { route } = context;
-    const patienceUs = (context.deadlineUs - context.arrivedUs) * CLIENT_PATIENCE_FRACTION;
-    if (!isWeighted(route) || this.waitedUs(context) < patienceUs) return;
-    this.countCanary(context, route, lossOf(context));
+    const attributableAfterUs = (context.deadlineUs - context.arrivedUs) * ABANDONMENT_FRACTION;
+    if (!isWeighted(route) || this.elapsedUs(context) < attributableAfterUs) return;
+    this.countCanary(context, route, failureOutcome(context));
   };
 
   private readonly count = ({ route }: RequestContext, outcome: string): void =>
@@ -76,7 +76,7 @@
     outcome: CanaryOutcome,
   ): void => this.options.countCanaryOutcome(route, context.service, context.stratum, outcome);
 
-  private readonly waitedUs = (context: RequestContext): number =>
+  private readonly elapsedUs = (context: RequestContext): number =>
     this.options.clock.nowUs() - context.arrivedUs;
 }
 
--- a/src/proxy/pipeline.ts
+++ b/src/proxy/pipeline.ts
@@ -30,7 +30,7 @@
 const MAX_FORWARDING = 1_024;
 
 /** What arrives and is answered, counted for the capacity forecast. */
-export interface LoadCounting {
+export interface LoadObserver {
   readonly arrived: (service: string) => void;
   readonly refused: (service: string) => void;
   readonly answered: (service: string, zone: string, tookUs: number) => void;
@@ -63,7 +63,7 @@
   readonly countAttempt?: (service: string, kind: string, route: string, worker: string) => void;
   /** Uniform in [0, 1). */
   readonly random: () => number;
-  readonly loadCounters?: LoadCounting;
+  readonly loadCounters?: LoadObserver;
   /** Whether the capacity forecast is acted on. */
   readonly actsOnForecast?: boolean;
   /**
@@ -163,7 +163,7 @@
     return new Forwarder({
       clock,
       zone,
-      pool,
+      workers: pool,
       loadBalancer: new LoadBalancer({
         workers: pool,
         zone,
@@ -176,7 +176,7 @@
       countFault,
       actsOnForecast: acts,
       ...(countAttempt ? { countAttempt } : {}),
-      ...(loadCounters ? { countAnswer: loadCounters.answered } : {}),
+      ...(loadCounters ? { countResponse: loadCounters.answered } : {}),
     });
   };
 
@@ -188,7 +188,7 @@
     return new RetryingForwarder({
       clock,
       routes,
-      pool,
+      workers: pool,
       retryBudgets,
       forwarder: this.forwarder,
       keyed,
--- a/src/proxy/proxy-server.ts
+++ b/src/proxy/proxy-server.ts
@@ -54,7 +54,7 @@
       },
       app,
     );
-    this.server.on("clientError", this.connections.rejectUnreadable);
+    this.server.on("clientError", this.connections.handleClientError);
   }
 
   /** Requests read and not yet answered. */
@@ -109,7 +109,7 @@
   readonly closeIdleConnections = (): void => this.server.closeIdleConnections();
 
   private readonly handle = (req: IncomingMessage, res: ServerResponse): void => {
-    const connection = this.connections.of(req.socket);
+    const connection = this.connections.forSocket(req.socket);
     if (isClosing(connection)) return;
     connection.received += 1;
     const context = this.newContext(req, res, connection);
@@ -149,7 +149,7 @@
       bufferedBytes: 0,
       attempts: 0,
       deliveryState: newDeliveryState(),
-      isOwnLinkSuspected: false,
+      isLocalNetworkSuspected: false,
       stratum: "near|warm",
       isFinished: false,
       onFinished: [],
--- a/src/proxy/reassignment-forecast.ts
+++ b/src/proxy/reassignment-forecast.ts
@@ -93,10 +93,9 @@
 export const coefficientOfVariation = (perWorker: readonly number[]): number =>
   perWorker.length < 2 ? 0 : sampleStandardDeviation(perWorker) / Math.max(1e-9, mean(perWorker));
 
-const groupsOf = (subset: Subset<SubsetCandidate>): readonly (readonly SubsetCandidate[])[] => [
-  subset.local,
-  subset.remote,
-];
+const localityGroups = (
+  subset: Subset<SubsetCandidate>,
+): readonly (readonly SubsetCandidate[])[] => [subset.local, subset.remote];
 const idsOf = (workers: readonly SubsetCandidate[]): ReadonlySet<string> =>
   new Set(workers.map(({ id }) => id));
 
@@ -117,7 +116,7 @@
  * share the rest as before. What moves is what was pinned to leavers; where backends are added,
  * what newcomers draw may be more.
  */
-const shiftOf = (
+const computeShift = (
   before: Subset<SubsetCandidate>,
   after: Subset<SubsetCandidate>,
   shareOf: (id: string) => number,
@@ -126,28 +125,31 @@
   let [moved, leave, join, joiners] = [0, 0, 0, 0];
   const unevenness = coefficientOfVariation(before.local.map(({ id }) => shareOf(id)));
   const leavers: string[] = [];
-  const then = new Map<string, number>();
-  groupsOf(before).forEach((group, at) => {
-    const next = groupsOf(after)[at] ?? [];
-    const [was, is] = [idsOf(group), idsOf(next)];
+  const sharesAfter = new Map<string, number>();
+  localityGroups(before).forEach((group, at) => {
+    const next = localityGroups(after)[at] ?? [];
+    const [idsBefore, idsAfter] = [idsOf(group), idsOf(next)];
     const total = group.reduce((sum, { id }) => sum + shareOf(id), 0);
-    const gone = group.filter(({ id }) => !is.has(id));
-    const come = next.filter(({ id }) => !was.has(id));
-    const goneShare = gone.reduce((sum, { id }) => sum + shareOf(id), 0);
-    const comeShare = next.length === 0 ? 0 : (total * come.length) / next.length;
-    moved += isAdding ? Math.max(goneShare, comeShare) : goneShare;
-    leave += goneShare;
-    join += comeShare;
-    joiners += come.length;
-    leavers.push(...gone.map(({ id }) => id));
-    const stay = next.filter(({ id }) => was.has(id));
-    const scale = total - goneShare > 0 ? (total - comeShare) / (total - goneShare) : 0;
-    stay.forEach(({ id }) =>
-      then.set(id, scale > 0 ? shareOf(id) * scale : (total - comeShare) / stay.length),
+    const leaving = group.filter(({ id }) => !idsAfter.has(id));
+    const joining = next.filter(({ id }) => !idsBefore.has(id));
+    const leavingShare = leaving.reduce((sum, { id }) => sum + shareOf(id), 0);
+    const joiningShare = next.length === 0 ? 0 : (total * joining.length) / next.length;
+    moved += isAdding ? Math.max(leavingShare, joiningShare) : leavingShare;
+    leave += leavingShare;
+    join += joiningShare;
+    joiners += joining.length;
+    leavers.push(...leaving.map(({ id }) => id));
+    const staying = next.filter(({ id }) => idsBefore.has(id));
+    const scale = total - leavingShare > 0 ? (total - joiningShare) / (total - leavingShare) : 0;
+    staying.forEach(({ id }) =>
+      sharesAfter.set(
+        id,
+        scale > 0 ? shareOf(id) * scale : (total - joiningShare) / staying.length,
+      ),
     );
-    come.forEach(({ id }) => then.set(id, total / next.length));
+    joining.forEach(({ id }) => sharesAfter.set(id, total / next.length));
   });
-  return { moved, leave, join, unevenness, leavers, joiners, after: then };
+  return { moved, leave, join, unevenness, leavers, joiners, after: sharesAfter };
 };
 
 /** Half of the band of a share that is taken from some calls and will be seen in as many. */
@@ -194,25 +196,25 @@
   spanUs,
   change,
 }: ReassignmentQuery): ReassignmentForecast => {
-  const stay = workers.filter(({ id }) => !change.retire.includes(id));
-  const added = change.add.filter((one) => one.service === service);
+  const remaining = workers.filter(({ id }) => !change.retire.includes(id));
+  const additions = change.add.filter((one) => one.service === service);
   const before = subsetOf(node, zone, workers, nodes);
   const afterOf = (draw: number): Subset<SubsetCandidate> =>
     subsetOf(
       node,
       zone,
       [
-        ...stay,
-        ...added.flatMap((one, at) =>
-          Array.from({ length: one.count }, (_none, each) => ({
-            id: `to-come-${draw}-${at}-${each}`,
+        ...remaining,
+        ...additions.flatMap((one, at) =>
+          Array.from({ length: one.count }, (_none, index) => ({
+            id: `to-come-${draw}-${at}-${index}`,
             zone: one.cell,
           })),
         ),
       ],
       nodes,
     );
-  const afters = Array.from({ length: added.length > 0 ? DRAWS : 1 }, (_none, draw) =>
+  const afters = Array.from({ length: additions.length > 0 ? DRAWS : 1 }, (_none, draw) =>
     afterOf(draw),
   );
   const cellOf = new Map(workers.map((worker) => [worker.id, worker.zone]));
@@ -221,25 +223,26 @@
   );
   const rows = [...groups].map(([key, total]): ReassignmentRow => {
     const [kind = "", route = ""] = key.split("\n");
-    const own = calls.filter(
+    const groupCalls = calls.filter(
       (call) => call.kind === kind && (!change.byRoute || call.route === route),
     );
-    const byWorker = sumBy(own, ({ worker }) => worker);
+    const byWorker = sumBy(groupCalls, ({ worker }) => worker);
     const shifts = afters.map((after) =>
-      shiftOf(before, after, (id) => (byWorker.get(id) ?? 0) / total, added.length > 0),
+      computeShift(before, after, (id) => (byWorker.get(id) ?? 0) / total, additions.length > 0),
     );
     const draws = shifts.map(({ moved }) => moved);
     const moved = mean(draws);
     const unevenness = shifts[0]?.unevenness ?? 0;
     const joinBand = (share: number) => joinConfidenceHalfWidth(share, total, unevenness);
     const band = (share: number) =>
-      added.length > 0 ? joinBand(share) : confidenceHalfWidth(share, total);
+      additions.length > 0 ? joinBand(share) : confidenceHalfWidth(share, total);
     const toCells: Record<string, number> = {};
     shifts.forEach(({ after }) =>
       after.forEach((share, id) => {
         const at =
           cellOf.get(id) ??
-          added.find((one, place) => id.split("-")[3] === String(place) && one.cell !== "")?.cell ??
+          additions.find((one, place) => id.split("-")[3] === String(place) && one.cell !== "")
+            ?.cell ??
           "";
         toCells[at] = (toCells[at] ?? 0) + share / shifts.length;
       }),
@@ -270,7 +273,12 @@
     total === 0
       ? []
       : afters.map((after) =>
-          shiftOf(before, after, (id) => (byWorker.get(id) ?? 0) / total, added.length > 0),
+          computeShift(
+            before,
+            after,
+            (id) => (byWorker.get(id) ?? 0) / total,
+            additions.length > 0,
+          ),
         );
   const loads = workers
     .map(({ id }) => ({
@@ -282,7 +290,7 @@
     .filter(({ perSNow, perSThen }) => perSNow > 0 || perSThen > 0);
   return {
     rows,
-    subset: groupsOf(before)
+    subset: localityGroups(before)
       .flat()
       .map(({ id }) => id),
     loads,
--- a/src/proxy/request-context.ts
+++ b/src/proxy/request-context.ts
@@ -11,7 +11,7 @@
   readonly key: string;
   /** Names this claim of the key; a token that was given back is never used again. */
   readonly token: string;
-  readonly askedUs: number;
+  readonly requestedUs: number;
 }
 
 /** One request on its way through the stages. */
@@ -45,7 +45,7 @@
   /** What is known of whether it has run; what its client is told follows from it alone. */
   readonly deliveryState: DeliveryState;
   /** Set once a worker could not be reached in a way that may be due to this node's own link. */
-  isOwnLinkSuspected: boolean;
+  isLocalNetworkSuspected: boolean;
   /** Where the first worker asked stands to this node: near or far, warm or cold. */
   stratum: string;
   /** Set once it is answered or its client is gone. */
--- a/src/proxy/request-counters.ts
+++ b/src/proxy/request-counters.ts
@@ -34,7 +34,7 @@
 
   /** Counts one request. */
   readonly record = (service: string, kind: string, route: string, worker: string): void => {
-    const { counts } = this.slot();
+    const { counts } = this.currentSlot();
     const key = `${service}\n${kind}\n${route}\n${worker}`;
     counts.set(key, (counts.get(key) ?? 0) + 1);
   };
@@ -43,7 +43,7 @@
   readonly countsFor = (
     service: string,
   ): { readonly spanUs: number; readonly counts: readonly RequestCount[] } => {
-    this.slot();
+    this.currentSlot();
     const sums = new Map<string, number>();
     this.slots.forEach(({ counts }) =>
       counts.forEach((count, key) => {
@@ -60,7 +60,7 @@
     };
   };
 
-  private readonly slot = (): Slot => {
+  private readonly currentSlot = (): Slot => {
     const nowUs = this.clock.nowUs();
     this.slots = this.slots.filter(({ sinceUs }) => nowUs - sinceUs < REQUEST_WINDOW_US);
     const last = this.slots[this.slots.length - 1];
--- a/src/proxy/response-check.ts
+++ b/src/proxy/response-check.ts
@@ -37,7 +37,7 @@
  * Whether a response is to this very attempt. Nothing may be concluded from another: not even that
  * it did not run.
  */
-const isOwnResponse = (
+const matchesAttempt = (
   headers: FlatHeaders,
   { attemptId, usesOwnConnection }: SentRequest,
 ): boolean => {
@@ -61,12 +61,12 @@
   method === "HEAD";
 
 /** Why a response can't be this request's complete own response, or undefined if it can. */
-export const reasonToDistrust = (
+export const findResponseDefect = (
   status: number,
   headers: FlatHeaders,
   request: SentRequest,
 ): string | undefined => {
-  if (!isOwnResponse(headers, request)) return "another id";
+  if (!matchesAttempt(headers, request)) return "another id";
   if (isRejection(status, headers)) return status < 400 ? "a success that did not run" : undefined;
   if (headerValue(headers, "content-encoding") !== undefined) return "an encoding";
   if (!isBodyBounded(request.method, status, headers)) return "no bound";
--- a/src/proxy/response-writer.ts
+++ b/src/proxy/response-writer.ts
@@ -73,13 +73,13 @@
   /**
    * Sends the gateway's own response, and ends the request.
    *
-   * @param wanted - the outcome; where it would promise too much, the delivery state replaces it
+   * @param intended - the outcome; where it would promise too much, the delivery state replaces it
    * @param minRetryAfterUs - the client is asked to come back no sooner, where it is asked at all
    */
-  readonly reject = (context: RequestContext, wanted: OutcomeName, minRetryAfterUs = 0): void => {
+  readonly reject = (context: RequestContext, intended: OutcomeName, minRetryAfterUs = 0): void => {
     const { res, route } = context;
     if (context.isFinished || res.headersSent) return;
-    const name = clientOutcome(context.deliveryState, wanted);
+    const name = clientOutcome(context.deliveryState, intended);
     const outcome = HTTP_OUTCOMES[name];
     if (name === "full" && context.service !== "") this.options.countRejected?.(context.service);
     this.options.outcomes.recordRejection(context, name);
--- a/src/proxy/retry-and-hedging.ts
+++ b/src/proxy/retry-and-hedging.ts
@@ -6,7 +6,7 @@
 import { MILLISECOND_US } from "../common/duration.js";
 import { toRouteKind } from "../quota/retry-limits.js";
 import { isBodyBuffered } from "./body-reader.js";
-import { isBehindClose } from "./client-connection.js";
+import { isAfterClosingResponse } from "./client-connection.js";
 import type { Worker } from "./worker.js";
 import type { WorkerDirectory } from "./worker-directory.js";
 import { mayForwardStatus } from "./delivery-state.js";
@@ -31,7 +31,7 @@
 export interface RetryingForwarderOptions {
   readonly clock: Clock;
   readonly routes: RouteTable;
-  readonly pool: WorkerDirectory;
+  readonly workers: WorkerDirectory;
   readonly retryBudgets: RetryBudgets;
   readonly forwarder: Forwarder;
   readonly keyed: KeyedRequests;
@@ -56,7 +56,7 @@
     if (!route) return;
     if (!route.isSafe) {
       await context.previousAnswered;
-      if (context.position > 1 && stalls.noteRequest()) await twoEventLoopTurns();
+      if (context.position > 1 && stalls.observeRequest()) await twoEventLoopTurns();
     }
     this.startDeadline(context);
     if (route.kind === "keyed" && !(await keyed.claim(context, route))) return;
@@ -124,7 +124,7 @@
 
   /** Whether one more worker may be asked; a retry is taken out of the budget here. */
   private readonly mayAttempt = (context: RequestContext, route: Route): boolean => {
-    if (context.isFinished || isBehindClose(context)) return false;
+    if (context.isFinished || isAfterClosingResponse(context)) return false;
     if (context.triedWorkers.size >= route.maxAttempts + MAX_UNREACHABLE_WORKERS) return false;
     if (context.attempts === 0) return true;
     return (
@@ -139,7 +139,7 @@
   private readonly isOverloaded = (context: RequestContext, route: Route): boolean =>
     this.options.actsOnForecast &&
     route.isSafe &&
-    this.options.pool.capacityForecast(context.service) !== "";
+    this.options.workers.capacityForecast(context.service) !== "";
 
   private readonly spendRetry = (context: RequestContext, route: Route): boolean =>
     this.options.retryBudgets.of(context.service, toRouteKind(route.kind)).trySpend();
@@ -162,13 +162,13 @@
       if (context.isFinished) return { kind: "cancelled" };
       const second = this.hedge(context, route, worker);
       if (!second) continue;
-      const [quick, slow] = await Promise.race([
+      const [winner, loser] = await Promise.race([
         first.result.then(() => [first, second] as const),
         second.result.then(() => [second, first] as const),
       ]);
-      const result = await quick.result;
-      if (result.kind !== "answered") return slow.result;
-      slow.cancel();
+      const result = await winner.result;
+      if (result.kind !== "answered") return loser.result;
+      loser.cancel();
       return result;
     }
   };
--- a/src/proxy/retry-budget.ts
+++ b/src/proxy/retry-budget.ts
@@ -41,7 +41,7 @@
   private slots: Slot[] = [];
   private lease = NO_LEASE;
   private rejectedSinceLeaseRequest = 0;
-  private loggedUs = -Infinity;
+  private lastLoggedUs = -Infinity;
 
   constructor(
     private readonly clock: Clock,
@@ -52,17 +52,17 @@
 
   /** Counts a request's first attempt, which earns a fraction of a retry. */
   readonly recordRequest = (): void => {
-    this.slot().requests += 1;
+    this.currentSlot().requests += 1;
   };
 
   /** Takes one retry; false if none is left. */
   readonly trySpend = (): boolean => {
-    const slot = this.slot();
+    const slot = this.currentSlot();
     if (this.sum("retries") + 1 > this.earnedTokens() + this.leasedTokens()) {
       slot.rejected += 1;
       this.rejectedSinceLeaseRequest += 1;
-      const isFirstInWindow = this.clock.nowUs() - this.loggedUs >= this.windowUs;
-      if (isFirstInWindow) this.loggedUs = this.clock.nowUs();
+      const isFirstInWindow = this.clock.nowUs() - this.lastLoggedUs >= this.windowUs;
+      if (isFirstInWindow) this.lastLoggedUs = this.clock.nowUs();
       this.onRejected(isFirstInWindow);
       return false;
     }
@@ -84,7 +84,7 @@
    * last call.
    */
   readonly takeDemand = (): number => {
-    this.slot();
+    this.currentSlot();
     const demand =
       Math.max(0, this.sum("retries") - this.earnedTokens()) + 2 * this.rejectedSinceLeaseRequest;
     this.rejectedSinceLeaseRequest = 0;
@@ -98,7 +98,7 @@
     readonly refused: number;
     readonly leased: number;
   } => {
-    this.slot();
+    this.currentSlot();
     return {
       requests: this.sum("requests"),
       retries: this.sum("retries"),
@@ -113,7 +113,7 @@
   private readonly sum = (counter: "requests" | "retries" | "rejected"): number =>
     this.slots.reduce((total, slot) => total + slot[counter], 0);
 
-  private readonly slot = (): Slot => {
+  private readonly currentSlot = (): Slot => {
     const nowUs = this.clock.nowUs();
     this.slots = this.slots.filter(
       (slot) => nowUs - slot.sinceUs < this.windowUs + this.windowUs / SLOTS,
--- a/src/proxy/route-table.ts
+++ b/src/proxy/route-table.ts
@@ -58,7 +58,7 @@
 const readRoute = (body: string): Route => {
   const record = asRecord(parseJson(body));
   const rule = asRecord(record["rule"], "rule");
-  const then = asRecord(rule["then"], "then");
+  const action = asRecord(rule["then"], "then");
   return {
     name: readString(rule, "name"),
     host: readString(record, "host").toLowerCase(),
@@ -69,9 +69,9 @@
     latencyTargetUs: parseDuration(rule["target_time"]).unwrapOr(SECOND_US),
     priority: typeof rule["rank"] === "number" ? rule["rank"] : 0,
     version: readNumber(rule, "version"),
-    weightedServices: readWeightedServices(then),
-    timeoutUs: parseDuration(then["giveUp"]).unwrapOr(SECOND_US),
-    maxAttempts: typeof then["tries"] === "number" ? Math.max(1, then["tries"]) : 1,
+    weightedServices: readWeightedServices(action),
+    timeoutUs: parseDuration(action["giveUp"]).unwrapOr(SECOND_US),
+    maxAttempts: typeof action["tries"] === "number" ? Math.max(1, action["tries"]) : 1,
   };
 };
 
@@ -84,13 +84,13 @@
    * Rolled-back candidates, by route, version and candidate: the baseline that gets their requests.
    */
   private rollbacks: ReadonlyMap<string, string> = new Map();
-  private hasConfiguration = false;
+  private hasReceivedConfiguration = false;
   private highestVersion = 0;
   limits: ClientLimits = DEFAULT_LIMITS;
 
   /** Whether any configuration has come yet; before that no route may be called unknown. */
   get isLoaded(): boolean {
-    return this.hasConfiguration;
+    return this.hasReceivedConfiguration;
   }
 
   /** The highest version of any item that was applied; 0 before the first. */
@@ -121,7 +121,7 @@
     updates
       .filter((update) => update.key.startsWith(CONFIG_PREFIX))
       .forEach((update) => {
-        this.hasConfiguration = true;
+        this.hasReceivedConfiguration = true;
         this.highestVersion = Math.max(this.highestVersion, update.version);
         this.applyItem(update, hosts);
       });
--- a/src/proxy/stall-detector.ts
+++ b/src/proxy/stall-detector.ts
@@ -8,7 +8,7 @@
 /** A gap between requests from which on the process may have stood still. */
 const STALL_GAP_US = 250 * MILLISECOND_US;
 /** For how long after such a gap requests are treated as read late. */
-const RESUMING_US = 50 * MILLISECOND_US;
+const RESUME_WINDOW_US = 50 * MILLISECOND_US;
 
 /**
  * Two turns of the event loop: in the first, what lies unread is read; in the second, what follows
@@ -30,10 +30,10 @@
   /**
    * Notes that a request is handled now, and tells whether the process may just have stood still.
    */
-  readonly noteRequest = (): boolean => {
+  readonly observeRequest = (): boolean => {
     const nowUs = this.clock.nowUs();
     if (nowUs - this.lastRequestUs > STALL_GAP_US) this.resumedUs = nowUs;
     this.lastRequestUs = nowUs;
-    return nowUs - this.resumedUs <= RESUMING_US;
+    return nowUs - this.resumedUs <= RESUME_WINDOW_US;
   };
 }
--- a/src/proxy/subset.ts
+++ b/src/proxy/subset.ts
@@ -31,22 +31,22 @@
 }
 
 /** Up to this number of workers every node sends to all of them. */
-const ALL_UP_TO = 16;
+const MAX_WORKERS_WITHOUT_SUBSETTING = 16;
 /** With fewer local workers than this, a single unhealthy one would be felt. */
-const MIN_LOCAL = 6;
+const MIN_LOCAL_WORKERS = 6;
 /**
  * Each worker is to be in the subset of this many nodes of its zone, so that their uneven traffic
  * evens out.
  */
 const NODES_PER_WORKER = 8;
-const REMOTE = 3;
-const BACKUP = 8;
+const REMOTE_WORKERS = 3;
+const BACKUP_WORKERS = 8;
 
 /**
  * The finalizer of MurmurHash3: crc32 alone ranks ids that differ in one digit alike for many
  * nodes.
  */
-const mix = (value: number): number => {
+const murmurFinalizer = (value: number): number => {
   const once = Math.imul(value ^ (value >>> 16), 0x85ebca6b);
   const twice = Math.imul(once ^ (once >>> 13), 0xc2b2ae35);
   return (twice ^ (twice >>> 16)) >>> 0;
@@ -56,10 +56,12 @@
  * The rendezvous weight of a worker for a node: a pair's weight doesn't depend on who else is
  * there.
  */
-const weightOf = (node: string, worker: string): number => mix(crc32(`${node}\n${worker}`));
+const rendezvousWeight = (node: string, worker: string): number =>
+  murmurFinalizer(crc32(`${node}\n${worker}`));
 
 /** Rounds up to a power of two, so that one node more or less rarely changes a subset. */
-const roundUp = (count: number): number => 2 ** Math.ceil(Math.log2(Math.max(1, count)));
+const roundUpToPowerOfTwo = (count: number): number =>
+  2 ** Math.ceil(Math.log2(Math.max(1, count)));
 
 /**
  * The workers of one service that a node sends to: a pure function of the node, its zone, the ready
@@ -77,24 +79,27 @@
   nodes: NodeCount,
 ): Subset<W> => {
   const ranked = workers
-    .map((worker) => ({ worker, weight: weightOf(node, worker.id) }))
+    .map((worker) => ({ worker, weight: rendezvousWeight(node, worker.id) }))
     .sort((a, b) => b.weight - a.weight || (a.worker.id < b.worker.id ? -1 : 1));
   const inZone = ranked.filter(({ worker }) => worker.zone === zone).map(({ worker }) => worker);
   const others = ranked.filter(({ worker }) => worker.zone !== zone).map(({ worker }) => worker);
-  if (workers.length <= ALL_UP_TO)
+  if (workers.length <= MAX_WORKERS_WITHOUT_SUBSETTING)
     return { local: inZone, remote: others, backup: [], nodesPerWorker: nodes.inZone };
   const local = inZone.slice(
     0,
-    Math.max(MIN_LOCAL, Math.ceil((NODES_PER_WORKER * inZone.length) / roundUp(nodes.inZone))),
+    Math.max(
+      MIN_LOCAL_WORKERS,
+      Math.ceil((NODES_PER_WORKER * inZone.length) / roundUpToPowerOfTwo(nodes.inZone)),
+    ),
   );
   // A zone with few workers takes the rest of its minimum from elsewhere.
-  const remote = others.slice(0, REMOTE + Math.max(0, MIN_LOCAL - local.length));
+  const remote = others.slice(0, REMOTE_WORKERS + Math.max(0, MIN_LOCAL_WORKERS - local.length));
   return {
     local,
     remote,
     backup: [
-      ...inZone.slice(local.length, local.length + BACKUP),
-      ...others.slice(remote.length, remote.length + BACKUP),
+      ...inZone.slice(local.length, local.length + BACKUP_WORKERS),
+      ...others.slice(remote.length, remote.length + BACKUP_WORKERS),
     ],
     nodesPerWorker: (nodes.inZone * local.length) / Math.max(1, inZone.length),
   };
--- a/src/proxy/upstream-request.ts
+++ b/src/proxy/upstream-request.ts
@@ -6,7 +6,7 @@
 import {
   isRejection,
   readWorkerLoad,
-  reasonToDistrust,
+  findResponseDefect,
   type SentRequest,
 } from "./response-check.js";
 
@@ -114,7 +114,7 @@
   private headers: FlatHeaders = [];
   private readonly chunks: Buffer[] = [];
   private bufferedBytes = 0;
-  private sinks:
+  private streamHandlers:
     | {
         readonly onData: (chunk: Buffer) => boolean;
         readonly onEnd: (isComplete: boolean) => void;
@@ -122,7 +122,7 @@
     | undefined;
   private isStreaming = false;
   private readonly connection;
-  private readonly call;
+  private readonly inFlightRequest;
 
   constructor(
     private readonly worker: Worker,
@@ -132,7 +132,7 @@
     this.result = new Promise((resolve) => {
       this.resolve = resolve;
     });
-    this.call = worker.begin();
+    this.inFlightRequest = worker.begin();
     this.connection = worker.acquireConnection(request.usesOwnConnection === true);
     const { method, path, headers, body } = request;
     try {
@@ -183,7 +183,7 @@
       ? raw.map((entry) => (typeof entry === "string" ? entry : entry.toString("latin1")))
       : [];
     this.status = statusCode;
-    const reason = reasonToDistrust(statusCode, this.headers, this.request);
+    const reason = findResponseDefect(statusCode, this.headers, this.request);
     if (reason !== undefined) {
       this.finish(true, false, { kind: "lost", reason });
       return;
@@ -195,8 +195,8 @@
   /** A chunk of the body has come. */
   readonly onResponseData = (controller: Dispatcher.DispatchController, chunk: Buffer): void => {
     if (this.isFinished && !this.isStreaming) return;
-    if (this.sinks) {
-      if (!this.sinks.onData(chunk)) controller.pause();
+    if (this.streamHandlers) {
+      if (!this.streamHandlers.onData(chunk)) controller.pause();
       return;
     }
     this.chunks.push(chunk);
@@ -214,7 +214,7 @@
     if (this.isStreaming) {
       this.isStreaming = false;
       this.release(true, isShared);
-      this.sinks?.onEnd(true);
+      this.streamHandlers?.onEnd(true);
       return;
     }
     if (this.isFinished) return;
@@ -224,7 +224,7 @@
     else if (isRejection(this.status, this.headers))
       this.finish(true, isReusable, { kind: "rejected", reason: "overloaded" });
     else {
-      this.worker.latency.record(this.nowUs() - this.call.sinceUs);
+      this.worker.latency.record(this.nowUs() - this.inFlightRequest.startedUs);
       this.finish(true, isReusable, {
         kind: "answered",
         response: {
@@ -242,7 +242,7 @@
     if (this.isStreaming) {
       this.isStreaming = false;
       this.release(false, false);
-      this.sinks?.onEnd(false);
+      this.streamHandlers?.onEnd(false);
       return;
     }
     if (this.isFinished) return;
@@ -259,7 +259,7 @@
     controller.pause();
     const remainder: BodyStream = {
       read: (onData, onEnd) => {
-        this.sinks = { onData, onEnd };
+        this.streamHandlers = { onData, onEnd };
         controller.resume();
       },
       resume: () => controller.resume(),
@@ -283,21 +283,21 @@
   /**
    * Resolves the result and gives the connection back.
    *
-   * @param isHeard - whether the worker said anything
+   * @param hasResponded - whether the worker said anything
    * @param isReusable - whether the connection can serve another request
    */
   private readonly finish = (
-    isHeard: boolean,
+    hasResponded: boolean,
     isReusable: boolean,
     result: UpstreamResult,
   ): void => {
     this.isFinished = true;
-    this.release(isHeard, isReusable);
+    this.release(hasResponded, isReusable);
     this.resolve(result);
   };
 
-  private readonly release = (isHeard: boolean, isReusable: boolean): void => {
-    this.worker.finish(this.call, isHeard);
+  private readonly release = (hasResponded: boolean, isReusable: boolean): void => {
+    this.worker.finish(this.inFlightRequest, hasResponded);
     this.worker.releaseConnection(this.connection, isReusable);
     if (!isReusable) this.controller?.abort(new Error("done with"));
   };
--- a/src/proxy/worker-directory.ts
+++ b/src/proxy/worker-directory.ts
@@ -132,7 +132,7 @@
         this.forecasts = new Map(
           Object.entries(update.body).map(([service, result]) => [service, String(result)]),
         );
-      else if (update.key === EJECTIONS_KEY) this.applyHealthDecisions(update);
+      else if (update.key === EJECTIONS_KEY) this.applyHealthUpdate(update);
       else if (update.key.startsWith(WORKER_PREFIX)) this.applyWorker(update);
     });
   };
@@ -175,7 +175,7 @@
     return mean;
   };
 
-  private readonly applyHealthDecisions = (update: Update): void => {
+  private readonly applyHealthUpdate = (update: Update): void => {
     this.ejected = new Set(
       readList(update.body, "ejections", (value) => readString(asRecord(value), "worker")),
     );
--- a/src/proxy/worker.ts
+++ b/src/proxy/worker.ts
@@ -8,7 +8,7 @@
 
 /** A request that waits for the worker's response. */
 export interface InFlightRequest {
-  readonly sinceUs: number;
+  readonly startedUs: number;
 }
 
 const AVOID_US = 1 * SECOND_US;
@@ -33,12 +33,12 @@
   capacity = 1;
   state = "ready";
   /** Until when it is in slow start, on this process's clock. */
-  warmingUpUntilUs = 0;
+  slowStartUntilUs = 0;
   /**
    * Invariant: counts this node's requests under way; each holds one connection that is not idle.
    */
   inFlight = 0;
-  private reportedByOthers = 0;
+  private reportedOtherLoad = 0;
   private reportedUs = 0;
   private smoothedInFlight = 0;
   private smoothedUs = 0;
@@ -66,7 +66,7 @@
     this.zone = readString(body, "cell");
     this.capacity = Math.max(1, readNumber(body, "capacity"));
     this.state = readString(body, "state");
-    this.warmingUpUntilUs = sinceUs + readNumber(body, "warmUs");
+    this.slowStartUntilUs = sinceUs + readNumber(body, "warmUs");
     if (this.state !== "ready") this.connections.closeIdle();
   };
 
@@ -74,9 +74,9 @@
    * The worker's load in requests: this node's own in flight, and those of other nodes. The latter
    * are as many as the worker last reported; as that report ages, `assumedOthers` takes its place.
    */
-  readonly load = (assumedOthers: number): number => {
+  readonly load = (assumedOtherLoad: number): number => {
     const age = Math.min(1, (this.clock.nowUs() - this.reportedUs) / REPORT_EXPIRY_US);
-    return this.inFlight + this.reportedByOthers * (1 - age) + assumedOthers * age;
+    return this.inFlight + this.reportedOtherLoad * (1 - age) + assumedOtherLoad * age;
   };
 
   /** This node's requests in flight, as an exponential average over the last second. */
@@ -91,15 +91,15 @@
   /**
    * Takes the load that the worker reported in a response, which includes the request it answered.
    */
-  readonly reportLoad = (running: number, waiting: number, slots: number): void => {
-    if (slots > 0) this.capacity = slots;
-    this.reportedByOthers = Math.max(0, running + waiting - Math.max(0, this.inFlight - 1));
+  readonly reportLoad = (running: number, queued: number, reportedCapacity: number): void => {
+    if (reportedCapacity > 0) this.capacity = reportedCapacity;
+    this.reportedOtherLoad = Math.max(0, running + queued - Math.max(0, this.inFlight - 1));
     this.reportedUs = this.clock.nowUs();
   };
 
   /** How long a request sent now is expected to take at this load. */
   readonly expectedLatencyUs = (load: number): number => {
-    const slowStart = this.clock.nowUs() < this.warmingUpUntilUs ? SLOW_START_FACTOR : 1;
+    const slowStart = this.clock.nowUs() < this.slowStartUntilUs ? SLOW_START_FACTOR : 1;
     return (
       Math.max(this.latency.meanUs(), this.longestWaitUs()) *
       slowStart *
@@ -124,16 +124,16 @@
    */
   readonly isUnresponsive = (): boolean => {
     const nowUs = this.clock.nowUs();
-    const patienceUs = Math.max(UNRESPONSIVE_MIN_US, UNRESPONSIVE_FACTOR * this.latency.meanUs());
+    const thresholdUs = Math.max(UNRESPONSIVE_MIN_US, UNRESPONSIVE_FACTOR * this.latency.meanUs());
     for (const request of this.awaitingResponse)
-      return this.lastResponseUs < request.sinceUs && nowUs - request.sinceUs > patienceUs;
+      return this.lastResponseUs < request.startedUs && nowUs - request.startedUs > thresholdUs;
     return false;
   };
 
   /** Counts a request as in flight, until `finish`. */
   readonly begin = (): InFlightRequest => {
     this.averageInFlight();
-    const request = { sinceUs: this.clock.nowUs() };
+    const request = { startedUs: this.clock.nowUs() };
     this.awaitingResponse.add(request);
     this.inFlight += 1;
     return request;
@@ -154,14 +154,14 @@
   /**
    * Gives a connection back; it is closed if it isn't sound, or the worker isn't ready any more.
    */
-  readonly releaseConnection = (connection: PooledConnection, isSound: boolean): void =>
-    this.connections.release(connection, isSound && this.state === "ready");
+  readonly releaseConnection = (connection: PooledConnection, isReusable: boolean): void =>
+    this.connections.release(connection, isReusable && this.state === "ready");
 
   /**
    * The oldest request without a response shows that the worker is slow before its response does.
    */
   private readonly longestWaitUs = (): number => {
     const [oldest] = this.awaitingResponse;
-    return oldest === undefined ? 0 : this.clock.nowUs() - oldest.sinceUs;
+    return oldest === undefined ? 0 : this.clock.nowUs() - oldest.startedUs;
   };
 }
