--- a/src/proxy/admission-queue.ts
+++ b/src/proxy/admission-queue.ts
@@ -1,4 +1,4 @@
-/** The queue of requests that wait for a worker with free capacity. */
+/** Queue of requests waiting for a worker with free capacity. */
 import type { Clock, Timer } from "../common/clock.js";
 import type { Worker } from "./worker.js";
 import type { RequestContext } from "./request-context.js";
@@ -12,10 +12,10 @@
 const MAX_QUEUED_REQUESTS = 128;
 
 /**
- * Admits a request once some worker has capacity for it; a lower priority number goes first.
- * Invariants: nothing waits while a worker would be chosen for it, nothing waits longer than its
- * own short wait, and the queue is bounded: when it is full, the last of the lowest priority leaves
- * at once without a worker.
+ * Admits a request as soon as a worker has capacity for it. Lower priority numbers are admitted
+ * first. Invariants: no request waits while a worker is available for it, no request waits longer
+ * than the wait it was admitted with, and the queue is bounded. When the queue is full, the last
+ * request of the lowest priority is released at once without a worker.
  */
 export class AdmissionQueue {
   private queue: QueuedRequest[] = [];
@@ -27,8 +27,8 @@
   ) {}
 
   /**
-   * The worker for a request; undefined if none had capacity within the wait, or the request ended
-   * meanwhile.
+   * Resolves to a worker for the request, or to undefined if none had capacity within the wait or
+   * the request finished in the meantime.
    */
   readonly admit = (context: RequestContext, waitUs: number): Promise<Worker | undefined> => {
     const worker = this.choose(context);
@@ -54,8 +54,8 @@
   };
 
   /**
-   * Looks again after capacity may have come free, once for all that happens in one turn of the
-   * event loop.
+   * Retries the queued requests after capacity may have become available. Multiple calls within one
+   * turn of the event loop are coalesced.
    */
   readonly wake = (): void => {
     if (this.isScheduled || this.queue.length === 0) return;
--- a/src/proxy/body-reader.ts
+++ b/src/proxy/body-reader.ts
@@ -1,4 +1,4 @@
-/** The first stage of a request: reads a small body into memory, and lets a large one stream. */
+/** First pipeline stage: buffers small request bodies in memory and streams large ones. */
 import type { IncomingMessage } from "node:http";
 import { PassThrough, type Readable } from "node:stream";
 import { withTimeout, type Clock } from "../common/clock.js";
@@ -9,14 +9,14 @@
 import { twoEventLoopTurns, type StallDetector } from "./stall-detector.js";
 
 /**
- * Bodies up to this size are buffered, so that they can be sent again; larger ones are streamed.
+ * Bodies up to this size are buffered so that retries can resend them; larger ones are streamed.
  */
 const MAX_BUFFERED_BODY_BYTES = 128 * 1024;
 
-/** Why a body could not be buffered. */
+/** Reason why a body could not be buffered. */
 interface BodyFailure {
   readonly kind: "aborted" | "too-large" | "no-memory" | "timed-out";
-  /** What the client is told; undefined where nobody is left to be told. */
+  /** The outcome sent to the client; undefined if the client has disconnected. */
   readonly outcome: OutcomeName | undefined;
 }
 
@@ -25,33 +25,33 @@
 const NO_MEMORY: BodyFailure = { kind: "no-memory", outcome: "full" };
 const TIMED_OUT: BodyFailure = { kind: "timed-out", outcome: "slowBody" };
 
-/** What the reader of request bodies is made with. */
+/** Dependencies of {@link BodyReader}. */
 export interface BodyReaderOptions {
   readonly clock: Clock;
   readonly memory: MemoryBudget;
   readonly routes: RouteTable;
   readonly stalls: StallDetector;
-  /** Takes the request once its body is buffered or about to stream. */
+  /** Receives the request once its body is buffered or ready to be streamed. */
   readonly next: (context: RequestContext) => void;
-  /** Answers a request whose body can't be taken. */
+  /** Rejects a request whose body cannot be accepted. */
   readonly reject: (context: RequestContext, outcome: OutcomeName) => void;
-  /** Ends a request whose client broke off amid its body. */
+  /** Finishes a request whose client disconnected while sending the body. */
   readonly finish: (context: RequestContext) => void;
 }
 
-/** Whether the body can be sent more than once. */
+/** Returns whether the body can be sent more than once. */
 export const isBodyBuffered = (context: RequestContext): boolean =>
   context.body === null || Buffer.isBuffer(context.body);
 
 /**
- * A body as it comes. The client's connection outlives it: whoever stops reading it early still
- * owes a response.
+ * Returns the request body as a stream. The client connection outlives the stream: a response is
+ * still due when a consumer stops reading early.
  */
 const toStream = (req: IncomingMessage): Readable => {
   const stream = req.pipe(new PassThrough());
-  // The error is that of `destroy`, or of the client, whose connection reports its own end.
+  // Errors come from `destroy` or from the client, whose connection emits its own close event.
   stream.on("error", () => undefined);
-  // After the listener of pipe itself, which pauses the request.
+  // Registered after the listener of `pipe`, which pauses the request when the stream closes.
   stream.once("close", () => req.resume());
   req.once("close", () => {
     if (!req.complete) stream.destroy();
@@ -59,11 +59,11 @@
   return stream;
 };
 
-/** Reads the bodies of requests. */
+/** Reads request bodies. */
 export class BodyReader {
   constructor(private readonly options: BodyReaderOptions) {}
 
-  /** Reads the body if it is small enough to be buffered, and hands the request on. */
+  /** Buffers the body if it is small enough and passes the request to the next stage. */
   readonly read = async (context: RequestContext): Promise<void> => {
     const { clock, routes, stalls, next, reject, finish } = this.options;
     const { req } = context;
@@ -112,7 +112,7 @@
         chunks.push(chunk);
       }
     } catch {
-      // The client reset its connection or left amid the body; there is nobody to tell.
+      // The client reset or closed the connection mid-body, so no response can be sent.
       return ABORTED;
     }
     return context.req.complete ? Buffer.concat(chunks) : ABORTED;
--- a/src/proxy/cached-requests.ts
+++ b/src/proxy/cached-requests.ts
@@ -1,6 +1,6 @@
 /**
- * Requests for objects of cached routes: answered from a cache, or fetched within the origin's rate
- * limit.
+ * Serves requests on cached routes, either from a cache or by fetching the object within the
+ * origin's rate limit.
  */
 import { SECOND_US } from "../common/duration.js";
 import { isAfterClosingResponse } from "./client-connection.js";
@@ -10,8 +10,8 @@
 import type { Route } from "./route-table.js";
 
 /**
- * Caches fill at the origin's rate, so a client that comes back sooner after a rejection for it
- * finds the same.
+ * Minimum `Retry-After` of a rate-limit rejection. Caches fill at the origin's rate, so a client
+ * that retries sooner would be rejected again.
  */
 const MIN_RATE_RETRY_AFTER_US = 1 * SECOND_US;
 
@@ -23,9 +23,9 @@
   ) {}
 
   /**
-   * Answers with the object, or with 503 and `Retry-After` where it can't be had in time.
+   * Responds with the object, or with 503 and `Retry-After` if it cannot be obtained in time.
    *
-   * @param host - the request's host in small letters, without a port
+   * @param host - the request's host in lower case, without a port
    */
   readonly serve = async (context: RequestContext, route: Route, host: string): Promise<void> => {
     const { req, service, deadlineUs } = context;
--- a/src/proxy/client-connection.ts
+++ b/src/proxy/client-connection.ts
@@ -1,45 +1,47 @@
 /**
- * The connections of clients: the order of their pipelined requests, and which of these count as
- * never read.
+ * Client connections: the order of their pipelined requests, and which of those requests the client
+ * treats as unprocessed because an earlier response closed the connection.
  */
 import type { Socket } from "node:net";
 import { HTTP_OUTCOMES, type OutcomeName } from "../common/http-outcomes.js";
 import type { RequestContext } from "./request-context.js";
 
-/** The requests of one client connection, in the order in which they were read. */
+/**
+ * State of one client connection, whose requests are numbered in the order in which they were read.
+ */
 export interface ClientConnection {
-  /** Kept here because a request may lose its socket before it ends. */
+  /** Stored here because a request may lose its socket before it finishes. */
   readonly socket: Socket;
-  /** Requests read and not yet answered in full. */
+  /** Number of requests that were read and not yet fully answered. */
   openRequests: number;
   /** Resolves once all requests read so far have been answered or dropped. */
   lastAnswered: Promise<void>;
-  /** Requests read so far. */
+  /** Number of requests read so far. */
   received: number;
   /**
-   * The position, from 1, of the request whose response closes the connection; `Infinity` while
-   * there is none. Requests behind it count as not read: the client sends them again, so they must
+   * The 1-based position of the request whose response closes the connection; `Infinity` if there
+   * is none. The client treats the requests after it as unprocessed and resends them, so they must
    * not run.
    */
   closedAfter: number;
 }
 
 /**
- * Whether a response that closes the connection is due or was sent: nothing read after it is
- * served.
+ * Returns whether a response that closes the connection is pending or was sent. Requests read after
+ * that are not served.
  */
 export const isClosing = (connection: ClientConnection): boolean =>
   connection.closedAfter !== Infinity;
 
 /**
- * Whether a response before this request's closes the connection, so that its client counts it as
- * not read.
+ * Returns whether a response to an earlier request closes the connection, which makes the client
+ * treat this request as unprocessed.
  */
 export const isAfterClosingResponse = (context: RequestContext): boolean =>
   context.position > context.connection.closedAfter;
 
 /**
- * Resolves once the response has been written or the connection is gone, and counts the request as
+ * Resolves once the response has been written or the connection is closed. The request counts as
  * open until then.
  *
  * @param context - the request, already counted in `openRequests` of its connection
@@ -61,7 +63,7 @@
       resolve();
     };
     res.once("close", close);
-    // A response that waits behind another one gets no "close" event when the connection ends.
+    // A response queued behind another one gets no "close" event when the connection closes.
     if (connection.openRequests > 1) connection.socket.once("close", close);
   });
 };
@@ -71,11 +73,11 @@
   return code === "ERR_HTTP_REQUEST_TIMEOUT" ? "slowHead" : "malformed";
 };
 
-/** All client connections of the server. */
+/** Tracks all client connections of the server. */
 export class ClientConnections {
   private readonly bySocket = new WeakMap<Socket, ClientConnection>();
 
-  /** The connection of a socket, created with its first request. */
+  /** Returns the connection of a socket, creating it on the first request. */
   readonly forSocket = (socket: Socket): ClientConnection => {
     const existing = this.bySocket.get(socket);
     if (existing) return existing;
@@ -91,8 +93,9 @@
   };
 
   /**
-   * Answers what the parser could not read and closes the connection. While earlier requests are
-   * open it only closes: a response now would be taken for one of theirs.
+   * Handles a parser or socket error by sending an error response and closing the connection. While
+   * earlier requests are open it closes the connection without a response, since the client would
+   * attribute that response to one of them.
    */
   readonly handleClientError = (error: NodeJS.ErrnoException, socket: Socket): void => {
     const connection = this.bySocket.get(socket);
--- a/src/proxy/connection-pool.ts
+++ b/src/proxy/connection-pool.ts
@@ -1,33 +1,39 @@
-/** The HTTP/1.1 connections of this node to one worker. */
+/** Pool of HTTP/1.1 connections from this node to one worker. */
 import type { Client } from "undici";
 import UndiciClient from "undici/lib/dispatcher/client.js";
 import type { Clock } from "../common/clock.js";
 import { MILLISECOND_US, SECOND_US } from "../common/duration.js";
 
-/** One connection to a worker, for one request at a time. */
+/** A connection to a worker, which carries one request at a time. */
 export interface PooledConnection {
   readonly client: Client;
-  /** When it was last put back, in microseconds of this process's clock. */
+  /** When the connection was last returned to the pool, in microseconds of the local clock. */
   idleSinceUs: number;
 }
 
 const CONNECT_TIMEOUT_US = 300 * MILLISECOND_US;
-/** How long an idle connection is kept where the worker's `Keep-Alive` header doesn't say. */
+/** Idle time-out used when the worker sends no `Keep-Alive` header. */
 const KEEP_ALIVE_DEFAULT_MS = 4_000;
 const MAX_IDLE_US = 15 * SECOND_US;
 const MAX_HEADER_BYTES = 64 * 1024;
 
-/** Invariant: `open` counts the connections lent out and those in `idle`. */
+/**
+ * Pools the connections to one worker. Invariant: `open` counts the connections in use and those in
+ * `idle`.
+ */
 export class ConnectionPool {
   private idle: PooledConnection[] = [];
   private open = 0;
 
   constructor(private readonly clock: Clock) {}
 
-  /** Whether a request can be sent with no more than `limit` connections open. */
+  /** Returns whether a request can be sent without exceeding `limit` open connections. */
   readonly hasCapacity = (limit: number): boolean => this.idle.length > 0 || this.open < limit;
 
-  /** The connection last used, or a new one to `address`; always a new one if `isNew`. */
+  /**
+   * Returns the most recently used idle connection, or a new one to `address` if there is none or
+   * if `isNew` is set.
+   */
   readonly acquire = (address: string, isNew: boolean): PooledConnection => {
     const idle = isNew ? undefined : this.idle.pop();
     if (idle) return idle;
@@ -45,7 +51,7 @@
     return { client, idleSinceUs: 0 };
   };
 
-  /** Takes a connection back, for the next request or to be closed. */
+  /** Returns a connection to the pool, or closes it if it is not reusable. */
   readonly release = (connection: PooledConnection, isReusable: boolean): void => {
     if (isReusable) {
       connection.idleSinceUs = this.clock.nowUs();
@@ -53,14 +59,17 @@
     } else this.close(connection);
   };
 
-  /** Closes what is idle now. */
+  /** Closes all idle connections. */
   readonly closeIdle = (): void => {
     const idle = this.idle;
     this.idle = [];
     idle.forEach(this.close);
   };
 
-  /** Closes connections long unused, so that other nodes can use what the worker's limit allows. */
+  /**
+   * Closes connections that have been idle for too long, so that other nodes can use the worker's
+   * connection limit.
+   */
   readonly evictIdle = (): void => {
     const oldestUs = this.clock.nowUs() - MAX_IDLE_US;
     const kept = this.idle.filter(({ idleSinceUs }) => idleSinceUs >= oldestUs);
@@ -70,7 +79,7 @@
 
   private readonly close = (connection: PooledConnection): void => {
     this.open -= 1;
-    // The socket is gone either way, and nobody waits for the end of an idle connection.
+    // The socket is destroyed either way, and nothing waits for an idle connection to close.
     connection.client.destroy().catch(() => undefined);
   };
 }
--- a/src/proxy/forwarding.ts
+++ b/src/proxy/forwarding.ts
@@ -1,7 +1,4 @@
-/**
- * One attempt of a request: waits for a worker, sends the request to it, and records what came of
- * it.
- */
+/** Single attempts of a request: waits for a worker, sends the request and records the result. */
 import type { Clock } from "../common/clock.js";
 import { MILLISECOND_US } from "../common/duration.js";
 import { AdmissionQueue } from "./admission-queue.js";
@@ -32,7 +29,7 @@
   "expect",
 ]);
 
-/** What the forwarder of single attempts is made with. */
+/** Dependencies of {@link Forwarder}. */
 export interface ForwarderOptions {
   readonly clock: Clock;
   /** The zone of this node. */
@@ -42,9 +39,9 @@
   readonly memory: MemoryBudget;
   readonly keyed: KeyedRequests;
   readonly countFault: (worker: string, isFault: boolean) => void;
-  /** Counts what is sent to each worker, for the forecast of reassignments. */
+  /** Counts the requests sent to each worker, for the reassignment forecast. */
   readonly countAttempt?: (service: string, kind: string, route: string, worker: string) => void;
-  /** Counts a service's responses and how long they took, for the capacity forecast. */
+  /** Counts the responses of a service and their durations, for the capacity forecast. */
   readonly countResponse?: (service: string, zone: string, tookUs: number) => void;
   readonly actsOnForecast: boolean;
 }
@@ -57,10 +54,13 @@
     this.queue = new AdmissionQueue(options.clock, this.choose);
   }
 
-  /** Looks again for workers for the requests that wait for one. */
+  /** Retries worker selection for the requests in the admission queue. */
   readonly wake = (): void => this.queue.wake();
 
-  /** The worker that would answer this request soonest, or none while none has room. */
+  /**
+   * Returns the worker with the least expected latency for this request, or undefined if none has
+   * capacity.
+   */
   readonly choose = (context: RequestContext): Worker | undefined =>
     this.options.loadBalancer.choose(
       context.service,
@@ -69,7 +69,7 @@
       context.route?.isSafe ?? true,
     );
 
-  /** Waits for a worker, as long as the latency target allows. */
+  /** Waits for a worker for as long as the latency target allows. */
   readonly waitForWorker = (context: RequestContext, route: Route): Promise<Worker | undefined> => {
     const nowUs = this.options.clock.nowUs();
     const untilUs = Math.min(
@@ -79,16 +79,13 @@
     return this.queue.admit(context, untilUs - nowUs);
   };
 
-  /**
-   * Whether the client and the operator have both given it up, whether or not the timer has said so
-   * yet.
-   */
+  /** Returns whether the deadline has passed, even if its timer has not fired yet. */
   readonly isPastDeadline = (context: RequestContext): boolean =>
     this.options.clock.nowUs() >= context.deadlineUs;
 
   /**
-   * At an overloaded service an unsafe request that would be late is rejected before it is sent,
-   * not amid its run.
+   * Returns whether an unsafe request would miss its deadline at an overloaded service. Such a
+   * request is rejected before it is sent rather than aborted while it runs.
    */
   readonly wouldBeLate = (context: RequestContext, route: Route, worker: Worker): boolean => {
     const { actsOnForecast, workers: pool, clock } = this.options;
@@ -141,9 +138,10 @@
   };
 
   /**
-   * The last question before bytes leave for a worker. A connection may have come up only after the
-   * deadline, as when this node stood still meanwhile; that a client left is noticed some turns of
-   * the event loop after it was read; and a keyed request needs a claim that is not too old.
+   * Final check before bytes are sent to a worker. The connection may have been established only
+   * after the deadline, for example if this process was paused. A client disconnect is detected
+   * some event loop turns after it was received. A keyed request needs a claim that has not become
+   * too old.
    */
   private readonly maySend = (context: RequestContext, route: Route): boolean =>
     !context.isFinished &&
@@ -153,14 +151,17 @@
     (route.kind !== "keyed" || this.options.keyed.isClaimed(context)) &&
     beginAttempt(context.deliveryState, route.isSafe);
 
-  /** Where the worker stands to this node; the canary analysis compares only like with like. */
+  /**
+   * Returns the stratum of the worker: same or other zone, and in slow start or not. The canary
+   * analysis only compares requests of the same stratum.
+   */
   private readonly stratumOf = (worker: Worker): string => {
     const { clock, zone } = this.options;
     const distance = worker.zone === zone ? "near" : "far";
     return `${distance}|${clock.nowUs() < worker.slowStartUntilUs ? "cold" : "warm"}`;
   };
 
-  /** Moves the delivery state, and counts for and against the worker. */
+  /** Updates the delivery state and the worker's fault statistics. */
   // eslint-disable-next-line complexity -- one branch for each kind of result
   private readonly record = (
     context: RequestContext,
@@ -173,7 +174,7 @@
       countAnswer?.(context.service, worker.zone, clock.nowUs() - startedUs);
     if (result.kind === "answered") markRun(context.deliveryState);
     if (result.kind === "rejected") markRejected(context.deliveryState);
-    // Nothing of it arrived anywhere, so what is sent next is no retry.
+    // No byte was sent, so the next attempt does not count as a retry.
     if (result.kind === "not-sent") context.attempts -= 1;
     const isUnreachable = result.kind === "not-sent" && result.reason === "unreachable";
     const isDown =
--- a/src/proxy/headers.ts
+++ b/src/proxy/headers.ts
@@ -1,23 +1,23 @@
-/** Headers of requests and responses, and which of them are forwarded (RFC 9110, section 7.6.1). */
+/** Request and response headers, and which of them are forwarded (RFC 9110, section 7.6.1). */
 
-/** Headers as a flat list of names and values, in the order and case they came in. */
+/** Headers as a flat list of alternating names and values, in their original order and case. */
 export type FlatHeaders = readonly string[];
 
-/** The client's id of one attempt; a worker's response bears it too. */
+/** The client's id of an attempt, which the worker echoes in its response. */
 export const ATTEMPT_ID_HEADER = "yewreel-try-id";
-/** How long the client still waits, in milliseconds. */
+/** The client's remaining time until its deadline, in milliseconds. */
 export const TIME_LEFT_HEADER = "yewreel-time-left-ms";
-/** The worker that a request is meant for; another one answers 421. */
+/** The id of the intended worker; any other worker responds with 421. */
 export const EXPECTED_WORKER_HEADER = "yewreel-expect-worker";
-/** A worker's seal on a response of its own. */
+/** The seal with which a worker marks its own responses. */
 export const SERVER_SEAL_HEADER = "yewreel-server-seal";
-/** A worker's load: requests running, requests queued, and its capacity. */
+/** A worker's load: running requests, queued requests and capacity. */
 export const WORKER_LOAD_HEADER = "yewreel-worker-load";
-/** Labels of an object, for purges. */
+/** Labels of an object, used for purges. */
 export const LABELS_HEADER = "yewreel-labels";
 /** The idempotency key of an operation. */
 export const IDEMPOTENCY_KEY_HEADER = "yewreel-operation-key";
-/** A worker's word that it has not run the request and won't. */
+/** Set by a worker that did not run the request and will not run it. */
 export const NOT_RUN_HEADER = "yewreel-not-run";
 
 const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
@@ -33,8 +33,8 @@
 ]);
 
 /**
- * All headers but the hop-by-hop ones, those that `Connection` names, and the given ones (in small
- * letters).
+ * Returns all headers except hop-by-hop headers, headers named in `Connection`, and the given ones
+ * (in lower case).
  */
 export const forwardedHeaders = (headers: FlatHeaders, excluded: ReadonlySet<string>): string[] => {
   const named = new Set<string>();
@@ -52,14 +52,14 @@
   return forwarded;
 };
 
-/** The first value under a name, which is given in small letters. */
+/** Returns the first value of a header, whose name is given in lower case. */
 export const headerValue = (headers: FlatHeaders, name: string): string | undefined => {
   for (let at = 0; at + 1 < headers.length; at += 2)
     if (isNamed(headers[at], name)) return headers[at + 1];
   return undefined;
 };
 
-/** Whether there is more than one value under a name, which is given in small letters. */
+/** Returns whether a header, whose name is given in lower case, occurs more than once. */
 export const isRepeated = (headers: FlatHeaders, name: string): boolean => {
   let found = 0;
   for (let at = 0; at + 1 < headers.length; at += 2) if (isNamed(headers[at], name)) found += 1;
--- a/src/proxy/keyed-requests.ts
+++ b/src/proxy/keyed-requests.ts
@@ -1,6 +1,6 @@
 /**
- * Requests with an idempotency key: the claim before the first attempt, and the stored response for
- * repeats.
+ * Requests with an idempotency key: claims the key before the first attempt and replays the stored
+ * response for repeated requests.
  */
 import { sleep, withTimeout, type Clock } from "../common/clock.js";
 import { MILLISECOND_US, SECOND_US } from "../common/duration.js";
@@ -12,22 +12,22 @@
 import type { UpstreamResponse } from "./upstream-request.js";
 
 const MAX_KEY_LENGTH = 200;
-/** Claiming may take the latency target divided by this. */
+/** Claiming a key may take at most the latency target divided by this. */
 const CLAIM_TARGET_DIVISOR = 5;
 /**
- * Storing the response may take this part of what is left of the latency target, and at least the
- * minimum.
+ * Storing the response may take this fraction of the remaining latency target, and at least
+ * `MIN_STORE_WAIT_US`.
  */
 const STORE_TARGET_FRACTION = 0.5;
 const MIN_STORE_WAIT_US = 300 * MILLISECOND_US;
 /**
- * A request begins at most this long after its claim was asked for. Claims are kept for 5 s and
- * more beyond the window of their key, so the run is covered for all of the window.
+ * Maximum age of a claim when the request is sent. Claims are kept for at least 5 s beyond the
+ * window of their key, so a run that begins within this limit is covered for the entire window.
  */
 const MAX_CLAIM_AGE_US = 4 * SECOND_US;
-/** Mean pause before the next claim when no quorum decided the last one. */
+/** Mean delay before another claim after a claim that reached no quorum. */
 const CLAIM_RETRY_US = 30 * MILLISECOND_US;
-/** Headers that belong to one attempt, not to the operation. */
+/** Headers that belong to one attempt rather than to the operation. */
 const NOT_STORED: ReadonlySet<string> = new Set([
   ATTEMPT_ID_HEADER,
   "content-length",
@@ -36,22 +36,23 @@
 ]);
 const NO_REPLY = { kind: "none" } as const;
 
-/** What the handling of requests with an idempotency key is made with. */
+/** Dependencies of {@link KeyedRequests}. */
 export interface KeyedRequestsOptions {
   readonly clock: Clock;
-  /** Without it every keyed request is rejected. */
+  /** Client of the key service; if undefined, all keyed requests are rejected. */
   readonly idempotency: IdempotencyClient | undefined;
   readonly writer: ResponseWriter;
   /** Uniform in [0, 1). */
   readonly random: () => number;
 }
 
-/** Sees to it that the operation of a key runs once. */
+/** Ensures that the operation of an idempotency key runs only once. */
 export class KeyedRequests {
   constructor(private readonly options: KeyedRequestsOptions) {}
 
   /**
-   * Claims the idempotency key; false when the request was answered instead, or its client is gone.
+   * Claims the idempotency key. Resolves to false if the request was answered instead or its client
+   * has disconnected.
    */
   readonly claim = async (context: RequestContext, route: Route): Promise<boolean> => {
     const { clock, idempotency, writer, random } = this.options;
@@ -99,11 +100,11 @@
     return false;
   };
 
-  /** Whether the request holds a claim that covers a run begun now. */
+  /** Returns whether the request holds a claim that covers an execution that begins now. */
   readonly isClaimed = ({ claim }: RequestContext): boolean =>
     claim !== undefined && this.options.clock.nowUs() - claim.requestedUs <= MAX_CLAIM_AGE_US;
 
-  /** Stores the response for repeats of the operation, before its own client gets it. */
+  /** Stores the response for repeated requests, before it is sent to the client. */
   readonly store = async (context: RequestContext, response: UpstreamResponse): Promise<void> => {
     const { idempotency, clock } = this.options;
     if (!idempotency || !context.claim || response.remainder) return;
--- a/src/proxy/latency-estimate.ts
+++ b/src/proxy/latency-estimate.ts
@@ -1,19 +1,25 @@
 /**
- * Estimates of how long requests take: per service, and per worker with the service's mean as the
- * prior.
+ * Latency estimates per service and per worker, with the service's mean as the prior of its
+ * workers.
  */
 import type { Clock } from "../common/clock.js";
 import { MILLISECOND_US, SECOND_US } from "../common/duration.js";
 
 const INITIAL_MEAN_US = 50 * MILLISECOND_US;
-/** Weight of the service's mean in a worker's estimate, in requests. */
+/** Weight of the service's mean in a worker's estimate, in number of requests. */
 const PRIOR_SAMPLES = 3;
-/** At most this many of a worker's own requests weigh in its mean, so that it follows changes. */
+/**
+ * Maximum number of a worker's own requests that weigh in its mean, so that the mean follows
+ * changes.
+ */
 const MAX_SAMPLES = 20;
-/** Time constant of forgetting: a worker that was slow is tried again, at first seldom. */
+/**
+ * Time constant of the exponential decay of a worker's samples, after which a formerly slow worker
+ * is tried again, rarely at first.
+ */
 const DECAY_TIME_CONSTANT_US = 8 * SECOND_US;
 
-/** The mean time of requests to a service, over all its workers. */
+/** Mean latency of requests to a service over all its workers. */
 export class ServiceLatency {
   meanUs = INITIAL_MEAN_US;
   private samples = 0;
@@ -25,9 +31,9 @@
 }
 
 /**
- * The mean time of requests to one worker: a running mean of its own requests, which fades, shrunk
- * towards the mean of its service. Invariant: at most MAX_SAMPLES own requests weigh in the mean,
- * and the service's mean weighs as PRIOR_SAMPLES.
+ * Mean latency of requests to one worker: the running mean of the worker's own requests, which
+ * decays over time, shrunk towards the service's mean. Invariant: at most MAX_SAMPLES own requests
+ * weigh in the mean, and the service's mean weighs as much as PRIOR_SAMPLES requests.
  */
 export class LatencyEstimate {
   private ownMeanUs = 0;
@@ -53,7 +59,7 @@
     );
   };
 
-  /** The number of own requests that still weigh, after exponential decay since the last one. */
+  /** Returns the effective number of own samples, decayed exponentially since the last one. */
   private readonly effectiveSamples = (): number =>
     this.samples * Math.exp((this.recordedUs - this.clock.nowUs()) / DECAY_TIME_CONSTANT_US);
 }
--- a/src/proxy/load-balancer.ts
+++ b/src/proxy/load-balancer.ts
@@ -1,59 +1,65 @@
 /**
- * Chooses a worker for a request: the one with the least expected latency among a bounded number of
+ * Load balancer: chooses the worker with the least expected latency among a bounded number of
  * candidates of this node's subset (cf. "The Power of Two Choices in Randomized Load Balancing",
  * Mitzenmacher 2001).
  */
 import type { Worker } from "./worker.js";
 import type { WorkerDirectory } from "./worker-directory.js";
 
-/** What the load balancer of a node is made with. */
+/** Dependencies and options of {@link LoadBalancer}. */
 export interface LoadBalancerOptions {
   readonly workers: WorkerDirectory;
   /** The zone of this node. */
   readonly zone: string;
   /** Uniform in [0, 1). */
   readonly random: () => number;
-  /** How many connections this node may hold to one worker of the service. */
+  /** Returns how many connections this node may hold to one worker of the service. */
   readonly connectionShare: (service: string) => number;
   /**
-   * Whether safe requests leave room while the capacity forecast warns of an overload; default
-   * false.
+   * Whether safe requests leave capacity unused while the capacity forecast predicts an overload;
+   * default false.
    */
   readonly actsOnForecast?: boolean;
 }
 
-/** A worker gets no more requests at this load per slot, since a full one resets connections. */
+/**
+ * A worker receives no more requests at this load per unit of capacity, since a worker with a full
+ * queue resets connections.
+ */
 const MAX_LOAD_PER_SLOT = 2;
 /**
- * The same for safe requests while the forecast warns; the rest is left to requests that can't be
- * repeated.
+ * The limit for safe requests while the forecast predicts an overload. The remaining capacity is
+ * reserved for requests that cannot be retried.
  */
 const MAX_LOAD_PER_SLOT_WARNED = 1.5;
 /**
- * A remote worker must be faster by this fraction (1/n) of the latency target, for the time and
- * bytes between zones.
+ * A remote worker must be faster by this fraction (1/n) of the latency target, to account for
+ * latency and traffic between zones.
  */
 const REMOTE_PENALTY_DIVISOR = 5;
-/** How many usable candidates are compared. */
+/** Maximum number of usable candidates that are compared. */
 const MAX_CANDIDATES = 9;
-/** Weight of each local worker looked at in the average local load. */
+/** Weight of each evaluated local worker in the moving average of the local load. */
 const LOCAL_LOAD_WEIGHT = 0.05;
 
 type WorkerFilter = (worker: Worker, load: number) => boolean;
 
-/** Invariant: the work for a request is bounded by the subset, whatever the number of workers. */
+/**
+ * Chooses workers by expected latency. Invariant: the cost of a choice is bounded by the size of
+ * the subset, regardless of the number of workers.
+ */
 export class LoadBalancer {
-  /** The average load of this node's local workers lately, by service. */
+  /** The moving average of the load of local workers, by service. */
   private readonly localLoad = new Map<string, number>();
 
   constructor(private readonly options: LoadBalancerOptions) {}
 
   /**
-   * The worker to send to, or undefined if none can take a request now. Local workers come first,
-   * unless a remote one is clearly faster; then backups; then workers in an avoided zone, and at
-   * last ejected ones.
+   * Returns the worker to send the request to, or undefined if none can accept a request now. Local
+   * workers are preferred unless a remote one is clearly faster. The fallbacks are backup workers,
+   * then workers in an avoided zone, and finally ejected workers.
    *
-   * @param tried - ids of workers that this request was sent to already
+   * @param tried - ids of workers to which this request was already sent
    * @param isSafe - whether the request may run more than once
    */
   readonly choose = (
@@ -98,10 +104,10 @@
   };
 
   /**
-   * The load of a worker, with an assumption about other nodes. They are assumed to use a local
-   * worker as much as this node does. A remote one, which the nodes of its own zone use most, is
-   * assumed to be as busy as a local one but to have no requests waiting, since a zone that is full
-   * must look elsewhere.
+   * Returns the load of a worker, including an estimate for other nodes. Other nodes are assumed to
+   * use a local worker as much as this node does. A remote worker, which is mainly used by nodes of
+   * its own zone, is assumed to be as busy as a local one but to have no queued requests, because a
+   * zone at full capacity sends its requests elsewhere.
    */
   private readonly loadOf = (worker: Worker): number => {
     const { workers, zone } = this.options;
@@ -117,8 +123,8 @@
     worker.expectedLatencyUs(this.loadOf(worker));
 
   /**
-   * The fastest of the first candidates that pass the filter, from a random position on, so that
-   * equals take turns.
+   * Returns the worker with the least expected latency among the first candidates that pass the
+   * filter. The search starts at a random position so that equal workers are chosen equally often.
    */
   private readonly leastExpectedLatency = (
     workers: readonly Worker[],
--- a/src/proxy/memory-budget.ts
+++ b/src/proxy/memory-budget.ts
@@ -1,9 +1,9 @@
-/** The memory for buffered bodies, over all requests of the process. */
+/** Memory budget for buffered bodies, shared by all requests of the process. */
 import type { RequestContext } from "./request-context.js";
 
 /**
- * Reserves memory for the buffered bodies of requests and responses. Invariant: what is reserved
- * never exceeds the limit, and all that is reserved for a request is released when it ends.
+ * Reserves memory for the buffered bodies of requests and responses. Invariant: the reserved memory
+ * never exceeds the limit, and all memory reserved for a request is released when it finishes.
  */
 export class MemoryBudget {
   private reservedBytes = 0;
@@ -11,9 +11,9 @@
   constructor(private readonly limitBytes: number) {}
 
   /**
-   * Reserves bytes for a request; false when there are not so many left. A finished request gets
-   * nothing, unless it holds a claim on an idempotency key: its response is still to be stored, and
-   * the attempt loop releases the memory afterwards.
+   * Reserves bytes for a request; returns false if the budget is exhausted. A finished request
+   * cannot reserve memory, unless it holds a claim on an idempotency key: its response has yet to
+   * be stored, and the attempt loop releases the memory afterwards.
    */
   readonly reserve = (context: RequestContext, bytes: number): boolean => {
     if (context.isFinished && !context.claim) return false;
@@ -23,7 +23,7 @@
     return true;
   };
 
-  /** Gives back all that a request has reserved. */
+  /** Releases all memory reserved for a request. */
   readonly release = (context: RequestContext): void => {
     this.reservedBytes -= context.bufferedBytes;
     context.bufferedBytes = 0;
--- a/src/proxy/object-source.ts
+++ b/src/proxy/object-source.ts
@@ -1,27 +1,29 @@
-/** The port through which the proxy gets objects of cached routes. */
+/** Interface through which the proxy obtains objects of cached routes. */
 
-/** An object that is asked for, and how old a cached one may be. */
+/** A request for an object, with the maximum age of a cached copy. */
 export interface ObjectRequest {
   readonly service: string;
   readonly host: string;
-  /** The path with its query. */
+  /** The path including the query string. */
   readonly url: string;
   readonly cacheForUs: number;
   /** Invariant: at most `cacheForUs`. */
   readonly maxAgeUs: number;
   readonly latencyTargetUs: number;
-  /** Until when a response is of use, on this process's clock. */
+  /** When the requester stops waiting for a response, in microseconds of the local clock. */
   readonly deadlineUs: number;
 }
 
-/** No worker ran the request; the object may be asked for again after the given time. */
+/**
+ * The object is unavailable and no worker ran the request; it may be retried after `retryAfterUs`.
+ */
 export interface ObjectUnavailable {
   readonly kind: "none";
   readonly reason: "rate" | "full" | "late";
   readonly retryAfterUs: number;
 }
 
-/** An object, or the part of it that was asked for. */
+/** An object, or the requested range of it. */
 export interface ServedObject {
   readonly kind: "served";
   readonly status: number;
@@ -29,17 +31,17 @@
   readonly body: Buffer;
 }
 
-/** What came of a fetch: the object, or why there is none. */
+/** Result of a fetch: the object, or the reason why it is unavailable. */
 export type ObjectResult = ServedObject | ObjectUnavailable;
 
-/** Where the proxy gets objects of cached routes from. */
+/** Source of objects of cached routes. */
 export interface ObjectSource {
   /**
    * Fetches an object.
    *
-   * @param range - the value of a `Range` header; undefined for all of the object
+   * @param range - the value of a `Range` header; undefined for the entire object
    */
   readonly fetch: (request: ObjectRequest, range: string | undefined) => Promise<ObjectResult>;
-  /** Whether one more request may go to a service with a rate limit. */
+  /** Requests permission to send one more request to a service with a rate limit. */
   readonly permit: (service: string) => Promise<boolean>;
 }
--- a/src/proxy/outcome-recorder.ts
+++ b/src/proxy/outcome-recorder.ts
@@ -1,6 +1,5 @@
 /**
- * Counts how requests end: for the reports of routes, and for the canary analysis of weighted
- * routes.
+ * Counts request outcomes for the route reports, and for the canary analysis of weighted routes.
  */
 import type { Clock } from "../common/clock.js";
 import type { CanaryOutcome } from "../health/canary-counters.js";
@@ -9,12 +8,12 @@
 import type { Route } from "./route-table.js";
 
 /**
- * A client that leaves after this part of its time has waited in vain; one that leaves earlier had
- * its own reason.
+ * Fraction of the client's time budget after which a disconnect is attributed to the service; an
+ * earlier disconnect is attributed to the client.
  */
 const ABANDONMENT_FRACTION = 0.8;
 
-/** What the recorder of outcomes reports to. */
+/** Dependencies of {@link OutcomeRecorder}. */
 export interface OutcomeRecorderOptions {
   readonly clock: Clock;
   readonly countOutcome: (route: string, kind: string, outcome: string) => void;
@@ -26,7 +25,9 @@
   ) => void;
 }
 
-/** An unsafe request that may have run may be placed again by its client. */
+/**
+ * An unsafe request that may have run counts as `doubled`, because its client may submit it again.
+ */
 const failureOutcome = (context: RequestContext): CanaryOutcome =>
   !hasNotRun(context.deliveryState) && context.route?.isSafe === false ? "doubled" : "lost";
 
@@ -34,7 +35,7 @@
 export class OutcomeRecorder {
   constructor(private readonly options: OutcomeRecorderOptions) {}
 
-  /** A worker's response, or a stored one, is sent to the client. */
+  /** Records that a worker's response, or a stored one, is sent to the client. */
   readonly recordResponse = (context: RequestContext, status: number): void => {
     this.count(context, status < 400 ? "served" : String(status));
     const { route } = context;
@@ -46,7 +47,7 @@
     }
   };
 
-  /** The gateway answers itself with the outcome of this name. */
+  /** Records that the gateway responds itself, with the outcome of this name. */
   readonly recordRejection = (context: RequestContext, outcome: string): void => {
     this.count(context, outcome);
     const { route } = context;
@@ -56,8 +57,8 @@
   };
 
   /**
-   * The client went away unanswered: at the end of its patience that is the service's doing, sooner
-   * its own.
+   * Records that the client disconnected before it was answered. This is attributed to the service
+   * if the client had waited for most of its time budget, and otherwise to the client.
    */
   readonly recordAbandoned = (context: RequestContext): void => {
     this.count(context, "caller left");
@@ -80,6 +81,8 @@
     this.options.clock.nowUs() - context.arrivedUs;
 }
 
-/** Whether the route sends to more than one service, so that their outcomes are compared. */
+/**
+ * Returns whether the route sends to more than one service, so that their outcomes are compared.
+ */
 const isWeighted = (route: Route | undefined): route is Route =>
   route !== undefined && route.weightedServices.length > 1;
--- a/src/proxy/pipeline-stage.ts
+++ b/src/proxy/pipeline-stage.ts
@@ -1,19 +1,19 @@
-/** A stage of the pipeline: a bounded queue in front of a bounded number of concurrent runs. */
+/** Pipeline stage: a bounded queue in front of a bounded number of concurrent tasks. */
 
 /**
- * Runs work on items, at most `concurrency` at a time, and queues the rest. Invariants: `running`
- * never exceeds `concurrency`, the queue never exceeds `maxQueued`, and a lower priority number
- * goes first, in order of arrival among equals.
+ * Processes items, at most `concurrency` at a time, and queues the rest. Invariants: `running`
+ * never exceeds `concurrency`, the queue never exceeds `maxQueued`, and lower priority numbers go
+ * first, in order of arrival among equals.
  */
 export class PipelineStage<T> {
   private readonly queue: { readonly item: T; readonly priority: number }[] = [];
   private running = 0;
 
   /**
-   * @param concurrency - how many items are worked on at once
-   * @param maxQueued - how many more wait
-   * @param work - handles one item; it owns its own failures
-   * @param priorityOf - the lower the number, the earlier an item leaves the queue
+   * @param concurrency - the maximum number of items processed at once
+   * @param maxQueued - the maximum number of items that wait
+   * @param work - processes one item and handles its own errors
+   * @param priorityOf - returns the priority of an item; lower numbers leave the queue first
    */
   constructor(
     private readonly concurrency: number,
@@ -22,7 +22,7 @@
     private readonly priorityOf: (item: T) => number = () => 0,
   ) {}
 
-  /** Starts or queues an item; false when the queue is full, and the item is then not taken. */
+  /** Starts or queues an item. Returns false, without accepting the item, if the queue is full. */
   readonly offer = (item: T): boolean => {
     if (this.running < this.concurrency) {
       void this.run(item);
--- a/src/proxy/pipeline.ts
+++ b/src/proxy/pipeline.ts
@@ -1,7 +1,4 @@
-/**
- * The stages of a request in their order: read the body, route, and serve from a cache or forward
- * to a worker.
- */
+/** Request pipeline: read the body, route, and serve from a cache or forward to a worker. */
 import type { Clock } from "../common/clock.js";
 import type { CanaryOutcome } from "../health/canary-counters.js";
 import type { IdempotencyClient } from "../idempotency/key-client.js";
@@ -24,31 +21,33 @@
 import type { Route, RouteTable } from "./route-table.js";
 import { StallDetector } from "./stall-detector.js";
 
-/** How many bodies are read at once, and how many requests wait for it. */
+/** Maximum number of bodies read at once, and of requests that wait for it. */
 const MAX_READING = 512;
-/** How many requests are forwarded at once, and how many wait for it. */
+/** Maximum number of requests forwarded at once, and of requests that wait for it. */
 const MAX_FORWARDING = 1_024;
 
-/** What arrives and is answered, counted for the capacity forecast. */
+/** Receives request arrivals, rejections and responses for the capacity forecast. */
 export interface LoadObserver {
   readonly arrived: (service: string) => void;
   readonly refused: (service: string) => void;
   readonly answered: (service: string, zone: string, tookUs: number) => void;
 }
 
-/** What the request pipeline is made with. */
+/** Dependencies and options of {@link RequestPipeline}. */
 export interface PipelineOptions {
   readonly clock: Clock;
   /** The zone of this node. */
   readonly zone: string;
-  /** How much memory buffered bodies may take, all in all. */
+  /** Memory limit for all buffered bodies together. */
   readonly bufferMemoryBytes: number;
   readonly routes: RouteTable;
   readonly pool: WorkerDirectory;
   readonly retryBudgets: RetryBudgets;
-  /** Whether this node lacks a configuration that it was told of; left out, it never does. */
+  /**
+   * Returns whether a configuration was announced that this node has not received; default never.
+   */
   readonly isBehind?: () => boolean;
-  /** How many connections this node may hold to one worker of a service. */
+  /** Returns how many connections this node may hold to one worker of a service. */
   readonly connectionShare: (service: string) => number;
   readonly countFault: (worker: string, isFault: boolean) => void;
   readonly countOutcome: (route: string, kind: string, outcome: string) => void;
@@ -59,22 +58,20 @@
     stratum: string,
     outcome: CanaryOutcome,
   ) => void;
-  /** Counts what is sent to each worker, for the forecast of reassignments. */
+  /** Counts the requests sent to each worker, for the reassignment forecast. */
   readonly countAttempt?: (service: string, kind: string, route: string, worker: string) => void;
   /** Uniform in [0, 1). */
   readonly random: () => number;
   readonly loadCounters?: LoadObserver;
-  /** Whether the capacity forecast is acted on. */
+  /** Whether requests are held back or rejected based on the capacity forecast. */
   readonly actsOnForecast?: boolean;
-  /**
-   * Where objects of cached routes come from; without it they are forwarded like any safe request.
-   */
+  /** Source of objects of cached routes; if undefined, they are forwarded like any safe request. */
   readonly objects?: ObjectSource;
-  /** Where idempotency keys are claimed; without it keyed requests are rejected. */
+  /** Client for claiming idempotency keys; if undefined, keyed requests are rejected. */
   readonly idempotency?: IdempotencyClient;
 }
 
-/** Wires the stages and takes requests in. */
+/** Connects the pipeline stages and accepts requests. */
 export class RequestPipeline {
   private readonly memory: MemoryBudget;
   private readonly outcomes: OutcomeRecorder;
@@ -85,7 +82,7 @@
   private readonly forwarding: PipelineStage<RequestContext>;
 
   /**
-   * @param options - what the stages share
+   * @param options - dependencies shared by the stages
    * @param isDraining - whether responses close their connections
    */
   constructor(
@@ -137,19 +134,19 @@
     this.reading = new PipelineStage(MAX_READING, MAX_READING, bodies.read);
   }
 
-  /** Takes a request in, or rejects it where too many are read already. */
+  /** Accepts a request, or rejects it if too many requests are already being read or waiting. */
   readonly start = (context: RequestContext): void => {
     if (!this.reading.offer(context)) this.writer.reject(context, "full");
   };
 
-  /** Ends a request whose response was written or whose client is gone. */
+  /** Finishes a request whose response was written or whose client has disconnected. */
   readonly close = (context: RequestContext): void => {
     if (!context.isFinished) this.outcomes.recordAbandoned(context);
     this.completion.finish(context);
     this.memory.release(context);
   };
 
-  /** Looks again for workers for the requests that wait for one. */
+  /** Retries worker selection for the requests in the admission queue. */
   readonly wake = (): void => this.forwarder.wake();
 
   private readonly startForwarding = (context: RequestContext): void => {
--- a/src/proxy/proxy-server.ts
+++ b/src/proxy/proxy-server.ts
@@ -1,5 +1,5 @@
 /**
- * The gateway's HTTP server: listens, applies limits to clients, drains, and hands requests to the
+ * HTTP server of the gateway: listens, applies client limits, drains, and passes requests to the
  * pipeline.
  */
 import express from "express";
@@ -18,17 +18,17 @@
 import { RequestPipeline, type PipelineOptions } from "./pipeline.js";
 import type { RequestContext } from "./request-context.js";
 
-/** What the proxy of a gateway is made with. */
+/** Dependencies and options of {@link ProxyServer}. */
 export interface ProxyServerOptions extends PipelineOptions {
   readonly log: Logger;
 }
 
-/** The deadline of a request that gives none. */
+/** Time limit of a request whose client sends none. */
 const DEFAULT_TIME_LEFT_US = 60 * SECOND_US;
 const LISTEN_BACKLOG = 1_024;
 const CONNECTIONS_CHECK_MS = 1_000;
 
-/** The proxy of a gateway. */
+/** The HTTP server that accepts client requests. */
 export class ProxyServer {
   private readonly server: Server;
   private readonly connections = new ClientConnections();
@@ -62,7 +62,7 @@
     return this.open;
   }
 
-  /** Listens on `ip:port`; rejects if that fails. */
+  /** Listens on `ip:port`; rejects on failure. */
   readonly listen = (address: string): Promise<void> => {
     const { ip, port } = splitAddress(address);
     this.applyLimits();
@@ -72,7 +72,7 @@
     });
   };
 
-  /** Applies the configuration's limits to connections and requests that begin from now on. */
+  /** Applies the configured limits to new connections and requests. */
   readonly applyLimits = (): void => {
     const {
       maxHeaderBytes,
@@ -84,23 +84,26 @@
     Object.assign(this.server, { maxHeaderSize: maxHeaderBytes });
   };
 
-  /** Looks again for workers for the requests that wait for one. */
+  /** Retries worker selection for the requests in the admission queue. */
   readonly wake = (): void => this.pipeline.wake();
 
-  /** From now on responses close their connections; what is read is still served to its end. */
+  /**
+   * Makes responses close their connections from now on. Requests that were read are still
+   * completed.
+   */
   readonly startDraining = (): void => {
     this.isDraining = true;
   };
 
   /**
-   * While the node's zone is drained for a window, responses close their connections, so that
-   * clients go elsewhere.
+   * Sets whether the node's zone is drained for a maintenance window. While it is, responses close
+   * their connections so that clients reconnect elsewhere.
    */
   readonly setZoneDrained = (isDrained: boolean): void => {
     this.isZoneDrained = isDrained;
   };
 
-  /** Accepts no more connections, and closes those without a request. */
+  /** Stops accepting connections and closes idle ones. */
   readonly stopListening = (): void => {
     this.server.close();
     this.server.closeIdleConnections();
--- a/src/proxy/reassignment-forecast.ts
+++ b/src/proxy/reassignment-forecast.ts
@@ -2,7 +2,7 @@
 import type { RequestCount } from "./request-counters.js";
 import { subsetOf, type NodeCount, type SubsetCandidate, type Subset } from "./subset.js";
 
-/** What the planners ask about: backends added, by service and cell, and workers retired. */
+/** A planned change: backends to add, by service and cell, and workers to retire. */
 export interface BackendChange {
   readonly add: readonly {
     readonly service: string;
@@ -14,8 +14,8 @@
 }
 
 /**
- * One node's view of one service, and the change that is asked about. `calls` were counted over
- * `spanUs` microseconds.
+ * One node's view of one service, and the planned change. `calls` were counted over `spanUs`
+ * microseconds.
  */
 export interface ReassignmentQuery {
   readonly node: string;
@@ -29,67 +29,74 @@
   readonly change: BackendChange;
 }
 
-/** What would move of one node's calls of one kind (and route) to one service. */
+/** Forecast for one node's requests of one kind (and route) to one service. */
 export interface ReassignmentRow {
   readonly service: string;
   readonly kind: string;
   readonly route: string;
-  /** The calls that the shares are taken from, and their rate. */
+  /** The number of requests on which the shares are based, and their rate per second. */
   readonly calls: number;
   readonly perS: number;
   /**
-   * The share of calls that would go elsewhere, and the band that the share seen lies in, as often
-   * as CONFIDENCE says.
+   * The share of requests that would move to another worker, and its confidence interval. The
+   * observed share lies within the interval with probability CONFIDENCE.
    */
   readonly moved: number;
   readonly low: number;
   readonly high: number;
   /**
-   * The share at workers that would leave the subset, and the one that workers new to it would get.
+   * The share of requests to workers that would leave the subset, and the share that workers
+   * joining the subset would receive.
    */
   readonly leave: number;
   readonly join: number;
   readonly joinLow: number;
   readonly joinHigh: number;
-  /** The share of all calls that would go to each cell afterwards. */
+  /** The share of all requests that would go to each cell after the change. */
   readonly toCells: Readonly<Record<string, number>>;
   readonly leavers: readonly string[];
   readonly newConnections: number;
-  /** The moved share for each assumed set of names of the workers to come, alike over all nodes. */
+  /**
+   * The moved share for each set of placeholder names of the added workers; all nodes use the same
+   * sets.
+   */
   readonly draws: readonly number[];
 }
 
-/** The requests a second that the node sends to a worker now, and would send after the change. */
+/** Requests per second that the node sends to a worker now, and would send after the change. */
 export interface LoadRow {
   readonly worker: string;
   readonly perSNow: number;
   readonly perSThen: number;
 }
 
-/** What one node forecasts for one service. */
+/** The forecast of one node for one service. */
 export interface ReassignmentForecast {
   readonly rows: readonly ReassignmentRow[];
-  /** The workers that the node sends to now. */
+  /** The workers to which the node currently sends requests. */
   readonly subset: readonly string[];
   readonly loads: readonly LoadRow[];
 }
 
-/** The probability that the bands of the forecast cover the shares. */
+/** Probability with which the confidence intervals of the forecast contain the observed shares. */
 export const CONFIDENCE = 0.9;
-/** With fewer calls than this no share is told. */
+/** Minimum number of requests for which a share is reported. */
 export const MIN_REQUESTS = 30;
 /**
- * A worker that is to come has no name yet, and its name decides whose subset it joins: so many are
- * tried.
+ * Number of placeholder names tried for each added worker. The name of an added worker is not known
+ * yet, and it determines which subsets the worker joins.
  */
 export const DRAWS = 16;
 /**
- * Calls are not independent: load-aware choosing follows workers that are quick or slow for a while
+ * Factor by which the variance of a share exceeds that of independent requests. Requests are not
+ * independent, because the load balancer follows workers that are fast or slow for a while
  * (measured in moves.feature).
  */
 const OVERDISPERSION = 6;
 
-/** How unevenly a service's workers share its calls over the whole fleet. */
+/**
+ * Returns the coefficient of variation of the number of requests per worker over the entire fleet.
+ */
 export const coefficientOfVariation = (perWorker: readonly number[]): number =>
   perWorker.length < 2 ? 0 : sampleStandardDeviation(perWorker) / Math.max(1e-9, mean(perWorker));
 
@@ -103,18 +110,19 @@
   readonly moved: number;
   readonly leave: number;
   readonly join: number;
-  /** How unevenly the group's workers share its calls now, as standard deviation over mean. */
+  /** Coefficient of variation of the request shares of the local workers before the change. */
   readonly unevenness: number;
   readonly leavers: readonly string[];
   readonly joiners: number;
-  /** The share of calls of each worker afterwards. */
+  /** The share of requests of each worker after the change. */
   readonly after: ReadonlyMap<string, number>;
 }
 
 /**
- * Within each of near and far, newcomers get an equal part of the group's calls, and those who stay
- * share the rest as before. What moves is what was pinned to leavers; where backends are added,
- * what newcomers draw may be more.
+ * Computes how request shares change from one subset to another. Within the local and the remote
+ * group, each joining worker gets an equal part of the group's requests, and the staying workers
+ * share the rest in their previous proportions. The moved share is that of the leaving workers; if
+ * backends are added, it is the share of the joining workers where that is greater.
  */
 const computeShift = (
   before: Subset<SubsetCandidate>,
@@ -152,7 +160,10 @@
   return { moved, leave, join, unevenness, leavers, joiners, after: sharesAfter };
 };
 
-/** Half of the band of a share that is taken from some calls and will be seen in as many. */
+/**
+ * Returns half the width of the confidence interval of a share that is estimated from a number of
+ * requests and observed in as many.
+ */
 export const confidenceHalfWidth = (share: number, calls: number): number => {
   const z = probit((1 + CONFIDENCE) / 2);
   const smoothed = (share * calls + 1) / (calls + 2);
@@ -160,8 +171,8 @@
 };
 
 /**
- * The band of what newcomers would get: nobody knows yet how quick they are, so they may differ as
- * workers now do.
+ * Returns half the width of the confidence interval of the share of joining workers. Their latency
+ * is unknown, so their shares are assumed to vary as much as those of the current workers.
  */
 export const joinConfidenceHalfWidth = (
   join: number,
@@ -182,8 +193,9 @@
 };
 
 /**
- * The forecast of one node for one service. A query: it changes nothing, draws no random number,
- * and calls the same function that choosing goes by.
+ * Forecasts the effect of a change for one node and one service. The function is pure: it has no
+ * side effects, uses no random numbers, and calls the same subsetting function as the load
+ * balancer.
  */
 // eslint-disable-next-line max-lines-per-function -- one computation, whose steps share most of their values
 export const forecastReassignment = ({
--- a/src/proxy/request-context.ts
+++ b/src/proxy/request-context.ts
@@ -1,4 +1,4 @@
-/** What the gateway knows of one request while it is served. */
+/** State of a request while it is being served. */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { Readable } from "node:stream";
 import type { ClientConnection } from "./client-connection.js";
@@ -9,53 +9,59 @@
 /** A claim on an idempotency key. */
 export interface IdempotencyClaim {
   readonly key: string;
-  /** Names this claim of the key; a token that was given back is never used again. */
+  /** Identifies this claim of the key; a released token is never reused. */
   readonly token: string;
   readonly requestedUs: number;
 }
 
-/** One request on its way through the stages. */
+/** A request passing through the pipeline. */
 export interface RequestContext {
   readonly req: IncomingMessage;
   readonly res: ServerResponse;
   readonly connection: ClientConnection;
-  /** Resolves once all requests before it on its connection have been answered or dropped. */
+  /** Resolves once all earlier requests on the connection have been answered or dropped. */
   readonly previousAnswered: Promise<void>;
-  /** Its place among the requests of its connection, from 1. */
+  /** The 1-based position of the request on its connection. */
   readonly position: number;
   readonly arrivedUs: number;
-  /** The client's id of this attempt, from `Yewreel-Try-Id`; empty if it gave none. */
+  /** The client's id of this attempt, from `Yewreel-Try-Id`; empty if the client sent none. */
   readonly attemptId: string;
-  /** When the client and the operator have both given it up, on this process's clock. */
+  /**
+   * The earlier of the client's deadline and the route's time-out, in microseconds of the local
+   * clock.
+   */
   deadlineUs: number;
   route: Route | undefined;
   service: string;
   body: Buffer | Readable | null;
-  /** Invariant: the workers it was sent to or that proved unreachable; none is asked twice. */
+  /**
+   * The workers to which the request was sent or that were unreachable. Invariant: no worker is
+   * tried twice.
+   */
   readonly triedWorkers: Set<string>;
-  /** What is under way for it at workers. */
+  /** Upstream requests in flight. */
   readonly upstreamRequests: Set<CancellableRequest>;
-  /** What is reserved of the memory budget for it. */
+  /** Bytes reserved in the memory budget. */
   bufferedBytes: number;
   /**
-   * Workers it was sent to, without those that no byte of it left for. Invariant: never above the
-   * route's tries.
+   * Number of workers to which at least one byte was sent. Invariant: never exceeds the route's
+   * `maxAttempts`.
    */
   attempts: number;
-  /** What is known of whether it has run; what its client is told follows from it alone. */
+  /** Whether the request may have run. It alone determines what the client may be told. */
   readonly deliveryState: DeliveryState;
-  /** Set once a worker could not be reached in a way that may be due to this node's own link. */
+  /** Set once a worker was unreachable in a way that may be caused by this node's own network. */
   isLocalNetworkSuspected: boolean;
-  /** Where the first worker asked stands to this node: near or far, warm or cold. */
+  /** Stratum of the first worker tried: near or far zone, cold (in slow start) or warm. */
   stratum: string;
-  /** Set once it is answered or its client is gone. */
+  /** Set once the request is answered or its client has disconnected. */
   isFinished: boolean;
-  /** Called once when it ends. */
+  /** Callbacks that are called once when the request finishes. */
   readonly onFinished: (() => void)[];
   /**
-   * The claim on its idempotency key, for keyed requests. Invariant: it is given back only if
-   * nothing of the request was ever sent to a worker that may have run it, and no request of a
-   * keyed route is sent to a worker without one.
+   * The claim on the idempotency key of a keyed request. Invariant: the claim is released only if
+   * no worker may have run the request, and a request on a keyed route is sent to a worker only
+   * while it holds a claim.
    */
   claim: IdempotencyClaim | undefined;
 }
--- a/src/proxy/request-counters.ts
+++ b/src/proxy/request-counters.ts
@@ -1,11 +1,14 @@
 /**
- * Counts of the requests that this node sent, by service, kind, route and worker, over a sliding
+ * Counters of the requests sent by this node, by service, kind, route and worker, over a sliding
  * window.
  */
 import type { Clock } from "../common/clock.js";
 import { SECOND_US } from "../common/duration.js";
 
-/** The field names are those that controllers and stored forecasts read. */
+/**
+ * The number of requests of one kind and route to one worker. Controllers and stored forecasts use
+ * these field names.
+ */
 export interface RequestCount {
   readonly service: string;
   readonly kind: string;
@@ -19,11 +22,11 @@
   readonly counts: Map<string, number>;
 }
 
-/** The window; counts are kept for a sixth of it at a time. */
+/** Length of the sliding window, which is divided into SLOTS slots. */
 export const REQUEST_WINDOW_US = 60 * SECOND_US;
 const SLOTS = 6;
 
-/** Invariant: nothing older than the window is counted. */
+/** Counts requests over a sliding window. Invariant: nothing older than the window is counted. */
 export class RequestCounters {
   private slots: Slot[] = [];
   private readonly sinceUs: number;
@@ -39,7 +42,9 @@
     counts.set(key, (counts.get(key) ?? 0) + 1);
   };
 
-  /** The requests to a service, and the time over which they were counted. */
+  /**
+   * Returns the number of requests to a service, and the time span over which they were counted.
+   */
   readonly countsFor = (
     service: string,
   ): { readonly spanUs: number; readonly counts: readonly RequestCount[] } => {
--- a/src/proxy/request-routing.ts
+++ b/src/proxy/request-routing.ts
@@ -1,6 +1,6 @@
 /**
- * The second stage of a request: finds its route by host and path prefix, and draws a service by
- * weight.
+ * Second pipeline stage: finds the route of a request by host and path prefix, and picks a service
+ * by weight.
  */
 import type { OutcomeName } from "../common/http-outcomes.js";
 import { toRouteKind } from "../quota/retry-limits.js";
@@ -8,19 +8,19 @@
 import type { RetryBudgets } from "./retry-budget.js";
 import type { Route, RouteTable } from "./route-table.js";
 
-/** What the router of requests is made with. */
+/** Dependencies of {@link RequestRouter}. */
 export interface RequestRouterOptions {
   readonly routes: RouteTable;
   readonly retryBudgets: RetryBudgets;
-  /** Whether this node lacks a configuration that it was told of. */
+  /** Returns whether a configuration was announced that this node has not received. */
   readonly isBehind: () => boolean;
   /** Uniform in [0, 1). */
   readonly random: () => number;
-  /** Counts a request of a service for the capacity forecast. */
+  /** Counts a request to a service for the capacity forecast. */
   readonly countArrival?: (service: string) => void;
-  /** Serves objects of cached routes; without it they are forwarded like any safe request. */
+  /** Serves objects of cached routes; if undefined, they are forwarded like any safe request. */
   readonly serveCached?: (context: RequestContext, route: Route, host: string) => Promise<void>;
-  /** Takes requests that go to a worker. */
+  /** Receives the requests that are sent to a worker. */
   readonly forward: (context: RequestContext) => void;
   readonly reject: (context: RequestContext, outcome: OutcomeName) => void;
 }
@@ -39,7 +39,7 @@
 export class RequestRouter {
   constructor(private readonly options: RequestRouterOptions) {}
 
-  /** Sets the route, the service and the deadline of a request, and hands it on. */
+  /** Sets the route, the service and the deadline of a request, and passes it to the next stage. */
   // eslint-disable-next-line complexity -- a sequence of early returns without nesting
   readonly route = (context: RequestContext): void => {
     const { routes, random, retryBudgets, reject } = this.options;
