--- a/src/proxy/response-check.ts
+++ b/src/proxy/response-check.ts
@@ -1,6 +1,6 @@
 /**
- * What a worker's response proves: whether it is to this very attempt, and whether it is a
- * rejection.
+ * Validates worker responses: whether a response belongs to the current attempt, and whether it is
+ * a rejection.
  */
 import {
   ATTEMPT_ID_HEADER,
@@ -11,19 +11,22 @@
   type FlatHeaders,
 } from "./headers.js";
 
-/** What a response is compared with. */
+/** Properties of the request that a response is validated against. */
 export interface SentRequest {
   readonly method: string;
   readonly attemptId: string;
   /**
-   * Set where the worker need not give the id back, as with reads of the system's own: a response
-   * then can't be told from another's that comes late, so the connection serves this one request
-   * only.
+   * Set if the worker need not echo the attempt id, as for the gateway's own reads. Such a response
+   * cannot be told from a late response to another request, so the connection serves only this
+   * request.
    */
   readonly usesOwnConnection?: boolean;
 }
 
-/** The load that a worker reports: running, queued, capacity; undefined if it can't be read. */
+/**
+ * Parses the load reported by a worker: running requests, queued requests and capacity. Returns
+ * undefined if the value is invalid.
+ */
 export const readWorkerLoad = (
   value: string | undefined,
 ): readonly [number, number, number] | undefined => {
@@ -34,8 +37,8 @@
 };
 
 /**
- * Whether a response is to this very attempt. Nothing may be concluded from another: not even that
- * it did not run.
+ * Returns whether a response belongs to this attempt. Nothing may be concluded from any other
+ * response, not even that the request did not run.
  */
 const matchesAttempt = (
   headers: FlatHeaders,
@@ -48,11 +51,11 @@
   );
 };
 
-/** Whether the worker says that it rejected the request. Only to be asked of an own response. */
+/** Returns whether the worker rejected the request. Valid only for a response to this attempt. */
 export const isRejection = (status: number, headers: FlatHeaders): boolean =>
   status === 421 || headerValue(headers, NOT_RUN_HEADER) !== undefined;
 
-/** Whether the end of the body can be told from a connection that broke off. */
+/** Returns whether the end of the body can be distinguished from an aborted connection. */
 const isBodyBounded = (method: string, status: number, headers: FlatHeaders): boolean =>
   headerValue(headers, "content-length") !== undefined ||
   headerValue(headers, "transfer-encoding")?.trim().toLowerCase() === "chunked" ||
@@ -60,18 +63,22 @@
   status === 304 ||
   method === "HEAD";
 
-/** Why a response can't be this request's complete own response, or undefined if it can. */
+/**
+ * Returns why a response is not a valid response to this attempt, or undefined if it is valid so
+ * far.
+ */
 export const findResponseDefect = (
   status: number,
   headers: FlatHeaders,
   request: SentRequest,
 ): string | undefined => {
-  if (!matchesAttempt(headers, request)) return "another id";
-  if (isRejection(status, headers)) return status < 400 ? "a success that did not run" : undefined;
-  if (headerValue(headers, "content-encoding") !== undefined) return "an encoding";
-  if (!isBodyBounded(request.method, status, headers)) return "no bound";
+  if (!matchesAttempt(headers, request)) return "missing or mismatched attempt id";
+  if (isRejection(status, headers))
+    return status < 400 ? "success status on a rejection" : undefined;
+  if (headerValue(headers, "content-encoding") !== undefined) return "unexpected content encoding";
+  if (!isBodyBounded(request.method, status, headers)) return "unbounded response body";
   const isSuccess = status >= 200 && status < 300;
   return isSuccess && headerValue(headers, SERVER_SEAL_HEADER) === undefined
-    ? "no seal"
+    ? "missing server seal"
     : undefined;
 };
--- a/src/proxy/response-writer.ts
+++ b/src/proxy/response-writer.ts
@@ -1,4 +1,4 @@
-/** Writes the one response of a request: a worker's, a stored one, or the gateway's own. */
+/** Writes the single response to a request: a worker's, a stored one, or the gateway's own. */
 import { MILLISECOND_US, SECOND_US } from "../common/duration.js";
 import { HTTP_OUTCOMES, type OutcomeName } from "../common/http-outcomes.js";
 import { clientOutcome, closeDelivery } from "./delivery-state.js";
@@ -9,13 +9,13 @@
 import type { Route } from "./route-table.js";
 import type { BodyStream, UpstreamResponse } from "./upstream-request.js";
 
-/** What the writer of responses is made with. */
+/** Dependencies of {@link ResponseWriter}. */
 export interface ResponseWriterOptions {
   readonly outcomes: OutcomeRecorder;
   readonly completion: RequestCompletion;
-  /** Whether responses close their connections, so that clients go elsewhere. */
+  /** Returns whether responses close their connections, so that clients reconnect elsewhere. */
   readonly isDraining: () => boolean;
-  /** Counts a request of a service that was rejected as full, for the capacity forecast. */
+  /** Counts a request rejected with the outcome `full`, for the capacity forecast. */
   readonly countRejected?: (service: string) => void;
 }
 
@@ -23,7 +23,7 @@
 const CONTENT_LENGTH: ReadonlySet<string> = new Set(["content-length"]);
 const MIN_RETRY_AFTER_US = 50 * MILLISECOND_US;
 const RETRY_AFTER_WITHOUT_ROUTE_US = 250 * MILLISECOND_US;
-/** A client is asked to come back after the latency target divided by this. */
+/** `Retry-After` is the latency target divided by this. */
 const RETRY_AFTER_TARGET_DIVISOR = 4;
 
 const retryAfterSeconds = (route: Route | undefined, minUs: number): string => {
@@ -33,15 +33,18 @@
   return (Math.max(minUs, usualUs) / SECOND_US).toFixed(3);
 };
 
-/** Whether a response of this status to this method may have a length of its own. */
+/**
+ * Returns whether a response of this status to the request's method carries its own
+ * `Content-Length`.
+ */
 const hasLength = (context: RequestContext, status: number): boolean =>
   context.req.method !== "HEAD" && status !== 204 && status !== 304;
 
-/** Answers clients; a request that was answered already is left alone. */
+/** Responds to clients. Requests that were already answered are ignored. */
 export class ResponseWriter {
   constructor(private readonly options: ResponseWriterOptions) {}
 
-  /** Sends a worker's response, unchanged but for the headers of one connection. */
+  /** Sends a worker's response unchanged, except for hop-by-hop headers and `Content-Length`. */
   readonly send = (context: RequestContext, response: UpstreamResponse): void => {
     const { res } = context;
     const { status, body, remainder } = response;
@@ -58,7 +61,7 @@
     else res.end(body);
   };
 
-  /** Sends what was stored of a worker's response to another request. */
+  /** Sends the stored response of a worker to another request. */
   readonly sendStored = (
     context: RequestContext,
     status: number,
@@ -71,10 +74,10 @@
   };
 
   /**
-   * Sends the gateway's own response, and ends the request.
+   * Sends the gateway's own response and finishes the request.
    *
-   * @param intended - the outcome; where it would promise too much, the delivery state replaces it
-   * @param minRetryAfterUs - the client is asked to come back no sooner, where it is asked at all
+   * @param intended - the outcome, replaced if the delivery state does not allow what it guarantees
+   * @param minRetryAfterUs - the lower limit of `Retry-After`, if the outcome has one
    */
   readonly reject = (context: RequestContext, intended: OutcomeName, minRetryAfterUs = 0): void => {
     const { res, route } = context;
@@ -94,7 +97,7 @@
     this.options.completion.finish(context);
   };
 
-  /** Passes a large body on as it comes, at the pace at which the client reads it. */
+  /** Streams a large body at the rate at which the client reads it. */
   private readonly stream = (
     { res, onFinished }: RequestContext,
     start: Buffer,
@@ -113,8 +116,8 @@
   };
 
   /**
-   * Closes the connection with this response, where that is asked for or the node drains and
-   * nothing else is open.
+   * Closes the connection after this response, either if requested or if the node is draining and
+   * the connection has no other open request.
    */
   private readonly closeAfter = (context: RequestContext, closes: boolean): void => {
     const { connection } = context;
--- a/src/proxy/retry-and-hedging.ts
+++ b/src/proxy/retry-and-hedging.ts
@@ -1,6 +1,6 @@
 /**
- * All attempts of a request: retries and hedged requests, within the route's tries and the retry
- * budget.
+ * All attempts of a request: retries and hedged requests, limited by the route's `maxAttempts` and
+ * the retry budget.
  */
 import { withTimeout, type Clock } from "../common/clock.js";
 import { MILLISECOND_US } from "../common/duration.js";
@@ -22,12 +22,12 @@
 import { twoEventLoopTurns, type StallDetector } from "./stall-detector.js";
 import type { CancellableRequest, UpstreamResponse, UpstreamResult } from "./upstream-request.js";
 
-/** How often the first worker of a safe request is looked at for silence. */
+/** Interval at which the first worker of a safe request is checked for unresponsiveness. */
 const SILENCE_CHECK_US = 120 * MILLISECOND_US;
-/** How many workers that can't be reached a request looks for beyond its tries. */
+/** Number of unreachable workers that a request may try in addition to its attempts. */
 const MAX_UNREACHABLE_WORKERS = 2;
 
-/** What the forwarder that retries and hedges is made with. */
+/** Dependencies and options of {@link RetryingForwarder}. */
 export interface RetryingForwarderOptions {
   readonly clock: Clock;
   readonly routes: RouteTable;
@@ -39,16 +39,16 @@
   readonly completion: RequestCompletion;
   readonly memory: MemoryBudget;
   readonly stalls: StallDetector;
-  /** Grants requests to services with a rate limit; without it there is no such limit. */
+  /** Grants requests to services with a rate limit; if undefined, no rate limit applies. */
   readonly objects: ObjectSource | undefined;
   readonly actsOnForecast: boolean;
 }
 
-/** Forwards requests until one response can be given to the client. */
+/** Forwards requests until a response can be sent to the client. */
 export class RetryingForwarder {
   constructor(private readonly options: RetryingForwarderOptions) {}
 
-  /** Forwards a routed request, again where that is allowed, and gives the one response. */
+  /** Forwards a routed request, retries it where permitted, and sends the response. */
   // eslint-disable-next-line complexity -- one loop over the attempts, whose early ends are easier to follow in one place
   readonly forward = async (context: RequestContext): Promise<void> => {
     const { stalls, forwarder, keyed, writer, objects } = this.options;
@@ -80,7 +80,7 @@
       const result = await this.attempt(context, route, worker);
       if (result.kind === "answered") {
         const { response } = result;
-        // A status that promises too much may not pass: the request has run.
+        // The request has run, so a status that guarantees the opposite must not be forwarded.
         const mayForward = mayForwardStatus(response.status, route.isSafe);
         if (mayForward && context.claim) await keyed.store(context, response);
         // eslint-disable-next-line @typescript-eslint/no-unnecessary-condition -- the request may end during an await
@@ -108,8 +108,8 @@
   };
 
   /**
-   * Answers with 504 or its like once the deadline has passed: what a worker still does is of no
-   * use to anyone.
+   * Rejects the request once its deadline has passed, with 504 or the outcome that the delivery
+   * state allows. Work that a worker still does for it is of no use.
    */
   private readonly startDeadline = (context: RequestContext): void => {
     const { clock, writer } = this.options;
@@ -122,7 +122,7 @@
   private readonly isRateLimited = (service: string): boolean =>
     (this.options.routes.service(service)?.maxRequestsPerS ?? 0) > 0;
 
-  /** Whether one more worker may be asked; a retry is taken out of the budget here. */
+  /** Returns whether another worker may be tried. A retry is taken from the retry budget here. */
   private readonly mayAttempt = (context: RequestContext, route: Route): boolean => {
     if (context.isFinished || isAfterClosingResponse(context)) return false;
     if (context.triedWorkers.size >= route.maxAttempts + MAX_UNREACHABLE_WORKERS) return false;
@@ -135,7 +135,7 @@
     );
   };
 
-  /** Retries of safe requests stop before they take capacity that a pressed service lacks. */
+  /** Safe requests are not retried while a service is short of capacity. */
   private readonly isOverloaded = (context: RequestContext, route: Route): boolean =>
     this.options.actsOnForecast &&
     route.isSafe &&
@@ -145,8 +145,8 @@
     this.options.retryBudgets.of(context.service, toRouteKind(route.kind)).trySpend();
 
   /**
-   * One attempt; beside a safe request whose worker has fallen silent a hedged request goes to a
-   * second one.
+   * Makes one attempt. If the worker of a safe request becomes unresponsive, a hedged request is
+   * sent to a second worker.
    */
   private readonly attempt = async (
     context: RequestContext,
@@ -173,7 +173,7 @@
     }
   };
 
-  /** Sends a hedged request if the first worker is silent and a retry is allowed. */
+  /** Sends a hedged request if the first worker is unresponsive and a retry is allowed. */
   private readonly hedge = (
     context: RequestContext,
     route: Route,
@@ -193,7 +193,7 @@
     return forwarder.send(context, route, other);
   };
 
-  /** No more attempts: gives the last failed response where there is one. */
+  /** Ends the request after its last attempt, with the last failed response if there is one. */
   private readonly conclude = (
     context: RequestContext,
     lastResponse: UpstreamResponse | undefined,
--- a/src/proxy/retry-budget.ts
+++ b/src/proxy/retry-budget.ts
@@ -1,6 +1,6 @@
 /**
  * Retry budgets: token buckets over a sliding window, refilled by a ratio of this node's requests
- * and by a leased part of the fleet's slack (docs/retries.md).
+ * and by a leased share of the fleet-wide slack (docs/retries.md).
  */
 import type { Clock } from "../common/clock.js";
 import type { Logger } from "../common/logger.js";
@@ -20,10 +20,10 @@
   rejected: number;
 }
 
-/** The part of the fleet's slack that is leased to this node, in retries a window. */
+/** The share of the fleet-wide slack that is leased to this node, in retries per window. */
 export interface RetryLease {
   readonly tokens: number;
-  /** On this process's clock. */
+  /** In microseconds of the local clock. */
   readonly expiresUs: number;
 }
 
@@ -31,11 +31,11 @@
 const NO_LEASE: RetryLease = { tokens: 0, expiresUs: 0 };
 
 /**
- * How many retries this node may send of one kind of request to one service. Invariant: within any
- * window the retries stay within the ratio of this node's own requests in it, plus what it has
- * leased of the slack. The requests of all nodes add up, and the leases in force or expired less
- * than a window ago stay within the slack, so the sum over all nodes, restarted ones too, stays
- * within the limit.
+ * Limits the retries that this node sends for one kind of request to one service. Invariant: within
+ * any window, the retries do not exceed the ratio of this node's own requests in it plus the tokens
+ * leased from the slack. The requests of all nodes add up, and the leases that are valid or expired
+ * less than a window ago stay within the slack. Therefore the total over all nodes, including
+ * restarted ones, stays within the limit.
  */
 export class RetryBudget {
   private slots: Slot[] = [];
@@ -50,12 +50,12 @@
     private readonly onRejected: (isFirstInWindow: boolean) => void,
   ) {}
 
-  /** Counts a request's first attempt, which earns a fraction of a retry. */
+  /** Counts the first attempt of a request, which earns a fraction of a retry. */
   readonly recordRequest = (): void => {
     this.currentSlot().requests += 1;
   };
 
-  /** Takes one retry; false if none is left. */
+  /** Takes one retry from the budget; returns false if it is exhausted. */
   readonly trySpend = (): boolean => {
     const slot = this.currentSlot();
     if (this.sum("retries") + 1 > this.earnedTokens() + this.leasedTokens()) {
@@ -70,18 +70,18 @@
     return true;
   };
 
-  /** Takes a new lease in place of the one before. */
+  /** Replaces the current lease. */
   readonly setLease = (lease: RetryLease): void => {
     this.lease = lease;
   };
 
-  /** The tokens leased now; 0 once the lease has expired. */
+  /** Returns the currently leased tokens; 0 once the lease has expired. */
   readonly leasedTokens = (): number =>
     this.clock.nowUs() < this.lease.expiresUs ? this.lease.tokens : 0;
 
   /**
-   * How many leased tokens would cover the retries beyond the ratio, and those rejected since the
-   * last call.
+   * Returns the leased tokens needed to cover the retries beyond the ratio, and those rejected
+   * since the last call.
    */
   readonly takeDemand = (): number => {
     this.currentSlot();
@@ -91,7 +91,7 @@
     return Math.ceil(demand);
   };
 
-  /** The figures of the window. The field names are those that operators and controllers read. */
+  /** Returns the counters of the window. Operators and controllers use these field names. */
   readonly snapshot = (): {
     readonly requests: number;
     readonly retries: number;
@@ -126,12 +126,12 @@
   };
 }
 
-/** What the budgets of a node are made with. */
+/** Dependencies and options of {@link RetryBudgets}. */
 export interface RetryBudgetsOptions {
   readonly clock: Clock;
   readonly log: Logger;
   readonly windowUs: number;
-  /** The configured limits, as the latest update gives them. */
+  /** Returns the currently configured limits. */
   readonly limits: () => RetryLimits;
 }
 
@@ -141,12 +141,12 @@
     string,
     { readonly service: string; readonly kind: RouteKind; readonly budget: RetryBudget }
   >();
-  /** Called when a budget has rejected a retry: a lease of the slack would help. */
+  /** Called when a budget has rejected a retry, so that a lease of the slack can be requested. */
   onExhausted: () => void = () => undefined;
 
   constructor(private readonly options: RetryBudgetsOptions) {}
 
-  /** The budget of a service and kind of route, made on first use. */
+  /** Returns the budget of a service and kind of route, creating it on first use. */
   readonly of = (service: string, kind: RouteKind): RetryBudget => {
     const key = `${service}|${kind}`;
     const known = this.budgets.get(key);
@@ -165,14 +165,14 @@
     return budget;
   };
 
-  /** Service, kind, tokens demanded and tokens leased, of the budgets that demand some. */
+  /** Returns service, kind, tokens demanded and tokens leased for each budget with a demand. */
   readonly takeDemands = (): readonly (readonly [string, RouteKind, number, number])[] =>
     [...this.budgets.values()].flatMap(({ service, kind, budget }) => {
       const demand = budget.takeDemand();
       return demand > 0 ? [[service, kind, demand, budget.leasedTokens()] as const] : [];
     });
 
-  /** One row of figures a budget. */
+  /** Returns one row of counters per budget. */
   readonly snapshot = (): readonly UnknownRecord[] =>
     [...this.budgets.values()].map(({ service, kind, budget }) => ({
       service,
--- a/src/proxy/route-table.ts
+++ b/src/proxy/route-table.ts
@@ -1,13 +1,13 @@
-/** Routes, services and limits as the data plane uses them, kept up to date from updates. */
+/** Routes, services and limits of the data plane, kept up to date by configuration updates. */
 import { CONFIG_PREFIX, ROLLOUTS_KEY, type Update } from "../membership/update-store.js";
 import { asList, asRecord, parseJson, readString, readNumber } from "../common/decode.js";
 import { readWeightedServices, type WeightedService } from "../common/weighted-split.js";
 import { parseDuration, SECOND_US } from "../common/duration.js";
 
-/** Used where a service doesn't set one. */
+/** Default for services without a connection limit. */
 const DEFAULT_MAX_CONNECTIONS = 1_000;
 
-/** One route: which requests it matches, and what becomes of them. */
+/** A route: the requests that it matches and how they are handled. */
 export interface Route {
   readonly name: string;
   readonly host: string;
@@ -20,24 +20,24 @@
   readonly latencyTargetUs: number;
   readonly priority: number;
   readonly version: number;
-  /** Invariant: not empty, and the weights add up to more than 0. */
+  /** Invariant: not empty, with weights that add up to more than 0. */
   readonly weightedServices: readonly WeightedService[];
-  /** How long a request may take in all. */
+  /** Time limit of a request including retries. */
   readonly timeoutUs: number;
-  /** How often a request may be sent, the first time included. */
+  /** Maximum number of attempts, including the first. */
   readonly maxAttempts: number;
 }
 
-/** A service that routes send to. */
+/** A service to which routes send requests. */
 export interface Service {
   readonly name: string;
   readonly healthCheckPath: string;
   readonly maxConnections: number;
-  /** The rate limit over all nodes, in requests a second; 0 where there is none. */
+  /** The fleet-wide rate limit, in requests per second; 0 if there is none. */
   readonly maxRequestsPerS: number;
 }
 
-/** What clients may send, and how long they may take. */
+/** Limits on the size and duration of client requests. */
 export interface ClientLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -75,45 +75,53 @@
   };
 };
 
-/** Invariant: the routes of a host are sorted by the length of their path prefix, longest first. */
+/**
+ * Stores the current configuration. Invariant: the routes of a host are sorted by the length of
+ * their path prefix, longest first.
+ */
 export class RouteTable {
   private readonly routes = new Map<string, Route>();
   private readonly byHost = new Map<string, readonly Route[]>();
   private readonly services = new Map<string, Service>();
   /**
-   * Rolled-back candidates, by route, version and candidate: the baseline that gets their requests.
+   * Rolled-back candidates: maps route, version and candidate to the baseline that receives the
+   * candidate's requests.
    */
   private rollbacks: ReadonlyMap<string, string> = new Map();
   private hasReceivedConfiguration = false;
   private highestVersion = 0;
   limits: ClientLimits = DEFAULT_LIMITS;
 
-  /** Whether any configuration has come yet; before that no route may be called unknown. */
+  /**
+   * Whether any configuration has been received. Until then, no route may be reported as unknown.
+   */
   get isLoaded(): boolean {
     return this.hasReceivedConfiguration;
   }
 
-  /** The highest version of any item that was applied; 0 before the first. */
+  /** The highest version of any applied item; 0 if none was applied yet. */
   get newestVersion(): number {
     return this.highestVersion;
   }
 
-  /** How many routes are in force. */
+  /** The number of routes. */
   get size(): number {
     return this.routes.size;
   }
 
   readonly service = (name: string): Service | undefined => this.services.get(name);
 
-  /** The service itself, or the baseline where a rollout of this version was rolled back. */
+  /**
+   * Returns the service itself, or the baseline if a rollout of this route version was rolled back.
+   */
   readonly effectiveService = (route: Route, service: string): string =>
     this.rollbacks.get(rollbackKey(route.name, route.version, service)) ?? service;
 
-  /** Whether this version of a route is in force. */
+  /** Returns whether this is the current version of a route. */
   readonly isCurrent = (name: string, version: number): boolean =>
     this.routes.get(`route/${name}`)?.version === version;
 
-  /** Takes over updates of configuration items and of rollbacks; others are ignored. */
+  /** Applies updates of configuration items and rollbacks; other updates are ignored. */
   readonly applyUpdates = (updates: readonly Update[]): void => {
     const rollbacks = updates.find((update) => update.key === ROLLOUTS_KEY);
     if (rollbacks) this.applyRollbacks(rollbacks);
@@ -128,7 +136,7 @@
     if (hosts.size > 0) this.sortHosts(hosts);
   };
 
-  /** The route with the longest matching path prefix. */
+  /** Returns the route with the longest matching path prefix. */
   readonly find = (host: string, path: string): Route | undefined =>
     this.byHost.get(host)?.find((route) => path.startsWith(route.pathPrefix));
 
@@ -190,7 +198,7 @@
     };
   };
 
-  /** Sorts the routes of the hosts that changed, in one pass over all of them. */
+  /** Sorts the routes of the changed hosts in one pass over all routes. */
   private readonly sortHosts = (hosts: ReadonlySet<string>): void => {
     const changed = new Map<string, Route[]>([...hosts].map((host) => [host, []]));
     this.routes.forEach((route) => changed.get(route.host)?.push(route));
--- a/src/proxy/stall-detector.ts
+++ b/src/proxy/stall-detector.ts
@@ -1,25 +1,26 @@
 /**
- * Notices that the process may have stood still, as under a pause of its machine or a blocked event
- * loop.
+ * Detects that the process may have been paused, for example by a suspended machine or a blocked
+ * event loop.
  */
 import type { Clock } from "../common/clock.js";
 import { MILLISECOND_US } from "../common/duration.js";
 
-/** A gap between requests from which on the process may have stood still. */
+/** Gap between requests above which the process may have been paused. */
 const STALL_GAP_US = 250 * MILLISECOND_US;
-/** For how long after such a gap requests are treated as read late. */
+/** How long after such a gap requests are treated as read with a delay. */
 const RESUME_WINDOW_US = 50 * MILLISECOND_US;
 
 /**
- * Two turns of the event loop: in the first, what lies unread is read; in the second, what follows
- * from it.
+ * Waits for two turns of the event loop: the first one reads pending input, and the second one
+ * processes the resulting events.
  */
 export const twoEventLoopTurns = (): Promise<void> =>
   new Promise((resolve) => setImmediate(() => setImmediate(resolve)));
 
 /**
- * Tells whether requests come right after a time in which none came. What lay unread meanwhile may
- * include that a client left, which is read only in a later turn of the event loop.
+ * Detects requests that arrive right after a period without requests. The input that was pending in
+ * that period may include a client disconnect, which is read only in a later turn of the event
+ * loop.
  */
 export class StallDetector {
   private lastRequestUs = Number.NEGATIVE_INFINITY;
@@ -28,7 +29,8 @@
   constructor(private readonly clock: Clock) {}
 
   /**
-   * Notes that a request is handled now, and tells whether the process may just have stood still.
+   * Records that a request is being handled, and returns whether the process may just have been
+   * paused.
    */
   readonly observeRequest = (): boolean => {
     const nowUs = this.clock.nowUs();
--- a/src/proxy/subset.ts
+++ b/src/proxy/subset.ts
@@ -1,50 +1,52 @@
 /**
  * Deterministic subsetting by rendezvous hashing (highest random weight; Thaler and Ravishankar
- * 1998): which of a service's workers a node sends to. docs/design.md gives the reasons for the
- * sizes.
+ * 1998): selects the workers of a service to which a node sends requests. docs/design.md explains
+ * the sizes.
  */
 import { crc32 } from "node:zlib";
 
-/** A worker as subsetting sees it. */
+/** The properties of a worker that subsetting uses. */
 export interface SubsetCandidate {
   readonly id: string;
   readonly zone: string;
 }
 
-/** How many nodes there are; the node itself included. */
+/** The number of nodes, including the local one. */
 export interface NodeCount {
   readonly inZone: number;
   /** In all zones. */
   readonly total: number;
 }
 
-/** The workers of one service that a node sends to, each list in the order of rank. */
+/** The workers of one service to which a node sends requests. Each list is ordered by rank. */
 export interface Subset<W extends SubsetCandidate> {
-  /** Workers of the node's own zone. */
+  /** Workers in the node's zone. */
   readonly local: readonly W[];
-  /** Workers of other zones. */
+  /** Workers in other zones. */
   readonly remote: readonly W[];
-  /** The next in rank of both, used while those before are unhealthy or busy. */
+  /**
+   * The next workers in rank of both lists, used while the preceding ones are unhealthy or busy.
+   */
   readonly backup: readonly W[];
-  /** How many nodes of the zone send to one local worker, on average. */
+  /** Average number of nodes in the zone that send requests to one local worker. */
   readonly nodesPerWorker: number;
 }
 
-/** Up to this number of workers every node sends to all of them. */
+/** Up to this number of workers, every node uses all of them. */
 const MAX_WORKERS_WITHOUT_SUBSETTING = 16;
-/** With fewer local workers than this, a single unhealthy one would be felt. */
+/** With fewer local workers than this, a single unhealthy worker would have a noticeable effect. */
 const MIN_LOCAL_WORKERS = 6;
 /**
- * Each worker is to be in the subset of this many nodes of its zone, so that their uneven traffic
- * evens out.
+ * Target number of nodes in the zone whose subsets contain a given worker, so that differences in
+ * their traffic even out.
  */
 const NODES_PER_WORKER = 8;
 const REMOTE_WORKERS = 3;
 const BACKUP_WORKERS = 8;
 
 /**
- * The finalizer of MurmurHash3: crc32 alone ranks ids that differ in one digit alike for many
- * nodes.
+ * The finalizer of MurmurHash3. With crc32 alone, many nodes would rank ids that differ in one
+ * digit alike.
  */
 const murmurFinalizer = (value: number): number => {
   const once = Math.imul(value ^ (value >>> 16), 0x85ebca6b);
@@ -52,25 +54,22 @@
   return (twice ^ (twice >>> 16)) >>> 0;
 };
 
-/**
- * The rendezvous weight of a worker for a node: a pair's weight doesn't depend on who else is
- * there.
- */
+/** The rendezvous weight of a worker for a node. It does not depend on any other worker or node. */
 const rendezvousWeight = (node: string, worker: string): number =>
   murmurFinalizer(crc32(`${node}\n${worker}`));
 
-/** Rounds up to a power of two, so that one node more or less rarely changes a subset. */
+/** Rounds up to a power of two, so that adding or removing one node rarely changes a subset. */
 const roundUpToPowerOfTwo = (count: number): number =>
   2 ** Math.ceil(Math.log2(Math.max(1, count)));
 
 /**
- * The workers of one service that a node sends to: a pure function of the node, its zone, the ready
- * workers and the rounded number of nodes. Small subsets keep connections few, and keep a node's
- * knowledge of its workers' load new: with hundreds of workers, a reported load would be long
- * outdated when that worker is next looked at. Invariants: `local` and `remote` are bounded by what
- * even load needs, whatever the number of workers, as long as the nodes grow with them; a worker
- * that comes or goes changes at most one place of each; where there are few workers, all of them
- * are in it.
+ * Selects the workers of one service to which a node sends requests. The result is a pure function
+ * of the node, its zone, the ready workers and the rounded number of nodes. Small subsets limit the
+ * number of connections, and keep a node's load information current: with hundreds of workers, a
+ * reported load would be outdated by the time the worker is considered again. Invariants: the sizes
+ * of `local` and `remote` are bounded by what an even load requires, regardless of the number of
+ * workers, as long as the number of nodes grows with it; adding or removing a worker changes at
+ * most one entry of each list; a small set of workers is used in full.
  */
 export const subsetOf = <W extends SubsetCandidate>(
   node: string,
@@ -92,7 +91,7 @@
       Math.ceil((NODES_PER_WORKER * inZone.length) / roundUpToPowerOfTwo(nodes.inZone)),
     ),
   );
-  // A zone with few workers takes the rest of its minimum from elsewhere.
+  // A zone with few workers fills up its minimum with remote workers.
   const remote = others.slice(0, REMOTE_WORKERS + Math.max(0, MIN_LOCAL_WORKERS - local.length));
   return {
     local,
--- a/src/proxy/undici-client.d.ts
+++ b/src/proxy/undici-client.d.ts
@@ -1,4 +1,6 @@
-/** The client alone: all of undici would double the start of a program. */
+/**
+ * Only the client is imported: loading all of undici would double the start-up time of a program.
+ */
 declare module "undici/lib/dispatcher/client.js" {
   import { Client } from "undici";
 
--- a/src/proxy/upstream-request.ts
+++ b/src/proxy/upstream-request.ts
@@ -1,4 +1,4 @@
-/** One request on one connection to a worker, and what its response proves. */
+/** Sends one request on one connection to a worker and validates the response. */
 import type { Readable } from "node:stream";
 import type { Dispatcher } from "undici";
 import type { Worker } from "./worker.js";
@@ -10,77 +10,77 @@
   type SentRequest,
 } from "./response-check.js";
 
-/** What is sent, and under which conditions. */
+/** The request to send, and the conditions for sending it. */
 export interface UpstreamRequestOptions extends SentRequest {
   readonly path: string;
   readonly headers: string[];
   readonly body: Buffer | Readable | null;
   /**
-   * Reserves memory for a chunk of the response; without it the response is streamed instead of
-   * buffered.
+   * Reserves memory for a chunk of the response. If it returns false, the response is streamed
+   * instead of buffered.
    */
   readonly reserveMemory: (bytes: number) => boolean;
   /**
-   * Asked once, right before the first byte leaves; false keeps all of it from leaving, with the
-   * reason `withheld`.
+   * Called once, right before the first byte is sent. If it returns false, nothing is sent and the
+   * result has the reason `withheld`.
    */
   readonly maySend: () => boolean;
 }
 
-/** A worker's own response. */
+/** A validated response of the worker. */
 export interface UpstreamResponse {
   readonly status: number;
   readonly headers: FlatHeaders;
-  /** All of the body, or what had come when it grew too large to be buffered. */
+  /** The entire body, or the part received before it grew too large to be buffered. */
   readonly body: Buffer;
-  /** Set when the body goes on beyond `body`. */
+  /** The rest of the body after `body`; undefined if there is none. */
   readonly remainder: BodyStream | undefined;
 }
 
-/** The part of a large body that is passed on as it comes. */
+/** The part of a large body that is streamed. */
 export interface BodyStream {
   /**
    * Starts the stream.
    *
-   * @param onData - takes a chunk; false pauses the stream until `resume`
-   * @param onEnd - called once at the end; false when the body broke off
+   * @param onData - receives a chunk; returning false pauses the stream until `resume`
+   * @param onEnd - called once at the end, with false if the body is incomplete
    */
   readonly read: (onData: (chunk: Buffer) => boolean, onEnd: (isComplete: boolean) => void) => void;
   readonly resume: () => void;
-  /** Nobody wants the rest any more: the connection is given up. */
+  /** Discards the rest of the body and closes the connection. */
   readonly abort: () => void;
 }
 
-/** What came of a request to one worker. */
+/** Result of a request to one worker. */
 export type UpstreamResult =
   | { readonly kind: "answered"; readonly response: UpstreamResponse }
-  /** The worker says, in a response to this very attempt, that it did not run the request. */
+  /** The worker reported, in a response to this attempt, that it did not run the request. */
   | { readonly kind: "rejected"; readonly reason: "overloaded" | "wrong-worker" }
   /**
-   * No byte of the request has left: the worker refused the connection or could not be reached, the
-   * request was withheld, or it can't be written as HTTP.
+   * No byte of the request was sent: the worker refused the connection or was unreachable, the
+   * request was withheld, or it is not valid HTTP.
    */
   | {
       readonly kind: "not-sent";
       readonly reason: "connection-refused" | "unreachable" | "withheld" | "invalid-request";
     }
   /**
-   * It may have run: a broken response, another request's or one without an id, one without its
-   * seal, a reset.
+   * The request may have run: the connection was reset, or the response was incomplete, had no
+   * attempt id or another one, or lacked its seal.
    */
   | { readonly kind: "lost"; readonly reason: string }
   | { readonly kind: "cancelled" };
 
-/** A request under way. */
+/** A request in flight that can be cancelled. */
 export interface CancellableRequest {
-  /** Always resolves, once. */
+  /** Always resolves, exactly once. */
   readonly result: Promise<UpstreamResult>;
-  /** Gives up the request and its connection, if it is still under way. */
+  /** Aborts the request and its connection if the request is still in flight. */
   readonly cancel: () => void;
 }
 
 /**
- * A response up to this size is buffered until it is complete, so that a broken one never reaches
+ * Responses up to this size are buffered until complete, so that an incomplete one never reaches
  * the client.
  */
 const MAX_BUFFERED_RESPONSE_BYTES = 256 * 1024;
@@ -88,8 +88,8 @@
 const EMPTY = Buffer.alloc(0);
 
 /**
- * The worker's own machine refused, as against a time-out, a path that is not there, or an invalid
- * request.
+ * Distinguishes a connection refused by the worker's host from an unreachable worker (such as a
+ * time-out or a missing network path) and from an invalid request.
  */
 const reasonNotSent = (error: Error): "connection-refused" | "unreachable" | "invalid-request" => {
   const code = "code" in error ? error.code : undefined;
@@ -101,8 +101,7 @@
 };
 
 /**
- * Sends one request. The connection goes back to the pool only after a complete response beyond
- * doubt.
+ * Sends one request. The connection returns to the pool only after a complete and valid response.
  */
 export class UpstreamRequest implements Dispatcher.DispatchHandler, CancellableRequest {
   readonly result: Promise<UpstreamResult>;
@@ -149,7 +148,7 @@
         this,
       );
     } catch {
-      // The client library throws at once for a method, path or header that HTTP does not allow.
+      // The client library throws synchronously if the method, path or a header is not valid HTTP.
       this.finish(false, false, { kind: "not-sent", reason: "invalid-request" });
     }
   }
@@ -158,7 +157,7 @@
     if (!this.isFinished) this.finish(false, false, { kind: "cancelled" });
   };
 
-  /** The connection is up, and the library writes as soon as this returns. */
+  /** The connection is established, and the library sends the request as soon as this returns. */
   readonly onRequestStart = (controller: Dispatcher.DispatchController): void => {
     this.controller = controller;
     if (this.isFinished) {
@@ -172,7 +171,7 @@
     this.isSent = true;
   };
 
-  /** The head of a response has come; interim responses (1xx) are skipped. */
+  /** A response head was received; interim responses (1xx) are ignored. */
   readonly onResponseStart = (
     controller: Dispatcher.DispatchController,
     statusCode: number,
@@ -192,7 +191,7 @@
     if (load) this.worker.reportLoad(...load);
   };
 
-  /** A chunk of the body has come. */
+  /** A chunk of the body was received. */
   readonly onResponseData = (controller: Dispatcher.DispatchController, chunk: Buffer): void => {
     if (this.isFinished && !this.isStreaming) return;
     if (this.streamHandlers) {
@@ -237,7 +236,7 @@
     }
   };
 
-  /** The connection failed, before or after bytes have left. */
+  /** The connection failed, before or after bytes were sent. */
   readonly onResponseError = (_controller: Dispatcher.DispatchController, error: Error): void => {
     if (this.isStreaming) {
       this.isStreaming = false;
@@ -281,9 +280,9 @@
   };
 
   /**
-   * Resolves the result and gives the connection back.
+   * Resolves the result and releases the connection.
    *
-   * @param hasResponded - whether the worker said anything
+   * @param hasResponded - whether the worker has responded, even with an invalid response
    * @param isReusable - whether the connection can serve another request
    */
   private readonly finish = (
@@ -299,6 +298,6 @@
   private readonly release = (hasResponded: boolean, isReusable: boolean): void => {
     this.worker.finish(this.inFlightRequest, hasResponded);
     this.worker.releaseConnection(this.connection, isReusable);
-    if (!isReusable) this.controller?.abort(new Error("done with"));
+    if (!isReusable) this.controller?.abort(new Error("connection not reusable"));
   };
 }
--- a/src/proxy/worker-directory.ts
+++ b/src/proxy/worker-directory.ts
@@ -1,6 +1,6 @@
 /**
- * What updates say of the workers: which there are, which are ejected, and which zone traffic is
- * shifted away from.
+ * Directory of the workers announced by updates, including which ones are ejected and which zone
+ * traffic is shifted away from.
  */
 import {
   EJECTIONS_KEY,
@@ -23,7 +23,7 @@
 }
 
 const NO_SHIFT: ZonalShift = { zone: "", reason: "", safe: 0, unsafe: 0 };
-/** The reason of a shift that a planned maintenance window causes. */
+/** The reason of a shift caused by a planned maintenance window. */
 const MAINTENANCE_WINDOW = "window";
 
 const readShift = (value: unknown): ZonalShift => {
@@ -39,19 +39,20 @@
   };
 };
 
-/** All workers, by id and by service, and what the health checks decided of them. */
+/** All workers, by id and by service, and the current health decisions about them. */
 export class WorkerDirectory {
   private readonly workers = new Map<string, Worker>();
   private readonly byService = new Map<string, Worker[]>();
   /**
-   * Invariant: an entry is removed when the workers of its service or the number of nodes change.
+   * Cache of subsets by service. Invariant: an entry is removed when the workers of its service or
+   * the number of nodes change.
    */
   private readonly subsets = new Map<string, Subset<Worker>>();
   private currentNodeCount: NodeCount = { inZone: 1, total: 1 };
   private readonly latencies = new Map<string, ServiceLatency>();
   private ejected: ReadonlySet<string> = new Set();
   private shift = NO_SHIFT;
-  /** By service, what the capacity forecast says; services that keep up aren't in it. */
+  /** The capacity forecast by service; services with sufficient capacity are absent. */
   private forecasts: ReadonlyMap<string, string> = new Map();
 
   constructor(
@@ -60,12 +61,12 @@
     private readonly zone: string,
   ) {}
 
-  /** How many workers there are, of all services. */
+  /** The number of workers of all services. */
   get size(): number {
     return this.workers.size;
   }
 
-  /** The workers of a service, draining ones included. */
+  /** Returns the workers of a service, including draining ones. */
   readonly workersOf = (service: string): readonly Worker[] => this.byService.get(service) ?? [];
 
   readonly readyWorkersOf = (service: string): readonly Worker[] =>
@@ -76,12 +77,12 @@
   }
 
   /**
-   * The mean time of requests to a worker, as this node has seen it, in microseconds; 0 if it isn't
-   * known.
+   * Returns the mean latency of requests to a worker as observed by this node, in microseconds; 0
+   * if the worker is unknown.
    */
   readonly meanLatencyUs = (id: string): number => this.workers.get(id)?.latency.meanUs() ?? 0;
 
-  /** The ready workers of a service that this node sends to. */
+  /** Returns the ready workers of a service to which this node sends requests. */
   readonly subsetFor = (service: string): Subset<Worker> => {
     const known = this.subsets.get(service);
     if (known) return known;
@@ -95,19 +96,20 @@
     return subset;
   };
 
-  /** Sets how many nodes there are, this one included. */
+  /** Sets the number of nodes, including this one. */
   readonly setNodeCount = (count: NodeCount): void => {
     this.currentNodeCount = count;
     this.subsets.clear();
   };
 
-  /** All workers, in the order of their first update. */
+  /** Returns all workers in the order of their first update. */
   readonly all = (): readonly Worker[] => [...this.workers.values()];
 
   readonly isEjected = (worker: Worker): boolean => this.ejected.has(worker.id);
 
   /**
-   * The zone that one request must avoid, or ""; with a partial shift it is drawn for each request.
+   * Returns the zone that a request must avoid, or "". With a partial shift, the zone is drawn for
+   * each request.
    */
   readonly avoidedZone = (isSafe: boolean, random: () => number): string => {
     const { zone, safe, unsafe } = this.shift;
@@ -115,15 +117,15 @@
     return zone !== "" && (fraction >= 1 || random() < fraction) ? zone : "";
   };
 
-  /** Whether a maintenance window drains the zone completely, its clients included. */
+  /** Returns whether a maintenance window drains the zone completely, including its clients. */
   readonly isDrained = (zone: string): boolean =>
     this.shift.reason === MAINTENANCE_WINDOW && this.shift.zone === zone && this.shift.unsafe >= 1;
 
-  /** What the capacity forecast says of a service, such as "overrun"; "" while it keeps up. */
+  /** Returns the capacity forecast of a service, such as "overrun"; "" if its capacity suffices. */
   readonly capacityForecast = (service: string): string => this.forecasts.get(service) ?? "";
 
   /**
-   * Takes over updates of workers, ejections, zonal shift and capacity forecast; others are
+   * Applies updates of workers, ejections, zonal shift and capacity forecast; other updates are
    * ignored.
    */
   readonly applyUpdates = (updates: readonly Update[]): void => {
@@ -137,17 +139,20 @@
     });
   };
 
-  /** Removes the workers whose updates have been dropped. */
+  /** Removes the workers whose updates were deleted. */
   readonly forgetKeys = (keys: readonly string[]): void => {
     keys
       .filter((key) => key.startsWith(WORKER_PREFIX))
       .forEach((key) => this.remove(key.slice(WORKER_PREFIX.length)));
   };
 
-  /** Removes a worker whose address answers as another one, before an update says so. */
+  /**
+   * Removes a worker at whose address another worker responds, before an update announces the
+   * change.
+   */
   readonly removeMisdirected = (worker: Worker): void => this.remove(worker.id);
 
-  /** Closes connections long unused, to all workers. */
+  /** Closes connections to all workers that have been idle for too long. */
   readonly evictIdleConnections = (): void =>
     this.workers.forEach((worker) => worker.connections.evictIdle());
 
--- a/src/proxy/worker.ts
+++ b/src/proxy/worker.ts
@@ -1,4 +1,4 @@
-/** An upstream worker as this node knows it. */
+/** State of an upstream worker as known to this node. */
 import type { Update } from "../membership/update-store.js";
 import type { Clock } from "../common/clock.js";
 import { readString, readNumber } from "../common/decode.js";
@@ -12,30 +12,36 @@
 }
 
 const AVOID_US = 1 * SECOND_US;
-/** What a worker reported of its load counts less with time, and not at all after this. */
+/**
+ * Lifetime of a load report. The weight of a report decreases with its age and is 0 after this
+ * time.
+ */
 const REPORT_EXPIRY_US = 600 * MILLISECOND_US;
 const IN_FLIGHT_AVERAGE_US = 1 * SECOND_US;
 /**
- * A worker is unresponsive when requests wait this many times the mean latency, and this long at
- * least.
+ * A worker is unresponsive if its oldest request has waited for this multiple of the mean latency,
+ * and for at least `UNRESPONSIVE_MIN_US`.
  */
 const UNRESPONSIVE_FACTOR = 6;
 const UNRESPONSIVE_MIN_US = 500 * MILLISECOND_US;
-/** During slow start a request is expected to take this many times as long. */
+/** Factor by which the expected latency is increased during slow start. */
 const SLOW_START_FACTOR = 2;
 
-/** What updates say of a worker, and what this node's own requests to it have shown. */
+/**
+ * The attributes of a worker from updates, and the statistics of this node's own requests to it.
+ */
 export class Worker {
   service = "";
   address = "";
   zone = "";
-  /** How many requests it runs at once. */
+  /** The number of requests that the worker runs concurrently. */
   capacity = 1;
   state = "ready";
-  /** Until when it is in slow start, on this process's clock. */
+  /** End of the slow start, in microseconds of the local clock. */
   slowStartUntilUs = 0;
   /**
-   * Invariant: counts this node's requests under way; each holds one connection that is not idle.
+   * Number of this node's requests in flight. Invariant: each of them holds one connection that is
+   * not idle.
    */
   inFlight = 0;
   private reportedOtherLoad = 0;
@@ -57,7 +63,7 @@
     this.connections = new ConnectionPool(clock);
   }
 
-  /** Takes over what an update of the worker's registration says. */
+  /** Applies an update of the worker's registration. */
   readonly applyUpdate = ({ body, sinceUs }: Update): void => {
     const address = readString(body, "address");
     if (address !== this.address) this.connections.closeIdle();
@@ -71,15 +77,19 @@
   };
 
   /**
-   * The worker's load in requests: this node's own in flight, and those of other nodes. The latter
-   * are as many as the worker last reported; as that report ages, `assumedOthers` takes its place.
+   * Returns the worker's load in requests: this node's requests in flight plus those of other
+   * nodes. The latter is the number last reported by the worker, which is gradually replaced by
+   * `assumedOtherLoad` as the report ages.
    */
   readonly load = (assumedOtherLoad: number): number => {
     const age = Math.min(1, (this.clock.nowUs() - this.reportedUs) / REPORT_EXPIRY_US);
     return this.inFlight + this.reportedOtherLoad * (1 - age) + assumedOtherLoad * age;
   };
 
-  /** This node's requests in flight, as an exponential average over the last second. */
+  /**
+   * Returns the exponential moving average of this node's requests in flight, with a time constant
+   * of one second.
+   */
   readonly averageInFlight = (): number => {
     const nowUs = this.clock.nowUs();
     const decay = Math.exp((this.smoothedUs - nowUs) / IN_FLIGHT_AVERAGE_US);
@@ -88,16 +98,14 @@
     return this.smoothedInFlight;
   };
 
-  /**
-   * Takes the load that the worker reported in a response, which includes the request it answered.
-   */
+  /** Records the load that the worker reported in a response. It includes the answered request. */
   readonly reportLoad = (running: number, queued: number, reportedCapacity: number): void => {
     if (reportedCapacity > 0) this.capacity = reportedCapacity;
     this.reportedOtherLoad = Math.max(0, running + queued - Math.max(0, this.inFlight - 1));
     this.reportedUs = this.clock.nowUs();
   };
 
-  /** How long a request sent now is expected to take at this load. */
+  /** Returns the expected latency of a request that is sent now at this load. */
   readonly expectedLatencyUs = (load: number): number => {
     const slowStart = this.clock.nowUs() < this.slowStartUntilUs ? SLOW_START_FACTOR : 1;
     return (
@@ -108,7 +116,7 @@
   };
 
   /**
-   * Leaves the worker out for a moment, after a fault that shows the worker itself to be unhealthy.
+   * Excludes the worker from selection for `AVOID_US`, after a fault caused by the worker itself.
    */
   readonly avoid = (): void => {
     this.avoidedUntilUs = this.clock.nowUs() + AVOID_US;
@@ -119,8 +127,8 @@
     this.clock.nowUs() < this.avoidedUntilUs || this.isUnresponsive();
 
   /**
-   * Whether the oldest request has waited far longer than usual, with no response since it was
-   * sent.
+   * Returns whether the oldest request has waited far longer than usual and the worker has not
+   * responded to any request since it was sent.
    */
   readonly isUnresponsive = (): boolean => {
     const nowUs = this.clock.nowUs();
@@ -130,7 +138,7 @@
     return false;
   };
 
-  /** Counts a request as in flight, until `finish`. */
+  /** Counts a request as in flight until `finish` is called. */
   readonly begin = (): InFlightRequest => {
     this.averageInFlight();
     const request = { startedUs: this.clock.nowUs() };
@@ -139,7 +147,7 @@
     return request;
   };
 
-  /** Ends a request; of one that has ended already it does nothing. */
+  /** Ends a request; does nothing if it has already ended. */
   readonly finish = (request: InFlightRequest, hasResponded: boolean): void => {
     if (!this.awaitingResponse.delete(request)) return;
     this.averageInFlight();
@@ -147,18 +155,17 @@
     if (hasResponded) this.lastResponseUs = this.clock.nowUs();
   };
 
-  /** A connection for one request, to be given back with `releaseConnection`. */
+  /** Acquires a connection for one request, to be returned with `releaseConnection`. */
   readonly acquireConnection = (isNew = false): PooledConnection =>
     this.connections.acquire(this.address, isNew);
 
-  /**
-   * Gives a connection back; it is closed if it isn't sound, or the worker isn't ready any more.
-   */
+  /** Releases a connection. It is closed if it is not reusable or the worker is no longer ready. */
   readonly releaseConnection = (connection: PooledConnection, isReusable: boolean): void =>
     this.connections.release(connection, isReusable && this.state === "ready");
 
   /**
-   * The oldest request without a response shows that the worker is slow before its response does.
+   * Returns how long the oldest request in flight has waited, which reveals a slow worker before
+   * its response arrives.
    */
   private readonly longestWaitUs = (): number => {
     const [oldest] = this.awaitingResponse;
