--- a/src/proxy/retry-and-hedging.ts
+++ b/src/proxy/retry-and-hedging.ts
@@ -1,12 +1,12 @@
 /**
- * All attempts of a request: retries and hedged requests, within the route's tries and the retry
- * budget.
+ * All attempts of a request: retries and hedged requests, limited by the route's `maxAttempts` and
+ * the retry budget.
  */
 import { withTimeout, type Clock } from "../common/clock.js";
 import { MILLISECOND_US } from "../common/duration.js";
 import { toRouteKind } from "../quota/retry-limits.js";
 import { isBodyBuffered } from "./body-reader.js";
-import { isBehindClose } from "./client-connection.js";
+import { isAfterClosingResponse } from "./client-connection.js";
 import type { Worker } from "./worker.js";
 import type { WorkerDirectory } from "./worker-directory.js";
 import { mayForwardStatus } from "./delivery-state.js";
@@ -22,16 +22,16 @@
 import { twoEventLoopTurns, type StallDetector } from "./stall-detector.js";
 import type { CancellableRequest, UpstreamResponse, UpstreamResult } from "./upstream-request.js";
 
-/** How often the first worker of a safe request is looked at for silence. */
+/** Interval at which the first worker of a safe request is checked for unresponsiveness. */
 const SILENCE_CHECK_US = 120 * MILLISECOND_US;
-/** How many workers that can't be reached a request looks for beyond its tries. */
+/** Number of unreachable workers that a request may try in addition to its attempts. */
 const MAX_UNREACHABLE_WORKERS = 2;
 
-/** What the forwarder that retries and hedges is made with. */
+/** Dependencies and options of {@link RetryingForwarder}. */
 export interface RetryingForwarderOptions {
   readonly clock: Clock;
   readonly routes: RouteTable;
-  readonly pool: WorkerDirectory;
+  readonly workers: WorkerDirectory;
   readonly retryBudgets: RetryBudgets;
   readonly forwarder: Forwarder;
   readonly keyed: KeyedRequests;
@@ -39,16 +39,16 @@
   readonly completion: RequestCompletion;
   readonly memory: MemoryBudget;
   readonly stalls: StallDetector;
-  /** Grants requests to services with a rate limit; without it there is no such limit. */
+  /** Grants requests to services with a rate limit; if undefined, no rate limit applies. */
   readonly objects: ObjectSource | undefined;
   readonly actsOnForecast: boolean;
 }
 
-/** Forwards requests until one response can be given to the client. */
+/** Forwards requests until a response can be sent to the client. */
 export class RetryingForwarder {
   constructor(private readonly options: RetryingForwarderOptions) {}
 
-  /** Forwards a routed request, again where that is allowed, and gives the one response. */
+  /** Forwards a routed request, retries it where permitted, and sends the response. */
   // eslint-disable-next-line complexity -- one loop over the attempts, whose early ends are easier to follow in one place
   readonly forward = async (context: RequestContext): Promise<void> => {
     const { stalls, forwarder, keyed, writer, objects } = this.options;
@@ -56,7 +56,7 @@
     if (!route) return;
     if (!route.isSafe) {
       await context.previousAnswered;
-      if (context.position > 1 && stalls.noteRequest()) await twoEventLoopTurns();
+      if (context.position > 1 && stalls.observeRequest()) await twoEventLoopTurns();
     }
     this.startDeadline(context);
     if (route.kind === "keyed" && !(await keyed.claim(context, route))) return;
@@ -80,7 +80,7 @@
       const result = await this.attempt(context, route, worker);
       if (result.kind === "answered") {
         const { response } = result;
-        // A status that promises too much may not pass: the request has run.
+        // The request has run, so a status that guarantees the opposite must not be forwarded.
         const mayForward = mayForwardStatus(response.status, route.isSafe);
         if (mayForward && context.claim) await keyed.store(context, response);
         // eslint-disable-next-line @typescript-eslint/no-unnecessary-condition -- the request may end during an await
@@ -108,8 +108,8 @@
   };
 
   /**
-   * Answers with 504 or its like once the deadline has passed: what a worker still does is of no
-   * use to anyone.
+   * Rejects the request once its deadline has passed, with 504 or the outcome that the delivery
+   * state allows. Work that a worker still does for it is of no use.
    */
   private readonly startDeadline = (context: RequestContext): void => {
     const { clock, writer } = this.options;
@@ -122,9 +122,9 @@
   private readonly isRateLimited = (service: string): boolean =>
     (this.options.routes.service(service)?.maxRequestsPerS ?? 0) > 0;
 
-  /** Whether one more worker may be asked; a retry is taken out of the budget here. */
+  /** Returns whether another worker may be tried. A retry is taken from the retry budget here. */
   private readonly mayAttempt = (context: RequestContext, route: Route): boolean => {
-    if (context.isFinished || isBehindClose(context)) return false;
+    if (context.isFinished || isAfterClosingResponse(context)) return false;
     if (context.triedWorkers.size >= route.maxAttempts + MAX_UNREACHABLE_WORKERS) return false;
     if (context.attempts === 0) return true;
     return (
@@ -135,18 +135,18 @@
     );
   };
 
-  /** Retries of safe requests stop before they take capacity that a pressed service lacks. */
+  /** Safe requests are not retried while a service is short of capacity. */
   private readonly isOverloaded = (context: RequestContext, route: Route): boolean =>
     this.options.actsOnForecast &&
     route.isSafe &&
-    this.options.pool.capacityForecast(context.service) !== "";
+    this.options.workers.capacityForecast(context.service) !== "";
 
   private readonly spendRetry = (context: RequestContext, route: Route): boolean =>
     this.options.retryBudgets.of(context.service, toRouteKind(route.kind)).trySpend();
 
   /**
-   * One attempt; beside a safe request whose worker has fallen silent a hedged request goes to a
-   * second one.
+   * Makes one attempt. If the worker of a safe request becomes unresponsive, a hedged request is
+   * sent to a second worker.
    */
   private readonly attempt = async (
     context: RequestContext,
@@ -162,18 +162,18 @@
       if (context.isFinished) return { kind: "cancelled" };
       const second = this.hedge(context, route, worker);
       if (!second) continue;
-      const [quick, slow] = await Promise.race([
+      const [winner, loser] = await Promise.race([
         first.result.then(() => [first, second] as const),
         second.result.then(() => [second, first] as const),
       ]);
-      const result = await quick.result;
-      if (result.kind !== "answered") return slow.result;
-      slow.cancel();
+      const result = await winner.result;
+      if (result.kind !== "answered") return loser.result;
+      loser.cancel();
       return result;
     }
   };
 
-  /** Sends a hedged request if the first worker is silent and a retry is allowed. */
+  /** Sends a hedged request if the first worker is unresponsive and a retry is allowed. */
   private readonly hedge = (
     context: RequestContext,
     route: Route,
@@ -193,7 +193,7 @@
     return forwarder.send(context, route, other);
   };
 
-  /** No more attempts: gives the last failed response where there is one. */
+  /** Ends the request after its last attempt, with the last failed response if there is one. */
   private readonly conclude = (
     context: RequestContext,
     lastResponse: UpstreamResponse | undefined,
