--- a/src/health/canary-analysis.ts
+++ b/src/health/canary-analysis.ts
@@ -1,6 +1,6 @@
 /**
- * Canary analysis on the leader: compares the candidates of split routes with their baselines, and
- * stops the bad ones.
+ * Canary analysis on the leader: compares the candidates of split routes with their baselines and
+ * stops those that are significantly worse.
  */
 import type { Clock, Timer } from "../common/clock.js";
 import type { UnknownRecord } from "../common/decode.js";
@@ -10,7 +10,7 @@
 import type { Message } from "../transport/connection.js";
 import {
   findStop,
-  isAbout,
+  matchesVersion,
   type CanaryState,
   type CanaryStop,
   type RouteVersion,
@@ -28,7 +28,7 @@
 import { RouteComparison } from "./route-comparison.js";
 import type { SequentialTestSettings } from "./sequential-test.js";
 
-/** What the analysis needs of its surroundings. */
+/** Dependencies of {@link CanaryAnalyzer}. */
 export interface CanaryAnalyzerOptions {
   readonly clock: Clock;
   readonly log: Logger;
@@ -37,13 +37,10 @@
   readonly isLeader: () => boolean;
   readonly term: () => number;
   readonly splitRoutes: () => readonly SplitRoute[];
-  /** The service that the route's previous version sent the most to, where that is known here. */
+  /** The service with the largest share in the route's previous version, if known locally. */
   readonly previousPrimary: (route: string) => string | undefined;
   readonly state: () => CanaryState;
-  /**
-   * Makes the state durable under the leader's term; false if a newer term or no quorum prevented
-   * it.
-   */
+  /** Persists the state under the leader's term; false on a newer term or a lost quorum. */
   readonly publish: (state: CanaryState) => Promise<boolean>;
 }
 
@@ -54,11 +51,11 @@
 
 const TICK_US = 500 * MILLISECOND_US;
 
-/** Every controller counts the reports that it gets; only the leader decides. */
+/** Every controller aggregates the reports that it receives; only the leader decides. */
 export class CanaryAnalyzer {
   private readonly comparisons = new Map<string, RouteComparison>();
   /**
-   * Invariant: by node and row, what was last counted; a report repeated or out of order adds
+   * The last row counted, by node and row key. Invariant: a duplicate or out-of-order report adds
    * nothing.
    */
   private readonly reported = new Map<string, NodeRows>();
@@ -68,17 +65,17 @@
 
   constructor(private readonly options: CanaryAnalyzerOptions) {}
 
-  /** Begins to decide. */
+  /** Starts the periodic evaluation. */
   readonly start = (): void => {
     this.timer = this.options.clock.every(TICK_US, () => void this.tick());
   };
 
-  /** Ends deciding. */
+  /** Stops the periodic evaluation. */
   readonly stop = (): void => this.timer?.stop();
 
   /**
-   * Counts a report; what is malformed, or of an unknown route, service or version, is dropped and
-   * counted as such.
+   * Aggregates a report. Malformed reports and rows of an unknown route, service or version are
+   * dropped and counted in `droppedReports`.
    */
   readonly receive = (message: Message): void => {
     try {
@@ -89,24 +86,24 @@
       this.reported.set(node, reported);
       rows.forEach((row) => this.addRow(reported.rows, row));
     } catch {
-      // Malformed: the number is shown to operators, and the next report has the counts again.
+      // Malformed. Counts are cumulative, so the next report makes up for it; operators see the total.
       this.droppedReports += 1;
     }
   };
 
-  /** Follows the routes in force and decides once, if no decision is under way. */
+  /** Syncs with the routes in force and, on the leader, decides once; skipped while one runs. */
   readonly tick = async (): Promise<void> => {
     if (this.isTicking) return;
     this.isTicking = true;
     try {
-      this.followRoutes();
+      this.syncComparisons();
       if (this.options.isLeader()) await this.decide();
     } finally {
       this.isTicking = false;
     }
   };
 
-  /** Every candidate, as the operator's query answers it. */
+  /** Every candidate, in the form returned to operators. */
   readonly list = (): readonly UnknownRecord[] =>
     [...this.comparisons.values()].flatMap((comparison) =>
       comparison
@@ -114,7 +111,7 @@
         .map((candidate) => comparison.explain(candidate, this.options.state())),
     );
 
-  /** What is compared and decided, as the operator's query answers it. */
+  /** The comparisons and decisions, in the form returned to operators. */
   readonly explain = (): UnknownRecord => ({
     holder: this.options.isLeader(),
     term: this.options.term(),
@@ -123,10 +120,10 @@
   });
 
   /**
-   * Lifts a route's stop for the operator; the comparison begins anew with what comes from now on.
+   * Clears a route's stop on an operator's command. The comparison restarts from empty counts.
    *
-   * @param version - if given, only this version of the route is meant
-   * @returns undefined if it is done
+   * @param version - if given, the command fails unless this version is in force
+   * @returns undefined on success
    */
   readonly clearStop = async (
     route: string,
@@ -137,7 +134,7 @@
     if (version !== undefined && version !== inForce.version)
       return new StaleRouteVersionError(route, version, inForce.version);
     const state = this.options.state();
-    const stops = state.stops.filter((stop) => !isAbout(stop, inForce));
+    const stops = state.stops.filter((stop) => !matchesVersion(stop, inForce));
     if (stops.length === state.stops.length) return new NotStoppedError(route);
     if (!(await this.options.publish({ ...state, stops }))) return new ClearNotStoredError(route);
     this.comparisons.delete(route);
@@ -156,14 +153,15 @@
     const increase = increaseOf(row, before);
     if (!increase) return;
     rows.set(key, row);
-    comparison.add(row, increase, Math.max(0, row.ownFailures - (before?.ownFailures ?? 0)));
+    comparison.add(
+      row,
+      increase,
+      Math.max(0, row.unattributedFailures - (before?.unattributedFailures ?? 0)),
+    );
   };
 
-  /**
-   * The wanted state is one comparison for each split route in force; what is no longer in force is
-   * dropped.
-   */
-  private readonly followRoutes = (): void => {
+  /** Keeps exactly one comparison for each split route in force and drops all others. */
+  private readonly syncComparisons = (): void => {
     const { splitRoutes, clock, settings, random } = this.options;
     const inForce = new Map(splitRoutes().map((route) => [route.name, route]));
     this.comparisons.forEach((comparison, name) => {
@@ -185,7 +183,7 @@
 
   private readonly baselineOf = (route: SplitRoute): string => {
     const { state, previousPrimary } = this.options;
-    const chosen = state().baselines.find((row) => isAbout(row, route));
+    const chosen = state().baselines.find((row) => matchesVersion(row, route));
     const known = chosen?.service ?? previousPrimary(route.name);
     if (known !== undefined && route.shares.some(({ service }) => service === known)) return known;
     return mainOf(route.shares);
@@ -197,7 +195,7 @@
     const isInForce = (row: RouteVersion) =>
       this.comparisons.get(row.route)?.route.version === row.version;
     const newBaselines = [...this.comparisons.values()]
-      .filter(({ route }) => !before.baselines.some((row) => isAbout(row, route)))
+      .filter(({ route }) => !before.baselines.some((row) => matchesVersion(row, route)))
       .map(({ route, baseline }) => ({
         route: route.name,
         version: route.version,
@@ -219,7 +217,7 @@
     newStops.forEach(this.logStop);
   };
 
-  /** The candidates to stop that are not stopped yet. */
+  /** Stops for the candidates that failed and are not stopped yet. */
   private readonly findStops = (
     comparison: RouteComparison,
     state: CanaryState,
--- a/src/health/canary-counters.ts
+++ b/src/health/canary-counters.ts
@@ -3,7 +3,8 @@
 import type { OutcomeKind } from "./sequential-test.js";
 
 /**
- * "own" are failures of the system itself or of this node's links, which count against no service.
+ * The outcome of a request as a node reports it. "own" is a failure of the system itself or of this
+ * node's links, which is attributed to no service.
  */
 export type CanaryOutcome = OutcomeKind | "own";
 
@@ -22,9 +23,8 @@
 const MAX_ROWS = 2_000;
 
 /**
- * What one node saw of routes that send their traffic to more than one service. Invariants: counts
- * only rise within an incarnation; rows exist only for route versions in force, so memory is
- * bounded by them.
+ * Outcome counts of one node for split routes. Invariants: counts never decrease within an
+ * incarnation; rows exist only for route versions in force, which bounds memory.
  */
 export class CanaryCounters {
   private readonly rows = new Map<string, Row>();
@@ -58,7 +58,7 @@
     this.changed.add(key);
   };
 
-  /** Forgets what is no longer in force. */
+  /** Drops the rows of route versions that are no longer in force. */
   readonly retain = (isInForce: (route: string, version: number) => boolean): void => {
     this.rows.forEach((row, key) => {
       if (isInForce(row.route, row.version)) return;
--- a/src/health/canary-state.ts
+++ b/src/health/canary-state.ts
@@ -1,6 +1,6 @@
 /**
- * What the canary analysis decides, and its form in the register `duty/rollouts`: the same names in
- * both.
+ * Decisions of the canary analysis. The register `duty/rollouts` stores them under the same field
+ * names.
  */
 import {
   asRecord,
@@ -11,9 +11,7 @@
 } from "../common/decode.js";
 import type { WeightedService } from "../common/weighted-split.js";
 
-/**
- * A route that sends its traffic to more than one service, as the configuration in force has it.
- */
+/** A route of the configuration in force that splits its traffic between several services. */
 export interface SplitRoute {
   readonly name: string;
   readonly version: number;
@@ -21,52 +19,56 @@
   readonly shares: readonly WeightedService[];
 }
 
-/** A route's version. */
+/** Identifies one version of a route. */
 export interface RouteVersion {
   readonly route: string;
   readonly version: number;
 }
 
-/** A candidate that gets no more traffic. */
+/** A candidate that no longer receives traffic. */
 export interface CanaryStop extends RouteVersion {
   readonly candidate: string;
   readonly baseline: string;
   /** One sentence for the operator. */
   readonly reason: string;
-  /** The figures behind the reason, as they were at the decision. */
+  /** The figures that the decision was based on. */
   readonly evidence: UnknownRecord;
 }
 
-/** The service that candidates of a route's version are compared with. */
+/** The baseline service that the candidates of a route version are compared with. */
 export interface BaselineChoice extends RouteVersion {
   readonly service: string;
 }
 
 /**
- * What is published. Invariants: a baseline is chosen once for a route's version; a stop holds for
- * that version only, and goes only by the operator's clearing or a newer version.
+ * The published state. Invariants: the baseline of a route version is chosen once; a stop applies to
+ * one route version only and ends only when an operator clears it or a newer version is in force.
  */
 export interface CanaryState {
   readonly baselines: readonly BaselineChoice[];
   readonly stops: readonly CanaryStop[];
 }
 
-/** Before the first decision. */
+/** The state before the first decision. */
 export const NO_CANARIES: CanaryState = { baselines: [], stops: [] };
 
-/** Whether a row is about the version of the route that is in force. */
-export const isAbout = (row: RouteVersion, route: SplitRoute): boolean =>
+/** Whether a row refers to the given route in the given version. */
+export const matchesVersion = (row: RouteVersion, route: SplitRoute): boolean =>
   row.route === route.name && row.version === route.version;
 
-/** The stop of a candidate, if there is one. */
+/** The stop of a candidate, if any. */
 export const findStop = (
   state: CanaryState,
   route: SplitRoute,
   candidate: string,
 ): CanaryStop | undefined =>
-  state.stops.find((stop) => isAbout(stop, route) && stop.candidate === candidate);
+  state.stops.find((stop) => matchesVersion(stop, route) && stop.candidate === candidate);
 
-/** @throws if the value has another form */
+/**
+ * Parses the stored state.
+ *
+ * @throws if the value is malformed
+ */
 export const readCanaryState = (value: unknown): CanaryState => {
   const record = asRecord(value, "rollouts");
   return {
--- a/src/health/capacity-forecast.ts
+++ b/src/health/capacity-forecast.ts
@@ -1,7 +1,7 @@
 /**
- * Capacity forecast on the leader: warns that a service nears what it can keep up with, from what
- * all nodes see arriving and being completed, whether arrivals rise, workers slow down, or workers
- * go.
+ * Capacity forecast on the leader: warns when a service approaches its capacity. It works from the
+ * arrivals and completions reported by all nodes, so it covers rising load, slower workers and lost
+ * workers alike.
  */
 import type { Clock, Timer } from "../common/clock.js";
 import type { UnknownRecord } from "../common/decode.js";
@@ -10,42 +10,42 @@
 import type { Message } from "../transport/connection.js";
 import { CapacityMonitor, type LoadInterval } from "./capacity-monitor.js";
 import {
-  isPressed,
+  isUnderPressure,
   type CapacityState,
   type CapacityStates,
   type ForecastSettings,
 } from "./capacity-state.js";
 import { addLoad, loadKey, LoadWindow, NO_LOAD, type LoadFigures } from "./load-window.js";
 
-/** A worker whose slots count. */
+/** A worker that provides slots to a service. */
 export interface ForecastWorker {
   readonly id: string;
   readonly service: string;
   readonly zone: string;
-  /** Slots. */
+  /** Number of slots; a request in flight occupies one. */
   readonly capacity: number;
-  /** Ready, and not ejected, so that requests go to it. */
+  /** Ready and not ejected, so that it receives requests. */
   readonly isRoutable: boolean;
 }
 
-/** What the forecast needs of its surroundings. */
+/** Dependencies of {@link CapacityForecaster}. */
 export interface CapacityForecasterOptions {
   readonly clock: Clock;
   readonly log: Logger;
   readonly settings: ForecastSettings;
   readonly isLeader: () => boolean;
   readonly workers: () => readonly ForecastWorker[];
-  /** How many nodes there are. */
+  /** The number of nodes in the fleet. */
   readonly nodes: () => number;
-  /** Publishes which services are pressed; no request waits for it. */
+  /** Publishes the services under pressure, off the request path. */
   readonly publish: (states: CapacityStates) => Promise<boolean>;
   readonly published: () => CapacityStates;
 }
 
-/** Only the leader forecasts; a new one begins anew with the next reports. */
+/** Runs on the leader only; a new leader starts without history. */
 export class CapacityForecaster {
   private readonly load: LoadWindow;
-  /** By `loadKey`. */
+  /** Keyed by `loadKey`. */
   private readonly monitors = new Map<string, CapacityMonitor>();
   private timer: Timer | undefined;
   private lastUs: number | undefined;
@@ -56,32 +56,32 @@
     this.load = new LoadWindow(options.clock);
   }
 
-  /** Begins to forecast. */
+  /** Starts the periodic forecast. */
   readonly start = (): void => {
     const { clock, settings } = this.options;
     this.timer = clock.every(settings.intervalUs, () => void this.tick());
   };
 
-  /** Ends forecasting. */
+  /** Stops the periodic forecast. */
   readonly stop = (): void => this.timer?.stop();
 
-  /** Counts a node's report; a malformed one is only counted as such. */
+  /** Aggregates a node's report; a malformed one only increments `malformedReports`. */
   readonly receive = (report: Message): void => {
     try {
       this.load.receive(report);
     } catch {
-      // The number is shown to operators, and the next report has the counts again.
+      // Counts are cumulative, so the next report makes up for it; operators see the total.
       this.malformedReports += 1;
     }
   };
 
-  /** By `loadKey`. */
+  /** The states of all services and zones, by `loadKey`. */
   readonly states = (): CapacityStates =>
     Object.fromEntries([...this.monitors].map(([key, { state }]) => [key, state]));
 
   /**
-   * The requests in flight of each service in the last interval, which other zones would have to
-   * carry.
+   * Mean requests in flight by service over the last interval; the other zones carry them while a
+   * zone is drained.
    */
   readonly inFlight = (): ReadonlyMap<string, number> => {
     const slots = this.slots();
@@ -92,18 +92,18 @@
     );
   };
 
-  /** Every service with its state and figures, as the operator's query answers it. */
+  /** Every service with its state and figures, in the form returned to operators. */
   readonly explain = (): UnknownRecord => ({
     holder: this.options.isLeader(),
     malformedReports: this.malformedReports,
-    nodesHeard: this.load.nodesHeard(),
+    nodesHeard: this.load.reportingNodes(),
     services: [...this.monitors].map(([key, monitor]) => {
       const [service, zone] = key.split("|");
       return { service, cell: zone === "" ? "all" : zone, ...monitor.explain() };
     }),
   });
 
-  /** Looks at the load once, if this process is the leader and no look is under way. */
+  /** Evaluates the load once on the leader; skipped while an evaluation is running. */
   readonly tick = async (): Promise<void> => {
     if (this.isTicking) return;
     this.isTicking = true;
@@ -121,7 +121,7 @@
     this.lastUs = undefined;
   };
 
-  /** By `loadKey`, of services as a whole and in each zone. */
+  /** Routable slots by `loadKey`, for each service as a whole and in each zone. */
   private readonly slots = (): Map<string, number> => {
     const slots = new Map<string, number>();
     const add = (key: string, capacity: number) => slots.set(key, (slots.get(key) ?? 0) + capacity);
@@ -143,25 +143,31 @@
     const increases = this.load.takeIncreases();
     if (durationS <= 0) return;
     const slots = this.slots();
-    const isHeard = this.load.nodesHeard() * 2 > nodes();
+    const isMajorityReporting = this.load.reportingNodes() * 2 > nodes();
     const keys = [...increases.keys(), ...this.monitors.keys(), ...slots.keys()];
     const observe = (key: string, figures: LoadFigures) =>
-      this.observe(key, { nowUs, durationS, figures, slots: slots.get(key) ?? 0, isHeard });
+      this.observe(key, {
+        nowUs,
+        durationS,
+        figures,
+        slots: slots.get(key) ?? 0,
+        isMajorityReporting,
+      });
     new Set(keys.map(serviceOf)).forEach((service) => {
       observe(loadKey(service), sumOf(service, increases));
       [...slots.keys()]
         .filter((key) => serviceOf(key) === service && !isWholeService(key))
         .forEach((key) => observe(key, increases.get(key) ?? NO_LOAD));
     });
-    const pressed = this.pressedServices();
-    if (JSON.stringify(sorted(pressed)) !== JSON.stringify(sorted(published())))
-      await publish(pressed);
+    const underPressure = this.servicesUnderPressure();
+    if (JSON.stringify(sorted(underPressure)) !== JSON.stringify(sorted(published())))
+      await publish(underPressure);
   };
 
-  private readonly pressedServices = (): CapacityStates =>
+  private readonly servicesUnderPressure = (): CapacityStates =>
     Object.fromEntries(
       [...this.monitors]
-        .filter(([key, { state }]) => isWholeService(key) && isPressed(state))
+        .filter(([key, { state }]) => isWholeService(key) && isUnderPressure(state))
         .map(([key, { state }]) => [serviceOf(key), state]),
     );
 
@@ -180,7 +186,7 @@
     const { log } = this.options;
     const [service, zone = ""] = key.split("|");
     const fields = { service, ...(zone === "" ? {} : { zone }), former, state, reason };
-    if (isPressed(state)) log.warn("capacity state changed", fields);
+    if (isUnderPressure(state)) log.warn("capacity state changed", fields);
     else if (former !== "unknown") log.info("capacity state changed", fields);
   };
 }
--- a/src/health/capacity-monitor.ts
+++ b/src/health/capacity-monitor.ts
@@ -1,10 +1,10 @@
-/** The state of one service, or of its workers in one zone, from sample to sample. */
+/** Tracks the capacity state of one service, or of its workers in one zone. */
 import { mean } from "simple-statistics";
 import type { UnknownRecord } from "../common/decode.js";
 import { SECOND_US } from "../common/duration.js";
 import {
   CAPACITY_RANK,
-  isPressed,
+  isUnderPressure,
   type CapacityState,
   type ForecastSettings,
 } from "./capacity-state.js";
@@ -16,15 +16,15 @@
   readonly rejectedShare: number;
 }
 
-/** One interval's load. */
+/** The load of one interval. */
 export interface LoadInterval {
   readonly nowUs: number;
   readonly durationS: number;
   readonly figures: LoadFigures;
-  /** The slots of the workers that requests go to. */
+  /** Total slots of the routable workers. */
   readonly slots: number;
-  /** Whether most nodes report. */
-  readonly isHeard: boolean;
+  /** Whether more than half of the nodes have reported recently. */
+  readonly isMajorityReporting: boolean;
 }
 
 interface Assessment {
@@ -35,25 +35,26 @@
 const round = (value: number): number => Math.round(value * 1_000) / 1_000;
 
 /**
- * Enters a state after some intervals in a row and leaves it after more, so that it does not flap.
+ * Changes state only after several consecutive intervals agree, and takes longer to improve than to
+ * worsen, so that the state does not flap.
  */
 export class CapacityMonitor {
   state: CapacityState = "unknown";
-  reason = "nothing seen yet";
+  reason = "no interval observed yet";
   private samples: readonly Sample[] = [];
-  private candidate: CapacityState = "unknown";
-  private candidateTicks = 0;
+  private pendingState: CapacityState = "unknown";
+  private pendingTicks = 0;
   private trend: Trend | undefined;
 
   constructor(private readonly settings: ForecastSettings) {}
 
-  /** The share of slots in use in the last interval. */
+  /** The share of slots in use in the last interval, 0 to 1. */
   readonly utilization = (): number => this.samples[this.samples.length - 1]?.utilization ?? 0;
 
   /**
-   * Adds an interval.
+   * Adds an interval and updates the state.
    *
-   * @returns the former state if it has changed
+   * @returns the former state if it changed
    */
   readonly add = (interval: LoadInterval): CapacityState | undefined => {
     const { trendSamples, slopeErrors, enterTicks, leaveTicks } = this.settings;
@@ -61,19 +62,19 @@
     this.trend = fitTrend(this.samples, slopeErrors);
     const { state, reason } = this.assess(interval);
     this.reason = reason;
-    this.candidateTicks = state === this.candidate ? this.candidateTicks + 1 : 1;
-    this.candidate = state;
+    this.pendingTicks = state === this.pendingState ? this.pendingTicks + 1 : 1;
+    this.pendingState = state;
     const needed = CAPACITY_RANK[state] > CAPACITY_RANK[this.state] ? enterTicks : leaveTicks;
-    if (state === this.state || this.candidateTicks < needed) return undefined;
+    if (state === this.state || this.pendingTicks < needed) return undefined;
     const former = this.state;
-    // Pressure is released step by step, so that what was held back does not come back all at once.
+    // Leaves "overrun" by way of "nearing", so that held-back traffic does not return all at once.
     const isReleased =
       former === "overrun" && CAPACITY_RANK[state] < CAPACITY_RANK.nearing && state !== "unknown";
     this.state = isReleased ? "nearing" : state;
     return former;
   };
 
-  /** The figures for the operator; the names of the fields stay. */
+  /** The figures in the form returned to operators. Field names are part of the API. */
   readonly explain = (): UnknownRecord => {
     const last = this.samples[this.samples.length - 1];
     const { trend } = this;
@@ -93,14 +94,14 @@
     };
   };
 
-  private readonly assess = ({ slots, isHeard }: LoadInterval): Assessment => {
+  private readonly assess = ({ slots, isMajorityReporting }: LoadInterval): Assessment => {
     const { settings, trend } = this;
     const recent = this.samples.slice(-settings.enterTicks);
     const used = mean(recent.map(({ utilization }) => utilization));
     const perS = mean(recent.map((sample) => sample.perS));
     const rejectedShare = mean(recent.map((sample) => sample.rejectedShare));
     const reason = `${Math.round(used * 100)}% of ${slots} slots in use at ${perS.toFixed(1)} a second, ${(rejectedShare * 100).toFixed(1)}% refused.`;
-    if (!isHeard) return { state: "unknown", reason: "Too few nodes are heard." };
+    if (!isMajorityReporting) return { state: "unknown", reason: "Too few nodes are heard." };
     if (slots > 0 && perS < settings.minPerS)
       return { state: "unknown", reason: "Too little traffic." };
     if (slots === 0 || this.isOverrun(used, rejectedShare)) return { state: "overrun", reason };
@@ -120,16 +121,18 @@
   };
 
   private readonly nearingThreshold = (): number =>
-    isPressed(this.state) ? this.settings.nearingExitUtilization : this.settings.nearingUtilization;
+    isUnderPressure(this.state)
+      ? this.settings.nearingExitUtilization
+      : this.settings.nearingUtilization;
 
   private readonly isRising = (used: number, trend: Trend): boolean => {
     const { minTrendUtilization, horizonUs } = this.settings;
-    const withinUs = horizonUs * (isPressed(this.state) ? 2 : 1);
+    const withinUs = horizonUs * (isUnderPressure(this.state) ? 2 : 1);
     return used >= minTrendUtilization && trend.expectedS * SECOND_US <= withinUs;
   };
 }
 
-/** By Little's law the requests in flight are the sum of their times over the interval. */
+/** By Little's law, mean requests in flight = total time of completed requests / interval. */
 const toSample = ({ nowUs, durationS, figures, slots }: LoadInterval): Sample => {
   const [arrived = 0, rejected = 0, completed = 0, busyUs = 0] = figures;
   return {
--- a/src/health/capacity-state.ts
+++ b/src/health/capacity-state.ts
@@ -1,16 +1,14 @@
-/**
- * How near a service is to its capacity: the states, their order and the thresholds between them.
- */
+/** Capacity states of a service, their order and the thresholds between them. */
 import { asRecord, isRecord } from "../common/decode.js";
 import { SECOND_US } from "../common/duration.js";
 
-/** The texts are part of the stored and sent form. */
+/** How close a service is to its capacity. The values are stored and sent on the wire. */
 export type CapacityState = "unknown" | "steady" | "nearing" | "overrun";
 
-/** Of each service that nears its capacity or is over it. */
+/** Capacity states by service. Published states contain only services under pressure. */
 export type CapacityStates = Readonly<Record<string, CapacityState>>;
 
-/** The higher the rank, the more pressed is the service. */
+/** Orders the states by increasing pressure. */
 export const CAPACITY_RANK: Readonly<Record<CapacityState, number>> = {
   unknown: 0,
   steady: 1,
@@ -18,33 +16,33 @@
   overrun: 3,
 };
 
-/** The thresholds of the forecast. Utilization is the share of slots in use, 0 to 1. */
+/** Settings of the forecast. Utilization is the share of slots in use, 0 to 1. */
 export interface ForecastSettings {
   readonly intervalUs: number;
-  /** Over how many intervals the trend is taken. */
+  /** The number of recent intervals that the trend is fitted to. */
   readonly trendSamples: number;
-  /** How far ahead a trend warns. */
+  /** A trend warns if capacity is expected to be reached within this time. */
   readonly horizonUs: number;
-  /** Where a warning by level begins and ends. */
+  /** Utilization at which "nearing" is entered, and below which it is left. */
   readonly nearingUtilization: number;
   readonly nearingExitUtilization: number;
-  /** Where a service counts as overrun, and no longer. */
+  /** Utilization at which "overrun" is entered, and below which it is left. */
   readonly overrunUtilization: number;
   readonly overrunExitUtilization: number;
-  /** The least utilization at which a trend warns. */
+  /** Minimum utilization for a trend to warn. */
   readonly minTrendUtilization: number;
-  /** How many standard errors above 0 a slope must be to be told from noise. */
+  /** Number of standard errors by which a slope must exceed 0 to count as a trend. */
   readonly slopeErrors: number;
-  /** For how many intervals in a row a state must be found before it is entered, and left. */
+  /** Consecutive intervals needed to change to a more severe state, and to a less severe one. */
   readonly enterTicks: number;
   readonly leaveTicks: number;
-  /** Below this rate nothing is known. */
+  /** Minimum rate in requests per second; below it the state is "unknown". */
   readonly minPerS: number;
-  /** Beyond this share of rejected requests a service counts as overrun. */
+  /** Share of rejected requests, 0 to 1, above which a service counts as overrun. */
   readonly overrunRejectedShare: number;
 }
 
-/** What the controllers use. */
+/** Default settings, used by the controllers. */
 export const FORECAST_SETTINGS: ForecastSettings = {
   intervalUs: 2 * SECOND_US,
   trendSamples: 15,
@@ -62,13 +60,13 @@
 };
 
 /** Whether the data plane should act on the state. */
-export const isPressed = (state: CapacityState): boolean =>
+export const isUnderPressure = (state: CapacityState): boolean =>
   state === "nearing" || state === "overrun";
 
 const isState = (value: unknown): value is CapacityState =>
   value === "unknown" || value === "steady" || value === "nearing" || value === "overrun";
 
-/** The states of the register `duty/forecast`; what is no state is left out. */
+/** Parses the register `duty/forecast`; entries with an unknown state are skipped. */
 export const readCapacityStates = (value: unknown): CapacityStates => {
   const record = isRecord(value) ? asRecord(value) : {};
   return Object.fromEntries(
--- a/src/health/decisions-codec.ts
+++ b/src/health/decisions-codec.ts
@@ -1,13 +1,8 @@
-/**
- * The form in which health decisions are stored in the register `duty/ejections` and sent as an
- * update.
- */
+/** Codec of health decisions, as stored in the register `duty/ejections` and sent in updates. */
 import { asRecord, readList, readString, type UnknownRecord } from "../common/decode.js";
 import type { HealthDecisions, ShiftCause, ZonalShift } from "./health-decisions.js";
 
-/**
- * Names of the fields. Stored data and the nodes of other versions have them: they never change.
- */
+/** Field names. They must not change: stored data and nodes of other versions use them. */
 const ZONE = "cell";
 const CAUSE = "why";
 const SAFE_SHARE = "safe";
@@ -37,7 +32,11 @@
   ...(shift.unsafeShare === undefined ? {} : { [UNSAFE_SHARE]: shift.unsafeShare }),
 });
 
-/** @throws if the value has another form */
+/**
+ * Parses stored or received decisions.
+ *
+ * @throws if the value is malformed
+ */
 export const readHealthDecisions = (value: unknown): HealthDecisions => {
   const record = asRecord(value, "decisions");
   const ejections = readList(record, "ejections", asRecord).map((row) => ({
@@ -52,7 +51,7 @@
   };
 };
 
-/** The inverse of `readHealthDecisions`. */
+/** Inverse of {@link readHealthDecisions}. */
 export const packHealthDecisions = (decisions: HealthDecisions): UnknownRecord => ({
   removals: decisions.removals,
   ejections: decisions.ejections.map(({ worker, reason, evidence }) => ({
--- a/src/health/fault-window.ts
+++ b/src/health/fault-window.ts
@@ -1,4 +1,4 @@
-/** The faults of a sliding time window, by worker. */
+/** Sliding time window of faults by worker. */
 import type { Clock } from "../common/clock.js";
 import { SECOND_US } from "../common/duration.js";
 import type { Message } from "../transport/connection.js";
@@ -12,8 +12,8 @@
 }
 
 /**
- * The faults of the window, summed by worker over the reports of all nodes.
- * Invariant: of each (node, incarnation, worker) only the increase over its last report is added.
+ * Sums the faults reported by all nodes over a sliding window, by worker. Invariant: for each (node,
+ * incarnation, worker) only the increase over the last report is added.
  */
 export class FaultWindow {
   private readonly reported = new Map<string, Map<string, number>>();
@@ -25,13 +25,13 @@
     private readonly windowUs: number,
   ) {}
 
-  /** False if the report is malformed, and then nothing of it counts. */
+  /** Adds a report; false if it is malformed, in which case none of it counts. */
   readonly receive = (message: Message): boolean => {
     let report: FaultReport;
     try {
       report = readFaultReport(message);
     } catch {
-      // The caller counts malformed reports; there is nothing else to do about one.
+      // The caller counts malformed reports; nothing else can be done about them.
       return false;
     }
     const { node, incarnation, faults } = report;
@@ -50,7 +50,7 @@
     return true;
   };
 
-  /** The sums of the window. */
+  /** The faults within the window, by worker. */
   readonly byWorker = (): ReadonlyMap<string, number> => {
     this.dropExpired();
     const sums = new Map<string, number>();
--- a/src/health/load-counters.ts
+++ b/src/health/load-counters.ts
@@ -2,20 +2,20 @@
 import { packRowsReport } from "./reports-codec.js";
 
 /**
- * Invariant: every figure only rises within an incarnation, so a report that comes twice, late or
- * out of order adds nothing.
+ * Cumulative load figures. Invariant: they never decrease within an incarnation, so a duplicate, late
+ * or out-of-order report adds nothing.
  */
 interface Usage {
   arrived: number;
-  refused: number;
-  answered: number;
+  rejected: number;
+  completed: number;
   busyUs: number;
 }
 
 /**
- * What one node sees arriving and being answered, by service and by the zone of the workers: cheap,
- * local, and never waited on. What arrives and what is refused for want of room has no workers'
- * zone, and stands under "".
+ * Counts the requests that one node receives, rejects and completes, by service and zone of the
+ * workers, in memory and without blocking requests. Arrivals and rejections for lack of capacity
+ * belong to no worker's zone and are counted under "".
  */
 export class LoadCounters {
   private readonly counts = new Map<string, Usage>();
@@ -24,16 +24,16 @@
   constructor(private readonly incarnation: string) {}
 
   readonly arrived = (service: string): void => {
-    this.of(service, "").arrived += 1;
+    this.usageFor(service, "").arrived += 1;
   };
 
   readonly refused = (service: string): void => {
-    this.of(service, "").refused += 1;
+    this.usageFor(service, "").rejected += 1;
   };
 
   readonly answered = (service: string, zone: string, tookUs: number): void => {
-    const usage = this.of(service, zone);
-    usage.answered += 1;
+    const usage = this.usageFor(service, zone);
+    usage.completed += 1;
     usage.busyUs += tookUs;
   };
 
@@ -41,20 +41,20 @@
     if (this.changed.size === 0) return undefined;
     const rows = [...this.changed].map((key) => {
       const [service = "", zone = ""] = key.split("|");
-      const { arrived, refused, answered, busyUs } = this.counts.get(key) ?? NONE;
-      return [service, zone, arrived, refused, answered, busyUs];
+      const { arrived, rejected, completed, busyUs } = this.counts.get(key) ?? NO_USAGE;
+      return [service, zone, arrived, rejected, completed, busyUs];
     });
     this.changed.clear();
     return packRowsReport("usage", this.incarnation, rows);
   };
 
-  private readonly of = (service: string, zone: string): Usage => {
+  private readonly usageFor = (service: string, zone: string): Usage => {
     const key = `${service}|${zone}`;
-    const usage = this.counts.get(key) ?? { ...NONE };
+    const usage = this.counts.get(key) ?? { ...NO_USAGE };
     this.counts.set(key, usage);
     this.changed.add(key);
     return usage;
   };
 }
 
-const NONE: Readonly<Usage> = { arrived: 0, refused: 0, answered: 0, busyUs: 0 };
+const NO_USAGE: Readonly<Usage> = { arrived: 0, rejected: 0, completed: 0, busyUs: 0 };
--- a/src/health/load-window.ts
+++ b/src/health/load-window.ts
@@ -1,4 +1,4 @@
-/** What the nodes' `usage` reports have risen by since the leader last looked. */
+/** Aggregates the nodes' `usage` reports into increases between two evaluations of the leader. */
 import type { Clock } from "../common/clock.js";
 import { asList, asNumber, asString } from "../common/decode.js";
 import { SECOND_US } from "../common/duration.js";
@@ -6,66 +6,69 @@
 import { readRowsReport } from "./reports-codec.js";
 
 /**
- * Arrived, rejected and completed requests, and the sum of the completed ones' times in
- * microseconds.
+ * Arrived, rejected and completed requests, and the total duration of the completed ones in
+ * microseconds, in this order.
  */
 export type LoadFigures = readonly number[];
 
-/** Nothing arrived. */
+/** Load figures of an idle service. */
 export const NO_LOAD: LoadFigures = [0, 0, 0, 0];
 
-/** The sum by figure. */
+/** Adds two sets of figures element by element. */
 export const addLoad = (one: LoadFigures, other: LoadFigures): LoadFigures =>
-  one.map((value, at) => value + (other[at] ?? 0));
+  one.map((value, index) => value + (other[index] ?? 0));
 
-/**
- * Counts are by service and zone of its workers; without a zone they are for the service as a
- * whole.
- */
+/** Key of the load of a service in one zone of its workers or, without a zone, as a whole. */
 export const loadKey = (service: string, zone = ""): string => `${service}|${zone}`;
 
 interface NodeLoad {
   readonly incarnation: string;
-  heardUs: number;
+  lastReportUs: number;
   readonly rows: Map<string, LoadFigures>;
 }
 
-/** A node that was not heard for so long does not count as heard. */
-const HEARD_US = 6 * SECOND_US;
+/** A node whose last report is older than this does not count as reporting. */
+const REPORT_TIMEOUT_US = 6 * SECOND_US;
 
 const readRow = (value: unknown): { readonly key: string; readonly figures: LoadFigures } => {
   const [service, zone, ...figures] = asList(value, "row");
   return { key: loadKey(asString(service), asString(zone)), figures: figures.map(asNumber) };
 };
 
-/** Invariant: a report that comes twice, late or out of order adds nothing. */
+/** Invariant: a duplicate, late or out-of-order report adds nothing. */
 export class LoadWindow {
   private readonly reported = new Map<string, NodeLoad>();
   private increases = new Map<string, LoadFigures>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** @throws if the report is malformed, and then nothing of it counts */
+  /**
+   * Adds a report.
+   *
+   * @throws if the report is malformed, in which case none of it counts
+   */
   readonly receive = (message: Message): void => {
     const { node, incarnation, rows } = readRowsReport(message, readRow);
     const before = this.reported.get(node);
-    const isNew = before === undefined;
+    const isFirstReport = before === undefined;
     const load: NodeLoad =
-      before?.incarnation === incarnation ? before : { incarnation, heardUs: 0, rows: new Map() };
-    load.heardUs = this.clock.nowUs();
+      before?.incarnation === incarnation
+        ? before
+        : { incarnation, lastReportUs: 0, rows: new Map() };
+    load.lastReportUs = this.clock.nowUs();
     this.reported.set(node, load);
     rows.forEach(({ key, figures }) => {
       const last = load.rows.get(key);
-      // A node heard for the first time has counted from before this leader looked: it only sets
-      // the start.
-      if (last || !isNew)
+      // The counts in a node's first report include load from before this leader's term, so the
+      // report only sets the starting point.
+      if (last || !isFirstReport)
         this.add(
           key,
-          figures.map((figure, at) => Math.max(0, figure - (last?.[at] ?? 0))),
+          figures.map((figure, index) => Math.max(0, figure - (last?.[index] ?? 0))),
         );
       load.rows.set(
         key,
-        figures.map((figure, at) => Math.max(figure, last?.[at] ?? 0)),
+        figures.map((figure, index) => Math.max(figure, last?.[index] ?? 0)),
       );
     });
   };
@@ -77,13 +80,15 @@
     return increases;
   };
 
-  /** How many nodes were heard lately. */
-  readonly nodesHeard = (): number => {
+  /** The number of nodes that have reported recently. */
+  readonly reportingNodes = (): number => {
     const nowUs = this.clock.nowUs();
-    return [...this.reported.values()].filter(({ heardUs }) => nowUs - heardUs <= HEARD_US).length;
+    return [...this.reported.values()].filter(
+      ({ lastReportUs }) => nowUs - lastReportUs <= REPORT_TIMEOUT_US,
+    ).length;
   };
 
-  /** Forgets all reports. */
+  /** Drops all reports. */
   readonly clear = (): void => {
     this.reported.clear();
     this.increases = new Map();
--- a/src/health/maintenance-window.ts
+++ b/src/health/maintenance-window.ts
@@ -1,10 +1,10 @@
-/** A planned maintenance window of a zone: its states, times and settings. */
+/** Planned maintenance window of a zone: stages, times and settings. */
 import { SECOND_US } from "../common/duration.js";
 import type { ZonalShift } from "./health-decisions.js";
 
 /**
- * The stages in their order; a cancelled window goes to returning, or to ended before anything
- * moved.
+ * The stages in order. A cancelled window goes to `returning`, or directly to `ended` if no traffic
+ * was shifted yet.
  */
 export const WINDOW_STAGES = [
   "announced",
@@ -18,9 +18,8 @@
 export type WindowStage = (typeof WINDOW_STAGES)[number];
 
 /**
- * A window as it is stored. Invariants: stages only go forward, and `remainingUs` is the time left
- * until the window opens (announced, moving, clear) or closes (open), as of when this version was
- * written.
+ * A window in its stored form. Invariants: stages only advance; `remainingUs` is the time until the
+ * window opens (announced, moving, clear) or closes (open), as of when this version was written.
  */
 export interface MaintenanceWindow {
   readonly id: string;
@@ -28,40 +27,40 @@
   readonly stage: WindowStage;
   readonly remainingUs: number;
   readonly durationUs: number;
-  /** The share of safe requests that goes to other zones, 0 to 1. */
+  /** The share of safe requests that is shifted to other zones, 0 to 1. */
   readonly safeShare: number;
-  /** The same for unsafe requests. */
+  /** The share of unsafe requests that is shifted to other zones, 0 to 1. */
   readonly unsafeShare: number;
-  /** For the operator, such as `cancelled`. */
+  /** Remark for the operator, such as `cancelled`. */
   readonly note: string;
 }
 
-/** All windows that are stored, oldest first. */
+/** All stored windows, oldest first. */
 export type WindowState = readonly MaintenanceWindow[];
 
-/** The times and limits of windows. */
+/** Timing and limits of maintenance windows. */
 export interface WindowSettings {
-  /** Safe requests leave, and come back, in so many steps. */
+  /** The number of steps in which safe requests are shifted away and returned. */
   readonly steps: number;
   readonly stepUs: number;
   /**
-   * How long the last unsafe request must be gone before the zone counts as clear, beyond the
-   * longest deadline.
+   * Safety margin on top of the longest deadline, so that the last unsafe request has completed. The
+   * zone counts as clear after half of it.
    */
   readonly marginUs: number;
   readonly minDurationUs: number;
   readonly maxDurationUs: number;
   readonly maxOpensInUs: number;
   /**
-   * How often the remaining time is stored; after the loss of every process as much is taken off
-   * it.
+   * How often the remaining time is stored. After a restart of all processes, this much is subtracted
+   * from it.
    */
   readonly saveIntervalUs: number;
-  /** Beyond this share of the other zones' slots the operator is warned. */
+  /** The operator is warned if requests in flight exceed this share of the other zones' slots. */
   readonly maxUtilization: number;
 }
 
-/** What the controllers use. */
+/** Default settings, used by the controllers. */
 export const WINDOW_SETTINGS: WindowSettings = {
   steps: 4,
   stepUs: 3 * SECOND_US,
@@ -73,40 +72,40 @@
   maxUtilization: 0.8,
 };
 
-/** A window that an operator asks for. */
+/** An operator's request for a window. */
 export interface WindowRequest {
   readonly zone: string;
   readonly opensInUs: number;
   readonly durationUs: number;
 }
 
-const REASON = "A planned window.";
+const SHIFT_REASON = "A planned window.";
 
-/** Whether requests of the zone go elsewhere because of the window. */
-export const isMoving = ({ stage }: MaintenanceWindow): boolean =>
+/** Whether the window is in a stage in which traffic of its zone is shifted. */
+export const isTrafficShifted = ({ stage }: MaintenanceWindow): boolean =>
   stage !== "ended" && stage !== "announced";
 
-/** The zonal shift that the window wants; undefined once it has ended. */
+/** The zonal shift that the window requires; undefined once it has ended. */
 export const shiftFor = (window: MaintenanceWindow): ZonalShift | undefined =>
   window.stage === "ended"
     ? undefined
     : {
         zone: window.zone,
         cause: "window",
-        reason: REASON,
+        reason: SHIFT_REASON,
         safeShare: window.safeShare,
         unsafeShare: window.unsafeShare,
       };
 
 /**
- * How long before its opening a window begins to move requests.
+ * The time before its opening at which a window starts to shift traffic.
  *
- * @param longestDeadlineUs - the longest time that any request may be in flight
+ * @param longestDeadlineUs - the longest deadline of any request
  */
 export const leadTimeUs = (settings: WindowSettings, longestDeadlineUs: number): number =>
   settings.steps * settings.stepUs + longestDeadlineUs + settings.marginUs;
 
-/** Whether a window and a request for another one would move requests at the same time. */
+/** Whether an existing window and a requested one would shift traffic at the same time. */
 export const overlaps = (
   window: MaintenanceWindow,
   request: WindowRequest,
--- a/src/health/maintenance-windows.ts
+++ b/src/health/maintenance-windows.ts
@@ -1,6 +1,7 @@
 /**
- * Maintenance windows on the leader: takes each window through its stages, stores every step before
- * it shifts traffic by it, and takes the operator's commands. The stages are in `window-stages.ts`.
+ * Maintenance windows on the leader: advances each window through its stages, persists every step
+ * before shifting traffic, and executes the operator's commands. The state machine is in
+ * `window-stages.ts`.
  */
 import { err, ok, type Result } from "true-myth/result";
 import type { Clock, Timer } from "../common/clock.js";
@@ -20,7 +21,7 @@
 } from "./errors.js";
 import type { ZonalShift } from "./health-decisions.js";
 import {
-  isMoving,
+  isTrafficShifted,
   leadTimeUs,
   overlaps,
   shiftFor,
@@ -38,7 +39,7 @@
 import { nextActions, type WindowView } from "./window-stages.js";
 import { WindowTimeTable, type WindowTimes } from "./window-times.js";
 
-/** What the windows need of their surroundings. */
+/** Dependencies of {@link MaintenanceWindows}. */
 export interface MaintenanceWindowsOptions {
   readonly clock: Clock;
   readonly log: Logger;
@@ -46,35 +47,32 @@
   readonly isLeader: () => boolean;
   readonly state: () => WindowState;
   /**
-   * For how long this process has known the present version of the state; undefined after a start
-   * from disk.
+   * How long ago this process learned the current version of the state; undefined if it was loaded
+   * from disk at start-up.
    */
   readonly stateAgeUs: () => number | undefined;
-  /**
-   * Makes the state durable under the leader's term; false if a newer term or no quorum prevented
-   * it.
-   */
+  /** Persists the state under the leader's term; false on a newer term or a lost quorum. */
   readonly publish: (state: WindowState) => Promise<boolean>;
   readonly shift: () => ZonalShift | undefined;
   readonly setShift: (shift: ZonalShift | undefined) => Promise<boolean>;
   /** The zones of all workers and nodes. */
   readonly zones: () => readonly string[];
   readonly workers: () => readonly ZoneWorker[];
-  /** The longest time that any request may be in flight. */
+  /** The longest deadline of any request. */
   readonly longestDeadlineUs: () => number;
-  /** Whether the controllers of the other zones are a quorum alone. */
+  /** Whether the controllers of the other zones form a quorum. */
   readonly hasQuorumWithout: (zone: string) => boolean;
   /** Requests in flight, by service. */
   readonly inFlight: () => ReadonlyMap<string, number>;
-  /** Gives the leadership to a controller outside the zone, if this one is inside. */
+  /** Transfers leadership to a controller in another zone, if this one is in the given zone. */
   readonly moveLeadershipOutOf: (zone: string) => Promise<void>;
 }
 
 const TICK_US = SECOND_US / 2;
-/** From this many stored windows on, a new one takes the place of the ended ones. */
+/** Once this many windows are stored, adding another one drops those that have ended. */
 const MAX_STORED = 20;
 
-/** Invariant: at most one window moves requests at a time. */
+/** Invariant: at most one window shifts traffic at a time. */
 export class MaintenanceWindows {
   private readonly times: WindowTimeTable;
   private timer: Timer | undefined;
@@ -85,22 +83,22 @@
     this.times = new WindowTimeTable(options.clock);
   }
 
-  /** Begins to look after the windows. */
+  /** Starts advancing the windows periodically. */
   readonly start = (): void => {
     this.timer = this.options.clock.every(TICK_US, () => void this.tick());
   };
 
-  /** Ends looking after them; a window under way is taken on by the next leader. */
+  /** Stops advancing the windows; the next leader continues an active one. */
   readonly stop = (): void => this.timer?.stop();
 
-  /** Adds a window under a new id; the warnings that it gives do not refuse it. */
+  /** Adds a window under a new id. Capacity warnings are returned but do not reject it. */
   readonly add = async (
     request: WindowRequest,
     id: string,
   ): Promise<Result<readonly string[], WindowError>> => {
     const { state, publish, log } = this.options;
     const current = this.current();
-    const error = this.findObstacle(request, current);
+    const error = this.validateRequest(request, current);
     if (error) return err(error);
     const window: MaintenanceWindow = {
       id,
@@ -126,21 +124,21 @@
       : err(new WindowNotStoredError());
   };
 
-  /** Cancels a window: what has moved returns. Undefined if it is done. */
+  /** Cancels a window and returns its shifted traffic. Undefined on success. */
   readonly cancel = (id: string): Promise<WindowError | undefined> =>
-    this.change(id, (window) => ({
+    this.updateWindow(id, (window) => ({
       ...window,
       stage: window.stage === "announced" ? "ended" : "returning",
       note: "cancelled",
     }));
 
-  /** Makes a coming or an open window longer. Undefined if it is done. */
+  /** Extends a window that is not yet returning traffic. Undefined on success. */
   readonly extend = async (id: string, byUs: number): Promise<WindowError | undefined> => {
     const current = this.current();
     const found = current.find((window) => window.id === id);
-    const error = found && this.findObstacleToExtend(found, byUs, current);
+    const error = found && this.validateExtension(found, byUs, current);
     if (error) return error;
-    return this.change(id, (window) => {
+    return this.updateWindow(id, (window) => {
       if (window.stage === "returning") return undefined;
       const times = this.times.get(id);
       if (times) times.closesUs += byUs;
@@ -152,12 +150,12 @@
     });
   };
 
-  /** Every window with its stage, as the operator's query answers it. */
+  /** Every window with its stage, in the form returned to operators. */
   readonly explain = (): UnknownRecord => ({
     windows: this.current().map((window) => explainWindow(window, this.warnings)),
   });
 
-  /** Looks after the windows once, if this process is the leader and no look is under way. */
+  /** Advances the windows once on the leader; skipped while a tick is running. */
   readonly tick = async (): Promise<void> => {
     if (this.isTicking) return;
     this.isTicking = true;
@@ -169,14 +167,14 @@
         return;
       }
       if (!this.wasLeader) {
-        // How long every process was gone is not known: what may have passed since the last save is
-        // taken off.
+        // Subtracts the time since the state was stored. After a restart of all processes that time is
+        // unknown, and one save interval is assumed.
         state().forEach((window) =>
           this.times.track(window, stateAgeUs() ?? settings.saveIntervalUs),
         );
         this.wasLeader = true;
       }
-      const next = this.current().find(isMoving) ?? this.nextAnnounced();
+      const next = this.current().find(isTrafficShifted) ?? this.nextAnnounced();
       if (next) await this.advance(next);
       await this.reconcile();
     } finally {
@@ -187,7 +185,7 @@
   private readonly leadUs = (): number =>
     leadTimeUs(this.options.settings, this.options.longestDeadlineUs());
 
-  /** The windows with the time that remains by now. */
+  /** The windows with their remaining time updated to now. */
   private readonly current = (): WindowState => this.options.state().map(this.times.update);
 
   private readonly nextAnnounced = (): MaintenanceWindow | undefined =>
@@ -195,7 +193,7 @@
       .filter(({ stage }) => stage === "announced")
       .sort((a, b) => a.remainingUs - b.remainingUs)[0];
 
-  private readonly findObstacle = (
+  private readonly validateRequest = (
     request: WindowRequest,
     current: WindowState,
   ): WindowError | undefined => {
@@ -214,7 +212,7 @@
     return this.hasOverlap(request, current) ? new WindowOverlapError() : undefined;
   };
 
-  private readonly findObstacleToExtend = (
+  private readonly validateExtension = (
     window: MaintenanceWindow,
     byUs: number,
     current: WindowState,
@@ -232,7 +230,7 @@
   private readonly hasOverlap = (request: WindowRequest, windows: WindowState): boolean =>
     windows.some((window) => overlaps(window, request, this.options.settings, this.leadUs()));
 
-  private readonly change = async (
+  private readonly updateWindow = async (
     id: string,
     change: (window: MaintenanceWindow) => MaintenanceWindow | undefined,
   ): Promise<WindowError | undefined> => {
@@ -263,8 +261,8 @@
       if (action.kind === "store") await this.store(action.window);
       else if (action.kind === "moveLeadership")
         await this.options.moveLeadershipOutOf(window.zone);
-      else if (action.kind === "noteDark") times.wasDark = true;
-      else if (action.isRepeated) this.warnOnce(times, action.message, action.fields);
+      else if (action.kind === "noteDark") times.wasZoneUnready = true;
+      else if (action.isLoggedOnce) this.warnOnce(times, action.message, action.fields);
       else this.options.log.warn(action.message, action.fields);
     }
   };
@@ -275,20 +273,20 @@
     return {
       window,
       settings,
-      inStageUs: nowUs - times.stageSinceUs,
+      timeInStageUs: nowUs - times.stageSinceUs,
       closesInUs: times.closesUs - nowUs,
       leadUs: this.leadUs(),
       longestDeadlineUs: longestDeadlineUs(),
       shift,
       isZoneReady: () => workers().some((worker) => worker.zone === window.zone && worker.isReady),
-      wasZoneDark: times.wasDark,
+      wasZoneUnready: times.wasZoneUnready,
       warnings: () => this.warnings(window.zone),
     };
   };
 
   /**
-   * Makes the new state durable first, then shifts by it; if the leader fails between, the next one
-   * shifts by it.
+   * Persists the window before applying its shift; if the leader fails in between, the next one
+   * applies the shift.
    */
   private readonly store = async (window: MaintenanceWindow): Promise<void> => {
     const { publish, clock, log, setShift } = this.options;
@@ -298,7 +296,7 @@
     const times = this.times.get(window.id);
     if (times && former?.stage !== window.stage) {
       times.stageSinceUs = clock.nowUs();
-      log.info("maintenance window entered a stage", {
+      log.info("maintenance window changed stage", {
         window: window.id,
         zone: window.zone,
         stage: window.stage,
@@ -308,10 +306,7 @@
     await setShift(shiftFor(window));
   };
 
-  /**
-   * Corrects a shift that is not as the stages want it, and stores the remaining times now and
-   * then.
-   */
+  /** Corrects a shift that differs from the required one and periodically saves remaining times. */
   private readonly reconcile = async (): Promise<void> => {
     const { clock, settings, publish, setShift } = this.options;
     const nowUs = clock.nowUs();
@@ -329,19 +324,19 @@
     });
   };
 
-  /** The shift that is wanted, if the one in force is another. */
+  /** The required shift, if it differs from the one in effect. */
   private readonly correctionOf = (
     windows: WindowState,
   ): { readonly shift: ZonalShift | undefined } | undefined => {
     const now = this.options.shift();
-    const moving = windows.find(isMoving);
-    if (!moving) return now?.cause === "window" ? { shift: undefined } : undefined;
+    const activeWindow = windows.find(isTrafficShifted);
+    if (!activeWindow) return now?.cause === "window" ? { shift: undefined } : undefined;
     const isAsWanted =
       now?.cause === "window" &&
-      now.zone === moving.zone &&
-      now.safeShare === moving.safeShare &&
-      now.unsafeShare === moving.unsafeShare;
-    return isAsWanted ? undefined : { shift: shiftFor(moving) };
+      now.zone === activeWindow.zone &&
+      now.safeShare === activeWindow.safeShare &&
+      now.unsafeShare === activeWindow.unsafeShare;
+    return isAsWanted ? undefined : { shift: shiftFor(activeWindow) };
   };
 
   private readonly warnings = (zone: string): readonly string[] => {
@@ -349,7 +344,7 @@
     return capacityWarnings(zone, workers(), inFlight(), settings.maxUtilization);
   };
 
-  /** Logs a warning unless the last one about the window differs from it in numbers alone. */
+  /** Logs a warning, unless it equals the window's last one apart from numbers. */
   private readonly warnOnce = (times: WindowTimes, message: string, fields: LogFields): void => {
     const line = `${message} ${JSON.stringify(fields)}`.replace(/\d+/g, "");
     if (times.lastWarning === line) return;
--- a/src/health/outcome-report.ts
+++ b/src/health/outcome-report.ts
@@ -1,27 +1,35 @@
-/** The rows of a node's `rollout` report, and what they add to an earlier one. */
+/** Rows of a node's `rollout` report and their increase over an earlier report. */
 import { asList, asNumber, asString } from "../common/decode.js";
 import { NO_OUTCOMES, type OutcomeCounts } from "./sequential-test.js";
 
-/** The cumulative outcomes that a node saw of one service in one stratum. */
+/** Cumulative outcomes of one service in one stratum, as observed by one node. */
 export interface OutcomeRow {
   readonly route: string;
   readonly version: number;
   readonly service: string;
   readonly stratum: string;
   readonly counts: OutcomeCounts;
-  /** Failures of the system itself or of the node's links, which count against no service. */
-  readonly ownFailures: number;
+  /** Failures of the system itself or of the node's links, attributed to no service. */
+  readonly unattributedFailures: number;
 }
 
 const readCount = (value: unknown): number => {
   const count = asNumber(value);
-  if (!Number.isSafeInteger(count) || count < 0) throw new TypeError(`${count} is no count`);
+  if (!Number.isSafeInteger(count) || count < 0)
+    throw new TypeError(`expected a non-negative integer count, got ${count}`);
   return count;
 };
 
-/** @throws if the row has another form or a count is negative */
+/**
+ * Parses a row.
+ *
+ * @throws if the row is malformed or a count is not a non-negative integer
+ */
 export const readOutcomeRow = (value: unknown): OutcomeRow => {
-  const [route, version, service, stratum, inTime, late, lost, doubled, own] = asList(value, "row");
+  const [route, version, service, stratum, inTime, late, lost, doubled, unattributed] = asList(
+    value,
+    "row",
+  );
   return {
     route: asString(route),
     version: readCount(version),
@@ -33,17 +41,17 @@
       lost: readCount(lost),
       doubled: readCount(doubled),
     },
-    ownFailures: readCount(own),
+    unattributedFailures: readCount(unattributed),
   };
 };
 
-/** What `row` says, apart from its counts. */
+/** Identifies a row by everything except its counts. */
 export const keyOf = (row: OutcomeRow): string =>
   `${row.route}\n${row.version}\n${row.service}\n${row.stratum}`;
 
 /**
- * By how much the counts have risen since an earlier row; undefined if any fell: the row is older
- * or repeated.
+ * The increase of the counts over an earlier row; undefined if any count decreased, which means that
+ * the row is out of date.
  */
 export const increaseOf = (
   row: OutcomeRow,
--- a/src/health/outlier-detector.ts
+++ b/src/health/outlier-detector.ts
@@ -1,6 +1,6 @@
 /**
- * Outlier detection on the leader: rank workers by faults, alarm on an outlier, take a token, eject
- * one worker. The mechanism is that of "Building on AWS resilience: Innovations for critical
+ * Outlier detection on the leader: ranks workers by faults, detects an outlier, takes a token and
+ * ejects one worker. The mechanism follows "Building on AWS resilience: Innovations for critical
  * success", ARC207.
  */
 import type { Clock, Timer } from "../common/clock.js";
@@ -21,7 +21,7 @@
 import { RemovalTokenBucket } from "./removal-token-bucket.js";
 import { ZonalShiftController, type ObservedWorker } from "./zonal-shift.js";
 
-/** What a detector needs of its surroundings. */
+/** Dependencies of {@link OutlierDetector}. */
 export interface OutlierDetectorOptions {
   readonly clock: Clock;
   readonly log: Logger;
@@ -30,20 +30,17 @@
   readonly term: () => number;
   readonly workers: () => readonly ObservedWorker[];
   readonly decisions: () => HealthDecisions;
-  /**
-   * Makes decisions durable under the leader's term; false if a newer term or no quorum prevented
-   * it.
-   */
+  /** Persists the decisions under the leader's term; false on a newer term or a lost quorum. */
   readonly publish: (decisions: HealthDecisions) => Promise<boolean>;
 }
 
 const TICK_US = 5 * SECOND_US;
-/** How many workers an answer to the operator lists. */
+/** Maximum number of workers listed in a response to an operator. */
 const MAX_LISTED_WORKERS = 20;
 
-/** Receives the nodes' fault reports; the leader decides every few seconds, one step at a time. */
+/** Aggregates the nodes' fault reports; on the leader, takes at most one action per tick. */
 export class OutlierDetector {
-  /** Zonal shifts, which are decided after the ejections. */
+  /** Decides on zonal shifts, after the ejections in each tick. */
   readonly zonalShift: ZonalShiftController;
   private readonly window: FaultWindow;
   private readonly tokens: RemovalTokenBucket;
@@ -72,20 +69,20 @@
     });
   }
 
-  /** Begins to decide. */
+  /** Starts the periodic evaluation. */
   readonly start = (): void => {
     this.timer = this.options.clock.every(TICK_US, () => void this.tick());
   };
 
-  /** Ends deciding. */
+  /** Stops the periodic evaluation. */
   readonly stop = (): void => this.timer?.stop();
 
-  /** Counts a node's report; a malformed one is only counted as such. */
+  /** Aggregates a node's report; a malformed one only increments `malformedReports`. */
   readonly receive = (report: Message): void => {
     if (!this.window.receive(report)) this.malformedReports += 1;
   };
 
-  /** What is decided and what led to it, as the operator's query answers it. */
+  /** The decisions and their basis, in the form returned to operators. */
   readonly explain = (): UnknownRecord => {
     const { isLeader, term, decisions } = this.options;
     const faults = [...this.window.byWorker()]
@@ -102,7 +99,7 @@
     };
   };
 
-  /** Decides once, if this process is the leader and no decision is under way. */
+  /** Decides once on the leader; skipped while a decision is in progress. */
   readonly tick = async (): Promise<void> => {
     if (this.isTicking) return;
     this.isTicking = true;
@@ -131,10 +128,10 @@
     if (await this.zonalShift.endExpired()) return;
     if (await this.ejectOutlier()) return;
     if (await this.zonalShift.shiftOutlier()) return;
-    await this.zonalShift.practiseWeekly();
+    await this.zonalShift.startWeeklyPractice();
   };
 
-  /** Ends the ejections whose time is over or whose worker has gone; true if there were any. */
+  /** Ends the ejections that have expired or whose worker has left; true if there were any. */
   private readonly endEjections = async (): Promise<boolean> => {
     const { clock, settings, decisions, workers, publish, log } = this.options;
     const nowUs = clock.nowUs();
@@ -159,7 +156,7 @@
     return true;
   };
 
-  /** Ejects the worker that stands out, if a token and the cap allow it; true if it tried to. */
+  /** Ejects the outlier, if a token is available and the cap allows it; true if attempted. */
   private readonly ejectOutlier = async (): Promise<boolean> => {
     const { workers, decisions, publish, log, clock, term } = this.options;
     const present = new Map(workers().map((worker) => [worker.id, worker]));
--- a/src/health/outlier-ranking.ts
+++ b/src/health/outlier-ranking.ts
@@ -1,27 +1,27 @@
-/** Who stands out: the ranking of workers or zones by their faults. */
+/** Ranks workers or zones by their faults and finds outliers. */
 import { SECOND_US } from "../common/duration.js";
 
-/** The thresholds of outlier detection. */
+/** Settings of outlier detection. */
 export interface OutlierSettings {
-  /** How long a fault counts. */
+  /** Length of the sliding window of faults. */
   readonly windowUs: number;
-  /** One worker or zone with this share of all faults is an outlier. */
+  /** A worker or zone with at least this share of all faults, 0 to 1, is an outlier. */
   readonly alarmShare: number;
-  /** Below this many faults in the window no worker is an outlier. */
+  /** Minimum number of faults in the window for a worker to be an outlier. */
   readonly minFaults: number;
-  /** Below this many faults in the window no zone is an outlier. */
+  /** Minimum number of faults in the window for a zone to be an outlier. */
   readonly minZoneFaults: number;
-  /** The time between two removals. */
+  /** Minimum time between two removals. */
   readonly removalIntervalUs: number;
-  /** At most this share of a service's workers is ejected at once. */
+  /** Maximum share of a service's workers that may be ejected or missing at once, 0 to 1. */
   readonly maxEjectedShare: number;
   /** How long an ejection or a zonal shift lasts. */
   readonly ejectionUs: number;
 }
 
 /**
- * The figures of the paper ("Building on AWS resilience: Innovations for critical success",
- * ARC207): 66% of the faults in 5 minutes, one removal in 10, and a cap.
+ * Default settings, after "Building on AWS resilience: Innovations for critical success", ARC207: 66%
+ * of the faults within 5 minutes, one removal per 10 minutes, and a cap.
  */
 export const OUTLIER_SETTINGS: OutlierSettings = {
   windowUs: 300 * SECOND_US,
@@ -33,7 +33,7 @@
   ejectionUs: 600 * SECOND_US,
 };
 
-/** The worker or zone that stands out. */
+/** A worker or zone with an outlying share of the faults. */
 export interface Outlier {
   readonly id: string;
   readonly faults: number;
@@ -42,7 +42,7 @@
   readonly share: number;
 }
 
-/** The one with the alarm's share of all faults, if there are enough of them to tell. */
+/** The entry with at least `alarmShare` of all faults, if there are at least `minFaults`. */
 export const findOutlier = (
   sums: ReadonlyMap<string, number>,
   minFaults: number,
@@ -56,6 +56,6 @@
     : undefined;
 };
 
-/** The sentence for the operator. */
+/** One sentence that describes the outlier to the operator. */
 export const describeOutlier = (outlier: Outlier): string =>
   `${outlier.id} holds ${outlier.faults} of ${outlier.totalFaults} faults (${Math.round(outlier.share * 100)}%).`;
--- a/src/health/removal-token-bucket.ts
+++ b/src/health/removal-token-bucket.ts
@@ -1,4 +1,4 @@
-/** The rate limit of removals. */
+/** Rate limit of removals. */
 import type { Clock } from "../common/clock.js";
 
 /**
@@ -14,29 +14,28 @@
     private readonly intervalUs: number,
   ) {}
 
-  /** A new leader does not know when a token was last taken. */
+  /** Resets the bucket: a new leader does not know when the token was last taken. */
   readonly beginLeadership = (): void => {
     this.takenUs = undefined;
     this.leaderSinceUs = this.clock.nowUs();
   };
 
-  /** Who is not the leader knows of no token but one that it took itself. */
+  /** Ends the leadership; only a token that this process took itself is remembered. */
   readonly endLeadership = (): void => {
     this.leaderSinceUs = undefined;
   };
 
   /**
-   * Whether there is a token.
+   * Whether the token is available.
    *
-   * @param removals - how many were ever made: after the first one, a new leader starts with the
-   *   token spent
+   * @param removals - total removals ever made; if above 0, a new leader starts with the token spent
    */
   readonly hasToken = (removals: number): boolean => {
     const sinceUs = this.takenUs ?? (removals > 0 ? this.leaderSinceUs : undefined);
     return sinceUs === undefined || this.clock.nowUs() - sinceUs >= this.intervalUs;
   };
 
-  /** Takes the token, after a removal was made durable. */
+  /** Takes the token, once a removal has been persisted. */
   readonly take = (): void => {
     this.takenUs = this.clock.nowUs();
   };
--- a/src/health/reports-codec.ts
+++ b/src/health/reports-codec.ts
@@ -1,27 +1,27 @@
 /**
- * The messages in which nodes report what they counted: `faults`, `rollout` and `usage`. A node
- * sends them without its name, which its session adds.
+ * Codec of the nodes' count reports: `faults`, `rollout` and `usage`. A node sends them without its
+ * name; the session adds it.
  */
 import { asList, asNumber, asString, readList, readString } from "../common/decode.js";
 import type { Message } from "../transport/connection.js";
 
-/** Names of the fields. Nodes of other versions have them: they never change. */
+/** Field names. They must not change: nodes of other versions use them. */
 const INCARNATION = "life";
 const FAULTS = "workers";
 const ROWS = "rows";
 
-/** Who reports; counts only rise within an incarnation. */
+/** The reporting node. Counts never decrease within an incarnation. */
 interface ReportSource {
   readonly node: string;
   readonly incarnation: string;
 }
 
-/** The faults of workers: cumulative, and only of those whose count has changed. */
+/** Cumulative faults of the workers whose count has changed. */
 export interface FaultReport extends ReportSource {
   readonly faults: readonly (readonly [worker: string, faults: number])[];
 }
 
-/** Rows whose columns the receiver knows. */
+/** A report of rows, whose columns depend on the kind of message. */
 export interface RowsReport<Row> extends ReportSource {
   readonly rows: readonly Row[];
 }
@@ -31,7 +31,11 @@
   incarnation: readString(message, INCARNATION),
 });
 
-/** @throws if the message has another form */
+/**
+ * Parses a fault report.
+ *
+ * @throws if the message is malformed
+ */
 export const readFaultReport = (message: Message): FaultReport => ({
   ...readSource(message),
   faults: asList(message[FAULTS], FAULTS).map((value) => {
@@ -40,19 +44,23 @@
   }),
 });
 
-/** The message of one node; see `FaultReport`. */
+/** Builds a node's `faults` message; see {@link FaultReport}. */
 export const packFaultReport = (
   incarnation: string,
   faults: readonly (readonly [worker: string, faults: number])[],
 ): Message => ({ kind: "faults", [INCARNATION]: incarnation, [FAULTS]: faults });
 
-/** @throws if the message or one of its rows has another form */
+/**
+ * Parses a report of rows.
+ *
+ * @throws if the message or one of its rows is malformed
+ */
 export const readRowsReport = <Row>(
   message: Message,
   readRow: (value: unknown) => Row,
 ): RowsReport<Row> => ({ ...readSource(message), rows: readList(message, ROWS, readRow) });
 
-/** The message of one node. */
+/** Builds a node's `rollout` or `usage` message; see {@link RowsReport}. */
 export const packRowsReport = (
   kind: "rollout" | "usage",
   incarnation: string,
--- a/src/health/route-comparison.ts
+++ b/src/health/route-comparison.ts
@@ -1,4 +1,4 @@
-/** One split route: a sequential test for each candidate against the route's baseline. */
+/** Compares each candidate of one split route with the route's baseline by a sequential test. */
 import type { UnknownRecord } from "../common/decode.js";
 import { MILLISECOND_US } from "../common/duration.js";
 import { findStop, type CanaryState, type CanaryStop, type SplitRoute } from "./canary-state.js";
@@ -11,17 +11,17 @@
   type TestResult,
 } from "./sequential-test.js";
 
-/** A test's result, and when it came to it. */
+/** A test result with the time at which its decision was reached. */
 export interface TimedResult extends TestResult {
-  /** Since the comparison began. */
+  /** Time from the start of the comparison to the decision. */
   readonly afterUs: number;
 }
 
-/** Lives as long as the route's version is in force, or until the operator clears its stop. */
+/** Exists while the route version is in force, or until an operator clears its stop. */
 export class RouteComparison {
   private readonly tests: ReadonlyMap<string, SequentialTest>;
   private readonly results = new Map<string, TimedResult>();
-  private ownFailures = 0;
+  private unattributedFailures = 0;
 
   constructor(
     readonly route: SplitRoute,
@@ -38,16 +38,16 @@
     );
   }
 
-  /** Every service but the baseline. */
+  /** All services of the route except the baseline. */
   readonly candidates = (): readonly string[] => [...this.tests.keys()];
 
-  /** Whether the route sends a share of its traffic to the service. */
+  /** Whether the route sends traffic to the service. */
   readonly includes = (service: string): boolean =>
     this.route.shares.some((share) => share.service === service);
 
-  /** Adds what a report has risen by. */
-  readonly add = (row: OutcomeRow, increase: OutcomeCounts, ownFailures: number): void => {
-    this.ownFailures += ownFailures;
+  /** Adds the increase of a report over the previous one. */
+  readonly add = (row: OutcomeRow, increase: OutcomeCounts, unattributedFailures: number): void => {
+    this.unattributedFailures += unattributedFailures;
     if (row.service === this.baseline)
       this.tests.forEach((test) => test.addBaseline(row.stratum, increase));
     else this.tests.get(row.service)?.addCandidate(row.stratum, increase);
@@ -56,7 +56,7 @@
   /**
    * Evaluates every test.
    *
-   * @returns by candidate, the result and whether the decision is a new one
+   * @returns for each candidate, the result and whether its decision has changed
    */
   readonly evaluate = (
     nowUs: number,
@@ -71,7 +71,7 @@
       return { candidate, result, isNew };
     });
 
-  /** The stop that a result means. */
+  /** The stop record for a candidate's result. */
   readonly stopFor = (candidate: string, result: TestResult): CanaryStop => ({
     route: this.route.name,
     version: this.route.version,
@@ -81,7 +81,7 @@
     evidence: evidenceOf(result, this.settings),
   });
 
-  /** One candidate as the operator's query answers it; the names of the fields stay. */
+  /** A candidate in the form returned to operators. Field names are part of the API. */
   // eslint-disable-next-line complexity -- one flat record, whose optional fields count as branches
   readonly explain = (candidate: string, state: CanaryState): UnknownRecord => {
     const { route, baseline } = this;
@@ -105,14 +105,14 @@
       seen: {
         candidate: candidateCounts,
         baseline: baselineCounts,
-        heldAgainstNobody: this.ownFailures,
+        heldAgainstNobody: this.unattributedFailures,
       },
       evidence: stop?.evidence ?? (result ? evidenceOf(result, this.settings) : {}),
     };
   };
 }
 
-/** The figures behind a result; stored with a stop and answered to operators, so the names stay. */
+/** Evidence of a result. Stored with a stop and returned to operators: field names are fixed. */
 const evidenceOf = (result: TestResult, settings: SequentialTestSettings): UnknownRecord => ({
   candidate: result.candidate,
   baseline: result.baseline,
--- a/src/health/sequential-test.ts
+++ b/src/health/sequential-test.ts
@@ -1,15 +1,15 @@
 /**
- * Sequential tests that stay valid however often one looks: each is a product of bets whose mean is
- * at most 1 while its null holds, so by Ville's inequality it ever reaches 1/a with probability a
- * at most.
+ * Sequential tests that remain valid under continuous monitoring. Each test maintains an e-value, a
+ * product of bets whose expectation is at most 1 under the null hypothesis. By Ville's inequality the
+ * e-value ever reaches 1/a with probability at most a.
  */
 
-/** What became of one request. The order is the order of weight. */
+/** Outcomes of a request, in order of increasing severity. */
 export const OUTCOME_KINDS = ["inTime", "late", "lost", "doubled"] as const;
-/** One of the outcomes a request can have. */
+/** One of `OUTCOME_KINDS`. */
 export type OutcomeKind = (typeof OUTCOME_KINDS)[number];
 
-/** How many requests had each outcome. */
+/** Number of requests by outcome. */
 export interface OutcomeCounts {
   readonly inTime: number;
   readonly late: number;
@@ -33,8 +33,8 @@
 });
 
 /**
- * The loss of a request by its outcome; one in time has none. A lost request is weighed by whether
- * its route is safe.
+ * Loss of a request by its outcome; a request in time has none. The weight of a lost request depends
+ * on whether its route is safe.
  */
 export interface LossWeights {
   readonly late: number;
@@ -43,38 +43,40 @@
   readonly doubled: number;
 }
 
-/** Error probabilities, margins and limits of the tests. Rates and losses are per request. */
+/** Weights, error probabilities, margins and limits. Rates and losses are per request. */
 export interface SequentialTestSettings {
   readonly weights: LossWeights;
   /**
-   * The chance at most that a candidate no worse than the baseline is ever stopped by the test of
+   * Maximum probability that a candidate no worse than the baseline is ever stopped by the test of
    * all losses.
    */
   readonly maxFalseStopProbability: number;
-  /** The same for the stricter test of possibly doubled requests alone. */
+  /** The same for the stricter test of possibly duplicated requests alone. */
   readonly maxFalseDuplicationStopProbability: number;
-  /** The chance at most that a candidate worse by the tolerance or more ever passes. */
+  /** Maximum probability that a candidate worse by the margin or more ever passes. */
   readonly maxFalsePassProbability: number;
-  /**
-   * How many times the baseline's rate of a loss a candidate may have and still count as no worse.
-   */
+  /** A candidate with at most this multiple of the baseline's rate of a loss counts as no worse. */
   readonly maxRateRatio: number;
   /**
-   * The difference in weighted loss for each request below which nobody is stopped, but for doubled
-   * ones.
+   * Minimum difference in weighted loss per request for a stop. Does not apply to stops for possibly
+   * duplicated requests.
    */
   readonly minStopDifference: number;
   /**
-   * The difference in weighted loss for each request that a pass rules out, as a part of the
-   * heaviest loss.
+   * Difference in weighted loss per request that a pass rules out, as a fraction of the largest
+   * weight.
    */
   readonly nonInferiorityMargin: number;
-  /** The difference in the rate of possibly doubled requests that a pass rules out besides. */
+  /**
+   * Difference in the rate of possibly duplicated requests that a pass of an unsafe route also rules
+   * out.
+   */
   readonly duplicationMargin: number;
+  /** Candidate requests after which an undecided test is inconclusive. */
   readonly maxRequests: number;
 }
 
-/** The settings of the tests; a deployment may replace the weights. */
+/** Default settings; a deployment may override the weights. */
 export const SEQUENTIAL_TEST_SETTINGS: SequentialTestSettings = {
   weights: { late: 0.3, lostSafe: 1, lostUnsafe: 2, doubled: 5 },
   maxFalseStopProbability: 0.01,
@@ -87,28 +89,28 @@
   maxRequests: 20_000,
 };
 
-/** The average of products given by their logarithms. */
-const averageOf = (logs: readonly number[]): number =>
+/** The mean of e-values given by their logarithms. */
+const meanOfExponentials = (logs: readonly number[]): number =>
   logs.reduce((sum, log) => sum + Math.exp(Math.min(log, 500)), 0) / logs.length;
 
-const WORSE_BY = [2, 5, 15];
+/** Alternative hypotheses: rates at these multiples of the highest rate under the null. */
+const RATE_RATIOS = [2, 5, 15];
 
 /**
- * Whose are the events? While the candidate's rate of an event is at most `leeway` times the
- * baseline's, an event is the candidate's with a chance of at most its part of the concurrent
- * requests. The bets say that it is 2, 5 or 15 times that, and are averaged, since an average of
- * such products is one too.
+ * Tests whether the candidate has a higher rate of an event than the baseline. Under the null, the
+ * candidate's rate is at most `maxRateRatio` times the baseline's, so an event belongs to the
+ * candidate with a probability of at most its share of the concurrent requests, weighted by that
+ * ratio. Each bet assumes odds that are 2, 5 or 15 times as high. The e-values are averaged, since a
+ * mean of e-values is an e-value.
  */
 export class InferiorityTest {
-  /** Invariant: one logarithm of a product for each of WORSE_BY. */
-  private readonly logs = WORSE_BY.map(() => 0);
+  /** Invariant: one logarithm of an e-value for each of `RATE_RATIOS`. */
+  private readonly logEValues = RATE_RATIOS.map(() => 0);
 
-  constructor(private readonly leeway: number) {}
+  constructor(private readonly maxRateRatio: number) {}
 
-  /**
-   * Events of one kind among concurrent requests; a weight below 1 makes the bet that much smaller.
-   */
-  readonly take = (
+  /** Adds events of one kind among concurrent requests; a weight below 1 scales the bet down. */
+  readonly update = (
     candidateEvents: number,
     baselineEvents: number,
     candidateSize: number,
@@ -116,46 +118,54 @@
     weight: number,
   ): void => {
     if (candidateSize === 0 || baselineSize === 0) return;
-    const part = (this.leeway * candidateSize) / (this.leeway * candidateSize + baselineSize);
-    WORSE_BY.forEach((times, at) => {
-      const bet = (times * part) / (times * part + 1 - part);
-      const onCandidate = Math.log(1 + weight * (bet / part - 1));
-      const onBaseline = Math.log(1 + weight * ((1 - bet) / (1 - part) - 1));
-      this.logs[at] =
-        (this.logs[at] ?? 0) + candidateEvents * onCandidate + baselineEvents * onBaseline;
+    const nullShare =
+      (this.maxRateRatio * candidateSize) / (this.maxRateRatio * candidateSize + baselineSize);
+    RATE_RATIOS.forEach((rateRatio, index) => {
+      const alternativeShare = (rateRatio * nullShare) / (rateRatio * nullShare + 1 - nullShare);
+      const candidateLogFactor = Math.log(1 + weight * (alternativeShare / nullShare - 1));
+      const baselineLogFactor = Math.log(
+        1 + weight * ((1 - alternativeShare) / (1 - nullShare) - 1),
+      );
+      this.logEValues[index] =
+        (this.logEValues[index] ?? 0) +
+        candidateEvents * candidateLogFactor +
+        baselineEvents * baselineLogFactor;
     });
   };
 
-  readonly evidence = (): number => averageOf(this.logs);
+  readonly evidence = (): number => meanOfExponentials(this.logEValues);
 }
 
-const PARTS = [0.25, 0.5, 0.9];
+/** Sizes of the bets, as fractions of the current e-value. */
+const BET_FRACTIONS = [0.25, 0.5, 0.9];
 
 /**
- * Is the candidate worse by the tolerance or more? Each candidate's loss, of 0 to 1, is set against
- * the mean loss of concurrent baseline requests; while it is that much worse, the bets on the
- * opposite have a mean of at most 1.
+ * Tests whether the candidate is not worse than the baseline by the tolerance. Each loss of the
+ * candidate, 0 to 1, is compared with the mean loss of concurrent baseline requests. Under the null,
+ * the candidate is worse by the tolerance or more, and bets on the opposite have an expectation of at
+ * most 1.
  */
 export class NonInferiorityTest {
-  private readonly logs = PARTS.map(() => 0);
+  private readonly logEValues = BET_FRACTIONS.map(() => 0);
 
   constructor(private readonly tolerance: number) {}
 
-  readonly take = (candidateLoss: number, baselineLoss: number): void => {
+  readonly update = (candidateLoss: number, baselineLoss: number): void => {
     const gain = this.tolerance + baselineLoss - candidateLoss;
-    PARTS.forEach((part, at) => {
-      this.logs[at] = (this.logs[at] ?? 0) + Math.log(Math.max(1e-9, 1 + part * gain));
+    BET_FRACTIONS.forEach((fraction, index) => {
+      this.logEValues[index] =
+        (this.logEValues[index] ?? 0) + Math.log(Math.max(1e-9, 1 + fraction * gain));
     });
   };
 
-  readonly evidence = (): number => averageOf(this.logs);
+  readonly evidence = (): number => meanOfExponentials(this.logEValues);
 }
 
-/** What the tests say so far: go on observing, stop the candidate, pass it, or end undecided. */
+/** Continue observing, stop the candidate, pass it, or end without a decision. */
 export type TestDecision = "observing" | "stop" | "pass" | "inconclusive";
 
 /**
- * The decision of the tests with the figures that it rests on. Evidence of 1/a or more rejects its
+ * A decision with the figures that it is based on. Evidence is an e-value: 1/a or more rejects the
  * null at level a.
  */
 export interface TestResult {
@@ -163,7 +173,7 @@
   readonly reason: string;
   readonly candidate: OutcomeCounts;
   readonly baseline: OutcomeCounts;
-  /** Weighted loss for each request: the candidate's less the baseline's. */
+  /** Weighted loss per request of the candidate minus that of the baseline. */
   readonly difference: number;
   readonly inferiorityEvidence: number;
   readonly duplicationEvidence: number;
@@ -181,96 +191,96 @@
   return pending;
 };
 
-/** Hands over what both sides have something of, and keeps the rest until they do. */
-const takeBothSided = (
+/** Removes and consumes the entries with requests on both sides; the others remain pending. */
+const drainPaired = (
   map: Map<string, Pending>,
-  take: (candidate: OutcomeCounts, baseline: OutcomeCounts) => void,
+  consume: (candidate: OutcomeCounts, baseline: OutcomeCounts) => void,
 ): void =>
   map.forEach(({ candidate, baseline }, key) => {
     if (countRequests(candidate) === 0 || countRequests(baseline) === 0) return;
     map.delete(key);
-    take(candidate, baseline);
+    consume(candidate, baseline);
   });
 
-const sum = (tallies: readonly OutcomeCounts[]): OutcomeCounts =>
-  tallies.reduce(addCounts, NO_OUTCOMES);
+const sumCounts = (counts: readonly OutcomeCounts[]): OutcomeCounts =>
+  counts.reduce(addCounts, NO_OUTCOMES);
 
-/** A stratum's name begins with the cell of the node that saw it. */
+/** A stratum's name begins with the zone of the node that observed it. */
 const zoneOf = (stratum: string): string => stratum.split("|")[0] ?? "";
 
 /**
- * One candidate against the baseline. Being late is compared within the full stratum (cell, near or
- * far, warm or cold), so that a far or cold candidate is not condemned for it; all else within the
- * cell of the node that saw it. Invariant: a stop is final; a pass or an inconclusive trial goes on
- * and can only become a stop.
+ * Compares one candidate with the baseline. Late requests are compared within the full stratum (zone,
+ * near or far, warm or cold), so that a distant or cold candidate is not penalized for latency; all
+ * other outcomes are compared within the zone of the node that observed them. Invariant: a stop is
+ * final; after a pass or an inconclusive result the test continues and can only change to a stop.
  */
 export class SequentialTest {
   private readonly byStratum = new Map<string, Pending>();
-  private readonly byCell = new Map<string, Pending>();
-  private readonly against: InferiorityTest;
-  private readonly doubled: InferiorityTest;
-  private readonly sound: NonInferiorityTest;
-  private readonly soundDoubled: NonInferiorityTest;
+  private readonly byZone = new Map<string, Pending>();
+  private readonly inferiorityTest: InferiorityTest;
+  private readonly duplicationTest: InferiorityTest;
+  private readonly nonInferiorityTest: NonInferiorityTest;
+  private readonly duplicationNonInferiorityTest: NonInferiorityTest;
   private candidate = NO_OUTCOMES;
   private baseline = NO_OUTCOMES;
-  private final: { readonly verdict: TestDecision; readonly reason: string } | undefined;
+  private conclusion: { readonly decision: TestDecision; readonly reason: string } | undefined;
 
   constructor(
     private readonly isSafe: boolean,
-    private readonly terms: SequentialTestSettings,
+    private readonly settings: SequentialTestSettings,
     private readonly random: () => number,
   ) {
-    this.against = new InferiorityTest(terms.maxRateRatio);
-    this.doubled = new InferiorityTest(1);
-    this.sound = new NonInferiorityTest(terms.nonInferiorityMargin);
-    this.soundDoubled = new NonInferiorityTest(terms.duplicationMargin);
+    this.inferiorityTest = new InferiorityTest(settings.maxRateRatio);
+    this.duplicationTest = new InferiorityTest(1);
+    this.nonInferiorityTest = new NonInferiorityTest(settings.nonInferiorityMargin);
+    this.duplicationNonInferiorityTest = new NonInferiorityTest(settings.duplicationMargin);
   }
 
   readonly addCandidate = (stratum: string, increase: OutcomeCounts): void => {
-    this.at(stratum).forEach((pending) => {
+    this.pendingFor(stratum).forEach((pending) => {
       pending.candidate = addCounts(pending.candidate, increase);
     });
   };
 
   readonly addBaseline = (stratum: string, increase: OutcomeCounts): void => {
-    this.at(stratum).forEach((pending) => {
+    this.pendingFor(stratum).forEach((pending) => {
       pending.baseline = addCounts(pending.baseline, increase);
     });
   };
 
   /**
-   * Weighs what came since the last look, wherever a stratum has requests of both sides, and gives
-   * the verdict.
+   * Evaluates the pending counts wherever both sides have requests, and returns the resulting
+   * decision.
    */
   readonly evaluate = (): TestResult => {
-    if (this.final?.verdict !== "stop") {
-      takeBothSided(this.byStratum, this.weighLate);
-      takeBothSided(this.byCell, this.weigh);
-      this.final = this.decide() ?? this.final;
+    if (this.conclusion?.decision !== "stop") {
+      drainPaired(this.byStratum, this.testLateness);
+      drainPaired(this.byZone, this.testZone);
+      this.conclusion = this.decide() ?? this.conclusion;
     }
-    const { verdict: result, reason } = this.final ?? {
-      verdict: "observing" as const,
+    const { decision, reason } = this.conclusion ?? {
+      decision: "observing" as const,
       reason: "Not enough has been seen yet.",
     };
     return {
-      decision: result,
+      decision,
       reason,
       candidate: this.candidate,
       baseline: this.baseline,
       difference: this.difference(),
-      inferiorityEvidence: this.against.evidence(),
-      duplicationEvidence: this.doubled.evidence(),
-      nonInferiorityEvidence: this.soundness(),
+      inferiorityEvidence: this.inferiorityTest.evidence(),
+      duplicationEvidence: this.duplicationTest.evidence(),
+      nonInferiorityEvidence: this.passEvidence(),
     };
   };
 
-  private readonly at = (stratum: string): readonly Pending[] => [
+  private readonly pendingFor = (stratum: string): readonly Pending[] => [
     pendingAt(this.byStratum, stratum),
-    pendingAt(this.byCell, zoneOf(stratum)),
+    pendingAt(this.byZone, zoneOf(stratum)),
   ];
 
   private readonly weightOf = (kind: OutcomeKind): number => {
-    const { late, lostSafe, lostUnsafe, doubled } = this.terms.weights;
+    const { late, lostSafe, lostUnsafe, doubled } = this.settings.weights;
     const byKind = {
       inTime: 0,
       late,
@@ -280,7 +290,7 @@
     return byKind[kind];
   };
 
-  private readonly heaviest = (): number => Math.max(...OUTCOME_KINDS.map(this.weightOf));
+  private readonly maxWeight = (): number => Math.max(...OUTCOME_KINDS.map(this.weightOf));
 
   private readonly lossOf = (counts: OutcomeCounts): number => {
     const size = countRequests(counts);
@@ -289,17 +299,17 @@
       : OUTCOME_KINDS.reduce((loss, kind) => loss + counts[kind] * this.weightOf(kind), 0) / size;
   };
 
-  /** A pass of an unsafe route needs both, and so the weaker of the two counts. */
-  private readonly soundness = (): number =>
+  /** On an unsafe route both tests must pass, so the weaker evidence counts. */
+  private readonly passEvidence = (): number =>
     this.isSafe
-      ? this.sound.evidence()
-      : Math.min(this.sound.evidence(), this.soundDoubled.evidence());
+      ? this.nonInferiorityTest.evidence()
+      : Math.min(this.nonInferiorityTest.evidence(), this.duplicationNonInferiorityTest.evidence());
 
   private readonly difference = (): number =>
     this.lossOf(this.candidate) - this.lossOf(this.baseline);
 
-  private readonly weighLate = (candidate: OutcomeCounts, baseline: OutcomeCounts): void =>
-    this.against.take(
+  private readonly testLateness = (candidate: OutcomeCounts, baseline: OutcomeCounts): void =>
+    this.inferiorityTest.update(
       candidate.late,
       baseline.late,
       countRequests(candidate),
@@ -307,80 +317,80 @@
       Math.min(1, this.weightOf("late")),
     );
 
-  private readonly weigh = (candidate: OutcomeCounts, baseline: OutcomeCounts): void => {
+  private readonly testZone = (candidate: OutcomeCounts, baseline: OutcomeCounts): void => {
     const sizes = [countRequests(candidate), countRequests(baseline)] as const;
     (["lost", "doubled"] as const).forEach((kind) => {
-      this.against.take(
+      this.inferiorityTest.update(
         candidate[kind],
         baseline[kind],
         ...sizes,
         Math.min(1, this.weightOf(kind)),
       );
     });
-    if (!this.isSafe) this.doubled.take(candidate.doubled, baseline.doubled, ...sizes, 1);
-    const heaviest = this.heaviest();
-    const baselineLoss = this.lossOf(baseline) / heaviest;
+    if (!this.isSafe) this.duplicationTest.update(candidate.doubled, baseline.doubled, ...sizes, 1);
+    const maxWeight = this.maxWeight();
+    const baselineLoss = this.lossOf(baseline) / maxWeight;
     const baselineDoubled = baseline.doubled / countRequests(baseline);
     this.shuffled(candidate).forEach((kind) => {
-      this.sound.take(this.weightOf(kind) / heaviest, baselineLoss);
-      this.soundDoubled.take(kind === "doubled" ? 1 : 0, baselineDoubled);
+      this.nonInferiorityTest.update(this.weightOf(kind) / maxWeight, baselineLoss);
+      this.duplicationNonInferiorityTest.update(kind === "doubled" ? 1 : 0, baselineDoubled);
     });
     this.candidate = addCounts(this.candidate, candidate);
     this.baseline = addCounts(this.baseline, baseline);
   };
 
   /**
-   * The outcomes one by one in random order, which under any null is as good as the order they came
-   * in.
+   * The individual outcomes in random order, which under any null is as valid as their order of
+   * arrival.
    */
   private readonly shuffled = (counts: OutcomeCounts): readonly OutcomeKind[] => {
     const kinds = OUTCOME_KINDS.flatMap((kind) => new Array<OutcomeKind>(counts[kind]).fill(kind));
-    for (let at = kinds.length - 1; at > 0; at -= 1) {
-      const other = Math.floor(this.random() * (at + 1));
-      const [one, two] = [kinds[at], kinds[other]];
-      if (one !== undefined && two !== undefined) [kinds[at], kinds[other]] = [two, one];
+    for (let index = kinds.length - 1; index > 0; index -= 1) {
+      const other = Math.floor(this.random() * (index + 1));
+      const [one, two] = [kinds[index], kinds[other]];
+      if (one !== undefined && two !== undefined) [kinds[index], kinds[other]] = [two, one];
     }
     return kinds;
   };
 
   private readonly decide = ():
-    { readonly verdict: TestDecision; readonly reason: string } | undefined => {
+    { readonly decision: TestDecision; readonly reason: string } | undefined => {
     const {
       maxFalseStopProbability: falseStop,
       maxFalseDuplicationStopProbability: falseStopDoubled,
       maxFalsePassProbability: falsePass,
-      minStopDifference: leastDifference,
-      maxRequests: horizonRequests,
-    } = this.terms;
+      minStopDifference,
+      maxRequests,
+    } = this.settings;
     const size = countRequests(this.candidate);
     const difference = this.difference();
-    if (this.doubled.evidence() >= 1 / falseStopDoubled) {
+    if (this.duplicationTest.evidence() >= 1 / falseStopDoubled) {
       const reason = `${this.candidate.doubled} of the candidate's ${size} requests may be placed twice, against ${this.baseline.doubled} of ${countRequests(this.baseline)} of the baseline's.`;
-      return { verdict: "stop", reason };
+      return { decision: "stop", reason };
     }
-    if (this.against.evidence() >= 1 / falseStop && difference >= leastDifference) {
+    if (this.inferiorityTest.evidence() >= 1 / falseStop && difference >= minStopDifference) {
       return {
-        verdict: "stop",
+        decision: "stop",
         reason: `The candidate loses ${difference.toFixed(3)} more for each request than the baseline, over ${size} requests.`,
       };
     }
-    if (this.final) return undefined;
-    if (this.soundness() >= 1 / falsePass) {
+    if (this.conclusion) return undefined;
+    if (this.passEvidence() >= 1 / falsePass) {
       return {
-        verdict: "pass",
+        decision: "pass",
         reason: `Over ${size} requests the candidate is no worse than the baseline by the tolerance.`,
       };
     }
-    if (size >= horizonRequests)
-      return { verdict: "inconclusive", reason: `${size} requests did not settle it.` };
+    if (size >= maxRequests)
+      return { decision: "inconclusive", reason: `${size} requests did not settle it.` };
     return undefined;
   };
 
   readonly totals = (): readonly [OutcomeCounts, OutcomeCounts] => {
-    const waiting = [...this.byCell.values()];
+    const pending = [...this.byZone.values()];
     return [
-      addCounts(this.candidate, sum(waiting.map((one) => one.candidate))),
-      addCounts(this.baseline, sum(waiting.map((one) => one.baseline))),
+      addCounts(this.candidate, sumCounts(pending.map((one) => one.candidate))),
+      addCounts(this.baseline, sumCounts(pending.map((one) => one.baseline))),
     ];
   };
 }
--- a/src/health/split-routes.ts
+++ b/src/health/split-routes.ts
@@ -3,51 +3,51 @@
 import { parseDuration } from "../common/duration.js";
 import type { SplitRoute } from "./canary-state.js";
 
-interface Seen {
+interface KnownRoute {
   readonly version: number;
-  readonly main: string;
+  readonly primary: string;
   readonly split: SplitRoute | undefined;
-  readonly giveUpUs: number;
+  readonly deadlineUs: number;
 }
 
 /**
- * Follows the routes of the plan: which are split now, how long their requests may take, and which
- * service each sent the most to before.
+ * Tracks the routes of the configuration: which ones are split, their request deadlines, and the
+ * service with the largest share in each route's previous version.
  */
 export class SplitRoutes {
-  private readonly seen = new Map<string, Seen>();
-  private readonly mainsBefore = new Map<string, string>();
+  private readonly routes = new Map<string, KnownRoute>();
+  private readonly previousPrimaries = new Map<string, string>();
 
   readonly applyRoute = (name: string, version: number, body: string): void => {
-    const before = this.seen.get(name);
+    const before = this.routes.get(name);
     if (before && before.version >= version) return;
-    if (before) this.mainsBefore.set(name, before.main);
+    if (before) this.previousPrimaries.set(name, before.primary);
     if (body === "") {
-      this.seen.delete(name);
-      this.mainsBefore.delete(name);
-    } else this.seen.set(name, readSeen(name, version, body));
+      this.routes.delete(name);
+      this.previousPrimaries.delete(name);
+    } else this.routes.set(name, readRoute(name, version, body));
   };
 
   readonly all = (): readonly SplitRoute[] =>
-    [...this.seen.values()].flatMap((seen) => seen.split ?? []);
+    [...this.routes.values()].flatMap((route) => route.split ?? []);
 
-  /** For how long a request may be under way, by the longest of all routes. */
+  /** The longest request deadline of all routes. */
   readonly longestDeadlineUs = (): number =>
-    [...this.seen.values()].reduce((longest, { giveUpUs }) => Math.max(longest, giveUpUs), 0);
+    [...this.routes.values()].reduce((longest, { deadlineUs }) => Math.max(longest, deadlineUs), 0);
 
-  readonly previousPrimary = (name: string): string | undefined => this.mainsBefore.get(name);
+  readonly previousPrimary = (name: string): string | undefined => this.previousPrimaries.get(name);
 }
 
-const readSeen = (name: string, version: number, body: string): Seen => {
+const readRoute = (name: string, version: number, body: string): KnownRoute => {
   const rule = asRecord(asRecord(parseJson(body))["rule"], "rule");
-  const then = asRecord(rule["then"], "then");
-  const shares = readWeightedServices(then);
+  const action = asRecord(rule["then"], "then");
+  const shares = readWeightedServices(action);
   const split =
     shares.length > 1 ? { name, version, isSafe: rule["routeKind"] === "safe", shares } : undefined;
   return {
     version,
-    main: mainOf(shares),
+    primary: mainOf(shares),
     split,
-    giveUpUs: parseDuration(then["giveUp"]).unwrapOr(0),
+    deadlineUs: parseDuration(action["giveUp"]).unwrapOr(0),
   };
 };
--- a/src/health/utilization-trend.ts
+++ b/src/health/utilization-trend.ts
@@ -1,29 +1,27 @@
-/**
- * When the slots of a service will all be in use, by a straight line through the recent samples.
- */
+/** Predicts when all slots of a service will be in use, by linear regression on recent samples. */
 import { linearRegression, linearRegressionLine, sampleVariance } from "simple-statistics";
 
-/** The time until utilization reaches 1, in seconds from the last sample. */
+/** Time until utilization reaches 1, in seconds from the last sample. */
 export interface Trend {
   readonly expectedS: number;
   readonly earliestS: number;
   readonly latestS: number;
 }
 
-/** One point of the line. */
+/** Utilization at one point in time. */
 export interface UtilizationSample {
   readonly atS: number;
-  /** The share of slots in use. */
+  /** The share of slots in use, 0 to 1. */
   readonly utilization: number;
 }
 
 const MIN_SAMPLES = 6;
 
 /**
- * Fits the line by least squares.
+ * Fits a line by least squares.
  *
- * @param slopeErrors - how many standard errors above 0 the slope must be
- * @returns undefined where noise could rise as much
+ * @param slopeErrors - number of standard errors by which the slope must exceed 0
+ * @returns undefined if the slope cannot be told from noise
  */
 export const fitTrend = (
   samples: readonly UtilizationSample[],
@@ -34,17 +32,18 @@
   const points = samples.map(({ atS, utilization }) => [atS, utilization]);
   const fit = linearRegression(points);
   const line = linearRegressionLine(fit);
-  const spread = sampleVariance(samples.map(({ atS }) => atS)) * (samples.length - 1);
-  const residual =
+  const sumOfSquaredDeviations =
+    sampleVariance(samples.map(({ atS }) => atS)) * (samples.length - 1);
+  const residualVariance =
     points.reduce((sum, [x = 0, y = 0]) => sum + (y - line(x)) ** 2, 0) / (samples.length - 2);
-  // Neighbouring samples are alike, so that fewer speak than there are: twice the error that
-  // independent ones would have.
-  const slopeError = 2 * Math.sqrt(residual / spread) + 1e-9;
+  // Successive samples are correlated, so the effective sample size is smaller: uses twice the
+  // standard error of independent samples.
+  const slopeError = 2 * Math.sqrt(residualVariance / sumOfSquaredDeviations) + 1e-9;
   if (fit.m <= slopeErrors * slopeError) return undefined;
-  const left = Math.max(0, 1 - line(last.atS));
+  const headroom = Math.max(0, 1 - line(last.atS));
   return {
-    expectedS: left / fit.m,
-    earliestS: left / (fit.m + 2 * slopeError),
-    latestS: left / (fit.m - 2 * slopeError),
+    expectedS: headroom / fit.m,
+    earliestS: headroom / (fit.m + 2 * slopeError),
+    latestS: headroom / (fit.m - 2 * slopeError),
   };
 };
--- a/src/health/window-explanations.ts
+++ b/src/health/window-explanations.ts
@@ -1,25 +1,26 @@
-/** What operators are told of maintenance windows. */
+/** Descriptions of maintenance windows for operators. */
 import type { UnknownRecord } from "../common/decode.js";
 import { SECOND_US } from "../common/duration.js";
 import type { MaintenanceWindow } from "./maintenance-window.js";
 
-/** A worker whose slots count. */
+/** A worker that provides slots to a service in a zone. */
 export interface ZoneWorker {
   readonly zone: string;
   readonly service: string;
-  /** Slots. */
+  /** Number of slots. */
   readonly capacity: number;
   readonly isReady: boolean;
 }
 
-/** Whole seconds. */
+/** Converts microseconds to whole seconds, rounded. */
 export const toSeconds = (us: number): number => Math.round(us / SECOND_US);
 
 /**
- * A sentence for each service whose requests in flight are more than the other zones should carry.
+ * One warning for each service whose requests in flight exceed what the other zones should carry.
  *
+ * @param zone - the zone to be drained
  * @param inFlight - requests in flight in the whole fleet, by service
- * @param maxUtilization - the share of slots beyond which to warn
+ * @param maxUtilization - the share of the other zones' slots above which to warn, 0 to 1
  */
 export const capacityWarnings = (
   zone: string,
@@ -32,15 +33,15 @@
     .filter((worker) => worker.zone !== zone && worker.isReady)
     .forEach(({ service, capacity }) => slots.set(service, (slots.get(service) ?? 0) + capacity));
   return [...inFlight].flatMap(([service, requests]) => {
-    const others = slots.get(service) ?? 0;
-    if (requests <= others * maxUtilization) return [];
+    const otherSlots = slots.get(service) ?? 0;
+    if (requests <= otherSlots * maxUtilization) return [];
     return [
-      `${service} has ${requests.toFixed(1)} calls in flight, and the other cells have ${others} slots.`,
+      `${service} has ${requests.toFixed(1)} calls in flight, and the other cells have ${otherSlots} slots.`,
     ];
   });
 };
 
-/** A window as the operator's query answers it; the names of the fields stay. */
+/** A window in the form returned to operators. Field names are part of the API. */
 export const explainWindow = (
   window: MaintenanceWindow,
   warnings: (zone: string) => readonly string[],
--- a/src/health/window-stages.ts
+++ b/src/health/window-stages.ts
@@ -1,48 +1,48 @@
 /**
- * The state machine of a maintenance window: what is to be done for a window now. It reads no clock
- * and stores nothing, so that any leader can go on from the stored stage.
+ * State machine of a maintenance window. It reads no clock and stores nothing, so that any leader can
+ * continue from the stored stage.
  */
 import type { LogFields } from "../common/logger.js";
 import { SECOND_US } from "../common/duration.js";
 import type { ZonalShift } from "./health-decisions.js";
 import type { MaintenanceWindow, WindowSettings } from "./maintenance-window.js";
 
-/** What the state machine knows of a window and its zone. */
+/** Input of the state machine: a window and the current situation of its zone. */
 export interface WindowView {
-  /** With the time that remains by now. */
+  /** The window with its remaining time updated to now. */
   readonly window: MaintenanceWindow;
   readonly settings: WindowSettings;
-  /** The time since the window entered its stage, as this process knows it. */
-  readonly inStageUs: number;
-  /** The time until the window closes. */
+  /** Time since this process first observed the window in its current stage. */
+  readonly timeInStageUs: number;
+  /** Time until the window closes. */
   readonly closesInUs: number;
   readonly leadUs: number;
-  /** The longest time that any request may be in flight. */
+  /** The longest deadline of any request. */
   readonly longestDeadlineUs: number;
-  /** The shift in force. */
+  /** The zonal shift in effect. */
   readonly shift: () => ZonalShift | undefined;
   /** Whether the zone has a ready worker. */
   readonly isZoneReady: () => boolean;
-  /** Whether it had none at some time since the window opened. */
-  readonly wasZoneDark: boolean;
-  /** What other zones cannot carry; see `capacityWarnings`. */
+  /** Whether the zone had no ready worker at some time since the window opened. */
+  readonly wasZoneUnready: boolean;
+  /** Services that the other zones cannot carry; see `capacityWarnings`. */
   readonly warnings: () => readonly string[];
 }
 
-/** What is to be done, in order. */
+/** An action to execute, in the order yielded. */
 export type WindowAction =
   | { readonly kind: "store"; readonly window: MaintenanceWindow }
   | { readonly kind: "moveLeadership" }
   | { readonly kind: "noteDark" }
   /**
-   * A line for the operator; `isRepeated`: it comes with every look, and only its first one is
-   * written.
+   * Logs a warning for the operator. With `isLoggedOnce`, it is yielded on every tick but only its
+   * first occurrence is logged.
    */
   | {
       readonly kind: "warn";
       readonly message: string;
       readonly fields: LogFields;
-      readonly isRepeated: boolean;
+      readonly isLoggedOnce: boolean;
     };
 
 const store = (
@@ -61,23 +61,23 @@
       kind: "warn",
       message: "maintenance window waits: another zone is shifted away from",
       fields: { window: id, zone, shiftedZone: shift.zone },
-      isRepeated: true,
+      isLoggedOnce: true,
     };
     return;
   }
   for (const warning of view.warnings())
     yield {
       kind: "warn",
-      message: "maintenance window begins to move in spite of a warning",
+      message: "maintenance window starts to shift traffic despite a warning",
       fields: { window: id, zone, warning },
-      isRepeated: false,
+      isLoggedOnce: false,
     };
   yield store({ ...window, stage: "moving" }, 1 / settings.steps, 0);
 }
 
 function* whileMoving(view: WindowView): Generator<WindowAction, void> {
-  const { window, settings, inStageUs } = view;
-  const step = 1 + Math.floor(inStageUs / settings.stepUs);
+  const { window, settings, timeInStageUs } = view;
+  const step = 1 + Math.floor(timeInStageUs / settings.stepUs);
   const safeShare = Math.min(1, step / settings.steps);
   const unsafeShare = step > settings.steps ? 1 : 0;
   if (safeShare > window.safeShare || unsafeShare > window.unsafeShare) {
@@ -90,10 +90,11 @@
   }
   if (window.unsafeShare < 1) return;
   yield { kind: "moveLeadership" };
-  // The longest deadline counts from when the last unsafe request may have been sent there.
+  // The longest deadline counts from the time at which the last unsafe request may have been sent
+  // to the zone.
   const clearAfterUs =
     settings.steps * settings.stepUs + view.longestDeadlineUs + settings.marginUs / 2;
-  if (inStageUs >= clearAfterUs) yield store({ ...window, stage: "clear" }, 1, 1);
+  if (timeInStageUs >= clearAfterUs) yield store({ ...window, stage: "clear" }, 1, 1);
 }
 
 function* whileClear({ window, closesInUs }: WindowView): Generator<WindowAction, void> {
@@ -106,21 +107,21 @@
   const { id, zone } = window;
   const isZoneReady = view.isZoneReady();
   if (!isZoneReady) yield { kind: "noteDark" };
-  if (isZoneReady && view.wasZoneDark && window.remainingUs > 0)
+  if (isZoneReady && view.wasZoneUnready && window.remainingUs > 0)
     yield {
       kind: "warn",
-      message: "zone is back before its window closes: cancel the window to use it",
+      message: "zone has a ready worker before its window closes: cancel the window to use it",
       fields: { window: id, zone, closesInS: Math.round(window.remainingUs / SECOND_US) },
-      isRepeated: true,
+      isLoggedOnce: true,
     };
   if (window.remainingUs > 0) return;
-  // A zone that is still dark at its window's end stays shifted away from.
+  // Traffic stays shifted away from a zone that has no ready worker when its window closes.
   if (!isZoneReady) {
     yield {
       kind: "warn",
       message: "zone is still dark after its window: its requests stay elsewhere",
       fields: { window: id, zone },
-      isRepeated: true,
+      isLoggedOnce: true,
     };
     return;
   }
@@ -128,8 +129,8 @@
 }
 
 function* whileReturning(view: WindowView): Generator<WindowAction, void> {
-  const { window, settings, inStageUs } = view;
-  const step = Math.min(settings.steps, Math.floor(inStageUs / settings.stepUs));
+  const { window, settings, timeInStageUs } = view;
+  const step = Math.min(settings.steps, Math.floor(timeInStageUs / settings.stepUs));
   const safeShare = 1 - step / settings.steps;
   if (safeShare <= 0) {
     yield store({ ...window, stage: "ended" }, 0, 0);
@@ -140,7 +141,7 @@
 }
 
 function* whileEnded(): Generator<WindowAction, void> {
-  // The last stage: nothing is to be done.
+  // Final stage: no actions.
 }
 
 const STAGES: Readonly<
@@ -154,6 +155,6 @@
   ended: whileEnded,
 };
 
-/** What is to be done for the window now. */
+/** The actions to execute for the window now. */
 export const nextActions = (view: WindowView): Generator<WindowAction, void> =>
   STAGES[view.window.stage](view);
--- a/src/health/window-times.ts
+++ b/src/health/window-times.ts
@@ -1,29 +1,30 @@
-/** When the windows open and close on the clock of this process, which no other process shares. */
+/** Opening and closing times of windows on the local clock, which no other process shares. */
 import type { Clock } from "../common/clock.js";
 import type { MaintenanceWindow } from "./maintenance-window.js";
 
-/** The times of one window, in microseconds of the process's clock. */
+/** Times of one window, in microseconds of the local clock. */
 export interface WindowTimes {
   readonly opensUs: number;
   closesUs: number;
   stageSinceUs: number;
   /** When the remaining time was last stored. */
   savedUs: number;
-  /** Whether the zone was seen without a ready worker since the window opened. */
-  wasDark: boolean;
-  /** The last warning about the window, without its numbers. */
+  /** Whether the zone was observed without a ready worker since the window opened. */
+  wasZoneUnready: boolean;
+  /** The last warning logged for the window, with numbers removed. */
   lastWarning: string;
 }
 
-/** Invariant: it has the windows that this leader has seen, and is made anew by each new leader. */
+/** Invariant: contains the windows that this leader has observed; each new leader rebuilds it. */
 export class WindowTimeTable {
   private readonly times = new Map<string, WindowTimes>();
 
   constructor(private readonly clock: Clock) {}
 
   /**
-   * Takes the remaining time of a stored window as of now, less what has passed since it was
-   * stored.
+   * Starts tracking a stored window.
+   *
+   * @param passedUs - time since the window was stored, subtracted from its remaining time
    */
   readonly track = (window: MaintenanceWindow, passedUs: number): void => {
     const nowUs = this.clock.nowUs();
@@ -35,15 +36,15 @@
       closesUs: isOpen ? nowUs + remainingUs : opensUs + window.durationUs,
       stageSinceUs: nowUs,
       savedUs: nowUs,
-      wasDark: false,
+      wasZoneUnready: false,
       lastWarning: "",
     });
   };
 
-  /** Undefined for a window not tracked. */
+  /** The times of a window; undefined if it is not tracked. */
   readonly get = (id: string): WindowTimes | undefined => this.times.get(id);
 
-  /** The window with the time that remains by now. */
+  /** The window with its remaining time updated to now. */
   readonly update = (window: MaintenanceWindow): MaintenanceWindow => {
     const times = this.times.get(window.id);
     if (!times) return window;
@@ -51,6 +52,6 @@
     return { ...window, remainingUs: untilUs - this.clock.nowUs() };
   };
 
-  /** Forgets all windows. */
+  /** Drops all windows. */
   readonly clear = (): void => this.times.clear();
 }
--- a/src/health/windows-codec.ts
+++ b/src/health/windows-codec.ts
@@ -1,4 +1,4 @@
-/** The form in which maintenance windows are stored in the register `duty/windows`. */
+/** Codec of maintenance windows, as stored in the register `duty/windows`. */
 import {
   asRecord,
   readList,
@@ -13,9 +13,7 @@
   type WindowState,
 } from "./maintenance-window.js";
 
-/**
- * Names of the fields. Stored data and controllers of other versions have them: they never change.
- */
+/** Field names. They must not change: stored data and controllers of other versions use them. */
 const WINDOWS = "windows";
 const ZONE = "cell";
 const DURATION_US = "lastsUs";
@@ -51,11 +49,15 @@
   note: window.note,
 });
 
-/** @throws if the value has another form */
+/**
+ * Parses the stored windows.
+ *
+ * @throws if the value is malformed
+ */
 export const readWindows = (value: unknown): WindowState =>
   readList(asRecord(value, WINDOWS), WINDOWS, readWindow);
 
-/** The inverse of `readWindows`. */
+/** Inverse of {@link readWindows}. */
 export const packWindows = (windows: WindowState): UnknownRecord => ({
   [WINDOWS]: windows.map(packWindow),
 });
--- a/src/health/zonal-shift.ts
+++ b/src/health/zonal-shift.ts
@@ -1,6 +1,6 @@
 /**
- * Zonal shift: takes all traffic away from one zone, for an outlier, for practice, by an operator
- * or for a window.
+ * Zonal shift: moves traffic away from one zone because of an outlier, for a practice run, on an
+ * operator's command or for a maintenance window.
  */
 import type { Clock } from "../common/clock.js";
 import { SECOND_US } from "../common/duration.js";
@@ -14,16 +14,16 @@
   type OutlierSettings,
 } from "./outlier-ranking.js";
 
-/** A worker as the detectors see it. */
+/** A worker as seen by outlier detection. */
 export interface ObservedWorker {
   readonly id: string;
   readonly service: string;
   readonly zone: string;
-  /** Its heartbeats stay out. */
+  /** Its heartbeats have stopped. */
   readonly isMissing: boolean;
 }
 
-/** What a zonal shift controller needs of its surroundings. */
+/** Dependencies of {@link ZonalShiftController}. */
 export interface ZonalShiftOptions {
   readonly clock: Clock;
   readonly log: Logger;
@@ -32,43 +32,40 @@
   readonly isLeader: () => boolean;
   readonly workers: () => readonly ObservedWorker[];
   readonly decisions: () => HealthDecisions;
-  /**
-   * Makes decisions durable under the leader's term; false if a newer term or no quorum prevented
-   * it.
-   */
+  /** Persists the decisions under the leader's term; false on a newer term or a lost quorum. */
   readonly publish: (decisions: HealthDecisions) => Promise<boolean>;
-  /** The faults of the window, by worker. */
+  /** The faults within the sliding window, by worker. */
   readonly faults: () => ReadonlyMap<string, number>;
 }
 
 const PRACTICE_INTERVAL_US = 7 * 24 * 3600 * SECOND_US;
-const PRACTICE_US = 60 * SECOND_US;
+const PRACTICE_DURATION_US = 60 * SECOND_US;
 /** A missing worker counts as this many faults of its zone. */
 const MISSING_WORKER_FAULTS = 10;
-/** With fewer zones there is nothing to compare a zone with. */
+/** With fewer zones there is no basis for comparing a zone with the others. */
 const MIN_ZONES = 3;
 
 /**
- * Decides on the zonal shift. The source of one zone at a time and of regular practice is "Building
- * on AWS resilience: Innovations for critical success", ARC207.
+ * Decides on zonal shifts. Shifting one zone at a time and regular practice runs follow "Building on
+ * AWS resilience: Innovations for critical success", ARC207.
  */
 export class ZonalShiftController {
   private shiftSinceUs: number | undefined;
   private lastPracticeUs = 0;
-  private practices = 0;
+  private practiceCount = 0;
 
   constructor(private readonly options: ZonalShiftOptions) {}
 
-  /** A new leader counts the time to the next practice from now. */
+  /** Resets the practice interval, which a new leader counts from now. */
   readonly reset = (): void => {
     this.lastPracticeUs = this.options.clock.nowUs();
   };
 
-  /** The shift of a maintenance window, which has priority over a practice; undefined ends it. */
+  /** Sets the shift of a maintenance window, which overrides a practice run; undefined ends it. */
   readonly setShift = (shift: ZonalShift | undefined): Promise<boolean> =>
     this.publish({ ...this.options.decisions(), shift });
 
-  /** An operator's shift, or its end when the zone is empty; false during a maintenance window. */
+  /** Starts a manual shift, or ends it if the zone is ""; false during a maintenance window. */
   readonly shiftManually = async (zone: string): Promise<boolean> => {
     if (this.options.decisions().shift?.cause === "window") return false;
     const shift: ZonalShift | undefined =
@@ -76,7 +73,7 @@
     return this.publish({ ...this.options.decisions(), shift });
   };
 
-  /** Begins a practice shift, which ends by itself; false during a maintenance window. */
+  /** Starts a practice run, which expires by itself; false during a maintenance window. */
   readonly startPractice = async (zone: string): Promise<boolean> =>
     this.options.decisions().shift?.cause !== "window" &&
     (await this.publish({
@@ -84,20 +81,20 @@
       shift: { zone, cause: "practice", reason: "Practice keeps the path exercised." },
     }));
 
-  /** Ends a shift whose time is over; true if there was one to end. */
+  /** Ends an expired shift; true if there was one. */
   readonly endExpired = async (): Promise<boolean> => {
     const { clock, settings, decisions, log } = this.options;
     const { shift } = decisions();
-    if (!shift || !endsByItself(shift.cause)) return false;
+    if (!shift || !expires(shift.cause)) return false;
     this.shiftSinceUs ??= clock.nowUs();
-    const durationUs = shift.cause === "practice" ? PRACTICE_US : settings.ejectionUs;
+    const durationUs = shift.cause === "practice" ? PRACTICE_DURATION_US : settings.ejectionUs;
     if (clock.nowUs() - this.shiftSinceUs < durationUs) return false;
     if (await this.publish({ ...decisions(), shift: undefined }))
       log.info("zonal shift ended", { zone: shift.zone });
     return true;
   };
 
-  /** Shifts away from a zone that stands out; true if it tried to. */
+  /** Shifts traffic away from an outlier zone; true if attempted. */
   readonly shiftOutlier = async (): Promise<boolean> => {
     const { decisions, log, changeLog } = this.options;
     const { shift } = decisions();
@@ -106,7 +103,7 @@
     const reason = describeOutlier(found);
     if (shift) {
       if (shift.zone !== found.id)
-        changeLog.info("outlier zone not shifted: another zone is", {
+        changeLog.info("outlier zone not shifted: another zone is shifted already", {
           zone: found.id,
           shiftedZone: shift.zone,
           reason,
@@ -115,22 +112,22 @@
     }
     const wanted: ZonalShift = { zone: found.id, cause: "outlier", reason };
     if (await this.publish({ ...decisions(), shift: wanted }))
-      log.warn("zonal shift begun", { zone: found.id, reason });
+      log.warn("zonal shift started", { zone: found.id, reason });
     return true;
   };
 
-  /** Practises with the next zone when it is time. */
-  readonly practiseWeekly = async (): Promise<void> => {
+  /** Starts a practice run in the next zone if one is due and no shift is active. */
+  readonly startWeeklyPractice = async (): Promise<void> => {
     const { clock, workers, decisions } = this.options;
     if (decisions().shift || clock.nowUs() - this.lastPracticeUs < PRACTICE_INTERVAL_US) return;
     const zones = [...new Set(workers().map((worker) => worker.zone))].sort();
-    const zone = zones[this.practices % Math.max(1, zones.length)];
+    const zone = zones[this.practiceCount % Math.max(1, zones.length)];
     this.lastPracticeUs = clock.nowUs();
-    this.practices += 1;
+    this.practiceCount += 1;
     if (zone !== undefined && zones.length > 1) await this.startPractice(zone);
   };
 
-  /** The outlier among the zones, unless its faults come from fewer than half of its workers. */
+  /** The outlier zone, unless its faults come from fewer than half of its workers. */
   private readonly findOutlierZone = (): Outlier | undefined => {
     const { settings, workers } = this.options;
     const all = workers();
@@ -154,4 +151,4 @@
   };
 }
 
-const endsByItself = (cause: ShiftCause): boolean => cause === "outlier" || cause === "practice";
+const expires = (cause: ShiftCause): boolean => cause === "outlier" || cause === "practice";
