--- a/features/steps/update-lag.ts
+++ b/features/steps/update-lag.ts
@@ -25,13 +25,13 @@
 };
 
 const play = async (event: string): Promise<void> => {
-  if (event === "session over") lag.noteDisconnected();
-  else if (event === "a snapshot without a position") lag.reachSnapshot(undefined);
+  if (event === "session over") lag.recordDisconnected();
+  else if (event === "a snapshot without a position") lag.recordSnapshot(undefined);
   else if (event.startsWith("a snapshot at")) {
-    lag.reachSnapshot(positionIn(event));
-    lag.reach(positionIn(event));
+    lag.recordSnapshot(positionIn(event));
+    lag.recordPosition(positionIn(event));
   } else if (event.startsWith("announced")) lag.announce(positionIn(event));
-  else if (event.startsWith("reached")) lag.reach(positionIn(event));
+  else if (event.startsWith("reached")) lag.recordPosition(positionIn(event));
   else if (event.endsWith(" ms")) await clock.pass(Number.parseInt(event, 10) * 1_000);
   else {
     const { origin, sequence } = positionIn(event);
--- a/src/idempotency/key-replication.ts
+++ b/src/idempotency/key-replication.ts
@@ -72,7 +72,7 @@
  */
 export class IdempotencyKeyReplication {
   private voting = false;
-  private catchingUp = false;
+  private isCatchingUp = false;
 
   constructor(private readonly options: IdempotencyKeyReplicationOptions) {}
 
@@ -96,11 +96,11 @@
    */
   readonly catchUp = async (): Promise<void> => {
     const { table, store, logger } = this.options;
-    if (this.voting || this.catchingUp || !store.isMember() || !store.isVoting) return;
-    this.catchingUp = true;
-    const read = await this.refresh();
-    this.catchingUp = false;
-    if (!read || !(await table.markInitialized())) return;
+    if (this.voting || this.isCatchingUp || !store.isMember() || !store.isVoting) return;
+    this.isCatchingUp = true;
+    const isRefreshed = await this.refresh();
+    this.isCatchingUp = false;
+    if (!isRefreshed || !(await table.markInitialized())) return;
     this.voting = true;
     table.purges().forEach(this.options.onPurge);
     logger.info("caught up with idempotency keys", { keys: table.size });
@@ -138,12 +138,12 @@
     const { self, table, store, withstandMachines } = this.options;
     const known = table.findResponse(key);
     if (known?.body && table.findToken(key) !== token) return { kind: "done", answer: known };
-    const takers = new Set<string>();
-    let others = 0;
+    const claimedBy = new Set<string>();
+    let otherTokenCount = 0;
     let isCompleted = known !== undefined;
     const countResponse = (id: string, response: ClaimResponse): boolean => {
-      if (response.result === "taken") takers.add(id);
-      if (response.result === "other") others += 1;
+      if (response.result === "taken") claimedBy.add(id);
+      if (response.result === "other") otherTokenCount += 1;
       if (response.isCompleted) isCompleted = true;
       return response.result === "taken";
     };
@@ -155,15 +155,16 @@
     );
     if (won.isOk) return { kind: "won" };
     if (isCompleted) return this.fetchResponse(key);
-    if (others === 0) return { kind: "none" };
+    if (otherTokenCount === 0) return { kind: "none" };
     // Unless the other token could have won among those that did not respond, neither has.
-    const couldOthers = store
+    const couldOtherTokenHaveWon = store
       .quorumSets()
       .every(
         (members) =>
-          members.filter((id) => !takers.has(id)).length >= quorumSize(members, withstandMachines),
+          members.filter((id) => !claimedBy.has(id)).length >=
+          quorumSize(members, withstandMachines),
       );
-    return couldOthers ? { kind: "working" } : { kind: "split" };
+    return couldOtherTokenHaveWon ? { kind: "working" } : { kind: "split" };
   };
 
   /** Releases a token that has not run and never will. */
@@ -214,9 +215,9 @@
   };
 
   /** Makes a purge durable at a quorum; false if no quorum stored it in time. */
-  readonly purge = async (what: Omit<Purge, "id">): Promise<boolean> => {
+  readonly purge = async (target: Omit<Purge, "id">): Promise<boolean> => {
     const { store } = this.options;
-    const purge: Purge = { ...what, id: randomUUID() };
+    const purge: Purge = { ...target, id: randomUUID() };
     const stored = await store.callQuorum(
       { kind: KEY_MESSAGE.addPurge, ...purge },
       readStored,
@@ -329,9 +330,9 @@
   private readonly addPurge = async (purge: Purge): Promise<boolean> => {
     const { table, onPurge } = this.options;
     const isNew = !table.hasPurge(purge.id);
-    const kept = table.addPurge(purge);
+    const stored = table.addPurge(purge);
     if (isNew) onPurge(purge);
-    return (await kept) && this.voting;
+    return (await stored) && this.voting;
   };
 
   /** The response of a key that some replica knows to be completed, from whichever has its body. */
@@ -360,7 +361,7 @@
     const responded = new Set(this.voting ? [self] : []);
     const others = store.members().filter((id) => id !== self);
     if (others.length === 0 && responded.size === 0) return false;
-    const isEnough = () =>
+    const isReadQuorum = () =>
       sets.every(
         (members) =>
           members.filter((id) => responded.has(id)).length >=
@@ -369,7 +370,7 @@
     return new Promise((resolve) => {
       let pending = others.length;
       const resolveIfDecided = () => {
-        if (isEnough()) resolve(true);
+        if (isReadQuorum()) resolve(true);
         else if (pending === 0) resolve(false);
       };
       others.forEach((id) => {
--- a/src/idempotency/key-table.ts
+++ b/src/idempotency/key-table.ts
@@ -111,14 +111,14 @@
 
   /** Claims a key for a token. `full`: the disk refuses, or too little space is left. */
   readonly claim = async (key: string, token: string): Promise<TableClaimResult> => {
-    const before = this.findEntry(key);
-    if (before && before.token !== token) return "other";
-    if (before) return (await this.segments.flush()).isOk ? "taken" : "full";
+    const existing = this.findEntry(key);
+    if (existing && existing.token !== token) return "other";
+    if (existing) return (await this.segments.flush()).isOk ? "taken" : "full";
     if (this.segments.isNearlyFull) return "full";
     this.entries.set(key, { token, sinceUs: this.options.clock.nowUs(), answer: undefined });
-    const kept = await this.segments.append({ kind: KEY_RECORD.claim, key, token });
-    if (kept.isErr) this.deleteClaim(key, token);
-    return kept.isOk ? "taken" : "full";
+    const appended = await this.segments.append({ kind: KEY_RECORD.claim, key, token });
+    if (appended.isErr) this.deleteClaim(key, token);
+    return appended.isOk ? "taken" : "full";
   };
 
   /** Releases a token that has not run. */
@@ -135,8 +135,8 @@
     token: string,
     answer: StoredResponse,
   ): Promise<boolean> => {
-    const before = this.findEntry(key);
-    if (before && before.token !== token) return false;
+    const existing = this.findEntry(key);
+    if (existing && existing.token !== token) return false;
     this.storeResponse(key, token, answer);
     return (await this.segments.append({ kind: KEY_RECORD.complete, key, token, ...answer })).isOk;
   };
@@ -169,14 +169,14 @@
    */
   readonly merge = async (packed: UnknownRecord): Promise<boolean> => {
     const nowUs = this.options.clock.nowUs();
-    const kept = readList(packed, "keys", asRecord).flatMap((row) => {
+    const appends = readList(packed, "keys", asRecord).flatMap((row) => {
       const { key, token } = readKeyClaim(row);
       const answer = readStoredResponse(row["answer"]);
-      const before = this.findEntry(key);
-      if (before && (before.token !== token || before.answer || !answer)) return [];
+      const existing = this.findEntry(key);
+      if (existing && (existing.token !== token || existing.answer || !answer)) return [];
       this.entries.set(key, {
         token,
-        sinceUs: before?.sinceUs ?? nowUs - readNumber(row, "ageUs"),
+        sinceUs: existing?.sinceUs ?? nowUs - readNumber(row, "ageUs"),
         answer,
       });
       return [
@@ -187,10 +187,10 @@
         ),
       ];
     });
-    const purged = readList(packed, "purges", readPurge).map((purge) => this.addPurge(purge));
+    const addedPurges = readList(packed, "purges", readPurge).map((purge) => this.addPurge(purge));
     return (
-      (await Promise.all(kept)).every((result) => result.isOk) &&
-      (await Promise.all(purged)).every((done) => done)
+      (await Promise.all(appends)).every((result) => result.isOk) &&
+      (await Promise.all(addedPurges)).every((done) => done)
     );
   };
 
@@ -204,11 +204,11 @@
       if (nowUs - entry.sinceUs <= this.retentionUs) break;
       this.entries.delete(key);
     }
-    const old = [...this.purgesById]
+    const expiredIds = [...this.purgesById]
       .filter(([, { sinceUs }]) => nowUs - sinceUs > PURGE_RETENTION_US)
       .map(([id]) => id);
-    old.forEach((id) => this.purgesById.delete(id));
-    return old;
+    expiredIds.forEach((id) => this.purgesById.delete(id));
+    return expiredIds;
   };
 
   private readonly findEntry = (key: string): Entry | undefined => {
@@ -224,8 +224,8 @@
   };
 
   private readonly storeResponse = (key: string, token: string, answer: StoredResponse): void => {
-    const before = this.findEntry(key);
-    if (before) before.answer = answer;
+    const existing = this.findEntry(key);
+    if (existing) existing.answer = answer;
     else this.entries.set(key, { token, sinceUs: this.options.clock.nowUs(), answer });
   };
 
--- a/src/membership/cluster-size.ts
+++ b/src/membership/cluster-size.ts
@@ -10,7 +10,8 @@
  */
 const DISTRIBUTOR_LINK_FACTOR = 4;
 
-const byName = (one: ClusterNode, other: ClusterNode): number => (one.name < other.name ? -1 : 1);
+const compareByName = (one: ClusterNode, other: ClusterNode): number =>
+  one.name < other.name ? -1 : 1;
 
 /**
  * In each zone the first gateway, by name, whose link is far wider than the median there, where
@@ -24,7 +25,7 @@
     const median = widths[Math.floor(widths.length / 2)] ?? 0;
     const distributor = nodes
       .filter(({ linkMbps }) => median > 0 && linkMbps >= median * DISTRIBUTOR_LINK_FACTOR)
-      .sort(byName)[0];
+      .sort(compareByName)[0];
     return distributor ? [{ address: distributor.relay, zone }] : [];
   });
 };
--- a/src/membership/node-sessions.ts
+++ b/src/membership/node-sessions.ts
@@ -92,7 +92,7 @@
   ): Promise<void> => {
     const node = readNode(hello["node"]);
     const protocol = readProtocol(asRecord(hello["node"], "node"));
-    if (!(await this.options.mayServe()) || this.isElsewhere(node)) {
+    if (!(await this.options.mayServe()) || this.isOutsideDrainedZone(node)) {
       connection.send(packControllers(MessageKind.rejected, this.options.controllers()));
       return connection.finish();
     }
@@ -104,9 +104,9 @@
       pendingRequests: new PendingRequests(this.options.clock),
       parent: "",
     };
-    this.open(session);
-    for await (const message of incoming) this.receive(session, message);
-    this.end(session);
+    this.openSession(session);
+    for await (const message of incoming) this.handleMessage(session, message);
+    this.removeSession(session);
   };
 
   /** Closes every session, so that the nodes look for a controller that has a majority. */
@@ -116,7 +116,7 @@
   readonly leaveDrainedZone = (): void => {
     const drained = this.options.drainedZone();
     this.sessions.forEach((session) => {
-      if (this.isElsewhere(session.node)) session.connection.close();
+      if (this.isOutsideDrainedZone(session.node)) session.connection.close();
       else if (session.node.zone !== drained && this.hasParentIn(session, drained))
         this.assignParent(session, session.parent);
     });
@@ -176,12 +176,12 @@
     const { publisher } = this.options;
     const message: Message = { kind: MessageKind.announcement, position: packPosition(position) };
     this.sessions.forEach(({ protocol, parent, connection }) => {
-      const isLate = parent !== "" || publisher.isBacklogged(connection);
-      if (protocol >= FLOW_CONTROL_PROTOCOL && isLate) connection.send(message);
+      const hasDelayedUpdates = parent !== "" || publisher.isBacklogged(connection);
+      if (protocol >= FLOW_CONTROL_PROTOCOL && hasDelayedUpdates) connection.send(message);
     });
   };
 
-  private readonly open = (session: Session): void => {
+  private readonly openSession = (session: Session): void => {
     const { node, connection } = session;
     this.sessions.get(node.name)?.connection.close();
     this.sessions.set(node.name, session);
@@ -191,7 +191,7 @@
     void this.events.emit("localChanged");
   };
 
-  private readonly receive = (session: Session, message: Message): void => {
+  private readonly handleMessage = (session: Session, message: Message): void => {
     if (session.pendingRequests.resolve(message)) return;
     const requestId = requestIdOf(message);
     if (requestId !== undefined) void this.answerNode(session, message, requestId);
@@ -202,7 +202,7 @@
     else void this.events.emit("report", { ...message, node: session.node.name });
   };
 
-  private readonly end = (session: Session): void => {
+  private readonly removeSession = (session: Session): void => {
     const { node, connection } = session;
     this.options.publisher.removeChild(connection);
     session.pendingRequests.abandonAll();
@@ -217,7 +217,7 @@
   };
 
   /** Whether this controller's zone is drained, so that it serves no node of another zone. */
-  private readonly isElsewhere = (node: ClusterNode): boolean => {
+  private readonly isOutsideDrainedZone = (node: ClusterNode): boolean => {
     const drained = this.options.drainedZone();
     return drained !== "" && drained === this.options.zone && node.zone !== drained;
   };
@@ -245,7 +245,7 @@
     const { publisher, drainedZone, linkMbps } = this.options;
     publisher.removeChild(session.connection);
     session.parent = chooseParent({
-      seeker: session,
+      child: session,
       nodes: [...this.sessions.values()],
       controller: { directChildren: publisher.size, linkMbps: linkMbps ?? 0 },
       failedRelay,
--- a/src/membership/peers.ts
+++ b/src/membership/peers.ts
@@ -60,7 +60,7 @@
 
   readonly learn = (ids: readonly string[]): void => {
     new Set(ids).forEach((id) => {
-      if (id !== this.options.self && id !== "" && !this.links.has(id)) this.open(id);
+      if (id !== this.options.self && id !== "" && !this.links.has(id)) this.openLink(id);
     });
   };
 
@@ -76,11 +76,11 @@
 
   readonly stop = (): void => this.links.forEach((link) => link.stop());
 
-  private readonly open = (id: string): void => {
-    const { clock, times, peerPort: signalPort } = this.options;
+  private readonly openLink = (id: string): void => {
+    const { clock, times, peerPort: remotePort } = this.options;
     const link = new PeerLink({
       ip: splitAddress(id).ip,
-      port: signalPort,
+      port: remotePort,
       clock,
       times,
       connectTimeoutUs: times.timeoutUs,
--- a/src/membership/relay-server.ts
+++ b/src/membership/relay-server.ts
@@ -24,7 +24,7 @@
   subscriber.events.on("clusterSize", publisher.setClusterSize);
   subscriber.events.on("freshness", publisher.sendFreshness);
   subscriber.events.on("position", publisher.advanceTo);
-  subscriber.events.on("positionUnknown", publisher.losePosition);
+  subscriber.events.on("positionUnknown", publisher.clearPosition);
   subscriber.events.on("disconnected", publisher.closeAll);
   const serveChild: SessionHandler = async (connection, hello, incoming) => {
     if (!subscriber.isUpToDate) return;
--- a/src/membership/relay-tree.ts
+++ b/src/membership/relay-tree.ts
@@ -42,7 +42,7 @@
 /** What a parent is chosen for, and among which. */
 export interface ParentSearch<Node extends RelayNode> {
   /** The node that needs a parent, one of `nodes`. */
-  readonly seeker: Node;
+  readonly child: Node;
   /** All nodes with a session here, in the order in which they came. */
   readonly nodes: readonly Node[];
   readonly controller: RelayRoot;
@@ -70,13 +70,17 @@
  */
 const pathTo = <Node extends RelayNode>(
   node: Node,
-  seeker: Node,
+  child: Node,
   { byRelay }: RelayTree<Node>,
 ): readonly Node[] | undefined => {
   const path: Node[] = [];
-  for (let at: Node | undefined = node; at && at !== seeker; at = byRelay.get(at.parent)) {
-    path.push(at);
-    if (at.parent === "") return path;
+  for (
+    let current: Node | undefined = node;
+    current && current !== child;
+    current = byRelay.get(current.parent)
+  ) {
+    path.push(current);
+    if (current.parent === "") return path;
     if (path.length > byRelay.size) return undefined;
   }
   return undefined;
@@ -95,8 +99,8 @@
   path: readonly Node[],
   { childCounts }: RelayTree<Node>,
 ): number => {
-  const sendTimesS = path.map(({ node }, at) => {
-    const children = (childCounts.get(node.relay) ?? 0) + (at === 0 ? 1 : 0);
+  const sendTimesS = path.map(({ node }, index) => {
+    const children = (childCounts.get(node.relay) ?? 0) + (index === 0 ? 1 : 0);
     return sendTimeS(node.linkMbps, children);
   });
   const isFull = (childCounts.get(path[0]?.node.relay ?? "") ?? 0) >= MAX_CHILDREN;
@@ -115,14 +119,14 @@
 }
 
 const cheapestRelay = <Node extends RelayNode>(
-  { seeker, nodes, controller, failedRelay, drainedZone }: ParentSearch<Node>,
+  { child, nodes, controller, failedRelay, drainedZone }: ParentSearch<Node>,
   tree: RelayTree<Node>,
 ): Candidate | undefined => {
   let best: Candidate | undefined;
   nodes.forEach((other) => {
     const { relay, zone } = other.node;
-    if (other === seeker || relay === failedRelay || zone === drainedZone) return;
-    const path = pathTo(other, seeker, tree);
+    if (other === child || relay === failedRelay || zone === drainedZone) return;
+    const path = pathTo(other, child, tree);
     if (!path) return;
     const children = tree.childCounts.get(relay) ?? 0;
     const cost =
@@ -132,7 +136,7 @@
   return best;
 };
 
-const mayHaveMore = (
+const canAddDirectChild = (
   { directChildren, linkMbps }: RelayRoot,
   failedRelay: string,
   best: Candidate,
@@ -147,5 +151,5 @@
  */
 export const chooseParent = <Node extends RelayNode>(search: ParentSearch<Node>): string => {
   const best = cheapestRelay(search, treeOf(search.nodes));
-  return !best || mayHaveMore(search.controller, search.failedRelay, best) ? "" : best.relay;
+  return !best || canAddDirectChild(search.controller, search.failedRelay, best) ? "" : best.relay;
 };
--- a/src/membership/update-feed.ts
+++ b/src/membership/update-feed.ts
@@ -23,7 +23,7 @@
 }
 
 /** What waits for one child, and what is on its way to it. */
-interface Feed {
+interface ChildFeed {
   readonly connection: Connection;
   readonly hasFlowControl: boolean;
   readonly queue: UpdateFrame[];
@@ -38,7 +38,7 @@
  * nothing and don't count.
  */
 export class UpdateFeeds {
-  private readonly feeds = new Map<Connection, Feed>();
+  private readonly feeds = new Map<Connection, ChildFeed>();
   private inFlightBytes = 0;
 
   /** @param windowBytes - how much may be on its way to all children together */
@@ -46,7 +46,7 @@
 
   /** How many children there are. */
   get size(): number {
-    this.prune();
+    this.removeClosed();
     return this.feeds.size;
   }
 
@@ -80,7 +80,7 @@
 
   /** Sends a frame to every child. */
   readonly sendToAll = (frame: UpdateFrame): void => {
-    this.prune();
+    this.removeClosed();
     this.feeds.forEach((feed) => this.enqueue(feed, frame));
     this.sendQueued();
   };
@@ -103,7 +103,7 @@
   /** Closes the connections of all children. */
   readonly closeAll = (): void => this.feeds.forEach(({ connection }) => connection.close());
 
-  private readonly enqueue = (feed: Feed, frame: UpdateFrame): void => {
+  private readonly enqueue = (feed: ChildFeed, frame: UpdateFrame): void => {
     if (feed.queue.length >= MAX_QUEUED_FRAMES) feed.connection.close();
     else feed.queue.push(frame);
   };
@@ -119,12 +119,12 @@
     }
   };
 
-  private readonly sendNext = (feed: Feed): boolean => {
+  private readonly sendNext = (feed: ChildFeed): boolean => {
     const [frame] = feed.queue;
     if (!frame || feed.connection.isClosed) return false;
     const { message, acknowledgement } = frame;
-    const counts = feed.hasFlowControl && acknowledgement !== undefined;
-    if (counts) {
+    const isFlowControlled = feed.hasFlowControl && acknowledgement !== undefined;
+    if (isFlowControlled) {
       const bytes = encodeFrame(message).length;
       if (!this.hasRoom(feed, bytes)) return false;
       feed.inFlight.set(acknowledgement, bytes);
@@ -136,15 +136,15 @@
     return true;
   };
 
-  private readonly hasRoom = (feed: Feed, bytes: number): boolean => {
+  private readonly hasRoom = (feed: ChildFeed, bytes: number): boolean => {
     if (this.inFlightBytes === 0) return true;
-    const isWithinOwn =
+    const isWithinChildWindow =
       feed.inFlightBytes === 0 ||
       feed.inFlightBytes + bytes <= this.windowBytes / CHILD_WINDOW_DIVISOR;
-    return isWithinOwn && this.inFlightBytes + bytes <= this.windowBytes;
+    return isWithinChildWindow && this.inFlightBytes + bytes <= this.windowBytes;
   };
 
-  private readonly prune = (): void => {
+  private readonly removeClosed = (): void => {
     this.feeds.forEach(({ connection }) => {
       if (connection.isClosed) this.remove(connection);
     });
--- a/src/membership/update-position.ts
+++ b/src/membership/update-position.ts
@@ -55,7 +55,7 @@
   private announcements: readonly Announcement[] = [];
   private disconnectedUs: number | undefined;
   /** By origin, the highest sequence reached: an update may overtake its announcement. */
-  private readonly reached = new Map<string, number>();
+  private readonly highestSequences = new Map<string, number>();
   /** Whether the parent tells positions; one of an older version doesn't, and nothing is known then. */
   private isTracking = false;
 
@@ -77,7 +77,7 @@
   /** Takes the announcement that updates up to a position are on their way. */
   readonly announce = (position: UpdatePosition): void => {
     if (!this.isTracking) return;
-    if ((this.reached.get(position.origin) ?? -1) >= position.sequence) return;
+    if ((this.highestSequences.get(position.origin) ?? -1) >= position.sequence) return;
     const last = this.announcements.at(-1);
     const isFull = this.announcements.length >= MAX_ANNOUNCEMENTS;
     if (last && isFull && last.position.origin === position.origin)
@@ -90,27 +90,28 @@
   };
 
   /** Notes that all updates up to a position have come. */
-  readonly reach = ({ origin, sequence }: UpdatePosition): void => {
+  readonly recordPosition = ({ origin, sequence }: UpdatePosition): void => {
     this.isTracking = true;
-    this.remember(origin, sequence);
+    this.recordSequence(origin, sequence);
     this.announcements = this.announcements.filter(
       ({ position }) => position.origin !== origin || position.sequence > sequence,
     );
   };
 
-  private readonly remember = (origin: string, sequence: number): void => {
-    const highest = Math.max(sequence, this.reached.get(origin) ?? 0);
-    this.reached.delete(origin);
-    this.reached.set(origin, highest);
-    const [oldest] = this.reached.keys();
-    if (this.reached.size > MAX_ORIGINS && oldest !== undefined) this.reached.delete(oldest);
+  private readonly recordSequence = (origin: string, sequence: number): void => {
+    const highest = Math.max(sequence, this.highestSequences.get(origin) ?? 0);
+    this.highestSequences.delete(origin);
+    this.highestSequences.set(origin, highest);
+    const [oldest] = this.highestSequences.keys();
+    if (this.highestSequences.size > MAX_ORIGINS && oldest !== undefined)
+      this.highestSequences.delete(oldest);
   };
 
   /**
    * Notes a snapshot of all updates. It settles what other controllers announced; a parent of an
    * older version gives no position, and nothing can be told then.
    */
-  readonly reachSnapshot = (position: UpdatePosition | undefined): void => {
+  readonly recordSnapshot = (position: UpdatePosition | undefined): void => {
     this.isTracking = position !== undefined;
     this.announcements = this.announcements.filter(
       (announcement) =>
@@ -120,12 +121,12 @@
   };
 
   /** Notes that the session has opened. */
-  readonly noteConnected = (): void => {
+  readonly recordConnected = (): void => {
     this.disconnectedUs = undefined;
   };
 
   /** Notes that the session has ended. */
-  readonly noteDisconnected = (): void => {
+  readonly recordDisconnected = (): void => {
     this.disconnectedUs ??= this.options.clock.nowUs();
   };
 }
--- a/src/membership/update-publisher.ts
+++ b/src/membership/update-publisher.ts
@@ -25,7 +25,7 @@
  * Updates that must be in force within a bound once they were acknowledged: configuration, and
  * workers that leave.
  */
-const isBinding = ({ key, body }: Update): boolean =>
+const isTimeBound = ({ key, body }: Update): boolean =>
   key.startsWith(CONFIG_PREFIX) ||
   (key.startsWith(WORKER_PREFIX) && (body["state"] === "draining" || body["state"] === "gone"));
 
@@ -71,7 +71,7 @@
   private lastAcknowledgement = 0;
   private snapshot: PackedSnapshot | undefined;
   private changeCount = 0;
-  private hasBinding = false;
+  private hasTimeBoundChange = false;
   /** Invariant: all updates up to it are in the store. */
   private position: UpdatePosition | undefined;
   private isPositionSent = true;
@@ -86,12 +86,12 @@
     if (options.origin !== undefined) this.position = { origin: options.origin, sequence: 0 };
     updates.events.on("changed", (changed) => {
       changed.forEach((update) => this.changed.add(update.key));
-      this.hasBinding ||= changed.some(isBinding);
-      this.noteChange();
+      this.hasTimeBoundChange ||= changed.some(isTimeBound);
+      this.recordChange();
     });
     updates.events.on("forgotten", (keys) => {
       keys.forEach((key) => this.forgotten.add(key));
-      this.noteChange();
+      this.recordChange();
     });
   }
 
@@ -118,21 +118,21 @@
   readonly setClusterSize = (clusterSize: ClusterSize): void => {
     if (JSON.stringify(clusterSize) === JSON.stringify(this.clusterSize)) return;
     this.clusterSize = clusterSize;
-    this.sendSmall(packClusterSize(clusterSize));
+    this.sendUnacknowledged(packClusterSize(clusterSize));
   };
 
   /** Passes on that everything up to a position of the controller has come; for relays. */
   readonly advanceTo = (position: UpdatePosition): void => {
     this.position = position;
     this.isPositionSent = false;
-    this.flushSoon();
+    this.scheduleFlush();
   };
 
   /**
    * The parent of this relay tells no positions, so its children can't be told any. Those that were
    * look for another parent, or join anew.
    */
-  readonly losePosition = (): void => {
+  readonly clearPosition = (): void => {
     if (!this.position) return;
     this.position = undefined;
     this.isPositionSent = true;
@@ -142,7 +142,7 @@
   /** Tells that every purge acknowledged before so long ago is in what has been sent. */
   readonly sendFreshness = (ageUs: number): void => {
     if (this.changed.size > 0) this.flush();
-    this.sendSmall({ kind: MessageKind.freshness, ageUs });
+    this.sendUnacknowledged({ kind: MessageKind.freshness, ageUs });
   };
 
   /** Sends everything again, for instance once the registry has become complete. */
@@ -150,16 +150,16 @@
 
   readonly closeAll = (): void => this.feeds.closeAll();
 
-  private readonly noteChange = (): void => {
+  private readonly recordChange = (): void => {
     this.changeCount += 1;
-    this.flushSoon();
+    this.scheduleFlush();
   };
 
   private readonly currentSnapshot = (): UpdateFrame => {
     const nowUs = this.clock.nowUs();
     if (this.snapshot && this.isCurrent(this.snapshot, nowUs)) return this.snapshot.frame;
     const updates = this.updates.all();
-    const frame = this.newFrame(updates.length, {
+    const frame = this.createFrame(updates.length, {
       kind: MessageKind.updates,
       whole: true,
       complete: this.isComplete(),
@@ -176,7 +176,7 @@
     snapshot.position === this.position &&
     nowUs - snapshot.packedUs <= SNAPSHOT_REUSE_US;
 
-  private readonly flushSoon = (): void => {
+  private readonly scheduleFlush = (): void => {
     this.flushTimer ??= this.clock.after(FLUSH_DELAY_US, this.flush);
   };
 
@@ -204,7 +204,7 @@
     isLast: boolean,
   ): void =>
     this.feeds.sendToAll(
-      this.newFrame(changed.length, {
+      this.createFrame(changed.length, {
         kind: MessageKind.updates,
         whole: false,
         complete: false,
@@ -218,20 +218,20 @@
     const { origin } = this.options;
     if (origin === undefined) return;
     this.position = { origin, sequence: (this.position?.sequence ?? 0) + 1 };
-    if (this.hasBinding) void this.events.emit("announced", this.position);
-    this.hasBinding = false;
+    if (this.hasTimeBoundChange) void this.events.emit("announced", this.position);
+    this.hasTimeBoundChange = false;
   };
 
   private readonly packedPosition = () =>
     this.position ? { position: packPosition(this.position) } : {};
 
-  private readonly newFrame = (updateCount: number, message: Message): UpdateFrame => {
+  private readonly createFrame = (updateCount: number, message: Message): UpdateFrame => {
     if (updateCount <= MAX_SMALL_UPDATES) return { message, acknowledgement: undefined };
     this.lastAcknowledgement += 1;
     const acknowledgement = this.lastAcknowledgement;
     return { message: withAcknowledgement(message, acknowledgement), acknowledgement };
   };
 
-  private readonly sendSmall = (message: Message): void =>
+  private readonly sendUnacknowledged = (message: Message): void =>
     this.feeds.sendToAll({ message, acknowledgement: undefined });
 }
--- a/src/membership/update-store.ts
+++ b/src/membership/update-store.ts
@@ -21,7 +21,7 @@
 /** An update that has not been stored yet; its age is given apart. */
 export type NewUpdate = Omit<Update, "sinceUs">;
 
-const outranks = (one: NewUpdate, other: Update | undefined): boolean =>
+const supersedes = (one: NewUpdate, other: Update | undefined): boolean =>
   other === undefined ||
   one.version > other.version ||
   (one.version === other.version && one.tie > other.tie);
@@ -53,7 +53,7 @@
   ): void => {
     const nowUs = this.clock.nowUs();
     const changed = updates
-      .filter((update) => outranks(update, this.updates.get(update.key)))
+      .filter((update) => supersedes(update, this.updates.get(update.key)))
       .map((update) => ({ ...update, sinceUs: nowUs - ageUs(update) }));
     changed.forEach((update) => this.updates.set(update.key, update));
     if (changed.length > 0) void this.events.emit("changed", changed);
--- a/src/membership/update-subscriber.ts
+++ b/src/membership/update-subscriber.ts
@@ -48,7 +48,7 @@
    */
   readonly lag?: UpdateLag;
   /** Answers a request of the controller. */
-  readonly answer?: (question: Message) => Message | undefined;
+  readonly answer?: (query: Message) => Message | undefined;
 }
 
 /** State of the session with a controller: none yet, hello sent and not answered, or open. */
@@ -58,7 +58,7 @@
 const RELAY_CONNECT_TIMEOUT_US = 600 * MILLISECOND_US;
 /** How many controllers are remembered, those announced last first. */
 const MAX_KNOWN_CONTROLLERS = 32;
-const FALLBACK_EVERY = 3;
+const ATTEMPTS_PER_FALLBACK = 3;
 
 /**
  * How a node gets its updates: one session with a controller, and updates from it or from the relay
@@ -89,7 +89,7 @@
   /** Invariant: set exactly while a relay sends this node its updates. */
   private relayConnection: Connection | undefined;
   private parent = "";
-  private tried = new Map<string, number>();
+  private lastAttemptUs = new Map<string, number>();
   private stopping = false;
   /** How often a connection was tried since the last session. */
   private connectAttempts = 0;
@@ -147,7 +147,7 @@
     const { name, zone, relay, role, linkMbps, peerPort, clock, times, log } = this.options;
     while (!this.stopping) {
       yield "connecting";
-      const controller = this.choose();
+      const controller = this.chooseController();
       const connection = await connectTo(
         splitAddress(controller).ip,
         peerPort,
@@ -175,13 +175,13 @@
           // eslint-disable-next-line max-depth -- each yield is a state; a nested generator would add turns between them
           if (first.value.kind === MessageKind.welcome) {
             log.info("session opened", { controller });
-            this.tried.clear();
+            this.lastAttemptUs.clear();
             this.connectAttempts = 0;
-            this.options.lag?.noteConnected();
+            this.options.lag?.recordConnected();
             yield "connected";
             // eslint-disable-next-line max-depth -- as above
-            for await (const message of incoming) this.take(message, connection);
-            this.options.lag?.noteDisconnected();
+            for await (const message of incoming) this.handleMessage(message, connection);
+            this.options.lag?.recordDisconnected();
             log.info("session closed", { controller, reason: connection.closeReason });
           }
         }
@@ -191,7 +191,7 @@
         yield "connecting";
         this.notifyDisconnected();
       }
-      this.tried.set(controller, clock.nowUs());
+      this.lastAttemptUs.set(controller, clock.nowUs());
       // eslint-disable-next-line @typescript-eslint/no-unnecessary-condition -- set by `stop` during an await
       if (!this.stopping) await sleep(clock, RECONNECT_DELAY_US);
     }
@@ -202,25 +202,26 @@
    * longest ago. Every third attempt goes to the others, seeds and those announced before: after
    * replacements many of these no longer exist, and each costs a time-out.
    */
-  private readonly choose = (): string => {
+  private readonly chooseController = (): string => {
     this.connectAttempts += 1;
     const announced = this.knownControllers.filter(({ isAnnounced }) => isAnnounced);
-    const others = [
+    const fallbacks = [
       ...new Set([...this.knownControllers.map(({ id }) => id), ...this.seeds]),
     ].filter((id) => !announced.some((controller) => controller.id === id));
-    const isOthersTurn =
-      announced.length === 0 || (others.length > 0 && this.connectAttempts % FALLBACK_EVERY === 0);
-    const near = new Set(
+    const isFallbackAttempt =
+      announced.length === 0 ||
+      (fallbacks.length > 0 && this.connectAttempts % ATTEMPTS_PER_FALLBACK === 0);
+    const sameZoneIds = new Set(
       announced.filter(({ zone }) => zone === this.options.zone).map(({ id }) => id),
     );
-    const pool = isOthersTurn ? others : announced.map(({ id }) => id);
+    const candidates = isFallbackAttempt ? fallbacks : announced.map(({ id }) => id);
     const scores = new Map(
-      pool.map((id) => [
+      candidates.map((id) => [
         id,
-        (this.tried.get(id) ?? 0) + (near.has(id) ? 0 : 1) + Math.random() * 0.5,
+        (this.lastAttemptUs.get(id) ?? 0) + (sameZoneIds.has(id) ? 0 : 1) + Math.random() * 0.5,
       ]),
     );
-    return pool.sort((a, b) => (scores.get(a) ?? 0) - (scores.get(b) ?? 0))[0] ?? "";
+    return candidates.sort((a, b) => (scores.get(a) ?? 0) - (scores.get(b) ?? 0))[0] ?? "";
   };
 
   private readonly learnControllers = (message: Message): void => {
@@ -246,7 +247,7 @@
     return this.options.lag ? FLOW_CONTROL_PROTOCOL : undefined;
   }
 
-  private readonly take = (message: Message, connection: Connection): void => {
+  private readonly handleMessage = (message: Message, connection: Connection): void => {
     if (this.pendingRequests.resolve(message)) return;
     if (typeof message["ask"] === "number") {
       this.report({
@@ -260,17 +261,17 @@
         this.learnControllers(message);
         return;
       case MessageKind.parent:
-        this.follow(readString(message, "parent"));
+        this.changeParent(readString(message, "parent"));
         return;
       case MessageKind.announcement:
-        this.takeAnnouncement(message);
+        this.handleAnnouncement(message);
         return;
       default:
         this.applyUpdates(message, connection);
     }
   };
 
-  private readonly takeAnnouncement = (message: Message): void => {
+  private readonly handleAnnouncement = (message: Message): void => {
     const position = readPosition(message["position"]);
     if (position) this.options.lag?.announce(position);
   };
@@ -289,20 +290,20 @@
     updates.forget(readList(message, "forget", asString));
     if (readFlag(message, "whole")) {
       if (readFlag(message, "complete"))
-        this.forgetUnnamed(new Set(received.map((one) => readString(asRecord(one), "key"))));
+        this.removeAbsentWorkers(new Set(received.map((one) => readString(asRecord(one), "key"))));
       void this.events.emit("snapshot");
     }
-    this.advance(message);
+    this.recordProgress(message);
   };
 
-  private readonly advance = (updates: Message): void => {
+  private readonly recordProgress = (updates: Message): void => {
     const position = readPosition(updates["position"]);
     if (readFlag(updates, "whole")) {
-      this.options.lag?.reachSnapshot(position);
+      this.options.lag?.recordSnapshot(position);
       if (!position) void this.events.emit("positionUnknown");
     }
     if (!position) return;
-    this.options.lag?.reach(position);
+    this.options.lag?.recordPosition(position);
     void this.events.emit("position", position);
   };
 
@@ -310,17 +311,17 @@
    * A complete snapshot names every worker there is. Configuration items never vanish, since removed
    * ones stay as tombstones.
    */
-  private readonly forgetUnnamed = (named: ReadonlySet<string>): void => {
+  private readonly removeAbsentWorkers = (presentKeys: ReadonlySet<string>): void => {
     const { updates } = this.options;
     updates.forget(
       updates
         .all()
         .map(({ key }) => key)
-        .filter((key) => key.startsWith(WORKER_PREFIX) && !named.has(key)),
+        .filter((key) => key.startsWith(WORKER_PREFIX) && !presentKeys.has(key)),
     );
   };
 
-  private readonly follow = (parent: string): void => {
+  private readonly changeParent = (parent: string): void => {
     this.parent = parent;
     this.options.log.info("parent assigned", { parent });
     this.relayConnection?.close();
--- a/src/membership/worker-registry.ts
+++ b/src/membership/worker-registry.ts
@@ -5,17 +5,22 @@
 import { WORKER_PREFIX, type UpdateStore, type NewUpdate } from "./update-store.js";
 
 /** Later states of one call count win over earlier ones; a gone worker stays gone. */
-const RANK: Readonly<Record<WorkerState, number>> = { ready: 0, missing: 1, draining: 2, gone: 3 };
-const RANKS = 4;
+const STATE_RANK: Readonly<Record<WorkerState, number>> = {
+  ready: 0,
+  missing: 1,
+  draining: 2,
+  gone: 3,
+};
+const STATE_COUNT = 4;
 
 interface Entry {
   heartbeat: Heartbeat;
-  heardUs: number;
+  lastHeardUs: number;
 }
 
 const updateOf = (heartbeat: Heartbeat): NewUpdate => ({
   key: WORKER_PREFIX + heartbeat.id,
-  version: heartbeat.callCount * RANKS + RANK[heartbeat.state],
+  version: heartbeat.callCount * STATE_COUNT + STATE_RANK[heartbeat.state],
   tie: "",
   body: packWorkerUpdate(heartbeat),
 });
@@ -77,40 +82,40 @@
       received.state === "ready" && ageUs > this.heartbeatUs * MISSING_HEARTBEATS
         ? { ...received, state: "missing" }
         : received;
-    const before = this.entries.get(heartbeat.id);
-    if (!before) {
+    const previous = this.entries.get(heartbeat.id);
+    if (!previous) {
       if (ageUs > this.heartbeatUs * TOMBSTONE_HEARTBEATS) return false;
-      this.entries.set(heartbeat.id, { heartbeat, heardUs: nowUs });
+      this.entries.set(heartbeat.id, { heartbeat, lastHeardUs: nowUs });
       this.updates.post([updateOf(heartbeat)]);
       return true;
     }
-    if (before.heartbeat.state === "gone") return false;
-    const rises = heartbeat.callCount > before.heartbeat.callCount;
-    const sinks =
-      heartbeat.callCount === before.heartbeat.callCount &&
-      RANK[heartbeat.state] > RANK[before.heartbeat.state];
-    if (!rises && !sinks) return false;
+    if (previous.heartbeat.state === "gone") return false;
+    const hasHigherCallCount = heartbeat.callCount > previous.heartbeat.callCount;
+    const hasHigherRank =
+      heartbeat.callCount === previous.heartbeat.callCount &&
+      STATE_RANK[heartbeat.state] > STATE_RANK[previous.heartbeat.state];
+    if (!hasHigherCallCount && !hasHigherRank) return false;
     const state =
-      before.heartbeat.state === "draining" && heartbeat.state !== "gone"
+      previous.heartbeat.state === "draining" && heartbeat.state !== "gone"
         ? "draining"
         : heartbeat.state;
     const changed =
-      state !== before.heartbeat.state ||
-      heartbeat.address !== before.heartbeat.address ||
-      heartbeat.service !== before.heartbeat.service;
-    before.heartbeat = { ...heartbeat, state };
-    before.heardUs = Math.max(nowUs, before.heardUs);
-    if (changed) this.updates.post([updateOf(before.heartbeat)]);
+      state !== previous.heartbeat.state ||
+      heartbeat.address !== previous.heartbeat.address ||
+      heartbeat.service !== previous.heartbeat.service;
+    previous.heartbeat = { ...heartbeat, state };
+    previous.lastHeardUs = Math.max(nowUs, previous.lastHeardUs);
+    if (changed) this.updates.post([updateOf(previous.heartbeat)]);
     return true;
   };
 
   readonly leave = (id: string): Heartbeat | undefined => {
-    const before = this.entries.get(id);
-    if (!before) return undefined;
+    const previous = this.entries.get(id);
+    if (!previous) return undefined;
     const heartbeat: Heartbeat = {
-      ...before.heartbeat,
+      ...previous.heartbeat,
       state: "gone",
-      callCount: before.heartbeat.callCount + 1,
+      callCount: previous.heartbeat.callCount + 1,
     };
     this.record(heartbeat);
     return heartbeat;
@@ -123,9 +128,9 @@
 
   readonly packAll = (): readonly UnknownRecord[] => {
     const nowUs = this.clock.nowUs();
-    return [...this.entries.values()].map(({ heartbeat, heardUs }) => ({
+    return [...this.entries.values()].map(({ heartbeat, lastHeardUs }) => ({
       ...packHeartbeat(heartbeat),
-      ageUs: nowUs - heardUs,
+      ageUs: nowUs - lastHeardUs,
     }));
   };
 
@@ -133,7 +138,7 @@
   readonly sweep = (): void => {
     const nowUs = this.clock.nowUs();
     this.entries.forEach((entry, id) => {
-      const silentUs = nowUs - Math.max(entry.heardUs, this.listeningSinceUs);
+      const silentUs = nowUs - Math.max(entry.lastHeardUs, this.listeningSinceUs);
       if (silentUs > this.heartbeatUs * TOMBSTONE_HEARTBEATS) {
         this.entries.delete(id);
         this.updates.forget([WORKER_PREFIX + id]);
--- a/src/quota/lease-allocator.ts
+++ b/src/quota/lease-allocator.ts
@@ -5,7 +5,7 @@
 import type { Clock } from "../common/clock.js";
 
 /** What one lease gave, and when it expires by this process's clock. */
-interface Allotment {
+interface Lease {
   readonly share: number;
   readonly expiresAtUs: number;
 }
@@ -27,28 +27,28 @@
  * have from the one before, since it doesn't know what that one allocated.
  */
 export class LeaseAllocator {
-  private readonly allotments = new Map<string, Allotment[]>();
+  private readonly leases = new Map<string, Lease[]>();
 
   /**
-   * @param sinceUs - since when the leader lease is held here; if not given, since the first
+   * @param leaderSinceUs - since when the leader lease is held here; if not given, since the first
    * request
    */
   constructor(
     private readonly clock: Clock,
     private readonly terms: LeaseTerms,
-    private sinceUs?: number,
+    private leaderSinceUs?: number,
   ) {}
 
   /** Whether nothing that was allocated still counts. */
   get isIdle(): boolean {
     this.removeExpired();
-    return this.allotments.size === 0;
+    return this.leases.size === 0;
   }
 
   /** Called whenever the leader lease is not held here: others may allocate too. */
   readonly reset = (): void => {
-    this.sinceUs = undefined;
-    this.allotments.clear();
+    this.leaderSinceUs = undefined;
+    this.leases.clear();
   };
 
   /**
@@ -67,17 +67,17 @@
   ): number => {
     const { durationUs, graceUs } = this.terms;
     const nowUs = this.clock.nowUs();
-    this.sinceUs ??= nowUs;
+    this.leaderSinceUs ??= nowUs;
     this.removeExpired();
-    let others = 0;
-    this.allotments.forEach((rows, other) => {
-      if (other !== incarnation) others += largestOf(rows);
+    let allocatedToOthers = 0;
+    this.leases.forEach((leases, other) => {
+      if (other !== incarnation) allocatedToOthers += largestOf(leases);
     });
-    const isNew = nowUs - this.sinceUs < durationUs + graceUs;
-    const share = Math.min(Math.max(0, quota - others), isNew ? held : wanted);
+    const isNewLeader = nowUs - this.leaderSinceUs < durationUs + graceUs;
+    const share = Math.min(Math.max(0, quota - allocatedToOthers), isNewLeader ? held : wanted);
     if (share > 0)
-      this.allotments.set(incarnation, [
-        ...(this.allotments.get(incarnation) ?? []),
+      this.leases.set(incarnation, [
+        ...(this.leases.get(incarnation) ?? []),
         { share, expiresAtUs: nowUs + durationUs },
       ]);
     return share;
@@ -85,14 +85,16 @@
 
   private readonly removeExpired = (): void => {
     const nowUs = this.clock.nowUs();
-    this.allotments.forEach((rows, incarnation) => {
-      const left = rows.filter(({ expiresAtUs }) => expiresAtUs + this.terms.graceUs > nowUs);
-      if (left.length > 0) this.allotments.set(incarnation, left);
-      else this.allotments.delete(incarnation);
+    this.leases.forEach((leases, incarnation) => {
+      const remaining = leases.filter(
+        ({ expiresAtUs }) => expiresAtUs + this.terms.graceUs > nowUs,
+      );
+      if (remaining.length > 0) this.leases.set(incarnation, remaining);
+      else this.leases.delete(incarnation);
     });
   };
 }
 
 /** A renewal that was lost leaves the old lease in force, so the largest one counts. */
-const largestOf = (rows: readonly Allotment[]): number =>
-  rows.reduce((largest, { share }) => Math.max(largest, share), 0);
+const largestOf = (leases: readonly Lease[]): number =>
+  leases.reduce((largest, { share }) => Math.max(largest, share), 0);
--- a/src/quota/rate-allocator.ts
+++ b/src/quota/rate-allocator.ts
@@ -10,7 +10,10 @@
 
 /** Divides the rates into equal shares of the caches, or of the gateways while no cache asks. */
 export class RateAllocator {
-  private readonly active = new Map<string, { readonly kind: string; readonly askedUs: number }>();
+  private readonly active = new Map<
+    string,
+    { readonly kind: string; readonly requestedUs: number }
+  >();
   private readonly allocator: LeaseAllocator;
 
   constructor(private readonly clock: Clock) {
@@ -32,9 +35,9 @@
    */
   readonly allocate = (incarnation: string, kind: string, held: number): number => {
     const nowUs = this.clock.nowUs();
-    this.active.set(incarnation, { kind, askedUs: nowUs });
-    this.active.forEach(({ askedUs }, other) => {
-      if (nowUs - askedUs >= ACTIVE_US) this.active.delete(other);
+    this.active.set(incarnation, { kind, requestedUs: nowUs });
+    this.active.forEach(({ requestedUs }, other) => {
+      if (nowUs - requestedUs >= ACTIVE_US) this.active.delete(other);
     });
     return this.allocator.allocate(incarnation, this.equalShare(kind), held, 1);
   };
--- a/src/quota/rate-limiter.ts
+++ b/src/quota/rate-limiter.ts
@@ -66,12 +66,12 @@
   readonly delayToNextToken = (
     service: string,
   ): { readonly ok: false; readonly waitUs: number } => {
-    const perUs = (this.ratePerS(service) * USED_FRACTION * this.share) / 1_000_000;
+    const tokensPerUs = (this.ratePerS(service) * USED_FRACTION * this.share) / 1_000_000;
     return {
       ok: false,
       waitUs:
-        perUs > 0
-          ? Math.ceil(Math.max(0, 1 - this.fill(service).tokens) / perUs)
+        tokensPerUs > 0
+          ? Math.ceil(Math.max(0, 1 - this.fill(service).tokens) / tokensPerUs)
           : DELAY_WITHOUT_LEASE_US,
     };
   };
@@ -81,8 +81,8 @@
     const bucket = this.buckets.get(service) ?? { tokens: 0, filledUs: nowUs };
     const untilUs = Math.min(nowUs, this.lease.expiresAtUs);
     const rate = this.ratePerS(service) * this.lease.share;
-    const fresh = (rate * USED_FRACTION * Math.max(0, untilUs - bucket.filledUs)) / 1_000_000;
-    bucket.tokens = Math.min(bucket.tokens + fresh, Math.max(1, rate * BURST_S));
+    const addedTokens = (rate * USED_FRACTION * Math.max(0, untilUs - bucket.filledUs)) / 1_000_000;
+    bucket.tokens = Math.min(bucket.tokens + addedTokens, Math.max(1, rate * BURST_S));
     bucket.filledUs = Math.max(bucket.filledUs, nowUs);
     this.buckets.set(service, bucket);
     return bucket;
--- a/src/quota/retry-allocator.ts
+++ b/src/quota/retry-allocator.ts
@@ -34,7 +34,7 @@
  */
 export class RetryAllocator {
   private readonly allocators = new Map<string, LeaseAllocator>();
-  private sinceUs: number | undefined;
+  private leaderSinceUs: number | undefined;
 
   constructor(private readonly options: RetryAllocatorOptions) {}
 
@@ -45,10 +45,10 @@
   readonly refresh = (): void => {
     if (!this.options.isLeader()) {
       this.allocators.clear();
-      this.sinceUs = undefined;
+      this.leaderSinceUs = undefined;
       return;
     }
-    this.sinceUs ??= this.options.clock.nowUs();
+    this.leaderSinceUs ??= this.options.clock.nowUs();
     this.allocators.forEach((allocator, key) => {
       if (allocator.isIdle) this.allocators.delete(key);
     });
@@ -61,7 +61,7 @@
    */
   readonly handleRequest = (message: Message): Message => {
     this.refresh();
-    if (this.sinceUs === undefined) return packRetryRefusal();
+    if (this.leaderSinceUs === undefined) return packRetryRefusal();
     const { incarnation, demands } = readRetryRequest(message);
     const limits = this.options.limits();
     const allotments = demands.map((demand) => ({
@@ -82,9 +82,13 @@
     const key = `${service}|${kind}`;
     const allocator =
       this.allocators.get(key) ??
-      new LeaseAllocator(clock, { durationUs: RETRY_LEASE_US, graceUs: windowUs }, this.sinceUs);
+      new LeaseAllocator(
+        clock,
+        { durationUs: RETRY_LEASE_US, graceUs: windowUs },
+        this.leaderSinceUs,
+      );
     this.allocators.set(key, allocator);
-    const most = Math.max(1, slack * MAX_NODE_FRACTION);
-    return allocator.allocate(incarnation, Math.min(wanted, most), held, slack);
+    const maxTokens = Math.max(1, slack * MAX_NODE_FRACTION);
+    return allocator.allocate(incarnation, Math.min(wanted, maxTokens), held, slack);
   };
 }
--- a/src/quota/retry-lease-renewer.ts
+++ b/src/quota/retry-lease-renewer.ts
@@ -55,12 +55,12 @@
    * allocator.
    */
   private readonly renew = async (): Promise<void> => {
-    const wants = this.retryBudgets.takeDemands();
+    const demands = this.retryBudgets.takeDemands();
     const requestedUs = this.clock.nowUs();
     const reply =
-      wants.length === 0
+      demands.length === 0
         ? undefined
-        : await this.request(packRetryRequest(this.incarnation, wants), TIMEOUT_US);
+        : await this.request(packRetryRequest(this.incarnation, demands), TIMEOUT_US);
     const response = readRetryResponse(reply);
     response?.allotments.forEach(({ service, kind, tokens }) => {
       this.retryBudgets
@@ -68,6 +68,6 @@
         .setLease({ tokens, expiresUs: requestedUs + response.durationUs });
     });
     this.isScheduled = false;
-    if (wants.length > 0) this.schedule(RENEWAL_INTERVAL_US);
+    if (demands.length > 0) this.schedule(RENEWAL_INTERVAL_US);
   };
 }
--- a/src/quota/retry-limits.ts
+++ b/src/quota/retry-limits.ts
@@ -125,17 +125,20 @@
   } catch (error) {
     return err(error instanceof Error ? error.message : "the limit is unreadable");
   }
-  const before = limits[service] ?? limits[EVERY_SERVICE];
-  if (!before) return err("there are no limits yet");
-  const kinds: KindLimits = { ...before, [kind]: limit };
-  const slacks = ROUTE_KINDS.reduce((sum, one) => sum + kinds[one].slack, 0);
+  const current = limits[service] ?? limits[EVERY_SERVICE];
+  if (!current) return err("there are no limits yet");
+  const kinds: KindLimits = { ...current, [kind]: limit };
+  const totalSlack = ROUTE_KINDS.reduce((sum, one) => sum + kinds[one].slack, 0);
   if (limit.ratio > maximum.ratio)
     return err(`a ratio of ${limit.ratio} is above the deployment's ${maximum.ratio}`);
-  if (slacks > maximum.slack * (1 + 1e-9))
+  if (totalSlack > maximum.slack * (1 + 1e-9))
     return err(
-      `the slacks of all kinds add up to ${slacks}, above the deployment's ${maximum.slack}`,
+      `the slacks of all kinds add up to ${totalSlack}, above the deployment's ${maximum.slack}`,
     );
-  const tooHigh = (["unsafe", "keyed"] as const).find((one) => kinds[one].ratio > kinds.safe.ratio);
-  if (tooHigh) return err(`the ratio of ${tooHigh} is above that of safe, which may be repeated`);
+  const kindAboveSafe = (["unsafe", "keyed"] as const).find(
+    (one) => kinds[one].ratio > kinds.safe.ratio,
+  );
+  if (kindAboveSafe)
+    return err(`the ratio of ${kindAboveSafe} is above that of safe, which may be repeated`);
   return ok({ ...limits, [service]: kinds });
 };
