--- a/src/idempotency/key-client.ts
+++ b/src/idempotency/key-client.ts
@@ -1,5 +1,6 @@
 /**
- * A gateway's side of idempotency keys: what it asks the controller that it has its session with.
+ * Client side of idempotency keys: the requests of a gateway to the controller that it has a
+ * session with.
  */
 import { sleep, type Clock } from "../common/clock.js";
 import { asRecord, isRecord, readList, asString, readNumber } from "../common/decode.js";
@@ -7,14 +8,14 @@
 import type { Message } from "../transport/connection.js";
 import { KEY_MESSAGE, readStored } from "./key-codec.js";
 
-/** The response of a key's first run, as it is stored and given to repeats. */
+/** The response of a key's first run, as stored and returned to repeated requests. */
 export interface KeyedResponse {
   readonly status: number;
   readonly heads: readonly string[];
   readonly body: Uint8Array;
 }
 
-/** What a claim comes to; see `KeyClaimResult`. `none`: no controller responded in time. */
+/** The result of a claim; see `KeyClaimResult`. `none`: no controller responded in time. */
 export type ClaimResult =
   | { readonly kind: "won" }
   | { readonly kind: "done"; readonly answer: KeyedResponse }
@@ -36,7 +37,7 @@
   };
 };
 
-/** Claims idempotency keys at the controller that this gateway has its session with. */
+/** Claims idempotency keys at the controller that this gateway has a session with. */
 export class IdempotencyClient {
   constructor(
     private readonly clock: Clock,
@@ -55,11 +56,11 @@
     };
   };
 
-  /** Releases a token that has not run; it must never be used again. */
+  /** Releases a token whose operation has not run; the token must never be used again. */
   readonly release = (key: string, token: string): void =>
     this.send({ kind: KEY_MESSAGE.release, key, token });
 
-  /** Stores the response; false if no quorum confirmed it within `waitUs`. */
+  /** Stores the response of a key's run; false if no quorum confirmed it within `waitUs`. */
   readonly complete = async (
     key: string,
     token: string,
--- a/src/idempotency/key-codec.ts
+++ b/src/idempotency/key-codec.ts
@@ -1,7 +1,7 @@
 /**
- * The form of what idempotency keys put on the wire and on disk: the kinds and keys of messages
- * between controllers, and of the records of a key table. Nodes and controllers of other versions
- * read both, so no text in here ever changes.
+ * Wire and disk format of idempotency keys: kinds and keys of the messages between controllers, and
+ * of the records of a key table. Nodes and controllers of other versions read both, so the strings
+ * in this file must never change.
  */
 import {
   asRecord,
@@ -14,7 +14,7 @@
 } from "../common/decode.js";
 import type { Message } from "../transport/connection.js";
 
-/** The kinds of the messages between controllers, and of those that a gateway sends. */
+/** The kinds of the messages that controllers exchange and gateways send. */
 export const KEY_MESSAGE = {
   claim: "key-claim",
   complete: "key-done",
@@ -24,7 +24,7 @@
   refresh: "key-refresh",
   addPurge: "key-purge",
   readPurges: "key-purges",
-  /** Every response to one of them. */
+  /** The response to any of the above. */
   response: "done",
 } as const;
 
@@ -39,17 +39,17 @@
 } as const;
 
 /**
- * What the first run of a key was answered with. Without a body it is stored elsewhere, or was too
- * large to store.
+ * The response of a key's first run. The body is undefined if it is stored at other replicas or was
+ * too large to store.
  */
 export interface StoredResponse {
   readonly status: number;
-  /** Names and values in turn. */
+  /** Header names and values, alternating. */
   readonly heads: readonly string[];
   readonly body: Uint8Array | undefined;
 }
 
-/** An order to drop cached objects of a host: one path, or all that have a label. */
+/** A request to evict cached objects of a host: one path, or all objects with a label. */
 export interface Purge {
   readonly id: string;
   readonly host: string;
@@ -57,27 +57,28 @@
   readonly label: string;
 }
 
-/** A key with the token that claims it. */
+/** A key and the token that claims it. */
 export interface KeyClaim {
   readonly key: string;
   readonly token: string;
 }
 
 /**
- * What one replica's table makes of a claim: it has the token, it has another one, or it takes no
- * claims.
+ * The result of a claim at one replica's table: the table holds the token, it holds another token,
+ * or it accepts no claims.
  */
 export type TableClaimResult = "taken" | "other" | "full";
 
 /**
- * A replica's response to a claim. `isCompleted` is true if it knows that the key's run has ended.
+ * A replica's response to a claim. `isCompleted` is true if the replica has the response of the
+ * key's run.
  */
 export interface ClaimResponse {
   readonly result: TableClaimResult;
   readonly isCompleted: boolean;
 }
 
-/** Reads a stored response; undefined where there is none. */
+/** Reads a stored response; undefined if there is none. */
 export const readStoredResponse = (value: unknown): StoredResponse | undefined => {
   if (!isRecord(value)) return undefined;
   const body = value["body"];
@@ -88,14 +89,14 @@
   };
 };
 
-/** Writes a stored response; the body is left out where there is none. */
+/** Packs a stored response; the body is omitted if there is none. */
 export const packStoredResponse = ({ status, heads, body }: StoredResponse): UnknownRecord => ({
   status,
   heads,
   ...(body ? { body } : {}),
 });
 
-/** Reads a purge from a message, a list or a record on disk. */
+/** Reads a purge from a message, a list item or a record on disk. */
 export const readPurge = (value: unknown): Purge => {
   const fields = asRecord(value, "purge");
   return {
@@ -106,13 +107,13 @@
   };
 };
 
-/** Reads the key and the token of a message or of a record on disk. */
+/** Reads the key and the token from a message or a record on disk. */
 export const readKeyClaim = (fields: UnknownRecord): KeyClaim => ({
   key: readString(fields, "key"),
   token: readString(fields, "token"),
 });
 
-/** Writes a replica's response to a claim. */
+/** Packs a replica's response to a claim. */
 export const packClaimResponse = ({ result, isCompleted }: ClaimResponse): Message => ({
   kind: KEY_MESSAGE.response,
   verdict: result,
@@ -120,8 +121,8 @@
 });
 
 /**
- * Reads a replica's response to a claim. A result of a later version counts as a replica that takes
- * no claims.
+ * Reads a replica's response to a claim. An unknown result, sent by a later version, is treated as
+ * if the replica accepted no claims.
  */
 export const readClaimResponse = (message: Message): ClaimResponse => {
   const result = message["verdict"];
@@ -131,11 +132,11 @@
   };
 };
 
-/** Writes whether what was asked for is durable at this replica. */
+/** Packs whether the requested data is durable at this replica. */
 export const packStored = (isStored: boolean): Message => ({
   kind: KEY_MESSAGE.response,
   kept: isStored,
 });
 
-/** Whether a response says that what was asked for is durable at the replica. */
+/** Whether a response confirms that the requested data is durable at the replica. */
 export const readStored = (message: Message | undefined): boolean => message?.["kept"] === true;
--- a/src/idempotency/key-replication.ts
+++ b/src/idempotency/key-replication.ts
@@ -1,5 +1,6 @@
 /**
- * Idempotency keys over the voter set: claims by quorum, responses stored at a quorum, and purges.
+ * Replication of idempotency keys over the voter set: keys are claimed at a quorum, and responses
+ * and purges are stored at a quorum.
  */
 import { randomUUID } from "node:crypto";
 import { asString, readFlag, readList, readString } from "../common/decode.js";
@@ -24,22 +25,22 @@
 } from "./key-codec.js";
 import type { IdempotencyKeyTable } from "./key-table.js";
 
-/** What a claim comes to. A gateway is told its kind. */
+/** The result of a claim. Its `kind` is sent to the gateway. */
 export type KeyClaimResult =
-  /** A quorum holds the token: its bearer alone may run the operation. */
+  /** A quorum holds the token: only its holder may run the operation. */
   | { readonly kind: "won" }
   | { readonly kind: "done"; readonly answer: StoredResponse }
-  /** Another attempt has the key, and may have run. */
+  /** Another attempt holds the key and may have run the operation. */
   | { readonly kind: "working" }
   /**
-   * Two attempts came at once and neither won: the token is to be released, and another tried after
-   * a while.
+   * Concurrent attempts split the votes and none won: the caller must release the token and retry
+   * with another one after a delay.
    */
   | { readonly kind: "split" }
   /** Too few replicas responded. */
   | { readonly kind: "none" };
 
-/** What the replication of idempotency keys works on. */
+/** Dependencies of {@link IdempotencyKeyReplication}. */
 export interface IdempotencyKeyReplicationOptions {
   readonly self: string;
   readonly table: IdempotencyKeyTable;
@@ -49,7 +50,7 @@
   readonly send: (message: Message) => void;
   readonly withstandMachines: number;
   readonly logger: Logger;
-  /** Called for each purge that this replica learns. */
+  /** Called for each purge that is new to this replica. */
   readonly onPurge: (purge: Purge) => void;
 }
 
@@ -57,18 +58,18 @@
 const STORE_TIMEOUT_US = 250 * MILLISECOND_US;
 const REFRESH_TIMEOUT_US = 1_500 * MILLISECOND_US;
 /**
- * A body up to this size is sent to all members at once, a larger one only to as many as make a
- * quorum.
+ * A body of at most this size is sent to all members at once, a larger one only to as many members
+ * as form a quorum.
  */
 const SMALL_BODY_BYTES = 256;
 
 /**
- * Idempotency keys over the voter set: who may run an operation, and what its run was answered
- * with.
+ * Decides by quorum which attempt may run the operation of a key, and stores the response of that
+ * run.
  *
- * Invariant: a replica that may have lost claims accepts none until it has read so many of the
- * others that every claim once held by a quorum is among theirs; so within the window no two tokens
- * of a key ever win.
+ * Invariant: a replica that may have lost claims accepts none until it has read enough other
+ * replicas to cover every claim ever held by a quorum. Therefore no two tokens of a key win within
+ * the key window.
  */
 export class IdempotencyKeyReplication {
   private voting = false;
@@ -81,7 +82,10 @@
     return this.voting;
   }
 
-  /** Loads the table; on the first start of the whole system an empty one counts at once. */
+  /**
+   * Loads the table. On the first start of the whole system an empty table is valid, and the
+   * replica votes at once.
+   */
   readonly start = async (firstRun: boolean): Promise<void> => {
     const found = await this.options.table.load();
     this.options.table.purges().forEach(this.options.onPurge);
@@ -91,8 +95,8 @@
   };
 
   /**
-   * Reads what a replica that lost its table needs; called until it votes. Does nothing before it
-   * is a member.
+   * Restores the table of a replica that lost it from the other replicas. Called until the replica
+   * votes; does nothing before it is a member.
    */
   readonly catchUp = async (): Promise<void> => {
     const { table, store, logger } = this.options;
@@ -107,8 +111,8 @@
   };
 
   /**
-   * Has a quorum of the new members read what a quorum of the old ones stores; true once that is
-   * done.
+   * Makes a quorum of the new members read what a quorum of the old members stores; true if that
+   * succeeded.
    */
   readonly replicateToNewMembers = async (): Promise<boolean> => {
     const { store } = this.options;
@@ -121,7 +125,7 @@
     return refreshed.isOk;
   };
 
-  /** Reads a read quorum's tables into this one; true once all of it is durable here. */
+  /** Merges the tables of a read quorum into this one; true if all of the data is durable here. */
   private readonly refresh = async (): Promise<boolean> => {
     const { table } = this.options;
     const merges: Promise<boolean>[] = [];
@@ -156,7 +160,8 @@
     if (won.isOk) return { kind: "won" };
     if (isCompleted) return this.fetchResponse(key);
     if (otherTokenCount === 0) return { kind: "none" };
-    // Unless the other token could have won among those that did not respond, neither has.
+    // If no other token can have reached a quorum without the members that accepted this one,
+    // neither attempt has won.
     const couldOtherTokenHaveWon = store
       .quorumSets()
       .every(
@@ -167,15 +172,15 @@
     return couldOtherTokenHaveWon ? { kind: "working" } : { kind: "split" };
   };
 
-  /** Releases a token that has not run and never will. */
+  /** Releases a token whose operation has not run and never will. */
   readonly release = (key: string, token: string): void => {
     this.options.table.release(key, token);
     this.options.send({ kind: KEY_MESSAGE.release, key, token });
   };
 
   /**
-   * Stores the response with its body at a quorum, and without it at the rest; false if no quorum
-   * stored it in time.
+   * Stores the response with its body at a quorum, and without the body at the other members; false
+   * if no quorum stored it in time.
    */
   readonly complete = async (
     key: string,
@@ -228,8 +233,8 @@
   };
 
   /**
-   * Learns the purges that a read quorum stores; true if every purge acknowledged before the call
-   * is known now.
+   * Reads the purges stored by a read quorum; true if every purge acknowledged before the call is
+   * now known here.
    */
   readonly readPurges = async (): Promise<boolean> => {
     const { table } = this.options;
@@ -245,9 +250,9 @@
   };
 
   /**
-   * Responds to another controller; undefined for what needs no response.
+   * Handles a message of another controller; returns undefined if it needs no response.
    *
-   * @throws DecodeError if the message isn't of its kind's form
+   * @throws DecodeError if the message is malformed
    */
   readonly handleRequest = async (message: Message): Promise<Message | undefined> => {
     const rejection = this.options.store.rejectIfOutdated(message);
@@ -316,7 +321,7 @@
     return { result, isCompleted: table.findResponse(key) !== undefined };
   };
 
-  /** Whether these members are a quorum of each voter set in force. */
+  /** Whether these members form a quorum of each voter set in force. */
   private readonly isQuorum = (ids: ReadonlySet<string>): boolean => {
     const { store, withstandMachines } = this.options;
     return store
@@ -335,7 +340,10 @@
     return (await stored) && this.voting;
   };
 
-  /** The response of a key that some replica knows to be completed, from whichever has its body. */
+  /**
+   * Fetches the response of a key that some replica reported as completed, from any replica that
+   * has its body.
+   */
   private readonly fetchResponse = async (key: string): Promise<KeyClaimResult> => {
     const { self, table, store, request } = this.options;
     const replies = await Promise.all(
@@ -351,7 +359,10 @@
     return found ? { kind: "done", answer: found } : { kind: "working" };
   };
 
-  /** Asks voting replicas until as many have responded as share a member with every quorum. */
+  /**
+   * Queries the other members until the accepted responses form a read quorum, which shares a
+   * member with every quorum. This replica counts as well if it votes.
+   */
   private readonly gatherToRead = async (
     message: Message,
     accepts: (reply: Message) => boolean,
--- a/src/idempotency/key-table.ts
+++ b/src/idempotency/key-table.ts
@@ -1,4 +1,4 @@
-/** One replica's table of idempotency keys and purges, with the log that makes it durable. */
+/** One replica's table of idempotency keys and purges, with the log that persists it. */
 import { asRecord, readList, readNumber, type UnknownRecord } from "../common/decode.js";
 import type { Clock } from "../common/clock.js";
 import { SECOND_US } from "../common/duration.js";
@@ -19,33 +19,33 @@
   answer: StoredResponse | undefined;
 }
 
-/** What a key table needs to know. */
+/** Options of {@link IdempotencyKeyTable}. */
 export interface IdempotencyKeyTableOptions {
-  /** Empty on a machine without a disk: then memory is all there is. */
+  /**
+   * Folder of the log; empty on a machine without a disk, where the table is only kept in memory.
+   */
   readonly folder: string;
   readonly clock: Clock;
-  /** For how long a key must not run twice, in microseconds. */
+  /** Period within which a key must not run twice, in microseconds. */
   readonly keyWindowUs: number;
-  /** The disk space of this controller, of which the table takes a part. */
+  /** Disk space of this controller, a fraction of which the table may use. */
   readonly diskBytes: number;
 }
 
-/**
- * How much longer than the window a claim is kept, for all that clocks and network hops may add.
- */
+/** A claim is retained longer than the key window, to allow for clock drift and network delays. */
 const MARGIN_FRACTION = 0.1;
 const MARGIN_US = 5 * SECOND_US;
-/** The part of the disk space that the table may take. */
+/** Fraction of the disk space that the table may use. */
 const DISK_FRACTION = 0.7;
-/** For how long a purge is kept, in microseconds. */
+/** Retention period of a purge, in microseconds. */
 export const PURGE_RETENTION_US = 60 * SECOND_US;
 
 /**
- * One controller's own replica of the idempotency keys and of the purges, durable on its disk.
+ * One controller's replica of the idempotency keys and purges, persisted on its disk.
  *
- * Invariants: a key has one token at a time, and another is taken only after that one was released
- * or its time is over; a token is released only by who took it, and only if it has not run; what is
- * said to be taken is synced.
+ * Invariants: a key has one token at a time, and accepts another only after that one was released
+ * or has expired; a token is released only by its owner, and only if its operation has not run; a
+ * claim is reported as taken only after it was synced to disk.
  */
 export class IdempotencyKeyTable {
   private readonly entries = new Map<string, Entry>();
@@ -55,8 +55,8 @@
   >();
   private readonly segments: SegmentLog;
   /**
-   * Invariant: true exactly if this replica holds all that it must; each segment begins with how
-   * that was then.
+   * Invariant: true exactly if this replica holds all data that it must. The header of each segment
+   * records the value at the time the segment was created.
    */
   private isInitialized = false;
   private readonly retentionUs: number;
@@ -83,8 +83,8 @@
   }
 
   /**
-   * False where no log was found, or one that never held all it must: what it once held may be
-   * lost.
+   * Loads the log. Returns false if there is none, or if it never held all required data: data that
+   * this replica once stored may then be lost.
    */
   readonly load = async (): Promise<boolean> => {
     const records = await this.segments.load();
@@ -92,24 +92,22 @@
     return this.isInitialized;
   };
 
-  /**
-   * Writes a record by which a later start knows that nothing was lost; false if the disk refuses.
-   */
+  /** Writes a record that tells a later start that no data was lost; false if the write failed. */
   readonly markInitialized = async (): Promise<boolean> => {
     this.isInitialized = (await this.segments.append({ kind: KEY_RECORD.initialized })).isOk;
     return this.isInitialized;
   };
 
-  /** Waits for the writes that have begun, and closes the log. */
+  /** Waits for pending writes and closes the log. */
   readonly close = (): Promise<void> => this.segments.close();
 
-  /** The response of a key's run, with or without its body. */
+  /** The response of a key's run, with or without its body; undefined if there is none. */
   readonly findResponse = (key: string): StoredResponse | undefined => this.findEntry(key)?.answer;
 
-  /** The token that has a key. */
+  /** The token that holds a key. */
   readonly findToken = (key: string): string | undefined => this.findEntry(key)?.token;
 
-  /** Claims a key for a token. `full`: the disk refuses, or too little space is left. */
+  /** Claims a key for a token. `full`: the write failed, or too little space is left. */
   readonly claim = async (key: string, token: string): Promise<TableClaimResult> => {
     const existing = this.findEntry(key);
     if (existing && existing.token !== token) return "other";
@@ -121,14 +119,14 @@
     return appended.isOk ? "taken" : "full";
   };
 
-  /** Releases a token that has not run. */
+  /** Releases a token whose operation has not run. */
   readonly release = (key: string, token: string): void => {
     if (this.deleteClaim(key, token))
       void this.segments.append({ kind: KEY_RECORD.release, key, token });
   };
 
   /**
-   * Stores the response of the key's run; false if another token has the key, or the disk refuses.
+   * Stores the response of a key's run; false if another token holds the key or the write failed.
    */
   readonly complete = async (
     key: string,
@@ -141,7 +139,7 @@
     return (await this.segments.append({ kind: KEY_RECORD.complete, key, token, ...answer })).isOk;
   };
 
-  /** Stores a purge; false if the disk refuses. */
+  /** Stores a purge; false if the write failed. */
   readonly addPurge = async (purge: Purge): Promise<boolean> => {
     if (this.purgesById.has(purge.id)) return (await this.segments.flush()).isOk;
     this.purgesById.set(purge.id, { purge, sinceUs: this.options.clock.nowUs() });
@@ -152,7 +150,7 @@
 
   readonly hasPurge = (id: string): boolean => this.purgesById.has(id);
 
-  /** Everything but the bodies, for a replica that lost its own. */
+  /** Packs the table without response bodies, for a replica that lost its table. */
   readonly pack = (): UnknownRecord => {
     const nowUs = this.options.clock.nowUs();
     const keys = [...this.entries].map(([key, { token, sinceUs, answer }]) => ({
@@ -165,7 +163,8 @@
   };
 
   /**
-   * Takes what another replica packed; what is here already stays. True once all of it is durable.
+   * Merges the packed table of another replica. Existing entries are kept, but get the response if
+   * they lack it. True if all of the data is durable.
    */
   readonly merge = async (packed: UnknownRecord): Promise<boolean> => {
     const nowUs = this.options.clock.nowUs();
@@ -195,8 +194,8 @@
   };
 
   /**
-   * Removes what has expired; entries are in the order they came. Returns the ids of the purges
-   * removed.
+   * Removes expired entries and purges, relying on entries being in order of insertion. Returns the
+   * ids of the removed purges.
    */
   readonly removeExpired = (): readonly string[] => {
     const nowUs = this.options.clock.nowUs();
@@ -230,8 +229,8 @@
   };
 
   /**
-   * Replays a record found on disk; its time counts from now, since how long the process was gone
-   * isn't known.
+   * Replays a record found on disk. Its age counts from now, since it is unknown how long the
+   * process was down.
    */
   private readonly replay = (record: UnknownRecord): void => {
     const nowUs = this.options.clock.nowUs();
--- a/src/membership/cluster-size.ts
+++ b/src/membership/cluster-size.ts
@@ -1,21 +1,20 @@
 /**
- * The size of the cluster by its nodes, and which gateways distribute large objects within their
- * zone.
+ * Derives the size of the cluster from its nodes and selects the gateways that distribute large
+ * objects within their zone.
  */
 import type { CacheAddress, ClusterNode, ClusterSize } from "./cluster.js";
 
 /**
- * How many times wider than the median link of its zone a gateway's link must be for it to
+ * Minimum ratio of a gateway's link bandwidth to the median of its zone for the gateway to
  * distribute large objects.
  */
 const DISTRIBUTOR_LINK_FACTOR = 4;
 
-const compareByName = (one: ClusterNode, other: ClusterNode): number =>
-  one.name < other.name ? -1 : 1;
+const byName = (one: ClusterNode, other: ClusterNode): number => (one.name < other.name ? -1 : 1);
 
 /**
- * In each zone the first gateway, by name, whose link is far wider than the median there, where
- * there is one.
+ * For each zone, the first gateway by name whose link bandwidth reaches `DISTRIBUTOR_LINK_FACTOR`
+ * times the zone's median. Zones without such a gateway are omitted.
  */
 const distributorsOf = (gateways: readonly ClusterNode[]): readonly CacheAddress[] => {
   const byZone = new Map<string, ClusterNode[]>();
@@ -25,14 +24,12 @@
     const median = widths[Math.floor(widths.length / 2)] ?? 0;
     const distributor = nodes
       .filter(({ linkMbps }) => median > 0 && linkMbps >= median * DISTRIBUTOR_LINK_FACTOR)
-      .sort(compareByName)[0];
+      .sort(byName)[0];
     return distributor ? [{ address: distributor.relay, zone }] : [];
   });
 };
 
-/**
- * The size of a cluster of these nodes. Only where there are caches do gateways distribute objects.
- */
+/** The size of a cluster of these nodes. Gateways distribute objects only if there are caches. */
 export const clusterSizeOf = (nodes: readonly ClusterNode[]): ClusterSize => {
   const gateways = nodes.filter(({ role }) => role === "gateway");
   const caches = nodes
--- a/src/membership/cluster.ts
+++ b/src/membership/cluster.ts
@@ -1,50 +1,46 @@
 /**
- * Who belongs to the cluster: the nodes of the data plane, their number and place, and the
- * controllers.
+ * The members of the cluster: data plane nodes with their number and zones, controllers, and
+ * workers.
  */
 import type { UnknownRecord } from "../common/decode.js";
 
-/** What a node of the data plane does: `gateway` proxies requests, `cache` keeps shared objects. */
+/** Role of a data plane node: a `gateway` proxies requests, a `cache` stores shared objects. */
 export type NodeRole = "gateway" | "cache";
 
-/** A node of the data plane, as it introduces itself to a controller. */
+/** A data plane node, as described in its hello to a controller. */
 export interface ClusterNode {
   readonly name: string;
   readonly zone: string;
-  /** The address (ip:port) at which the node serves the children that it relays updates to. */
+  /** Address (ip:port) at which the node accepts the children that it relays updates to. */
   readonly relay: string;
   readonly role: NodeRole;
-  /** The bandwidth of its network link; 0 when unknown. */
+  /** Bandwidth of the node's network link; 0 if unknown. */
   readonly linkMbps: number;
 }
 
-/** Where objects are asked for: the relay address (ip:port) of a node, and its zone. */
+/** Relay address (ip:port) and zone of a node that serves objects to other nodes. */
 export interface CacheAddress {
   readonly address: string;
   readonly zone: string;
 }
 
-/**
- * How many live gateways there are, in all and by zone, and which nodes serve objects to others.
- */
+/** Number of live gateways, in total and by zone, and the nodes that serve objects to others. */
 export interface ClusterSize {
   readonly gateways: number;
   readonly zones: Readonly<Record<string, number>>;
-  /** The caches with a session; left out where there are none. */
+  /** Caches with an open session; omitted if there are none. */
   readonly caches?: readonly CacheAddress[];
-  /**
-   * The gateways that distribute large objects within their zone; left out where there are none.
-   */
+  /** Gateways that distribute large objects within their zone; omitted if there are none. */
   readonly zoneDistributors?: readonly CacheAddress[];
 }
 
-/** A connected controller: its id, which is its control address (ip:port), and its zone. */
+/** A connected controller. Its id is its control address (ip:port). */
 export interface ControllerAddress {
   readonly id: string;
   readonly zone: string;
 }
 
-/** One node's answer to a query; undefined where it did not answer in time. */
+/** One node's answer to a query; `answer` is undefined if the node did not respond in time. */
 export interface NodeAnswer {
   readonly node: string;
   readonly zone: string;
@@ -52,24 +48,24 @@
 }
 
 /**
- * Whether a worker takes requests: `missing` without recent heartbeats, `draining` when it is
- * leaving, `gone` once it has left.
+ * Availability of a worker: `ready` accepts requests, `missing` has sent no recent heartbeats,
+ * `draining` is about to leave, `gone` has left.
  */
 export type WorkerState = "ready" | "missing" | "draining" | "gone";
 
-/** What is known of a worker by its last heartbeat. */
+/** The state of a worker as of its last heartbeat. */
 export interface Heartbeat {
   readonly id: string;
   readonly service: string;
   readonly address: string;
   readonly zone: string;
-  /** The release that the worker runs; empty when it gives none. */
+  /** Release that the worker runs; empty if it reports none. */
   readonly version: string;
-  /** How many requests it serves at once. */
+  /** Maximum number of concurrent requests. */
   readonly capacity: number;
   readonly state: WorkerState;
-  /** How long it goes on warming up, from the time of the heartbeat. */
+  /** Remaining warm-up time, counted from the time of the heartbeat. */
   readonly warmUs: number;
-  /** How many calls the worker has made; a later call has a higher count. */
+  /** Number of calls the worker has made; a later call has a higher count. */
   readonly callCount: number;
 }
--- a/src/membership/messages.ts
+++ b/src/membership/messages.ts
@@ -1,7 +1,8 @@
 /**
- * The wire form of membership: message kinds and keys between controllers, nodes and their relays,
- * in the remembered workers' file, and in the answers to operators. Other versions of the program
- * read and write these names, so they never change; the types in memory have names of their own.
+ * Wire format of membership: message kinds and keys used between controllers, nodes and their
+ * relays, in the file of known workers, and in responses to operators. Other versions of the
+ * program read and write these names, so they must never change; the in-memory types have names of
+ * their own.
  */
 import {
   asRecord,
@@ -27,45 +28,47 @@
 /** The `kind` of each message. */
 // eslint-disable-next-line @typescript-eslint/naming-convention -- an enumeration, named like a type
 export const MessageKind = {
-  /** Controller to controller: the first message over a link. */
+  /** Controller to controller: the first message on a link. */
   peerHello: "colleague",
-  /** Node to controller: the first message over a session. */
+  /** Node to controller: the first message of a session. */
   nodeHello: "pointsman",
-  /** The answer to either hello, when the session or link is accepted. */
+  /** Response to either hello when the session or link is accepted. */
   welcome: "welcome",
   /**
-   * The answer to a node's hello from a controller that is without quorum or serves only its own
-   * zone.
+   * Response to a node's hello from a controller that has no quorum or serves only its own zone.
    */
   rejected: "adrift",
   /** Controller to node: the connected controllers. */
   controllers: "boxes",
-  /** Controller to node: the relay that sends it updates. */
+  /** Controller to node: the relay from which the node receives updates. */
   parent: "parent",
   /** Node to controller: its relay failed. */
   parentLost: "lost-news",
-  /** Node to its relay: the first message over a connection. */
+  /** Node to its relay: the first message on a connection. */
   childHello: "child",
   updates: "news",
-  /** A child to the node that sends it updates: a large frame has come. */
+  /** Child to its parent: a large frame was received. */
   acknowledgement: "acknowledge",
-  /** Controller to node: updates up to a position are on their way. */
+  /** Controller to node: updates up to a position are being sent. */
   announcement: "announce",
   clusterSize: "crew",
   freshness: "fresh",
-  /** Controller to controller: the nodes with a session. */
+  /** Controller to controller: the nodes that have a session with the sender. */
   sessions: "sessions",
   heartbeats: "beats",
-  /** The answer to `heartbeats`. */
+  /** Response to `heartbeats`. */
   heartbeatsTaken: "took",
-  /** Controller to controller: a query for the nodes with a session there, and its answer. */
+  /**
+   * Controller to controller: a query to the nodes that have a session with the receiver, and the
+   * response with their answers.
+   */
   queryNodes: "ask-nodes",
   nodeAnswers: "answers",
   unknown: "unknown",
 } as const;
 
 const PROTOCOL = "protocol";
-/** In updates the number that they are to be acknowledged with, and in the acknowledgement. */
+/** Number of a frame that must be acknowledged, both in the frame and in its acknowledgement. */
 const ACKNOWLEDGE = "acknowledge";
 const ZONE = "cell";
 const CONTROLLERS = "boxes";
@@ -78,7 +81,7 @@
 const isWorkerState = (value: string): value is WorkerState =>
   value === "ready" || value === "missing" || value === "draining" || value === "gone";
 
-/** A heartbeat as shared between controllers, remembered on disk, and shown to operators. */
+/** Packs a heartbeat as it is sent to other controllers, stored on disk and shown to operators. */
 export const packHeartbeat = (heartbeat: Heartbeat): UnknownRecord => ({
   id: heartbeat.id,
   service: heartbeat.service,
@@ -91,9 +94,13 @@
   callCount: heartbeat.callCount,
 });
 
-/** Reads the body of a worker's heartbeat request. Throws a sentence on the field that is wrong. */
+/**
+ * Reads the body of a worker's heartbeat request.
+ *
+ * @throws DecodeError naming the invalid field
+ */
 export const readHeartbeat = (id: string, value: unknown): Heartbeat => {
-  const record = asRecord(value, "the beat");
+  const record = asRecord(value, "heartbeat");
   const state = readString(record, "state");
   return {
     id,
@@ -111,13 +118,13 @@
   };
 };
 
-/** Reads what `packHeartbeat` gave. */
+/** Reads a heartbeat packed by `packHeartbeat`. */
 export const readSharedHeartbeat = (value: unknown): Heartbeat => {
-  const record = asRecord(value, "the beat");
+  const record = asRecord(value, "heartbeat");
   return readHeartbeat(readString(record, "id"), record);
 };
 
-/** The body of the update that tells nodes of a worker. */
+/** The body of the update that announces a worker to nodes. */
 export const packWorkerUpdate = (heartbeat: Heartbeat): UnknownRecord => ({
   service: heartbeat.service,
   address: heartbeat.address,
@@ -128,7 +135,7 @@
   release: heartbeat.version,
 });
 
-/** A node as told to other controllers and to operators. */
+/** Packs a node as it is sent to other controllers and shown to operators. */
 export const packNode = (node: ClusterNode): UnknownRecord => ({
   name: node.name,
   [ZONE]: node.zone,
@@ -152,9 +159,7 @@
   };
 };
 
-/**
- * A node's first message to a controller. `linkMbps` is left out where the node doesn't know it.
- */
+/** A node's first message to a controller. `linkMbps` is omitted if the node does not know it. */
 export const packNodeHello = (node: {
   readonly name: string;
   readonly zone: string;
@@ -177,7 +182,7 @@
 const packProtocol = (protocol: number | undefined): UnknownRecord =>
   protocol === undefined ? {} : { [PROTOCOL]: protocol };
 
-/** The version of the update protocol that a hello gives; 1 where it gives none. */
+/** The update protocol version stated in a hello; 1 if it states none. */
 export const readProtocol = (hello: UnknownRecord): number =>
   typeof hello[PROTOCOL] === "number" ? hello[PROTOCOL] : 1;
 
@@ -188,11 +193,11 @@
   ...packProtocol(protocol),
 });
 
-/** The number that a frame of updates is to be acknowledged with; undefined where it wants none. */
+/** The number with which to acknowledge a frame of updates; undefined if it requests none. */
 export const acknowledgementOf = (updates: Message): number | undefined =>
   typeof updates[ACKNOWLEDGE] === "number" ? updates[ACKNOWLEDGE] : undefined;
 
-/** Asks for a frame of updates to be acknowledged. */
+/** Adds a request for acknowledgement to a frame of updates. */
 export const withAcknowledgement = (updates: Message, number: number): Message => ({
   ...updates,
   [ACKNOWLEDGE]: number,
@@ -204,16 +209,16 @@
   [ACKNOWLEDGE]: number,
 });
 
-/** Reads what `packAcknowledgement` gave. */
+/** Reads the number of the acknowledged frame. */
 export const readAcknowledgement = (message: Message): number => readNumber(message, ACKNOWLEDGE);
 
-/** The nodes that have sessions with a controller, for its peers. */
+/** Packs the nodes that have a session with this controller, for its peers. */
 export const packNodes = (nodes: readonly ClusterNode[]): Message => ({
   kind: MessageKind.sessions,
   nodes: nodes.map(packNode),
 });
 
-/** The nodes that a peer has sessions with. */
+/** Reads the nodes that have a session with a peer. */
 export const readNodes = (message: Message): readonly ClusterNode[] =>
   readList(message, "nodes", readNode);
 
@@ -228,13 +233,13 @@
   known: knownControllers,
 });
 
-/** The zone that a peer's hello or welcome gives; undefined where it gives none. */
+/** The zone stated in a peer's hello or welcome; undefined if it states none. */
 export const readPeerZone = (hello: Message): string | undefined => {
   const zone = hello[ZONE];
   return typeof zone === "string" ? zone : undefined;
 };
 
-/** A list of connected controllers under one of the message kinds that carry it. */
+/** A list of connected controllers, in a message of one of the kinds that carry it. */
 export const packControllers = (
   kind: typeof MessageKind.welcome | typeof MessageKind.rejected | typeof MessageKind.controllers,
   controllers: readonly ControllerAddress[],
@@ -243,7 +248,7 @@
   [CONTROLLERS]: controllers.map(({ id, zone }) => ({ id, [ZONE]: zone })),
 });
 
-/** The controllers that a message lists; empty where it lists none. */
+/** The controllers that a message lists; empty if it lists none. */
 export const readControllers = (message: Message): readonly ControllerAddress[] =>
   readList(message, CONTROLLERS, (value) => {
     const record = asRecord(value);
@@ -262,8 +267,7 @@
   });
 
 /**
- * The size of the cluster for a node. Zone distributors and caches are left out where there are
- * none.
+ * Packs the cluster size for a node. Zone distributors and caches are omitted if there are none.
  */
 export const packClusterSize = (size: ClusterSize): Message => ({
   kind: MessageKind.clusterSize,
@@ -273,7 +277,7 @@
   ...(size.caches ? { [CACHES]: size.caches.map(packAddress) } : {}),
 });
 
-/** Reads what `packClusterSize` packed; an empty list reads like a missing one. */
+/** Reads a size packed by `packClusterSize`; an empty list is treated like a missing one. */
 export const readClusterSize = (message: Message): ClusterSize => {
   const zones = asRecord(message[ZONES], ZONES);
   const caches = readAddresses(message, CACHES);
@@ -286,14 +290,17 @@
   };
 };
 
-/** A node's answer on its way from the controller that asked it to the one that wants it. */
+/**
+ * Packs a node's answer for transfer from the controller that queried the node to the controller
+ * that requested it.
+ */
 export const packNodeAnswer = ({ node, zone, answer }: NodeAnswer): UnknownRecord => ({
   node,
   [ZONE]: zone,
   answer,
 });
 
-/** Reads what `packNodeAnswer` packed; an answer that is no record reads like none. */
+/** Reads an answer packed by `packNodeAnswer`; an answer that is not a record counts as missing. */
 export const readNodeAnswer = (value: unknown): NodeAnswer => {
   const record = asRecord(value, "answer");
   return {
--- a/src/membership/node-sessions.ts
+++ b/src/membership/node-sessions.ts
@@ -1,4 +1,4 @@
-/** The sessions of data plane nodes with a controller, and what its peers say of theirs. */
+/** Sessions of data plane nodes with this controller, and the sessions reported by its peers. */
 import Emittery from "emittery";
 import type { Clock } from "../common/clock.js";
 import { asRecord, readString } from "../common/decode.js";
@@ -23,46 +23,46 @@
 
 interface Session {
   readonly node: ClusterNode;
-  /** The version of the update protocol that the node speaks. */
+  /** Update protocol version that the node supports. */
   readonly protocol: number;
   readonly connection: Connection;
   readonly pendingRequests: PendingRequests;
-  /** The relay that sends this node updates; empty when this controller does so itself. */
+  /** The relay that sends this node updates; empty if this controller sends them directly. */
   parent: string;
 }
 
-/** What the sessions of a controller with nodes are made with. */
+/** Dependencies of {@link NodeSessions}. */
 export interface NodeSessionsOptions {
   readonly clock: Clock;
   readonly publisher: UpdatePublisher;
   readonly log: Logger;
   /**
-   * Whether this controller may serve nodes: it has a configuration, and a majority answered after
-   * the call.
+   * Whether this controller may serve nodes: it has a configuration, and a majority responded after
+   * the call was made.
    */
   readonly mayServe: () => Promise<boolean>;
   /**
-   * The zone that a maintenance window drains, or empty: its nodes relay nothing, and its
-   * controller serves its own zone's nodes only.
+   * The zone drained by a maintenance window, or empty. Its nodes do not relay, and its controller
+   * only serves nodes of its own zone.
    */
   readonly drainedZone: () => string;
-  /** The rate of this machine's link; 0 or left out where it isn't known. */
+  /** Bandwidth of this machine's link; 0 or omitted if unknown. */
   readonly linkMbps?: number;
   /** This controller's own zone. */
   readonly zone: string;
   readonly controllers: () => readonly ControllerAddress[];
-  /** Answers the request of a node over its session. */
+  /** Handles a request that a node sent over its session. */
   readonly answer: (message: Message, node: string) => Promise<Message>;
 }
 
 /**
- * The nodes with a session here, and those with a session at a peer. Invariant: a node is a member
- * exactly while it has a session here, or at a peer whose link is connected.
+ * Nodes with a session here, and nodes with a session at a peer. Invariant: a node is a member
+ * exactly while it has a session here or at a peer whose link is connected.
  */
 export class NodeSessions {
   /**
-   * `report`: a node's message that wants no reply. The others say which part of the membership
-   * changed.
+   * `report`: a message from a node that expects no reply. The other events signal which part of
+   * the membership changed.
    */
   readonly events = new Emittery<{
     report: Message;
@@ -76,14 +76,15 @@
     options.publisher.events.on("announced", this.announceUpdates);
   }
 
-  /** How many nodes have a session here. */
+  /** Number of nodes with a session here. */
   get size(): number {
     return this.sessions.size;
   }
 
   /**
-   * Serves one node's session until its connection ends. Throws `DecodeError` where the hello is
-   * malformed.
+   * Serves one node's session until its connection ends.
+   *
+   * @throws DecodeError if the hello is malformed
    */
   readonly serve = async (
     connection: Connection,
@@ -109,10 +110,10 @@
     this.removeSession(session);
   };
 
-  /** Closes every session, so that the nodes look for a controller that has a majority. */
+  /** Closes every session so that the nodes connect to a controller that has a majority. */
   readonly closeAll = (): void => this.sessions.forEach((session) => session.connection.close());
 
-  /** Moves all nodes off the relays and the controller of the drained zone. */
+  /** Moves the nodes of other zones off the relays and the controller of the drained zone. */
   readonly leaveDrainedZone = (): void => {
     const drained = this.options.drainedZone();
     this.sessions.forEach((session) => {
@@ -122,14 +123,14 @@
     });
   };
 
-  /** Sends every node the connected controllers. */
+  /** Sends every node the list of connected controllers. */
   readonly announceControllers = (): void =>
     this.sessions.forEach((session) =>
       session.connection.send(packControllers(MessageKind.controllers, this.options.controllers())),
     );
 
   /**
-   * Sends a query to every node with a session here; a node that doesn't answer in time is listed
+   * Sends a query to every node with a session here; a node that does not respond in time is listed
    * without an answer.
    */
   readonly queryAll = (query: Message, timeoutUs: number): Promise<readonly NodeAnswer[]> =>
@@ -141,17 +142,17 @@
       })),
     );
 
-  /** The nodes with a session here, as peers are told of them. */
+  /** Packs the nodes with a session here, for peers. */
   readonly packNodes = (): Message =>
     packNodes([...this.sessions.values()].map((session) => session.node));
 
-  /** Takes the nodes that have a session with a peer. */
+  /** Replaces the nodes that have a session with a peer. */
   readonly applyPeerSessions = (from: string, message: Message): void => {
     this.peerNodes.set(from, readNodes(message));
     void this.events.emit("peersChanged");
   };
 
-  /** Forgets the nodes of a peer whose link is lost. */
+  /** Removes the nodes of a peer whose link was lost. */
   readonly forget = (from: string): void => {
     if (this.peerNodes.delete(from)) void this.events.emit("peersChanged");
   };
@@ -169,8 +170,8 @@
   readonly clusterSize = (): ClusterSize => clusterSizeOf(this.nodes());
 
   /**
-   * Tells nodes whose updates come by way of a relay, or wait, that binding ones are on their way:
-   * so they know if they are behind.
+   * Announces time-bound updates to nodes that receive updates through a relay or have updates
+   * queued, so that these nodes can detect that they are behind.
    */
   private readonly announceUpdates = (position: UpdatePosition): void => {
     const { publisher } = this.options;
@@ -216,7 +217,10 @@
     void this.events.emit("localChanged");
   };
 
-  /** Whether this controller's zone is drained, so that it serves no node of another zone. */
+  /**
+   * Whether this controller's zone is drained and the node is in another zone, so that it must not
+   * be served here.
+   */
   private readonly isOutsideDrainedZone = (node: ClusterNode): boolean => {
     const drained = this.options.drainedZone();
     return drained !== "" && drained === this.options.zone && node.zone !== drained;
@@ -240,7 +244,10 @@
     }
   };
 
-  /** Gives a node its place in the relay tree: first, or because it lost `failedRelay`. */
+  /**
+   * Assigns a node its parent in the relay tree, either initially or after `failedRelay` failed. An
+   * empty `failedRelay` means that no relay failed.
+   */
   private readonly assignParent = (session: Session, failedRelay: string): void => {
     const { publisher, drainedZone, linkMbps } = this.options;
     publisher.removeChild(session.connection);
--- a/src/membership/peers.ts
+++ b/src/membership/peers.ts
@@ -7,7 +7,7 @@
 import type { ControllerAddress } from "./cluster.js";
 import { packPeerHello, readPeerZone } from "./messages.js";
 
-/** What the links of a controller to its peers are made with. */
+/** Dependencies of {@link Peers}. */
 export interface PeersOptions {
   /** This controller's id: its control address. */
   readonly self: string;
@@ -17,7 +17,7 @@
   readonly times: KeepAliveTimes;
 }
 
-/** Links to every other known controller; each announces to the others whom it knows. */
+/** Links to every other known controller; controllers tell each other which ones they know. */
 export class Peers {
   readonly events = new Emittery<{
     connected: string;
@@ -50,7 +50,7 @@
     return packPeerHello({ id: self, zone }, [self, ...this.known()]);
   };
 
-  /** Learns from a peer's hello or welcome. */
+  /** Adds the zone and the known controllers stated in a peer's hello or welcome. */
   readonly learnFrom = (hello: Message): void => {
     const zone = readPeerZone(hello);
     if (typeof hello["from"] === "string" && zone !== undefined)
--- a/src/membership/relay-server.ts
+++ b/src/membership/relay-server.ts
@@ -1,11 +1,11 @@
-/** The side of a node that relays updates to its children in the relay tree. */
+/** Server side of a node that relays updates to its children in the relay tree. */
 import type { Logger } from "../common/logger.js";
 import type { SessionHandler } from "../transport/listener.js";
 import { MessageKind, readAcknowledgement, readProtocol } from "./messages.js";
 import type { UpdatePublisher } from "./update-publisher.js";
 import type { UpdateSubscriber } from "./update-subscriber.js";
 
-/** What children are served with. */
+/** Dependencies of {@link relayHandlers}. */
 export interface RelayServerOptions {
   readonly subscriber: UpdateSubscriber;
   readonly publisher: UpdatePublisher;
@@ -13,8 +13,8 @@
 }
 
 /**
- * Serves children for as long as their connections last. A node that gets no updates itself serves
- * none.
+ * Session handlers that serve children until their connections close. A node that receives no
+ * updates itself accepts no children.
  */
 export const relayHandlers = ({
   subscriber,
@@ -32,7 +32,7 @@
     for await (const message of incoming) {
       if (message.kind === MessageKind.acknowledgement)
         publisher.acknowledge(connection, readAcknowledgement(message));
-      else log.debug("message from a child ignored", { kind: message.kind });
+      else log.debug("ignored unexpected message from child", { kind: message.kind });
     }
     publisher.removeChild(connection);
   };
--- a/src/membership/relay-tree.ts
+++ b/src/membership/relay-tree.ts
@@ -1,58 +1,61 @@
 /**
- * Which node relays updates to which: a tree below each controller. Where the rates of the links are
- * known, every node gets the parent that has a large update at it soonest; else the tree is kept
- * shallow and with few children a relay.
+ * Selects which node relays updates to which; the relays form a tree below each controller. If link
+ * bandwidths are known, a node gets the parent that delivers a large update to it soonest.
+ * Otherwise the tree is kept shallow, with few children per relay.
  */
 
-/** How many children a controller whose link isn't known sends updates to itself. */
+/** Number of direct children of a controller whose link bandwidth is unknown. */
 export const FAN_OUT = 4;
-/** How many it sends updates to at most where a node's relay has failed: that one comes first. */
+/**
+ * Maximum number of direct children of such a controller when a node's relay has failed; that node
+ * then takes precedence over the usual limit.
+ */
 const MAX_CHILDREN_AFTER_FAILURE = 16;
-/** How many children a relay has before those below it become relays too. */
+/** Maximum number of children of a relay before its children become relays too. */
 const MAX_RELAY_CHILDREN = 8;
-/** Above the cost of any relay that has room. */
+/** Exceeds the cost of any relay that has room. */
 const FULL_RELAY_COST = 1_000_000;
 /**
- * How many children a controller or relay has at most where links are known: each costs it a write
- * for every update, however small.
+ * Maximum number of children of a controller or relay if link bandwidths are known. Each child
+ * costs one write per update, however small.
  */
 const MAX_CHILDREN = 64;
-/** What the tree is laid out for: an update of some 2,000 routes, in megabits on the wire. */
+/** Update size that the tree is optimized for, in megabits on the wire: about 2,000 routes. */
 const LARGE_UPDATE_MEGABITS = 0.4;
-/** What a relay takes to read a large update and pass it on, in seconds. */
+/** Time that a relay needs to read a large update and forward it, in seconds. */
 const RELAY_DELAY_S = 0.2;
-/** Assumed of a node that doesn't give the rate of its link, as older versions don't. */
+/** Bandwidth assumed for a node that does not report its link, as older versions do not. */
 const UNKNOWN_LINK_MBPS = 1;
 
-/** What the tree knows of a node that has a session with this controller. */
+/** A node that has a session with this controller. */
 export interface RelayNode {
   readonly node: { readonly relay: string; readonly zone: string; readonly linkMbps: number };
-  /** The relay that sends this node updates; empty when the controller does so itself. */
+  /** The relay that sends this node updates; empty if the controller sends them directly. */
   readonly parent: string;
 }
 
-/** What the tree knows of the controller at its top. */
+/** The controller at the root of the tree. */
 export interface RelayRoot {
-  /** How many nodes it sends updates to itself, without the one that looks for a parent. */
+  /** Number of nodes that it sends updates to directly, excluding the one that needs a parent. */
   readonly directChildren: number;
-  /** The rate of its link; 0 where it isn't known. */
+  /** Bandwidth of its link; 0 if unknown. */
   readonly linkMbps: number;
 }
 
-/** What a parent is chosen for, and among which. */
+/** Input of {@link chooseParent}. */
 export interface ParentSearch<Node extends RelayNode> {
   /** The node that needs a parent, one of `nodes`. */
   readonly child: Node;
-  /** All nodes with a session here, in the order in which they came. */
+  /** All nodes with a session here, in order of arrival. */
   readonly nodes: readonly Node[];
   readonly controller: RelayRoot;
-  /** The relay that the node has lost; empty where it has lost none. */
+  /** The relay that failed the node; empty if none failed. */
   readonly failedRelay: string;
-  /** The zone whose nodes relay nothing; empty where there is none. */
+  /** The zone whose nodes must not relay; empty if there is none. */
   readonly drainedZone: string;
 }
 
-/** The tree as it is: who relays, and to how many. */
+/** The current tree: nodes by relay address, and the number of children by relay address. */
 interface RelayTree<Node> {
   readonly byRelay: ReadonlyMap<string, Node>;
   readonly childCounts: ReadonlyMap<string, number>;
@@ -65,8 +68,8 @@
 };
 
 /**
- * The relays between the controller and a node, the node itself first; undefined if it is below the
- * one that looks for a parent, or below nobody.
+ * The path from a node up to the controller, starting with the node itself; undefined if the node
+ * is `child` or below it, or has no path to the controller.
  */
 const pathTo = <Node extends RelayNode>(
   node: Node,
@@ -90,10 +93,9 @@
   (children * LARGE_UPDATE_MEGABITS) / (linkMbps > 0 ? linkMbps : UNKNOWN_LINK_MBPS);
 
 /**
- * How long a relay takes to have a large update at its last child, one more than now, in seconds.
- * Relays pass a large update on while it comes in, so of the sends on the path only the longest
- * counts, and beside it a delay for each relay. A relay without room costs more than any that has
- * some.
+ * Time in seconds until a large update reaches the last child of a relay, with one child added to
+ * it. Relays forward a large update while they receive it, so only the longest send on the path
+ * counts, plus a delay per relay. A full relay costs more than any relay that has room.
  */
 const costByLinks = <Node extends RelayNode>(
   path: readonly Node[],
@@ -107,7 +109,7 @@
   return RELAY_DELAY_S * path.length + Math.max(...sendTimesS) + (isFull ? FULL_RELAY_COST : 0);
 };
 
-/** The shallowest relay that has room costs least, and among those the one with fewest children. */
+/** Prefers the shallowest relay that has room; among equal depths the one with fewest children. */
 const costByCount = (depth: number, children: number): number =>
   children < MAX_RELAY_CHILDREN
     ? depth * MAX_RELAY_CHILDREN + children
@@ -146,9 +148,7 @@
   return directChildren < (failedRelay === "" ? FAN_OUT : MAX_CHILDREN_AFTER_FAILURE);
 };
 
-/**
- * The relay that a node is to get its updates from; empty where the controller sends them itself.
- */
+/** The relay from which a node gets its updates; empty if the controller sends them directly. */
 export const chooseParent = <Node extends RelayNode>(search: ParentSearch<Node>): string => {
   const best = cheapestRelay(search, treeOf(search.nodes));
   return !best || canAddDirectChild(search.controller, search.failedRelay, best) ? "" : best.relay;
--- a/src/membership/update-feed.ts
+++ b/src/membership/update-feed.ts
@@ -1,56 +1,56 @@
 /**
- * Flow control of updates: how much of them may be on its way to the children of one node, so that
- * its link always has room for keep-alives, requests and other small messages.
+ * Flow control of updates: limits the bytes in flight to the children of one node, so that its link
+ * always has room for keep-alives, requests and other small messages.
  */
 import type { Connection, Message } from "../transport/connection.js";
 import { encodeFrame } from "../transport/frame-codec.js";
 
 /**
- * The version of the update protocol from which on children acknowledge large frames and take
- * announcements; a node's hello gives its version, and none where it is older.
+ * First update protocol version in which children acknowledge large frames and accept
+ * announcements. A node states its version in its hello; older nodes state none.
  */
 export const FLOW_CONTROL_PROTOCOL = 2;
-/** A child gets at most this part (1/n) of the window, so that a slow one doesn't stop the others. */
+/** A child may use at most 1/n of the window, so that a slow child does not block the others. */
 const CHILD_WINDOW_DIVISOR = 4;
-/** A child that lets more frames than these wait is given up; it joins again with a snapshot. */
+/** A child with more queued frames is disconnected; it reconnects and gets a snapshot. */
 const MAX_QUEUED_FRAMES = 4_096;
 
-/** One frame for a child; `acknowledgement` is the number that the child answers it with. */
+/** A frame for a child; `acknowledgement` is the number with which the child acknowledges it. */
 export interface UpdateFrame {
   readonly message: Message;
-  /** Undefined for small frames, which don't count. */
+  /** Undefined for small frames, which are exempt from flow control. */
   readonly acknowledgement: number | undefined;
 }
 
-/** What waits for one child, and what is on its way to it. */
+/** Queued and in-flight frames of one child. */
 interface ChildFeed {
   readonly connection: Connection;
   readonly hasFlowControl: boolean;
   readonly queue: UpdateFrame[];
-  /** Bytes by the number of the frame. */
+  /** Size in bytes by frame number. */
   readonly inFlight: Map<number, number>;
   inFlightBytes: number;
 }
 
 /**
- * Sends frames to children, to each in order. Invariant: large frames that were sent and not yet
- * acknowledged stay within the window, or are a single frame; children of older versions acknowledge
- * nothing and don't count.
+ * Sends frames to children, in order for each child. Invariant: large frames that were sent but not
+ * yet acknowledged fit into the window or are a single frame. Children of older versions never
+ * acknowledge and are exempt.
  */
 export class UpdateFeeds {
   private readonly feeds = new Map<Connection, ChildFeed>();
   private inFlightBytes = 0;
 
-  /** @param windowBytes - how much may be on its way to all children together */
+  /** @param windowBytes - maximum number of bytes in flight to all children together */
   constructor(private readonly windowBytes: number) {}
 
-  /** How many children there are. */
+  /** Number of connected children. */
   get size(): number {
     this.removeClosed();
     return this.feeds.size;
   }
 
-  /** Adds a child; `protocol` is the version that its hello gave. */
+  /** Adds a child; `protocol` is the version stated in its hello. */
   readonly add = (connection: Connection, protocol: number): void => {
     this.feeds.set(connection, {
       connection,
@@ -61,7 +61,7 @@
     });
   };
 
-  /** Removes a child; what is on its way to it no longer counts. */
+  /** Removes a child; its in-flight frames no longer count against the window. */
   readonly remove = (connection: Connection): void => {
     const feed = this.feeds.get(connection);
     if (!feed) return;
@@ -70,7 +70,7 @@
     this.sendQueued();
   };
 
-  /** Sends a frame to one child, behind what waits for it. */
+  /** Sends a frame to one child, after the frames already queued for it. */
   readonly sendTo = (connection: Connection, frame: UpdateFrame): void => {
     const feed = this.feeds.get(connection);
     if (!feed) return;
@@ -85,7 +85,7 @@
     this.sendQueued();
   };
 
-  /** Takes a child's acknowledgement of a frame. */
+  /** Handles a child's acknowledgement of a frame. */
   readonly acknowledge = (connection: Connection, acknowledgement: number): void => {
     const feed = this.feeds.get(connection);
     const bytes = feed?.inFlight.get(acknowledgement);
@@ -96,7 +96,7 @@
     this.sendQueued();
   };
 
-  /** Whether frames wait for this child. */
+  /** Whether frames are queued for this child. */
   readonly isBacklogged = (connection: Connection): boolean =>
     (this.feeds.get(connection)?.queue.length ?? 0) > 0;
 
@@ -108,7 +108,7 @@
     else feed.queue.push(frame);
   };
 
-  /** Sends what the window lets through: a frame a child in turn, so that all get on. */
+  /** Sends what fits into the window, one frame per child in turn so that no child starves. */
   private readonly sendQueued = (): void => {
     let hasSent = true;
     while (hasSent) {
--- a/src/membership/update-position.ts
+++ b/src/membership/update-position.ts
@@ -1,38 +1,38 @@
 /**
- * How far a node has come in the updates of its controller: positions, and the lag behind what was
- * announced.
+ * Tracks which of its controller's updates a node has received: positions, and the lag behind
+ * announced positions.
  */
 import type { Clock } from "../common/clock.js";
 import { asRecord, readNumber, readString, type UnknownRecord } from "../common/decode.js";
 
-/** A place in the updates of one controller's life: all up to `sequence` are included. */
+/** A position in the updates of one controller run: includes all updates up to `sequence`. */
 export interface UpdatePosition {
-  /** Names the controller's life. */
+  /** Identifies the run of the controller process. */
   readonly origin: string;
   readonly sequence: number;
 }
 
-/** A position as messages carry it. */
+/** Packs a position for a message. */
 export const packPosition = ({ origin, sequence }: UpdatePosition): UnknownRecord => ({
   origin,
   sequence,
 });
 
-/** Reads what `packPosition` gave; undefined where a message of an older version has none. */
+/** Reads a position packed by `packPosition`; undefined if an older version sent none. */
 export const readPosition = (value: unknown): UpdatePosition | undefined => {
   if (value === undefined) return undefined;
   const record = asRecord(value, "position");
   return { origin: readString(record, "origin"), sequence: readNumber(record, "sequence") };
 };
 
-/** What an `UpdateLag` is made with. */
+/** Dependencies and limits of {@link UpdateLag}. */
 export interface UpdateLagOptions {
   readonly clock: Clock;
-  /** How long after its announcement an update may be missing before the node counts as behind. */
+  /** Time after its announcement for which an update may be missing before the node is behind. */
   readonly limitUs: number;
   /**
-   * How long after the end of its session a node still takes announcements into account; from then
-   * on it is out of touch and goes on with what it has.
+   * Time after the end of its session for which a node still considers announcements. After that it
+   * no longer counts as behind and continues with the updates it has.
    */
   readonly forgetAfterUs: number;
 }
@@ -42,26 +42,28 @@
   readonly announcedUs: number;
 }
 
-/** Of how many controllers' lives it is remembered how far this node has come; the latest ones. */
+/** Number of most recent controller runs for which the highest received sequence is kept. */
 const MAX_ORIGINS = 16;
-/** More announcements than these are merged into the last one kept, with its earlier time. */
+/** Announcements beyond this number are merged into the last one, which keeps its earlier time. */
 const MAX_ANNOUNCEMENTS = 64;
 
 /**
- * Tells whether this node lacks updates that were announced some time ago. Announcements come over
- * the session, straight from the controller; the updates themselves may come by way of relays.
+ * Detects whether this node lacks updates that were announced some time ago. Announcements arrive
+ * over the session, directly from the controller; the updates themselves may arrive through relays.
  */
 export class UpdateLag {
   private announcements: readonly Announcement[] = [];
   private disconnectedUs: number | undefined;
-  /** By origin, the highest sequence reached: an update may overtake its announcement. */
+  /**
+   * Highest sequence received, by origin. Needed because an update may overtake its announcement.
+   */
   private readonly highestSequences = new Map<string, number>();
-  /** Whether the parent tells positions; one of an older version doesn't, and nothing is known then. */
+  /** Whether the parent sends positions. Older versions do not, and the lag is unknown then. */
   private isTracking = false;
 
   constructor(private readonly options: UpdateLagOptions) {}
 
-  /** Whether an update is missing that was announced longer ago than the limit. */
+  /** Whether an update is missing that was announced longer ago than `limitUs`. */
   readonly isBehind = (): boolean => {
     const [oldest] = this.announcements;
     if (!oldest) return false;
@@ -74,7 +76,7 @@
     return nowUs - oldest.announcedUs > limitUs;
   };
 
-  /** Takes the announcement that updates up to a position are on their way. */
+  /** Records the announcement that updates up to a position are being sent. */
   readonly announce = (position: UpdatePosition): void => {
     if (!this.isTracking) return;
     if ((this.highestSequences.get(position.origin) ?? -1) >= position.sequence) return;
@@ -89,7 +91,7 @@
       ];
   };
 
-  /** Notes that all updates up to a position have come. */
+  /** Records that all updates up to a position were received. */
   readonly recordPosition = ({ origin, sequence }: UpdatePosition): void => {
     this.isTracking = true;
     this.recordSequence(origin, sequence);
@@ -108,8 +110,8 @@
   };
 
   /**
-   * Notes a snapshot of all updates. It settles what other controllers announced; a parent of an
-   * older version gives no position, and nothing can be told then.
+   * Records that a snapshot of all updates was received. It supersedes the announcements of other
+   * controllers. A parent of an older version states no position, and the lag is unknown then.
    */
   readonly recordSnapshot = (position: UpdatePosition | undefined): void => {
     this.isTracking = position !== undefined;
@@ -120,12 +122,12 @@
     );
   };
 
-  /** Notes that the session has opened. */
+  /** Records that the session was opened. */
   readonly recordConnected = (): void => {
     this.disconnectedUs = undefined;
   };
 
-  /** Notes that the session has ended. */
+  /** Records that the session has ended. */
   readonly recordDisconnected = (): void => {
     this.disconnectedUs ??= this.options.clock.nowUs();
   };
--- a/src/membership/update-publisher.ts
+++ b/src/membership/update-publisher.ts
@@ -9,34 +9,34 @@
 import { packPosition, type UpdatePosition } from "./update-position.js";
 
 const FLUSH_DELAY_US = 4 * MILLISECOND_US;
-/** So many updates are read, applied and passed on in one short turn of the event loop. */
+/** Bounds the time for which reading, applying and forwarding a frame blocks the event loop. */
 const MAX_UPDATES_PER_FRAME = 256;
-/** Frames with more updates than these are large: they count for flow control. */
+/** Frames with more updates than this are large and subject to flow control. */
 const MAX_SMALL_UPDATES = 16;
-/** Children that join within this time of each other get the same snapshot, packed once. */
+/** Children that join within this time of each other share a snapshot that is packed once. */
 const SNAPSHOT_REUSE_US = 50 * MILLISECOND_US;
-/** Updates may keep the link busy for this long at most, so that keep-alives are in time. */
+/** Maximum time for which updates may occupy the link, so that keep-alives arrive in time. */
 const WINDOW_US = 400 * MILLISECOND_US;
 const MIN_WINDOW_BYTES = 64 * 1024;
 const DEFAULT_WINDOW_BYTES = 1024 * 1024;
 const BYTES_PER_MEGABIT = 125_000;
 
 /**
- * Updates that must be in force within a bound once they were acknowledged: configuration, and
- * workers that leave.
+ * Whether an update must take effect within a time bound once it was acknowledged. Applies to
+ * configuration and to workers that are leaving or have left.
  */
 const isTimeBound = ({ key, body }: Update): boolean =>
   key.startsWith(CONFIG_PREFIX) ||
   (key.startsWith(WORKER_PREFIX) && (body["state"] === "draining" || body["state"] === "gone"));
 
-/** Where a publisher's updates come from, and what carries them. */
+/** Options of {@link UpdatePublisher}. */
 export interface UpdatePublisherOptions {
   /**
-   * Names this life of a controller, whose updates have positions from here on. Relays pass on the
-   * positions of their parents instead.
+   * Identifies this run of a controller, which assigns positions to its updates. Omitted on relays,
+   * which forward the positions of their parents.
    */
   readonly origin?: string;
-  /** The rate of this machine's link; 0 or left out where it isn't known. */
+  /** Bandwidth of this machine's link; 0 or omitted if unknown. */
   readonly linkMbps?: number;
 }
 
@@ -45,7 +45,7 @@
     ? Math.max(MIN_WINDOW_BYTES, (linkMbps * BYTES_PER_MEGABIT * WINDOW_US) / SECOND_US)
     : DEFAULT_WINDOW_BYTES;
 
-/** A snapshot that was packed lately, and at which state of the updates. */
+/** A recently packed snapshot, and the state of the updates that it was packed from. */
 interface PackedSnapshot {
   readonly frame: UpdateFrame;
   readonly packedUs: number;
@@ -54,13 +54,13 @@
 }
 
 /**
- * Hands updates on to the children of this node in the relay tree: everything on joining, then what
- * changed. Invariant: a child has been sent, or has waiting, every update of the store, but for
- * those in `changed`, which the next flush sends.
+ * Forwards updates to the children of this node in the relay tree: a snapshot when a child joins,
+ * then the changes. Invariant: every update of the store has been sent to or queued for each child,
+ * except those in `changed`, which the next flush sends.
  */
 export class UpdatePublisher {
   readonly events = new Emittery<{
-    /** Updates that are binding are being sent, up to this position. */
+    /** Time-bound updates are being sent, up to this position. */
     announced: UpdatePosition;
   }>();
   private readonly feeds: UpdateFeeds;
@@ -72,7 +72,7 @@
   private snapshot: PackedSnapshot | undefined;
   private changeCount = 0;
   private hasTimeBoundChange = false;
-  /** Invariant: all updates up to it are in the store. */
+  /** Invariant: all updates up to this position are in the store. */
   private position: UpdatePosition | undefined;
   private isPositionSent = true;
 
@@ -99,10 +99,10 @@
     return this.feeds.size;
   }
 
-  /** Whether updates wait for this child. */
+  /** Whether updates are queued for this child. */
   readonly isBacklogged = (connection: Connection): boolean => this.feeds.isBacklogged(connection);
 
-  /** Adds a child; `protocol` is the version of the update protocol that its hello gave. */
+  /** Adds a child; `protocol` is the update protocol version stated in its hello. */
   readonly addChild = (connection: Connection, protocol = 1): void => {
     this.feeds.add(connection, protocol);
     this.feeds.sendTo(connection, this.currentSnapshot());
@@ -111,7 +111,7 @@
 
   readonly removeChild = (connection: Connection): void => this.feeds.remove(connection);
 
-  /** Takes a child's acknowledgement of a frame. */
+  /** Handles a child's acknowledgement of a frame. */
   readonly acknowledge = (connection: Connection, acknowledgement: number): void =>
     this.feeds.acknowledge(connection, acknowledgement);
 
@@ -121,7 +121,7 @@
     this.sendUnacknowledged(packClusterSize(clusterSize));
   };
 
-  /** Passes on that everything up to a position of the controller has come; for relays. */
+  /** Forwards that all updates up to a position of the controller were received; for relays. */
   readonly advanceTo = (position: UpdatePosition): void => {
     this.position = position;
     this.isPositionSent = false;
@@ -129,8 +129,9 @@
   };
 
   /**
-   * The parent of this relay tells no positions, so its children can't be told any. Those that were
-   * look for another parent, or join anew.
+   * Called when the parent of this relay sends no positions, so that the relay cannot send any
+   * either. Children that received positions before are disconnected: they get another parent or
+   * join again.
    */
   readonly clearPosition = (): void => {
     if (!this.position) return;
@@ -139,13 +140,13 @@
     this.closeAll();
   };
 
-  /** Tells that every purge acknowledged before so long ago is in what has been sent. */
+  /** Tells the children that every purge acknowledged more than `ageUs` ago has been sent. */
   readonly sendFreshness = (ageUs: number): void => {
     if (this.changed.size > 0) this.flush();
     this.sendUnacknowledged({ kind: MessageKind.freshness, ageUs });
   };
 
-  /** Sends everything again, for instance once the registry has become complete. */
+  /** Sends a snapshot to all children, for instance once the registry has become complete. */
   readonly sendSnapshot = (): void => this.feeds.sendToAll(this.currentSnapshot());
 
   readonly closeAll = (): void => this.feeds.closeAll();
@@ -197,7 +198,7 @@
     this.isPositionSent = true;
   };
 
-  /** The position comes with the last frame, when all before it have been sent. */
+  /** Sends one frame of a flush. Only the last frame has the position, which covers all of them. */
   private readonly sendChanges = (
     changed: readonly Update[],
     forget: readonly string[],
--- a/src/membership/update-store.ts
+++ b/src/membership/update-store.ts
@@ -1,24 +1,25 @@
-/** The updates that one process knows. */
+/** The store of the updates known to one process. */
 import Emittery from "emittery";
 import type { Clock } from "../common/clock.js";
 import { asRecord, readString, readNumber, type UnknownRecord } from "../common/decode.js";
 
 /**
- * What the data plane is told: a committed configuration item, a worker, the ejections.
+ * A piece of state for the data plane, such as a committed configuration item, a worker or the
+ * ejections.
  *
- * Invariant: for a key the higher (version, tie) wins, so updates may come twice, late and by any
- * way.
+ * Invariant: for each key the highest (version, tie) wins, so updates may arrive more than once,
+ * out of order and over any path.
  */
 export interface Update {
   readonly key: string;
   readonly version: number;
   readonly tie: string;
   readonly body: UnknownRecord;
-  /** When it was first posted, on this process's own steady clock. */
+  /** When it was first posted, on this process's monotonic clock. */
   readonly sinceUs: number;
 }
 
-/** An update that has not been stored yet; its age is given apart. */
+/** An update that has not been stored yet; its age is passed separately. */
 export type NewUpdate = Omit<Update, "sinceUs">;
 
 const supersedes = (one: NewUpdate, other: Update | undefined): boolean =>
@@ -26,14 +27,14 @@
   one.version > other.version ||
   (one.version === other.version && one.tie > other.tie);
 
-/** All updates that one process knows; merging only goes upward. */
+/** All updates known to one process. Merging never replaces an update by an older one. */
 export class UpdateStore {
   readonly events = new Emittery<{ changed: readonly Update[]; forgotten: readonly string[] }>();
   private readonly updates = new Map<string, Update>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** How many updates there are. */
+  /** Number of updates. */
   get size(): number {
     return this.updates.size;
   }
@@ -43,9 +44,9 @@
   readonly all = (): readonly Update[] => [...this.updates.values()];
 
   /**
-   * Stores what is newer than what is known, and notifies of that.
+   * Stores the updates that are newer than the known ones and emits `changed` for them.
    *
-   * @param ageUs - how long ago each was first posted elsewhere
+   * @param ageUs - time since an update was first posted elsewhere
    */
   readonly post = (
     updates: readonly NewUpdate[],
@@ -59,13 +60,13 @@
     if (changed.length > 0) void this.events.emit("changed", changed);
   };
 
-  /** Removes updates, and notifies of those that were there. */
+  /** Removes updates and emits `forgotten` for those that existed. */
   readonly forget = (keys: readonly string[]): void => {
     const removed = keys.filter((key) => this.updates.delete(key));
     if (removed.length > 0) void this.events.emit("forgotten", removed);
   };
 
-  /** The form in messages; ages stand in place of times, which differ between processes. */
+  /** Packs updates for messages, with ages instead of times since clocks differ by process. */
   readonly pack = (updates: readonly Update[]): readonly UnknownRecord[] => {
     const nowUs = this.clock.nowUs();
     return updates.map(({ key, version, tie, body, sinceUs }) => ({
@@ -77,7 +78,11 @@
     }));
   };
 
-  /** Posts what `pack` gave. Throws a DecodeError where a field is missing or of another type. */
+  /**
+   * Posts updates packed by `pack`.
+   *
+   * @throws DecodeError if a field is missing or has the wrong type
+   */
   readonly merge = (packed: readonly unknown[]): void => {
     const ages = new Map<NewUpdate, number>();
     const updates = packed.map((value) => {
@@ -95,7 +100,7 @@
   };
 }
 
-/** Prefix of the keys of workers, followed by the worker's id. */
+/** Prefix of worker keys; followed by the worker's id. */
 export const WORKER_PREFIX = "worker/";
 /** Prefix of the keys of purges. */
 export const PURGE_PREFIX = "purge/";
--- a/src/membership/update-subscriber.ts
+++ b/src/membership/update-subscriber.ts
@@ -29,7 +29,7 @@
 import { FLOW_CONTROL_PROTOCOL } from "./update-feed.js";
 import { readPosition, type UpdateLag, type UpdatePosition } from "./update-position.js";
 
-/** What a node's subscription to updates is made with. */
+/** Dependencies of {@link UpdateSubscriber}. */
 export interface UpdateSubscriberOptions {
   readonly name: string;
   readonly zone: string;
@@ -43,55 +43,56 @@
   readonly updates: UpdateStore;
   readonly log: Logger;
   /**
-   * Follows how far this node is behind; without it the node speaks the first version of the update
+   * Tracks how far this node is behind. If omitted, the node speaks version 1 of the update
    * protocol.
    */
   readonly lag?: UpdateLag;
-  /** Answers a request of the controller. */
+  /** Answers a query of the controller. */
   readonly answer?: (query: Message) => Message | undefined;
 }
 
-/** State of the session with a controller: none yet, hello sent and not answered, or open. */
+/** State of the session with a controller: none, hello sent but not yet answered, or open. */
 export type SessionState = "connecting" | "handshaking" | "connected";
 
 const RECONNECT_DELAY_US = 150 * MILLISECOND_US;
 const RELAY_CONNECT_TIMEOUT_US = 600 * MILLISECOND_US;
-/** How many controllers are remembered, those announced last first. */
+/** Number of controllers that are kept; those in the last announcement take precedence. */
 const MAX_KNOWN_CONTROLLERS = 32;
 const ATTEMPTS_PER_FALLBACK = 3;
 
 /**
- * How a node gets its updates: one session with a controller, and updates from it or from the relay
- * that it names. Without a session the node goes on with the updates that it has.
+ * Receives the updates of a node. Keeps one session with a controller and gets updates from the
+ * controller or from the relay that it assigns. Without a session the node continues with the
+ * updates it has.
  */
 export class UpdateSubscriber {
   readonly events = new Emittery<{
     clusterSize: ClusterSize;
-    /** A snapshot of all updates came. */
+    /** A snapshot of all updates was received. */
     snapshot: undefined;
-    /** All updates up to this position of the controller have come. */
+    /** All updates up to this position of the controller were received. */
     position: UpdatePosition;
-    /** The parent is of an older version that tells no positions. */
+    /** The parent runs an older version that sends no positions. */
     positionUnknown: undefined;
-    /** Every purge acknowledged before so many microseconds ago has come. */
+    /** Every purge acknowledged more than this many microseconds ago was received. */
     freshness: number;
-    /** Updates stopped coming, so children can't be served. */
+    /** No updates are received any more, so children cannot be served. */
     disconnected: undefined;
   }>();
   private state: SessionState = "connecting";
   /**
-   * Every controller that was ever announced, those of the last announcement first. The others are
-   * kept behind them, since the announcing controller may itself be partitioned.
+   * The controllers announced so far, those of the last announcement first. The others are kept
+   * because the announcing controller may itself be partitioned.
    */
   private knownControllers: readonly (ControllerAddress & { readonly isAnnounced: boolean })[] = [];
   private seeds: readonly string[];
   private connection: Connection | undefined;
-  /** Invariant: set exactly while a relay sends this node its updates. */
+  /** Invariant: set exactly while this node receives its updates from a relay. */
   private relayConnection: Connection | undefined;
   private parent = "";
   private lastAttemptUs = new Map<string, number>();
   private stopping = false;
-  /** How often a connection was tried since the last session. */
+  /** Number of connection attempts since the last session. */
   private connectAttempts = 0;
   private readonly pendingRequests: PendingRequests;
 
@@ -100,19 +101,17 @@
     this.seeds = options.seeds;
   }
 
-  /** Takes the seeds of a settings file that was read again. */
+  /** Replaces the seeds after the settings file was reloaded. */
   readonly renewSeeds = (seeds: readonly string[]): void => {
     this.seeds = seeds;
   };
 
-  /** Whether updates come in, so that they may be relayed to children. */
+  /** Whether this node receives updates, so that it may relay them to children. */
   get isUpToDate(): boolean {
     return this.parent === "" ? this.state === "connected" : this.relayConnection !== undefined;
   }
 
-  /**
-   * The relay that this node subscribes to; empty where its controller sends the updates itself.
-   */
+  /** The relay that this node subscribes to; empty if its controller sends the updates directly. */
   get parentRelay(): string {
     return this.parent;
   }
@@ -136,7 +135,10 @@
     if (this.state === "connected") this.connection?.send(message);
   };
 
-  /** Asks the controller; undefined when the session ends or the time-out comes first. */
+  /**
+   * Sends a request to the controller; undefined if there is no session, or if the session ends or
+   * the time-out expires before the response.
+   */
   readonly request = (message: Message, waitUs: number): Promise<Message | undefined> => {
     return this.state === "connected" && this.connection
       ? this.pendingRequests.request(this.connection.send, message, waitUs)
@@ -172,7 +174,7 @@
         const first = await withTimeout(clock, times.timeoutUs, incoming.next(), undefined);
         if (first && !first.done) {
           this.learnControllers(first.value);
-          // eslint-disable-next-line max-depth -- each yield is a state; a nested generator would add turns between them
+          // eslint-disable-next-line max-depth -- each yield is a state; a nested generator would add event loop turns between them
           if (first.value.kind === MessageKind.welcome) {
             log.info("session opened", { controller });
             this.lastAttemptUs.clear();
@@ -198,9 +200,10 @@
   }
 
   /**
-   * Of the controllers announced last, the one of the own zone first, else the one whose failure is
-   * longest ago. Every third attempt goes to the others, seeds and those announced before: after
-   * replacements many of these no longer exist, and each costs a time-out.
+   * Chooses the controller of the last announcement that was tried longest ago. Among those not
+   * tried since the last session, controllers in the node's own zone come first. Only every third
+   * attempt goes to the fallbacks, which are the seeds and the controllers announced earlier: after
+   * replacements many of them no longer exist, and each such attempt costs a time-out.
    */
   private readonly chooseController = (): string => {
     this.connectAttempts += 1;
@@ -237,12 +240,12 @@
     this.knownControllers = [...announced, ...others].slice(0, MAX_KNOWN_CONTROLLERS);
   };
 
-  /** A relay that gets no updates itself must not serve children. */
+  /** Emits `disconnected`: a relay that receives no updates itself must not serve children. */
   private readonly notifyDisconnected = (): void => {
     if (!this.isUpToDate) void this.events.emit("disconnected");
   };
 
-  /** The version of the update protocol that this node speaks; undefined for the first. */
+  /** The update protocol version that this node speaks; undefined for version 1. */
   private get protocol(): number | undefined {
     return this.options.lag ? FLOW_CONTROL_PROTOCOL : undefined;
   }
@@ -308,8 +311,8 @@
   };
 
   /**
-   * A complete snapshot names every worker there is. Configuration items never vanish, since removed
-   * ones stay as tombstones.
+   * Removes the workers that a complete snapshot does not contain. Configuration items need no such
+   * removal, since deleted ones remain as tombstones.
    */
   private readonly removeAbsentWorkers = (presentKeys: ReadonlySet<string>): void => {
     const { updates } = this.options;
--- a/src/membership/worker-registry.ts
+++ b/src/membership/worker-registry.ts
@@ -4,7 +4,7 @@
 import { packHeartbeat, packWorkerUpdate } from "./messages.js";
 import { WORKER_PREFIX, type UpdateStore, type NewUpdate } from "./update-store.js";
 
-/** Later states of one call count win over earlier ones; a gone worker stays gone. */
+/** Among heartbeats with equal call count, the higher rank wins; a gone worker stays gone. */
 const STATE_RANK: Readonly<Record<WorkerState, number>> = {
   ready: 0,
   missing: 1,
@@ -29,13 +29,13 @@
 const MISSING_HEARTBEATS = 3;
 
 /**
- * The workers, by their heartbeats. Only changes become updates; a heartbeat that changes nothing
- * only shows that the worker is alive. Invariant: for one id the call count held never falls, and a
- * worker that is draining or gone never becomes ready.
+ * Tracks workers by their heartbeats. Only changes are posted as updates; a heartbeat without a
+ * change only shows that the worker is alive. Invariant: the call count stored for an id never
+ * decreases, and a worker that is draining or gone never becomes ready again.
  */
 export class WorkerRegistry {
   private readonly entries = new Map<string, Entry>();
-  /** Since when heartbeats, direct or replicated by peers, have been able to arrive. */
+  /** Time since which heartbeats, direct or replicated by peers, have been able to arrive. */
   private listeningSinceUs: number;
 
   constructor(
@@ -47,14 +47,14 @@
   }
 
   /**
-   * After a time in which heartbeats could not come in: their lack says nothing, and workers may
-   * have come that aren't known here.
+   * Called after a period in which no heartbeats could arrive: missing heartbeats from that period
+   * say nothing about a worker, and there may be new workers that are not known here.
    */
   readonly restartListening = (): void => {
     this.listeningSinceUs = this.clock.nowUs();
   };
 
-  /** Whether every worker that lives has had time to be heard here. */
+  /** Whether every live worker has had time to send a heartbeat here. */
   readonly isComplete = (): boolean =>
     this.clock.nowUs() - this.listeningSinceUs > this.heartbeatUs * MISSING_HEARTBEATS;
 
@@ -64,18 +64,19 @@
   readonly get = (id: string): Heartbeat | undefined => this.entries.get(id)?.heartbeat;
 
   /**
-   * Takes up workers known before this start; those that are not heard soon go missing like any
-   * other.
+   * Restores the workers known before a restart. Those that send no heartbeat become missing as
+   * usual.
    */
   readonly restore = (heartbeats: readonly Heartbeat[]): void =>
     heartbeats.forEach((heartbeat) => this.record({ ...heartbeat, state: "ready", warmUs: 0 }));
 
   /**
-   * Takes a heartbeat, received here or replicated after `ageUs`; false if it is old. One so old that
-   * its worker is missing counts as such at once: a peer that was partitioned announces workers
+   * Records a heartbeat that was received here, or replicated by a peer with an age of `ageUs`;
+   * returns false if it is outdated. A heartbeat so old that its worker counts as missing is
+   * recorded as missing right away, because a peer that was partitioned reports workers that are
    * long gone.
    */
-  // eslint-disable-next-line complexity -- the order of the comparisons is the rule, and stays in one place
+  // eslint-disable-next-line complexity -- the order of the comparisons defines the precedence and stays in one place
   readonly record = (received: Heartbeat, ageUs = 0): boolean => {
     const nowUs = this.clock.nowUs() - ageUs;
     const heartbeat: Heartbeat =
@@ -134,7 +135,10 @@
     }));
   };
 
-  /** Marks those missing that sent no heartbeat for some intervals, and forgets the long gone. */
+  /**
+   * Marks ready workers as missing after `MISSING_HEARTBEATS` intervals without a heartbeat, and
+   * removes any worker after `TOMBSTONE_HEARTBEATS` intervals.
+   */
   readonly sweep = (): void => {
     const nowUs = this.clock.nowUs();
     this.entries.forEach((entry, id) => {
--- a/src/quota/lease-allocator.ts
+++ b/src/quota/lease-allocator.ts
@@ -1,37 +1,37 @@
 /**
- * Leases a quota out in shares, so that all that are in force stay within it, also across changes
- * of the leader.
+ * Leases shares of a quota such that the shares in force never exceed it, including across leader
+ * changes.
  */
 import type { Clock } from "../common/clock.js";
 
-/** What one lease gave, and when it expires by this process's clock. */
+/** A leased share, and when the lease expires on this process's clock. */
 interface Lease {
   readonly share: number;
   readonly expiresAtUs: number;
 }
 
-/** For how long leases count, in microseconds. */
+/** Durations that apply to leases, in microseconds. */
 export interface LeaseTerms {
-  /** How long a lease lasts. */
+  /** Duration of a lease. */
   readonly durationUs: number;
-  /** For how long after its end what was done under a lease still counts. */
+  /** Time after its expiry for which a lease still counts against the quota. */
   readonly graceUs: number;
 }
 
 /**
- * Leases a quota out in shares, each to one incarnation of a node, at the holder of the leader
- * lease.
+ * Leases shares of a quota to incarnations of nodes. Runs at the holder of the leader lease.
  *
- * Invariants: the shares whose leases have not expired, or did less than the grace time ago, add up
- * to at most the quota; for that long after taking over, a leader only renews what nodes say they
- * have from the one before, since it doesn't know what that one allocated.
+ * Invariants: the shares of leases that have not expired, or expired less than the grace time ago,
+ * add up to at most the quota. For one lease duration plus the grace time after taking over, a
+ * leader only renews the shares that nodes report from the previous leader, since it does not know
+ * what that one allocated.
  */
 export class LeaseAllocator {
   private readonly leases = new Map<string, Lease[]>();
 
   /**
-   * @param leaderSinceUs - since when the leader lease is held here; if not given, since the first
-   * request
+   * @param leaderSinceUs - time since which the leader lease is held here; defaults to the time of
+   * the first request
    */
   constructor(
     private readonly clock: Clock,
@@ -39,13 +39,15 @@
     private leaderSinceUs?: number,
   ) {}
 
-  /** Whether nothing that was allocated still counts. */
+  /** Whether no lease counts against the quota any more. */
   get isIdle(): boolean {
     this.removeExpired();
     return this.leases.size === 0;
   }
 
-  /** Called whenever the leader lease is not held here: others may allocate too. */
+  /**
+   * Called whenever the leader lease is not held here, since another controller may allocate then.
+   */
   readonly reset = (): void => {
     this.leaderSinceUs = undefined;
     this.leases.clear();
@@ -54,10 +56,10 @@
   /**
    * Leases a share to one incarnation of a node, for `durationUs` from now.
    *
-   * @param wanted - what it asks for
-   * @param held - what it says it has from before
-   * @param quota - what all shares may add up to
-   * @returns the share; 0 where nothing is left
+   * @param wanted - the share it requests
+   * @param held - the share it reports from earlier leases
+   * @param quota - maximum total of all shares
+   * @returns the share; 0 if nothing is left
    */
   readonly allocate = (
     incarnation: string,
@@ -95,6 +97,9 @@
   };
 }
 
-/** A renewal that was lost leaves the old lease in force, so the largest one counts. */
+/**
+ * The share that counts for an incarnation. It is the largest one, since the older lease stays in
+ * force if the response to its renewal is lost.
+ */
 const largestOf = (leases: readonly Lease[]): number =>
   leases.reduce((largest, { share }) => Math.max(largest, share), 0);
--- a/src/quota/quota-codec.ts
+++ b/src/quota/quota-codec.ts
@@ -1,7 +1,7 @@
 /**
- * The form of the messages that lease quota: the requests of nodes and the responses of the
- * controller that holds the leader lease. Nodes and controllers of other versions read both, so no
- * text in here ever changes.
+ * Wire format of quota leases: requests of nodes and responses of the controller that holds the
+ * leader lease. Nodes and controllers of other versions read both, so the strings in this file must
+ * never change.
  */
 import {
   asList,
@@ -13,19 +13,19 @@
 } from "../common/decode.js";
 import type { Message } from "../transport/connection.js";
 
-/** The kinds of the messages. */
+/** The message kinds. */
 export const QUOTA_MESSAGE = {
   rateRequest: "rate-ask",
   retryRequest: "retry-ask",
   retryResponse: "retries",
 } as const;
 
-/** What kind of node a rate is leased to, as the wire has it. */
+/** The kinds of node that rates are leased to, with their names on the wire. */
 export const NODE_KIND = { cache: "depot", gateway: "pointsman" } as const;
 /** One of `NODE_KIND`. */
 export type NodeKind = (typeof NODE_KIND)[keyof typeof NODE_KIND];
 
-/** The tokens of one service and kind of route that a node needs, and those that it has. */
+/** The retry tokens that a node needs and holds for one service and kind of route. */
 export interface RetryDemand {
   readonly service: string;
   readonly kind: string;
@@ -33,14 +33,14 @@
   readonly held: number;
 }
 
-/** The tokens of one service and kind of route that a node was leased. */
+/** The retry tokens leased to a node for one service and kind of route. */
 export interface RetryAllotment {
   readonly service: string;
   readonly kind: string;
   readonly tokens: number;
 }
 
-/** Writes a node's request for a share of all rates; `share` is what it has now. */
+/** Packs a node's request for a share of all rates; `share` is the share it holds now. */
 export const packRateRequest = (incarnation: string, role: NodeKind, share: number): Message => ({
   kind: QUOTA_MESSAGE.rateRequest,
   life: incarnation,
@@ -50,7 +50,7 @@
 
 /**
  * Reads the share and its duration in microseconds; undefined if the controller could not allocate
- * any.
+ * one.
  */
 export const readRateResponse = (
   message: Message | undefined,
@@ -63,7 +63,7 @@
 };
 
 /**
- * Writes a node's request for retry tokens, from rows of service, kind, tokens wanted and tokens
+ * Packs a node's request for retry tokens, from rows of service, kind, tokens wanted and tokens
  * held.
  */
 export const packRetryRequest = (
@@ -74,7 +74,7 @@
 /**
  * Reads a node's request for retry tokens.
  *
- * @throws DecodeError if it isn't of this form
+ * @throws DecodeError if the request is malformed
  */
 export const readRetryRequest = (
   message: UnknownRecord,
@@ -91,10 +91,10 @@
   }),
 });
 
-/** Writes the response of a controller that can't allocate. */
+/** Packs the response of a controller that cannot allocate tokens. */
 export const packRetryRefusal = (): Message => ({ kind: QUOTA_MESSAGE.retryResponse });
 
-/** Writes the tokens allocated, which are leased for `durationUs` microseconds. */
+/** Packs the allocated tokens, which are leased for `durationUs` microseconds. */
 export const packRetryResponse = (
   allotments: readonly RetryAllotment[],
   durationUs: number,
@@ -105,9 +105,9 @@
 });
 
 /**
- * Reads the tokens allocated; undefined if the controller could not allocate any.
+ * Reads the allocated tokens; undefined if the controller could not allocate any.
  *
- * @throws DecodeError if it isn't of this form
+ * @throws DecodeError if the response is malformed
  */
 export const readRetryResponse = (
   message: Message | undefined,
--- a/src/quota/rate-allocator.ts
+++ b/src/quota/rate-allocator.ts
@@ -3,12 +3,14 @@
 import { LeaseAllocator } from "./lease-allocator.js";
 import { NODE_KIND } from "./quota-codec.js";
 
-/** How long a share is leased for, in microseconds. */
+/** Duration of a lease, in microseconds. */
 export const RATE_LEASE_US = 3_000_000;
-/** A node that has not asked for so long no longer counts when the rate is divided. */
+/** A node that has sent no request for this long is ignored when the rate is divided. */
 const ACTIVE_US = 2_000_000;
 
-/** Divides the rates into equal shares of the caches, or of the gateways while no cache asks. */
+/**
+ * Divides the rates equally among the caches, or among the gateways while no cache requests any.
+ */
 export class RateAllocator {
   private readonly active = new Map<
     string,
@@ -30,7 +32,7 @@
    * Leases a share to one incarnation of a node, for `RATE_LEASE_US` from now.
    *
    * @param kind - one of `NODE_KIND`
-   * @param held - the share that it has
+   * @param held - the share that it holds now
    * @returns the share, from 0 to 1
    */
   readonly allocate = (incarnation: string, kind: string, held: number): number => {
--- a/src/quota/rate-limiter.ts
+++ b/src/quota/rate-limiter.ts
@@ -1,19 +1,19 @@
-/** Limits what one process sends to each service to its share of the service's rate. */
+/** Limits the requests that one process sends to a service to its share of the service's rate. */
 import type { Clock } from "../common/clock.js";
 
-/** A share of all rates, from 0 to 1, until a moment of this process's clock. */
+/** A share of all rates, from 0 to 1, that expires at a time on this process's clock. */
 export interface RateLease {
   readonly share: number;
   readonly expiresAtUs: number;
 }
 
 /**
- * The part of a rate that is used. With the burst it stays within a limit a tenth above the rate.
+ * The fraction of a rate that is used. Including the burst, usage stays within 110% of the rate.
  */
 const USED_FRACTION = 0.96;
-/** The burst that all shares together may make, in seconds of the rate. */
+/** Maximum burst over all shares, in seconds of the rate. */
 const BURST_S = 0.2;
-/** What a client is told to wait where there is no lease. */
+/** Delay that is reported to a client while there is no lease. */
 const DELAY_WITHOUT_LEASE_US = 500_000;
 
 interface TokenBucket {
@@ -22,11 +22,13 @@
 }
 
 /**
- * A token bucket for each service with a rate, filled by this process's share of the rate.
+ * Keeps a token bucket for each service with a rate, refilled with this process's share of the
+ * rate.
  *
- * Invariants: no token is taken without a lease that has not expired; a bucket starts empty and
- * never holds more than its share of the burst, so over all shares that add up to at most 1 a span
- * t sees at most rate * (0.96 t + 0.2 s).
+ * Invariants: a token is only taken under an unexpired lease; a bucket starts empty and never holds
+ * more than its share of the burst, or one token if that is more. If all shares add up to at most
+ * 1, and none is below one token of burst, requests in a time span t stay within rate * (0.96 t +
+ * 0.2 s).
  */
 export class RateLimiter {
   private lease: RateLease = { share: 0, expiresAtUs: 0 };
@@ -42,13 +44,13 @@
     return this.clock.nowUs() < this.lease.expiresAtUs ? this.lease.share : 0;
   }
 
-  /** Takes a lease in place of the one before, whose tokens so far stay. */
+  /** Replaces the current lease. Tokens accumulated under it remain. */
   readonly applyLease = (lease: RateLease): void => {
     this.buckets.forEach((_bucket, service) => this.fill(service));
     this.lease = lease;
   };
 
-  /** Takes a token for one request, or says how long the next one takes to come. */
+  /** Takes a token for one request, or returns the time until the next one is available. */
   readonly takeToken = (
     service: string,
   ): { readonly ok: true } | { readonly ok: false; readonly waitUs: number } => {
@@ -62,7 +64,7 @@
     return this.delayToNextToken(service);
   };
 
-  /** How long the next token takes to come, in microseconds. */
+  /** Time until the next token is available, in microseconds. */
   readonly delayToNextToken = (
     service: string,
   ): { readonly ok: false; readonly waitUs: number } => {
--- a/src/quota/retry-allocator.ts
+++ b/src/quota/retry-allocator.ts
@@ -11,26 +11,27 @@
   type RetryDemand,
 } from "./quota-codec.js";
 
-/** How long retry tokens are leased for, in microseconds. */
+/** Duration of a lease of retry tokens, in microseconds. */
 export const RETRY_LEASE_US = 3 * SECOND_US;
-/** No node gets more of a slack than this fraction, so that the first to ask don't take it all. */
+/** Maximum fraction of a slack for one node, so that the first to request do not exhaust it. */
 const MAX_NODE_FRACTION = 1 / 8;
 
-/** What the allocator works on. */
+/** Dependencies of {@link RetryAllocator}. */
 export interface RetryAllocatorOptions {
   readonly clock: Clock;
-  /** The window over which retries are limited, in microseconds. */
+  /** Window over which retries are limited, in microseconds. */
   readonly windowUs: number;
-  /** Whether this controller holds the leader lease, and a majority is in contact. */
+  /** Whether this controller holds the leader lease and is in contact with a majority. */
   readonly isLeader: () => boolean;
   readonly limits: () => RetryLimits;
 }
 
 /**
- * Leases the slack of each service and kind of route to the nodes that are short of retries.
+ * Leases the slack of each service and kind of route to the nodes that run out of retries.
  *
- * Invariant: for any window, the tokens of all leases under which something was sent in it add up
- * to at most the slack: a lease's tokens are allocated again only a whole window after it expired.
+ * Invariant: for any window, the tokens of all leases under which a retry was sent in that window
+ * add up to at most the slack, because tokens are only allocated again one full window after their
+ * lease expired.
  */
 export class RetryAllocator {
   private readonly allocators = new Map<string, LeaseAllocator>();
@@ -39,8 +40,8 @@
   constructor(private readonly options: RetryAllocatorOptions) {}
 
   /**
-   * Called every second or so: a new leader's wait begins when it takes over, not when it is first
-   * asked.
+   * Called about once per second, so that the waiting time of a new leader starts when it takes
+   * over rather than at the first request.
    */
   readonly refresh = (): void => {
     if (!this.options.isLeader()) {
@@ -55,9 +56,9 @@
   };
 
   /**
-   * Responds to a node that is short of retries.
+   * Handles the request of a node that ran out of retries.
    *
-   * @throws DecodeError if the request isn't of its form
+   * @throws DecodeError if the request is malformed
    */
   readonly handleRequest = (message: Message): Message => {
     this.refresh();
--- a/src/quota/retry-lease-renewer.ts
+++ b/src/quota/retry-lease-renewer.ts
@@ -1,4 +1,4 @@
-/** Leases retry tokens for one node's budgets while they are short of retries. */
+/** Leases retry tokens for one node's retry budgets while they are exhausted. */
 import type { Clock } from "../common/clock.js";
 import { packRetryRequest, readRetryResponse } from "./quota-codec.js";
 import { toRouteKind, type RouteKind } from "./retry-limits.js";
@@ -9,26 +9,23 @@
 const RENEWAL_INTERVAL_US = 700 * MILLISECOND_US;
 const TIMEOUT_US = 500 * MILLISECOND_US;
 
-/** The retry budgets of one node, as far as leasing goes. */
+/** The part of a node's retry budgets that leasing uses. */
 export interface LeasableRetryBudgets {
-  /** Called when a budget has rejected a retry. */
+  /** Called when a budget rejects a retry. */
   onExhausted: () => void;
   /** The budget of a service and kind of route. */
   readonly of: (
     service: string,
     kind: RouteKind,
   ) => {
-    /** Takes a new lease in place of the one before; `expiresUs` is on this process's clock. */
+    /** Replaces the current lease; `expiresUs` is on this process's clock. */
     readonly setLease: (lease: { readonly tokens: number; readonly expiresUs: number }) => void;
   };
-  /** Service, kind, tokens demanded and tokens leased, of the budgets that demand some. */
+  /** Service, kind, tokens demanded and tokens leased of each budget with a demand. */
   readonly takeDemands: () => readonly (readonly [string, RouteKind, number, number])[];
 }
 
-/**
- * Asks for leases while some budget is short of retries; while none is, nothing runs and nothing is
- * sent.
- */
+/** Requests leases while any budget demands tokens. Otherwise no timer runs and nothing is sent. */
 export class RetryLeaseRenewer {
   private isScheduled = false;
 
@@ -39,7 +36,7 @@
     private readonly request: (message: Message, waitUs: number) => Promise<Message | undefined>,
   ) {}
 
-  /** Asks soon after a budget has refused a retry. */
+  /** Starts requesting leases whenever a budget rejects a retry. */
   readonly start = (): void => {
     this.retryBudgets.onExhausted = () => this.schedule(FIRST_DELAY_US);
   };
@@ -51,8 +48,8 @@
   };
 
   /**
-   * A lease is counted from before the request, so that it expires here no later than at the
-   * allocator.
+   * The duration of a lease counts from before the request is sent, so that the lease expires here
+   * no later than at the allocator.
    */
   private readonly renew = async (): Promise<void> => {
     const demands = this.retryBudgets.takeDemands();
--- a/src/quota/retry-limits.ts
+++ b/src/quota/retry-limits.ts
@@ -1,12 +1,11 @@
 /**
- * The limits of retries over the whole fleet, by service and kind of route: form, defaults, checks
- * and changes.
+ * Fleet-wide retry limits by service and kind of route: format, defaults, validation and changes.
  */
 import convict from "convict";
 import { err, ok, type Result } from "true-myth/result";
 import { isRecord, type UnknownRecord } from "../common/decode.js";
 
-/** The kinds of routes, by what a repeated request may do. */
+/** The kinds of routes, by the effect that a repeated request can have. */
 export const ROUTE_KINDS = ["safe", "unsafe", "keyed", "cached"] as const;
 /** One of `ROUTE_KINDS`. */
 export type RouteKind = (typeof ROUTE_KINDS)[number];
@@ -14,12 +13,12 @@
 /** Whether a value is a kind of route. */
 export const isRouteKind = (value: unknown): value is RouteKind =>
   ROUTE_KINDS.some((kind) => kind === value);
-/** Reads a kind of route. An unknown one is treated as unsafe, which allows least. */
+/** Reads a kind of route. An unknown kind is treated as unsafe, the most restrictive one. */
 export const toRouteKind = (value: string): RouteKind => (isRouteKind(value) ? value : "unsafe");
 
 /**
- * Over all nodes, in any window, the retries of one kind at a service stay within ratio x its
- * requests + slack.
+ * Limits the retries of one kind to a service, over all nodes and in any window, to `ratio *
+ * requests + slack`.
  */
 export interface RetryLimit {
   readonly ratio: number;
@@ -27,12 +26,12 @@
 }
 
 /**
- * The part of a ratio that nodes use, and of a slack that is leased out: windows slide in steps,
- * and nodes come and go.
+ * The fraction of a ratio that nodes use, and of a slack that is leased. The margin allows for
+ * windows that slide in steps and for nodes that join and leave.
  */
 export const USED_FRACTION = 0.8;
 
-/** What no limit may exceed: the deployment's own maximum for a service, over all kinds. */
+/** The deployment's maximum for a service, over all kinds, which no limit may exceed. */
 export interface RetryMaximum {
   readonly ratio: number;
   readonly slack: number;
@@ -42,15 +41,15 @@
 /** The limits of one service, by kind of route. */
 export type KindLimits = Readonly<Record<RouteKind, RetryLimit>>;
 
-/** Invariant: holds EVERY_SERVICE, whose limits apply to each service that has none of its own. */
+/** Invariant: contains `EVERY_SERVICE`, whose limits apply to services without their own. */
 export type RetryLimits = Readonly<Record<string, KindLimits>>;
 
-/** The key of the limits for services that have none of their own. */
+/** The key of the limits for services without their own. */
 export const EVERY_SERVICE = "*";
 
 /**
- * The limits before any are written: half of the ratio, and a small part of the slack, where a
- * repeat may do harm.
+ * The limits that apply until any are set: half of the ratio and a small part of the slack for the
+ * kinds where repeating a request can cause harm.
  */
 export const defaultLimits = ({ ratio, slack }: RetryMaximum): RetryLimits => ({
   [EVERY_SERVICE]: {
@@ -61,7 +60,7 @@
   },
 });
 
-/** The limit in force for a service and kind; 0 where there are no limits. */
+/** The limit in force for a service and kind; 0 if there are no limits. */
 export const findLimit = (limits: RetryLimits, service: string, kind: RouteKind): RetryLimit => {
   const own = limits[service] ?? limits[EVERY_SERVICE];
   return own?.[kind] ?? { ratio: 0, slack: 0 };
@@ -93,7 +92,7 @@
 });
 
 /**
- * Reads limits as they are written and delivered.
+ * Reads limits in the format in which they are stored and delivered.
  *
  * @throws if a ratio or slack is not a number of 0 or more
  */
@@ -108,8 +107,8 @@
 };
 
 /**
- * Changes the limit of one kind, of one service or of every service; or a sentence on what is wrong
- * with it.
+ * Sets the limit of one kind for one service or, with `EVERY_SERVICE`, for all services without
+ * their own. Returns an error message if the limit is invalid.
  */
 export const withLimit = (
   limits: RetryLimits,
@@ -123,10 +122,10 @@
   try {
     limit = readLimit(value);
   } catch (error) {
-    return err(error instanceof Error ? error.message : "the limit is unreadable");
+    return err(error instanceof Error ? error.message : "the limit could not be read");
   }
   const current = limits[service] ?? limits[EVERY_SERVICE];
-  if (!current) return err("there are no limits yet");
+  if (!current) return err("no retry limits have been set yet");
   const kinds: KindLimits = { ...current, [kind]: limit };
   const totalSlack = ROUTE_KINDS.reduce((sum, one) => sum + kinds[one].slack, 0);
   if (limit.ratio > maximum.ratio)
@@ -139,6 +138,8 @@
     (one) => kinds[one].ratio > kinds.safe.ratio,
   );
   if (kindAboveSafe)
-    return err(`the ratio of ${kindAboveSafe} is above that of safe, which may be repeated`);
+    return err(
+      `the ratio of ${kindAboveSafe} is above that of safe, whose requests are safe to repeat`,
+    );
   return ok({ ...limits, [service]: kinds });
 };
