--- a/src/quota/rate-limiter.ts
+++ b/src/quota/rate-limiter.ts
@@ -27,8 +27,8 @@
  *
  * Invariants: a token is only taken under an unexpired lease; a bucket starts empty and never holds
  * more than its share of the burst, or one token if that is more. If all shares add up to at most
- * 1, and none is below one token of burst, requests in a time span t stay within rate * (0.96 t +
- * 0.2 s).
+ * 1 and each amounts to at least one token of burst, then at most rate * (0.96 t + 0.2 s) requests
+ * are sent in a time span t.
  */
 export class RateLimiter {
   private lease: RateLease = { share: 0, expiresAtUs: 0 };
--- a/src/quota/retry-limits.ts
+++ b/src/quota/retry-limits.ts
@@ -17,8 +17,8 @@
 export const toRouteKind = (value: string): RouteKind => (isRouteKind(value) ? value : "unsafe");
 
 /**
- * Limits the retries of one kind to a service, over all nodes and in any window, to `ratio *
- * requests + slack`.
+ * Limits the retries of one kind to a service, over all nodes and in any window, to its requests
+ * times `ratio`, plus `slack`.
  */
 export interface RetryLimit {
   readonly ratio: number;
