--- a/src/membership/peers.ts
+++ b/src/membership/peers.ts
@@ -7,7 +7,7 @@
 import type { ControllerAddress } from "./cluster.js";
 import { packPeerHello, readPeerZone } from "./messages.js";
 
-/** What the links of a controller to its peers are made with. */
+/** Dependencies of {@link Peers}. */
 export interface PeersOptions {
   /** This controller's id: its control address. */
   readonly self: string;
@@ -17,7 +17,7 @@
   readonly times: KeepAliveTimes;
 }
 
-/** Links to every other known controller; each announces to the others whom it knows. */
+/** Links to every other known controller; controllers tell each other which ones they know. */
 export class Peers {
   readonly events = new Emittery<{
     connected: string;
@@ -50,7 +50,7 @@
     return packPeerHello({ id: self, zone }, [self, ...this.known()]);
   };
 
-  /** Learns from a peer's hello or welcome. */
+  /** Adds the zone and the known controllers stated in a peer's hello or welcome. */
   readonly learnFrom = (hello: Message): void => {
     const zone = readPeerZone(hello);
     if (typeof hello["from"] === "string" && zone !== undefined)
@@ -60,7 +60,7 @@
 
   readonly learn = (ids: readonly string[]): void => {
     new Set(ids).forEach((id) => {
-      if (id !== this.options.self && id !== "" && !this.links.has(id)) this.open(id);
+      if (id !== this.options.self && id !== "" && !this.links.has(id)) this.openLink(id);
     });
   };
 
@@ -76,11 +76,11 @@
 
   readonly stop = (): void => this.links.forEach((link) => link.stop());
 
-  private readonly open = (id: string): void => {
-    const { clock, times, peerPort: signalPort } = this.options;
+  private readonly openLink = (id: string): void => {
+    const { clock, times, peerPort: remotePort } = this.options;
     const link = new PeerLink({
       ip: splitAddress(id).ip,
-      port: signalPort,
+      port: remotePort,
       clock,
       times,
       connectTimeoutUs: times.timeoutUs,
--- a/src/membership/worker-registry.ts
+++ b/src/membership/worker-registry.ts
@@ -4,18 +4,23 @@
 import { packHeartbeat, packWorkerUpdate } from "./messages.js";
 import { WORKER_PREFIX, type UpdateStore, type NewUpdate } from "./update-store.js";
 
-/** Later states of one call count win over earlier ones; a gone worker stays gone. */
-const RANK: Readonly<Record<WorkerState, number>> = { ready: 0, missing: 1, draining: 2, gone: 3 };
-const RANKS = 4;
+/** Among heartbeats with equal call count, the higher rank wins; a gone worker stays gone. */
+const STATE_RANK: Readonly<Record<WorkerState, number>> = {
+  ready: 0,
+  missing: 1,
+  draining: 2,
+  gone: 3,
+};
+const STATE_COUNT = 4;
 
 interface Entry {
   heartbeat: Heartbeat;
-  heardUs: number;
+  lastHeardUs: number;
 }
 
 const updateOf = (heartbeat: Heartbeat): NewUpdate => ({
   key: WORKER_PREFIX + heartbeat.id,
-  version: heartbeat.callCount * RANKS + RANK[heartbeat.state],
+  version: heartbeat.callCount * STATE_COUNT + STATE_RANK[heartbeat.state],
   tie: "",
   body: packWorkerUpdate(heartbeat),
 });
@@ -24,13 +29,13 @@
 const MISSING_HEARTBEATS = 3;
 
 /**
- * The workers, by their heartbeats. Only changes become updates; a heartbeat that changes nothing
- * only shows that the worker is alive. Invariant: for one id the call count held never falls, and a
- * worker that is draining or gone never becomes ready.
+ * Tracks workers by their heartbeats. Only changes are posted as updates; a heartbeat without a
+ * change only shows that the worker is alive. Invariant: the call count stored for an id never
+ * decreases, and a worker that is draining or gone never becomes ready again.
  */
 export class WorkerRegistry {
   private readonly entries = new Map<string, Entry>();
-  /** Since when heartbeats, direct or replicated by peers, have been able to arrive. */
+  /** Time since which heartbeats, direct or replicated by peers, have been able to arrive. */
   private listeningSinceUs: number;
 
   constructor(
@@ -42,14 +47,14 @@
   }
 
   /**
-   * After a time in which heartbeats could not come in: their lack says nothing, and workers may
-   * have come that aren't known here.
+   * Called after a period in which no heartbeats could arrive: missing heartbeats from that period
+   * say nothing about a worker, and there may be new workers that are not known here.
    */
   readonly restartListening = (): void => {
     this.listeningSinceUs = this.clock.nowUs();
   };
 
-  /** Whether every worker that lives has had time to be heard here. */
+  /** Whether every live worker has had time to send a heartbeat here. */
   readonly isComplete = (): boolean =>
     this.clock.nowUs() - this.listeningSinceUs > this.heartbeatUs * MISSING_HEARTBEATS;
 
@@ -59,58 +64,59 @@
   readonly get = (id: string): Heartbeat | undefined => this.entries.get(id)?.heartbeat;
 
   /**
-   * Takes up workers known before this start; those that are not heard soon go missing like any
-   * other.
+   * Restores the workers known before a restart. Those that send no heartbeat become missing as
+   * usual.
    */
   readonly restore = (heartbeats: readonly Heartbeat[]): void =>
     heartbeats.forEach((heartbeat) => this.record({ ...heartbeat, state: "ready", warmUs: 0 }));
 
   /**
-   * Takes a heartbeat, received here or replicated after `ageUs`; false if it is old. One so old that
-   * its worker is missing counts as such at once: a peer that was partitioned announces workers
+   * Records a heartbeat that was received here, or replicated by a peer with an age of `ageUs`;
+   * returns false if it is outdated. A heartbeat so old that its worker counts as missing is
+   * recorded as missing right away, because a peer that was partitioned reports workers that are
    * long gone.
    */
-  // eslint-disable-next-line complexity -- the order of the comparisons is the rule, and stays in one place
+  // eslint-disable-next-line complexity -- the order of the comparisons defines the precedence and stays in one place
   readonly record = (received: Heartbeat, ageUs = 0): boolean => {
     const nowUs = this.clock.nowUs() - ageUs;
     const heartbeat: Heartbeat =
       received.state === "ready" && ageUs > this.heartbeatUs * MISSING_HEARTBEATS
         ? { ...received, state: "missing" }
         : received;
-    const before = this.entries.get(heartbeat.id);
-    if (!before) {
+    const previous = this.entries.get(heartbeat.id);
+    if (!previous) {
       if (ageUs > this.heartbeatUs * TOMBSTONE_HEARTBEATS) return false;
-      this.entries.set(heartbeat.id, { heartbeat, heardUs: nowUs });
+      this.entries.set(heartbeat.id, { heartbeat, lastHeardUs: nowUs });
       this.updates.post([updateOf(heartbeat)]);
       return true;
     }
-    if (before.heartbeat.state === "gone") return false;
-    const rises = heartbeat.callCount > before.heartbeat.callCount;
-    const sinks =
-      heartbeat.callCount === before.heartbeat.callCount &&
-      RANK[heartbeat.state] > RANK[before.heartbeat.state];
-    if (!rises && !sinks) return false;
+    if (previous.heartbeat.state === "gone") return false;
+    const hasHigherCallCount = heartbeat.callCount > previous.heartbeat.callCount;
+    const hasHigherRank =
+      heartbeat.callCount === previous.heartbeat.callCount &&
+      STATE_RANK[heartbeat.state] > STATE_RANK[previous.heartbeat.state];
+    if (!hasHigherCallCount && !hasHigherRank) return false;
     const state =
-      before.heartbeat.state === "draining" && heartbeat.state !== "gone"
+      previous.heartbeat.state === "draining" && heartbeat.state !== "gone"
         ? "draining"
         : heartbeat.state;
     const changed =
-      state !== before.heartbeat.state ||
-      heartbeat.address !== before.heartbeat.address ||
-      heartbeat.service !== before.heartbeat.service;
-    before.heartbeat = { ...heartbeat, state };
-    before.heardUs = Math.max(nowUs, before.heardUs);
-    if (changed) this.updates.post([updateOf(before.heartbeat)]);
+      state !== previous.heartbeat.state ||
+      heartbeat.address !== previous.heartbeat.address ||
+      heartbeat.service !== previous.heartbeat.service;
+    previous.heartbeat = { ...heartbeat, state };
+    previous.lastHeardUs = Math.max(nowUs, previous.lastHeardUs);
+    if (changed) this.updates.post([updateOf(previous.heartbeat)]);
     return true;
   };
 
   readonly leave = (id: string): Heartbeat | undefined => {
-    const before = this.entries.get(id);
-    if (!before) return undefined;
+    const previous = this.entries.get(id);
+    if (!previous) return undefined;
     const heartbeat: Heartbeat = {
-      ...before.heartbeat,
+      ...previous.heartbeat,
       state: "gone",
-      callCount: before.heartbeat.callCount + 1,
+      callCount: previous.heartbeat.callCount + 1,
     };
     this.record(heartbeat);
     return heartbeat;
@@ -123,17 +129,20 @@
 
   readonly packAll = (): readonly UnknownRecord[] => {
     const nowUs = this.clock.nowUs();
-    return [...this.entries.values()].map(({ heartbeat, heardUs }) => ({
+    return [...this.entries.values()].map(({ heartbeat, lastHeardUs }) => ({
       ...packHeartbeat(heartbeat),
-      ageUs: nowUs - heardUs,
+      ageUs: nowUs - lastHeardUs,
     }));
   };
 
-  /** Marks those missing that sent no heartbeat for some intervals, and forgets the long gone. */
+  /**
+   * Marks ready workers as missing after `MISSING_HEARTBEATS` intervals without a heartbeat, and
+   * removes any worker after `TOMBSTONE_HEARTBEATS` intervals.
+   */
   readonly sweep = (): void => {
     const nowUs = this.clock.nowUs();
     this.entries.forEach((entry, id) => {
-      const silentUs = nowUs - Math.max(entry.heardUs, this.listeningSinceUs);
+      const silentUs = nowUs - Math.max(entry.lastHeardUs, this.listeningSinceUs);
       if (silentUs > this.heartbeatUs * TOMBSTONE_HEARTBEATS) {
         this.entries.delete(id);
         this.updates.forget([WORKER_PREFIX + id]);
