--- a/src/common/duration.ts
+++ b/src/common/duration.ts
@@ -14,12 +14,12 @@
   readonly text: string;
 }
 
-const SPAN = /^(\d+(?:\.\d+)?)(us|ms|s)$/;
+const DURATION = /^(\d+(?:\.\d+)?)(us|ms|s)$/;
 const UNIT_US: Readonly<Record<string, number>> = { us: 1, ms: MILLISECOND_US, s: SECOND_US };
 
 /** Reads a duration such as `1500ms`, `20us` or `1.5s`, in whole microseconds. */
 export const parseDuration = (text: unknown): Result<number, DurationError> => {
-  const found = typeof text === "string" ? SPAN.exec(text) : null;
+  const found = typeof text === "string" ? DURATION.exec(text) : null;
   const unitUs = UNIT_US[found?.[2] ?? ""];
   return found && unitUs
     ? ok(Math.round(Number(found[1]) * unitUs))
--- a/src/common/settings.ts
+++ b/src/common/settings.ts
@@ -52,11 +52,11 @@
 convict.addFormat({
   name: "port-range",
   validate: (value: unknown) => {
-    const fits =
+    const isPortRange =
       Array.isArray(value) &&
       value.length === 2 &&
       value.every((port) => Number.isInteger(port) && port > 0 && port < 65_536);
-    if (!fits || Number(value[1]) - Number(value[0]) < 1)
+    if (!isPortRange || Number(value[1]) - Number(value[0]) < 1)
       throw new Error("must be two ports, the first and the last of a range of two or more");
   },
 });
@@ -100,7 +100,7 @@
     }),
   );
 
-const noTexts: string[] = [];
+const noStrings: string[] = [];
 const noPorts: number[] = [];
 
 const schema = () =>
@@ -111,7 +111,7 @@
       cell: { format: "filled", default: "" },
       ip: { format: "filled", default: "" },
       sparePorts: { format: "port-range", default: noPorts },
-      seedNodes: { format: "texts", default: noTexts },
+      seedNodes: { format: "texts", default: noStrings },
       firstRun: { format: Boolean, default: false },
       heartbeat: { format: "span", default: -1 },
       dataFolder: { format: String, default: "" },
@@ -280,6 +280,6 @@
 
 /** Splits "ip:port"; a wrong one gives port 0. */
 export const splitAddress = (address: string): { readonly ip: string; readonly port: number } => {
-  const cut = address.lastIndexOf(":");
-  return { ip: address.slice(0, cut), port: Number(address.slice(cut + 1)) || 0 };
+  const separator = address.lastIndexOf(":");
+  return { ip: address.slice(0, separator), port: Number(address.slice(separator + 1)) || 0 };
 };
--- a/src/config/change-request.ts
+++ b/src/config/change-request.ts
@@ -1,4 +1,4 @@
-/** Reads a change of the configuration as an operator sends it. */
+/** Parses configuration changes sent by operators. */
 import { err, ok, type Result } from "true-myth/result";
 import { asList, asRecord, parseJson, type UnknownRecord } from "../common/decode.js";
 import type { Register } from "../consensus/register.js";
@@ -12,19 +12,19 @@
   toServiceRegister,
 } from "./validation.js";
 
-const listOf = (value: unknown, field: string): readonly unknown[] =>
+const optionalList = (value: unknown, field: string): readonly unknown[] =>
   value === undefined ? [] : asList(value, field);
 
 /**
- * Reads a change item by item; it yields between items, so that the reader of a large one can let
- * others have a turn.
+ * Parses a change item by item. Yields between items so that the caller can release the event loop
+ * during a large change.
  */
 function* readItems(
   body: string,
 ): Generator<undefined, Result<readonly Register[], ConfigError>, undefined> {
   let change: UnknownRecord;
   try {
-    change = asRecord(parseJson(body), "the call");
+    change = asRecord(parseJson(body), "request body");
   } catch (error) {
     return err(new UnreadableChangeError({ cause: error }));
   }
@@ -33,29 +33,31 @@
     const remove = change["remove"] === undefined ? {} : asRecord(change["remove"], "remove");
     const registers: Register[] =
       put["limits"] === undefined ? [] : [toLimitsRegister(put["limits"])];
-    for (const value of listOf(put["groups"], "groups")) {
+    for (const value of optionalList(put["groups"], "groups")) {
       registers.push(toServiceRegister(value));
       yield;
     }
-    for (const value of listOf(put["listeners"], "listeners")) {
+    for (const value of optionalList(put["listeners"], "listeners")) {
       const listener = asRecord(value, "listener");
       requireName(listener["host"]);
-      for (const rule of listOf(listener["rules"], "rules")) {
+      for (const rule of optionalList(listener["rules"], "rules")) {
         registers.push(toRouteRegister(listener["host"], rule));
         yield;
       }
     }
-    registers.push(...listOf(remove["routes"], "routes").map(toRemovalRegister(routeKey)));
-    registers.push(...listOf(remove["groups"], "groups").map(toRemovalRegister(serviceKey)));
+    registers.push(...optionalList(remove["routes"], "routes").map(toRemovalRegister(routeKey)));
+    registers.push(...optionalList(remove["groups"], "groups").map(toRemovalRegister(serviceKey)));
     return ok(registers);
   } catch (error) {
-    const sentence =
-      error instanceof Error ? (error.message.split("\n")[0] ?? "") : "the call is wrong";
-    return err(new InvalidChangeError(sentence, { cause: error }));
+    const message =
+      error instanceof Error
+        ? (error.message.split("\n")[0] ?? "")
+        : "the configuration change is invalid";
+    return err(new InvalidChangeError(message, { cause: error }));
   }
 }
 
-/** Reads and validates a change at once. */
+/** Parses and validates a change synchronously. */
 export const parseChange = (body: string): Result<readonly Register[], ConfigError> => {
   const items = readItems(body);
   for (;;) {
@@ -67,8 +69,8 @@
 const ITEMS_PER_TURN = 16;
 
 /**
- * The same, with a turn of the event loop after every few items: heartbeats must go on while a
- * large change is read.
+ * Like {@link parseChange}, but releases the event loop after every few items, so that heartbeats
+ * continue while a large change is parsed.
  */
 export const parseChangeInTurns = async (
   body: string,
--- a/src/config/config-document.ts
+++ b/src/config/config-document.ts
@@ -1,4 +1,4 @@
-/** The configuration as a whole: what it refers to, and the document that operators read. */
+/** The configuration as a whole: reference checks, and the document returned to operators. */
 import { asRecord, parseJson, type UnknownRecord } from "../common/decode.js";
 import { readWeightedServices } from "../common/weighted-split.js";
 import type { Register } from "../consensus/register.js";
@@ -10,8 +10,8 @@
 };
 
 /**
- * The first service that a route of the change names and that neither the change nor the replica
- * has.
+ * Returns the first service that a route in the change refers to and that exists neither in the
+ * change nor in the current configuration.
  */
 export const findUnknownService = (
   change: readonly Register[],
@@ -22,28 +22,28 @@
       .filter((register) => isServiceKey(register.key))
       .map((register) => [register.key, register]),
   );
-  const known = (name: string): boolean => {
+  const isKnown = (name: string): boolean => {
     const key = serviceKey(name);
-    const put = inChange.get(key);
-    const here = current(key);
-    const newest = put && (!here || put.version > here.version) ? put : here;
+    const proposed = inChange.get(key);
+    const stored = current(key);
+    const newest = proposed && (!stored || proposed.version > stored.version) ? proposed : stored;
     return newest !== undefined && !newest.dropped;
   };
   return change
     .filter((register) => isRouteKey(register.key) && !register.dropped)
     .flatMap(servicesOf)
-    .find((name) => !known(name));
+    .find((name) => !isKnown(name));
 };
 
-/** The whole configuration, in the form of a change that would create it. */
+/** Returns the complete configuration in the format of a change that would create it. */
 export const toConfigDocument = (registers: readonly Register[]): UnknownRecord => {
-  const standing = registers.filter((register) => !register.dropped);
-  const limits = standing.find((register) => register.key === LIMITS_KEY);
-  const groups = standing
+  const live = registers.filter((register) => !register.dropped);
+  const limits = live.find((register) => register.key === LIMITS_KEY);
+  const groups = live
     .filter((register) => isServiceKey(register.key))
     .map((register) => parseJson(register.body));
   const byHost = new Map<string, unknown[]>();
-  standing
+  live
     .filter((register) => isRouteKey(register.key))
     .forEach((register) => {
       const record = asRecord(parseJson(register.body));
--- a/src/config/item-schema.ts
+++ b/src/config/item-schema.ts
@@ -1,24 +1,23 @@
-/** The schemas of the configuration's items: routes, services and limits. */
+/** Schemas of the configuration items: routes, services and limits. */
 import convict from "convict";
 import { asList, asRecord, isRecord, type UnknownRecord } from "../common/decode.js";
 import { parseDuration, SECOND_US } from "../common/duration.js";
 
-/** The longest time for which a request may be tried. */
+/** Maximum total time for the attempts of a request. */
 const MAX_GIVE_UP_US = 600 * SECOND_US;
 
 const requirePositiveDuration = (value: unknown): void => {
   if (!(parseDuration(value).unwrapOr(0) > 0))
-    throw new Error("must be a span above 0, such as 1500ms");
+    throw new Error("must be a duration above 0, such as 1500ms");
 };
-/** @throws if the value is not a text of one character or more */
+/** @throws if the value is not a non-empty string */
 export const requireName = (value: unknown): void => {
-  if (typeof value !== "string" || value === "")
-    throw new Error("must be a text that is not empty");
+  if (typeof value !== "string" || value === "") throw new Error("must be a non-empty string");
 };
-/** @throws if the value is not a whole number of 0 or more */
+/** @throws if the value is not an integer of 0 or more */
 export const requireVersion = (value: unknown): void => {
   if (!Number.isSafeInteger(value) || Number(value) < 0)
-    throw new Error("must be a whole number of 0 or more");
+    throw new Error("must be an integer of 0 or more");
 };
 convict.addFormats({
   "plan-version": { validate: requireVersion },
@@ -27,7 +26,7 @@
   "span-or-none": {
     validate: (value: unknown) => {
       if (value !== "" && parseDuration(value).isErr)
-        throw new Error("must be a span, such as 1500ms");
+        throw new Error("must be a duration, such as 1500ms");
     },
   },
   rate: {
@@ -40,7 +39,7 @@
     validate: (value: unknown) => {
       requirePositiveDuration(value);
       if (parseDuration(value).unwrapOr(0) > MAX_GIVE_UP_US)
-        throw new Error("must be ten minutes or less");
+        throw new Error("must be 10 minutes or less");
     },
   },
   "path-start": {
@@ -52,7 +51,7 @@
   destination: {
     validate: (list: unknown) => {
       const [value] = asList(list);
-      if (!isRecord(value)) throw new Error("must be a table");
+      if (!isRecord(value)) throw new Error("must be an object");
       if (value["shares"] === undefined) {
         requireName(value["service"]);
         return;
@@ -71,9 +70,9 @@
 });
 
 /**
- * Made once for each kind of item: making a schema costs far more than using it. Invariant: each
- * use gives every field of the schema, so that nothing of the item before is left; a list is
- * replaced as a whole, so tables stand in one.
+ * Created once per kind of item, because creating a schema costs far more than using it. Invariant:
+ * every use sets every field of the schema, so that no value of the previous item remains. Lists
+ * are replaced as a whole whereas objects are merged, so objects are wrapped in a list.
  */
 const routeSchema = convict({
   name: { format: "named", default: "" },
@@ -142,7 +141,7 @@
   schema.validate();
 };
 
-/** The given fields of a record, of which those that are undefined are left out. */
+/** Returns the given fields of a record without those that are undefined. */
 export const pickFields = (record: UnknownRecord, fields: readonly string[]): UnknownRecord => {
   const kept = fields
     .filter((field) => record[field] !== undefined)
@@ -150,14 +149,26 @@
   return Object.fromEntries(kept);
 };
 
-/** @throws if a field of the route breaks a rule */
+/**
+ * Validates the fields of a route.
+ *
+ * @throws if a field violates the schema
+ */
 export const validateRoute = (route: UnknownRecord): void =>
   validate(routeSchema, ROUTE_DEFAULTS, route);
 
-/** @throws if a field of the service breaks a rule */
+/**
+ * Validates the fields of a service.
+ *
+ * @throws if a field violates the schema
+ */
 export const validateService = (service: UnknownRecord): void =>
   validate(serviceSchema, SERVICE_DEFAULTS, service);
 
-/** @throws if a field of the limits breaks a rule */
+/**
+ * Validates the fields of the limits.
+ *
+ * @throws if a field violates the schema
+ */
 export const validateLimits = (limits: UnknownRecord): void =>
   validate(limitsSchema, LIMITS_DEFAULTS, limits);
--- a/src/config/validation.ts
+++ b/src/config/validation.ts
@@ -1,4 +1,4 @@
-/** Validates each item of a change and makes it a register. */
+/** Validates the items of a change and converts them to registers. */
 import { asRecord } from "../common/decode.js";
 import { makeRegister, type Register } from "../consensus/register.js";
 import { LIMITS_KEY, routeKey, serviceKey } from "./config-keys.js";
@@ -12,9 +12,9 @@
 } from "./item-schema.js";
 
 /**
- * Validates a route.
+ * Validates a route and converts it to a register.
  *
- * @throws if a field breaks a rule
+ * @throws if a field violates the schema
  */
 export const toRouteRegister = (host: unknown, value: unknown): Register => {
   const rule = asRecord(value, "rule");
@@ -36,9 +36,9 @@
 };
 
 /**
- * Validates a service.
+ * Validates a service and converts it to a register.
  *
- * @throws if a field breaks a rule
+ * @throws if a field violates the schema
  */
 export const toServiceRegister = (value: unknown): Register => {
   const group = asRecord(value, "group");
@@ -60,9 +60,9 @@
 };
 
 /**
- * Validates the limits.
+ * Validates the limits and converts them to a register.
  *
- * @throws if a field breaks a rule
+ * @throws if a field violates the schema
  */
 export const toLimitsRegister = (value: unknown): Register => {
   const limits = asRecord(value, "limits");
@@ -73,9 +73,9 @@
 };
 
 /**
- * Validates the removal of an item.
+ * Validates the removal of an item and converts it to a register marked as removed.
  *
- * @throws if its name or version is missing
+ * @throws if the name or the version is missing or invalid
  */
 export const toRemovalRegister =
   (keyOf: (name: string) => string) =>
--- a/src/storage/data-folder.ts
+++ b/src/storage/data-folder.ts
@@ -1,49 +1,52 @@
 /**
- * Takes over the data folder that a role used under its earlier name, so that a fleet whose
- * platform names each data folder after its role keeps its state across the change of the roles'
- * names.
+ * Migrates the data folder that a role used under its earlier name. Platforms that name data
+ * folders after roles thereby keep their state across the renaming of the roles.
  */
 import { basename, dirname, join } from "node:path";
 import { messageOf } from "../common/errors.js";
 import type { Logger } from "../common/logger.js";
 import type { FolderFileSystem } from "./file-system.js";
 
-/** The roles that may own a data folder. */
+/** The roles that have a data folder. */
 export type Role = "gateway" | "controller" | "cache";
 
-/** What each role was called before December 2026. */
-const FORMER_NAMES: Readonly<Record<Role, string>> = {
+/** The name of each role before December 2026. */
+const FORMER_ROLE_NAMES: Readonly<Record<Role, string>> = {
   gateway: "pointsman",
   controller: "signalbox",
   cache: "depot",
 };
 
-/** What a take-over works on. */
+/** Options of {@link takeOverFormerFolder}. */
 export interface TakeOverOptions {
   readonly role: Role;
-  /** The role's own data folder; empty on a machine without a disk. */
+  /** The data folder that the role is configured to use; empty on a machine without a disk. */
   readonly folder: string;
   readonly fileSystem: FolderFileSystem;
   readonly logger: Logger;
 }
 
-/** The sibling whose name has the role's earlier name where the own one has the role's name. */
+/**
+ * Returns the sibling folder named after the role's earlier name, or undefined if the folder's name
+ * does not contain the role.
+ */
 const findFormerFolder = (role: Role, folder: string): string | undefined => {
   const name = basename(folder);
   return name.includes(role)
-    ? join(dirname(folder), name.replace(role, FORMER_NAMES[role]))
+    ? join(dirname(folder), name.replace(role, FORMER_ROLE_NAMES[role]))
     : undefined;
 };
 
 /**
- * Renames the folder of the role's earlier name into the place of the own one, if the own one is
- * missing or empty and the other holds anything. To be awaited before anything in the folder is
- * read. A folder whose name doesn't contain the role's name has no earlier name, so nothing is
- * done. A failure is logged, and the program goes on with its own folder.
+ * Renames the folder of the role's earlier name to the configured folder if the configured one is
+ * missing or empty and the earlier one is not empty. Must complete before anything in the folder is
+ * read. Does nothing if the folder's name does not contain the role's name, since no earlier name
+ * can be derived from it. On failure a warning is logged and the process continues with its
+ * configured folder.
  *
- * Invariant: the state is whole under exactly one of the two names at every moment, since one
- * atomic rename moves it. A crash before the parent is synced leaves it under either; where it is
- * the earlier one, the next start renames it again.
+ * Invariant: the complete state is under exactly one of the two names at any time, since it is
+ * moved by a single atomic rename. After a crash before the parent is synced it may be under either
+ * name; if it is under the earlier one, the next start renames it again.
  *
  * @returns whether a folder was taken over
  */
--- a/src/storage/errors.ts
+++ b/src/storage/errors.ts
@@ -1,40 +1,45 @@
-/** What can go wrong when state is written to disk, each with a stable code. */
+/** Errors of the storage layer, each with a stable code. */
 import { CodedError, messageOf } from "../common/errors.js";
 
-/** The file system refused a write; what the call was to make durable may be lost by a restart. */
+/**
+ * A write to the file system failed. The data that the call was to persist may be lost on a
+ * restart.
+ */
 export class DiskWriteError extends CodedError {
   readonly code = "DISK_WRITE_FAILED";
 
-  /** @param cause - what the file system threw */
+  /** @param cause - the error thrown by the file system */
   constructor(cause: unknown) {
     super(messageOf(cause), { cause });
   }
 }
 
 /**
- * The increments have taken all the space that they may, and no snapshot could be written in their
- * place.
+ * The increments have reached their limit, and the snapshot that would replace them could not be
+ * written.
  */
 export class SnapshotOverdueError extends CodedError {
   readonly code = "SNAPSHOT_OVERDUE";
 
   constructor() {
-    super("no snapshot could be written, and the space for increments is used up");
+    super(
+      "the increments have reached their limit and no snapshot could be written to replace them",
+    );
   }
 }
 
-/** The segments of a log have reached the size that they may have. */
+/** The segments of a log have reached their maximum total size. */
 export class SegmentLogFullError extends CodedError {
   readonly code = "SEGMENT_LOG_FULL";
 
   /**
-   * @param sizeBytes - what the segments take
-   * @param maxBytes - what they may take
+   * @param sizeBytes - total size of the segments
+   * @param maxBytes - maximum total size
    */
   constructor(
     readonly sizeBytes: number,
     readonly maxBytes: number,
   ) {
-    super(`the segments take ${sizeBytes} of ${maxBytes} bytes`);
+    super(`segment log is full: ${sizeBytes} of ${maxBytes} bytes used`);
   }
 }
--- a/src/storage/file-system.ts
+++ b/src/storage/file-system.ts
@@ -1,86 +1,85 @@
-/** The file system as durable state needs it, and its implementation on the machine's own. */
+/** File system operations used for durable state, and their implementation on `node:fs`. */
 import { mkdir, open, readdir, readFile, rename, rm } from "node:fs/promises";
 import { dirname } from "node:path";
 import { isRecord } from "../common/decode.js";
 
 /**
- * The few calls on files that durable state needs. Every method rejects with an Error when the file
- * system refuses. After a loss of power the bytes of a written file are as `write` left them; a
- * name that was made, renamed or removed since the last `syncFolder` of its folder may be kept or
- * lost, each by itself.
+ * File operations that durable state requires. Every method rejects with an Error if the operation
+ * fails. After a power loss a file has the bytes that the last completed `write` synced. A name
+ * that was created, renamed or removed since the last `syncFolder` of its folder may be kept or
+ * lost, independently of other names.
  */
 export interface FileSystem {
-  /** The names in a folder; none if there is no such folder. */
+  /** Lists the names in a folder; empty if the folder does not exist. */
   list(folder: string): Promise<readonly string[]>;
-  /** Undefined if there is no such file. */
+  /** Reads a whole file; undefined if it does not exist. */
   read(path: string): Promise<Uint8Array | undefined>;
-  /** Writes the whole file, new or replaced; its bytes are synced once this resolves. */
+  /** Creates or replaces the whole file. Its contents are synced when the promise resolves. */
   write(path: string, bytes: Uint8Array): Promise<void>;
-  /** Renames a file; one under the new name is replaced. Not durable before `syncFolder`. */
+  /** Renames a file, replacing an existing one. Durable only after `syncFolder`. */
   rename(from: string, to: string): Promise<void>;
-  /** No error if there is no such file. */
+  /** Removes a file; succeeds if it does not exist. */
   remove(path: string): Promise<void>;
   /**
-   * Makes the folder with all parents missing; the names of all that were made are durable once
-   * this resolves.
+   * Creates the folder and all missing parents. The names of all created folders are durable when
+   * the promise resolves.
    */
   makeFolder(path: string): Promise<void>;
-  /** Makes the names in the folder durable: those made, renamed and removed. */
+  /** Makes all names created, renamed and removed in the folder durable. */
   syncFolder(path: string): Promise<void>;
 }
 
-/** The calls on folders that a take-over needs. */
+/** Folder operations required to take over an earlier data folder. */
 export interface FolderFileSystem extends Pick<FileSystem, "list" | "syncFolder"> {
   /**
-   * Renames a folder with all that is in it, in one atomic step. An empty folder under the new name
-   * is replaced.
+   * Renames a folder with its contents in one atomic step. An empty folder under the new name is
+   * replaced.
    *
-   * @throws if the folder under the new name isn't empty, or the file system refuses, for example
-   *   across devices
+   * @throws if the target folder is not empty or the rename fails, for example across devices
    */
   renameFolder(from: string, to: string): Promise<void>;
 }
 
 /** The code of a system error, such as `ENOENT`. */
-const codeOf = (error: unknown): unknown => (isRecord(error) ? error["code"] : undefined);
+const errorCodeOf = (error: unknown): unknown => (isRecord(error) ? error["code"] : undefined);
 
 /**
- * Error codes of a folder that belongs to another user, so that this process made no name in it
- * either.
+ * Error codes of a folder that belongs to another user. This process cannot have created a name in
+ * it, so it need not be synced.
  */
-const FOREIGN_FOLDER_CODES: ReadonlySet<unknown> = new Set(["EACCES", "EPERM", "EROFS"]);
+const ACCESS_DENIED_CODES: ReadonlySet<unknown> = new Set(["EACCES", "EPERM", "EROFS"]);
 
 const syncFolderAt = async (folder: string): Promise<void> => {
-  const opened = await open(folder, "r");
+  const handle = await open(folder, "r");
   try {
-    await opened.sync();
+    await handle.sync();
   } finally {
-    await opened.close();
+    await handle.close();
   }
 };
 
-/** Makes one folder; false if it is there already, undefined if its parent is missing. */
-const makeOne = async (path: string): Promise<boolean | undefined> => {
+/** Creates a single folder. Returns false if it exists and undefined if its parent is missing. */
+const makeSingleFolder = async (path: string): Promise<boolean | undefined> => {
   try {
     await mkdir(path);
     return true;
   } catch (error) {
-    if (codeOf(error) === "ENOENT") return undefined;
-    if (codeOf(error) === "EEXIST") return false;
+    if (errorCodeOf(error) === "ENOENT") return undefined;
+    if (errorCodeOf(error) === "EEXIST") return false;
     throw error;
   }
 };
 
-/** The machine's own file system. */
+/** File system of the machine, through `node:fs`. */
 export class NodeFileSystem implements FileSystem, FolderFileSystem {
-  /** @param sync - how a folder is synced, so that a test can see the order */
+  /** @param sync - syncs a folder; replaceable so that tests can observe the order of syncs */
   constructor(private readonly sync: (folder: string) => Promise<void> = syncFolderAt) {}
 
   readonly list = async (folder: string): Promise<readonly string[]> => {
     try {
       return await readdir(folder);
     } catch (error) {
-      if (codeOf(error) === "ENOENT") return [];
+      if (errorCodeOf(error) === "ENOENT") return [];
       throw error;
     }
   };
@@ -89,7 +88,7 @@
     try {
       return await readFile(path);
     } catch (error) {
-      if (codeOf(error) === "ENOENT") return undefined;
+      if (errorCodeOf(error) === "ENOENT") return undefined;
       throw error;
     }
   };
@@ -111,21 +110,21 @@
   readonly remove = (path: string): Promise<void> => rm(path, { force: true });
 
   /**
-   * Works from the top down, each name synced before the next is made. So after a crash on the way
-   * at most the lowest folder that exists has a name not synced yet; that is why the parent of an
-   * existing folder is synced too.
+   * Creates folders from the top down and syncs each name before the next is created. After a crash
+   * part-way only the name of the lowest existing folder can be unsynced, so the parent of an
+   * existing folder is synced as well.
    */
   readonly makeFolder = async (path: string): Promise<void> => {
     const parent = dirname(path);
-    let isNew = await makeOne(path);
-    if (isNew === undefined) {
+    let wasCreated = await makeSingleFolder(path);
+    if (wasCreated === undefined) {
       await this.makeFolder(parent);
-      isNew = await makeOne(path);
+      wasCreated = await makeSingleFolder(path);
     }
     try {
       await this.sync(parent);
     } catch (error) {
-      if (isNew !== false || !FOREIGN_FOLDER_CODES.has(codeOf(error))) throw error;
+      if (wasCreated !== false || !ACCESS_DENIED_CODES.has(errorCodeOf(error))) throw error;
     }
   };
 
--- a/src/storage/log-codec.ts
+++ b/src/storage/log-codec.ts
@@ -1,7 +1,7 @@
 /**
- * The form of the write-ahead log's files. A file is the SHA-256 checksum of its body, then the
- * body: one MessagePack map. The keys of that map and the names of the files are stored data and
- * never change.
+ * File format of the write-ahead log. A file is the SHA-256 checksum of its body, followed by the
+ * body: one MessagePack map. The keys of that map and the file names are part of the stored format
+ * and must not change.
  */
 import { createHash } from "node:crypto";
 import {
@@ -14,34 +14,34 @@
 } from "../common/decode.js";
 import { packValue, unpackValue } from "../transport/frame-codec.js";
 
-/** A snapshot holds the whole state, an increment the records of one round of appends. */
+/** A snapshot holds the complete state, an increment the records of one batch of appends. */
 export type LogFileKind = "snapshot" | "increment";
 
-/** What a file of the log holds. */
+/** Decoded body of a log file. */
 export interface LogFileContent {
   /**
-   * Of an increment, the checksum of the increment before it. Of a snapshot, the `link` that the
-   * next increment has.
+   * In an increment, the checksum of the preceding increment. In a snapshot, the `link` value that
+   * the next increment must have.
    */
   readonly link: string;
-  /** Whether the writer vouched that nothing ever appended was missing from its state. */
+  /** Whether the writer knew at the time that its state contained every record ever appended. */
   readonly isVerified: boolean;
   readonly records: readonly UnknownRecord[];
 }
 
-/** What the name of a file says. */
+/** Fields encoded in the name of a log file. */
 export interface LogFileName {
   readonly kind: LogFileKind;
   readonly number: number;
   /**
-   * True until the file is renamed to the name under which it counts; nothing in it was
-   * acknowledged.
+   * True until the file is renamed to its final name. A temporary file is ignored on recovery;
+   * nothing in it has been acknowledged.
    */
   readonly isTemporary: boolean;
   readonly name: string;
 }
 
-/** A file's content with its checksum, in base64. */
+/** Decoded content of a log file with its checksum in base64. */
 export interface DecodedLogFile {
   readonly checksum: string;
   readonly content: LogFileContent;
@@ -54,11 +54,11 @@
 const checksumOf = (body: Uint8Array): Buffer =>
   createHash(CHECKSUM_ALGORITHM).update(body).digest();
 
-/** The name under which a file counts, or the one that it is written under first. */
+/** Returns the final name of a log file, or the temporary name under which it is first written. */
 export const logFileName = (kind: LogFileKind, number: number, isTemporary = false): string =>
   `${kind}-${number}.${isTemporary ? "tmp" : "bin"}`;
 
-/** Reads a file's name; undefined for a file that isn't the log's. */
+/** Parses a file name; undefined if it is not the name of a log file. */
 export const parseLogFileName = (name: string): LogFileName | undefined => {
   const [, kind, number, extension] = FILE_NAME.exec(name) ?? [];
   if (kind === undefined) return undefined;
@@ -70,7 +70,7 @@
   };
 };
 
-/** Writes a file's bytes. */
+/** Encodes a log file. */
 export const encodeLogFile = (
   kind: LogFileKind,
   number: number,
@@ -82,10 +82,10 @@
 };
 
 /**
- * Reads a file's bytes.
+ * Decodes a log file.
  *
- * @returns undefined if the bytes aren't as they were written, or were written under another name
- * @throws if a body with a valid checksum isn't a file of this form
+ * @returns undefined if the checksum does not match or the file was written under another name
+ * @throws if the checksum is valid but the body does not have this format
  */
 export const decodeLogFile = (
   kind: LogFileKind,
--- a/src/storage/log-files.ts
+++ b/src/storage/log-files.ts
@@ -1,6 +1,6 @@
 /**
- * The write-ahead log's files in their folder: listing, reading, writing under a final name, and
- * removing old ones.
+ * File access of the write-ahead log: listing, reading, atomic writing, and removal of obsolete
+ * files.
  */
 import { join } from "node:path";
 import type { FileSystem } from "./file-system.js";
@@ -13,26 +13,29 @@
   type LogFileName,
 } from "./log-codec.js";
 
-/** A file as it was read. */
+/** A log file that has been read. */
 export interface LogFile extends LogFileName {
-  /** In base64; empty where the content is undefined. */
+  /** In base64; empty if `content` is undefined. */
   readonly checksum: string;
   readonly sizeBytes: number;
-  /** Undefined if the file can't be read or isn't as it was written. */
+  /** Undefined if the file cannot be read or decoded. */
   readonly content: LogFileContent | undefined;
 }
 
-/** How many files are read at once; each holds a handle. */
+/** Number of files read concurrently; each read holds a file descriptor. */
 const CONCURRENT_READS = 32;
 
-/** The files of one log. */
+/** Reads, writes and removes the files of one log. */
 export class LogFiles {
   constructor(
     private readonly folder: string,
     private readonly fileSystem: FileSystem,
   ) {}
 
-  /** The log's files by number, an increment before the snapshot that stands for it. */
+  /**
+   * Lists the log files, temporary ones included, by number. An increment sorts before the snapshot
+   * of the same number, which supersedes it.
+   */
   readonly list = async (): Promise<readonly LogFileName[]> => {
     const names = await this.fileSystem.list(this.folder);
     return names
@@ -40,7 +43,7 @@
       .sort((a, b) => a.number - b.number || a.kind.localeCompare(b.kind));
   };
 
-  /** Reads all files that have their final name, in the order of `list`. */
+  /** Reads all files with a final name, in the order of `list`. */
   readonly readAll = async (): Promise<readonly LogFile[]> => {
     const names = (await this.list()).filter(({ isTemporary }) => !isTemporary);
     const files: LogFile[] = [];
@@ -52,16 +55,16 @@
   };
 
   /**
-   * Writes a file under a temporary name, synced, and gives it its final name; durable once this
-   * resolves.
+   * Writes and syncs a file under a temporary name, then renames it to its final name. Durable when
+   * the promise resolves.
    */
   readonly write = async (kind: LogFileKind, number: number, bytes: Uint8Array): Promise<void> => {
     const temporary = join(this.folder, logFileName(kind, number, true));
     try {
       await this.fileSystem.write(temporary, bytes);
     } catch (error) {
-      // Half a file on a full disk would take the space of the next attempt; the write's own error
-      // is what matters.
+      // On a full disk a partial file would take up space that the next attempt needs. The error of
+      // the write is the one to report, so an error of the removal is ignored.
       await this.fileSystem.remove(temporary).catch(() => undefined);
       throw error;
     }
@@ -69,7 +72,7 @@
     await this.fileSystem.syncFolder(this.folder);
   };
 
-  /** Removes the files that a durable snapshot stands for. */
+  /** Removes the files superseded by a durable snapshot. Never rejects. */
   readonly removeOlderThan = async (snapshot: number): Promise<void> => {
     try {
       const old = (await this.list()).filter(
@@ -77,8 +80,7 @@
       );
       for (const { name } of old) await this.fileSystem.remove(join(this.folder, name));
     } catch {
-      // A recovery ignores files that a snapshot stands for, so what is left here goes the next
-      // time.
+      // Recovery ignores superseded files; those left here are removed by the next call.
     }
   };
 
@@ -94,7 +96,7 @@
         sizeBytes: bytes.length,
       };
     } catch {
-      // The chain of files tells what an unreadable one means for the recovery.
+      // Whether an unreadable file matters is decided when the chain is verified on recovery.
       return { ...file, checksum: "", content: undefined, sizeBytes: 0 };
     }
   };
--- a/src/storage/recovery.ts
+++ b/src/storage/recovery.ts
@@ -1,14 +1,16 @@
 /**
- * What a start makes of the write-ahead log's files: whether they prove that nothing appended is
- * missing.
+ * Recovery from the files of the write-ahead log: decides on start-up whether they provably contain
+ * every record that was appended.
  */
 import type { UnknownRecord } from "../common/decode.js";
 import type { LogFile } from "./log-files.js";
 
 /**
- * What a start finds. `verified`: proof that nothing is missing that was ever appended.
- * `unverified`: whatever could be read, and one line why it may not be all. `empty`: nothing was
- * ever appended, or all of it is lost.
+ * Result of loading the log on start-up.
+ *
+ * - `verified`: the records provably include everything ever appended.
+ * - `unverified`: all records that could be read; `reason` says why some may be missing.
+ * - `empty`: nothing was ever appended, or all of it has been lost.
  */
 export type Recovery =
   | { readonly kind: "verified"; readonly records: readonly UnknownRecord[] }
@@ -20,8 +22,8 @@
   | { readonly kind: "empty" };
 
 /**
- * The files that the state is replayed from, and why they may not be all of it; no reason where
- * they are.
+ * The files to replay. `reason` says why they may be incomplete; undefined if the chain is
+ * verified.
  */
 export interface RecoveredChain {
   readonly files: readonly LogFile[];
@@ -29,14 +31,13 @@
 }
 
 /**
- * Why these files, in order, don't prove that they hold all that was appended; undefined where they
- * do.
+ * Returns why the files do not provably contain everything that was appended; undefined if they do.
  */
-const findBreak = (files: readonly LogFile[]): string | undefined => {
+const findChainDefect = (files: readonly LogFile[]): string | undefined => {
   const newest = files.filter(({ kind }) => kind === "snapshot").at(-1);
-  if (!newest) return "there are increments without a snapshot";
+  if (!newest) return "the log has increments but no snapshot";
   if (!newest.content) return `${newest.name} is corrupt`;
-  if (!newest.content.isVerified) return "this machine had not caught up when it last stopped";
+  if (!newest.content.isVerified) return "this replica had not caught up when it last stopped";
   let { number } = newest;
   let { link } = newest.content;
   const increments = files.filter(
@@ -45,7 +46,7 @@
   for (const file of increments) {
     if (!file.content) return `${file.name} is corrupt`;
     if (file.number !== number + 1 || file.content.link !== link)
-      return `${file.name} doesn't follow the file before it`;
+      return `${file.name} does not continue the chain of the preceding file`;
     ({ number } = file);
     link = file.checksum;
   }
@@ -53,19 +54,19 @@
 };
 
 /**
- * Verifies the chain of the newest snapshot and the increments after it. Where it holds, only these
- * count; where it doesn't, every readable file does, since a record too many does no harm to a
- * state that must catch up anyway.
+ * Verifies the chain that starts at the newest snapshot. A valid chain yields only that snapshot
+ * and the increments after it. A broken one yields every file: superseded records do no harm, since
+ * an unverified state has to catch up anyway.
  *
- * @param files - in the order of their numbers, an increment before the snapshot that stands for it
+ * @param files - ordered by number, an increment before the snapshot that supersedes it
  */
 export const recoverChain = (files: readonly LogFile[]): RecoveredChain => {
   if (files.length === 0) return { files, reason: undefined };
-  const reason = findBreak(files);
+  const reason = findChainDefect(files);
   if (reason !== undefined) return { files, reason };
   return { files: files.slice(files.map(({ kind }) => kind).lastIndexOf("snapshot")), reason };
 };
 
-/** The records of the files, in the order in which they are to be replayed. */
+/** The records of the files in replay order. */
 export const recordsOf = (files: readonly LogFile[]): readonly UnknownRecord[] =>
   files.flatMap(({ content }) => content?.records ?? []);
--- a/src/storage/segment-codec.ts
+++ b/src/storage/segment-codec.ts
@@ -1,7 +1,7 @@
 /**
- * The form of a segment: frames one after the other, each the length of its body (4 bytes,
- * big-endian), the CRC-32 of the body (4 bytes), and the body: one MessagePack value. Stored data;
- * the form never changes.
+ * Format of a segment: a sequence of frames. A frame is the length of its body (4 bytes,
+ * big-endian), the CRC-32 of the body (4 bytes), and the body: one MessagePack value. This is
+ * stored data; the format must not change.
  */
 import { crc32 } from "node:zlib";
 import { packValue, unpackValue } from "../transport/frame-codec.js";
@@ -10,19 +10,19 @@
 const CHECKSUM_OFFSET = 4;
 const HEADER_BYTES = 8;
 
-/** The name of a segment's file. */
+/** Returns the file name of a segment. */
 export const segmentFileName = (number: number): string => `log-${number}.bin`;
 
 /**
- * The number in the name of a segment's file; undefined for another file. Segments are numbered
- * from 1.
+ * Parses the number of a segment from its file name; undefined for other files. Segments are
+ * numbered from 1.
  */
 export const parseSegmentFileName = (name: string): number | undefined => {
   const number = Number(FILE_NAME.exec(name)?.[1] ?? 0);
   return number > 0 ? number : undefined;
 };
 
-/** Writes one record's frame. */
+/** Encodes one record as a frame. */
 export const encodeFrame = (record: unknown): Buffer => {
   const body = packValue(record);
   const frame = Buffer.allocUnsafe(body.length + HEADER_BYTES);
@@ -33,8 +33,7 @@
 };
 
 /**
- * Reads all records up to the first that is torn: what comes after a torn one was never
- * acknowledged.
+ * Decodes all records up to the first torn frame. Nothing after a torn frame was ever acknowledged.
  */
 export const decodeFrames = (bytes: Buffer): readonly unknown[] => {
   const records: unknown[] = [];
--- a/src/storage/segment-log.ts
+++ b/src/storage/segment-log.ts
@@ -1,6 +1,6 @@
 /**
- * An append-only log of short-lived records in segment files, which are removed whole once they are
- * old enough.
+ * Append-only log of short-lived records in segment files. A segment is deleted as a whole once its
+ * records have expired.
  */
 import { open, readdir, readFile, rm, type FileHandle } from "node:fs/promises";
 import { join } from "node:path";
@@ -16,19 +16,19 @@
   segmentFileName,
 } from "./segment-codec.js";
 
-/** Why a record was not made durable. */
+/** Errors of {@link SegmentLog.append} and {@link SegmentLog.flush}. */
 export type SegmentLogError = DiskWriteError | SegmentLogFullError;
 
-/** What a segment log writes, and for how long it keeps it. */
+/** Options of {@link SegmentLog}. */
 export interface SegmentLogOptions {
-  /** Empty on a machine without a disk: then memory is all there is. */
+  /** Empty on a machine without a disk; then nothing is persisted. */
   readonly folder: string;
   readonly clock: Clock;
-  /** For how long a record is needed after it was appended, in microseconds. */
+  /** How long a record must be retained after it was appended, in microseconds. */
   readonly retentionUs: number;
-  /** How many bytes all segments may take. */
+  /** Maximum total size of all segments. */
   readonly maxBytes: number;
-  /** The record that each new segment begins with. */
+  /** Returns the record with which each new segment begins. */
   readonly makeHeader: () => unknown;
 }
 
@@ -38,17 +38,18 @@
   readonly closedUs: number;
 }
 
-/** Into how many segments the retention time is divided. */
+/** Number of segments per retention period. */
 const SEGMENTS_PER_RETENTION = 6;
-/** From this fraction of the space on, nothing new should be begun. */
+/** Fraction of `maxBytes` above which no new work should be started. */
 const NEARLY_FULL_FRACTION = 0.8;
 
 /**
- * An append-only log in segments, with one sync for all records that came meanwhile.
+ * Append-only log in segments. Records that arrive while a sync is running are written with one
+ * further sync.
  *
- * Invariants: a record is acknowledged only after the sync that covers it; a start never appends to
- * a segment that it found, but begins a new one; a segment is removed whole, and only once all its
- * records are older than `retentionUs`.
+ * Invariants: a record is acknowledged only after the sync that covers it. After a restart a new
+ * segment is started; existing segments are never appended to. A segment is deleted as a whole, and
+ * only once all its records are older than `retentionUs`.
  */
 export class SegmentLog {
   private file: FileHandle | undefined;
@@ -62,17 +63,17 @@
     this.writes = new Batcher((frames) => this.write(Buffer.concat(frames)));
   }
 
-  /** What all segments take on disk. */
+  /** Total size of all segments on disk. */
   get sizeBytes(): number {
     return this.closed.reduce((sum, segment) => sum + segment.sizeBytes, this.segmentBytes);
   }
 
-  /** Whether so much of the space is taken that nothing new should be begun. */
+  /** Whether the log is so close to its maximum size that no new work should be started. */
   get isNearlyFull(): boolean {
     return this.sizeBytes > this.options.maxBytes * NEARLY_FULL_FRACTION;
   }
 
-  /** The records found, oldest first, or undefined where there is no log. */
+  /** Loads the existing records, oldest first; undefined if there is no log. */
   readonly load = async (): Promise<readonly unknown[] | undefined> => {
     const { folder, clock } = this.options;
     if (folder === "") return undefined;
@@ -90,13 +91,13 @@
       }
       return numbers.length === 0 ? undefined : records;
     } catch {
-      // A folder that can't be read counts as lost: the state is then read from a quorum of the
-      // others.
+      // An unreadable folder is treated as lost; the state is then read from a quorum of the other
+      // replicas.
       return undefined;
     }
   };
 
-  /** Resolves once the record is durable. */
+  /** Appends a record; resolves once it is durable or has failed. */
   readonly append = (record: unknown): Promise<Result<void, SegmentLogError>> => {
     if (this.options.folder === "") return Promise.resolve(ok(undefined));
     const { sizeBytes } = this;
@@ -106,13 +107,13 @@
     return this.writes.add(encodeFrame(record));
   };
 
-  /** Resolves once all that was appended before is durable. */
+  /** Resolves once all records appended before the call have been written or have failed. */
   readonly flush = (): Promise<Result<void, SegmentLogError>> =>
     this.options.folder === "" || this.writes.isIdle
       ? Promise.resolve(ok(undefined))
       : this.writes.add(Buffer.alloc(0));
 
-  /** Waits for the writes that have begun, and closes the file. */
+  /** Waits for pending writes and closes the current segment file. */
   readonly close = async (): Promise<void> => {
     await this.flush();
     await this.file?.close();
@@ -125,17 +126,17 @@
   private readonly write = async (bytes: Buffer): Promise<Result<void, SegmentLogError>> => {
     try {
       const file = await this.openSegment();
-      const all =
+      const payload =
         this.segmentBytes === 0
           ? Buffer.concat([encodeFrame(this.options.makeHeader()), bytes])
           : bytes;
-      await file.write(all);
+      await file.write(payload);
       await file.datasync();
-      this.segmentBytes += all.length;
+      this.segmentBytes += payload.length;
       return ok(undefined);
     } catch (error) {
-      // What the failed write left may be torn, so nothing more is appended to the segment. That it
-      // can't be closed either changes nothing: the write's own error is what the caller must know.
+      // The failed write may have left a torn frame, so nothing more is appended to this segment.
+      // An error on closing it is ignored, since the error of the write is the one to report.
       await this.closeSegment().catch(() => undefined);
       return err(new DiskWriteError(error));
     }
@@ -150,11 +151,11 @@
     const file = await open(this.path(this.number), "w");
     this.file = file;
     this.openedUs = clock.nowUs();
-    const opened = await open(folder, "r");
+    const folderHandle = await open(folder, "r");
     try {
-      await opened.sync();
+      await folderHandle.sync();
     } finally {
-      await opened.close();
+      await folderHandle.close();
     }
     return file;
   };
@@ -171,8 +172,8 @@
       });
     this.segmentBytes = 0;
     await file?.close();
-    const old = this.closed.filter(({ closedUs }) => clock.nowUs() - closedUs > retentionUs);
-    this.closed = this.closed.filter((segment) => !old.includes(segment));
-    for (const { number } of old) await rm(this.path(number), { force: true });
+    const expired = this.closed.filter(({ closedUs }) => clock.nowUs() - closedUs > retentionUs);
+    this.closed = this.closed.filter((segment) => !expired.includes(segment));
+    for (const { number } of expired) await rm(this.path(number), { force: true });
   };
 }
--- a/src/storage/write-ahead-log.ts
+++ b/src/storage/write-ahead-log.ts
@@ -1,6 +1,6 @@
 /**
- * The control state on disk: a snapshot and the increments after it, chained by checksums. See
- * docs/archive.md.
+ * Write-ahead log of the control state: a snapshot and subsequent increments, chained by checksums.
+ * See docs/archive.md.
  */
 import { err, ok, type Result } from "true-myth/result";
 import { Batcher } from "../common/batcher.js";
@@ -12,70 +12,80 @@
 import { LogFiles, type LogFile } from "./log-files.js";
 import { recordsOf, recoverChain, type Recovery } from "./recovery.js";
 
-/** What a write-ahead log writes, and where. */
+/** Options of {@link WriteAheadLog}. */
 export interface WriteAheadLogOptions {
-  /** Empty on a machine without a disk: then memory is all there is. */
+  /** Empty on a machine without a disk; then nothing is persisted. */
   readonly folder: string;
   readonly fileSystem: FileSystem;
   /**
-   * The whole state as records, taken in one go; holds every record that was handed to `append`
-   * before.
+   * Returns the complete state as records, captured synchronously. It must include every record
+   * already passed to `append`.
    */
   readonly snapshot: () => readonly UnknownRecord[];
 }
 
-interface Append {
+interface AppendRequest {
   readonly records: readonly UnknownRecord[];
   readonly isVerified: boolean;
 }
 
 /**
- * A snapshot is due once the increments are as large as the last one, or this large, or this many.
+ * A snapshot is due once the increments are as large as the last snapshot or `MIN_SNAPSHOT_BYTES`,
+ * whichever is larger, or once there are `MAX_INCREMENTS` of them.
  */
 const MIN_SNAPSHOT_BYTES = 64 * 1024;
 const MAX_INCREMENTS = 512;
-/** At this many times what makes one due, increments wait for the snapshot. */
+/** At this multiple of the threshold for a snapshot, increments wait for the snapshot. */
 const BLOCKING_FRACTION = 2;
 /**
- * A snapshot that the disk refused is tried again once so much more of what makes one due has
- * accumulated.
+ * After a failed snapshot, the next attempt is made once the increments have grown by this fraction
+ * of the threshold.
  */
 const RETRY_FRACTION = 0.25;
-/** Past so many records that the disk refused to write, a snapshot takes their place. */
-const MAX_UNWRITTEN = 2_000;
+/** With more unwritten records than this, a snapshot is written instead of an increment. */
+const MAX_UNWRITTEN_RECORDS = 2_000;
 
 /**
- * `snapshot-N` is the whole state and stands for all numbers up to N; `increment-N` holds the
- * records of one round of appends and names the checksum of the one before. Each is one file,
- * written under a temporary name, synced, renamed, and the folder synced, before anything in it is
- * acknowledged.
+ * `snapshot-N` is the complete state and supersedes all files numbered up to N. `increment-N` holds
+ * the records of one batch of appends and the checksum of the preceding increment. Each file is
+ * written under a temporary name, synced and renamed, and the folder is synced, before anything in
+ * it is acknowledged.
  *
- * Invariants: increment N+1 gets its name only after increment N's name is durable, so that what an
- * unsynced name can lose was never acknowledged; a file is removed only once a newer snapshot's
- * name is durable, so that one that comes back is below that snapshot and is ignored; `isVerified`
- * is false from a start without proof until `writeVerifiedSnapshot`.
+ * Invariants:
+ *
+ * - Increment N+1 gets its final name only after the name of increment N is durable, so an unsynced
+ *   name that is lost never belonged to acknowledged records.
+ * - A file is removed only once the name of a newer snapshot is durable. If the removal is lost in
+ *   a crash, the file that reappears is older than that snapshot and is ignored.
+ * - After a start that could not verify the log, `isVerified` is false until
+ *   `writeVerifiedSnapshot`.
  */
 export class WriteAheadLog {
-  /** Invariant: this increment, or a snapshot that stands for it, is durable. */
+  /** Invariant: the increment of this number, or a snapshot that supersedes it, is durable. */
   private lastNumber = 0;
   private link = "";
   private isVerified = false;
   /**
-   * True until a snapshot of this process, or a verified one that was found, is there to add
-   * increments to.
+   * True until there is a snapshot that increments can follow: one written by this process, or a
+   * verified one found on start-up.
    */
   private needsSnapshot = true;
   private snapshotBytes = 0;
-  /** The bytes of each increment that no durable snapshot stands for, by number. */
+  /** Size of each increment not yet superseded by a durable snapshot, by number. */
   private readonly increments = new Map<number, number>();
-  /** What the disk has refused, in order; goes into the next increment. */
+  /**
+   * Records not yet written, including those of failed writes, in order. They go into the next
+   * increment.
+   */
   private unwritten: readonly UnknownRecord[] = [];
-  /** The number of a snapshot that the disk refused, so that the next attempt takes its place. */
+  /** Number of a snapshot whose write failed; the next attempt reuses it. */
   private reservedNumber: number | undefined;
-  private snapshotting: Promise<void> | undefined;
+  private backgroundSnapshot: Promise<void> | undefined;
   private nextSnapshotFraction = 1;
   private readonly files: LogFiles;
-  private readonly rounds = new Batcher((appends: readonly Append[]) => this.writeRound(appends));
+  private readonly batches = new Batcher((appends: readonly AppendRequest[]) =>
+    this.writeBatch(appends),
+  );
 
   constructor(private readonly options: WriteAheadLogOptions) {
     this.files = new LogFiles(options.folder, options.fileSystem);
@@ -86,7 +96,8 @@
   }
 
   /**
-   * To be called once, before anything is appended. What it calls verified is durable from then on.
+   * Loads the log. Must be called once, before anything is appended. A `verified` result is durable
+   * when the promise resolves.
    */
   readonly load = async (): Promise<Recovery> => {
     if (!this.hasDisk) return { kind: "empty" };
@@ -99,8 +110,8 @@
       await fileSystem.makeFolder(folder);
       const [oldest] = files;
       if (!oldest) return { kind: "empty" };
-      // A killed process may have renamed a file and not synced the folder; what is acted on now
-      // must not be lost later.
+      // A process killed after a rename may not have synced the folder. The names must be durable
+      // before the records are acted on.
       await fileSystem.syncFolder(folder);
       this.continueChain(files);
       await this.files.removeOlderThan(oldest.number);
@@ -111,28 +122,30 @@
   };
 
   /**
-   * Resolves once these records are durable; calls made meanwhile share one file. The order of
-   * calls is that of the records. What the disk refused goes into the next file, whatever is
-   * appended then: so `append([])` is a plain retry.
+   * Appends records; resolves once they are durable or the write has failed. Concurrent calls share
+   * one file. Records are stored in the order of the calls. Records whose write failed go into the
+   * next file whatever is appended then, so `append([])` is a plain retry.
    */
   readonly append = (records: readonly UnknownRecord[]): Promise<Result<void, DiskWriteError>> =>
-    this.hasDisk ? this.rounds.add({ records, isVerified: false }) : Promise.resolve(ok(undefined));
+    this.hasDisk
+      ? this.batches.add({ records, isVerified: false })
+      : Promise.resolve(ok(undefined));
 
   /**
-   * Writes the whole state and vouches that nothing ever appended is missing from it: for the first
-   * start of all, and for a replica that has caught up. Until then a later start is unverified,
-   * whatever was appended.
+   * Writes a snapshot marked as complete, meaning that no record ever appended is missing from it.
+   * Called on the first start of the cluster and by a replica that has caught up. Without it a
+   * later start is unverified, whatever was appended in the meantime.
    */
   readonly writeVerifiedSnapshot = (): Promise<Result<void, DiskWriteError>> =>
     this.hasDisk
-      ? this.rounds.add({ records: [], isVerified: true })
+      ? this.batches.add({ records: [], isVerified: true })
       : Promise.resolve(ok(undefined));
 
-  /** Resolves once nothing is being written. */
+  /** Resolves once no write or background snapshot is in progress. */
   readonly idle = async (): Promise<void> => {
-    while (!this.rounds.isIdle || this.snapshotting) {
-      await this.rounds.add({ records: [], isVerified: false });
-      await this.snapshotting;
+    while (!this.batches.isIdle || this.backgroundSnapshot) {
+      await this.batches.add({ records: [], isVerified: false });
+      await this.backgroundSnapshot;
     }
   };
 
@@ -140,7 +153,7 @@
     return [...this.increments.values()].reduce((sum, bytes) => sum + bytes, 0);
   }
 
-  /** How much of what makes a snapshot due has accumulated. */
+  /** Progress towards the next snapshot; 1 means that a snapshot is due. */
   private get dueFraction(): number {
     return Math.max(
       this.incrementBytes / Math.max(this.snapshotBytes, MIN_SNAPSHOT_BYTES),
@@ -148,18 +161,18 @@
     );
   }
 
-  private readonly writeRound = async (
-    appends: readonly Append[],
+  private readonly writeBatch = async (
+    appends: readonly AppendRequest[],
   ): Promise<Result<void, DiskWriteError>> => {
     const isVerified = appends.some((append) => append.isVerified);
     const records = appends.flatMap((append) => append.records);
-    if (isVerified || this.unwritten.length > MAX_UNWRITTEN) this.needsSnapshot = true;
+    if (isVerified || this.unwritten.length > MAX_UNWRITTEN_RECORDS) this.needsSnapshot = true;
     this.unwritten = [...this.unwritten, ...records];
     if (!isVerified && this.unwritten.length === 0) return ok(undefined);
-    // The snapshot will hold them all; one is left to show that something isn't written yet.
+    // The snapshot will include all of them. One is kept to mark that there are unwritten records.
     if (this.needsSnapshot) this.unwritten = this.unwritten.slice(0, 1);
     try {
-      if (this.needsSnapshot) await this.writeOwnSnapshot(isVerified || this.isVerified);
+      if (this.needsSnapshot) await this.writeForegroundSnapshot(isVerified || this.isVerified);
       else await this.writeIncrement();
       return ok(undefined);
     } catch (error) {
@@ -168,11 +181,11 @@
   };
 
   /**
-   * Writes a snapshot under a number of its own, above every name found; on a failure the next
-   * round tries again.
+   * Writes a snapshot under a new number, above that of every existing file. After a failure the
+   * next batch tries again.
    */
-  private readonly writeOwnSnapshot = async (isVerified: boolean): Promise<void> => {
-    await this.snapshotting;
+  private readonly writeForegroundSnapshot = async (isVerified: boolean): Promise<void> => {
+    await this.backgroundSnapshot;
     await this.options.fileSystem.makeFolder(this.options.folder);
     this.reservedNumber ??=
       Math.max(this.lastNumber, ...(await this.files.list()).map(({ number }) => number)) + 1;
@@ -186,10 +199,10 @@
   };
 
   private readonly writeIncrement = async (): Promise<void> => {
-    if (this.dueFraction >= BLOCKING_FRACTION) await this.snapshotting;
+    if (this.dueFraction >= BLOCKING_FRACTION) await this.backgroundSnapshot;
     if (this.dueFraction >= Math.min(this.nextSnapshotFraction, BLOCKING_FRACTION))
-      this.snapshotting ??= this.snapshotInBackground();
-    if (this.dueFraction >= BLOCKING_FRACTION) await this.snapshotting;
+      this.backgroundSnapshot ??= this.snapshotInBackground();
+    if (this.dueFraction >= BLOCKING_FRACTION) await this.backgroundSnapshot;
     if (this.dueFraction >= BLOCKING_FRACTION) throw new SnapshotOverdueError();
     const number = this.lastNumber + 1;
     const { bytes, checksum } = encodeLogFile("increment", number, {
@@ -204,23 +217,26 @@
     this.unwritten = [];
   };
 
-  /** Replaces the increments so far by a snapshot, while further ones are written. */
+  /**
+   * Writes a snapshot that replaces the current increments, while further increments are written.
+   * Never rejects.
+   */
   private readonly snapshotInBackground = async (): Promise<void> => {
     try {
       const number = this.lastNumber;
       await this.writeSnapshot(number, this.isVerified);
       await this.files.removeOlderThan(number);
     } catch {
-      // The files so far still hold everything; a later round tries again.
+      // The existing files still hold everything; a later batch tries again.
       this.nextSnapshotFraction = this.dueFraction + RETRY_FRACTION;
     } finally {
-      this.snapshotting = undefined;
+      this.backgroundSnapshot = undefined;
     }
   };
 
   /**
-   * Writes the state as it is now, which holds all that was appended up to this call; durable once
-   * this resolves.
+   * Writes the current state, which includes everything appended before this call. Durable when the
+   * promise resolves.
    */
   private readonly writeSnapshot = async (number: number, isVerified: boolean): Promise<void> => {
     const { bytes } = encodeLogFile("snapshot", number, {
@@ -236,7 +252,7 @@
       .forEach((other) => this.increments.delete(other));
   };
 
-  /** Continues a verified chain: its snapshot first, then its increments. */
+  /** Resumes a verified chain from its snapshot and the increments after it. */
   private readonly continueChain = (files: readonly LogFile[]): void => {
     for (const { kind, number, checksum, sizeBytes, content } of files) {
       this.lastNumber = number;
--- a/src/transport/connect.ts
+++ b/src/transport/connect.ts
@@ -1,11 +1,11 @@
-/** Opening of connections to other processes of the cluster. */
+/** Opens connections to other processes of the cluster. */
 import { connect } from "node:net";
 import type { Clock } from "../common/clock.js";
 import { Connection, type KeepAliveTimes } from "./connection.js";
 
 /**
- * Connects to a listener; resolves to undefined when nobody accepts within `timeoutUs`. Never
- * rejects.
+ * Connects to a listener. Resolves to undefined if the connection fails or is not established
+ * within `timeoutUs`. Never rejects.
  */
 export const connectTo = (
   ip: string,
--- a/src/transport/connection.ts
+++ b/src/transport/connection.ts
@@ -1,6 +1,6 @@
 /**
- * One connection between processes of the cluster: messages both ways over a TCP socket, kept alive
- * by heartbeats.
+ * Connection between two processes of the cluster: messages in both directions over a TCP socket,
+ * kept alive by heartbeats.
  */
 import type { Socket } from "node:net";
 import type { Clock, Timer } from "../common/clock.js";
@@ -10,8 +10,8 @@
 export type { Message } from "./message.js";
 
 /**
- * How often a connection without traffic sends a heartbeat, and how long it may receive nothing
- * before it is closed.
+ * Interval after which a connection without outgoing traffic sends a heartbeat, and the time
+ * without incoming traffic after which it is closed.
  */
 export interface KeepAliveTimes {
   readonly heartbeatUs: number;
@@ -19,31 +19,31 @@
 }
 
 /**
- * Why a connection is over: it ended at either side, nothing came for the time-out, or the peer took
- * too little of what was sent.
+ * Why a connection was closed.
+ *
+ * - `ended`: either side ended it.
+ * - `silence`: nothing was received within the timeout.
+ * - `unsent`: the peer read too slowly and the send buffer exceeded its limit.
  */
 export type CloseReason = "ended" | "silence" | "unsent";
 
-/** The kind of the heartbeat on the wire. */
+/** Message kind of a heartbeat on the wire. */
 const KEEP_ALIVE_KIND = "pulse";
 const KEEP_ALIVE: Message = { kind: KEEP_ALIVE_KIND };
 /**
- * A heartbeat is due when this part of the interval has passed, since the timer itself fires a
- * little early or late.
+ * Fraction of the interval after which a heartbeat is due; below 1 because the timer may fire
+ * slightly early.
  */
-const HEARTBEAT_DUE_PART = 0.9;
-/** A connection whose peer takes so little that more than this waits to be sent is closed. */
+const HEARTBEAT_DUE_FRACTION = 0.9;
+/** A connection with more unsent bytes than this is closed, since its peer reads too slowly. */
 const MAX_UNSENT_BYTES = 16 * 1024 * 1024;
 
 /**
- * Length-prefixed msgpack frames over a socket. A network partition sends no reset, so a connection
- * that has received nothing for `timeoutUs` is closed.
+ * Length-prefixed MessagePack frames over a socket. A network partition sends no reset, so a
+ * connection that has received nothing for `timeoutUs` is closed.
  */
 export class Connection {
-  /**
-   * Invariant: `closed` never goes back to false; after it nothing is sent and nothing more comes
-   * in.
-   */
+  /** Invariant: once true, `closed` stays true, and nothing more is sent or received. */
   private closed = false;
   private reason: CloseReason = "ended";
   private lastReceivedUs: number;
@@ -67,33 +67,36 @@
     return this.closed;
   }
 
-  /** Why the connection is over; `ended` while it isn't. */
+  /** Why the connection was closed; `ended` while it is open. */
   get closeReason(): CloseReason {
     return this.reason;
   }
 
   /**
-   * Sends a message; does nothing once the connection is closed. The message must not change
-   * afterwards.
+   * Sends a message; does nothing once the connection is closed. The message must not be modified
+   * afterwards, since its encoded frame is cached.
    */
   readonly send = (message: Message): void => {
     if (this.closed) return;
     const frame = encodeFrame(message);
     countSentFrame(message.kind, frame.length);
     this.lastSentUs = this.clock.nowUs();
-    this.corkForThisTurn();
+    this.corkUntilNextTick();
     this.socket.write(frame);
-    if (this.socket.writableLength > MAX_UNSENT_BYTES) this.giveUp("unsent");
+    if (this.socket.writableLength > MAX_UNSENT_BYTES) this.closeWithReason("unsent");
   };
 
-  /** What is sent in one turn of the event loop goes out in one write. */
-  private readonly corkForThisTurn = (): void => {
+  /** Buffers everything sent in one turn of the event loop into a single write. */
+  private readonly corkUntilNextTick = (): void => {
     if (this.socket.writableCorked > 0) return;
     this.socket.cork();
     process.nextTick(() => this.socket.uncork());
   };
 
-  /** Resolves once what was sent is out, or the connection is closed; nothing is sent after it. */
+  /**
+   * Ends the sending side. Resolves once everything sent has been flushed or the connection is
+   * closed. Nothing may be sent afterwards.
+   */
   readonly finish = (): Promise<void> =>
     new Promise((resolve) => {
       if (this.closed) resolve();
@@ -107,12 +110,12 @@
     this.socket.destroy();
   };
 
-  private readonly giveUp = (reason: CloseReason): void => {
+  private readonly closeWithReason = (reason: CloseReason): void => {
     if (!this.closed) this.reason = reason;
     this.close();
   };
 
-  /** All messages that come in until the connection is closed, without heartbeats. */
+  /** Yields all incoming messages except heartbeats until the connection is closed. */
   async *incoming(): AsyncGenerator<Message, void, undefined> {
     const reader = new FrameReader();
     try {
@@ -125,8 +128,8 @@
           if (message.kind !== KEEP_ALIVE_KIND) yield message;
       }
     } catch {
-      // A broken frame or a reset ends the connection like any other end: its owner sees that and
-      // connects again.
+      // A malformed frame or a reset ends the connection like any other end; its owner notices and
+      // reconnects.
     } finally {
       this.close();
     }
@@ -135,7 +138,7 @@
   private readonly keepAlive = (): void => {
     const { heartbeatUs, timeoutUs } = this.times;
     const nowUs = this.clock.nowUs();
-    if (nowUs - this.lastReceivedUs > timeoutUs) this.giveUp("silence");
-    else if (nowUs - this.lastSentUs >= heartbeatUs * HEARTBEAT_DUE_PART) this.send(KEEP_ALIVE);
+    if (nowUs - this.lastReceivedUs > timeoutUs) this.closeWithReason("silence");
+    else if (nowUs - this.lastSentUs >= heartbeatUs * HEARTBEAT_DUE_FRACTION) this.send(KEEP_ALIVE);
   };
 }
--- a/src/transport/errors.ts
+++ b/src/transport/errors.ts
@@ -1,10 +1,7 @@
-/** The errors of the transport layer. */
+/** Errors of the transport layer. */
 import { CodedError } from "../common/errors.js";
 
-/**
- * Bytes from a peer that are no frame of this protocol. The connection they came over is of no more
- * use.
- */
+/** A peer sent bytes that are not a valid frame. The connection can no longer be used. */
 export class FrameError extends CodedError {
   readonly code = "INVALID_FRAME";
 }
--- a/src/transport/frame-codec.ts
+++ b/src/transport/frame-codec.ts
@@ -1,7 +1,7 @@
 /**
- * The frames of a connection: a length of four bytes, big-endian, then one message in msgpack,
- * deflated where a flag in the length says so. The layout, the flag and the kinds named here are
- * part of the protocol between versions.
+ * Frame format of a connection: a 4-byte big-endian length, followed by one MessagePack message,
+ * which is deflated if a flag in the length is set. The layout, the flag and the message kinds
+ * named here are part of the protocol between versions.
  */
 import { deflateRawSync, inflateRawSync } from "node:zlib";
 import { Packr } from "msgpackr";
@@ -11,16 +11,16 @@
 
 const LENGTH_BYTES = 4;
 /**
- * Set in the length of a frame whose body is deflated. Invariant: no body is so long that its
- * length reaches this bit.
+ * Set in the length of a frame whose body is deflated. Invariant: no body is long enough for its
+ * length to reach this bit.
  */
 const DEFLATED_FLAG = 0x4000_0000;
-/** The longest body that is read, before and after inflating. */
+/** Maximum length of a body, before and after inflating. */
 const MAX_FRAME_BYTES = 32 * 1024 * 1024;
 
 /**
- * Kinds of messages that are deflated when large. Configurations, updates and copies of state
- * shrink to a tenth, which thin links need; bodies of objects don't shrink at all.
+ * Message kinds that are deflated when large. Configurations, updates and state transfers shrink to
+ * about a tenth, which matters on slow links; object bodies do not compress.
  */
 const COMPRESSED_KINDS: ReadonlySet<string> = new Set([
   "news",
@@ -35,83 +35,88 @@
 
 const packr = new Packr({ useRecords: false });
 
-/** Any value in msgpack, with maps as maps. */
+/** Encodes any value as MessagePack, with objects as maps. */
 export const packValue = (value: unknown): Buffer => packr.pack(value);
 
-/** Reads what `packValue` wrote. Throws what msgpackr throws where the bytes are something else. */
+/** Decodes a value written by `packValue`. Throws the error of msgpackr on invalid bytes. */
 export const unpackValue = (bytes: Uint8Array): unknown => {
   const value: unknown = packr.unpack(bytes);
   return value;
 };
 
-/** Frames and bytes that this process has sent, by kind of message, since its start. */
+/** Frames and bytes sent by this process since its start, by message kind. */
 export const sentFrames = new Map<string, { frames: number; bytes: number }>();
 
-/** Counts a frame in `sentFrames`. */
+/** Adds a frame to `sentFrames`. */
 export const countSentFrame = (kind: string, bytes: number): void => {
-  const known = sentFrames.get(kind);
-  if (known) {
-    known.frames += 1;
-    known.bytes += bytes;
+  const counts = sentFrames.get(kind);
+  if (counts) {
+    counts.frames += 1;
+    counts.bytes += bytes;
   } else sentFrames.set(kind, { frames: 1, bytes });
 };
 
 /**
- * The frames of messages that are still in use, so that what goes to several connections is packed
- * once.
+ * Cached frames of messages that are still referenced, so that a message sent to several
+ * connections is encoded once.
  */
-const frames = new WeakMap<Message, Buffer>();
+const frameCache = new WeakMap<Message, Buffer>();
 
-/** The frame of a message, length included. A message must not change once it has been encoded. */
+/**
+ * Encodes a message as a frame, length included. The message must not be modified afterwards, since
+ * its frame is cached.
+ */
 export const encodeFrame = (message: Message): Buffer => {
-  const known = frames.get(message);
-  if (known) return known;
+  const cached = frameCache.get(message);
+  if (cached) return cached;
   const packed = packr.pack(message);
   const isDeflated = packed.length >= MIN_COMPRESSED_BYTES && COMPRESSED_KINDS.has(message.kind);
   const body = isDeflated ? deflateRawSync(packed, { level: 1 }) : packed;
   const frame = Buffer.allocUnsafe(body.length + LENGTH_BYTES);
   frame.writeUInt32BE(isDeflated ? body.length + DEFLATED_FLAG : body.length, 0);
   body.copy(frame, LENGTH_BYTES);
-  frames.set(message, frame);
+  frameCache.set(message, frame);
   return frame;
 };
 
 const asMessage = (value: unknown): Message => {
   const record = asRecord(value, "message");
   const { kind } = record;
-  if (typeof kind !== "string") throw new FrameError("a message has no kind");
+  if (typeof kind !== "string") throw new FrameError("message has no kind");
   return { ...record, kind };
 };
 
-/** Takes the bytes of a connection as they come, and gives the messages in them. */
+/** Incrementally decodes the byte stream of a connection into messages. */
 export class FrameReader {
-  /** Invariant: what comes before `offset` has been given out. */
+  /** Invariant: the bytes before `offset` have been decoded and returned. */
   private buffered: Buffer = Buffer.alloc(0);
   private offset = 0;
 
-  /** Takes bytes that have arrived. Call `next` until it gives undefined before the next call. */
+  /**
+   * Appends received bytes. `next` must be called until it returns undefined before the next call.
+   */
   readonly append = (chunk: Buffer): void => {
     this.buffered = this.buffered.length === 0 ? chunk : Buffer.concat([this.buffered, chunk]);
     this.offset = 0;
   };
 
   /**
-   * The next message, or undefined until more bytes have been appended. Throws `FrameError`, or
-   * what decoding throws, where the bytes are no frame; the reader is of no use afterwards.
+   * Returns the next message, or undefined if more bytes are needed. Throws `FrameError` or the
+   * error of the decoder on invalid bytes; the reader must not be used afterwards.
    */
   readonly next = (): Message | undefined => {
     const { buffered, offset } = this;
     const available = buffered.length - offset;
     if (available < LENGTH_BYTES) {
-      this.keepRest();
+      this.dropConsumed();
       return undefined;
     }
     const length = buffered.readUInt32BE(offset);
     const size = length & ~DEFLATED_FLAG;
     if (size > MAX_FRAME_BYTES)
-      throw new FrameError(`a frame of ${size} bytes is longer than ${MAX_FRAME_BYTES}`);
+      throw new FrameError(`frame of ${size} bytes exceeds the maximum of ${MAX_FRAME_BYTES}`);
     if (available - LENGTH_BYTES < size) {
-      this.keepRest();
+      this.dropConsumed();
       return undefined;
     }
     const start = offset + LENGTH_BYTES;
@@ -126,7 +131,7 @@
     );
   };
 
-  private readonly keepRest = (): undefined => {
+  private readonly dropConsumed = (): undefined => {
     this.buffered = this.buffered.subarray(this.offset);
     this.offset = 0;
     return undefined;
--- a/src/transport/listener.ts
+++ b/src/transport/listener.ts
@@ -1,12 +1,12 @@
-/** The accepting side of connections between processes of the cluster. */
+/** Accepts connections from other processes of the cluster. */
 import { createServer, type Server } from "node:net";
 import type { Clock } from "../common/clock.js";
 import type { Logger } from "../common/logger.js";
 import { Connection, type Message, type KeepAliveTimes } from "./connection.js";
 
 /**
- * Serves one connection for as long as it lasts. `hello` is its first message, `incoming` gives all
- * that follow.
+ * Serves one connection until it ends. `hello` is its first message; `incoming` yields all later
+ * ones.
  */
 export type SessionHandler = (
   connection: Connection,
@@ -15,8 +15,8 @@
 ) => Promise<void>;
 
 /**
- * Accepts connections, and hands each to the handler of its first message's kind; where there is
- * none, closes it.
+ * Accepts connections and passes each to the handler for the kind of its first message. A
+ * connection without a matching handler is closed.
  */
 export class Listener {
   private server: Server | undefined;
@@ -29,7 +29,7 @@
     private readonly logger: Logger,
   ) {}
 
-  /** Rejects with the error of the socket where the address can't be listened at. */
+  /** Starts listening; rejects with the socket error if the address cannot be bound. */
   readonly listen = (ip: string, port: number): Promise<void> =>
     new Promise((resolve, reject) => {
       this.server = createServer(
@@ -45,7 +45,7 @@
     this.connections.forEach((connection) => connection.close());
   };
 
-  /** Never rejects: an error of a handler ends its own connection only. */
+  /** Serves one connection. Never rejects: an error in a handler ends only its own connection. */
   private readonly serve = async (connection: Connection): Promise<void> => {
     this.connections.add(connection);
     const incoming = connection.incoming();
--- a/src/transport/message.ts
+++ b/src/transport/message.ts
@@ -1,8 +1,8 @@
-/** What processes of the cluster send each other. */
+/** Messages between processes of the cluster. */
 import type { UnknownRecord } from "../common/decode.js";
 
 /**
- * A message as it travels, not yet decoded; `kind` says which it is. Each protocol decodes its own
- * kinds into types of its own, and answers a kind that it doesn't know as it chooses.
+ * A message as transferred, not yet decoded; `kind` identifies its type. Each protocol decodes its
+ * own kinds into typed messages and decides how to handle unknown ones.
  */
 export type Message = UnknownRecord & { readonly kind: string };
--- a/src/transport/peer-link.ts
+++ b/src/transport/peer-link.ts
@@ -1,33 +1,38 @@
-/** A lasting link to one process of the cluster, connected again whenever its connection ends. */
+/**
+ * A persistent link to one process of the cluster, which reconnects whenever its connection ends.
+ */
 import Emittery from "emittery";
 import { sleep, type Clock } from "../common/clock.js";
 import { connectTo } from "./connect.js";
 import type { Message, Connection, KeepAliveTimes } from "./connection.js";
 import { PendingRequests } from "./pending-requests.js";
 
-/** What a link is made with; times are in microseconds. */
+/** Options of {@link PeerLink}; times are in microseconds. */
 export interface PeerLinkOptions {
   readonly ip: string;
   readonly port: number;
   readonly clock: Clock;
   readonly times: KeepAliveTimes;
-  /** How long an attempt to connect may take. */
+  /** Timeout of a connection attempt. */
   readonly connectTimeoutUs: number;
-  /** The pause between the end of one connection, or a failed attempt, and the next attempt. */
+  /** Delay between the end of a connection, or a failed attempt, and the next attempt. */
   readonly backoffUs: number;
-  /** The first message over every new connection. */
+  /** Returns the first message to send over each new connection. */
   readonly hello: () => Message;
 }
 
 /**
- * `handshaking`: the hello is sent and nothing has come back; `backing-off`: the connection has
- * ended or failed; `closed`: stopped, for good.
+ * State of a link.
+ *
+ * - `handshaking`: the hello has been sent and nothing has been received yet.
+ * - `backing-off`: the connection has ended or failed; waiting for the next attempt.
+ * - `closed`: stopped for good.
  */
 export type PeerLinkState = "connecting" | "handshaking" | "connected" | "backing-off" | "closed";
 
 /**
- * The connecting side of a link. Its events give the peer's first message as `connected`, all later
- * ones as `message`.
+ * The connecting side of a link. The peer's first message is emitted as `connected`, all later ones
+ * except replies as `message`.
  */
 export class PeerLink {
   readonly events = new Emittery<{
@@ -49,7 +54,7 @@
     return this.state === "connected";
   }
 
-  /** Keeps the link up until `stop` is called. */
+  /** Keeps the link connected until `stop` is called. */
   readonly run = async (): Promise<void> => {
     for await (const state of this.states()) this.state = state;
   };
@@ -65,8 +70,8 @@
   };
 
   /**
-   * Resolves to the reply, or to undefined when the link isn't connected, or is lost or times out
-   * first.
+   * Sends a request. Resolves to the reply, or to undefined if the link is not connected, is lost,
+   * or the request times out.
    */
   readonly request = (message: Message, timeoutUs: number): Promise<Message | undefined> => {
     return this.isConnected && this.connection
@@ -85,7 +90,7 @@
         this.connection.send(hello());
         let isAccepted = false;
         for await (const message of this.connection.incoming()) {
-          // eslint-disable-next-line max-depth -- each yield is a state; a nested generator would add turns between them
+          // eslint-disable-next-line max-depth -- each yield is a state; a nested generator would add event loop turns between them
           if (this.pendingRequests.resolve(message)) continue;
           // eslint-disable-next-line max-depth -- as above
           if (isAccepted) {
--- a/src/transport/pending-requests.ts
+++ b/src/transport/pending-requests.ts
@@ -1,30 +1,30 @@
 /**
- * Requests and replies over one connection: a request carries a number, and its reply the same
- * number.
+ * Matches requests and replies over one connection: a request carries an id, and its reply refers
+ * to the same id.
  */
 import { withTimeout, type Clock } from "../common/clock.js";
 import type { Message } from "./message.js";
 
-/** The key of a request's number on the wire. */
+/** Field on the wire that holds the id of a request. */
 const REQUEST_ID = "ask";
-/** The key on the wire of the number of the request that a message replies to. */
+/** Field on the wire that holds the id of the request a message replies to. */
 const IN_REPLY_TO = "re";
 
-/** The number of a request that wants a reply; undefined where the message wants none. */
+/** Returns the id of a request; undefined if the message expects no reply. */
 export const requestIdOf = (message: Message): number | undefined => {
   const id = message[REQUEST_ID];
   return typeof id === "number" ? id : undefined;
 };
 
-/** The message as the reply to a request. */
+/** Marks a message as the reply to a request. */
 export const asReply = (message: Message, requestId: number): Message => ({
   ...message,
   [IN_REPLY_TO]: requestId,
 });
 
 /**
- * Requests sent over one connection and not yet answered. Invariant: each resolves once, at the
- * latest at its time-out.
+ * Requests sent over one connection that have not been answered yet. Invariant: each settles
+ * exactly once, at the latest on its timeout.
  */
 export class PendingRequests {
   private lastId = 0;
@@ -33,8 +33,8 @@
   constructor(private readonly clock: Clock) {}
 
   /**
-   * Sends a request. Resolves to the reply, or to undefined when the connection ends or `timeoutUs`
-   * is over first.
+   * Sends a request. Resolves to the reply, or to undefined if the connection ends or `timeoutUs`
+   * elapses first.
    */
   readonly request = (
     send: (message: Message) => void,
@@ -51,7 +51,8 @@
   };
 
   /**
-   * Takes a message if it is a reply, whether or not its request still waits; false if it is none.
+   * Handles a message if it is a reply, whether or not its request is still pending. Returns false
+   * if it is not a reply.
    */
   readonly resolve = (message: Message): boolean => {
     const id = message[IN_REPLY_TO];
@@ -60,7 +61,7 @@
     return true;
   };
 
-  /** Ends all waits without a reply, since the connection is over. */
+  /** Resolves all pending requests without a reply, because the connection has ended. */
   readonly abandonAll = (): void => {
     this.pending.forEach((resolve) => resolve(undefined));
     this.pending.clear();
