--- a/src/common/batcher.ts
+++ b/src/common/batcher.ts
@@ -1,4 +1,4 @@
-/** Batching: one run of some work serves all calls that came while the run before it went on. */
+/** Batching: calls made while a run is in progress share the next run. */
 
 interface Call<T, R> {
   readonly item: T;
@@ -6,23 +6,26 @@
 }
 
 /**
- * Runs the work of all calls that came meanwhile at once, one run after the other.
+ * Processes items in batches, one batch at a time. Items added while a batch is being processed
+ * form the next batch.
  *
- * Invariant: a call's result is that of a run that began after the call.
+ * Invariant: the result of a call comes from a run that began after the call.
  */
 export class Batcher<T, R> {
   private pending: Call<T, R>[] = [];
   private isRunning = false;
 
-  /** @param work - gives one result for all items of a run; it must not reject */
+  /**
+   * @param work - processes all items of a batch and returns one result for them; must not reject
+   */
   constructor(private readonly work: (items: readonly T[]) => Promise<R>) {}
 
-  /** Whether nothing runs and nothing is pending. */
+  /** Whether no batch is running or pending. */
   get isIdle(): boolean {
     return !this.isRunning && this.pending.length === 0;
   }
 
-  /** Adds an item; resolves to the result of the run that takes it. */
+  /** Adds an item; resolves to the result of the batch that includes it. */
   readonly add = (item: T): Promise<R> =>
     new Promise((resolve) => {
       this.pending.push({ item, resolve });
--- a/src/common/clock.ts
+++ b/src/common/clock.ts
@@ -3,62 +3,67 @@
   readonly stop: () => void;
 }
 
-/** The only source of time. It never tells the time of day: no decision uses wall time. */
+/**
+ * The only source of time. It provides no time of day, since no decision may depend on wall time.
+ */
 export interface Clock {
   readonly nowUs: () => number;
-  readonly after: (waitUs: number, act: () => void) => Timer;
-  readonly every: (gapUs: number, act: () => void) => Timer;
+  readonly after: (delayUs: number, callback: () => void) => Timer;
+  readonly every: (intervalUs: number, callback: () => void) => Timer;
 }
 
 /**
- * The monotonic clock of the process. Delays are rounded up to whole milliseconds, so a timer is
- * never early by rounding.
+ * Monotonic clock of the process. Delays are rounded up to whole milliseconds, so rounding never
+ * makes a timer fire early.
  */
 export class SteadyClock implements Clock {
   readonly nowUs = (): number => Math.round(performance.now() * 1_000);
 
-  readonly after = (waitUs: number, act: () => void): Timer => {
-    const timer = setTimeout(act, Math.max(0, Math.ceil(waitUs / 1_000)));
+  readonly after = (delayUs: number, callback: () => void): Timer => {
+    const timer = setTimeout(callback, Math.max(0, Math.ceil(delayUs / 1_000)));
     return { stop: () => clearTimeout(timer) };
   };
 
-  readonly every = (gapUs: number, act: () => void): Timer => {
-    const timer = setInterval(act, Math.max(1, Math.ceil(gapUs / 1_000)));
+  readonly every = (intervalUs: number, callback: () => void): Timer => {
+    const timer = setInterval(callback, Math.max(1, Math.ceil(intervalUs / 1_000)));
     return { stop: () => clearInterval(timer) };
   };
 }
 
-/** Resolves once `waitUs` microseconds have passed on the clock. */
-export const sleep = (clock: Clock, waitUs: number): Promise<void> =>
+/** Resolves after `delayUs` microseconds on the clock. */
+export const sleep = (clock: Clock, delayUs: number): Promise<void> =>
   new Promise((resolve) => {
-    clock.after(waitUs, resolve);
+    clock.after(delayUs, resolve);
   });
 
-/** An act that is put off a little, and done once for all who asked for it meanwhile. */
-export const debounce = (clock: Clock, gatherUs: number, act: () => void): (() => void) => {
+/**
+ * Returns a function that schedules `callback` after `windowUs`. Further calls before it has run
+ * are covered by the same run.
+ */
+export const debounce = (clock: Clock, windowUs: number, callback: () => void): (() => void) => {
   let isDue = false;
   return () => {
     if (isDue) return;
     isDue = true;
-    clock.after(gatherUs, () => {
+    clock.after(windowUs, () => {
       isDue = false;
-      act();
+      callback();
     });
   };
 };
 
 /**
- * Work done once for all who ask within `gatherUs` of the first. It begins after each of them has
- * asked.
+ * Returns a function that runs `work` once for all calls within `windowUs` of the first. The work
+ * starts after the last of these calls.
  */
 export const coalesce = <R>(
   clock: Clock,
-  gatherUs: number,
+  windowUs: number,
   work: () => Promise<R>,
 ): (() => Promise<R>) => {
   let due: Promise<R> | undefined;
   return () => {
-    due ??= sleep(clock, gatherUs).then(() => {
+    due ??= sleep(clock, windowUs).then(() => {
       due = undefined;
       return work();
     });
@@ -67,20 +72,20 @@
 };
 
 /**
- * Resolves to the work's value, or to `late` once the wait is over; a rejected work counts as late
- * too.
+ * Resolves to the value of `work`, or to `fallback` once the timeout elapses. A rejection of `work`
+ * also yields `fallback`.
  */
 export const withTimeout = <T, L>(
   clock: Clock,
-  waitUs: number,
+  timeoutUs: number,
   work: Promise<T>,
-  late: L,
+  fallback: L,
 ): Promise<T | L> =>
   new Promise((resolve) => {
-    const timer = clock.after(waitUs, () => resolve(late));
+    const timer = clock.after(timeoutUs, () => resolve(fallback));
     const finish = (value: T | L) => {
       timer.stop();
       resolve(value);
     };
-    work.then(finish, () => finish(late));
+    work.then(finish, () => finish(fallback));
   });
--- a/src/common/errors.ts
+++ b/src/common/errors.ts
@@ -1,19 +1,16 @@
-/**
- * The base of all errors that this project makes, so that each has a stable code beside its
- * sentence.
- */
+/** Base class of all errors defined in this project; each has a stable code besides its message. */
 
 /**
- * An error with a code that stays the same when its sentence is reworded. Each layer derives its
- * own errors from this one and turns those of the layer below into its own, as their `cause`.
+ * An error with a code that remains stable when the message is reworded. Each layer derives its own
+ * errors from this class and wraps the errors of the layer below as their `cause`.
  */
 export abstract class CodedError extends Error {
-  /** Stable and unique in the project, in upper snake case, for example `NO_QUORUM`. */
+  /** Stable and unique within the project, in upper snake case, for example `NO_QUORUM`. */
   abstract readonly code: string;
 
   /**
-   * @param message - one sentence that says what went wrong, with the values that matter
-   * @param options - `cause`: the error of the layer below, where there is one
+   * @param message - one sentence that says what went wrong, including the relevant values
+   * @param options - `cause`: the error of the layer below, if any
    */
   constructor(message: string, options?: ErrorOptions) {
     super(message, options);
@@ -21,6 +18,6 @@
   }
 }
 
-/** The message of anything that was thrown. */
+/** Returns the message of any thrown value. */
 export const messageOf = (error: unknown): string =>
   error instanceof Error ? error.message : String(error);
--- a/src/common/event-loop-delay.ts
+++ b/src/common/event-loop-delay.ts
@@ -1,19 +1,19 @@
-/** How late timers fire, and so how long the event loop stands still. */
+/** Measures how late timers fire and thereby how long the event loop is blocked. */
 import { createHistogram, type RecordableHistogram } from "node:perf_hooks";
 import type { Clock, Timer } from "./clock.js";
 import { MILLISECOND_US } from "./duration.js";
 
-/** How often the delay is measured; each time costs a wake-up of the process. */
+/** Interval between measurements; each one wakes up the process. */
 const MEASUREMENT_INTERVAL_US = 250 * MILLISECOND_US;
 
-/** The delays of timers since the last reading, in microseconds. */
+/** Timer delays since the last reading, in microseconds. */
 export interface EventLoopDelays {
   readonly p50Us: number;
   readonly p99Us: number;
   readonly maxUs: number;
 }
 
-/** Measures by how much a timer is late, again and again. */
+/** Periodically records the delay of a timer. */
 export class EventLoopDelayRecorder {
   private readonly histogram: RecordableHistogram = createHistogram();
   private dueUs: number;
@@ -24,7 +24,7 @@
     this.timer = clock.every(MEASUREMENT_INTERVAL_US, this.measure);
   }
 
-  /** Gives the delays since the last call, and starts anew. */
+  /** Returns the delays since the last call and resets the histogram. */
   readonly take = (): EventLoopDelays => {
     const delays = {
       p50Us: this.histogram.percentile(50),
@@ -35,12 +35,12 @@
     return delays;
   };
 
-  /** Measures no more. */
+  /** Stops measuring. */
   readonly stop = (): void => this.timer.stop();
 
   private readonly measure = (): void => {
     const nowUs = this.clock.nowUs();
-    // A histogram takes whole numbers from 1.
+    // The histogram accepts only integers from 1.
     this.histogram.record(Math.max(1, Math.round(nowUs - this.dueUs)));
     this.dueUs = nowUs + MEASUREMENT_INTERVAL_US;
   };
--- a/src/common/http-outcomes.ts
+++ b/src/common/http-outcomes.ts
@@ -1,26 +1,30 @@
-/**
- * The one table of outcomes: what each is answered with, to callers, workers and operators alike.
- */
+/** The single table of HTTP outcomes, for responses to clients, workers and operators alike. */
 export interface HttpOutcome {
   readonly status: number;
   readonly problem: string;
   /**
-   * Whether it promises that the request has not run and never will, and so says when to come back.
+   * Whether to send `Retry-After`. It guarantees that the request was not and will not be executed,
+   * so that it can safely be retried.
    */
   readonly retryAfter: boolean;
   readonly closes: boolean;
 }
 
-const outcome = (status: number, problem: string, comeBack = false, closes = false): HttpOutcome => ({
+const outcome = (
+  status: number,
+  problem: string,
+  isRetryable = false,
+  closes = false,
+): HttpOutcome => ({
   status,
   problem,
-  retryAfter: comeBack,
+  retryAfter: isRetryable,
   closes,
 });
 
 /**
- * Each outcome with its status, its problem text, whether it asks the client to come back, and
- * whether it closes the connection.
+ * Each outcome with its status, its problem text, whether the client is told to retry later, and
+ * whether the connection is closed.
  */
 export const HTTP_OUTCOMES = {
   taken: outcome(200, ""),
@@ -54,9 +58,9 @@
   tooLate: outcome(504, "out of time"),
 } as const satisfies Readonly<Record<string, HttpOutcome>>;
 
-/** The name of a row of the table. */
+/** The name of an outcome. */
 export type OutcomeName = keyof typeof HTTP_OUTCOMES;
 
 const isName = (name: string): name is OutcomeName => name in HTTP_OUTCOMES;
-/** All names of the table, in its order. */
+/** All outcome names, in the order of the table. */
 export const OUTCOME_NAMES: readonly OutcomeName[] = Object.keys(HTTP_OUTCOMES).filter(isName);
--- a/src/common/logger.ts
+++ b/src/common/logger.ts
@@ -1,19 +1,17 @@
 /**
- * Structured logging. Every line is one JSON object with the component that wrote it, a constant
- * message that can be searched for, and the values as fields of their own (`peer`, `term`,
+ * Structured logging. Every line is a JSON object with the component that wrote it, a constant
+ * message that can be searched for, and the variable values as separate fields (`peer`, `term`,
  * `version`, `zone`, ...).
  */
 import { destination, pino, type Logger as PinoLogger } from "pino";
 
 /**
- * The values of one log line, by name. An `error` given under `err` is written with its message and
+ * Fields of a log line, by name. An `Error` passed as `err` is serialized with its message and
  * cause.
  */
 export type LogFields = Readonly<Record<string, unknown>>;
 
-/**
- * What a component logs with. The message is constant text; whatever varies goes into the fields.
- */
+/** Logger of a component. The message is constant text; variable values go into the fields. */
 export interface Logger {
   readonly info: (message: string, fields?: LogFields) => void;
   readonly warn: (message: string, fields?: LogFields) => void;
@@ -25,15 +23,15 @@
   destination({ fd: 1, sync: true }),
 );
 
-/** Sets the lowest level that is written: `debug`, `info`, `warn` or `silent`. */
+/** Sets the minimum level: `debug`, `info`, `warn` or `silent`. */
 export const setLogLevel = (level: string): void => {
   root.level = level;
 };
 
 /**
- * A logger for one component of a program.
+ * Creates a logger for one component of a program.
  *
- * @param component - written as the field `component` of every line
+ * @param component - the field `component` of every line
  */
 export const loggerFor = (component: string): Logger => ({
   info: (message, fields = {}) => root.info({ component, ...fields }, message),
@@ -41,7 +39,7 @@
   debug: (message, fields = {}) => root.debug({ component, ...fields }, message),
 });
 
-/** A logger that writes nothing, for tests. */
+/** A logger that discards everything, for tests. */
 export const silentLogger: Logger = {
   info: () => undefined,
   warn: () => undefined,
--- a/src/common/settings.ts
+++ b/src/common/settings.ts
@@ -6,8 +6,8 @@
 import { parseDuration, SECOND_US } from "./duration.js";
 
 /**
- * Why settings could not be read: the file is unreadable, or its content is wrong; with a sentence
- * for the operator.
+ * Why settings could not be loaded: the file is unreadable or its content is invalid. The sentence
+ * is meant for operators.
  */
 export interface SettingsError {
   readonly kind: "unreadable" | "wrong";
@@ -18,7 +18,7 @@
   name: "span",
   validate: (value: unknown) => {
     if (typeof value !== "number" || !(value >= 0))
-      throw new Error("must be a span such as 1500ms");
+      throw new Error("must be a duration such as 1500ms");
   },
   coerce: (value: unknown) =>
     typeof value === "number" ? value : parseDuration(value).unwrapOr(-1),
@@ -32,21 +32,20 @@
   name: "regions",
   validate: (value: unknown) => {
     if (!isRecord(value) || !Object.values(value).every((region) => typeof region === "string"))
-      throw new Error("must name the region of each cell");
+      throw new Error("must map each cell to the name of its region");
   },
 });
 convict.addFormat({
   name: "filled",
   validate: (value: unknown) => {
-    if (typeof value !== "string" || value === "")
-      throw new Error("must be a text that is not empty");
+    if (typeof value !== "string" || value === "") throw new Error("must be a non-empty string");
   },
 });
 convict.addFormat({
   name: "texts",
   validate: (value: unknown) => {
     if (!Array.isArray(value) || !value.every((entry) => typeof entry === "string"))
-      throw new Error("must be a list of texts");
+      throw new Error("must be a list of strings");
   },
 });
 convict.addFormat({
@@ -57,7 +56,7 @@
       value.length === 2 &&
       value.every((port) => Number.isInteger(port) && port > 0 && port < 65_536);
     if (!isPortRange || Number(value[1]) - Number(value[0]) < 1)
-      throw new Error("must be two ports, the first and the last of a range of two or more");
+      throw new Error("must be the first and last port of a range of at least two ports");
   },
 });
 
@@ -65,7 +64,7 @@
   name: "endpoints",
   validate: (value: unknown) => {
     if (!isRecord(value) || !Object.values(value).every((entry) => readEndpoint(entry)))
-      throw new Error('must give each program a port and a path, such as "9464/metrics"');
+      throw new Error('must map each program to a port and a path, such as "9464/metrics"');
   },
 });
 
@@ -77,13 +76,13 @@
   },
 });
 
-/** Where a program serves its metrics; the path has its leading slash. */
+/** Port and path at which a program serves its metrics. The path includes the leading slash. */
 export interface MetricsEndpoint {
   readonly port: number;
   readonly path: string;
 }
 
-/** Reads "PORT/PATH"; undefined where it is something else. */
+/** Parses `PORT/PATH`; undefined if the value has another format. */
 const readEndpoint = (value: unknown): MetricsEndpoint | undefined => {
   const found = typeof value === "string" ? /^(\d{1,5})(\/\S+)$/.exec(value) : null;
   const port = Number(found?.[1]);
@@ -158,14 +157,14 @@
     },
   });
 
-/** What a program is told. Spans are whole microseconds. */
+/** Settings of a program. Durations are in whole microseconds. */
 export interface Settings {
   readonly name: string;
   readonly zone: string;
   readonly ip: string;
   /**
-   * Invariant: the first port carries connections between controllers and from nodes, the second
-   * the updates that relays pass on.
+   * Invariant: `peerPort` accepts connections between controllers and from nodes, `relayPort` the
+   * updates forwarded by relays.
    */
   readonly peerPort: number;
   readonly relayPort: number;
@@ -173,7 +172,7 @@
   readonly firstRun: boolean;
   readonly heartbeatUs: number;
   readonly dataFolder: string;
-  /** The kind of deployment; empty for a gateway. */
+  /** Name of the deployment type; empty for a gateway. */
   readonly deployment: string;
   readonly logLevel: string;
   readonly front: string;
@@ -183,7 +182,7 @@
   readonly fileHandles: number;
   readonly diskMb: number;
   readonly linkMbps: number;
-  /** The region of each cell; empty where nothing is said. */
+  /** Region of each zone; empty if none are configured. */
   readonly regions: ReadonlyMap<string, string>;
   readonly withstandMachines: number;
   readonly drainUs: number;
@@ -194,18 +193,20 @@
   readonly retryRatio: number;
   readonly retryWindowUs: number;
   readonly retrySlack: number;
-  /** How much later updates may take effect while the controllers are unsettled. */
+  /** By how much the activation of updates may be delayed while the controllers are unsettled. */
   readonly stretchUs: number;
   readonly keyWindowUs: number;
   readonly purgeUs: number;
   readonly staleSlackUs: number;
   readonly ceilingWindowUs: number;
   readonly ceilingExcess: number;
-  /** Where programs serve their metrics, by program; one that isn't named serves none. */
+  /**
+   * Metrics endpoint of each program, by program; a program that is not listed serves no metrics.
+   */
   readonly metrics: ReadonlyMap<string, MetricsEndpoint>;
-  /** Whether what the forecast says is acted on, or only told. */
+  /** Whether the forecast is acted on rather than only reported. */
   readonly forecastActs: boolean;
-  /** How heavy each loss weighs when a new route version is judged. */
+  /** Weight of each type of failure when a new route version is evaluated. */
   readonly rolloutWeights: {
     readonly late: number;
     readonly lostSafe: number;
@@ -214,7 +215,9 @@
   };
 }
 
-/** Parses and validates settings given as TOML. The error's sentence is the first complaint. */
+/**
+ * Parses and validates settings in TOML. The sentence of the error is the first validation error.
+ */
 export const parseSettings = (raw: string): Result<Settings, SettingsError> => {
   try {
     const cfg = schema();
@@ -269,7 +272,7 @@
   }
 };
 
-/** Reads and validates a settings file. */
+/** Reads, parses and validates a settings file. */
 export const readSettings = async (path: string): Promise<Result<Settings, SettingsError>> => {
   try {
     return parseSettings(await readFile(path, "utf8"));
@@ -278,7 +281,7 @@
   }
 };
 
-/** Splits "ip:port"; a wrong one gives port 0. */
+/** Splits `ip:port`; an invalid port yields 0. */
 export const splitAddress = (address: string): { readonly ip: string; readonly port: number } => {
   const separator = address.lastIndexOf(":");
   return { ip: address.slice(0, separator), port: Number(address.slice(separator + 1)) || 0 };
--- a/src/common/weighted-split.ts
+++ b/src/common/weighted-split.ts
@@ -1,12 +1,15 @@
 import { asList, asRecord, readString, readNumber, type UnknownRecord } from "./decode.js";
 
-/** A service that a route sends to, and how much of the route's traffic. */
+/** A target service of a route and its share of the route's traffic. */
 export interface WeightedService {
   readonly service: string;
   readonly share: number;
 }
 
-/** The services of a route's `then`: its shares, or its one service with all of it. */
+/**
+ * Reads the target services from the `then` of a route: either weighted shares, or a single service
+ * that receives all traffic.
+ */
 export const readWeightedServices = (then: UnknownRecord): readonly WeightedService[] =>
   then["shares"] === undefined
     ? [{ service: readString(then, "service"), share: 1 }]
@@ -15,6 +18,6 @@
         share: readNumber(asRecord(value), "share"),
       }));
 
-/** The service with the largest share. */
+/** Returns the name of the service with the largest share. */
 export const mainOf = (shares: readonly WeightedService[]): string =>
   [...shares].sort((a, b) => b.share - a.share)[0]?.service ?? "";
--- a/src/config/item-schema.ts
+++ b/src/config/item-schema.ts
@@ -3,7 +3,7 @@
 import { asList, asRecord, isRecord, type UnknownRecord } from "../common/decode.js";
 import { parseDuration, SECOND_US } from "../common/duration.js";
 
-/** Maximum total time for the attempts of a request. */
+/** Maximum value of `giveUp`, the total time for which a request may be attempted. */
 const MAX_GIVE_UP_US = 600 * SECOND_US;
 
 const requirePositiveDuration = (value: unknown): void => {
@@ -71,8 +71,8 @@
 
 /**
  * Created once per kind of item, because creating a schema costs far more than using it. Invariant:
- * every use sets every field of the schema, so that no value of the previous item remains. Lists
- * are replaced as a whole whereas objects are merged, so objects are wrapped in a list.
+ * every use sets every field of the schema, so that no value of the previous item remains. A list
+ * is replaced as a whole, so an object with optional fields is wrapped in one.
  */
 const routeSchema = convict({
   name: { format: "named", default: "" },
--- a/src/transport/connection.ts
+++ b/src/transport/connection.ts
@@ -32,7 +32,7 @@
 const KEEP_ALIVE: Message = { kind: KEEP_ALIVE_KIND };
 /**
  * Fraction of the interval after which a heartbeat is due; below 1 because the timer may fire
- * slightly early.
+ * slightly early or late.
  */
 const HEARTBEAT_DUE_FRACTION = 0.9;
 /** A connection with more unsent bytes than this is closed, since its peer reads too slowly. */
