--- a/src/common/settings.ts
+++ b/src/common/settings.ts
@@ -51,11 +51,11 @@
 convict.addFormat({
   name: "port-range",
   validate: (value: unknown) => {
-    const isPortRange =
+    const isPortPair =
       Array.isArray(value) &&
       value.length === 2 &&
       value.every((port) => Number.isInteger(port) && port > 0 && port < 65_536);
-    if (!isPortRange || Number(value[1]) - Number(value[0]) < 1)
+    if (!isPortPair || Number(value[1]) - Number(value[0]) < 1)
       throw new Error("must be the first and last port of a range of at least two ports");
   },
 });
