--- a/src/common/settings.ts
+++ b/src/common/settings.ts
@@ -6,8 +6,8 @@
 import { parseDuration, SECOND_US } from "./duration.js";
 
 /**
- * Why settings could not be loaded: the file is unreadable or its content is invalid. The sentence
- * is meant for operators.
+ * Why settings could not be loaded: the file is unreadable or its content is invalid. Carries a
+ * one-sentence message for operators.
  */
 export interface SettingsError {
   readonly kind: "unreadable" | "wrong";
@@ -216,7 +216,7 @@
 }
 
 /**
- * Parses and validates settings in TOML. The sentence of the error is the first validation error.
+ * Parses and validates settings in TOML. On failure the error describes the first problem found.
  */
 export const parseSettings = (raw: string): Result<Settings, SettingsError> => {
   try {
