--- a/src/common/http-outcomes.ts
+++ b/src/common/http-outcomes.ts
@@ -1,62 +1,66 @@
-/**
- * The one table of outcomes: what each is answered with, to callers, workers and operators alike.
- */
+/** The single table of HTTP outcomes, for responses to clients, workers and operators alike. */
 export interface HttpOutcome {
   readonly status: number;
   readonly problem: string;
   /**
-   * Whether it promises that the request has not run and never will, and so says when to come back.
+   * Whether to send `Retry-After`. It guarantees that the request was not and will not be executed,
+   * so that it can safely be retried.
    */
   readonly retryAfter: boolean;
   readonly closes: boolean;
 }
 
-const row = (status: number, problem: string, comeBack = false, closes = false): HttpOutcome => ({
+const outcome = (
+  status: number,
+  problem: string,
+  isRetryable = false,
+  closes = false,
+): HttpOutcome => ({
   status,
   problem,
-  retryAfter: comeBack,
+  retryAfter: isRetryable,
   closes,
 });
 
 /**
- * Each outcome with its status, its problem text, whether it asks the client to come back, and
- * whether it closes the connection.
+ * Each outcome with its status, its problem text, whether the client is told to retry later, and
+ * whether the connection is closed.
  */
 export const HTTP_OUTCOMES = {
-  taken: row(200, ""),
-  unreadable: row(400, "unreadable"),
-  wrong: row(400, "wrong"),
-  malformed: row(400, "malformed", false, true),
-  unknownRoute: row(404, "no such route"),
-  unknownCall: row(404, "no such call"),
-  unknownRollout: row(404, "no such split route"),
-  staleVersion: row(409, "not the version in force"),
-  versionTaken: row(409, "the version is agreed with another content"),
-  notStopped: row(409, "nothing is stopped there"),
-  noKey: row(400, "an operation key of 1 to 200 signs is wanted"),
-  noTryId: row(400, "a Yewreel-Try-Id is wanted"),
-  keyAtWork: row(409, "the key is at work"),
-  pastTheEnd: row(416, "past the end"),
-  unknownWindow: row(404, "no such window"),
-  refusedOrder: row(409, "refused"),
-  noPlan: row(503, "no plan yet", true),
-  staleConfiguration: row(503, "a newer configuration is on its way", true),
-  full: row(503, "full", true),
-  noRate: row(503, "the origin's rate is spent", true),
-  adrift: row(503, "cut off from the majority", true),
-  noQuorum: row(503, "no quorum", true),
-  noMajority: row(503, "no majority", true),
-  slowHead: row(408, "the head took too long", false, true),
-  slowBody: row(408, "the body took too long", false, true),
-  bodyTooLarge: row(413, "the body is too large", false, true),
-  headTooLarge: row(431, "the head is too large", false, true),
-  lostAnswer: row(502, "the answer was lost"),
-  tooLate: row(504, "out of time"),
+  taken: outcome(200, ""),
+  unreadable: outcome(400, "unreadable"),
+  wrong: outcome(400, "wrong"),
+  malformed: outcome(400, "malformed", false, true),
+  unknownRoute: outcome(404, "no such route"),
+  unknownCall: outcome(404, "no such call"),
+  unknownRollout: outcome(404, "no such split route"),
+  staleVersion: outcome(409, "not the version in force"),
+  versionTaken: outcome(409, "the version is agreed with another content"),
+  notStopped: outcome(409, "nothing is stopped there"),
+  noKey: outcome(400, "an operation key of 1 to 200 signs is wanted"),
+  noTryId: outcome(400, "a Yewreel-Try-Id is wanted"),
+  keyAtWork: outcome(409, "the key is at work"),
+  pastTheEnd: outcome(416, "past the end"),
+  unknownWindow: outcome(404, "no such window"),
+  refusedOrder: outcome(409, "refused"),
+  noPlan: outcome(503, "no plan yet", true),
+  staleConfiguration: outcome(503, "a newer configuration is on its way", true),
+  full: outcome(503, "full", true),
+  noRate: outcome(503, "the origin's rate is spent", true),
+  adrift: outcome(503, "cut off from the majority", true),
+  noQuorum: outcome(503, "no quorum", true),
+  noMajority: outcome(503, "no majority", true),
+  slowHead: outcome(408, "the head took too long", false, true),
+  slowBody: outcome(408, "the body took too long", false, true),
+  bodyTooLarge: outcome(413, "the body is too large", false, true),
+  headTooLarge: outcome(431, "the head is too large", false, true),
+  lostAnswer: outcome(502, "the answer was lost"),
+  tooLate: outcome(504, "out of time"),
 } as const satisfies Readonly<Record<string, HttpOutcome>>;
 
-/** The name of a row of the table. */
+/** The name of an outcome. */
 export type OutcomeName = keyof typeof HTTP_OUTCOMES;
 
 const isName = (name: string): name is OutcomeName => name in HTTP_OUTCOMES;
-/** All names of the table, in its order. */
+/** All outcome names, in the order of the table. */
 export const OUTCOME_NAMES: readonly OutcomeName[] = Object.keys(HTTP_OUTCOMES).filter(isName);
