--- a/src/consensus/acceptor.ts
+++ b/src/consensus/acceptor.ts
@@ -32,7 +32,7 @@
 /** A chunk of a replica's contents ends with the bucket that fills it. */
 const CHUNK_BYTES = 64 * 1024;
 /** What an entry takes besides its register's body, about. */
-const ENTRY_BYTES = 64;
+const ENTRY_OVERHEAD_BYTES = 64;
 
 const withoutRegister = (entry: Entry): EntryReport => ({ ...entry, register: "unchanged" });
 
@@ -134,10 +134,10 @@
   /**
    * Learns the sender's voter set; where it is older than the one known here, tells the newer one.
    */
-  private readonly rejectStaleVoterSet = (theirs: VoterSet): Message | undefined => {
+  private readonly rejectStaleVoterSet = (senderVoterSet: VoterSet): Message | undefined => {
     const { local } = this.options;
-    local.learnVoterSet(theirs);
-    return theirs.number < local.voterSet.number
+    local.learnVoterSet(senderVoterSet);
+    return senderVoterSet.number < local.voterSet.number
       ? encodeRejection("stale-voter-set", local.state.highestBallotNumber, local.voterSet)
       : undefined;
   };
@@ -171,7 +171,7 @@
 
   /** Whole buckets that differ from the reader's, up to the size of a chunk. */
   private readonly nextChunk = ({
-    bucketHashes: theirs,
+    bucketHashes: readerHashes,
     uncommittedKeys,
     fromBucket,
   }: ReadRequest): {
@@ -185,13 +185,13 @@
     const entries: EntryReport[] = [];
     let bucket = fromBucket;
     for (let bytes = 0; bucket < hashes.length && bytes < CHUNK_BYTES; bucket += 1) {
-      if (hashes[bucket] === theirs[bucket]) {
+      if (hashes[bucket] === readerHashes[bucket]) {
         equalBuckets.push(bucket);
         continue;
       }
       state.entriesInBucket(bucket).forEach((entry) => {
         entries.push(entry);
-        bytes += (entry.register?.body.length ?? 0) + ENTRY_BYTES;
+        bytes += (entry.register?.body.length ?? 0) + ENTRY_OVERHEAD_BYTES;
       });
     }
     uncommittedKeys
@@ -216,7 +216,7 @@
     const rejection = this.rejectVoterSetProposer(request);
     if (rejection) return rejection;
     const before = local.state.voterSetProposal;
-    const none: VoterSetProposal = {
+    const emptyProposal: VoterSetProposal = {
       number,
       promised: ballot,
       ballot: NO_BALLOT,
@@ -233,7 +233,7 @@
     if (!(await local.persisted())) return encodeRejection("disk-failure");
     return encodeVoterSetPrepareResponse({
       incarnation: local.incarnation,
-      proposal: before ?? none,
+      proposal: before ?? emptyProposal,
     });
   };
 
--- a/src/consensus/call-codec.ts
+++ b/src/consensus/call-codec.ts
@@ -4,30 +4,32 @@
  */
 import { asList, asNumber, asString, readList, type UnknownRecord } from "../common/decode.js";
 import { decodeBallot, encodeBallot } from "./ballot.js";
-import { decodePast } from "./register.js";
-import type { ItemStamp, ProposedCall } from "./proposal-history.js";
+import { decodePastVersions } from "./register.js";
+import type { ItemSummary, ProposedCall } from "./proposal-history.js";
 
-const encodeStamp = ([key, stamp]: readonly [string, ItemStamp | undefined]): readonly unknown[] =>
-  stamp ? [key, stamp.version, stamp.digest, stamp.past] : [key];
+const encodeItemSummary = ([key, summary]: readonly [
+  string,
+  ItemSummary | undefined,
+]): readonly unknown[] => (summary ? [key, summary.version, summary.digest, summary.past] : [key]);
 
-const decodeStamp = (value: unknown): readonly [string, ItemStamp | undefined] => {
+const decodeItemSummary = (value: unknown): readonly [string, ItemSummary | undefined] => {
   const [key, version, digest, past] = asList(value, "item");
   return [
     asString(key),
     version === undefined
       ? undefined
-      : { version: asNumber(version), digest: asString(digest), past: decodePast(past) },
+      : { version: asNumber(version), digest: asString(digest), past: decodePastVersions(past) },
   ];
 };
 
 /** The form in records and messages. */
 export const encodeCall = ({ ballot, items }: ProposedCall): UnknownRecord => ({
   at: encodeBallot(ballot),
-  items: [...items].map(encodeStamp),
+  items: [...items].map(encodeItemSummary),
 });
 
 /** @throws DecodeError where a field is missing or of another type */
 export const decodeCall = (record: UnknownRecord): ProposedCall => ({
   ballot: decodeBallot(record["at"]),
-  items: new Map(readList(record, "items", decodeStamp)),
+  items: new Map(readList(record, "items", decodeItemSummary)),
 });
--- a/src/consensus/call-resolution.ts
+++ b/src/consensus/call-resolution.ts
@@ -11,8 +11,8 @@
  */
 import { isHigherBallot, NO_BALLOT, type Ballot } from "./ballot.js";
 import type { EntryReport, PrepareResponse } from "./message-types.js";
-import { ballotName, type ItemStamp, type ProposedCall } from "./proposal-history.js";
-import type { Past, Register } from "./register.js";
+import { ballotIdOf, type ItemSummary, type ProposedCall } from "./proposal-history.js";
+import type { PastVersion, Register } from "./register.js";
 
 /** What the promises come to. */
 export type CallResolution =
@@ -41,13 +41,13 @@
   (isAccepted &&
     history !== undefined &&
     !history.forgottenKeys.includes(key) &&
-    history.calls.some((call) => ballotName(call.ballot) === ballotName(ballot)));
+    history.calls.some((call) => ballotIdOf(call.ballot) === ballotIdOf(ballot)));
 
 const addCandidate = (candidates: Candidates, report: EntryReport, isTraceable: boolean): void => {
   if (report.register === "unchanged") return;
-  const name = ballotName(report.ballot);
-  const known = candidates.get(name);
-  candidates.set(name, {
+  const ballotId = ballotIdOf(report.ballot);
+  const known = candidates.get(ballotId);
+  candidates.set(ballotId, {
     ballot: report.ballot,
     register: report.register,
     isCommitted: report.isCommitted || known?.isCommitted === true,
@@ -77,12 +77,15 @@
   );
 
 /** Whether a register was made on top of what the call wrote there, as far as can be told. */
-const isBuiltOn = (register: Register | undefined, stamp: ItemStamp | undefined): boolean => {
-  if (!stamp) return true;
+const isBuiltOn = (register: Register | undefined, summary: ItemSummary | undefined): boolean => {
+  if (!summary) return true;
   if (!register) return false;
   const known = new Map([...register.past, [register.version, register.digest]]);
-  const written: readonly Past[] = [...stamp.past, [stamp.version, stamp.digest]];
-  return written.every(
+  const writtenVersions: readonly PastVersion[] = [
+    ...summary.past,
+    [summary.version, summary.digest],
+  ];
+  return writtenVersions.every(
     ([version, digest]) => version < register.pastFrom || known.get(version) === digest,
   );
 };
@@ -100,55 +103,57 @@
     this.calls = new Map(
       responses
         .flatMap(({ history }) => history?.calls ?? [])
-        .map((call) => [ballotName(call.ballot), call]),
+        .map((call) => [ballotIdOf(call.ballot), call]),
     );
   }
 
   readonly resolve = (): CallResolution => {
     for (;;) {
-      const calls = this.openCalls();
+      const calls = this.uncommittedCalls();
       const missingKeys = calls
         .flatMap(({ items }) => [...items.keys()])
         .filter((key) => !this.keys.has(key));
       if (missingKeys.length > 0)
         return { kind: "incomplete", missingKeys: [...new Set(missingKeys)] };
-      const overruled = calls.find(this.wasOverruled);
-      if (!overruled) return { kind: "resolved", found: this.standing() };
-      this.leaveOut(overruled);
+      const superseded = calls.find(this.wasSuperseded);
+      if (!superseded) return { kind: "resolved", found: this.newestEntries() };
+      this.discardCall(superseded);
     }
   };
 
   /** The calls of the newest proposals that aren't known to be committed, highest ballot first. */
-  private readonly openCalls = (): readonly ProposedCall[] => {
-    const open = new Set<ProposedCall>();
+  private readonly uncommittedCalls = (): readonly ProposedCall[] => {
+    const uncommitted = new Set<ProposedCall>();
     this.candidates.forEach((candidates) => {
       const newest = highestOf(candidates);
-      const call = newest && this.calls.get(ballotName(newest.ballot));
-      if (call && !newest.isCommitted) open.add(call);
+      const call = newest && this.calls.get(ballotIdOf(newest.ballot));
+      if (call && !newest.isCommitted) uncommitted.add(call);
     });
-    return [...open].sort((one, other) => (isHigherBallot(one.ballot, other.ballot) ? -1 : 1));
+    return [...uncommitted].sort((one, other) =>
+      isHigherBallot(one.ballot, other.ballot) ? -1 : 1,
+    );
   };
 
-  private readonly wasOverruled = ({ ballot, items }: ProposedCall): boolean => {
+  private readonly wasSuperseded = ({ ballot, items }: ProposedCall): boolean => {
     const own = [...items.keys()].flatMap(
-      (key) => this.candidates.get(key)?.get(ballotName(ballot)) ?? [],
+      (key) => this.candidates.get(key)?.get(ballotIdOf(ballot)) ?? [],
     );
     if (own.some(({ isCommitted, isTraceable }) => isCommitted || !isTraceable)) return false;
-    return [...items].some(([key, stamp]) => {
+    return [...items].some(([key, summary]) => {
       const newest = highestOf(this.candidates.get(key));
       return (
         newest !== undefined &&
         isHigherBallot(newest.ballot, ballot) &&
-        !isBuiltOn(newest.register, stamp)
+        !isBuiltOn(newest.register, summary)
       );
     });
   };
 
-  private readonly leaveOut = ({ ballot, items }: ProposedCall): void =>
-    [...items.keys()].forEach((key) => this.candidates.get(key)?.delete(ballotName(ballot)));
+  private readonly discardCall = ({ ballot, items }: ProposedCall): void =>
+    [...items.keys()].forEach((key) => this.candidates.get(key)?.delete(ballotIdOf(ballot)));
 
   /** Where nothing is left under a key, nothing stands there, and that is to be accepted anew. */
-  private readonly standing = (): ReadonlyMap<string, EntryReport> =>
+  private readonly newestEntries = (): ReadonlyMap<string, EntryReport> =>
     new Map(
       [...this.candidates].map(([key, candidates]) => {
         const newest = highestOf(candidates);
--- a/src/consensus/catch-up.ts
+++ b/src/consensus/catch-up.ts
@@ -66,7 +66,7 @@
       return err(new UnclearOutcomeError("the disk refused what was caught up"));
     local.record(local.state.setVoting());
     if (!(await local.persisted())) {
-      local.state.setUnverified();
+      local.state.setNonVoting();
       return err(new UnclearOutcomeError("the disk refused what was caught up"));
     }
     logger.info("replica caught up", { entries: keyCount, voterSet: local.voterSet.number });
@@ -81,11 +81,11 @@
     collected: Map<string, ReplicaView>,
   ): Promise<Result<void, NoQuorumError>> => {
     const { self, local, calls, views, seeds, withstandMachines } = this.options;
-    const isFirst = () => local.voterSet.number === 0;
+    const isVoterSetUnknown = () => local.voterSet.number === 0;
     return calls.collect<ReplicaView>({
-      sets: () => (isFirst() ? [seeds()] : local.quorumSets()),
+      sets: () => (isVoterSetUnknown() ? [seeds()] : local.quorumSets()),
       needed: (members) =>
-        isFirst() ? Number.POSITIVE_INFINITY : readQuorumSize(members, withstandMachines),
+        isVoterSetUnknown() ? Number.POSITIVE_INFINITY : readQuorumSize(members, withstandMachines),
       request: async (id) => {
         if (id === self) return undefined;
         const view = await views.fetch(id, { bucketHashes, uncommittedKeys: [] }, floor);
@@ -118,9 +118,9 @@
     local.learnCommitted(committed);
     // What none knows to be committed is held as it is: this replica may have been among those that
     // accepted it.
-    const isUndecided = new Set(undecided);
+    const undecidedKeys = new Set(undecided);
     const uncommitted = reports.flatMap(({ key, ballot, register }): Entry[] =>
-      isUndecided.has(key) && register !== "unchanged"
+      undecidedKeys.has(key) && register !== "unchanged"
         ? [{ key, promised: NO_BALLOT, ballot, register, isAccepted: false, isCommitted: false }]
         : [],
     );
--- a/src/consensus/commit-detection.ts
+++ b/src/consensus/commit-detection.ts
@@ -27,7 +27,7 @@
 }
 
 /** A report and who gave it; the id is empty for what a reader holds that doesn't vote. */
-interface Testimony {
+interface AttributedReport {
   readonly id: string;
   readonly report: EntryReport;
 }
@@ -47,23 +47,23 @@
     : undefined;
 };
 
-const testimoniesOn = (
+const attributedReportsOf = (
   key: string,
   { self, ownEntries, views }: CommitDetectionInput,
-): readonly Testimony[] => {
+): readonly AttributedReport[] => {
   const own = ownEntries.get(key);
-  const testimonies = [...views].flatMap(([id, view]): Testimony[] => {
+  const reports = [...views].flatMap(([id, view]): AttributedReport[] => {
     const report = reportOf(id, view, key, own, self);
     return report ? [{ id, report }] : [];
   });
   return own && !views.has(self)
-    ? [...testimonies, { id: "", report: { ...own, isAccepted: false } }]
-    : testimonies;
+    ? [...reports, { id: "", report: { ...own, isAccepted: false } }]
+    : reports;
 };
 
 /** Whether someone knows it to be committed, or a quorum of each set has accepted it. */
 const isCommittedBy = (
-  newest: readonly Testimony[],
+  newest: readonly AttributedReport[],
   { quorumSets, withstandMachines }: CommitDetectionInput,
 ): boolean => {
   if (newest.some(({ report }) => report.isCommitted)) return true;
@@ -79,13 +79,13 @@
   const committed: Entry[] = [];
   const undecided: string[] = [];
   for (const key of input.keys) {
-    const testimonies = testimoniesOn(key, input);
-    const ballot = testimonies.reduce(
+    const reports = attributedReportsOf(key, input);
+    const ballot = reports.reduce(
       (highest, { report }) => higherBallot(highest, report.ballot),
       NO_BALLOT,
     );
     if (ballot.number === 0) continue;
-    const newest = testimonies.filter(({ report }) => isSameBallot(report.ballot, ballot));
+    const newest = reports.filter(({ report }) => isSameBallot(report.ballot, ballot));
     if (!isCommittedBy(newest, input)) {
       undecided.push(key);
       continue;
--- a/src/consensus/errors.ts
+++ b/src/consensus/errors.ts
@@ -72,9 +72,11 @@
 export class CollisionError extends CodedError {
   readonly code = "COLLISION";
 
-  /** @param isOverAtOnce - whether a further attempt may begin without a wait */
-  constructor(readonly isOverAtOnce: boolean) {
-    super(isOverAtOnce ? "the voter set has changed" : "another attempt has a higher ballot");
+  /** @param canRetryImmediately - whether a further attempt may begin without a wait */
+  constructor(readonly canRetryImmediately: boolean) {
+    super(
+      canRetryImmediately ? "the voter set has changed" : "another attempt has a higher ballot",
+    );
   }
 }
 
--- a/src/consensus/leader-lease.ts
+++ b/src/consensus/leader-lease.ts
@@ -21,7 +21,7 @@
 
 const TICK_US = 250 * MILLISECOND_US;
 /** Members propose themselves one after the other, so that they don't collide. */
-const CANDIDATE_GAP_US = 300 * MILLISECOND_US;
+const CANDIDATE_STAGGER_US = 300 * MILLISECOND_US;
 /**
  * For how long a controller that stops tries to be let go where nothing else is said, and how
  * often.
@@ -139,10 +139,12 @@
   };
 
   /** Hands the lease to a connected member that fits and takes it. */
-  readonly transferTo = async (fits: (id: string) => boolean): Promise<boolean> => {
+  readonly transferTo = async (isEligible: (id: string) => boolean): Promise<boolean> => {
     const { self, store, isConnected, request } = this.options;
     const message = encodeLeaseRequest({ type: "succeed", namedBy: self });
-    const candidates = store.members().filter((id) => id !== self && isConnected(id) && fits(id));
+    const candidates = store
+      .members()
+      .filter((id) => id !== self && isConnected(id) && isEligible(id));
     for (const candidate of candidates) {
       if (!this.isHolder()) return false;
       const reply = await request(candidate, message, WRITE_TIMEOUT_US);
@@ -202,16 +204,16 @@
       const members = store.members();
       if (this.isHolder() && isJoint(store.voterSet()))
         await store.changeMembers((all) => all, copyOtherState);
-      const isSeen =
+      const isHolderSeen =
         holder === self ? this.isHolder() : members.includes(holder) && isConnected(holder);
-      if (this.isDue(isSeen, holder, members)) await this.propose("");
+      if (this.shouldPropose(isHolderSeen, holder, members)) await this.propose("");
     } finally {
       this.isBusy = false;
     }
   };
 
   /** Whether the holder has been unseen for long enough that this member should propose itself. */
-  private readonly isDue = (
+  private readonly shouldPropose = (
     isHolderSeen: boolean,
     holder: string,
     members: readonly string[],
@@ -223,9 +225,9 @@
     }
     const nowUs = clock.nowUs();
     this.holderUnseenSinceUs ??= nowUs;
-    const mayProposeAtOnce = holder === "" || holder === self;
+    const canProposeImmediately = holder === "" || holder === self;
     const waitUs =
-      (mayProposeAtOnce ? 0 : holderTimeoutUs) + members.indexOf(self) * CANDIDATE_GAP_US;
+      (canProposeImmediately ? 0 : holderTimeoutUs) + members.indexOf(self) * CANDIDATE_STAGGER_US;
     return nowUs - this.holderUnseenSinceUs >= waitUs;
   };
 
@@ -235,18 +237,18 @@
     // One that is partitioned proposes nothing: its terms would rise and unseat the holder once it
     // is joined again.
     if (!store.isMember() || !store.isVoting || !this.seesMajority()) return false;
-    const free = await store.callQuorum(
+    const approval = await store.callQuorum(
       encodeLeaseRequest({ type: "candidate", candidate: self, namedBy }),
       (response) => decodeLeaseResponse(response).isGranted,
       async () => this.isFreeFor(self, namedBy),
       WRITE_TIMEOUT_US,
     );
-    if (free.isErr) return false;
-    const before = store.term()?.number ?? 0;
+    if (approval.isErr) return false;
+    const previousNumber = store.term()?.number ?? 0;
     const decided = await store.decide(LEADER_LEASE_KEY, (grant) => {
       const known = termOf(grant);
       const isOwn = known?.holder === self && known.incarnation === store.incarnation;
-      return isOwn || (known?.number ?? 0) <= before
+      return isOwn || (known?.number ?? 0) <= previousNumber
         ? encodeGrant(self, store.incarnation)
         : undefined;
     });
@@ -263,7 +265,7 @@
     const { isConnected, self, store } = this.options;
     const holder = this.holder();
     if (!store.isVoting) return false;
-    const isSeen = holder !== "" && (holder === self ? this.isHolder() : isConnected(holder));
-    return !isSeen || holder === candidate || namedBy === holder;
+    const isHolderSeen = holder !== "" && (holder === self ? this.isHolder() : isConnected(holder));
+    return !isHolderSeen || holder === candidate || namedBy === holder;
   };
 }
--- a/src/consensus/local-replica.ts
+++ b/src/consensus/local-replica.ts
@@ -127,7 +127,7 @@
 
   /** From now on takes no part in quorums. */
   readonly stopVoting = (reason: string): void => {
-    this.state.setUnverified();
+    this.state.setNonVoting();
     this.reason = reason;
   };
 
@@ -142,7 +142,7 @@
   };
 
   /** Learns from a rejection what the next attempt must know. */
-  readonly noteRejection = ({ voterSet, highestBallotNumber }: Rejection): void => {
+  readonly learnFromRejection = ({ voterSet, highestBallotNumber }: Rejection): void => {
     this.rejections += 1;
     this.learnVoterSet(voterSet);
     if (highestBallotNumber !== undefined)
@@ -168,22 +168,24 @@
     this.record(
       this.state.learn(items.map(([key, register]) => committedEntry(key, ballot, register))),
     );
-    this.announce(items.flatMap(([, register]) => register ?? []));
+    this.emitCommitted(items.flatMap(([, register]) => register ?? []));
   };
 
   /** Takes what others show to be committed. */
   readonly learnCommitted = (entries: readonly Entry[]): void => {
     const isUnchanged = ({ key, ballot }: Entry): boolean =>
       isSameBallot(this.state.entry(key).ballot, ballot);
-    const fresh = entries.filter(({ key, ballot }) => {
+    const newEntries = entries.filter(({ key, ballot }) => {
       const own = this.state.entry(key);
       return !own.isCommitted || isHigherBallot(ballot, own.ballot);
     });
-    const marks = fresh.filter(isUnchanged).map(({ key, ballot }): CommitMark => [key, ballot]);
-    this.record(this.state.learn(fresh.filter((entry) => !isUnchanged(entry))));
+    const marks = newEntries
+      .filter(isUnchanged)
+      .map(({ key, ballot }): CommitMark => [key, ballot]);
+    this.record(this.state.learn(newEntries.filter((entry) => !isUnchanged(entry))));
     this.markCommitted(marks);
-    this.announce(
-      fresh
+    this.emitCommitted(
+      newEntries
         .filter(({ key }) => !marks.some(([marked]) => marked === key))
         .flatMap(({ register }) => register ?? []),
     );
@@ -191,9 +193,9 @@
 
   /** Marks what is held at these ballots as committed. */
   readonly markCommitted = (marks: readonly CommitMark[]): void =>
-    this.announce(this.state.markCommitted(marks));
+    this.emitCommitted(this.state.markCommitted(marks));
 
-  private readonly announce = (registers: readonly Register[]): void => {
+  private readonly emitCommitted = (registers: readonly Register[]): void => {
     if (registers.length > 0) void this.events.emit("committed", registers);
   };
 }
--- a/src/consensus/proposer.ts
+++ b/src/consensus/proposer.ts
@@ -88,10 +88,10 @@
   readonly voterSet: VoterSet;
   readonly message: Message;
   readonly timeoutUs: number;
-  readonly isWanted: (response: Message) => boolean;
+  readonly isExpected: (response: Message) => boolean;
   readonly onResponse?: (id: string, response: Message) => void;
   /** Whom to ask; everyone where it is left out. */
-  readonly isAsked?: (id: string) => boolean;
+  readonly isRecipient?: (id: string) => boolean;
 }
 
 /**
@@ -145,7 +145,7 @@
         term,
       }),
       timeoutUs: READ_TIMEOUT_US,
-      isWanted: isPrepareResponse,
+      isExpected: isPrepareResponse,
       onResponse: (id, response) => {
         const promise = decodePrepareResponse(response);
         incarnations.set(id, promise.incarnation);
@@ -178,8 +178,8 @@
         term,
       }),
       timeoutUs: WRITE_TIMEOUT_US,
-      isWanted: isAcceptResponse,
-      isAsked: (id) => incarnations.has(id),
+      isExpected: isAcceptResponse,
+      isRecipient: (id) => incarnations.has(id),
     });
     if (accepted.isErr) return err(accepted.error);
     local.learnChosen(ballot, items);
@@ -201,7 +201,7 @@
       if (!(failure instanceof CollisionError)) return err(failure);
       if (clock.nowUs() - beganUs > MAX_RETRY_TIME_US || retry >= MAX_RETRIES)
         return err(new UnclearOutcomeError("other orders were in the way"));
-      if (failure.isOverAtOnce) continue;
+      if (failure.canRetryImmediately) continue;
       const backoffUs = Math.min(MAX_BACKOFF_US, FIRST_BACKOFF_US * 2 ** retry);
       await sleep(clock, Math.round(random() * backoffUs));
     }
@@ -212,27 +212,27 @@
     voterSet,
     message,
     timeoutUs,
-    isWanted,
+    isExpected,
     onResponse,
-    isAsked,
+    isRecipient,
   }: Phase): Promise<Result<void, PhaseError>> => {
     const { local, calls, withstandMachines } = this.options;
     let failure: PhaseError | undefined;
-    let isOpen = true;
+    let isCollecting = true;
     const done = await calls.collect<Message>({
       sets: () => quorumSetsOf(voterSet),
       needed: (members) => quorumSize(members, withstandMachines),
       graceUs: STRAGGLER_GRACE_US,
       request: async (id) => {
         const reply =
-          isAsked?.(id) === false ? undefined : await calls.request(id, message, timeoutUs);
-        if (!reply || !isOpen) return undefined;
-        if (isWanted(reply)) {
+          isRecipient?.(id) === false ? undefined : await calls.request(id, message, timeoutUs);
+        if (!reply || !isCollecting) return undefined;
+        if (isExpected(reply)) {
           onResponse?.(id, reply);
           return reply;
         }
         const rejection = decodeRejection(reply);
-        local.noteRejection(rejection);
+        local.learnFromRejection(rejection);
         switch (rejection.reason) {
           case "stale-term":
             failure = new StaleTermError();
@@ -248,7 +248,7 @@
         return undefined;
       },
     });
-    isOpen = false;
+    isCollecting = false;
     return done.isOk ? ok(undefined) : err(failure ?? done.error);
   };
 }
--- a/src/consensus/quorum-reader.ts
+++ b/src/consensus/quorum-reader.ts
@@ -17,7 +17,7 @@
  * Before what is undecided is repaired, it is looked at again after this time, or up to twice of
  * it.
  */
-const SECOND_LOOK_US = 30 * MILLISECOND_US;
+const RECHECK_DELAY_US = 30 * MILLISECOND_US;
 
 /** What a `QuorumReader` is made of. */
 export interface QuorumReaderOptions {
@@ -37,7 +37,7 @@
 export class QuorumReader {
   private readonly reads: Batcher<undefined, Result<void, ReplicatedStoreError>>;
   /** Whether a quorum has been read in this incarnation. */
-  private hasRead = false;
+  private hasReadQuorum = false;
 
   constructor(private readonly options: QuorumReaderOptions) {
     this.reads = new Batcher(() => this.readNow());
@@ -58,10 +58,10 @@
       if (caughtUp.isErr) return caughtUp;
     }
     const read = await this.readAndRepair();
-    if (read.isOk && !this.hasRead) {
+    if (read.isOk && !this.hasReadQuorum) {
       // What the disk already showed to be committed may be old until now, and is new to the
       // listeners.
-      this.hasRead = true;
+      this.hasReadQuorum = true;
       await local.events.emit("committed", local.state.allCommitted());
     }
     return read;
@@ -73,7 +73,7 @@
     if (first.isErr) return err(first.error);
     if (first.value.length === 0) return ok(undefined);
     // Most of what is not committed is just being committed by whoever proposed it.
-    await sleep(clock, Math.round(SECOND_LOOK_US * (1 + random())));
+    await sleep(clock, Math.round(RECHECK_DELAY_US * (1 + random())));
     const second = await this.findUndecided();
     if (second.isErr) return err(second.error);
     return writer.recommit(second.value);
--- a/src/consensus/reconfiguration.ts
+++ b/src/consensus/reconfiguration.ts
@@ -112,7 +112,7 @@
     const ownEntries = local.state.copyOfEntries();
     const bucketHashes = local.state.bucketSums();
     const collected = new Map<string, ReplicaView>();
-    const looked = await calls.collect<ReplicaView>({
+    const viewed = await calls.collect<ReplicaView>({
       sets: () => quorumSetsOf(voterSet),
       needed: (members) => quorumSize(members, withstandMachines),
       graceUs: STRAGGLER_GRACE_US,
@@ -126,7 +126,7 @@
         return view;
       },
     });
-    if (looked.isErr) return err(looked.error);
+    if (viewed.isErr) return err(viewed.error);
     const missing = [...ownEntries.values()]
       .filter(
         (entry) => entry.ballot.number > 0 && !this.isStoredByQuorums(entry, voterSet, collected),
@@ -141,7 +141,7 @@
     views: ReadonlyMap<string, ReplicaView>,
   ): boolean => {
     const { self, withstandMachines } = this.options;
-    const isHolder = (id: string): boolean => {
+    const isStoredBy = (id: string): boolean => {
       const view = views.get(id);
       if (!view) return false;
       if (id === self || view.equalBuckets.has(bucketOf(entry.key))) return true;
@@ -149,7 +149,7 @@
       return report !== undefined && !isHigherBallot(entry.ballot, report.ballot);
     };
     return quorumSetsOf(voterSet).every(
-      (members) => members.filter(isHolder).length >= quorumSize(members, withstandMachines),
+      (members) => members.filter(isStoredBy).length >= quorumSize(members, withstandMachines),
     );
   };
 }
--- a/src/consensus/record-persistence.ts
+++ b/src/consensus/record-persistence.ts
@@ -12,41 +12,42 @@
 /** Collects records and writes them together, so that one sync serves all that came before it. */
 export class RecordPersistence {
   /** What has changed and is not yet on its way to the disk. */
-  private unsaved: readonly UnknownRecord[] = [];
+  private pendingRecords: readonly UnknownRecord[] = [];
   /**
    * Whether the log still holds what the disk refused; it goes with what is written next, even if
    * that is nothing.
    */
-  private wasRefused = false;
+  private hasUnwrittenRecords = false;
   private writing: Promise<boolean> | undefined;
 
   constructor(private readonly options: RecordPersistenceOptions) {}
 
   /** Takes records that are to be written with the next call of `persisted`. */
   readonly add = (records: readonly UnknownRecord[]): void => {
-    if (records.length > 0) this.unsaved = [...this.unsaved, ...records];
+    if (records.length > 0) this.pendingRecords = [...this.pendingRecords, ...records];
   };
 
   /** Resolves to true once everything added before the call is safe on this machine's disk. */
   readonly persisted = (): Promise<boolean> => {
-    const earlier = this.writing;
-    if (this.unsaved.length === 0 && !this.wasRefused) return earlier ?? Promise.resolve(true);
+    const previous = this.writing;
+    if (this.pendingRecords.length === 0 && !this.hasUnwrittenRecords)
+      return previous ?? Promise.resolve(true);
     const { writeAheadLog, logger } = this.options;
-    const records = this.unsaved;
-    this.unsaved = [];
-    this.wasRefused = false;
-    const own = writeAheadLog.append(records).then((written) => {
+    const records = this.pendingRecords;
+    this.pendingRecords = [];
+    this.hasUnwrittenRecords = false;
+    const appended = writeAheadLog.append(records).then((written) => {
       if (written.isErr) {
-        this.wasRefused = true;
+        this.hasUnwrittenRecords = true;
         logger.warn("records were not written", { reason: written.error.message });
       }
       return written.isOk;
     });
-    const all = Promise.all([earlier ?? true, own]).then((done) => done.every(Boolean));
-    this.writing = all;
-    void all.then(() => {
-      if (this.writing === all) this.writing = undefined;
+    const combined = Promise.all([previous ?? true, appended]).then((done) => done.every(Boolean));
+    this.writing = combined;
+    void combined.then(() => {
+      if (this.writing === combined) this.writing = undefined;
     });
-    return all;
+    return combined;
   };
 }
--- a/src/consensus/register-writer.ts
+++ b/src/consensus/register-writer.ts
@@ -68,7 +68,7 @@
  * A rejection promises that no part of the call is ever in force; it can't where parts of it were
  * proposed.
  */
-const withPartsProposed = (
+const asUnclearIfProposed = (
   error: ReplicatedStoreError,
   werePartsProposed: boolean,
 ): ReplicatedStoreError => {
@@ -110,9 +110,9 @@
       // One register that is known may be another call's; a call that was confirmed before has all
       // of them.
       if (!error && duplicates < writes.length && !wasProposed)
-        error = await this.findInvalid(findProblem, current);
+        error = await this.validate(findProblem, current);
       if (error) {
-        error = withPartsProposed(error, wasProposed || duplicates > 0);
+        error = asUnclearIfProposed(error, wasProposed || duplicates > 0);
         result = err(error);
         if (error instanceof UnclearOutcomeError) return ok(undefined);
       } else {
@@ -195,7 +195,7 @@
       );
     });
 
-  private readonly findInvalid = async (
+  private readonly validate = async (
     findProblem: WriteCheck | undefined,
     current: Contents,
   ): Promise<ReplicatedStoreError | undefined> => {
--- a/src/consensus/register.ts
+++ b/src/consensus/register.ts
@@ -30,12 +30,12 @@
   /** Of key, version, dropped and body. */
   readonly digest: string;
   /** Earlier numbers with the digests of their contents, rising. */
-  readonly past: readonly Past[];
+  readonly past: readonly PastVersion[];
   readonly pastFrom: number;
 }
 
 /** An earlier version with the digest of its content. */
-export type Past = readonly [version: number, digest: string];
+export type PastVersion = readonly [version: number, digest: string];
 
 /** How many earlier numbers are kept for each item. */
 const MAX_PAST_VERSIONS = 256;
@@ -60,8 +60,8 @@
 });
 
 /** @throws DecodeError where it is no list of versions with their digests */
-export const decodePast = (value: unknown): readonly Past[] =>
-  asList(value, "past").map((row): Past => [
+export const decodePastVersions = (value: unknown): readonly PastVersion[] =>
+  asList(value, "past").map((row): PastVersion => [
     asNumber(asList(row, "past")[0]),
     asString(asList(row, "past")[1]),
   ]);
@@ -69,7 +69,7 @@
 /** @throws DecodeError where a field is missing or of another type */
 export const decodeRegister = (value: unknown): Register => {
   const record = asRecord(value, "register");
-  const past = record["past"] === undefined ? [] : decodePast(record["past"]);
+  const past = record["past"] === undefined ? [] : decodePastVersions(record["past"]);
   const pastFrom = record["pastFrom"] === undefined ? 0 : readNumber(record, "pastFrom");
   return {
     ...makeRegister(
@@ -100,13 +100,13 @@
   ...(pastFrom > 0 ? { pastFrom } : {}),
 });
 
-const withPast = (register: Register, past: readonly Past[], pastFrom: number): Register => {
-  const rising = [...past].sort(([a], [b]) => a - b);
-  const kept = rising.slice(-MAX_PAST_VERSIONS);
+const withPast = (register: Register, past: readonly PastVersion[], pastFrom: number): Register => {
+  const ascending = [...past].sort(([a], [b]) => a - b);
+  const kept = ascending.slice(-MAX_PAST_VERSIONS);
   return {
     ...register,
     past: kept,
-    pastFrom: kept.length < rising.length ? (kept[0]?.[0] ?? pastFrom) : pastFrom,
+    pastFrom: kept.length < ascending.length ? (kept[0]?.[0] ?? pastFrom) : pastFrom,
   };
 };
 
--- a/src/consensus/replica-view.ts
+++ b/src/consensus/replica-view.ts
@@ -72,7 +72,7 @@
       );
       if (!reply) return undefined;
       if (!isReadResponse(reply)) {
-        local.noteRejection(decodeRejection(reply));
+        local.learnFromRejection(decodeRejection(reply));
         return undefined;
       }
       const {
--- a/src/consensus/replica.ts
+++ b/src/consensus/replica.ts
@@ -7,7 +7,7 @@
 import { higherBallot, isHigherBallot, isSameBallot, NO_BALLOT, type Ballot } from "./ballot.js";
 import { BucketHashes, bucketOf } from "./bucket-hashes.js";
 import type { HistoryReport } from "./message-types.js";
-import { ProposalHistory, stampsOf, type ProposedCall } from "./proposal-history.js";
+import { ProposalHistory, summarizeItems, type ProposedCall } from "./proposal-history.js";
 import {
   callRecord,
   decodeRecord,
@@ -29,7 +29,7 @@
 /** A key with the ballot at which a quorum accepted it. */
 export type CommitMark = readonly [key: string, ballot: Ballot];
 
-const noEntry = (key: string): Entry => ({
+const emptyEntry = (key: string): Entry => ({
   key,
   promised: NO_BALLOT,
   ballot: NO_BALLOT,
@@ -56,7 +56,7 @@
  * Whether an entry tells more than the one that is held: of a higher ballot, or that it is accepted
  * or committed.
  */
-const tellsMore = (entry: Entry, current: Entry): boolean => {
+const addsInformation = (entry: Entry, current: Entry): boolean => {
   if (entry.ballot.number === 0 || isHigherBallot(current.ballot, entry.ballot)) return false;
   return (
     !isSameBallot(entry.ballot, current.ballot) ||
@@ -113,7 +113,7 @@
   }
 
   /** What is held under the key; an entry without a ballot where there is nothing. */
-  readonly entry = (key: string): Entry => this.entries.get(key) ?? noEntry(key);
+  readonly entry = (key: string): Entry => this.entries.get(key) ?? emptyEntry(key);
 
   /** The newest committed register under the key. */
   readonly committedAt = (key: string): Register | undefined => this.committed.get(key)?.register;
@@ -134,7 +134,7 @@
     const earlier: Entry[] = [];
     const forgottenKeys: string[] = [];
     keys.forEach((key) => {
-      const before = this.history.earlierOf(key);
+      const before = this.history.earlierEntriesOf(key);
       if (!before) forgottenKeys.push(key);
       [this.entry(key), ...(before ?? [])].forEach(({ ballot, isCommitted }) => {
         const call = isCommitted ? undefined : this.history.callAt(ballot);
@@ -189,9 +189,9 @@
 
   /** Accepts at a ballot that nothing higher was promised against; the caller has checked that. */
   readonly accept = (ballot: Ballot, items: readonly Item[]): readonly UnknownRecord[] => {
-    this.history.addCall({ ballot, items: stampsOf(items) });
+    this.history.addCall({ ballot, items: summarizeItems(items) });
     items.forEach(([key, register]) =>
-      this.put({ key, promised: ballot, ballot, register, isAccepted: true, isCommitted: false }),
+      this.merge({ key, promised: ballot, ballot, register, isAccepted: true, isCommitted: false }),
     );
     return [voteRecord(ballot, items)];
   };
@@ -201,10 +201,12 @@
    * accepted before.
    */
   readonly learn = (entries: readonly Entry[]): readonly UnknownRecord[] => {
-    const fresh = entries.filter((entry) => this.put({ ...entry, isAccepted: false }));
-    if (fresh.length === 0) return [];
+    const newEntries = entries.filter((entry) => this.merge({ ...entry, isAccepted: false }));
+    if (newEntries.length === 0) return [];
     return [
-      learnedRecord(fresh.map((entry) => ({ ...entry, isAccepted: false, promised: NO_BALLOT }))),
+      learnedRecord(
+        newEntries.map((entry) => ({ ...entry, isAccepted: false, promised: NO_BALLOT })),
+      ),
     ];
   };
 
@@ -218,7 +220,7 @@
       if (entry.isCommitted || ballot.number === 0 || !isSameBallot(entry.ballot, ballot))
         return [];
       this.entries.set(key, { ...entry, isCommitted: true });
-      this.settle(key);
+      this.markSettled(key);
       return this.recordCommitted(entry) && entry.register ? [entry.register] : [];
     });
   };
@@ -261,7 +263,7 @@
    * No longer takes part in quorums: nothing on the disk proves that all is there that was
    * accepted.
    */
-  readonly setUnverified = (): void => {
+  readonly setNonVoting = (): void => {
     this.voting = false;
   };
 
@@ -279,7 +281,7 @@
     const committed = [...this.committed];
     this.committed.clear();
     committed.forEach(([key, { ballot, register }]) =>
-      this.put(committedEntry(key, ballot, register)),
+      this.merge(committedEntry(key, ballot, register)),
     );
   };
 
@@ -297,7 +299,7 @@
   /** The calls of what is uncommitted, and what was held before it. */
   private readonly historyRecords = (): readonly UnknownRecord[] => {
     const history = this.historyOf(this.uncommittedKeys());
-    const earlier = this.history.allEarlier();
+    const earlier = this.history.allEarlierEntries();
     return [
       ...(history?.calls ?? []).map(callRecord),
       ...(earlier.length === 0 ? [] : [earlierRecord(earlier)]),
@@ -322,7 +324,7 @@
         break;
       case "earlier":
       case "learned":
-        record.entries.forEach(this.put);
+        record.entries.forEach(this.merge);
         break;
       case "voter-set":
         this.adoptVoterSet(record.voterSet);
@@ -339,16 +341,16 @@
   };
 
   /** Holds the entry unless a higher one is held; true if anything but a promise changed. */
-  private readonly put = (entry: Entry): boolean => {
+  private readonly merge = (entry: Entry): boolean => {
     const before = this.entry(entry.key);
     this.observe(entry.ballot);
     this.observe(entry.promised);
     const promised = higherBallot(before.promised, entry.promised);
     if (entry.isCommitted) this.recordCommitted(entry);
-    if (!tellsMore(entry, before)) {
+    if (!addsInformation(entry, before)) {
       if (promised !== before.promised) this.entries.set(entry.key, { ...before, promised });
       if (isHigherBallot(before.ballot, entry.ballot) && !before.isCommitted)
-        this.history.addEarlier(entry);
+        this.history.addEarlierEntry(entry);
       return false;
     }
     const isSame = isSameBallot(entry.ballot, before.ballot);
@@ -365,20 +367,20 @@
       this.hashes.toggle(before.key, before.ballot);
       this.hashes.toggle(now.key, now.ballot);
     }
-    if (now.isCommitted) this.settle(now.key);
-    else this.noteUncommitted(now, before);
+    if (now.isCommitted) this.markSettled(now.key);
+    else this.trackUncommitted(now, before);
     return true;
   };
 
-  private readonly noteUncommitted = (now: Entry, before: Entry): void => {
+  private readonly trackUncommitted = (now: Entry, before: Entry): void => {
     this.uncommitted.add(now.key);
-    if (!isSameBallot(now.ballot, before.ballot)) this.history.addEarlier(before);
+    if (!isSameBallot(now.ballot, before.ballot)) this.history.addEarlierEntry(before);
   };
 
   /** What is held under the key is known to be committed: what came before no longer matters. */
-  private readonly settle = (key: string): void => {
+  private readonly markSettled = (key: string): void => {
     this.uncommitted.delete(key);
-    this.history.settle(key);
+    this.history.discard(key);
     if (this.uncommitted.size === 0) this.history.clear();
   };
 
--- a/src/consensus/voter-admission.ts
+++ b/src/consensus/voter-admission.ts
@@ -73,11 +73,12 @@
       return { isGranted: false, reason: LEASE_REASONS.mayComeBack(unseen.id) };
     // A connection may seem to be there for a while after a freeze or a partition: where all seem
     // connected, each is asked.
-    const silent = unseen ? undefined : await this.findSilentMember();
-    if (silent !== undefined) return { isGranted: false, reason: LEASE_REASONS.silent(silent) };
+    const unresponsive = unseen ? undefined : await this.findUnresponsiveMember();
+    if (unresponsive !== undefined)
+      return { isGranted: false, reason: LEASE_REASONS.silent(unresponsive) };
     // Chosen among those who are members then: a change that had begun may have replaced the one
     // unseen now. It may have brought this one in too: then there is nobody to replace.
-    const isGranted = await this.change((members) => {
+    const isGranted = await this.changeVoters((members) => {
       if (members.includes(id)) return members;
       const replaced = this.longestUnseenOf(members)?.id;
       return [...members.filter((member) => member !== replaced), id];
@@ -94,7 +95,7 @@
       return { isGranted: !isJoint(store.voterSet()), reason: LEASE_REASONS.voterSetChanging };
     const wouldBeTooFew = (all: readonly string[]) => all.length - 1 < 2 * withstandMachines + 1;
     if (wouldBeTooFew(members)) return { isGranted: false, reason: LEASE_REASONS.tooFewLeft };
-    const isChanged = await this.change((all) =>
+    const isChanged = await this.changeVoters((all) =>
       wouldBeTooFew(all) ? all : all.filter((member) => member !== id),
     );
     return {
@@ -119,7 +120,7 @@
     return longest && { id: longest[0], sinceUs: longest[1] };
   };
 
-  private readonly findSilentMember = async (): Promise<string | undefined> => {
+  private readonly findUnresponsiveMember = async (): Promise<string | undefined> => {
     const { store, self, request } = this.options;
     const others = store.members().filter((id) => id !== self);
     const replies = await Promise.all(
@@ -128,9 +129,9 @@
     return others.find((_id, at) => replies[at] === undefined);
   };
 
-  private readonly change = async (to: MemberChange): Promise<boolean> => {
+  private readonly changeVoters = async (change: MemberChange): Promise<boolean> => {
     const { store, copyOtherState, logger } = this.options;
-    const changed = await store.changeMembers(to, copyOtherState);
+    const changed = await store.changeMembers(change, copyOtherState);
     if (changed.isOk) logger.info("voter set changed", { members: store.members() });
     return changed.isOk;
   };
--- a/src/consensus/voter-set-proposer.ts
+++ b/src/consensus/voter-set-proposer.ts
@@ -43,7 +43,7 @@
 interface Phase {
   readonly base: VoterSet;
   readonly message: Message;
-  readonly isAsked: (id: string) => boolean;
+  readonly isRecipient: (id: string) => boolean;
   readonly onResponse: (id: string, response: Message) => void;
 }
 
@@ -98,7 +98,7 @@
         ballot,
         voterSet: base,
       }),
-      isAsked: () => true,
+      isRecipient: () => true,
       onResponse,
     });
 
@@ -118,27 +118,29 @@
         incarnations,
         next,
       }),
-      isAsked: (id) => incarnations.has(id),
+      isRecipient: (id) => incarnations.has(id),
       onResponse: () => undefined,
     });
 
   private readonly runPhase = ({
     base,
     message,
-    isAsked,
+    isRecipient,
     onResponse,
   }: Phase): Promise<Result<void, NoQuorumError>> => {
     const { local, calls, withstandMachines } = this.options;
-    let isOpen = true;
+    let isCollecting = true;
     return calls
       .collect<Message>({
         sets: () => quorumSetsOf(base),
         needed: (members) => quorumSize(members, withstandMachines),
         request: async (id) => {
-          const reply = isAsked(id) ? await calls.request(id, message, READ_TIMEOUT_US) : undefined;
-          if (!reply || !isOpen) return undefined;
+          const reply = isRecipient(id)
+            ? await calls.request(id, message, READ_TIMEOUT_US)
+            : undefined;
+          if (!reply || !isCollecting) return undefined;
           if (isRejection(reply)) {
-            local.noteRejection(decodeRejection(reply));
+            local.learnFromRejection(decodeRejection(reply));
             return undefined;
           }
           onResponse(id, reply);
@@ -146,7 +148,7 @@
         },
       })
       .finally(() => {
-        isOpen = false;
+        isCollecting = false;
       });
   };
 
