--- a/src/consensus/acceptor.ts
+++ b/src/consensus/acceptor.ts
@@ -1,7 +1,6 @@
 /**
- * What a replica answers to its peers: the acceptor's part of Paxos for registers and for voter
- * sets, reads, and signs of life. Every promise and every vote is on the disk before it is
- * answered.
+ * The acceptor role of Paxos for registers and voter sets. Also answers reads and contact requests.
+ * Every promise and every vote is durable before the response is sent.
  */
 import type { Message } from "../transport/connection.js";
 import { isHigherBallot, isSameBallot, NO_BALLOT, type Ballot } from "./ballot.js";
@@ -29,35 +28,37 @@
 import { LEADER_LEASE_KEY, type Term } from "./term.js";
 import type { VoterSet } from "./voter-set.js";
 
-/** A chunk of a replica's contents ends with the bucket that fills it. */
+/** Target size of a chunk of a replica's contents. A chunk ends with the bucket that reaches it. */
 const CHUNK_BYTES = 64 * 1024;
-/** What an entry takes besides its register's body, about. */
+/** Approximate size of an entry without the body of its register. */
 const ENTRY_OVERHEAD_BYTES = 64;
 
 const withoutRegister = (entry: Entry): EntryReport => ({ ...entry, register: "unchanged" });
 
-/** What a `Acceptor` is made of. */
+/** Dependencies of {@link Acceptor}. */
 export interface AcceptorOptions {
   readonly self: string;
   readonly local: LocalReplica;
-  /** Whether a term above this one is known here, committed or only proposed. */
+  /** Whether a term above the given one is known here, committed or only proposed. */
   readonly isSuperseded: (term: Term) => boolean;
 }
 
 /**
- * Invariant: a replica that doesn't vote neither promises nor accepts, nor lets another catch up
- * from it.
+ * Answers requests of peers.
+ *
+ * Invariant: a non-voting replica neither promises nor accepts, and no replica can catch up from
+ * it.
  */
 export class Acceptor {
   /**
-   * The last floor raised for each replica that caught up; the further chunks of its read bear the
-   * same one.
+   * The last floor raised for each replica that caught up. All chunks of one read carry the same
+   * floor, which is raised only once.
    */
   private readonly floors = new Map<string, Ballot>();
 
   constructor(private readonly options: AcceptorOptions) {}
 
-  /** Answers a request of one of CONSENSUS_MESSAGE_KINDS. */
+  /** Handles a request whose kind is in CONSENSUS_MESSAGE_KINDS. */
   readonly handle = async (message: Message): Promise<Message> => {
     const request = decodeRequest(message);
     switch (request.type) {
@@ -120,7 +121,10 @@
       : undefined;
   };
 
-  /** Why this replica takes no part in what a proposer asks for, whatever the ballot. */
+  /**
+   * The rejection of a proposer's request for reasons other than its ballot; undefined if there is
+   * none.
+   */
   private readonly rejectWriter = (
     voterSet: VoterSet,
     term: Term | undefined,
@@ -132,7 +136,8 @@
   };
 
   /**
-   * Learns the sender's voter set; where it is older than the one known here, tells the newer one.
+   * Adopts the sender's voter set if it is newer. If it is older, rejects the request and returns
+   * the newer one.
    */
   private readonly rejectStaleVoterSet = (senderVoterSet: VoterSet): Message | undefined => {
     const { local } = this.options;
@@ -155,7 +160,7 @@
   };
 
   /**
-   * The floor must be higher than any ballot seen here before, so that no earlier proposal can
+   * A floor must be higher than every ballot seen by this replica, so that no earlier proposal can
    * succeed any more.
    */
   private readonly raiseFloor = (floor: Ballot | undefined): Message | undefined => {
@@ -169,7 +174,10 @@
     return undefined;
   };
 
-  /** Whole buckets that differ from the reader's, up to the size of a chunk. */
+  /**
+   * Collects entries of whole buckets that differ from the reader's until the chunk is full. For
+   * equal buckets, it reports only the reader's uncommitted keys, without their registers.
+   */
   private readonly nextChunk = ({
     bucketHashes: readerHashes,
     uncommittedKeys,
@@ -247,7 +255,7 @@
     return (await local.persisted()) ? encodeAcceptResponse() : encodeRejection("disk-failure");
   };
 
-  /** Only the voter set right after the one known here can be decided. */
+  /** Only the direct successor of the voter set known here can be decided. */
   private readonly rejectVoterSetProposer = ({
     number,
     ballot,
--- a/src/consensus/call-resolution.ts
+++ b/src/consensus/call-resolution.ts
@@ -1,36 +1,39 @@
 /**
- * What stands under some keys, as the promises of a quorum show it, where proposals of several items
- * may have been left at a minority.
+ * Determines the current entries of some keys from the promises of a quorum, where calls with
+ * several items may have been accepted by only a minority.
  *
- * Replicas accept the items of a call together or not at all, so a call was committed for all of its
- * items or for none. If another proposal has a higher ballot under one of them and was not made on
- * top of the call, then a quorum had promised that ballot without having accepted the call: it was
- * not committed, and, since this quorum has promised a ballot above it, it never will be. Its items
- * are then left out, and what was there before them stands. Whatever can't be told is treated as
- * possibly committed.
+ * Replicas accept the items of a call together or not at all, so a call was committed for all of
+ * its items or for none. If another proposal has a higher ballot under one of the items and was not
+ * made on top of the call, then a quorum had promised that ballot without having accepted the call.
+ * The call was therefore not committed, and it never will be, because this quorum has promised a
+ * ballot above it. Its items are discarded, and the entries before them apply. Anything that cannot
+ * be determined is treated as possibly committed.
  */
 import { isHigherBallot, NO_BALLOT, type Ballot } from "./ballot.js";
 import type { EntryReport, PrepareResponse } from "./message-types.js";
 import { ballotIdOf, type ItemSummary, type ProposedCall } from "./proposal-history.js";
 import type { PastVersion, Register } from "./register.js";
 
-/** What the promises come to. */
+/** Result of evaluating the promises of a quorum. */
 export type CallResolution =
-  /** These keys belong to the same calls and must be prepared too. */
+  /** The keys belong to the same calls as the prepared ones and must be prepared too. */
   | { readonly kind: "incomplete"; readonly missingKeys: readonly string[] }
-  /** What stands under each key of which anything is known. */
+  /** The current entry of each key for which anything is known. */
   | { readonly kind: "resolved"; readonly found: ReadonlyMap<string, EntryReport> };
 
-/** A proposal under one key, as all that reported it tell it. */
+/** A proposal for one key, merged from all reports of it. */
 interface Candidate {
   readonly ballot: Ballot;
   readonly register: Register | undefined;
   readonly isCommitted: boolean;
-  /** Whether each that reported it knows its call, and what came before it. */
+  /**
+   * Whether every replica that reported it knows it to be committed, or has accepted it and still
+   * knows its call and the entries before it.
+   */
   readonly isTraceable: boolean;
 }
 
-/** The candidates of a key by ballot. */
+/** The candidates for a key by ballot. */
 type Candidates = Map<string, Candidate>;
 
 const isTraceableBy = (
@@ -76,7 +79,10 @@
     undefined,
   );
 
-/** Whether a register was made on top of what the call wrote there, as far as can be told. */
+/**
+ * Whether a register was made on top of the call's write to the same key, as far as its retained
+ * versions show.
+ */
 const isBuiltOn = (register: Register | undefined, summary: ItemSummary | undefined): boolean => {
   if (!summary) return true;
   if (!register) return false;
@@ -90,7 +96,7 @@
   );
 };
 
-/** The candidates under some keys, and the calls that they belong to. */
+/** Evaluates the candidates for some keys and the calls that they belong to. */
 class Resolver {
   private readonly candidates: ReadonlyMap<string, Candidates>;
   private readonly calls: ReadonlyMap<string, ProposedCall>;
@@ -121,17 +127,15 @@
     }
   };
 
-  /** The calls of the newest proposals that aren't known to be committed, highest ballot first. */
+  /** The calls of the newest proposals that are not known to be committed, highest ballot first. */
   private readonly uncommittedCalls = (): readonly ProposedCall[] => {
-    const uncommitted = new Set<ProposedCall>();
+    const pending = new Set<ProposedCall>();
     this.candidates.forEach((candidates) => {
       const newest = highestOf(candidates);
       const call = newest && this.calls.get(ballotIdOf(newest.ballot));
-      if (call && !newest.isCommitted) uncommitted.add(call);
+      if (call && !newest.isCommitted) pending.add(call);
     });
-    return [...uncommitted].sort((one, other) =>
-      isHigherBallot(one.ballot, other.ballot) ? -1 : 1,
-    );
+    return [...pending].sort((one, other) => (isHigherBallot(one.ballot, other.ballot) ? -1 : 1));
   };
 
   private readonly wasSuperseded = ({ ballot, items }: ProposedCall): boolean => {
@@ -152,7 +156,10 @@
   private readonly discardCall = ({ ballot, items }: ProposedCall): void =>
     [...items.keys()].forEach((key) => this.candidates.get(key)?.delete(ballotIdOf(ballot)));
 
-  /** Where nothing is left under a key, nothing stands there, and that is to be accepted anew. */
+  /**
+   * The newest candidate of each key. A key without candidates is reported as empty, and this empty
+   * state must be accepted anew.
+   */
   private readonly newestEntries = (): ReadonlyMap<string, EntryReport> =>
     new Map(
       [...this.candidates].map(([key, candidates]) => {
@@ -172,10 +179,10 @@
 }
 
 /**
- * Tells what stands under the keys that were prepared.
+ * Determines the current entries of the prepared keys.
  *
- * @param keys - all keys that the ballot was promised for
- * @param responses - the promises of a quorum, registers that were left out filled in
+ * @param keys - all keys for which the ballot was promised
+ * @param responses - the promises of a quorum, with omitted registers filled in
  */
 export const resolveCalls = (
   keys: ReadonlySet<string>,
--- a/src/consensus/catch-up.ts
+++ b/src/consensus/catch-up.ts
@@ -1,8 +1,8 @@
 /**
- * How a replica catches up that may have lost something. It asks as many voting replicas as share a
- * member with every quorum to accept nothing below a floor from now on, and holds the highest that
- * any of them holds. What it may have helped to commit is among that; what it had merely promised
- * can be used by nobody any more. From then on it votes.
+ * Catch-up of a replica that may have lost state. The replica asks as many voting replicas as share
+ * a member with every quorum to accept nothing below a floor from then on, and adopts the highest
+ * entries that any of them holds. These include everything that it may have helped to commit. A
+ * ballot that it had only promised can no longer be used by anyone. After that, the replica votes.
  */
 import { err, ok, type Result } from "true-myth/result";
 import type { Logger } from "../common/logger.js";
@@ -23,29 +23,34 @@
 
 const MAX_ROUNDS = 3;
 
-/** What a `CatchUp` is made of. */
+/** Dependencies of {@link CatchUp}. */
 export interface CatchUpOptions {
   readonly self: string;
   readonly local: LocalReplica;
   readonly calls: QuorumCalls;
   readonly views: ReplicaViews;
-  /** Whom to ask for as long as no voter set is known. */
+  /** Controllers to ask while no voter set is known. */
   readonly seeds: () => readonly string[];
   readonly withstandMachines: number;
   readonly logger: Logger;
 }
 
-/** Invariant: the replica votes only once all that it took over, and the floor, are on its disk. */
+/**
+ * Runs the catch-up.
+ *
+ * Invariant: the replica votes only once all adopted entries and the floor are on its disk.
+ */
 export class CatchUp {
   constructor(private readonly options: CatchUpOptions) {}
 
-  /** Ok once the replica votes. */
+  /** Ok once the replica has caught up and votes. */
   readonly run = async (): Promise<Result<void, ReplicatedStoreError>> => {
     const { local } = this.options;
     for (let round = 1; ; round += 1) {
       const rejections = local.rejectionCount;
       const done = await this.runOnce();
-      // A rejection may only have told whom to ask, and with what number.
+      // After a rejection, another round may succeed with the voter set or the ballot number
+      // learned from it.
       if (done.isOk || round >= MAX_ROUNDS || local.rejectionCount === rejections) return done;
     }
   };
@@ -63,18 +68,21 @@
     const keyCount = this.adopt(ownEntries, views);
     local.record(local.state.raiseFloor(floor));
     if (!(await local.persisted()) || (await local.writeSnapshot()).isErr)
-      return err(new UnclearOutcomeError("the disk refused what was caught up"));
+      return err(new UnclearOutcomeError("writing the caught-up state to disk failed"));
     local.record(local.state.setVoting());
     if (!(await local.persisted())) {
       local.state.setNonVoting();
-      return err(new UnclearOutcomeError("the disk refused what was caught up"));
+      return err(new UnclearOutcomeError("writing the caught-up state to disk failed"));
     }
     logger.info("replica caught up", { entries: keyCount, voterSet: local.voterSet.number });
     void local.events.emit("voting");
     return ok(undefined);
   };
 
-  /** Without a voter set, all seeds are asked, and the first that knows one ends the round. */
+  /**
+   * While no voter set is known, all seeds are asked. A voter set learned from one of them
+   * invalidates the round.
+   */
   private readonly collectViews = (
     bucketHashes: readonly string[],
     floor: Ballot,
@@ -96,14 +104,14 @@
     });
   };
 
-  /** Takes over what the views hold; gives how many keys that concerned. */
+  /** Adopts the entries of the views; returns the number of keys involved. */
   private readonly adopt = (
     ownEntries: ReadonlyMap<string, Entry>,
     views: ReadonlyMap<string, ReplicaView>,
   ): number => {
     const { self, local, withstandMachines } = this.options;
-    // One outside the voter set was in no quorum that is still one; what it accepted long ago must
-    // not come up again.
+    // A replica outside the voter set is in no quorum that still counts. Proposals that it accepted
+    // long ago must not reappear.
     if (!local.isMember()) local.state.dropUncommitted();
     const reports = [...views.values()].flatMap((view) => [...view.reports.values()]);
     const keys = new Set([...ownEntries.keys(), ...reports.map(({ key }) => key)]);
@@ -116,8 +124,8 @@
       withstandMachines,
     });
     local.learnCommitted(committed);
-    // What none knows to be committed is held as it is: this replica may have been among those that
-    // accepted it.
+    // Entries that no replica knows to be committed are stored as uncommitted, since this replica
+    // may have been among those that accepted them.
     const undecidedKeys = new Set(undecided);
     const uncommitted = reports.flatMap(({ key, ballot, register }): Entry[] =>
       undecidedKeys.has(key) && register !== "unchanged"
--- a/src/consensus/commit-detection.ts
+++ b/src/consensus/commit-detection.ts
@@ -1,4 +1,7 @@
-/** Tells from the views of several replicas what is committed, and of what that can't be told. */
+/**
+ * Determines from the views of several replicas which entries are committed and which are
+ * undecided.
+ */
 import { higherBallot, isSameBallot, NO_BALLOT } from "./ballot.js";
 import { bucketOf } from "./bucket-hashes.js";
 import type { EntryReport } from "./message-types.js";
@@ -7,26 +10,28 @@
 import type { ReplicaView } from "./replica-view.js";
 import { quorumSize } from "./voter-set.js";
 
-/** What was read, and whose quorums decide. */
+/** The views that were read, and the sets of members whose quorums decide. */
 export interface CommitDetectionInput {
   readonly self: string;
   readonly keys: Iterable<string>;
-  /** What the reader held when it asked. */
+  /** The reader's entries at the time of its request. */
   readonly ownEntries: ReadonlyMap<string, Entry>;
-  /** By member; the reader's own among them, if it votes. */
+  /** By member id; includes the reader's own view if it votes. */
   readonly views: ReadonlyMap<string, ReplicaView>;
   readonly quorumSets: readonly (readonly string[])[];
   readonly withstandMachines: number;
 }
 
-/** What the views show. */
+/** Result of {@link detectCommitted}. */
 export interface CommitDetection {
   readonly committed: readonly Entry[];
   /** Keys whose newest proposal may or may not be committed. */
   readonly undecided: readonly string[];
 }
 
-/** A report and who gave it; the id is empty for what a reader holds that doesn't vote. */
+/**
+ * A report and the replica that gave it. The id is empty for the entries of a non-voting reader.
+ */
 interface AttributedReport {
   readonly id: string;
   readonly report: EntryReport;
@@ -61,7 +66,9 @@
     : reports;
 };
 
-/** Whether someone knows it to be committed, or a quorum of each set has accepted it. */
+/**
+ * Whether a replica knows the proposal to be committed, or a quorum of each set has accepted it.
+ */
 const isCommittedBy = (
   newest: readonly AttributedReport[],
   { quorumSets, withstandMachines }: CommitDetectionInput,
@@ -74,7 +81,7 @@
   );
 };
 
-/** Decides for each key by what is reported at the highest ballot. */
+/** Classifies each key by the reports at its highest ballot. */
 export const detectCommitted = (input: CommitDetectionInput): CommitDetection => {
   const committed: Entry[] = [];
   const undecided: string[] = [];
--- a/src/consensus/entry-report-codec.ts
+++ b/src/consensus/entry-report-codec.ts
@@ -1,4 +1,4 @@
-/** The form in which replicas report their entries to each other, and what came before them. */
+/** Encoding in which replicas report their entries, and the history of these, to each other. */
 import { asList, asRecord, asString, readList, type UnknownRecord } from "../common/decode.js";
 import { decodeBallot, encodeBallot } from "./ballot.js";
 import { decodeCall, encodeCall } from "./call-codec.js";
@@ -6,7 +6,7 @@
 import { decodeContent } from "./record-codec.js";
 import { encodeRegister } from "./register.js";
 
-/** The form of an entry in responses; a register that the asker holds is left out. */
+/** Encodes an entry for a response. A register that the requester already holds is omitted. */
 export const encodeEntryReport = (entry: EntryReport): readonly unknown[] => [
   entry.key,
   encodeBallot(entry.ballot),
@@ -17,7 +17,7 @@
     : [entry.register ? encodeRegister(entry.register) : null]),
 ];
 
-/** @throws DecodeError where a field is missing or of another type */
+/** @throws DecodeError if a field is missing or has the wrong type */
 export const decodeEntryReport = (value: unknown): EntryReport => {
   const row = asList(value, "entry");
   return {
@@ -29,14 +29,14 @@
   };
 };
 
-/** The form of what a replica remembers beside its entries. */
+/** Encodes the history that a replica keeps besides its entries. */
 export const encodeHistory = ({ calls, earlier, forgottenKeys }: HistoryReport): UnknownRecord => ({
   calls: calls.map(encodeCall),
   earlier: earlier.map(encodeEntryReport),
   forgotten: forgottenKeys,
 });
 
-/** @throws DecodeError where a field is missing or of another type */
+/** @throws DecodeError if a field is missing or has the wrong type */
 export const decodeHistory = (record: UnknownRecord): HistoryReport => ({
   calls: readList(record, "calls", (value) => decodeCall(asRecord(value, "call"))),
   earlier: readList(record, "earlier", decodeEntryReport),
--- a/src/consensus/leader-lease.ts
+++ b/src/consensus/leader-lease.ts
@@ -1,6 +1,6 @@
 /**
- * The leader lease: one controller at a time changes the voters, decides ejections and leases
- * shares. The lease has no time of its own. It is a term that fences: whoever holds an older one is
+ * The leader lease: one controller at a time changes the voter set, decides ejections and leases
+ * shares. The lease does not expire. Its term is a fencing token: requests under an older term are
  * rejected (see term.ts).
  */
 import { sleep, type Clock, type Timer } from "../common/clock.js";
@@ -20,16 +20,16 @@
 import { isJoint } from "./voter-set.js";
 
 const TICK_US = 250 * MILLISECOND_US;
-/** Members propose themselves one after the other, so that they don't collide. */
+/** Delay between the candidacies of successive members, so that they do not collide. */
 const CANDIDATE_STAGGER_US = 300 * MILLISECOND_US;
 /**
- * For how long a controller that stops tries to be let go where nothing else is said, and how
- * often.
+ * Default time for which a stopping controller tries to leave the voter set, and the interval
+ * between its attempts.
  */
 const LEAVE_TIMEOUT_US = 5_000 * MILLISECOND_US;
 const LEAVE_RETRY_US = 200 * MILLISECOND_US;
 
-/** What a `LeaderLease` is made of. */
+/** Dependencies of {@link LeaderLease}. */
 export interface LeaderLeaseOptions {
   readonly self: string;
   readonly store: ReplicatedStore;
@@ -41,21 +41,25 @@
     message: Message,
     timeoutUs: number,
   ) => Promise<Message | undefined>;
-  /** Whether this controller has a disk; without one it does not ask to become a voter. */
+  /** Whether this controller has a disk; without one, it does not ask to become a voter. */
   readonly hasDisk: boolean;
   readonly withstandMachines: number;
-  /** For how long a holder must be unseen before others propose themselves. */
+  /** How long the holder must be unreachable before other members propose themselves. */
   readonly holderTimeoutUs: number;
-  /** How long this controller tries to be let go before it stops. */
+  /** How long this controller tries to leave the voter set before it stops. */
   readonly leaveTimeoutUs?: number;
-  /** What else new members must hold before the old ones stop voting. */
+  /**
+   * Copies other state that new members must hold before the old ones stop voting; true once done.
+   */
   readonly copyOtherState?: () => Promise<boolean>;
 }
 
 /**
+ * Acquires, holds and transfers the leader lease.
+ *
  * Invariants: a term is a register's version, decided like any other, so it has one holder, in one
- * of its incarnations; a holder acts only while it knows of no newer term, and every act carries
- * its term, which no quorum accepts once it has accepted a newer grant.
+ * of its incarnations; a holder acts only while it knows of no newer term; every action carries its
+ * term, which no quorum accepts once it has accepted a newer grant.
  */
 export class LeaderLease {
   private readonly admission: VoterAdmission;
@@ -68,14 +72,14 @@
     this.admission = new VoterAdmission({ ...options, isHolder: () => this.isHolder() });
   }
 
-  /** Begins to watch the holder and the voters. */
+  /** Starts monitoring the holder and the voter set. */
   readonly start = (): void => {
     this.timer = this.options.clock.every(TICK_US, () => void this.tick());
   };
 
   readonly stop = (): void => this.timer?.stop();
 
-  /** Who holds the lease, by the newest term known here; empty before the first. */
+  /** The holder by the newest term known here; empty before the first term. */
   readonly holder = (): string => this.options.store.term()?.holder ?? "";
 
   /** The number of the newest term known here; 0 before the first. */
@@ -104,8 +108,8 @@
     this.isHolder() && (await this.options.store.confirmQuorum()) && this.isHolder();
 
   /**
-   * Whether more than half of each set of voters is connected, this one included if it votes; a
-   * belief, no proof.
+   * Whether more than half of each set of voters is connected, including this replica if it votes.
+   * This is an estimate, not a proof.
    */
   readonly seesMajority = (): boolean => {
     const { self, store, isConnected } = this.options;
@@ -118,10 +122,7 @@
       );
   };
 
-  /**
-   * Answers what peers ask of the lease: whether its holder is seen here, to join, to leave, to
-   * succeed.
-   */
+  /** Answers requests of peers about the lease: candidacy, join, leave and succession. */
   readonly handleRequest = async (message: Message): Promise<Message> => {
     const request = decodeLeaseRequest(message);
     switch (request.type) {
@@ -138,7 +139,7 @@
     }
   };
 
-  /** Hands the lease to a connected member that fits and takes it. */
+  /** Transfers the lease to a connected, eligible member that accepts it. */
   readonly transferTo = async (isEligible: (id: string) => boolean): Promise<boolean> => {
     const { self, store, isConnected, request } = this.options;
     const message = encodeLeaseRequest({ type: "succeed", namedBy: self });
@@ -154,8 +155,8 @@
   };
 
   /**
-   * Before an orderly end: names a successor if this one holds the lease, then asks to be let go
-   * until the others hold everything.
+   * Prepares an orderly shutdown: transfers the lease if this controller holds it, then asks to
+   * leave the voter set until the other members hold all state.
    */
   readonly stepDown = async (): Promise<void> => {
     this.stop();
@@ -164,7 +165,7 @@
     if (!store.isMember()) return;
     const message = encodeLeaseRequest({ type: "leave", id: self });
     const beganUs = clock.nowUs();
-    let reason = "no holder of the leader lease is in reach";
+    let reason = "no holder of the leader lease is reachable";
     while (clock.nowUs() - beganUs < leaveTimeoutUs) {
       if (this.isHolder()) await this.transferTo(() => true);
       const holder = this.holder();
@@ -181,8 +182,8 @@
   };
 
   /**
-   * The wanted state: one connected holder, a voter set that is not joint, and every caught-up
-   * controller with a disk in it.
+   * Converges on the target state: one connected holder, a voter set that is not joint, and every
+   * caught-up controller with a disk in the voter set.
    */
   private readonly tick = async (): Promise<void> => {
     this.admission.observeMembers();
@@ -212,7 +213,7 @@
     }
   };
 
-  /** Whether the holder has been unseen for long enough that this member should propose itself. */
+  /** Whether the holder has been unreachable long enough for this member to propose itself. */
   private readonly shouldPropose = (
     isHolderSeen: boolean,
     holder: string,
@@ -231,11 +232,14 @@
     return nowUs - this.holderUnseenSinceUs >= waitUs;
   };
 
-  /** Takes the lease by deciding the next term, if a quorum doesn't see the holder either. */
+  /**
+   * Takes the lease by deciding the next term, provided that a quorum does not see the holder
+   * either.
+   */
   private readonly propose = async (namedBy: string): Promise<boolean> => {
     const { self, store, logger } = this.options;
-    // One that is partitioned proposes nothing: its terms would rise and unseat the holder once it
-    // is joined again.
+    // A partitioned member does not propose: its rising terms would depose the holder once the
+    // partition heals.
     if (!store.isMember() || !store.isVoting || !this.seesMajority()) return false;
     const approval = await store.callQuorum(
       encodeLeaseRequest({ type: "candidate", candidate: self, namedBy }),
@@ -260,7 +264,7 @@
     return true;
   };
 
-  /** Whether the lease is free for this candidate, as seen from here. */
+  /** Whether the lease is available to this candidate, as far as this member knows. */
   private readonly isFreeFor = (candidate: string, namedBy: string): boolean => {
     const { isConnected, self, store } = this.options;
     const holder = this.holder();
--- a/src/consensus/lease-messages.ts
+++ b/src/consensus/lease-messages.ts
@@ -1,37 +1,37 @@
 /**
- * The messages of the leader lease and of the voters that join and leave, as they are on the wire.
- * The names and the texts of the wire stand here and never change.
+ * Messages of the leader lease and of joining and leaving voters, with their encoding. The names
+ * and texts on the wire are defined here and never change.
  */
 import { readFlag, readString } from "../common/decode.js";
 import type { Message } from "../transport/connection.js";
 
-/** Asks whether the lease is free for a candidate, as seen by the member that is asked. */
+/** Asks whether the receiving member considers the lease available to a candidate. */
 export interface CandidateRequest {
   readonly type: "candidate";
   readonly candidate: string;
-  /** The holder that named the candidate its successor; empty where none did. */
+  /** The holder that named the candidate as its successor; empty if none did. */
   readonly namedBy: string;
 }
 
-/** Asks the holder to make a replica a voter, or to let a voter go. */
+/** Asks the holder to add a replica to the voter set or to remove a voter from it. */
 export interface MembershipRequest {
   readonly type: "join" | "leave";
   readonly id: string;
 }
 
-/** Asks a member to take the lease over. */
+/** Asks a member to take over the lease. */
 export interface SuccessionRequest {
   readonly type: "succeed";
   readonly namedBy: string;
 }
 
-/** What one controller asks of another about the lease. */
+/** Any request between controllers about the lease. */
 export type LeaseRequest = CandidateRequest | MembershipRequest | SuccessionRequest;
 
-/** The response to each of them. */
+/** The response to a {@link LeaseRequest}. */
 export interface LeaseResponse {
   readonly isGranted: boolean;
-  /** Why it is not granted, in a sentence for the log. */
+  /** Why the request was not granted, as a sentence for the log. */
   readonly reason?: string | undefined;
 }
 
@@ -45,7 +45,7 @@
 const IS_GRANTED = "yes";
 const REASON = "why";
 
-/** Why a request to join or to leave is not granted; sent as they stand. */
+/** Reasons for not granting a join or leave request; sent verbatim. */
 export const LEASE_REASONS = {
   notHolder: "this box does not hold the duty",
   voterSetChanging: "the roster is changing",
@@ -57,7 +57,7 @@
   silent: (id: string): string => `${id} does not answer`,
 } as const;
 
-/** The form of a request on the wire. */
+/** Encodes a request. */
 export const encodeLeaseRequest = (request: LeaseRequest): Message => {
   switch (request.type) {
     case "candidate":
@@ -71,7 +71,7 @@
   }
 };
 
-/** @throws DecodeError where a field is missing or of another type */
+/** @throws DecodeError if a field is missing or has the wrong type */
 export const decodeLeaseRequest = (message: Message): LeaseRequest => {
   switch (message.kind) {
     case CANDIDATE:
@@ -89,14 +89,14 @@
   }
 };
 
-/** The form of a response on the wire. */
+/** Encodes a response. */
 export const encodeLeaseResponse = ({ isGranted, reason }: LeaseResponse): Message => ({
   kind: RESPONSE,
   [IS_GRANTED]: isGranted,
   ...(reason === undefined ? {} : { [REASON]: reason }),
 });
 
-/** Reads a response; what is missing is not granted. */
+/** Decodes a response. A missing grant counts as not granted. */
 export const decodeLeaseResponse = (message: Message): LeaseResponse => {
   const reason = message[REASON];
   return {
--- a/src/consensus/local-replica.ts
+++ b/src/consensus/local-replica.ts
@@ -1,7 +1,6 @@
 /**
- * The replica of this process: its durable state joined with the disk, with the listeners, and with
- * the reason why it doesn't vote where that is so. What the protocols of this folder do to the
- * state, they do through it.
+ * The replica of this process: connects its durable state to the disk and to listeners, and records
+ * why it does not vote, if so. The protocols of this folder access the state through it.
  */
 import Emittery from "emittery";
 import type { UnknownRecord } from "../common/decode.js";
@@ -18,39 +17,41 @@
 /** One of the reasons that `ctl duty` shows; docs/operations.md lists them. */
 const NOT_A_MEMBER = "it is not on the roster";
 
-/** What listeners of a replicated store are told. */
+/** Events of a replicated store. */
 export interface ReplicatedStoreEvents {
-  /** Registers that were not known to be committed until now. */
+  /** Registers that have become known to be committed. */
   readonly committed: readonly Register[];
   /** This replica has caught up and votes. */
   readonly voting: undefined;
   /** A newer voter set was decided. */
   readonly voterSet: VoterSet;
-  /** Others hold something newer: a read is due. */
+  /** Other replicas hold newer entries, so a read is due. */
   readonly behind: undefined;
 }
 
-/** What a `LocalReplica` is made of. */
+/** Dependencies of {@link LocalReplica}. */
 export interface LocalReplicaOptions {
   readonly self: string;
   readonly writeAheadLog: WriteAheadLog;
-  /** What the snapshots of the write-ahead log are made of. */
+  /** The state that the snapshots of the write-ahead log contain. */
   readonly replica: Replica;
-  /** The voter set of the first start. */
+  /** The initial voter set, for the first start of the whole system. */
   readonly seeds: () => readonly string[];
-  /** From 0 to 1; names this incarnation. */
+  /** Random source from 0 to 1, used to name this incarnation. */
   readonly random: () => number;
   readonly logger: Logger;
 }
 
 /**
- * Invariants: a replica answers only for what is safe on its own disk; one that may have lost what
- * it once held does not vote; only what a quorum accepted is ever shown.
+ * State, persistence and events of the replica of this process.
+ *
+ * Invariants: a replica answers only from what is durable on its own disk; a replica that may have
+ * lost state does not vote; only entries accepted by a quorum are ever exposed.
  */
 export class LocalReplica {
   readonly events = new Emittery<ReplicatedStoreEvents>();
   readonly state: Replica;
-  /** This run of this process, as terms and ballots name it. */
+  /** Identifies this run of the process in terms and ballots. */
   readonly incarnation: string;
   private readonly records: RecordPersistence;
   private reason = "it has not started";
@@ -66,7 +67,7 @@
     return this.state.isVoting;
   }
 
-  /** Why this replica doesn't vote; empty if it does. */
+  /** Why this replica does not vote; empty if it does. */
   get notVotingReason(): string {
     return this.isVoting ? "" : this.reason;
   }
@@ -76,12 +77,12 @@
     return this.state.voterSet;
   }
 
-  /** How often a request from here was rejected. */
+  /** How many requests from this replica were rejected. */
   get rejectionCount(): number {
     return this.rejections;
   }
 
-  /** Of each of these a quorum is needed. */
+  /** The sets of members of which each must provide a quorum. */
   readonly quorumSets = (): readonly (readonly string[])[] => quorumSetsOf(this.voterSet);
 
   /** All voters, of both sets while the voter set is joint. */
@@ -90,8 +91,8 @@
   readonly isMember = (): boolean => this.members().includes(this.options.self);
 
   /**
-   * The first start of the whole system, a start with a disk that kept its files, or one that lost
-   * them.
+   * Restores the state from disk. Distinguishes the first start of the whole system, a start with a
+   * disk that kept its files, and one with a disk that lost them.
    */
   readonly start = async (firstRun: boolean): Promise<void> => {
     const { self, writeAheadLog, logger } = this.options;
@@ -104,8 +105,8 @@
     } else if (loaded.kind === "empty" && firstRun && seeds.includes(self)) {
       this.state.adoptVoterSet({ number: 1, members: [...seeds].sort(), from: [] });
       this.state.setVoting();
-      // One file holds all of it: a first start that is cut short leaves either nothing or
-      // everything.
+      // The initial state is written as one file, so an interrupted first start leaves either
+      // nothing or all of it.
       if ((await writeAheadLog.writeVerifiedSnapshot()).isErr)
         this.stopVoting("its disk refused the first state");
     } else if (this.isVoting && !this.isMember()) {
@@ -115,17 +116,19 @@
     }
   };
 
-  /** Takes records that must be safe on the disk before what made them is answered. */
+  /** Queues records that must be durable before the change that produced them is acknowledged. */
   readonly record = (records: readonly UnknownRecord[]): void => this.records.add(records);
 
-  /** Resolves to true once everything recorded before the call is safe on this machine's disk. */
+  /**
+   * Resolves to true once everything recorded before the call is durable on this machine's disk.
+   */
   readonly persisted = (): Promise<boolean> => this.records.persisted();
 
-  /** Ok once the whole state is on the disk and was read back. */
+  /** Writes the whole state to disk; ok once it was read back. */
   readonly writeSnapshot: WriteAheadLog["writeVerifiedSnapshot"] = () =>
     this.options.writeAheadLog.writeVerifiedSnapshot();
 
-  /** From now on takes no part in quorums. */
+  /** Withdraws this replica from quorums. */
   readonly stopVoting = (reason: string): void => {
     this.state.setNonVoting();
     this.reason = reason;
@@ -141,7 +144,7 @@
     return ballot;
   };
 
-  /** Learns from a rejection what the next attempt must know. */
+  /** Adopts the voter set and ballot number of a rejection, which the next attempt needs. */
   readonly learnFromRejection = ({ voterSet, highestBallotNumber }: Rejection): void => {
     this.rejections += 1;
     this.learnVoterSet(voterSet);
@@ -150,8 +153,8 @@
   };
 
   /**
-   * Takes a decided voter set, unless a newer one is known. A replica that it leaves out votes no
-   * more.
+   * Adopts a decided voter set, unless a newer one is known. A replica that is not a member of it
+   * stops voting.
    */
   readonly learnVoterSet = (voterSet: VoterSet | undefined): void => {
     if (!voterSet || voterSet.number <= this.voterSet.number) return;
@@ -161,8 +164,8 @@
   };
 
   /**
-   * Takes what a quorum accepted on a proposal from here; a proposer that is no member holds it all
-   * the same.
+   * Stores items of a proposal from this replica that a quorum accepted, even if it is not a
+   * member.
    */
   readonly learnChosen = (ballot: Ballot, items: readonly Item[]): void => {
     this.record(
@@ -171,7 +174,7 @@
     this.emitCommitted(items.flatMap(([, register]) => register ?? []));
   };
 
-  /** Takes what others show to be committed. */
+  /** Stores entries that other replicas show to be committed. */
   readonly learnCommitted = (entries: readonly Entry[]): void => {
     const isUnchanged = ({ key, ballot }: Entry): boolean =>
       isSameBallot(this.state.entry(key).ballot, ballot);
@@ -191,7 +194,7 @@
     );
   };
 
-  /** Marks what is held at these ballots as committed. */
+  /** Marks the entries held at these ballots as committed. */
   readonly markCommitted = (marks: readonly CommitMark[]): void =>
     this.emitCommitted(this.state.markCommitted(marks));
 
--- a/src/consensus/message-types.ts
+++ b/src/consensus/message-types.ts
@@ -1,7 +1,4 @@
-/**
- * What replicas say to each other, as typed values; `messages.ts` gives them their form on the
- * wire.
- */
+/** Typed values of the messages between replicas; `messages.ts` defines their encoding. */
 import type { Ballot } from "./ballot.js";
 import type { ProposedCall } from "./proposal-history.js";
 import type { Item, VoterSetProposal } from "./record-codec.js";
@@ -10,25 +7,24 @@
 import type { Term } from "./term.js";
 import type { VoterSet } from "./voter-set.js";
 
-/** Incarnations by member. Only those that promised are asked to accept. */
+/** Incarnations by member. Only members that promised are asked to accept. */
 export type Incarnations = ReadonlyMap<string, string>;
 
-/** Asks to promise a ballot for some keys. */
+/** Asks for a promise of a ballot for some keys. */
 export interface PrepareRequest {
   readonly type: "prepare";
   readonly ballot: Ballot;
   readonly voterSet: VoterSet;
   readonly keys: readonly string[];
   /**
-   * What the proposer holds under each key; a register at the same ballot is left out of the
-   * response.
+   * The proposer's ballot for each key. A register at the same ballot is omitted from the response.
    */
   readonly knownBallots: readonly Ballot[];
-  /** The term under which the proposer writes, where it does so as holder of the leader lease. */
+  /** The term under which the proposer writes, if it does so as holder of the leader lease. */
   readonly term?: Term | undefined;
 }
 
-/** Asks to accept registers at a ballot that was promised. */
+/** Asks to accept registers at a promised ballot. */
 export interface AcceptRequest {
   readonly type: "accept";
   readonly ballot: Ballot;
@@ -38,35 +34,37 @@
   readonly term?: Term | undefined;
 }
 
-/** Asks for what a replica holds, from one bucket on. */
+/** Asks for the contents of a replica, starting at a bucket. */
 export interface ReadRequest {
   readonly type: "read";
   readonly voterSet: VoterSet;
-  /** Of the reader; buckets with the same hash are not sent. */
+  /** Hashes of the reader; buckets with the same hash are not sent. */
   readonly bucketHashes: readonly string[];
-  /** Keys of equal buckets of which the reader must know whether they are accepted or committed. */
+  /**
+   * Keys in equal buckets for which the reader must know whether they are accepted or committed.
+   */
   readonly uncommittedKeys: readonly string[];
   readonly fromBucket: number;
-  /** From a replica that catches up: nothing below this ballot is to be accepted any more. */
+  /** Set by a replica that catches up: nothing below this ballot may be accepted any more. */
   readonly floor?: Ballot | undefined;
 }
 
-/** Asks for a sign of life, and what voter set and grant are known. */
+/** Checks that a member responds, and asks for the voter set and the grant that it knows. */
 export interface ContactRequest {
   readonly type: "contact";
   readonly voterSet?: VoterSet | undefined;
 }
 
-/** Asks to promise a ballot for the voter set of one number. */
+/** Asks for a promise of a ballot for the voter set of one number. */
 export interface VoterSetPrepareRequest {
   readonly type: "voter-set-prepare";
   readonly number: number;
   readonly ballot: Ballot;
-  /** The decided voter set that the proposer goes by. */
+  /** The decided voter set on which the proposal is based. */
   readonly voterSet: VoterSet;
 }
 
-/** Asks to accept a voter set at a ballot that was promised. */
+/** Asks to accept a voter set at a promised ballot. */
 export interface VoterSetAcceptRequest {
   readonly type: "voter-set-accept";
   readonly number: number;
@@ -76,7 +74,7 @@
   readonly next: VoterSet;
 }
 
-/** What one replica asks of another. */
+/** Any request between replicas. */
 export type ConsensusRequest =
   | PrepareRequest
   | AcceptRequest
@@ -85,54 +83,54 @@
   | VoterSetPrepareRequest
   | VoterSetAcceptRequest;
 
-/** What another replica holds under a key. */
+/** An entry as reported by another replica. */
 export interface EntryReport {
   readonly key: string;
   readonly ballot: Ballot;
   readonly isAccepted: boolean;
   readonly isCommitted: boolean;
-  /** "unchanged" where it is left out since the asker holds that ballot. */
+  /** "unchanged" if it is omitted because the requester holds that ballot. */
   readonly register: Register | undefined | "unchanged";
 }
 
-/** What a replica remembers beside the entries that it reports (`proposal-history.ts`). */
+/** The history that a replica keeps besides the entries that it reports (`proposal-history.ts`). */
 export interface HistoryReport {
-  /** The calls of entries, and of earlier ones, that it doesn't know to be committed. */
+  /** The calls of current and earlier entries that are not known to be committed. */
   readonly calls: readonly ProposedCall[];
-  /** What it held under their keys before. */
+  /** The entries that the replica held under these keys before. */
   readonly earlier: readonly EntryReport[];
-  /** The keys of which it no longer knows what came before. */
+  /** The keys whose earlier entries the replica no longer knows. */
   readonly forgottenKeys: readonly string[];
 }
 
-/** The ballot is promised; what was accepted before is told. */
+/** A promise of the ballot, with the entries accepted before. */
 export interface PrepareResponse {
   readonly incarnation: string;
   readonly entries: readonly EntryReport[];
-  /** Undefined where no entry is part of an uncommitted call, and from older versions. */
+  /** Undefined if no entry is part of an uncommitted call, and from older versions. */
   readonly history?: HistoryReport | undefined;
 }
 
-/** One chunk of what a replica holds. */
+/** One chunk of a replica's contents. */
 export interface ReadResponse {
   readonly isVoting: boolean;
-  /** Buckets in which it holds the same ballots as the reader. */
+  /** Buckets in which the replica holds the same ballots as the reader. */
   readonly equalBuckets: readonly number[];
   readonly entries: readonly EntryReport[];
-  /** Where the next chunk begins. */
+  /** The bucket at which the next chunk starts. */
   readonly nextBucket: number;
   readonly proposal: VoterSetProposal | undefined;
 }
 
-/** What a member knows when it is contacted. */
+/** The state of a contacted member. */
 export interface ContactResponse {
   readonly isVoting: boolean;
   readonly voterSet: VoterSet | undefined;
-  /** The number of the newest term it knows to be granted. */
+  /** The number of the newest term that the member knows to be granted. */
   readonly grantedTerm: number | undefined;
 }
 
-/** The ballot is promised for a voter set; what was accepted before is told. */
+/** A promise of the ballot for a voter set, with the proposal accepted before. */
 export interface VoterSetPrepareResponse {
   readonly incarnation: string;
   readonly proposal: VoterSetProposal;
@@ -147,17 +145,17 @@
   | "other-incarnation"
   | "disk-failure";
 
-/** Why a request is rejected, and what the sender must know to do better. */
+/** A rejection, with what the sender must know for its next attempt. */
 export interface Rejection {
-  /** Undefined where the reason is not known here. */
+  /** Undefined if this version does not know the reason. */
   readonly reason: RejectionReason | undefined;
   /** The highest ballot number that the rejecting replica has seen. */
   readonly highestBallotNumber?: number | undefined;
-  /** The newer voter set that the sender doesn't know. */
+  /** A newer voter set that the sender does not know. */
   readonly voterSet?: VoterSet | undefined;
 }
 
-/** Notice of what a quorum has accepted. */
+/** Notice that a quorum has accepted entries. */
 export interface CommittedNotice {
   readonly voterSet: VoterSet | undefined;
   readonly marks: readonly CommitMark[];
--- a/src/consensus/messages.ts
+++ b/src/consensus/messages.ts
@@ -1,13 +1,13 @@
 /**
- * The messages that replicas exchange, as they are on the wire. All names of the wire stand here.
- * They never change, and neither does the order of a message's fields, so that controllers of
- * different versions understand each other.
+ * Encoding of the messages between replicas. All names on the wire are defined here. Neither they
+ * nor the order of a message's fields ever change, so that controllers of different versions
+ * understand each other.
  *
  * - Registers: prepare and accept, with their responses, and the notice that something was
  *   committed.
- * - Reading: what a replica holds that differs from what the reader holds, in chunks.
+ * - Reads: the contents of a replica that differ from the reader's, in chunks.
  * - Quorum check: the voter set and the newest grant that a member knows.
- * - Voter set: prepare and accept for the voter set of one number.
+ * - Voter sets: prepare and accept for the voter set of one number.
  */
 import {
   asList,
@@ -50,7 +50,7 @@
   VoterSetPrepareResponse,
 } from "./message-types.js";
 
-/** Kinds of messages. */
+/** Message kinds. */
 const PREPARE = "promise";
 const PREPARED = "promised";
 const ACCEPT = "accept";
@@ -64,7 +64,7 @@
 const VOTER_SET_ACCEPT = "roster-accept";
 const REJECTED = "refused";
 
-/** Keys whose names on the wire differ from those of the types, or are used by several messages. */
+/** Field names that differ from those of the types or are shared by several messages. */
 const BALLOT = "ballot";
 const VOTER_SET = "roster";
 const VOTER_SET_NUMBER = "under";
@@ -86,7 +86,7 @@
 const REASON = "why";
 const HIGHEST_BALLOT_NUMBER = "top";
 
-/** The kinds of requests that `ReplicatedStore.handleRequest` takes. */
+/** The kinds of requests that `ReplicatedStore.handleRequest` handles. */
 export const CONSENSUS_MESSAGE_KINDS: ReadonlySet<string> = new Set([
   PREPARE,
   ACCEPT,
@@ -96,7 +96,7 @@
   VOTER_SET_ACCEPT,
 ]);
 
-/** The kind of the notice that `ReplicatedStore.applyCommitted` takes. */
+/** The kind of the notice that `ReplicatedStore.applyCommitted` handles. */
 export const COMMITTED_MESSAGE_KIND = COMMITTED;
 
 const REASON_CODES: ReadonlyMap<RejectionReason, string> = new Map([
@@ -125,7 +125,7 @@
 
 // --- requests ------------------------------------------------------------------------------------
 
-/** The form of a prepare request. */
+/** Encodes a prepare request. */
 export const encodePrepareRequest = (request: PrepareRequest): Message => ({
   kind: PREPARE,
   [BALLOT]: encodeBallot(request.ballot),
@@ -135,7 +135,7 @@
   ...(request.term ? { [TERM]: encodeTerm(request.term) } : {}),
 });
 
-/** The form of an accept request. */
+/** Encodes an accept request. */
 export const encodeAcceptRequest = (request: AcceptRequest): Message => ({
   kind: ACCEPT,
   [BALLOT]: encodeBallot(request.ballot),
@@ -145,7 +145,7 @@
   ...(request.term ? { [TERM]: encodeTerm(request.term) } : {}),
 });
 
-/** The form of a read request. */
+/** Encodes a read request. */
 export const encodeReadRequest = (request: ReadRequest): Message => ({
   kind: READ,
   [VOTER_SET]: encodeVoterSet(request.voterSet),
@@ -155,13 +155,13 @@
   ...(request.floor ? { [FLOOR]: encodeBallot(request.floor) } : {}),
 });
 
-/** The form of a contact request. */
+/** Encodes a contact request. */
 export const encodeContactRequest = (voterSet: VoterSet): Message => ({
   kind: CONTACT,
   [VOTER_SET]: encodeVoterSet(voterSet),
 });
 
-/** The form of a prepare request for a voter set. */
+/** Encodes a prepare request for a voter set. */
 export const encodeVoterSetPrepareRequest = (request: VoterSetPrepareRequest): Message => ({
   kind: VOTER_SET_PREPARE,
   number: request.number,
@@ -169,7 +169,7 @@
   [VOTER_SET]: encodeVoterSet(request.voterSet),
 });
 
-/** The form of an accept request for a voter set. */
+/** Encodes an accept request for a voter set. */
 export const encodeVoterSetAcceptRequest = (request: VoterSetAcceptRequest): Message => ({
   kind: VOTER_SET_ACCEPT,
   number: request.number,
@@ -207,9 +207,9 @@
 });
 
 /**
- * Reads a request of one of CONSENSUS_MESSAGE_KINDS.
+ * Decodes a request whose kind is in CONSENSUS_MESSAGE_KINDS.
  *
- * @throws DecodeError where a field is missing or of another type
+ * @throws DecodeError if a field is missing or has the wrong type
  */
 export const decodeRequest = (message: Message): ConsensusRequest => {
   switch (message.kind) {
@@ -242,7 +242,7 @@
 
 // --- responses -----------------------------------------------------------------------------------
 
-/** The form of a promise. */
+/** Encodes a promise. */
 export const encodePrepareResponse = (response: PrepareResponse): Message => ({
   kind: PREPARED,
   [INCARNATION]: response.incarnation,
@@ -250,23 +250,23 @@
   ...(response.history ? { [HISTORY]: encodeHistory(response.history) } : {}),
 });
 
-/** Whether the ballot was promised, for registers or for a voter set. */
+/** Whether the message is a promise, for registers or for a voter set. */
 export const isPrepareResponse = (message: Message): boolean => message.kind === PREPARED;
 
-/** @throws DecodeError where a field is missing or of another type */
+/** @throws DecodeError if a field is missing or has the wrong type */
 export const decodePrepareResponse = (message: Message): PrepareResponse => ({
   incarnation: readString(message, INCARNATION),
   entries: readList(message, "entries", decodeEntryReport),
   history: isRecord(message[HISTORY]) ? decodeHistory(message[HISTORY]) : undefined,
 });
 
-/** The form of a vote. */
+/** Encodes a vote. */
 export const encodeAcceptResponse = (): Message => ({ kind: ACCEPTED });
 
-/** Whether what was proposed is accepted, for registers or for a voter set. */
+/** Whether the message is a vote, for registers or for a voter set. */
 export const isAcceptResponse = (message: Message): boolean => message.kind === ACCEPTED;
 
-/** The form of one chunk of contents. */
+/** Encodes one chunk of a replica's contents. */
 export const encodeReadResponse = (response: ReadResponse): Message => ({
   kind: CONTENTS,
   [IS_VOTING]: response.isVoting,
@@ -276,10 +276,10 @@
   ...(response.proposal ? { [PROPOSAL]: encodeProposal(response.proposal) } : {}),
 });
 
-/** Whether it is a chunk of contents. */
+/** Whether the message is a chunk of a replica's contents. */
 export const isReadResponse = (message: Message): boolean => message.kind === CONTENTS;
 
-/** @throws DecodeError where a field is missing or of another type */
+/** @throws DecodeError if a field is missing or has the wrong type */
 export const decodeReadResponse = (message: Message): ReadResponse => ({
   isVoting: readFlag(message, IS_VOTING),
   equalBuckets: readList(message, EQUAL_BUCKETS, asNumber),
@@ -288,7 +288,7 @@
   proposal: message[PROPOSAL] === undefined ? undefined : decodeProposal(message[PROPOSAL]),
 });
 
-/** The form of a sign of life, with the newest grant of the leader lease. */
+/** Encodes the response to a contact request, with the newest grant of the leader lease. */
 export const encodeContactResponse = (
   isVoting: boolean,
   voterSet: VoterSet,
@@ -300,27 +300,27 @@
   ...(grant ? { [GRANT]: encodeRegister(grant) } : {}),
 });
 
-/** @throws DecodeError where a field is of another type */
+/** @throws DecodeError if a field has the wrong type */
 export const decodeContactResponse = (message: Message): ContactResponse => ({
   isVoting: readFlag(message, IS_VOTING),
   voterSet: decodeOptionalVoterSet(message),
   grantedTerm: isRecord(message[GRANT]) ? readNumber(message[GRANT], "version") : undefined,
 });
 
-/** The form of a promise for a voter set. */
+/** Encodes a promise for a voter set. */
 export const encodeVoterSetPrepareResponse = (response: VoterSetPrepareResponse): Message => ({
   kind: PREPARED,
   [INCARNATION]: response.incarnation,
   [PROPOSAL]: encodeProposal(response.proposal),
 });
 
-/** @throws DecodeError where a field is missing or of another type */
+/** @throws DecodeError if a field is missing or has the wrong type */
 export const decodeVoterSetPrepareResponse = (message: Message): VoterSetPrepareResponse => ({
   incarnation: readString(message, INCARNATION),
   proposal: decodeProposal(message[PROPOSAL]),
 });
 
-/** The form of a rejection. */
+/** Encodes a rejection. */
 export const encodeRejection = (
   reason: RejectionReason,
   highestBallotNumber?: number,
@@ -332,10 +332,10 @@
   ...(voterSet ? { [VOTER_SET]: encodeVoterSet(voterSet) } : {}),
 });
 
-/** Whether it is a rejection. */
+/** Whether the message is a rejection. */
 export const isRejection = (message: Message): boolean => message.kind === REJECTED;
 
-/** Reads a rejection; of any other message, what it has of one. */
+/** Decodes a rejection. Fields that the message lacks are undefined. */
 export const decodeRejection = (message: Message): Rejection => {
   const highest = message[HIGHEST_BALLOT_NUMBER];
   return {
@@ -345,9 +345,9 @@
   };
 };
 
-// --- notices and what other protocols add --------------------------------------------------------
+// --- notices and fields of other protocols -------------------------------------------------------
 
-/** The form of the notice that a quorum has accepted something. */
+/** Encodes the notice that a quorum has accepted entries. */
 export const encodeCommittedNotice = (
   voterSet: VoterSet,
   marks: readonly CommitMark[],
@@ -357,7 +357,7 @@
   items: marks.map(([key, ballot]) => [key, encodeBallot(ballot)]),
 });
 
-/** @throws DecodeError where a field is missing or of another type */
+/** @throws DecodeError if a field is missing or has the wrong type */
 export const decodeCommittedNotice = (message: Message): CommittedNotice => ({
   voterSet: decodeOptionalVoterSet(message),
   marks: readList(message, "items", asList).map(([key, ballot]): CommitMark => [
@@ -366,15 +366,13 @@
   ]),
 });
 
-/** A message of another protocol with the number of the voter set that it is sent under. */
+/** Adds the number of the sender's voter set to a message of another protocol. */
 export const withVoterSetNumber = (message: Message, { number }: VoterSet): Message => ({
   ...message,
   [VOTER_SET_NUMBER]: number,
 });
 
-/**
- * The number of the voter set that a message of another protocol was sent under, if it tells one.
- */
+/** The number of the sender's voter set in a message of another protocol, if it has one. */
 export const voterSetNumberOf = (message: Message): number | undefined => {
   const number = message[VOTER_SET_NUMBER];
   return typeof number === "number" ? number : undefined;
--- a/src/consensus/proposal-history.ts
+++ b/src/consensus/proposal-history.ts
@@ -1,35 +1,38 @@
 /**
- * What a replica remembers of proposals that are not known to be committed: which items were
- * proposed by one call, and what was held under each key before. From it a proposer can tell that a
- * call was never committed, and what stands without it (`call-resolution.ts`).
+ * History of proposals that are not known to be committed: which items one call proposed together,
+ * and which entries were held under each key before. From it, a proposer can determine that a call
+ * was never committed, and which entries apply without it (`call-resolution.ts`).
  */
 import { isHigherBallot, isSameBallot, type Ballot } from "./ballot.js";
 import type { Entry, Item } from "./record-codec.js";
 import type { PastVersion } from "./register.js";
 
-/** What a call was to write under a key; undefined where it found nothing there and left it so. */
+/** What a call writes under a key; undefined in a call that found the key empty and left it so. */
 export interface ItemSummary {
   readonly version: number;
   readonly digest: string;
-  /** Earlier versions: a write that comes late changes nothing else of what is in force. */
+  /** Earlier versions. A late write of an old version changes only these. */
   readonly past: readonly PastVersion[];
 }
 
-/** The items that were proposed together, at one ballot. */
+/** The items that were proposed together at one ballot. */
 export interface ProposedCall {
   readonly ballot: Ballot;
   readonly items: ReadonlyMap<string, ItemSummary | undefined>;
 }
 
-/** Beyond so many calls the oldest are forgotten; their items are then treated one by one. */
+/**
+ * Maximum number of calls kept. Beyond it, the oldest is dropped and its items are treated one by
+ * one.
+ */
 const MAX_CALLS = 256;
-/** Beyond so many earlier proposals of one key the history of that key is forgotten. */
+/** Maximum number of earlier entries kept per key. Beyond it, the history of the key is dropped. */
 const MAX_EARLIER_ENTRIES = 32;
 
-/** A name for the ballot, to look it up by. */
+/** A string that identifies the ballot, for use as a map key. */
 export const ballotIdOf = ({ number, proposer }: Ballot): string => `${number} ${proposer}`;
 
-/** The items of a call by what they were to write. */
+/** Summarizes the items of a call by key. */
 export const summarizeItems = (items: readonly Item[]): ProposedCall["items"] =>
   new Map(
     items.map(([key, register]) => [
@@ -39,16 +42,18 @@
   );
 
 /**
+ * Calls and earlier entries of uncommitted keys.
+ *
  * Invariant: the earlier entries of a key are those that this replica held below the newest one
- * since something was last known to be committed there, highest ballot first; or the key is among
- * those whose history was forgotten.
+ * since an entry was last known to be committed there, highest ballot first; or the key is among
+ * those whose history was dropped.
  */
 export class ProposalHistory {
   private readonly calls = new Map<string, ProposedCall>();
   private readonly earlier = new Map<string, readonly Entry[]>();
   private readonly forgotten = new Set<string>();
 
-  /** Remembers the items of a call; one item alone is no call. */
+  /** Records the items of a call. A single item is not a call. */
   readonly addCall = (call: ProposedCall): void => {
     if (call.items.size < 2) return;
     this.calls.set(ballotIdOf(call.ballot), call);
@@ -60,14 +65,16 @@
   readonly callAt = (ballot: Ballot): ProposedCall | undefined =>
     this.calls.get(ballotIdOf(ballot));
 
-  /** What was held under the key before, highest first; undefined where that was forgotten. */
+  /**
+   * The entries held under the key before, highest ballot first; undefined if they were dropped.
+   */
   readonly earlierEntriesOf = (key: string): readonly Entry[] | undefined =>
     this.forgotten.has(key) ? undefined : (this.earlier.get(key) ?? []);
 
-  /** All that is remembered of earlier entries. */
+  /** All earlier entries of all keys. */
   readonly allEarlierEntries = (): readonly Entry[] => [...this.earlier.values()].flat();
 
-  /** Remembers an entry that is below the one held now. */
+  /** Records an entry with a lower ballot than the current one. */
   readonly addEarlierEntry = (entry: Entry): void => {
     const known = this.earlier.get(entry.key) ?? [];
     if (entry.ballot.number === 0) return;
@@ -75,20 +82,20 @@
     const sorted = [...known, entry].sort((one, other) =>
       isHigherBallot(one.ballot, other.ballot) ? -1 : 1,
     );
-    // Below what was committed nothing can matter any more.
+    // Entries below a committed one are no longer relevant.
     const newestCommitted = sorted.findIndex(({ isCommitted }) => isCommitted);
     const retained = newestCommitted < 0 ? sorted : sorted.slice(0, newestCommitted + 1);
     if (retained.length > MAX_EARLIER_ENTRIES) this.forgotten.add(entry.key);
     else this.earlier.set(entry.key, retained);
   };
 
-  /** Forgets what came before under a key, since what is held there now is committed. */
+  /** Drops the history of a key whose current entry is committed. */
   readonly discard = (key: string): void => {
     this.earlier.delete(key);
     this.forgotten.delete(key);
   };
 
-  /** Forgets everything, once nothing is uncommitted. */
+  /** Drops everything, once no entry is uncommitted. */
   readonly clear = (): void => {
     this.calls.clear();
     this.earlier.clear();
--- a/src/consensus/proposer.ts
+++ b/src/consensus/proposer.ts
@@ -1,7 +1,7 @@
 /**
- * The proposer's part of Paxos for registers: a quorum promises a ballot and shows what it accepted
- * before, then those that promised accept the new contents. A proposer that meets another tries
- * again with a higher ballot, after a random backoff that doubles.
+ * The proposer role of Paxos for registers: a quorum promises a ballot and reports what it accepted
+ * before, then the replicas that promised accept the new contents. After a collision with another
+ * proposer, the proposer retries with a higher ballot after a random backoff whose bound doubles.
  */
 import { err, ok, type Result } from "true-myth/result";
 import { sleep, type Clock } from "../common/clock.js";
@@ -36,73 +36,76 @@
 import { quorumSetsOf, quorumSize, type VoterSet } from "./voter-set.js";
 
 /**
- * After a quorum has responded, so long is waited for the rest, so that all take part where all are
- * well.
+ * How long to wait for the remaining members after a quorum has responded, so that all healthy
+ * members take part.
  */
 export const STRAGGLER_GRACE_US = 10 * MILLISECOND_US;
-/** No attempt begins later than this after the call. */
+/** No attempt starts later than this after the call. */
 const MAX_RETRY_TIME_US = 900 * MILLISECOND_US;
 const MAX_RETRIES = 40;
-/** How often keys are added to a ballot since their items were proposed together. */
+/**
+ * Maximum number of prepare rounds. Each further round, with a new ballot, adds the keys whose
+ * items were proposed together with those prepared so far.
+ */
 const MAX_PREPARE_ROUNDS = 4;
 const FIRST_BACKOFF_US = 8 * MILLISECOND_US;
 const MAX_BACKOFF_US = 200 * MILLISECOND_US;
 
-/** A ballot that a quorum has promised, with what stands below it. */
+/** A ballot promised by a quorum, with the current entries below it. */
 export interface PreparedBallot {
   readonly ballot: Ballot;
   readonly voterSet: VoterSet;
-  /** Those asked for, and those whose items were proposed together with theirs. */
+  /** The requested keys, and those whose items were proposed together with theirs. */
   readonly keys: readonly string[];
-  /** By key, what was accepted at the highest ballot, without calls that were overruled. */
+  /** By key, the entry accepted at the highest ballot, without calls that were superseded. */
   readonly found: ReadonlyMap<string, EntryReport>;
   readonly incarnations: Incarnations;
 }
 
-/** A ballot that a quorum has promised, and what the promises come to. */
+/** A ballot promised by a quorum, with the result of evaluating the promises. */
 interface PromisedBallot extends Pick<PreparedBallot, "ballot" | "voterSet" | "incarnations"> {
   readonly resolution: CallResolution;
 }
 
-/** What stands under a key, as a prepared ballot found it. */
+/** The current register under a key, as found by a prepared ballot. */
 export const registerFoundBy = (prepared: PreparedBallot, key: string): Register | undefined => {
   const report = prepared.found.get(key);
   return report === undefined || report.register === "unchanged" ? undefined : report.register;
 };
 
-/** What a `Proposer` is made of. */
+/** Dependencies of {@link Proposer}. */
 export interface ProposerOptions {
   readonly local: LocalReplica;
   readonly calls: QuorumCalls;
   readonly transport: PeerTransport;
   readonly clock: Clock;
-  /** From 0 to 1; spreads the waits after a collision. */
+  /** Random source from 0 to 1, used to spread the backoff after a collision. */
   readonly random: () => number;
   readonly withstandMachines: number;
 }
 
-/**
- * One phase: a request to all members of a voter set, and which of the responses are as required.
- */
+/** One phase: a request to all members of a voter set, and the criterion for its responses. */
 interface Phase {
   readonly voterSet: VoterSet;
   readonly message: Message;
   readonly timeoutUs: number;
   readonly isExpected: (response: Message) => boolean;
   readonly onResponse?: (id: string, response: Message) => void;
-  /** Whom to ask; everyone where it is left out. */
+  /** Which members to ask; all of them if omitted. */
   readonly isRecipient?: (id: string) => boolean;
 }
 
 /**
- * Runs the two phases. Invariants: no two attempts use the same ballot; only those that promised,
- * in the same incarnation, are asked to accept.
+ * Runs the two phases.
+ *
+ * Invariants: no two attempts use the same ballot; only members that promised, in the same
+ * incarnation, are asked to accept.
  */
 export class Proposer {
   constructor(private readonly options: ProposerOptions) {}
 
   /**
-   * Asks for promises; ok once a quorum of each set has given them. Where items of these keys were
+   * Asks for promises; ok once a quorum of each set has given them. If items of these keys were
    * proposed together with others, the others are prepared too.
    */
   readonly prepare = async (
@@ -121,7 +124,7 @@
     return err(new CollisionError(false));
   };
 
-  /** One round of promises for these keys alone. */
+  /** One round of promises for exactly these keys. */
   private readonly prepareKeys = async (
     keys: readonly string[],
     term: Term | undefined,
@@ -160,7 +163,7 @@
     }));
   };
 
-  /** Asks those that promised to accept; then everyone is notified. */
+  /** Asks the members that promised to accept the items, then notifies all peers. */
   readonly accept = async (
     { ballot, voterSet, incarnations }: PreparedBallot,
     items: readonly Item[],
@@ -188,7 +191,7 @@
     return ok(undefined);
   };
 
-  /** Repeats an attempt for as long as it collides with another, up to about a second. */
+  /** Repeats an attempt while it collides with others, for up to about a second. */
   readonly withRetries = async (
     attempt: () => Promise<Result<void, PhaseError>>,
   ): Promise<Result<void, NoQuorumError | StaleTermError | UnclearOutcomeError>> => {
@@ -200,14 +203,19 @@
       const failure = done.error;
       if (!(failure instanceof CollisionError)) return err(failure);
       if (clock.nowUs() - beganUs > MAX_RETRY_TIME_US || retry >= MAX_RETRIES)
-        return err(new UnclearOutcomeError("other orders were in the way"));
+        return err(
+          new UnclearOutcomeError("retries exhausted: the write collided with concurrent ones"),
+        );
       if (failure.canRetryImmediately) continue;
       const backoffUs = Math.min(MAX_BACKOFF_US, FIRST_BACKOFF_US * 2 ** retry);
       await sleep(clock, Math.round(random() * backoffUs));
     }
   };
 
-  /** What stood in the way of a quorum is the error; no quorum only where nobody said more. */
+  /**
+   * Runs one phase. The error is the reason that members gave for rejecting the request, or
+   * `NoQuorumError` if they gave none.
+   */
   private readonly runPhase = async ({
     voterSet,
     message,
@@ -253,7 +261,7 @@
   };
 }
 
-/** A register that was left out of a report is the one that the proposer held. */
+/** Fills in a register that a report omits because the proposer holds it. */
 const withOwnRegister =
   (own: ReadonlyMap<string, Entry>) =>
   (report: EntryReport): EntryReport => {
--- a/src/consensus/quorum-calls.ts
+++ b/src/consensus/quorum-calls.ts
@@ -5,67 +5,67 @@
 import { NoQuorumError } from "./errors.js";
 
 /**
- * How a replica reaches others; the connections between controllers fit it, and so does a test's
- * own network.
+ * How a replica reaches its peers. Implemented by the connections between controllers and by the
+ * simulated networks of tests.
  */
 export interface PeerTransport {
   /**
-   * Resolves to the response, or to undefined once `timeoutUs` microseconds are over or the peer
-   * can't be reached.
+   * Resolves to the response, or to undefined if `timeoutUs` microseconds have passed or the peer
+   * is unreachable.
    */
   readonly request: (
     id: string,
     message: Message,
     timeoutUs: number,
   ) => Promise<Message | undefined>;
-  /** Sends a notice to every peer that is connected. */
+  /** Sends a notice to every connected peer. */
   readonly broadcast: (message: Message) => void;
 }
 
-/** One question to all members of some sets of voters. */
+/** A request to all members of some sets of voters. */
 export interface QuorumCall<T> {
-  /** Asked for anew after each response, since that may tell of a newer voter set. */
+  /** Evaluated again after each response, since a response may bring a newer voter set. */
   readonly sets: () => readonly (readonly string[])[];
-  /** How many of one set's members must respond as required. */
+  /** How many members of a set must respond as required. */
   readonly needed: (members: readonly string[]) => number;
-  /** Asks one member; undefined, or a rejection, counts as no response. */
+  /** Asks one member. Undefined, or a rejected promise, counts as no response. */
   readonly request: (id: string) => Promise<T | undefined>;
   /**
-   * After a quorum has responded, so long is waited for the rest, so that all take part where all
-   * are well.
+   * How long to wait for the remaining members after a quorum has responded, so that all healthy
+   * members take part.
    */
   readonly graceUs?: number;
 }
 
-/** What a `QuorumCalls` is made of. */
+/** Dependencies of {@link QuorumCalls}. */
 export interface QuorumCallsOptions {
   readonly self: string;
   readonly transport: PeerTransport;
   readonly clock: Clock;
-  /** Answers this replica's requests to itself. */
+  /** Handles the requests of this replica to itself. */
   readonly handleLocally: (message: Message) => Promise<Message>;
 }
 
-/** Sends requests to members, this replica among them. */
+/** Sends requests to members, including this replica. */
 export class QuorumCalls {
   constructor(private readonly options: QuorumCallsOptions) {}
 
-  /** One member's response; undefined if it has not come in time. */
+  /** The response of one member; undefined if it has not arrived in time. */
   readonly request = (
     id: string,
     message: Message,
     timeoutUs: number,
   ): Promise<Message | undefined> => {
     const { self, transport, clock, handleLocally } = this.options;
-    // Its own disk may stall, and then counts no more than a silent peer.
+    // The local disk may stall. This replica then counts as unresponsive, like any peer.
     return id === self
       ? withTimeout(clock, timeoutUs, handleLocally(message), undefined)
       : transport.request(id, message, timeoutUs);
   };
 
   /**
-   * Asks every member of the sets; ok as soon as enough of each have responded, and the rest too or
-   * a grace is over.
+   * Asks every member of the sets. Ok as soon as enough members of each set have responded and
+   * either no request is pending or the grace period is over.
    */
   readonly collect = <T>({
     sets,
@@ -101,7 +101,7 @@
           asked.add(id);
           pending += 1;
           void request(id)
-            // A response that can't be read is no response.
+            // A malformed response counts as no response.
             .catch(() => undefined)
             .then((response) => {
               if (response !== undefined) responded.add(id);
--- a/src/consensus/quorum-check.ts
+++ b/src/consensus/quorum-check.ts
@@ -1,6 +1,6 @@
 /**
- * Proves that this replica is in touch with a majority, and learns on the way of newer voter sets
- * and grants of the leader lease.
+ * Confirms that this replica can reach a majority, and learns of newer voter sets and newer grants
+ * of the leader lease in the process.
  */
 import { Batcher } from "../common/batcher.js";
 import { sleep, type Clock } from "../common/clock.js";
@@ -13,17 +13,21 @@
 import { READ_TIMEOUT_US } from "./timeouts.js";
 import { majoritySize } from "./voter-set.js";
 
-/** One round of requests serves all calls that came within so long. */
+/** Calls within this window share one round of requests. */
 const BATCH_WINDOW_US = 40 * MILLISECOND_US;
 
-/** What a `QuorumCheck` is made of. */
+/** Dependencies of {@link QuorumCheck}. */
 export interface QuorumCheckOptions {
   readonly local: LocalReplica;
   readonly calls: QuorumCalls;
   readonly clock: Clock;
 }
 
-/** Invariant: a round that confirms began after each call that it serves. */
+/**
+ * Runs rounds of requests for confirmation.
+ *
+ * Invariant: a round starts after every call that it confirms.
+ */
 export class QuorumCheck {
   private readonly rounds: Batcher<undefined, boolean>;
   private highestTermSeen = 0;
@@ -64,7 +68,8 @@
   };
 
   /**
-   * A newer grant that a member knows is reason enough to read, and to give the leader lease up.
+   * Records a term that a member reported. A newer one triggers a read and makes this controller
+   * give up the leader lease.
    */
   private readonly learnTerm = (term: number | undefined): void => {
     if (term === undefined) return;
--- a/src/consensus/quorum-reader.ts
+++ b/src/consensus/quorum-reader.ts
@@ -1,4 +1,4 @@
-/** Reads of a quorum, and the repair of what they find half accepted. */
+/** Quorum reads, and read repair of entries that only some replicas have accepted. */
 import { err, ok, type Result } from "true-myth/result";
 import { Batcher } from "../common/batcher.js";
 import { sleep, type Clock } from "../common/clock.js";
@@ -14,12 +14,11 @@
 import { quorumSize } from "./voter-set.js";
 
 /**
- * Before what is undecided is repaired, it is looked at again after this time, or up to twice of
- * it.
+ * Undecided entries are checked again after one to two times this delay before they are repaired.
  */
 const RECHECK_DELAY_US = 30 * MILLISECOND_US;
 
-/** What a `QuorumReader` is made of. */
+/** Dependencies of {@link QuorumReader}. */
 export interface QuorumReaderOptions {
   readonly self: string;
   readonly local: LocalReplica;
@@ -28,12 +27,16 @@
   readonly writer: RegisterWriter;
   readonly catchUp: CatchUp;
   readonly clock: Clock;
-  /** From 0 to 1; spreads the waits before a repair. */
+  /** Random source from 0 to 1, used to spread the delay before a repair. */
   readonly random: () => number;
   readonly withstandMachines: number;
 }
 
-/** Invariant: after a read everything that was confirmed before the call is known here. */
+/**
+ * Reads quorums.
+ *
+ * Invariant: after a read, everything that was confirmed before the call is known here.
+ */
 export class QuorumReader {
   private readonly reads: Batcher<undefined, Result<void, ReplicatedStoreError>>;
   /** Whether a quorum has been read in this incarnation. */
@@ -44,13 +47,12 @@
   }
 
   /**
-   * Reads a quorum, adopts what is committed, and commits anew what is found half accepted. A
-   * replica that doesn't vote catches up first. Calls that come while a read runs share the next
-   * one.
+   * Reads a quorum, adopts what is committed, and recommits entries that only some replicas have
+   * accepted. A non-voting replica catches up first. Calls during a read share the next one.
    */
   readonly read = (): Promise<Result<void, ReplicatedStoreError>> => this.reads.add(undefined);
 
-  /** One read of its own, at once. */
+  /** Reads immediately, without sharing the read with other calls. */
   readonly readNow = async (): Promise<Result<void, ReplicatedStoreError>> => {
     const { local, catchUp } = this.options;
     if (!local.isVoting) {
@@ -59,8 +61,8 @@
     }
     const read = await this.readAndRepair();
     if (read.isOk && !this.hasReadQuorum) {
-      // What the disk already showed to be committed may be old until now, and is new to the
-      // listeners.
+      // Committed registers from the disk may have been outdated until now and were not emitted
+      // yet.
       this.hasReadQuorum = true;
       await local.events.emit("committed", local.state.allCommitted());
     }
@@ -72,14 +74,14 @@
     const first = await this.findUndecided();
     if (first.isErr) return err(first.error);
     if (first.value.length === 0) return ok(undefined);
-    // Most of what is not committed is just being committed by whoever proposed it.
+    // Most uncommitted entries are still being committed by their proposer.
     await sleep(clock, Math.round(RECHECK_DELAY_US * (1 + random())));
     const second = await this.findUndecided();
     if (second.isErr) return err(second.error);
     return writer.recommit(second.value);
   };
 
-  /** Looks at a quorum once: adopts what is committed; gives the keys of which that is not sure. */
+  /** Reads a quorum once: adopts what is committed and returns the keys that are undecided. */
   private readonly findUndecided = async (): Promise<Result<readonly string[], NoQuorumError>> => {
     const { self, local, calls, views, withstandMachines } = this.options;
     const ownEntries = local.state.copyOfEntries();
--- a/src/consensus/reconfiguration.ts
+++ b/src/consensus/reconfiguration.ts
@@ -1,7 +1,8 @@
 /**
- * Changes of the voters by joint consensus (as in Ongaro and Ousterhout, "In Search of an
- * Understandable Consensus Algorithm", 2014, section 6), without a log: a joint voter set of old
- * and new is decided; then, once the new members hold all that is committed, the new set alone.
+ * Voter set changes by joint consensus (as in Ongaro and Ousterhout, "In Search of an
+ * Understandable Consensus Algorithm", 2014, section 6), but without a log. First, a joint voter
+ * set of the old and new members is decided. Once the new members hold all that is committed, the
+ * new set alone is decided.
  */
 import { err, ok, type Result } from "true-myth/result";
 import { isHigherBallot } from "./ballot.js";
@@ -19,10 +20,10 @@
 
 const MAX_COMPLETION_ROUNDS = 4;
 
-/** Given the present members, tells the wanted ones. */
+/** Returns the target members for the current ones. */
 export type MemberChange = (members: readonly string[]) => readonly string[];
 
-/** What a `Reconfiguration` is made of. */
+/** Dependencies of {@link Reconfiguration}. */
 export interface ReconfigurationOptions {
   readonly self: string;
   readonly local: LocalReplica;
@@ -35,8 +36,10 @@
 }
 
 /**
- * Invariant: the new members stand alone only once a quorum of them holds everything that was
- * committed before.
+ * Changes the voter set.
+ *
+ * Invariant: the new members form the voter set alone only once a quorum of them holds everything
+ * that was committed before.
  */
 export class Reconfiguration {
   private isRunning = false;
@@ -44,19 +47,19 @@
   constructor(private readonly options: ReconfigurationOptions) {}
 
   /**
-   * Changes who the voters are. One change at a time; one begun by another is completed first.
+   * Changes the members of the voter set. Only one change runs at a time, and a change that another
+   * controller began is completed first.
    *
-   * @param change - tells the wanted members, given the present ones
-   * @param copyOtherState - brings what else the new members must hold to them; true once that is
-   *   done
-   * @returns ok: the wanted voter set is decided
+   * @param change - returns the target members for the current ones
+   * @param copyOtherState - copies other state that the new members must hold; true once done
+   * @returns ok once the target voter set is decided
    */
   readonly changeMembers = async (
     change: MemberChange,
     copyOtherState: () => Promise<boolean> = async () => true,
   ): Promise<Result<void, ReplicatedStoreError>> => {
     if (this.isRunning)
-      return err(new UnclearOutcomeError("another change of the voter set is under way"));
+      return err(new UnclearOutcomeError("another voter set change is in progress"));
     this.isRunning = true;
     try {
       const completed = await this.completeJoint(copyOtherState);
@@ -77,8 +80,8 @@
   };
 
   /**
-   * Ends a joint voter set: all that is committed is brought to a quorum of the new members, then
-   * they stand alone.
+   * Completes a joint voter set: copies all that is committed to a quorum of the new members, then
+   * decides a voter set of these alone.
    */
   private readonly completeJoint = async (
     copyOtherState: () => Promise<boolean>,
@@ -90,7 +93,7 @@
       const copied = await this.copyCommitted(voterSet);
       if (copied.isErr) return copied;
       if (!(await copyOtherState()))
-        return err(new UnclearOutcomeError("the new members don't hold everything yet"));
+        return err(new UnclearOutcomeError("the new members do not hold all state yet"));
       await proposer.decide(voterSet, {
         number: voterSet.number + 1,
         members: voterSet.members,
@@ -101,7 +104,8 @@
   };
 
   /**
-   * Ok once a quorum of each set holds all that was committed before the voter set became joint.
+   * Ok once a quorum of each set holds everything that was committed before the voter set became
+   * joint.
    */
   private readonly copyCommitted = async (
     voterSet: VoterSet,
--- a/src/consensus/record-codec.ts
+++ b/src/consensus/record-codec.ts
@@ -1,7 +1,7 @@
 /**
- * The records that a replica keeps on disk. The keys and the values of `t` are those of stored
- * files and never change; the types beside them have the names that the code uses. Records may be
- * replayed in any order and more than once.
+ * Encoding of the records that a replica keeps on disk. The keys and the values of `t` appear in
+ * stored files and never change; the types here use the names of the code. Records may be replayed
+ * in any order and more than once.
  */
 import { asList, asRecord, asString, readList, type UnknownRecord } from "../common/decode.js";
 import { decodeBallot, encodeBallot, isHigherBallot, NO_BALLOT, type Ballot } from "./ballot.js";
@@ -10,23 +10,24 @@
 import { decodeRegister, encodeRegister, type Register } from "./register.js";
 import { decodeVoterSet, encodeVoterSet, type VoterSet } from "./voter-set.js";
 
-/** What a replica holds under one key. */
+/** The state of a replica for one key. */
 export interface Entry {
   readonly key: string;
   readonly promised: Ballot;
-  /** Of `register`; number 0 where nothing was ever proposed. */
+  /** The ballot of `register`; its number is 0 if nothing was ever proposed. */
   readonly ballot: Ballot;
-  /** Undefined where a ballot committed that nothing is there. */
+  /** Undefined if a ballot committed the key as empty. */
   readonly register: Register | undefined;
   /**
-   * Whether this replica itself accepted it at that ballot; else it was learned, and is no vote.
+   * Whether this replica itself accepted it at that ballot. Otherwise, it was learned and is not a
+   * vote.
    */
   readonly isAccepted: boolean;
-  /** Whether it is known that a quorum accepted it at that ballot. */
+  /** Whether a quorum is known to have accepted it at that ballot. */
   readonly isCommitted: boolean;
 }
 
-/** A key with what is to be accepted under it; undefined where nothing is there. */
+/** A key with the register to accept under it; undefined if the key is empty. */
 export type Item = readonly [key: string, register: Register | undefined];
 
 /** The decision on the voter set of one number, as far as this replica has taken part in it. */
@@ -37,20 +38,20 @@
   readonly voterSet: VoterSet | undefined;
 }
 
-/** A record as the replica replays it. */
+/** A decoded record, as the replica replays it. */
 export type ReplicaRecord =
   | { readonly type: "floor"; readonly ballot: Ballot }
   | { readonly type: "promise"; readonly ballot: Ballot; readonly keys: readonly string[] }
   | { readonly type: "vote"; readonly ballot: Ballot; readonly items: readonly Item[] }
   | { readonly type: "call"; readonly call: ProposedCall }
-  /** Like learned ones; versions before the history of proposals don't know the type. */
+  /** Replayed like `learned`. Versions older than the proposal history do not know this type. */
   | { readonly type: "earlier"; readonly entries: readonly Entry[] }
   | { readonly type: "learned"; readonly entries: readonly Entry[] }
   | { readonly type: "voter-set"; readonly voterSet: VoterSet }
   | { readonly type: "proposal"; readonly proposal: VoterSetProposal }
   | { readonly type: "voting" };
 
-/** The key that tells the type of a record, and its values. */
+/** The key of the record type, and its values. */
 const TYPE = "t";
 const FLOOR = "floor";
 const PROMISE = "promise";
@@ -62,27 +63,27 @@
 const PROPOSAL = "pending";
 const VOTING = "counting";
 
-/** Further keys. */
+/** Other keys. */
 const BALLOT = "at";
 const ROWS = "rows";
 
-/** The form in records and messages. */
+/** Encodes an item for records and messages. */
 export const encodeItem = ([key, register]: Item): readonly unknown[] => [
   key,
   register ? encodeRegister(register) : null,
 ];
 
-/** A register, or undefined where nothing is there. */
+/** Decodes a register; undefined if the key is empty. */
 export const decodeContent = (value: unknown): Register | undefined =>
   value === null || value === undefined ? undefined : decodeRegister(value);
 
-/** @throws DecodeError where it is no pair of a key and a register or null */
+/** @throws DecodeError if the value is not a pair of a key and a register or null */
 export const decodeItem = (value: unknown): Item => {
   const [key, content] = asList(value, "item");
   return [asString(key), decodeContent(content)];
 };
 
-/** The promise is left out where it is no higher than the ballot: it follows from that. */
+/** Omits the promise if it is no higher than the ballot, which implies it. */
 const encodeEntry = ({
   key,
   register,
@@ -111,54 +112,54 @@
   };
 };
 
-/** Nothing is accepted below this ballot, whatever its key. */
+/** Record that nothing below this ballot is accepted, for any key. */
 export const floorRecord = (ballot: Ballot): UnknownRecord => ({
   [TYPE]: FLOOR,
   [BALLOT]: encodeBallot(ballot),
 });
 
-/** The ballot was promised for these keys. */
+/** Record that the ballot was promised for these keys. */
 export const promiseRecord = (ballot: Ballot, keys: readonly string[]): UnknownRecord => ({
   [TYPE]: PROMISE,
   [BALLOT]: encodeBallot(ballot),
   keys,
 });
 
-/** The items were accepted at the ballot. */
+/** Record that the items were accepted at the ballot. */
 export const voteRecord = (ballot: Ballot, items: readonly Item[]): UnknownRecord => ({
   [TYPE]: VOTE,
   [BALLOT]: encodeBallot(ballot),
   items: items.map(encodeItem),
 });
 
-/** These items were proposed together and are not known to be committed. */
+/** Record that these items were proposed together and are not known to be committed. */
 export const callRecord = (call: ProposedCall): UnknownRecord => ({
   [TYPE]: CALL,
   ...encodeCall(call),
 });
 
-/** Entries that this replica held before those that it holds now. */
+/** Record of entries that this replica held before its current ones. */
 export const earlierRecord = (entries: readonly Entry[]): UnknownRecord => ({
   [TYPE]: EARLIER,
   [ROWS]: entries.map(encodeEntry),
 });
 
-/** Entries that others hold, or all of this replica's own. */
+/** Record of entries learned from other replicas, or of all entries of this replica. */
 export const learnedRecord = (entries: readonly Entry[]): UnknownRecord => ({
   [TYPE]: LEARNED,
   [ROWS]: entries.map(encodeEntry),
 });
 
-/** The voter set was decided. */
+/** Record that the voter set was decided. */
 export const voterSetRecord = (voterSet: VoterSet): UnknownRecord => ({
   [TYPE]: VOTER_SET,
   [VOTER_SET]: encodeVoterSet(voterSet),
 });
 
-/** From here on the replica votes. */
+/** Record that the replica votes from here on. */
 export const votingRecord = (): UnknownRecord => ({ [TYPE]: VOTING });
 
-/** A proposal for the next voter set; messages carry it in the same form. */
+/** Encodes a proposal for the next voter set, for records and messages. */
 export const encodeProposal = ({
   number,
   promised,
@@ -172,7 +173,7 @@
   ...(voterSet ? { [VOTER_SET]: encodeVoterSet(voterSet) } : {}),
 });
 
-/** @throws DecodeError where a field is missing or of another type */
+/** @throws DecodeError if a field is missing or has the wrong type */
 export const decodeProposal = (value: unknown): VoterSetProposal => {
   const record = asRecord(value, "pending");
   const voterSet = record[VOTER_SET];
@@ -185,9 +186,9 @@
 };
 
 /**
- * Reads one record; undefined for a type that is not known, as a later version may write it.
+ * Decodes one record; undefined for an unknown type, which a later version may have written.
  *
- * @throws DecodeError where a field is missing or of another type
+ * @throws DecodeError if a field is missing or has the wrong type
  */
 export const decodeRecord = (record: UnknownRecord): ReplicaRecord | undefined => {
   switch (record[TYPE]) {
--- a/src/consensus/record-persistence.ts
+++ b/src/consensus/record-persistence.ts
@@ -1,33 +1,35 @@
-/** Writing of a replica's records to its write-ahead log, in the order in which they were made. */
+/**
+ * Writes the records of a replica to its write-ahead log, in the order in which they were created.
+ */
 import type { Logger } from "../common/logger.js";
 import type { UnknownRecord } from "../common/decode.js";
 import type { WriteAheadLog } from "../storage/write-ahead-log.js";
 
-/** What a `RecordPersistence` is made of. */
+/** Dependencies of {@link RecordPersistence}. */
 export interface RecordPersistenceOptions {
   readonly writeAheadLog: WriteAheadLog;
   readonly logger: Logger;
 }
 
-/** Collects records and writes them together, so that one sync serves all that came before it. */
+/** Batches records, so that one sync covers all that were added before it. */
 export class RecordPersistence {
-  /** What has changed and is not yet on its way to the disk. */
+  /** Records that were not yet handed to the write-ahead log. */
   private pendingRecords: readonly UnknownRecord[] = [];
   /**
-   * Whether the log still holds what the disk refused; it goes with what is written next, even if
-   * that is nothing.
+   * Whether the log still holds records that the disk rejected. They are written with the next
+   * append, even if that adds no records.
    */
   private hasUnwrittenRecords = false;
   private writing: Promise<boolean> | undefined;
 
   constructor(private readonly options: RecordPersistenceOptions) {}
 
-  /** Takes records that are to be written with the next call of `persisted`. */
+  /** Queues records for the next call of `persisted`. */
   readonly add = (records: readonly UnknownRecord[]): void => {
     if (records.length > 0) this.pendingRecords = [...this.pendingRecords, ...records];
   };
 
-  /** Resolves to true once everything added before the call is safe on this machine's disk. */
+  /** Resolves to true once everything added before the call is durable on this machine's disk. */
   readonly persisted = (): Promise<boolean> => {
     const previous = this.writing;
     if (this.pendingRecords.length === 0 && !this.hasUnwrittenRecords)
--- a/src/consensus/register-writer.ts
+++ b/src/consensus/register-writer.ts
@@ -1,6 +1,5 @@
 /**
- * Writes to registers: what an operator sends, what the holder of the leader lease decides, and
- * repairs.
+ * Writes to registers: operator calls, decisions of the holder of the leader lease, and repairs.
  */
 import { err, ok, type Result } from "true-myth/result";
 import { isSameBallot, NO_BALLOT } from "./ballot.js";
@@ -16,15 +15,17 @@
 import { applyWrite, makeRegister, type Register } from "./register.js";
 import type { Term } from "./term.js";
 
-/** How many registers are committed anew with one ballot. */
+/** How many registers are recommitted with one ballot. */
 const RECOMMIT_BATCH = 256;
 
 type Contents = ReadonlyMap<string, Register | undefined>;
 
-/** Given what is in force, by key, tells what makes a write invalid. */
+/**
+ * Returns why a write is invalid, given the registers in force by key; undefined if it is valid.
+ */
 export type WriteCheck = (get: (key: string) => Register | undefined) => string | undefined;
 
-/** What a `RegisterWriter` is made of. */
+/** Dependencies of {@link RegisterWriter}. */
 export interface RegisterWriterOptions {
   readonly local: LocalReplica;
   readonly proposer: Proposer;
@@ -32,10 +33,10 @@
   readonly read: () => Promise<Result<void, ReplicatedStoreError>>;
 }
 
-/** What several writes come to, given what is in force. */
+/** Result of applying several writes to the registers in force. */
 interface AppliedWrites {
   readonly next: Contents;
-  /** How many of the writes were made before. */
+  /** How many of the writes had been made before. */
   readonly duplicates: number;
   readonly error: VersionConflictError | UnclearOutcomeError | undefined;
 }
@@ -49,24 +50,26 @@
     if (outcome.kind === "applied") next.set(key, outcome.next);
     if (outcome.kind === "conflict") error ??= new VersionConflictError(key, version);
     if (outcome.kind === "forgotten")
-      error ??= new UnclearOutcomeError(`what ${key} was at version ${version} is no longer known`);
+      error ??= new UnclearOutcomeError(
+        `the content of ${key} at version ${version} is no longer known`,
+      );
   }
-  // Compared with what was there before, since one call may name a key twice.
+  // Compared with the contents before the call, since one call may name a key twice.
   const duplicates = writes.filter(
     (write) => applyWrite(current.get(write.key), write).kind === "duplicate",
   ).length;
   return { next, duplicates, error };
 };
 
-/** What stands, under each key of which anything is known. */
+/** The current item of each key for which anything is known. */
 const itemsFoundBy = (prepared: PreparedBallot): readonly Item[] =>
   prepared.keys
     .filter((key) => prepared.found.has(key))
     .map((key): Item => [key, registerFoundBy(prepared, key)]);
 
 /**
- * A rejection promises that no part of the call is ever in force; it can't where parts of it were
- * proposed.
+ * A rejection guarantees that no part of the call is ever in force. If parts of it were proposed,
+ * that is not guaranteed, and the outcome is unclear instead.
  */
 const asUnclearIfProposed = (
   error: ReplicatedStoreError,
@@ -74,22 +77,20 @@
 ): ReplicatedStoreError => {
   const isRejection = error instanceof VersionConflictError || error instanceof InvalidWriteError;
   return isRejection && werePartsProposed
-    ? new UnclearOutcomeError(
-        "another order has one of its numbers, and parts of this one were offered",
-      )
+    ? new UnclearOutcomeError("the write was rejected, but parts of it were already proposed")
     : error;
 };
 
-/** Decides registers by way of a proposer. */
+/** Decides registers by means of a proposer. */
 export class RegisterWriter {
   constructor(private readonly options: RegisterWriterOptions) {}
 
   /**
-   * Decides one call of an operator, all registers at one ballot. Ok: every one is held by a
-   * quorum, or was written before and is, or has since been replaced by a newer one.
+   * Decides one operator call, all registers at one ballot. Ok: every register, written by this
+   * call or an earlier one, is held by a quorum or has since been replaced by a newer version.
    *
-   * @param writes - the registers, each with the version that the operator gave it
-   * @param findProblem - tells what makes the call invalid
+   * @param writes - the registers, each with the version given by the operator
+   * @param findProblem - returns why the call is invalid
    */
   readonly write = (
     writes: readonly Register[],
@@ -107,8 +108,8 @@
       );
       const { next, duplicates, ...applied } = applyWrites(writes, current);
       let error: ReplicatedStoreError | undefined = applied.error;
-      // One register that is known may be another call's; a call that was confirmed before has all
-      // of them.
+      // A single known register may belong to another call. A call that was confirmed before has
+      // all of them.
       if (!error && duplicates < writes.length && !wasProposed)
         error = await this.validate(findProblem, current);
       if (error) {
@@ -119,9 +120,9 @@
         result = ok(undefined);
         wasProposed = true;
       }
-      // What is in force is always accepted anew beside a refusal: a minority may have accepted
-      // parts of an earlier attempt at this call above the ballot that was committed, and they must
-      // not come up later.
+      // After a rejection, the registers in force are always accepted again. A minority may have
+      // accepted parts of an earlier attempt at this call above the committed ballot, and these
+      // must not come into force later.
       const items: readonly Item[] = [...(error ? current : next)];
       return !error && this.areCommitted(prepared.value, items, current)
         ? ok(undefined)
@@ -131,10 +132,10 @@
   };
 
   /**
-   * Compares and sets one register. Gives what is in force afterwards.
+   * Compares and sets one register. Returns the register in force afterwards.
    *
-   * @param makeBody - gives the new body, or undefined to leave the register as it is
-   * @param term - where the write is made as holder of the leader lease
+   * @param makeBody - returns the new body, or undefined to leave the register as it is
+   * @param term - the term of the writer, if it writes as holder of the leader lease
    */
   readonly update = async (
     key: string,
@@ -157,7 +158,9 @@
     return done.map(() => result);
   };
 
-  /** Read repair: proposes anew what was last accepted under the keys, so that it is committed. */
+  /**
+   * Read repair: proposes the last accepted items of the keys again, so that they are committed.
+   */
   readonly recommit = async (
     keys: readonly string[],
   ): Promise<Result<void, ReplicatedStoreError>> => {
@@ -178,9 +181,7 @@
     return ok(undefined);
   };
 
-  /**
-   * Whether nothing is to change, and all of it is known to be committed as the ballot found it.
-   */
+  /** Whether the items change nothing and are all known to be committed at the ballots found. */
   private readonly areCommitted = (
     { found }: PreparedBallot,
     items: readonly Item[],
@@ -202,9 +203,9 @@
     const { local, read } = this.options;
     const check = () => findProblem?.((key) => current.get(key) ?? local.state.committedAt(key));
     if (check() === undefined) return undefined;
-    // This replica may be old: nothing is called unknown, nor let pass, before a quorum was read.
+    // This replica may be outdated, so a problem is reported or dismissed only after a quorum read.
     if ((await read()).isErr)
-      return new UnclearOutcomeError("no quorum could be read for what the order names");
+      return new UnclearOutcomeError("no quorum could be read to check what the write refers to");
     const problem = check();
     return problem === undefined ? undefined : new InvalidWriteError(problem);
   };
--- a/src/consensus/register.ts
+++ b/src/consensus/register.ts
@@ -1,6 +1,6 @@
 /**
- * Registers: the items of the configuration, each with a version of its own, and what a write makes
- * of them.
+ * Registers: the items of the configuration, each with its own version, and the rules by which
+ * writes change them.
  */
 import { createHash } from "node:crypto";
 import {
@@ -15,21 +15,21 @@
 } from "../common/decode.js";
 
 /**
- * One item with a version of its own, as it was committed.
+ * One item with its own version, as it was committed.
  *
- * Invariant: a version names one content for good. `past` keeps what was committed under earlier
- * numbers, so that a write that comes again long after newer ones is recognized; below `pastFrom`
- * this is no longer known.
+ * Invariant: a version permanently identifies one content. `past` keeps the digests committed under
+ * earlier versions, so that a write repeated long after newer ones is recognized. Versions below
+ * `pastFrom` are no longer known.
  */
 export interface Register {
   readonly key: string;
   readonly version: number;
   readonly dropped: boolean;
-  /** The item as the operator wrote it, in JSON; empty for one that was removed. */
+  /** The item as JSON, as written by the operator; empty if the item was removed. */
   readonly body: string;
-  /** Of key, version, dropped and body. */
+  /** Digest of key, version, dropped and body. */
   readonly digest: string;
-  /** Earlier numbers with the digests of their contents, rising. */
+  /** Earlier versions with the digests of their contents, in ascending order. */
   readonly past: readonly PastVersion[];
   readonly pastFrom: number;
 }
@@ -37,10 +37,10 @@
 /** An earlier version with the digest of its content. */
 export type PastVersion = readonly [version: number, digest: string];
 
-/** How many earlier numbers are kept for each item. */
+/** How many earlier versions are kept for each item. */
 const MAX_PAST_VERSIONS = 256;
 
-/** A register without earlier versions, with its digest. */
+/** Creates a register without earlier versions and computes its digest. */
 export const makeRegister = (
   key: string,
   version: number,
@@ -59,14 +59,14 @@
   pastFrom: 0,
 });
 
-/** @throws DecodeError where it is no list of versions with their digests */
+/** @throws DecodeError if the value is not a list of versions with their digests */
 export const decodePastVersions = (value: unknown): readonly PastVersion[] =>
   asList(value, "past").map((row): PastVersion => [
     asNumber(asList(row, "past")[0]),
     asString(asList(row, "past")[1]),
   ]);
 
-/** @throws DecodeError where a field is missing or of another type */
+/** @throws DecodeError if a field is missing or has the wrong type */
 export const decodeRegister = (value: unknown): Register => {
   const record = asRecord(value, "register");
   const past = record["past"] === undefined ? [] : decodePastVersions(record["past"]);
@@ -83,7 +83,7 @@
   };
 };
 
-/** The form in records and messages: without the digest, which the reader computes anew. */
+/** Encodes a register for records and messages, without the digest, which the reader recomputes. */
 export const encodeRegister = ({
   key,
   version,
@@ -110,18 +110,18 @@
   };
 };
 
-/** What a write comes to, given what is in force. */
+/** Result of applying a write to the register in force. */
 export type WriteOutcome =
-  /** `next` is to be committed. A write that is older than what is in force changes only `past`. */
+  /** `next` is to be committed. A write older than the register in force changes only `past`. */
   | { readonly kind: "applied"; readonly next: Register }
   /** The same write was made before. */
   | { readonly kind: "duplicate" }
-  /** Another content has this version. */
+  /** The version has different content. */
   | { readonly kind: "conflict" }
-  /** So old that what its version named is no longer known. */
+  /** The write is so old that the content of its version is no longer known. */
   | { readonly kind: "forgotten" };
 
-/** Compares a write with the register that is in force, by version and digest. */
+/** Compares a write with the register in force, by version and digest. */
 export const applyWrite = (current: Register | undefined, write: Register): WriteOutcome => {
   if (!current) return { kind: "applied", next: write };
   const committedDigest =
--- a/src/consensus/replica-view.ts
+++ b/src/consensus/replica-view.ts
@@ -1,4 +1,4 @@
-/** What one replica holds, as another reads it. */
+/** The contents of one replica, as read by another. */
 import type { Ballot } from "./ballot.js";
 import { NO_BALLOT } from "./ballot.js";
 import type { LocalReplica } from "./local-replica.js";
@@ -18,34 +18,34 @@
 export interface ReplicaView {
   readonly isVoting: boolean;
   readonly reports: ReadonlyMap<string, EntryReport>;
-  /** Buckets in which it holds the same ballots as the reader held when it asked. */
+  /** Buckets in which it holds the same ballots as the reader held at the time of its request. */
   readonly equalBuckets: ReadonlySet<number>;
 }
 
-/** What the reader held when it asked. */
+/** The reader's state at the time of its request. */
 export interface ReaderState {
   readonly bucketHashes: readonly string[];
   readonly uncommittedKeys: readonly string[];
 }
 
-/** Reads the views of single replicas. */
+/** Reads the views of individual replicas. */
 export class ReplicaViews {
   constructor(
     private readonly local: LocalReplica,
     private readonly calls: QuorumCalls,
   ) {}
 
-  /** The reader's own: it tells nothing but that what the reader holds is on its disk. */
+  /** The reader's own view. It confirms only that the reader's entries are on its disk. */
   readonly own = async (): Promise<ReplicaView> => {
     const isVoting = (await this.local.persisted()) && this.local.isVoting;
     return { isVoting, reports: new Map(), equalBuckets: new Set() };
   };
 
   /**
-   * What one peer holds that differs, read in chunks; undefined where it stops responding.
+   * Reads the contents of one peer that differ, in chunks; undefined if the peer rejects a request
+   * or stops responding.
    *
-   * @param floor - given by a replica that catches up: the peer accepts nothing below it from then
-   *   on
+   * @param floor - set by a replica that catches up: the peer accepts nothing below it from then on
    */
   readonly fetch = async (
     id: string,
@@ -84,7 +84,7 @@
       } = decodeReadResponse(reply);
       entries.forEach((report) => reports.set(report.key, report));
       equal.forEach((bucket) => equalBuckets.add(bucket));
-      // One that catches up may have taken part in deciding the next voter set.
+      // A replica that catches up may have taken part in deciding the next voter set.
       if (floor && proposal)
         local.record(local.state.recordProposal({ ...proposal, promised: NO_BALLOT }));
       fromBucket = nextBucket;
--- a/src/consensus/replica.ts
+++ b/src/consensus/replica.ts
@@ -1,7 +1,7 @@
 /**
- * The durable state of one replica, as a plain state machine: what an acceptor of single-decree
- * Paxos keeps for each register (Lamport, "Paxos Made Simple", 2001), what is known to be
- * committed, and the voter set.
+ * The durable state of one replica, as a plain state machine: the acceptor state of single-decree
+ * Paxos for each register (Lamport, "Paxos Made Simple", 2001), what is known to be committed, and
+ * the voter set.
  */
 import type { UnknownRecord } from "../common/decode.js";
 import { higherBallot, isHigherBallot, isSameBallot, NO_BALLOT, type Ballot } from "./ballot.js";
@@ -26,7 +26,7 @@
 import type { Register } from "./register.js";
 import { NO_VOTER_SET, type VoterSet } from "./voter-set.js";
 
-/** A key with the ballot at which a quorum accepted it. */
+/** A key and the ballot at which a quorum accepted its entry. */
 export type CommitMark = readonly [key: string, ballot: Ballot];
 
 const emptyEntry = (key: string): Entry => ({
@@ -38,7 +38,7 @@
   isCommitted: false,
 });
 
-/** An entry that a quorum is known to have accepted, as it is learned from others. */
+/** Creates an entry that a quorum is known to have accepted, as learned from other replicas. */
 export const committedEntry = (
   key: string,
   ballot: Ballot,
@@ -53,8 +53,8 @@
 });
 
 /**
- * Whether an entry tells more than the one that is held: of a higher ballot, or that it is accepted
- * or committed.
+ * Whether an entry adds information to the current one: a higher ballot, or that it is accepted or
+ * committed.
  */
 const addsInformation = (entry: Entry, current: Entry): boolean => {
   if (entry.ballot.number === 0 || isHigherBallot(current.ballot, entry.ballot)) return false;
@@ -66,26 +66,26 @@
 };
 
 /**
- * What one replica promised, accepted and learned. Each change gives the records that must reach
- * the disk before it is answered.
+ * What one replica promised, accepted and learned. Each change returns the records that must be
+ * durable before the change is acknowledged.
  *
- * Invariants: for a key neither `promised` nor `ballot` ever falls; nothing is accepted below what
- * is promised, for that key or, by `floor`, for all; records may be replayed in any order and more
- * than once, and give the same state.
+ * Invariants: for a key, neither `promised` nor `ballot` ever decreases; nothing is accepted below
+ * what is promised, for that key or, by `floor`, for all; records may be replayed in any order and
+ * more than once, and give the same state.
  */
 export class Replica {
   private readonly entries = new Map<string, Entry>();
-  /** The newest that is known to be committed; an entry may already hold a later proposal. */
+  /** The newest committed state of each key; its entry may already hold a later proposal. */
   private readonly committed = new Map<
     string,
     { readonly ballot: Ballot; readonly register: Register | undefined }
   >();
-  /** Invariant: the keys whose entry is not known to be committed. */
+  /** Invariant: contains exactly the keys whose entry is not known to be committed. */
   private readonly uncommitted = new Set<string>();
-  /** Of what is uncommitted: the calls that proposed it, and what was held before. */
+  /** Calls of uncommitted entries, and the entries held before them. */
   private readonly history = new ProposalHistory();
   private readonly hashes = new BucketHashes();
-  /** Nothing is accepted below it, whatever the key. */
+  /** Nothing below this ballot is accepted, whatever the key. */
   private floor = NO_BALLOT;
   private highestNumber = 0;
   private voting = false;
@@ -102,7 +102,7 @@
     return this.currentVoterSet;
   }
 
-  /** The decision on the next one, if this replica has taken part in it. */
+  /** The decision on the next voter set, if this replica has taken part in it. */
   get voterSetProposal(): VoterSetProposal | undefined {
     return this.proposal;
   }
@@ -112,7 +112,7 @@
     return this.highestNumber;
   }
 
-  /** What is held under the key; an entry without a ballot where there is nothing. */
+  /** The entry of the key; an entry without a ballot if there is none. */
   readonly entry = (key: string): Entry => this.entries.get(key) ?? emptyEntry(key);
 
   /** The newest committed register under the key. */
@@ -126,8 +126,8 @@
   readonly uncommittedKeys = (): readonly string[] => [...this.uncommitted];
 
   /**
-   * The calls that uncommitted entries of these keys belong to, and what was held before them;
-   * undefined where there is none.
+   * The calls that uncommitted entries of these keys belong to, and the entries held before them;
+   * undefined if there are no such calls.
    */
   readonly historyOf = (keys: readonly string[]): HistoryReport | undefined => {
     const calls = new Set<ProposedCall>();
@@ -145,13 +145,13 @@
     return calls.size === 0 ? undefined : { calls: [...calls], earlier, forgottenKeys };
   };
 
-  /** Below this nothing is accepted: what was promised, and what is held. */
+  /** The ballot below which nothing is accepted for the key, by promise or by the entry held. */
   readonly promisedFor = (key: string): Ballot => {
     const { promised, ballot } = this.entry(key);
     return higherBallot(this.floor, higherBallot(promised, ballot));
   };
 
-  /** The hash of each bucket, for comparing with another replica. */
+  /** The hash of each bucket, for comparison with another replica. */
   readonly bucketSums = (): readonly string[] => this.hashes.values();
 
   /** The entries of one bucket that have a ballot. */
@@ -160,15 +160,15 @@
       ({ key, ballot }) => ballot.number > 0 && bucketOf(key) === bucket,
     );
 
-  /** The entries by key, as they stand now. */
+  /** A copy of the current entries by key. */
   readonly copyOfEntries = (): ReadonlyMap<string, Entry> => new Map(this.entries);
 
-  /** Takes note of a ballot of another, so that the next one from here is higher. */
+  /** Records a ballot of another replica, so that the next ballot from here is higher. */
   readonly observe = (ballot: Ballot): void => {
     this.highestNumber = Math.max(this.highestNumber, ballot.number);
   };
 
-  /** From now on accepts nothing below the ballot. */
+  /** From now on, accepts nothing below the ballot. */
   readonly raiseFloor = (ballot: Ballot): readonly UnknownRecord[] => {
     this.observe(ballot);
     if (!isHigherBallot(ballot, this.floor)) return [];
@@ -187,7 +187,7 @@
     return [promiseRecord(ballot, keys)];
   };
 
-  /** Accepts at a ballot that nothing higher was promised against; the caller has checked that. */
+  /** Accepts the items; the caller has checked that nothing above the ballot was promised. */
   readonly accept = (ballot: Ballot, items: readonly Item[]): readonly UnknownRecord[] => {
     this.history.addCall({ ballot, items: summarizeItems(items) });
     items.forEach(([key, register]) =>
@@ -197,8 +197,8 @@
   };
 
   /**
-   * Takes what others hold: committed, or, for a replica that lost its own, whatever it may have
-   * accepted before.
+   * Stores entries of other replicas: committed ones or, for a replica that lost its own,
+   * everything that it may have accepted before.
    */
   readonly learn = (entries: readonly Entry[]): readonly UnknownRecord[] => {
     const newEntries = entries.filter((entry) => this.merge({ ...entry, isAccepted: false }));
@@ -211,8 +211,7 @@
   };
 
   /**
-   * Marks what is held at these ballots as committed; gives the registers that were not known to be
-   * so.
+   * Marks the entries held at these ballots as committed; returns the newly committed registers.
    */
   readonly markCommitted = (marks: readonly CommitMark[]): readonly Register[] => {
     return marks.flatMap(([key, ballot]) => {
@@ -225,7 +224,7 @@
     });
   };
 
-  /** Takes a decided voter set, unless a newer one is known. */
+  /** Adopts a decided voter set, unless a newer one is known. */
   readonly adoptVoterSet = (voterSet: VoterSet): readonly UnknownRecord[] => {
     if (voterSet.number <= this.currentVoterSet.number) return [];
     this.currentVoterSet = voterSet;
@@ -233,7 +232,7 @@
     return [voterSetRecord(voterSet)];
   };
 
-  /** Takes part in deciding the voter set of the next number. */
+  /** Updates the decision on the voter set of the next number. */
   readonly recordProposal = (proposal: VoterSetProposal): readonly UnknownRecord[] => {
     this.observe(proposal.promised);
     this.observe(proposal.ballot);
@@ -249,18 +248,18 @@
     return [encodeProposal(this.proposal)];
   };
 
-  /** Below this nothing is accepted for the voter set of that number. */
+  /** The ballot below which nothing is accepted for the voter set of that number. */
   readonly promisedForVoterSet = (number: number): Ballot =>
     higherBallot(this.floor, this.proposal?.number === number ? this.proposal.promised : NO_BALLOT);
 
-  /** From now on takes part in quorums: what it may have lost was learned again. */
+  /** From now on, takes part in quorums: what may have been lost was learned again. */
   readonly setVoting = (): readonly UnknownRecord[] => {
     this.voting = true;
     return [votingRecord()];
   };
 
   /**
-   * No longer takes part in quorums: nothing on the disk proves that all is there that was
+   * No longer takes part in quorums: nothing on the disk proves that it holds all that was
    * accepted.
    */
   readonly setNonVoting = (): void => {
@@ -268,8 +267,7 @@
   };
 
   /**
-   * Leaves only what is known to be committed, with no promise for single keys; a whole snapshot
-   * must follow.
+   * Keeps only committed entries, without promises for single keys. A full snapshot must follow.
    */
   readonly dropUncommitted = (): void => {
     this.history.clear();
@@ -285,18 +283,18 @@
     );
   };
 
-  /** Records that give this state when they are replayed. */
+  /** Records that reproduce this state when they are replayed. */
   readonly snapshot = (): readonly UnknownRecord[] => [
     floorRecord(this.floor),
     ...(this.currentVoterSet.number > 0 ? [voterSetRecord(this.currentVoterSet)] : []),
     ...(this.proposal ? [encodeProposal(this.proposal)] : []),
     learnedRecord([...this.entries.values()]),
-    // Behind the entries: a replica forgets the history once it holds nothing uncommitted.
+    // After the entries, since a replica drops the history once it holds nothing uncommitted.
     ...this.historyRecords(),
     ...(this.voting ? [votingRecord()] : []),
   ];
 
-  /** The calls of what is uncommitted, and what was held before it. */
+  /** The calls of uncommitted entries, and the entries held before them. */
   private readonly historyRecords = (): readonly UnknownRecord[] => {
     const history = this.historyOf(this.uncommittedKeys());
     const earlier = this.history.allEarlierEntries();
@@ -340,7 +338,7 @@
     }
   };
 
-  /** Holds the entry unless a higher one is held; true if anything but a promise changed. */
+  /** Stores the entry unless a higher one is held; true if anything but a promise changed. */
   private readonly merge = (entry: Entry): boolean => {
     const before = this.entry(entry.key);
     this.observe(entry.ballot);
@@ -377,14 +375,14 @@
     if (!isSameBallot(now.ballot, before.ballot)) this.history.addEarlierEntry(before);
   };
 
-  /** What is held under the key is known to be committed: what came before no longer matters. */
+  /** Removes the key from the uncommitted ones and drops its history, which no longer matters. */
   private readonly markSettled = (key: string): void => {
     this.uncommitted.delete(key);
     this.history.discard(key);
     if (this.uncommitted.size === 0) this.history.clear();
   };
 
-  /** True if it is newer than what was known to be committed under the key. */
+  /** Records committed contents; true if they are newer than those known for the key. */
   private readonly recordCommitted = ({ key, ballot, register }: Entry): boolean => {
     const known = this.committed.get(key);
     if (known && !isHigherBallot(ballot, known.ballot)) return false;
--- a/src/consensus/replicated-store.ts
+++ b/src/consensus/replicated-store.ts
@@ -1,8 +1,8 @@
 /**
  * The replicated store: one replica of the control state, and reads and writes over quorums of
- * replicas. Each register is decided by its own chain of ballots; there is no log of operations and
- * no leader. The voter set is decided the same way, and so is who holds the leader lease.
- * docs/control-safety.md gives the argument.
+ * replicas. Each register is decided by its own sequence of ballots; there is no log of operations
+ * and no leader. The voter set and the holder of the leader lease are decided in the same way.
+ * docs/control-safety.md gives the safety argument.
  */
 import type Emittery from "emittery";
 import type { Result } from "true-myth/result";
@@ -30,17 +30,20 @@
 import { VoterSetProposer } from "./voter-set-proposer.js";
 import type { VoterSet } from "./voter-set.js";
 
-/** What a `ReplicatedStore` is made of. */
+/** Dependencies of {@link ReplicatedStore}. */
 export interface ReplicatedStoreOptions {
   readonly self: string;
   readonly writeAheadLog: WriteAheadLog;
-  /** What the snapshots of the write-ahead log are made of. */
+  /** The state that the snapshots of the write-ahead log contain. */
   readonly replica: Replica;
-  /** The voter set of the first start, and whom to ask for as long as none is known. */
+  /** The initial voter set, and the controllers to ask while no voter set is known. */
   readonly seeds: () => readonly string[];
   readonly transport: PeerTransport;
   readonly clock: Clock;
-  /** From 0 to 1: names this incarnation, and spreads the waits after a collision. */
+  /**
+   * Random source from 0 to 1, used to name this incarnation and to spread the backoff after a
+   * collision.
+   */
   readonly random: () => number;
   /** How many machines may be lost at once without loss of what is committed. */
   readonly withstandMachines: number;
@@ -48,10 +51,12 @@
 }
 
 /**
- * Joins the parts that make up a member. Invariants: a replica answers only for what is safe on its
- * own disk; a replica that may have lost what it once held does not vote, and neither promises nor
- * accepts, until it has caught up from replicas that share a member with every quorum, which from
- * then on accept nothing that was proposed before; only what a quorum accepted is ever shown.
+ * Combines the components of a replica.
+ *
+ * Invariants: a replica answers only from what is durable on its own disk; a replica that may have
+ * lost state does not vote, and neither promises nor accepts, until it has caught up from replicas
+ * that share a member with every quorum, which from then on accept nothing that was proposed
+ * before; only entries accepted by a quorum are ever exposed.
  */
 export class ReplicatedStore {
   readonly events: Emittery<ReplicatedStoreEvents>;
@@ -65,8 +70,7 @@
 
   constructor(options: ReplicatedStoreOptions) {
     const local = new LocalReplica(options);
-    // Through the public methods, so that whoever replaces one of them replaces it for the parts
-    // too.
+    // Calls the public methods, so that replacing one of them also affects the components.
     const handleLocally = (message: Message) => this.handleRequest(message);
     const read = () => this.read();
     const isSuperseded = (term: Term) => this.isSuperseded(term);
@@ -97,17 +101,17 @@
     return this.local.isVoting;
   }
 
-  /** Why this replica doesn't vote; empty if it does. */
+  /** Why this replica does not vote; empty if it does. */
   get notVotingReason(): string {
     return this.local.notVotingReason;
   }
 
-  /** This run of this process, as terms and ballots name it. */
+  /** Identifies this run of the process in terms and ballots. */
   get incarnation(): string {
     return this.local.incarnation;
   }
 
-  /** What is known to be committed under the key. */
+  /** The register that is known to be committed under the key. */
   readonly get = (key: string): Register | undefined => this.local.state.committedAt(key);
 
   /** All registers that are known to be committed. */
@@ -116,7 +120,7 @@
   /** The newest decided voter set known here. */
   readonly voterSet = (): VoterSet => this.local.voterSet;
 
-  /** The sets of which each needs a quorum of its own. */
+  /** The sets of members of which each must provide a quorum. */
   readonly quorumSets = (): readonly (readonly string[])[] => this.local.quorumSets();
 
   /** All voters, of both sets while the voter set is joint. */
@@ -131,13 +135,13 @@
   /** The number of the newest term known here or to a member that has responded. */
   readonly newestTerm = (): number => this.quorumCheck.newestTerm();
 
-  /** Whether this replica holds a term above this one, committed or only proposed. */
+  /** Whether this replica holds a term above the given one, committed or only proposed. */
   readonly isSuperseded = (term: Term): boolean =>
     supersedes(this.local.state.entry(LEADER_LEASE_KEY).register, term) ||
     supersedes(this.get(LEADER_LEASE_KEY), term);
 
   /**
-   * Loads what the disk holds. Until it has read a quorum, the replica knows only what was
+   * Loads the state from the disk. Until it has read a quorum, the replica knows only what was
    * committed before.
    *
    * @param firstRun - whether the whole system starts for the first time; only then does an empty
@@ -145,15 +149,17 @@
    */
   readonly start = (firstRun: boolean): Promise<void> => this.local.start(firstRun);
 
-  /** Resolves to true once everything recorded before the call is safe on this machine's disk. */
+  /**
+   * Resolves to true once everything recorded before the call is durable on this machine's disk.
+   */
   readonly persisted = (): Promise<boolean> => this.local.persisted();
 
-  /** Answers a peer's request of one of CONSENSUS_MESSAGE_KINDS. */
+  /** Handles a peer's request whose kind is in CONSENSUS_MESSAGE_KINDS. */
   readonly handleRequest = (message: Message): Promise<Message> => this.acceptor.handle(message);
 
   /**
-   * Takes a peer's notice of what a quorum has accepted; what is held otherwise here waits for a
-   * read.
+   * Applies a peer's notice that a quorum has accepted entries. Where this replica holds an older
+   * entry, it reports that it is behind, and the next read brings the newer one.
    */
   readonly applyCommitted = (message: Message): void => {
     const { state } = this.local;
@@ -170,15 +176,15 @@
 
   /**
    * Reads a quorum. Ok: everything confirmed before the call is known here, and this replica votes.
-   * Calls that come while a read runs share the next one.
+   * Calls during a read share the next one.
    */
   readonly read = (): Promise<Result<void, ReplicatedStoreError>> => this.reader.read();
 
   /**
-   * Decides one call of an operator, all registers at one ballot. Ok: every one is held by a
-   * quorum, or was written before and is, or has since been replaced by a newer one.
+   * Decides one operator call, all registers at one ballot. Ok: every register, written by this
+   * call or an earlier one, is held by a quorum or has since been replaced by a newer version.
    *
-   * @param findProblem - given what is in force, by key, tells what makes the call invalid
+   * @param findProblem - returns why the call is invalid, given the registers in force by key
    */
   readonly propose = (
     writes: readonly Register[],
@@ -186,11 +192,11 @@
   ): Promise<Result<void, ReplicatedStoreError>> => this.writer.write(writes, findProblem);
 
   /**
-   * Compares and sets one register. Gives what is in force afterwards.
+   * Compares and sets one register. Returns the register in force afterwards.
    *
-   * @param makeBody - gives the new body, or undefined to leave the register as it is
-   * @param term - where the write is made as holder of the leader lease: it fails once a newer term
-   *   is granted
+   * @param makeBody - returns the new body, or undefined to leave the register as it is
+   * @param term - the term of the writer, if it writes as holder of the leader lease; the write
+   *   fails once a newer term is granted
    */
   readonly decide = (
     key: string,
@@ -200,11 +206,11 @@
     this.writer.update(key, makeBody, term);
 
   /**
-   * Changes who the voters are, by way of a joint voter set. Ok: the wanted one is decided.
+   * Changes the members of the voter set, by way of a joint one. Ok: the target voter set is
+   * decided.
    *
-   * @param change - tells the wanted members, given the present ones
-   * @param copyOtherState - brings what else the new members must hold to them; true once that is
-   *   done
+   * @param change - returns the target members for the current ones
+   * @param copyOtherState - copies other state that the new members must hold; true once done
    */
   readonly changeMembers = (
     change: MemberChange,
@@ -213,7 +219,7 @@
     this.reconfiguration.changeMembers(change, copyOtherState);
 
   /**
-   * Puts a question of another part of the control state to every member; ok once a quorum of each
+   * Sends a request of another part of the control state to every member; ok once a quorum of each
    * set has given an accepted response.
    */
   readonly callQuorum = (
@@ -224,12 +230,10 @@
   ): Promise<Result<void, ReplicatedStoreError>> =>
     this.fencing.callQuorum(message, accepts, handleLocally, timeoutUs);
 
-  /** The message with the number of the voter set that it is sent under. */
+  /** Adds the number of the current voter set to the message. */
   readonly withVoterSet = (message: Message): Message => this.fencing.withVoterSet(message);
 
-  /**
-   * The rejection of a message that was sent under an older voter set; undefined where it was not.
-   */
+  /** The rejection of a message that was sent under an older voter set; undefined if it was not. */
   readonly rejectIfOutdated = (message: Message): Message | undefined =>
     this.fencing.rejectIfOutdated(message);
 }
--- a/src/consensus/term.ts
+++ b/src/consensus/term.ts
@@ -1,7 +1,7 @@
 /**
  * Terms of the leader lease. A term is the version of one register, which is decided like any
- * other, and serves as a fencing token: replicas that have accepted a newer grant reject what is
- * written under an older term.
+ * other. It serves as a fencing token: replicas that have accepted a newer grant reject writes
+ * under an older term.
  */
 import {
   asRecord,
@@ -15,7 +15,9 @@
 /** The register that holds the newest grant of the leader lease. */
 export const LEADER_LEASE_KEY = "duty/grant";
 
-/** Who holds the leader lease: a number is granted once, to one incarnation of one controller. */
+/**
+ * A grant of the leader lease: each number is granted once, to one incarnation of one controller.
+ */
 export interface Term {
   readonly number: number;
   readonly holder: string;
@@ -25,11 +27,11 @@
 /** The key under which the incarnation is stored and sent. */
 const INCARNATION = "life";
 
-/** The body of a grant, as it is stored in the register. */
+/** The body of a grant, as stored in the register. */
 export const encodeGrant = (holder: string, incarnation: string): string =>
   JSON.stringify({ holder, [INCARNATION]: incarnation });
 
-/** The term that a grant stands for; undefined where there was none yet. */
+/** The term of a grant; undefined if nothing was granted yet. */
 export const termOf = (grant: Register | undefined): Term | undefined => {
   if (!grant) return undefined;
   const record = asRecord(parseJson(grant.body), "grant");
@@ -40,14 +42,14 @@
   };
 };
 
-/** A term as messages carry it. */
+/** Encodes a term for messages. */
 export const encodeTerm = ({ number, holder, incarnation }: Term): UnknownRecord => ({
   number,
   holder,
   [INCARNATION]: incarnation,
 });
 
-/** @throws DecodeError where a field is missing or of another type */
+/** @throws DecodeError if a field is missing or has the wrong type */
 export const decodeTerm = (value: unknown): Term => {
   const record = asRecord(value, "term");
   return {
@@ -58,7 +60,7 @@
 };
 
 /**
- * Whether the grant has a higher number than the term, or has its number with another holder or
+ * Whether the grant has a higher number than the term, or the same number with another holder or
  * incarnation.
  */
 export const supersedes = (grant: Register | undefined, term: Term): boolean => {
--- a/src/consensus/voter-admission.ts
+++ b/src/consensus/voter-admission.ts
@@ -1,4 +1,4 @@
-/** How the holder of the leader lease lets replicas join and leave the voters. */
+/** Admission and removal of voters by the holder of the leader lease. */
 import type { Clock } from "../common/clock.js";
 import { MILLISECOND_US } from "../common/duration.js";
 import type { Logger } from "../common/logger.js";
@@ -10,10 +10,12 @@
 import { READ_TIMEOUT_US, WRITE_TIMEOUT_US } from "./timeouts.js";
 import { isJoint } from "./voter-set.js";
 
-/** A member unseen for so long is replaced by a replica that asks to join. */
+/**
+ * A member that has been disconnected for this long may be replaced by a replica that asks to join.
+ */
 const REPLACE_AFTER_US = 1_500 * MILLISECOND_US;
 
-/** What a `VoterAdmission` is made of. */
+/** Dependencies of {@link VoterAdmission}. */
 export interface VoterAdmissionOptions {
   readonly self: string;
   readonly store: ReplicatedStore;
@@ -26,22 +28,26 @@
     timeoutUs: number,
   ) => Promise<Message | undefined>;
   readonly withstandMachines: number;
-  /** What else new members must hold before the old ones stop voting. */
+  /**
+   * Copies other state that new members must hold before the old ones stop voting; true once done.
+   */
   readonly copyOtherState?: (() => Promise<boolean>) | undefined;
   readonly isHolder: () => boolean;
 }
 
 /**
- * Invariant: silence alone never makes the voters fewer; one that is unseen goes only where another
- * takes its place.
+ * Handles the join and leave requests of replicas.
+ *
+ * Invariant: silence alone never shrinks the voter set; a disconnected member is removed only if
+ * another takes its place.
  */
 export class VoterAdmission {
-  /** Since when each member has been unseen here, in microseconds of the clock. */
+  /** Since when each member has been disconnected from here, in microseconds of the clock. */
   private readonly unseenSinceUs = new Map<string, number>();
 
   constructor(private readonly options: VoterAdmissionOptions) {}
 
-  /** Notes which members are connected now. */
+  /** Records which members are connected now. */
   readonly observeMembers = (): void => {
     const { store, isConnected, clock } = this.options;
     const members = store.members();
@@ -55,29 +61,29 @@
   };
 
   /**
-   * A newcomer takes the place of the member that has been unseen longest, or a new one if all are
-   * seen.
+   * Adds a replica in place of the member that has been disconnected longest, or as an additional
+   * member if all are connected.
    */
   readonly join = async (id: string): Promise<LeaseResponse> => {
     const { store, clock, request, isHolder } = this.options;
     if (!isHolder()) return { isGranted: false, reason: LEASE_REASONS.notHolder };
     if (store.members().includes(id))
       return { isGranted: !isJoint(store.voterSet()), reason: LEASE_REASONS.voterSetChanging };
-    // Asked now, so that a request that was long on its way adds nobody who doesn't know that it
-    // was let go.
+    // Contacted now, so that a delayed request does not add a replica that has since left and does
+    // not know it.
     const reply = await request(id, encodeContactRequest(store.voterSet()), WRITE_TIMEOUT_US);
     if (!this.hasCaughtUp(reply)) return { isGranted: false, reason: LEASE_REASONS.notCaughtUp };
     this.observeMembers();
     const unseen = this.longestUnseenOf(store.members());
     if (unseen && clock.nowUs() - unseen.sinceUs < REPLACE_AFTER_US)
       return { isGranted: false, reason: LEASE_REASONS.mayComeBack(unseen.id) };
-    // A connection may seem to be there for a while after a freeze or a partition: where all seem
-    // connected, each is asked.
+    // A connection may still seem open for a while after a freeze or a partition, so if all members
+    // seem connected, each of them is contacted.
     const unresponsive = unseen ? undefined : await this.findUnresponsiveMember();
     if (unresponsive !== undefined)
       return { isGranted: false, reason: LEASE_REASONS.silent(unresponsive) };
-    // Chosen among those who are members then: a change that had begun may have replaced the one
-    // unseen now. It may have brought this one in too: then there is nobody to replace.
+    // Chosen from the members at the time of the change. A change that had already begun may have
+    // replaced the disconnected member, or added this replica, in which case nobody is replaced.
     const isGranted = await this.changeVoters((members) => {
       if (members.includes(id)) return members;
       const replaced = this.longestUnseenOf(members)?.id;
@@ -86,7 +92,9 @@
     return { isGranted, reason: LEASE_REASONS.noQuorum };
   };
 
-  /** Lets a member go, unless too few would be left; granted once the others hold everything. */
+  /**
+   * Removes a member, unless too few would be left. Granted once the other members hold all state.
+   */
   readonly leave = async (id: string): Promise<LeaseResponse> => {
     const { store, withstandMachines, isHolder } = this.options;
     if (!isHolder()) return { isGranted: false, reason: LEASE_REASONS.notHolder };
@@ -104,7 +112,7 @@
     };
   };
 
-  /** Whether a newcomer votes, by its own word, and knows the newest voter set. */
+  /** Whether a newcomer reports that it votes and knows the newest voter set. */
   private readonly hasCaughtUp = (reply: Message | undefined): boolean => {
     if (!reply) return false;
     const { isVoting, voterSet } = decodeContactResponse(reply);
--- a/src/consensus/voter-set-fencing.ts
+++ b/src/consensus/voter-set-fencing.ts
@@ -1,7 +1,7 @@
 /**
- * Lets other parts of the control state ask the store's quorums. Their messages bear the number of
- * the voter set that they are sent under, so that no quorum of an older one is taken for one of the
- * newest.
+ * Lets other parts of the control state send requests to the store's quorums. Their messages carry
+ * the number of the sender's voter set, so that a quorum of an older voter set is never taken for
+ * one of the newest.
  */
 import type { Result } from "true-myth/result";
 import type { Message } from "../transport/connection.js";
@@ -17,7 +17,7 @@
 import type { PeerTransport, QuorumCalls } from "./quorum-calls.js";
 import { quorumSize } from "./voter-set.js";
 
-/** What a `VoterSetFencing` is made of. */
+/** Dependencies of {@link VoterSetFencing}. */
 export interface VoterSetFencingOptions {
   readonly self: string;
   readonly local: LocalReplica;
@@ -26,17 +26,19 @@
   readonly withstandMachines: number;
 }
 
-/** Invariant: a member that knows a newer voter set gives no response that counts. */
+/**
+ * Adds the number of the voter set to messages and checks it.
+ *
+ * Invariant: a member that knows a newer voter set gives no response that counts.
+ */
 export class VoterSetFencing {
   constructor(private readonly options: VoterSetFencingOptions) {}
 
-  /** The message with the number of the voter set that it is sent under. */
+  /** Adds the number of the current voter set to the message. */
   readonly withVoterSet = (message: Message): Message =>
     withVoterSetNumber(message, this.options.local.voterSet);
 
-  /**
-   * The rejection of a message that was sent under an older voter set; undefined where it was not.
-   */
+  /** The rejection of a message that was sent under an older voter set; undefined if it was not. */
   readonly rejectIfOutdated = (message: Message): Message | undefined => {
     const { voterSet } = this.options.local;
     const number = voterSetNumberOf(message);
@@ -46,10 +48,10 @@
   };
 
   /**
-   * Puts a question to every member; ok once a quorum of each set has given an accepted response.
+   * Sends a request to every member; ok once a quorum of each set has given an accepted response.
    *
-   * @param accepts - whether a member's response is as required
-   * @param handleLocally - this replica's own response
+   * @param accepts - whether a member's response counts
+   * @param handleLocally - whether this replica's own response counts
    */
   readonly callQuorum = (
     message: Message,
--- a/src/consensus/voter-set-proposer.ts
+++ b/src/consensus/voter-set-proposer.ts
@@ -1,6 +1,7 @@
 /**
- * Decides the voter set of one number, by quorums of the voter set before it: prepare and accept,
- * as for a register. What is found half decided is completed in place of the proposer's own.
+ * Decides the voter set of one number, by quorums of the preceding voter set: prepare and accept,
+ * as for a register. A voter set that some members have already accepted is completed in place of
+ * the proposer's own.
  */
 import type { Result } from "true-myth/result";
 import { sleep, type Clock } from "../common/clock.js";
@@ -27,19 +28,19 @@
 const MAX_ATTEMPTS = 6;
 const FIRST_BACKOFF_US = 8 * MILLISECOND_US;
 
-/** What a `VoterSetProposer` is made of. */
+/** Dependencies of {@link VoterSetProposer}. */
 export interface VoterSetProposerOptions {
   readonly local: LocalReplica;
   readonly calls: QuorumCalls;
   readonly transport: PeerTransport;
   readonly clock: Clock;
-  /** From 0 to 1; spreads the waits after a collision. */
+  /** Random source from 0 to 1, used to spread the backoff after a collision. */
   readonly random: () => number;
   readonly withstandMachines: number;
   readonly logger: Logger;
 }
 
-/** One phase: a request to the members of the base, and what is done with the responses. */
+/** One phase: a request to the members of `base`, and the handler of their responses. */
 interface Phase {
   readonly base: VoterSet;
   readonly message: Message;
@@ -47,14 +48,19 @@
   readonly onResponse: (id: string, response: Message) => void;
 }
 
-/** Invariant: each number is decided once, whoever proposes. */
+/**
+ * Proposes voter sets.
+ *
+ * Invariant: each number is decided once, whoever proposes.
+ */
 export class VoterSetProposer {
   constructor(private readonly options: VoterSetProposerOptions) {}
 
   /**
    * Decides the voter set after `base`.
    *
-   * @returns the one that was decided, which may be another's; undefined if none is known to be
+   * @returns the decided voter set, which may be another proposer's; undefined if none is known to
+   *   be decided
    */
   readonly decide = async (base: VoterSet, wanted: VoterSet): Promise<VoterSet | undefined> => {
     const { local, clock, random } = this.options;
