--- a/src/consensus/call-resolution.ts
+++ b/src/consensus/call-resolution.ts
@@ -1,36 +1,39 @@
 /**
- * What stands under some keys, as the promises of a quorum show it, where proposals of several items
- * may have been left at a minority.
+ * Determines the current entries of some keys from the promises of a quorum, where calls with
+ * several items may have been accepted by only a minority.
  *
- * Replicas accept the items of a call together or not at all, so a call was committed for all of its
- * items or for none. If another proposal has a higher ballot under one of them and was not made on
- * top of the call, then a quorum had promised that ballot without having accepted the call: it was
- * not committed, and, since this quorum has promised a ballot above it, it never will be. Its items
- * are then left out, and what was there before them stands. Whatever can't be told is treated as
- * possibly committed.
+ * Replicas accept the items of a call together or not at all, so a call was committed for all of
+ * its items or for none. If another proposal has a higher ballot under one of the items and was not
+ * made on top of the call, then a quorum had promised that ballot without having accepted the call.
+ * The call was therefore not committed, and it never will be, because this quorum has promised a
+ * ballot above it. Its items are discarded, and the entries before them apply. Anything that cannot
+ * be determined is treated as possibly committed.
  */
 import { isHigherBallot, NO_BALLOT, type Ballot } from "./ballot.js";
 import type { EntryReport, PrepareResponse } from "./message-types.js";
-import { ballotName, type ItemStamp, type ProposedCall } from "./proposal-history.js";
-import type { Past, Register } from "./register.js";
+import { ballotIdOf, type ItemSummary, type ProposedCall } from "./proposal-history.js";
+import type { PastVersion, Register } from "./register.js";
 
-/** What the promises come to. */
+/** Result of evaluating the promises of a quorum. */
 export type CallResolution =
-  /** These keys belong to the same calls and must be prepared too. */
+  /** The keys belong to the same calls as the prepared ones and must be prepared too. */
   | { readonly kind: "incomplete"; readonly missingKeys: readonly string[] }
-  /** What stands under each key of which anything is known. */
+  /** The current entry of each key for which anything is known. */
   | { readonly kind: "resolved"; readonly found: ReadonlyMap<string, EntryReport> };
 
-/** A proposal under one key, as all that reported it tell it. */
+/** A proposal for one key, merged from all reports of it. */
 interface Candidate {
   readonly ballot: Ballot;
   readonly register: Register | undefined;
   readonly isCommitted: boolean;
-  /** Whether each that reported it knows its call, and what came before it. */
+  /**
+   * Whether every replica that reported it knows it to be committed, or has accepted it and still
+   * knows its call and the entries before it.
+   */
   readonly isTraceable: boolean;
 }
 
-/** The candidates of a key by ballot. */
+/** The candidates for a key by ballot. */
 type Candidates = Map<string, Candidate>;
 
 const isTraceableBy = (
@@ -41,13 +44,13 @@
   (isAccepted &&
     history !== undefined &&
     !history.forgottenKeys.includes(key) &&
-    history.calls.some((call) => ballotName(call.ballot) === ballotName(ballot)));
+    history.calls.some((call) => ballotIdOf(call.ballot) === ballotIdOf(ballot)));
 
 const addCandidate = (candidates: Candidates, report: EntryReport, isTraceable: boolean): void => {
   if (report.register === "unchanged") return;
-  const name = ballotName(report.ballot);
-  const known = candidates.get(name);
-  candidates.set(name, {
+  const ballotId = ballotIdOf(report.ballot);
+  const known = candidates.get(ballotId);
+  candidates.set(ballotId, {
     ballot: report.ballot,
     register: report.register,
     isCommitted: report.isCommitted || known?.isCommitted === true,
@@ -76,18 +79,24 @@
     undefined,
   );
 
-/** Whether a register was made on top of what the call wrote there, as far as can be told. */
-const isBuiltOn = (register: Register | undefined, stamp: ItemStamp | undefined): boolean => {
-  if (!stamp) return true;
+/**
+ * Whether a register was made on top of the call's write to the same key, as far as its retained
+ * versions show.
+ */
+const isBuiltOn = (register: Register | undefined, summary: ItemSummary | undefined): boolean => {
+  if (!summary) return true;
   if (!register) return false;
   const known = new Map([...register.past, [register.version, register.digest]]);
-  const written: readonly Past[] = [...stamp.past, [stamp.version, stamp.digest]];
-  return written.every(
+  const writtenVersions: readonly PastVersion[] = [
+    ...summary.past,
+    [summary.version, summary.digest],
+  ];
+  return writtenVersions.every(
     ([version, digest]) => version < register.pastFrom || known.get(version) === digest,
   );
 };
 
-/** The candidates under some keys, and the calls that they belong to. */
+/** Evaluates the candidates for some keys and the calls that they belong to. */
 class Resolver {
   private readonly candidates: ReadonlyMap<string, Candidates>;
   private readonly calls: ReadonlyMap<string, ProposedCall>;
@@ -100,55 +109,58 @@
     this.calls = new Map(
       responses
         .flatMap(({ history }) => history?.calls ?? [])
-        .map((call) => [ballotName(call.ballot), call]),
+        .map((call) => [ballotIdOf(call.ballot), call]),
     );
   }
 
   readonly resolve = (): CallResolution => {
     for (;;) {
-      const calls = this.openCalls();
+      const calls = this.uncommittedCalls();
       const missingKeys = calls
         .flatMap(({ items }) => [...items.keys()])
         .filter((key) => !this.keys.has(key));
       if (missingKeys.length > 0)
         return { kind: "incomplete", missingKeys: [...new Set(missingKeys)] };
-      const overruled = calls.find(this.wasOverruled);
-      if (!overruled) return { kind: "resolved", found: this.standing() };
-      this.leaveOut(overruled);
+      const superseded = calls.find(this.wasSuperseded);
+      if (!superseded) return { kind: "resolved", found: this.newestEntries() };
+      this.discardCall(superseded);
     }
   };
 
-  /** The calls of the newest proposals that aren't known to be committed, highest ballot first. */
-  private readonly openCalls = (): readonly ProposedCall[] => {
-    const open = new Set<ProposedCall>();
+  /** The calls of the newest proposals that are not known to be committed, highest ballot first. */
+  private readonly uncommittedCalls = (): readonly ProposedCall[] => {
+    const pending = new Set<ProposedCall>();
     this.candidates.forEach((candidates) => {
       const newest = highestOf(candidates);
-      const call = newest && this.calls.get(ballotName(newest.ballot));
-      if (call && !newest.isCommitted) open.add(call);
+      const call = newest && this.calls.get(ballotIdOf(newest.ballot));
+      if (call && !newest.isCommitted) pending.add(call);
     });
-    return [...open].sort((one, other) => (isHigherBallot(one.ballot, other.ballot) ? -1 : 1));
+    return [...pending].sort((one, other) => (isHigherBallot(one.ballot, other.ballot) ? -1 : 1));
   };
 
-  private readonly wasOverruled = ({ ballot, items }: ProposedCall): boolean => {
+  private readonly wasSuperseded = ({ ballot, items }: ProposedCall): boolean => {
     const own = [...items.keys()].flatMap(
-      (key) => this.candidates.get(key)?.get(ballotName(ballot)) ?? [],
+      (key) => this.candidates.get(key)?.get(ballotIdOf(ballot)) ?? [],
     );
     if (own.some(({ isCommitted, isTraceable }) => isCommitted || !isTraceable)) return false;
-    return [...items].some(([key, stamp]) => {
+    return [...items].some(([key, summary]) => {
       const newest = highestOf(this.candidates.get(key));
       return (
         newest !== undefined &&
         isHigherBallot(newest.ballot, ballot) &&
-        !isBuiltOn(newest.register, stamp)
+        !isBuiltOn(newest.register, summary)
       );
     });
   };
 
-  private readonly leaveOut = ({ ballot, items }: ProposedCall): void =>
-    [...items.keys()].forEach((key) => this.candidates.get(key)?.delete(ballotName(ballot)));
+  private readonly discardCall = ({ ballot, items }: ProposedCall): void =>
+    [...items.keys()].forEach((key) => this.candidates.get(key)?.delete(ballotIdOf(ballot)));
 
-  /** Where nothing is left under a key, nothing stands there, and that is to be accepted anew. */
-  private readonly standing = (): ReadonlyMap<string, EntryReport> =>
+  /**
+   * The newest candidate of each key. A key without candidates is reported as empty, and this empty
+   * state must be accepted anew.
+   */
+  private readonly newestEntries = (): ReadonlyMap<string, EntryReport> =>
     new Map(
       [...this.candidates].map(([key, candidates]) => {
         const newest = highestOf(candidates);
@@ -167,10 +179,10 @@
 }
 
 /**
- * Tells what stands under the keys that were prepared.
+ * Determines the current entries of the prepared keys.
  *
- * @param keys - all keys that the ballot was promised for
- * @param responses - the promises of a quorum, registers that were left out filled in
+ * @param keys - all keys for which the ballot was promised
+ * @param responses - the promises of a quorum, with omitted registers filled in
  */
 export const resolveCalls = (
   keys: ReadonlySet<string>,
--- a/src/consensus/proposal-history.ts
+++ b/src/consensus/proposal-history.ts
@@ -1,36 +1,39 @@
 /**
- * What a replica remembers of proposals that are not known to be committed: which items were
- * proposed by one call, and what was held under each key before. From it a proposer can tell that a
- * call was never committed, and what stands without it (`call-resolution.ts`).
+ * History of proposals that are not known to be committed: which items one call proposed together,
+ * and which entries were held under each key before. From it, a proposer can determine that a call
+ * was never committed, and which entries apply without it (`call-resolution.ts`).
  */
 import { isHigherBallot, isSameBallot, type Ballot } from "./ballot.js";
 import type { Entry, Item } from "./record-codec.js";
-import type { Past } from "./register.js";
+import type { PastVersion } from "./register.js";
 
-/** What a call was to write under a key; undefined where it found nothing there and left it so. */
-export interface ItemStamp {
+/** What a call writes under a key; undefined in a call that found the key empty and left it so. */
+export interface ItemSummary {
   readonly version: number;
   readonly digest: string;
-  /** Earlier versions: a write that comes late changes nothing else of what is in force. */
-  readonly past: readonly Past[];
+  /** Earlier versions. A late write of an old version changes only these. */
+  readonly past: readonly PastVersion[];
 }
 
-/** The items that were proposed together, at one ballot. */
+/** The items that were proposed together at one ballot. */
 export interface ProposedCall {
   readonly ballot: Ballot;
-  readonly items: ReadonlyMap<string, ItemStamp | undefined>;
+  readonly items: ReadonlyMap<string, ItemSummary | undefined>;
 }
 
-/** Beyond so many calls the oldest are forgotten; their items are then treated one by one. */
+/**
+ * Maximum number of calls kept. Beyond it, the oldest is dropped and its items are treated one by
+ * one.
+ */
 const MAX_CALLS = 256;
-/** Beyond so many earlier proposals of one key the history of that key is forgotten. */
-const MAX_EARLIER = 32;
+/** Maximum number of earlier entries kept per key. Beyond it, the history of the key is dropped. */
+const MAX_EARLIER_ENTRIES = 32;
 
-/** A name for the ballot, to look it up by. */
-export const ballotName = ({ number, proposer }: Ballot): string => `${number} ${proposer}`;
+/** A string that identifies the ballot, for use as a map key. */
+export const ballotIdOf = ({ number, proposer }: Ballot): string => `${number} ${proposer}`;
 
-/** The items of a call by what they were to write. */
-export const stampsOf = (items: readonly Item[]): ProposedCall["items"] =>
+/** Summarizes the items of a call by key. */
+export const summarizeItems = (items: readonly Item[]): ProposedCall["items"] =>
   new Map(
     items.map(([key, register]) => [
       key,
@@ -39,56 +42,60 @@
   );
 
 /**
+ * Calls and earlier entries of uncommitted keys.
+ *
  * Invariant: the earlier entries of a key are those that this replica held below the newest one
- * since something was last known to be committed there, highest ballot first; or the key is among
- * those whose history was forgotten.
+ * since an entry was last known to be committed there, highest ballot first; or the key is among
+ * those whose history was dropped.
  */
 export class ProposalHistory {
   private readonly calls = new Map<string, ProposedCall>();
   private readonly earlier = new Map<string, readonly Entry[]>();
   private readonly forgotten = new Set<string>();
 
-  /** Remembers the items of a call; one item alone is no call. */
+  /** Records the items of a call. A single item is not a call. */
   readonly addCall = (call: ProposedCall): void => {
     if (call.items.size < 2) return;
-    this.calls.set(ballotName(call.ballot), call);
+    this.calls.set(ballotIdOf(call.ballot), call);
     const [oldest] = this.calls.keys();
     if (this.calls.size > MAX_CALLS && oldest !== undefined) this.calls.delete(oldest);
   };
 
   /** The call that was proposed at the ballot; undefined for a single item. */
   readonly callAt = (ballot: Ballot): ProposedCall | undefined =>
-    this.calls.get(ballotName(ballot));
+    this.calls.get(ballotIdOf(ballot));
 
-  /** What was held under the key before, highest first; undefined where that was forgotten. */
-  readonly earlierOf = (key: string): readonly Entry[] | undefined =>
+  /**
+   * The entries held under the key before, highest ballot first; undefined if they were dropped.
+   */
+  readonly earlierEntriesOf = (key: string): readonly Entry[] | undefined =>
     this.forgotten.has(key) ? undefined : (this.earlier.get(key) ?? []);
 
-  /** All that is remembered of earlier entries. */
-  readonly allEarlier = (): readonly Entry[] => [...this.earlier.values()].flat();
+  /** All earlier entries of all keys. */
+  readonly allEarlierEntries = (): readonly Entry[] => [...this.earlier.values()].flat();
 
-  /** Remembers an entry that is below the one held now. */
-  readonly addEarlier = (entry: Entry): void => {
+  /** Records an entry with a lower ballot than the current one. */
+  readonly addEarlierEntry = (entry: Entry): void => {
     const known = this.earlier.get(entry.key) ?? [];
     if (entry.ballot.number === 0) return;
     if (known.some(({ ballot }) => isSameBallot(ballot, entry.ballot))) return;
     const sorted = [...known, entry].sort((one, other) =>
       isHigherBallot(one.ballot, other.ballot) ? -1 : 1,
     );
-    // Below what was committed nothing can matter any more.
-    const lastNeeded = sorted.findIndex(({ isCommitted }) => isCommitted);
-    const needed = lastNeeded < 0 ? sorted : sorted.slice(0, lastNeeded + 1);
-    if (needed.length > MAX_EARLIER) this.forgotten.add(entry.key);
-    else this.earlier.set(entry.key, needed);
+    // Entries below a committed one are no longer relevant.
+    const newestCommitted = sorted.findIndex(({ isCommitted }) => isCommitted);
+    const retained = newestCommitted < 0 ? sorted : sorted.slice(0, newestCommitted + 1);
+    if (retained.length > MAX_EARLIER_ENTRIES) this.forgotten.add(entry.key);
+    else this.earlier.set(entry.key, retained);
   };
 
-  /** Forgets what came before under a key, since what is held there now is committed. */
-  readonly settle = (key: string): void => {
+  /** Drops the history of a key whose current entry is committed. */
+  readonly discard = (key: string): void => {
     this.earlier.delete(key);
     this.forgotten.delete(key);
   };
 
-  /** Forgets everything, once nothing is uncommitted. */
+  /** Drops everything, once no entry is uncommitted. */
   readonly clear = (): void => {
     this.calls.clear();
     this.earlier.clear();
--- a/src/consensus/voter-set-proposer.ts
+++ b/src/consensus/voter-set-proposer.ts
@@ -1,6 +1,7 @@
 /**
- * Decides the voter set of one number, by quorums of the voter set before it: prepare and accept,
- * as for a register. What is found half decided is completed in place of the proposer's own.
+ * Decides the voter set of one number, by quorums of the preceding voter set: prepare and accept,
+ * as for a register. A voter set that some members have already accepted is completed in place of
+ * the proposer's own.
  */
 import type { Result } from "true-myth/result";
 import { sleep, type Clock } from "../common/clock.js";
@@ -27,34 +28,39 @@
 const MAX_ATTEMPTS = 6;
 const FIRST_BACKOFF_US = 8 * MILLISECOND_US;
 
-/** What a `VoterSetProposer` is made of. */
+/** Dependencies of {@link VoterSetProposer}. */
 export interface VoterSetProposerOptions {
   readonly local: LocalReplica;
   readonly calls: QuorumCalls;
   readonly transport: PeerTransport;
   readonly clock: Clock;
-  /** From 0 to 1; spreads the waits after a collision. */
+  /** Random source from 0 to 1, used to spread the backoff after a collision. */
   readonly random: () => number;
   readonly withstandMachines: number;
   readonly logger: Logger;
 }
 
-/** One phase: a request to the members of the base, and what is done with the responses. */
+/** One phase: a request to the members of `base`, and the handler of their responses. */
 interface Phase {
   readonly base: VoterSet;
   readonly message: Message;
-  readonly isAsked: (id: string) => boolean;
+  readonly isRecipient: (id: string) => boolean;
   readonly onResponse: (id: string, response: Message) => void;
 }
 
-/** Invariant: each number is decided once, whoever proposes. */
+/**
+ * Proposes voter sets.
+ *
+ * Invariant: each number is decided once, whoever proposes.
+ */
 export class VoterSetProposer {
   constructor(private readonly options: VoterSetProposerOptions) {}
 
   /**
    * Decides the voter set after `base`.
    *
-   * @returns the one that was decided, which may be another's; undefined if none is known to be
+   * @returns the decided voter set, which may be another proposer's; undefined if none is known to
+   *   be decided
    */
   readonly decide = async (base: VoterSet, wanted: VoterSet): Promise<VoterSet | undefined> => {
     const { local, clock, random } = this.options;
@@ -98,7 +104,7 @@
         ballot,
         voterSet: base,
       }),
-      isAsked: () => true,
+      isRecipient: () => true,
       onResponse,
     });
 
@@ -118,27 +124,29 @@
         incarnations,
         next,
       }),
-      isAsked: (id) => incarnations.has(id),
+      isRecipient: (id) => incarnations.has(id),
       onResponse: () => undefined,
     });
 
   private readonly runPhase = ({
     base,
     message,
-    isAsked,
+    isRecipient,
     onResponse,
   }: Phase): Promise<Result<void, NoQuorumError>> => {
     const { local, calls, withstandMachines } = this.options;
-    let isOpen = true;
+    let isCollecting = true;
     return calls
       .collect<Message>({
         sets: () => quorumSetsOf(base),
         needed: (members) => quorumSize(members, withstandMachines),
         request: async (id) => {
-          const reply = isAsked(id) ? await calls.request(id, message, READ_TIMEOUT_US) : undefined;
-          if (!reply || !isOpen) return undefined;
+          const reply = isRecipient(id)
+            ? await calls.request(id, message, READ_TIMEOUT_US)
+            : undefined;
+          if (!reply || !isCollecting) return undefined;
           if (isRejection(reply)) {
-            local.noteRejection(decodeRejection(reply));
+            local.learnFromRejection(decodeRejection(reply));
             return undefined;
           }
           onResponse(id, reply);
@@ -146,7 +154,7 @@
         },
       })
       .finally(() => {
-        isOpen = false;
+        isCollecting = false;
       });
   };
 
