--- a/features/steps/object-messages.ts
+++ b/features/steps/object-messages.ts
@@ -177,7 +177,7 @@
     return true;
   }
 
-  override readonly ask = async (
+  override readonly request = async (
     key: string,
     message: Message,
     waitUs: number,
--- a/src/cache/byte-range.ts
+++ b/src/cache/byte-range.ts
@@ -1,15 +1,18 @@
 /** Resolution of the `Range` header (RFC 9110, section 14) against the size of an object. */
 import parseRange from "range-parser";
 
-/** All of a body, the bytes `from` to `to` inclusive, or a range that begins beyond the end. */
+/**
+ * The full body, the bytes `from` to `to` inclusive, or a range that starts beyond the end of the
+ * body.
+ */
 export type RangeResult =
   | { readonly kind: "full" }
   | { readonly kind: "partial"; readonly from: number; readonly to: number }
   | { readonly kind: "unsatisfiable" };
 
 /**
- * Resolves a range. Only a single range that gives its first byte is honored, as workers do; any
- * other gets the full body, which RFC 9110 allows.
+ * Resolves a range. As on workers, only a single range with an explicit first byte is honored; any
+ * other yields the full body, which RFC 9110 allows.
  *
  * @param range - the value of a `Range` header
  * @param size - the size of the body in bytes
--- a/src/cache/cached-objects.ts
+++ b/src/cache/cached-objects.ts
@@ -1,16 +1,16 @@
-/** The cached objects of one process, and the purges that end them. */
+/** In-memory cache of objects, and the purges that invalidate them. */
 import { LRUCache } from "lru-cache";
 import type { Clock } from "../common/clock.js";
 
-/** What an object is known by. */
+/** Identifies an object: its service, and the host and URL that it is requested with. */
 export interface ObjectName {
   readonly service: string;
   readonly host: string;
-  /** The path with its query. */
+  /** The path with its query string. */
   readonly url: string;
 }
 
-/** An object as a worker gave it, complete and checked. */
+/** A complete and validated object, as received from a worker. */
 export interface CachedObject extends ObjectName {
   readonly status: number;
   readonly headers: readonly string[];
@@ -18,13 +18,13 @@
   readonly labels: readonly string[];
   readonly body: Buffer;
   /**
-   * Invariant: no later than the moment, on this process's clock, at which the worker still had
-   * this version.
+   * Time of the last validation, on this process's clock. Invariant: the worker still had this
+   * version at this time or later.
    */
   readonly validatedAtUs: number;
 }
 
-/** Ends the cached objects that it names, by address or by label. */
+/** Invalidates the cached objects that match it, either by host and path or by label. */
 export interface Purge {
   readonly id: string;
   readonly host: string;
@@ -37,17 +37,17 @@
 
 const pathOf = (url: string): string => url.split("?")[0] ?? url;
 
-/** The key of an object in caches and in consistent placement. */
+/** Key of an object in caches, also used for its placement by rendezvous hashing. */
 export const cacheKey = ({ service, host, url }: ObjectName): string =>
   `${service}\n${host}\n${url}`;
 
-const purgesUrl = (purge: Purge, host: string, url: string): boolean =>
+const coversUrl = (purge: Purge, host: string, url: string): boolean =>
   purge.label === "" && purge.host === host && (purge.path === url || purge.path === pathOf(url));
 
 /**
- * The cached objects of one process, in memory alone, since their age could not be known across a
- * restart. Invariant: none is kept, or taken, that a purge names and that was validated before this
- * process received the purge.
+ * The cached objects of one process. They are kept in memory only, since their age could not be
+ * known across a restart. Invariant: an object that matches a purge and was validated before this
+ * process received that purge is neither kept nor added.
  */
 export class CachedObjects {
   private readonly objects: LRUCache<string, CachedObject>;
@@ -70,16 +70,17 @@
     return this.objects.size;
   }
 
-  /** Their size in bytes, with an estimate of the overhead. */
+  /** The size of the cached objects in bytes, including an estimated overhead for each. */
   get bytes(): number {
     return this.objects.calculatedSize;
   }
 
-  /** The object of a key, whatever its age. */
+  /** Returns the object with this key, regardless of its age. */
   readonly get = (key: string): CachedObject | undefined => this.objects.get(key);
 
   /**
-   * False if a purge covers the object. One too large for the cache is not kept, but still valid.
+   * Adds an object. Returns false if a purge covers it. An object that is too large for the cache
+   * or has no entity tag is not kept but remains valid, so the result is true.
    */
   readonly put = (copy: CachedObject): boolean => {
     if (this.coveringPurgeUs(copy) !== undefined) return false;
@@ -88,30 +89,30 @@
     return true;
   };
 
-  /** When the last purge was received that covers this object; undefined without one. */
+  /** When the latest purge that covers this object was received; undefined if there is none. */
   readonly coveringPurgeUs = (copy: CachedObject): number | undefined => {
     let lastUs: number | undefined;
     this.purges.forEach((purge) => {
-      const names =
+      const isCovered =
         purge.label === ""
-          ? purgesUrl(purge, copy.host, copy.url)
+          ? coversUrl(purge, copy.host, copy.url)
           : copy.labels.includes(purge.label);
-      if (names && copy.validatedAtUs <= purge.receivedUs)
+      if (isCovered && copy.validatedAtUs <= purge.receivedUs)
         lastUs = Math.max(lastUs ?? 0, purge.receivedUs);
     });
     return lastUs;
   };
 
-  /** When the last purge was received that names this address; undefined without one. */
+  /** When the latest purge of this URL was received; undefined if there is none. */
   readonly lastPurgeUs = (host: string, url: string): number | undefined => {
     let lastUs: number | undefined;
     this.purges.forEach((purge) => {
-      if (purgesUrl(purge, host, url)) lastUs = Math.max(lastUs ?? 0, purge.receivedUs);
+      if (coversUrl(purge, host, url)) lastUs = Math.max(lastUs ?? 0, purge.receivedUs);
     });
     return lastUs;
   };
 
-  /** Applies a purge; false if it is known already. */
+  /** Applies a purge; returns false if it is already known. */
   readonly purge = (purge: Omit<Purge, "receivedUs">): boolean => {
     if (this.purges.has(purge.id)) return false;
     this.purges.set(purge.id, { ...purge, receivedUs: this.clock.nowUs() });
@@ -123,11 +124,13 @@
     return true;
   };
 
-  /** Forgets a purge that no object from before it can outlast. */
+  /**
+   * Forgets a purge. The caller ensures that no object from before the purge can still be in use.
+   */
   readonly forgetPurge = (purgeId: string): void => {
     this.purges.delete(purgeId);
   };
 
-  /** Drops every cached object. */
+  /** Removes every cached object. */
   readonly clear = (): void => this.objects.clear();
 }
--- a/src/cache/freshness.ts
+++ b/src/cache/freshness.ts
@@ -1,26 +1,29 @@
-/** How recent the purges are that this process knows of. */
+/** Tracks how up to date this process's knowledge of purges is. */
 import type { Clock } from "../common/clock.js";
 import { MILLISECOND_US } from "../common/duration.js";
 
-/** What `Freshness` works on. */
+/** Dependencies and bounds of {@link Freshness}. */
 export interface FreshnessOptions {
   readonly clock: Clock;
   /** The bound within which a purge takes effect after its acknowledgement. */
   readonly maxPurgeDelayUs: number;
   /**
-   * By how much the bound grows while the controllers may be unsettled, which a lost session shows.
+   * Extends the bound while the controllers may be in transition, which a lost session indicates.
    */
   readonly disconnectedExtraUs: number;
   readonly isUpToDate: () => boolean;
 }
 
-/** Subtracted from the bound for the propagation of updates, whose time cannot be measured. */
+/**
+ * Subtracted from the bound to allow for the propagation of updates, whose duration cannot be
+ * measured.
+ */
 const PROPAGATION_MARGIN_US = 700 * MILLISECOND_US;
 const DISCONNECTED_EXTRA_FRACTION = 0.5;
 
 /**
- * The age of what this process knows of purges. Invariant: every purge that was acknowledged before
- * `asOfUs`, less their propagation time, is known to this process.
+ * Age of this process's knowledge of purges. Invariant: this process knows every purge that was
+ * acknowledged before `asOfUs` minus the propagation time of purges.
  */
 export class Freshness {
   private asOfUs = Number.NEGATIVE_INFINITY;
@@ -35,7 +38,7 @@
   /** How long ago the updates were last known to be complete. */
   readonly ageUs = (): number => this.options.clock.nowUs() - this.asOfUs;
 
-  /** Whether cached objects may be served without asking their source. */
+  /** Whether cached objects may be served without contacting their source. */
   readonly isFresh = (): boolean => {
     const { maxPurgeDelayUs: purgeUs, disconnectedExtraUs, isUpToDate } = this.options;
     return (
--- a/src/cache/messages.ts
+++ b/src/cache/messages.ts
@@ -1,7 +1,8 @@
 /**
- * The messages about cached objects, between gateways and caches and among caches: the one place
- * that knows their kinds and keys. These names are part of the protocol, so they stay as earlier
- * versions wrote them. Ages and times left travel in place of times of day, since clocks differ.
+ * Encoding and decoding of the messages about cached objects, between gateways and caches and among
+ * caches. Their kinds and keys are defined only here; they are part of the protocol and must stay
+ * as earlier versions wrote them. Messages carry ages and remaining times instead of timestamps,
+ * since clocks differ between machines.
  */
 import {
   asRecord,
@@ -18,19 +19,19 @@
 import type { RangeResult } from "./byte-range.js";
 import type { CachedObject, ObjectName } from "./cached-objects.js";
 
-/** The kinds of the messages. */
+/** Kinds of the messages. */
 export const OBJECT_MESSAGE = {
   /** Opens a session about objects. */
   hello: "goods",
   /** Confirms the session. */
   welcome: "welcome",
-  /** Asks for an object. */
+  /** Requests an object. */
   request: "want",
-  /** Asks for one request's worth of a service's rate. */
+  /** Requests a permit to send one request within a service's rate limit. */
   permit: "permit",
-  /** Says that the object has to be fetched first. */
+  /** Announces that the object has to be fetched first. */
   pending: "wait",
-  /** The reply to a request or to a permit. */
+  /** Reply to a request for an object or for a permit. */
   reply: "got",
 } as const;
 
@@ -51,7 +52,7 @@
 } as const;
 
 const REPLY_KEY = {
-  /** The number of the request that is replied to, and the key that it has in the request. */
+  /** Id of the request that a reply answers; `askedId` is the key of this id in the request. */
   requestId: "re",
   askedId: "ask",
   isPermitted: "yes",
@@ -74,7 +75,7 @@
 const RANGE_KEY = { kind: "kind", from: "from", to: "to", size: "size" } as const;
 const RANGE_KIND = { partial: "part", unsatisfiable: "past" } as const;
 
-/** The part of a body that a reply holds, and the size of the complete body in bytes. */
+/** The part of a body that a reply contains, and the size of the complete body in bytes. */
 export interface RangeOfSize {
   readonly range: RangeResult;
   readonly size: number;
@@ -87,8 +88,8 @@
  * Packs a request for an object.
  *
  * @param range - the value of a `Range` header
- * @param previous - a cached object whose body need not be sent again if it is still the newest
- * @param isHop - asks a cache that must not ask another one
+ * @param previous - a cached object whose body need not be sent again if it is still current
+ * @param isHop - whether the receiving cache must not forward the request to another cache
  */
 export const packObjectRequest = (
   request: ObjectRequest,
@@ -110,7 +111,7 @@
   ...(isHop ? { [REQUEST_KEY.isHop]: isHop } : {}),
 });
 
-/** Reads a request for an object that came in at `nowUs`. */
+/** Reads a request for an object that was received at `nowUs`. */
 export const readObjectRequest = (message: Message, nowUs: number): ObjectRequest => ({
   service: readString(message, REQUEST_KEY.service),
   host: readString(message, REQUEST_KEY.host),
@@ -131,19 +132,19 @@
 export const hasVersion = (message: Message, etag: string): boolean =>
   etag !== "" && etag === message[REQUEST_KEY.etag];
 
-/** Whether the receiver of a request must not ask another cache. */
+/** Whether the receiver of a request must not forward it to another cache. */
 export const isHop = (message: Message): boolean => readFlag(message, REQUEST_KEY.isHop);
 
-/** Asks whether one more request may go to a service. */
+/** Packs a request for a permit to send one more request to a service. */
 export const packPermitRequest = (service: string): Message => ({
   kind: OBJECT_MESSAGE.permit,
   [REQUEST_KEY.service]: service,
 });
 
-/** The service that a permit is asked for. */
+/** The service that a permit is requested for. */
 export const permitService = (message: Message): string => readString(message, REQUEST_KEY.service);
 
-/** The answer to a request for a permit. */
+/** Packs the reply to a request for a permit. */
 export const packPermit = (isGranted: boolean): UnknownRecord => ({
   [REPLY_KEY.isPermitted]: isGranted,
 });
@@ -152,37 +153,39 @@
 export const isPermitted = (reply: Message | undefined): boolean =>
   reply !== undefined && readFlag(reply, REPLY_KEY.isPermitted);
 
-/** Addresses a reply to the request that it is for. */
+/** Turns a reply into a message that carries the id of its request. */
 export const packReply = (reply: UnknownRecord, request: Message): Message => ({
   kind: OBJECT_MESSAGE.reply,
   ...reply,
   [REPLY_KEY.requestId]: readNumber(request, REPLY_KEY.askedId),
 });
 
-/** Says that there is no object, and when to ask again. */
+/** Packs the reply that no object is available, with the time to wait before a retry. */
 export const packUnavailable = (result: ObjectUnavailable): UnknownRecord => ({
   [REPLY_KEY.unavailable]: result.reason,
   [REPLY_KEY.retryAfterUs]: result.retryAfterUs,
 });
 
-/** Why a reply holds no object; any reason but the rate is read as a lack of capacity. */
+/** Why a reply contains no object; any reason but the rate is read as a lack of capacity. */
 export const unavailableReason = (reply: Message | undefined): "rate" | "full" =>
   reply?.[REPLY_KEY.unavailable] === "rate" ? "rate" : "full";
 
-/** When to ask again, where a reply says so. */
+/** The time to wait before a retry, if the reply gives one. */
 export const readRetryAfterUs = (reply: Message): number | undefined => {
   const retryAfterUs = reply[REPLY_KEY.retryAfterUs];
   return typeof retryAfterUs === "number" ? retryAfterUs : undefined;
 };
 
-/** Says that the client's cached object is still the newest, as of an age. */
+/**
+ * Packs the reply that the client's cached object is still current, with the age of its validation.
+ */
 export const packUnchanged = (ageUs: number): UnknownRecord => ({
   [REPLY_KEY.unchangedAgeUs]: ageUs,
 });
 
 /**
- * Packs an object with its age, to which every hop adds; so the age is an upper bound, measured on
- * steady clocks alone.
+ * Packs an object with its age. Every hop adds to the age, so it is an upper bound, and it is
+ * measured with monotonic clocks only.
  */
 const packCachedObject = (copy: CachedObject, body: Buffer, nowUs: number): UnknownRecord => ({
   [OBJECT_KEY.status]: copy.status,
@@ -193,7 +196,7 @@
   [OBJECT_KEY.ageUs]: nowUs - copy.validatedAtUs,
 });
 
-/** A reply with all of an object, or with the part of it that a range names. */
+/** Packs a reply with a complete object, or with the part of it that a range selects. */
 export const packObject = (
   copy: CachedObject,
   range: RangeResult,
@@ -219,7 +222,10 @@
   };
 };
 
-/** `askedUs` is when the object was asked for, so the time on the way counts as age too. */
+/**
+ * Reads an object from a reply. `sentAtUs` is when the request was sent, so the transit time counts
+ * towards the age too.
+ */
 const readCachedObject = (value: unknown, name: ObjectName, sentAtUs: number): CachedObject => {
   const record = asRecord(value, REPLY_KEY.object);
   const body = record[OBJECT_KEY.body];
@@ -237,8 +243,8 @@
 };
 
 /**
- * The object out of a reply: a new one, or the previous one, that is still the newest as of its
- * age.
+ * Reads the object of a reply: a new one, or the previous one with its validation time advanced if
+ * the reply says that it is still current.
  *
  * @param sentAtUs - when the request was sent, on this process's clock
  */
@@ -258,7 +264,7 @@
   return object === undefined ? undefined : readCachedObject(object, name, sentAtUs);
 };
 
-/** The part of the object that a reply holds; undefined where it holds all of it. */
+/** The part of the object that a reply contains; undefined if it contains the complete object. */
 export const readRange = (reply: Message): RangeOfSize | undefined => {
   const value = reply[REPLY_KEY.range];
   if (!isRecord(value)) return undefined;
--- a/src/cache/object-client.ts
+++ b/src/cache/object-client.ts
@@ -1,4 +1,4 @@
-/** How a gateway gets objects of cached routes. */
+/** A gateway's access to the objects of cached routes. */
 import type { Clock } from "../common/clock.js";
 import type { Message } from "../transport/connection.js";
 import type { UnknownRecord } from "../common/decode.js";
@@ -22,14 +22,14 @@
 import type { RateLimiter } from "../quota/rate-limiter.js";
 import { ObjectStore, type LookupResult } from "./object-store.js";
 
-/** What an `ObjectClient` works on. */
+/** Dependencies and limits of {@link ObjectClient}. */
 export interface ObjectClientOptions {
   readonly clock: Clock;
   readonly maxBytes: number;
   readonly sharedCaches: PeerCaches;
   /**
-   * Who distributes large objects in this zone; nobody where a cache runs in it, or where this node
-   * is the distributor.
+   * The nodes that distribute large objects in this zone. Empty if a cache runs in the zone, or if
+   * this node is the distributor.
    */
   readonly zoneCaches: PeerCaches;
   readonly origin: OriginFetcher;
@@ -38,7 +38,7 @@
   readonly staleIfErrorUs: number;
 }
 
-/** A route whose mean object is larger goes through the zone's distributor, where there is one. */
+/** Requests whose mean object size is larger go through the zone's distributor, if there is one. */
 const LARGE_OBJECT_BYTES = 32 * 1024;
 const MEAN_SIZE_WEIGHT = 0.1;
 
@@ -62,13 +62,13 @@
   `${request.service}\n${request.host}\n${request.url.split("/")[1] ?? ""}`;
 
 /**
- * A gateway's access to objects: a small store of its own, then the caches, and without a connected
- * cache the origin itself.
+ * Serves objects from a small local store, then from the shared caches, and directly from the
+ * origin while no cache is connected.
  */
 export class ObjectClient {
   readonly cachedObjects: CachedObjects;
   private readonly store: ObjectStore;
-  /** The mean size of the objects asked for, by service and the first part of the path. */
+  /** Mean size of the requested objects, by service, host and first path segment. */
   private readonly meanSizes = new Map<string, number>();
 
   constructor(private readonly options: ObjectClientOptions) {
@@ -83,10 +83,10 @@
     });
   }
 
-  /** After a purge: fetches in flight serve no later requests. */
+  /** To be called after a purge: later requests do not join the fetches in flight. */
   readonly detachInFlight = (): void => this.store.detachInFlight();
 
-  /** The counters that the status of the gateway shows. */
+  /** The counters that the gateway's status shows. */
   readonly snapshot = (): UnknownRecord => ({
     ...this.store.counts,
     copies: this.cachedObjects.size,
@@ -98,7 +98,7 @@
     share: this.options.rateLimiter.share,
   });
 
-  /** Fetches an object, or the part of it that `range`, the value of a `Range` header, names. */
+  /** Fetches an object, or the part of it selected by `range`, the value of a `Range` header. */
   readonly fetch = async (
     request: ObjectRequest,
     range: string | undefined,
@@ -122,13 +122,15 @@
   };
 
   /**
-   * Whether one more request may go to a service with a rate: of this node's share, or of a
-   * cache's.
+   * Whether one more request may be sent to a service with a rate limit. Taken from a cache's share
+   * of the rate, or from this node's while no cache is connected.
    */
   readonly permit = async (service: string): Promise<boolean> => {
     const { sharedCaches: caches, rateLimiter } = this.options;
     if (!caches.isAnyConnected) return rateLimiter.takeToken(service).ok;
-    return isPermitted(await caches.ask(service, packPermitRequest(service), PERMIT_TIMEOUT_US));
+    return isPermitted(
+      await caches.request(service, packPermitRequest(service), PERMIT_TIMEOUT_US),
+    );
   };
 
   private readonly fetchOnMiss = async (
@@ -141,22 +143,24 @@
     return "copy" in reply ? { kind: "found", copy: reply.copy } : reply;
   };
 
-  /** Fetches a range from a cache; what a purge covers meanwhile is requested again. */
+  /**
+   * Fetches a range from a cache. A reply that a purge covers in the meantime is requested again.
+   */
   private readonly fetchRange = async (
     request: ObjectRequest,
     range: string,
   ): Promise<ClientReply | ObjectUnavailable> => {
     const { clock } = this.options;
     let { maxAgeUs } = request;
-    for (let round = 0; round < MAX_FETCH_ATTEMPTS; round += 1) {
+    for (let attempt = 0; attempt < MAX_FETCH_ATTEMPTS; attempt += 1) {
       const purgeReceivedUs = this.cachedObjects.lastPurgeUs(request.host, request.url);
       if (purgeReceivedUs !== undefined)
         maxAgeUs = Math.min(maxAgeUs, clock.nowUs() - purgeReceivedUs);
       const reply = await this.requestObject({ ...request, maxAgeUs }, range);
       if (!("copy" in reply)) return reply;
-      const coveringUs = this.cachedObjects.coveringPurgeUs(reply.copy);
-      if (coveringUs === undefined) return reply;
-      maxAgeUs = Math.min(maxAgeUs, clock.nowUs() - coveringUs);
+      const coveringPurgeUs = this.cachedObjects.coveringPurgeUs(reply.copy);
+      if (coveringPurgeUs === undefined) return reply;
+      maxAgeUs = Math.min(maxAgeUs, clock.nowUs() - coveringPurgeUs);
     }
     return OVERLOADED;
   };
@@ -171,11 +175,16 @@
     const sentAtUs = clock.nowUs();
     const message = packObjectRequest(request, sentAtUs, range, previous);
     const viaDistributor = zoneDistributors.isAnyConnected && this.isLarge(request);
-    const early = viaDistributor
-      ? await zoneDistributors.ask(cacheKey(request), message, (request.deadlineUs - sentAtUs) / 2)
+    const distributorReply = viaDistributor
+      ? await zoneDistributors.request(
+          cacheKey(request),
+          message,
+          (request.deadlineUs - sentAtUs) / 2,
+        )
       : undefined;
     const reply =
-      early ?? (await caches.ask(cacheKey(request), message, request.deadlineUs - clock.nowUs()));
+      distributorReply ??
+      (await caches.request(cacheKey(request), message, request.deadlineUs - clock.nowUs()));
     if (!reply) return OVERLOADED;
     const copy = readObject(reply, request, previous, sentAtUs);
     if (copy) return this.acceptReply(reply, request, copy, range);
@@ -186,7 +195,10 @@
     };
   };
 
-  /** Takes the requested range of the object in a reply, and keeps an object that came complete. */
+  /**
+   * Selects the requested range of the object in a reply. An object that arrives complete, although
+   * a range was requested, is added to the cached objects.
+   */
   private readonly acceptReply = (
     reply: Message,
     request: ObjectRequest,
@@ -214,10 +226,10 @@
     (this.meanSizes.get(pathGroup(request)) ?? 0) > LARGE_OBJECT_BYTES;
 
   private readonly recordSize = (request: ObjectRequest, size: number): void => {
-    const before = this.meanSizes.get(pathGroup(request));
+    const previousMean = this.meanSizes.get(pathGroup(request));
     this.meanSizes.set(
       pathGroup(request),
-      before === undefined ? size : before + (size - before) * MEAN_SIZE_WEIGHT,
+      previousMean === undefined ? size : previousMean + (size - previousMean) * MEAN_SIZE_WEIGHT,
     );
   };
 
@@ -228,7 +240,7 @@
   }: ClientReply): ObjectResult => {
     if (resolvedRange.kind === "full")
       return { kind: "served", status: copy.status, headers: copy.headers, body: copy.body };
-    // No worker answered this with 416, so it bears no worker's seal.
+    // No worker sent this 416 response, so it must not carry a worker's seal.
     if (resolvedRange.kind === "unsatisfiable")
       return {
         kind: "served",
--- a/src/cache/object-server.ts
+++ b/src/cache/object-server.ts
@@ -1,5 +1,5 @@
+/** Server side of the messages about objects. */
 import type { ObjectRequest } from "../proxy/object-source.js";
-/** The server side of the messages about objects. */
 import { withTimeout, type Clock } from "../common/clock.js";
 import type { Logger } from "../common/logger.js";
 import type { UnknownRecord } from "../common/decode.js";
@@ -22,25 +22,26 @@
 import type { RateLimiter } from "../quota/rate-limiter.js";
 import type { ObjectStore } from "./object-store.js";
 
-/** Of larger objects only the requested range is sent, and the client does not keep them. */
+/** For larger objects only the requested range is sent, and the client does not cache them. */
 export const MAX_SMALL_OBJECT_BYTES = 64 * 1024;
 
-/** A fetch that takes longer is announced, so that the client goes on waiting. */
+/** A fetch that takes longer is announced to the client, so that it keeps waiting. */
 const PENDING_DELAY_US = 20 * MILLISECOND_US;
 
-/** What an `ObjectServer` works on. */
+/** Dependencies of {@link ObjectServer}. */
 export interface ObjectServerOptions {
   readonly clock: Clock;
   readonly store: ObjectStore;
   /**
-   * For requests that must not be forwarded: the same cached objects, with the origin behind them.
+   * Serves requests that must not be forwarded: the same cached objects, with the origin as the
+   * source.
    */
   readonly ownStore?: ObjectStore;
   readonly rateLimiter: RateLimiter;
   readonly log: Logger;
 }
 
-/** Serves objects of a store to gateways and to other caches. */
+/** Serves the objects of a store to gateways and other caches. */
 export class ObjectServer {
   constructor(private readonly options: ObjectServerOptions) {}
 
@@ -54,9 +55,7 @@
     for await (const message of incoming) {
       void this.answer(message, () => connection.send({ kind: OBJECT_MESSAGE.pending }))
         .then((reply) => connection.send(packReply(reply, message)))
-        .catch((error: unknown) =>
-          this.options.log.warn("request for an object failed", { err: error }),
-        );
+        .catch((error: unknown) => this.options.log.warn("object request failed", { err: error }));
     }
   };
 
@@ -68,9 +67,11 @@
     if (message.kind === OBJECT_MESSAGE.permit)
       return packPermit(rateLimiter.takeToken(permitService(message)).ok);
     const request = readObjectRequest(message, clock.nowUs());
-    const from = isHop(message) ? (this.options.ownStore ?? store) : store;
-    const kept = from.peek(request);
-    const found = kept ? await from.get(request) : await this.fetch(from, request, sendPending);
+    const selectedStore = isHop(message) ? (this.options.ownStore ?? store) : store;
+    const cached = selectedStore.peek(request);
+    const found = cached
+      ? await selectedStore.get(request)
+      : await this.fetch(selectedStore, request, sendPending);
     if (found.kind === "none") return packUnavailable(found);
     const { copy } = found;
     if (hasVersion(message, copy.etag)) return packUnchanged(clock.nowUs() - copy.validatedAtUs);
@@ -82,13 +83,13 @@
   };
 
   private readonly fetch = (
-    from: ObjectStore,
+    selectedStore: ObjectStore,
     request: ObjectRequest,
     sendPending: () => void,
   ): ReturnType<ObjectStore["get"]> => {
-    const found = from.get(request);
-    void withTimeout(this.options.clock, PENDING_DELAY_US, found, undefined).then((early) => {
-      if (!early) sendPending();
+    const found = selectedStore.get(request);
+    void withTimeout(this.options.clock, PENDING_DELAY_US, found, undefined).then((result) => {
+      if (!result) sendPending();
     });
     return found;
   };
--- a/src/cache/object-store.ts
+++ b/src/cache/object-store.ts
@@ -1,25 +1,26 @@
-/** A store of cached objects with a source behind it, from which it fetches on a miss. */
+/** Store of cached objects that fetches from a source on a miss. */
 import { withTimeout, type Clock } from "../common/clock.js";
 import { MILLISECOND_US } from "../common/duration.js";
 import type { ObjectUnavailable, ObjectRequest } from "../proxy/object-source.js";
 import { cacheKey, type CachedObjects, type CachedObject } from "./cached-objects.js";
 
-/** What a lookup gave: an object, or why there is none. */
+/** Result of a lookup: an object, or the reason why there is none. */
 export type LookupResult =
   { readonly kind: "found"; readonly copy: CachedObject } | ObjectUnavailable;
 
-/** Fetches an object on a miss; `previous` is a cached object that may still be the newest. */
+/** Fetches an object on a miss; `previous` is a cached object that may still be current. */
 export type ObjectFetch = (
   request: ObjectRequest,
   previous: CachedObject | undefined,
 ) => Promise<LookupResult>;
 
-/** What an `ObjectStore` works on. */
+/** Dependencies and limits of {@link ObjectStore}. */
 export interface ObjectStoreOptions {
   readonly clock: Clock;
   readonly cachedObjects: CachedObjects;
   /**
-   * Whether the known purges are recent enough to serve a cached object that none of them names.
+   * Whether the knowledge of purges is recent enough to serve a cached object that no known purge
+   * covers.
    */
   readonly isFresh: () => boolean;
   readonly source: ObjectFetch;
@@ -27,28 +28,28 @@
   readonly staleIfErrorUs: number;
 }
 
-/** Lookups so far. These names are part of the status that operators read. */
+/** Counters of lookups. The field names are part of the status that operators read. */
 export interface ObjectStoreCounts {
   hits: number;
   misses: number;
   /** Misses that joined a fetch in flight. */
   joined: number;
-  /** Lookups for which the source gave no object. */
+  /** Lookups for which the source returned no object. */
   refused: number;
 }
 
 interface InFlightFetch {
   readonly request: ObjectRequest;
-  readonly beganUs: number;
+  readonly startedAtUs: number;
   readonly result: Promise<LookupResult>;
 }
 
 const MAX_FETCH_ATTEMPTS = 3;
 
 /**
- * Cached objects with a source behind them. Simultaneous misses share one fetch.
- * Invariant: what `get` returns was validated after every purge naming it that was known when `get`
- * was called.
+ * Serves cached objects, and fetches from the source on a miss. Concurrent misses of one object
+ * share a fetch. Invariant: an object that `get` returns was validated after every purge covering
+ * it that was known when `get` was called.
  */
 export class ObjectStore {
   readonly counts: ObjectStoreCounts = { hits: 0, misses: 0, joined: 0, refused: 0 };
@@ -77,14 +78,14 @@
     const inFlightFetch = this.inFlight.get(key);
     const canJoin =
       inFlightFetch !== undefined &&
-      clock.nowUs() - inFlightFetch.beganUs <= request.maxAgeUs &&
+      clock.nowUs() - inFlightFetch.startedAtUs <= request.maxAgeUs &&
       inFlightFetch.request.maxAgeUs <= request.maxAgeUs;
     if (canJoin) this.counts.joined += 1;
     else this.counts.misses += 1;
     const found = await withTimeout(
       clock,
       request.deadlineUs - clock.nowUs(),
-      canJoin ? inFlightFetch.result : this.begin(key, request),
+      canJoin ? inFlightFetch.result : this.startFetch(key, request),
       TIMED_OUT,
     );
     if (found.kind === "found") return found;
@@ -92,27 +93,30 @@
     return this.staleIfError(request) ?? found;
   };
 
-  /** After a purge: fetches in flight serve the requests that wait for them, and no later ones. */
+  /**
+   * To be called after a purge: fetches in flight serve the requests that already wait for them,
+   * and no later ones.
+   */
   readonly detachInFlight = (): void => this.inFlight.clear();
 
-  private readonly begin = (key: string, request: ObjectRequest): Promise<LookupResult> => {
+  private readonly startFetch = (key: string, request: ObjectRequest): Promise<LookupResult> => {
     const inFlightFetch: InFlightFetch = {
       request,
-      beganUs: this.options.clock.nowUs(),
+      startedAtUs: this.options.clock.nowUs(),
       result: this.fetch(request),
     };
     this.inFlight.set(key, inFlightFetch);
-    const forget = () => {
+    const removeWhenSettled = () => {
       if (this.inFlight.get(key) === inFlightFetch) this.inFlight.delete(key);
     };
-    inFlightFetch.result.then(forget, forget);
+    inFlightFetch.result.then(removeWhenSettled, removeWhenSettled);
     return inFlightFetch.result;
   };
 
   private readonly fetch = async (request: ObjectRequest): Promise<LookupResult> => {
     const { cachedObjects, source, clock } = this.options;
     let maxAgeUs = request.maxAgeUs;
-    for (let round = 0; round < MAX_FETCH_ATTEMPTS; round += 1) {
+    for (let attempt = 0; attempt < MAX_FETCH_ATTEMPTS; attempt += 1) {
       const purgeReceivedUs = cachedObjects.lastPurgeUs(request.host, request.url);
       if (purgeReceivedUs !== undefined)
         maxAgeUs = Math.min(maxAgeUs, clock.nowUs() - purgeReceivedUs);
@@ -126,16 +130,19 @@
     return TIMED_OUT;
   };
 
-  /** A cached object a little beyond its maximum age, where the bound on staleness allows it. */
+  /**
+   * A cached object that exceeds its maximum age by at most `staleIfErrorUs`, unless the request
+   * demands a fresher one.
+   */
   private readonly staleIfError = (request: ObjectRequest): LookupResult | undefined => {
     const { clock, cachedObjects, isFresh, staleIfErrorUs } = this.options;
     const copy = cachedObjects.get(cacheKey(request));
-    const usable =
+    const isUsable =
       copy &&
       isFresh() &&
       request.maxAgeUs === request.cacheForUs &&
       clock.nowUs() - copy.validatedAtUs <= request.cacheForUs + staleIfErrorUs;
-    return usable ? { kind: "found", copy } : undefined;
+    return isUsable ? { kind: "found", copy } : undefined;
   };
 }
 
--- a/src/cache/origin-fetch.ts
+++ b/src/cache/origin-fetch.ts
@@ -1,5 +1,5 @@
-import type { ObjectRequest } from "../proxy/object-source.js";
 /** Fetches objects from the workers of their service. */
+import type { ObjectRequest } from "../proxy/object-source.js";
 import { randomBytes } from "node:crypto";
 import { sleep, withTimeout, type Clock } from "../common/clock.js";
 import { MILLISECOND_US } from "../common/duration.js";
@@ -22,7 +22,7 @@
 import type { RateLimiter } from "../quota/rate-limiter.js";
 import type { LookupResult } from "./object-store.js";
 
-/** What an `OriginFetcher` works on. */
+/** Dependencies and limits of {@link OriginFetcher}. */
 export interface OriginFetcherOptions {
   readonly clock: Clock;
   readonly workers: WorkerDirectory;
@@ -30,7 +30,7 @@
   readonly rateLimiter: RateLimiter;
   readonly retryBudgets: RetryBudgets;
   readonly countFault: (worker: string, isFault: boolean) => void;
-  /** The size of the largest object that is read. */
+  /** Maximum size of a body in bytes; a larger one is not accepted. */
   readonly maxObjectBytes: number;
 }
 
@@ -38,7 +38,8 @@
 const POLL_INTERVAL_US = 15 * MILLISECOND_US;
 const LIVENESS_CHECK_INTERVAL_US = 120 * MILLISECOND_US;
 /**
- * The fractions of the latency target for which a fetch waits for the rate, and for a free worker.
+ * Fractions of the latency target for which a fetch waits for the rate limit, and for a free
+ * worker.
  */
 const RATE_WAIT_FRACTION = 0.4;
 const WORKER_WAIT_FRACTION = 0.25;
@@ -50,19 +51,20 @@
 ]);
 
 /**
- * Reads objects from the workers of a service, within this process's share of the service's rate.
+ * Fetches objects from the workers of a service, within this process's share of the service's rate
+ * limit.
  */
 export class OriginFetcher {
   revalidations = 0;
   fetches = 0;
   rateLimited = 0;
-  /** How many fetches wait for the rate, by service. */
+  /** Number of fetches that wait for the rate limit, by service. */
   private readonly waitingByService = new Map<string, number>();
 
   constructor(private readonly options: OriginFetcherOptions) {}
 
   /** Fetches an object, with retries; `previous` is revalidated with its entity tag. */
-  // eslint-disable-next-line complexity -- one attempt after another; a split would add a turn of the event loop
+  // eslint-disable-next-line complexity -- sequential attempts; splitting the function would add a turn of the event loop
   readonly fetch = async (
     request: ObjectRequest,
     previous: CachedObject | undefined,
@@ -71,21 +73,21 @@
     const budget = retryBudgets.of(request.service, "cached");
     const tried = new Set<string>();
     let errorResponse: CachedObject | undefined;
-    for (let round = 0; round < MAX_ATTEMPTS; round += 1) {
-      if (clock.nowUs() >= request.deadlineUs || (round > 0 && !budget.trySpend())) break;
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
+      if (clock.nowUs() >= request.deadlineUs || (attempt > 0 && !budget.trySpend())) break;
       const rateRefusal = await this.waitForRate(request);
       if (rateRefusal !== undefined)
         return errorResponse ? { kind: "found", copy: errorResponse } : rateRefusal;
-      if (round === 0) budget.recordRequest();
+      if (attempt === 0) budget.recordRequest();
       const worker = await this.chooseWorker(request, tried);
       if (!worker) break;
       tried.add(worker.id);
-      const beganUs = clock.nowUs();
+      const sentAtUs = clock.nowUs();
       const result = await this.sendToWorker(request, previous, worker);
       if (result.kind !== "answered") continue;
       const { response } = result;
       if (response.status === 304 && previous)
-        return { kind: "found", copy: { ...previous, validatedAtUs: beganUs } };
+        return { kind: "found", copy: { ...previous, validatedAtUs: sentAtUs } };
       const body = await withTimeout(
         clock,
         request.deadlineUs - clock.nowUs(),
@@ -97,7 +99,7 @@
         if (body === "broken") this.recordFault(worker);
         continue;
       }
-      const copy = this.toCachedObject(request, response, body, beganUs);
+      const copy = this.toCachedObject(request, response, body, sentAtUs);
       if (response.status < 500) return { kind: "found", copy };
       errorResponse = copy;
     }
@@ -107,8 +109,8 @@
   };
 
   /**
-   * Waits for a token of the service's rate; undefined once it has one. Refuses at once where the
-   * token would come too late.
+   * Waits for a token of the service's rate limit. Resolves to undefined once it has one, and to a
+   * refusal at once if the token would come too late.
    */
   private readonly waitForRate = async (
     request: ObjectRequest,
@@ -165,7 +167,7 @@
     }
   };
 
-  // eslint-disable-next-line complexity -- one attempt and its outcomes; a split would add a turn of the event loop
+  // eslint-disable-next-line complexity -- one attempt and its outcomes; splitting the function would add a turn of the event loop
   private readonly sendToWorker = async (
     request: ObjectRequest,
     previous: CachedObject | undefined,
@@ -173,14 +175,17 @@
   ): Promise<UpstreamResult> => {
     const { clock, countFault, workers } = this.options;
     const attemptId = randomBytes(8).toString("hex");
-    const leftMs = Math.max(1, Math.floor((request.deadlineUs - clock.nowUs()) / MILLISECOND_US));
+    const timeLeftMs = Math.max(
+      1,
+      Math.floor((request.deadlineUs - clock.nowUs()) / MILLISECOND_US),
+    );
     const headers = [
       "Host",
       request.host,
       "Yewreel-Try-Id",
       attemptId,
       "Yewreel-Time-Left-Ms",
-      String(leftMs),
+      String(timeLeftMs),
       "Yewreel-Expect-Worker",
       worker.id,
     ];
@@ -188,7 +193,7 @@
       headers.push("If-None-Match", previous.etag);
       this.revalidations += 1;
     } else this.fetches += 1;
-    const call = new UpstreamRequest(
+    const upstream = new UpstreamRequest(
       worker,
       {
         method: "GET",
@@ -204,9 +209,9 @@
     );
     let result: UpstreamResult | undefined;
     while (result === undefined) {
-      result = await withTimeout(clock, LIVENESS_CHECK_INTERVAL_US, call.result, undefined);
+      result = await withTimeout(clock, LIVENESS_CHECK_INTERVAL_US, upstream.result, undefined);
       if (result === undefined && (worker.isUnresponsive() || clock.nowUs() > request.deadlineUs)) {
-        call.cancel();
+        upstream.cancel();
         result = { kind: "lost", reason: "silence" };
       }
     }
@@ -226,16 +231,16 @@
     this.options.countFault(worker.id, true);
   };
 
-  /** Reads the complete body, unless the connection broke or the body is too large. */
+  /** Reads the complete body, unless the connection breaks or the body is too large. */
   private readonly readBody = (
     response: UpstreamResponse,
   ): Promise<Buffer | "broken" | "too large"> => {
-    const { remainder: more, body: start } = response;
-    if (!more) return Promise.resolve(start);
-    const chunks = [start];
-    let size = start.length;
+    const { remainder, body: firstChunk } = response;
+    if (!remainder) return Promise.resolve(firstChunk);
+    const chunks = [firstChunk];
+    let size = firstChunk.length;
     return new Promise((resolve) => {
-      more.read(
+      remainder.read(
         (chunk) => {
           size += chunk.length;
           if (size <= this.options.maxObjectBytes) chunks.push(chunk);
@@ -254,7 +259,7 @@
     request: ObjectRequest,
     response: UpstreamResponse,
     body: Buffer,
-    beganUs: number,
+    validatedAtUs: number,
   ): CachedObject => ({
     service: request.service,
     host: request.host,
@@ -266,6 +271,6 @@
       .split(" ")
       .filter((label) => label !== ""),
     body,
-    validatedAtUs: beganUs,
+    validatedAtUs,
   });
 }
--- a/src/cache/peer-caches.ts
+++ b/src/cache/peer-caches.ts
@@ -8,12 +8,18 @@
 import { packHello } from "./messages.js";
 import type { CacheAddress } from "../membership/cluster.js";
 
-/** Long intervals: each request has its own timeout, and every gateway connects to every cache. */
+/**
+ * The intervals are long, since each request has its own timeout and every gateway connects to
+ * every cache.
+ */
 const LINK_TIMES = { heartbeatUs: 1_500 * MILLISECOND_US, timeoutUs: 3_500 * MILLISECOND_US };
 const CONNECT_TIMEOUT_US = 500 * MILLISECOND_US;
 const RECONNECT_BACKOFF_US = 300 * MILLISECOND_US;
-/** A cache says at once when it has to fetch; one that is silent for so long is suspected. */
-const FIRST_SIGN_TIMEOUT_US = 300 * MILLISECOND_US;
+/**
+ * A cache announces promptly that it has to fetch, so one that stays silent for this long is
+ * suspected to have failed.
+ */
+const FIRST_REPLY_TIMEOUT_US = 300 * MILLISECOND_US;
 const SUSPECT_DURATION_US = 1 * SECOND_US;
 
 interface PeerCache {
@@ -23,10 +29,12 @@
   suspectedUntilUs: number;
 }
 
-/** How far a zone is from another: 0 itself, 1 in the same region, 2 elsewhere. */
+/**
+ * Distance of a zone from a given one: 0 for the zone itself, 1 in the same region, 2 elsewhere.
+ */
 export type Distance = (zone: string) => number;
 
-/** Distances from a zone, by the region of each zone. */
+/** Distances from a zone, given the region of each zone. */
 export const zoneDistance = (zone: string, regions: ReadonlyMap<string, string>): Distance => {
   const region = regions.get(zone);
   return (other) => {
@@ -35,13 +43,13 @@
   };
 };
 
-/** The owner of an object among these, by rendezvous hashing. */
+/** The address that owns an object, chosen by rendezvous hashing. */
 export const ownerOf = (key: string, addresses: readonly string[]): string | undefined =>
   [...addresses].sort((a, b) => crc32(`${key}\n${b}`) - crc32(`${key}\n${a}`))[0];
 
 /**
- * Connections to the caches. Each object ranks them: the nearer ones first, and those at the same
- * distance by rendezvous hashing.
+ * Connections to the caches. For each object the caches are ranked by distance, and at the same
+ * distance by rendezvous hashing; suspected ones come last.
  */
 export class PeerCaches {
   private readonly peers = new Map<string, PeerCache>();
@@ -51,7 +59,7 @@
     private readonly distance: Distance = () => 0,
   ) {}
 
-  /** Whether a request would find a connected cache. */
+  /** Whether at least one cache is connected. */
   get isAnyConnected(): boolean {
     return [...this.peers.values()].some(({ link }) => link.isConnected);
   }
@@ -65,12 +73,12 @@
       this.peers.delete(address);
     });
     wanted.forEach((zone, address) => {
-      if (!this.peers.has(address)) this.open(address, zone);
+      if (!this.peers.has(address)) this.connect(address, zone);
     });
   };
 
-  /** Asks one cache alone, such as an object's owner. */
-  readonly askOne = (
+  /** Sends a request to one cache only, such as the owner of an object. */
+  readonly requestFrom = (
     address: string,
     message: Message,
     waitUs: number,
@@ -81,10 +89,10 @@
   readonly stop = (): void => this.peers.forEach(({ link }) => link.stop());
 
   /**
-   * Asks the first cache of an object, and the next one in rank where that is suspected; undefined
-   * when none answers in time.
+   * Sends a request to the highest-ranked cache of an object, and to the next one if that gives no
+   * reply. Resolves to undefined if none replies in time.
    */
-  readonly ask = async (
+  readonly request = async (
     key: string,
     message: Message,
     waitUs: number,
@@ -96,22 +104,22 @@
       const sentAtUs = clock.nowUs();
       if (sentAtUs >= deadlineUs) return undefined;
       const reply = cache.link.request(message, deadlineUs - sentAtUs);
-      const early = await withTimeout(
+      const promptReply = await withTimeout(
         clock,
-        Math.min(FIRST_SIGN_TIMEOUT_US, deadlineUs - sentAtUs),
+        Math.min(FIRST_REPLY_TIMEOUT_US, deadlineUs - sentAtUs),
         reply,
         "silent" as const,
       );
-      if (early === "silent") {
-        const late =
+      if (promptReply === "silent") {
+        const lateReply =
           cache.lastHeardUs >= sentAtUs || cache === ranked[ranked.length - 1]
             ? await reply
             : undefined;
-        if (late) return late;
+        if (lateReply) return lateReply;
         cache.suspectedUntilUs = clock.nowUs() + SUSPECT_DURATION_US;
-      } else if (early) {
+      } else if (promptReply) {
         cache.lastHeardUs = clock.nowUs();
-        return early;
+        return promptReply;
       }
     }
     return undefined;
@@ -129,7 +137,7 @@
     return scored.sort((a, b) => b.score - a.score).map(({ cache }) => cache);
   };
 
-  private readonly open = (address: string, zone: string): void => {
+  private readonly connect = (address: string, zone: string): void => {
     const { clock } = this;
     const { ip, port } = splitAddress(address);
     const link = new PeerLink({
--- a/src/programs/cache/cache.ts
+++ b/src/programs/cache/cache.ts
@@ -1,4 +1,4 @@
-/** The shared object cache: subsystems are opened here, in the order in which they start. */
+/** The shared object cache program: opens its subsystems in the order in which they start. */
 import { FaultCounters } from "../../health/fault-counters.js";
 import { CachedObjects, cacheKey } from "../../cache/cached-objects.js";
 import {
@@ -31,31 +31,31 @@
 import type { RetryBudgets } from "../../proxy/retry-budget.js";
 import { subscribeToPurges } from "../purge-subscriber.js";
 import { openRetryBudgets } from "../gateway/retry-budgets.js";
-import { relayFigures } from "../gateway/figures.js";
+import { relayMetrics } from "../gateway/figures.js";
 import type { RunningProgram } from "../running-program.js";
 
 const MB = 1024 * 1024;
 const DEFAULT_MEMORY_MB = 512;
-/** Cached objects take at most this fraction of the memory. */
+/** Cached objects use at most this fraction of the memory. */
 const CACHE_MEMORY_FRACTION = 0.35;
-/** How long the owner of an object is waited for, before the origin is read instead. */
+/** How long to wait for the owner of an object before reading from the origin instead. */
 const OWNER_TIMEOUT_US = SECOND_US;
 const MAX_OBJECT_BYTES = 16 * MB;
 const REPORT_INTERVAL_US = 2 * SECOND_US;
 
 const addressOf = (settings: Settings): string => `${settings.ip}:${settings.relayPort}`;
 
-/** How many caches share a service's connections, and how many of them run in this zone. */
+/** Number of caches that share a service's connections, and how many of them run in this zone. */
 interface CacheCount {
   readonly total: number;
   readonly inZone: number;
 }
 
-/** The caches that run, as the controllers last reported them. */
+/** The running caches, as last reported by the controllers. */
 class CacheMembership {
   readonly peers: PeerCaches;
   count: CacheCount = { total: 1, inZone: 1 };
-  /** The addresses of all caches, this one included. */
+  /** The addresses of all caches, including this one. */
   addresses: readonly string[];
   readonly ownAddress: string;
 
@@ -80,7 +80,7 @@
   };
 }
 
-/** What the cache knows of services and workers, and the limits that bind its requests to them. */
+/** The known services and workers, and the limits on requests to them. */
 interface Upstream {
   readonly routes: RouteTable;
   readonly workers: WorkerDirectory;
@@ -127,8 +127,9 @@
 };
 
 /**
- * Fetches through the owner of an object among all caches. The owner reads the origin; another
- * cache asks the owner, so that a version's body is sent to it only once.
+ * Fetches through the owner of an object among all caches. The owner reads from the origin. Any
+ * other cache requests the object from the owner, so that the body of a version is sent to that
+ * cache only once; if the owner does not reply, it reads from the origin itself.
  */
 const fetchThroughOwner =
   (clock: Clock, members: CacheMembership, ownStore: ObjectStore): ObjectFetch =>
@@ -138,7 +139,7 @@
     const isOwn = owner === undefined || owner === members.ownAddress;
     const reply = isOwn
       ? undefined
-      : await members.peers.askOne(
+      : await members.peers.requestFrom(
           owner,
           packObjectRequest(request, sentAtUs, undefined, previous, true),
           Math.min(OWNER_TIMEOUT_US, request.deadlineUs - sentAtUs),
@@ -153,7 +154,10 @@
     };
   };
 
-/** The cached objects, with the origin behind them, and with their owners behind them. */
+/**
+ * The cached objects, and two stores of them: `ownStore` fetches from the origin, `store` through
+ * the owner of an object.
+ */
 interface Stores {
   readonly cachedObjects: CachedObjects;
   readonly freshness: Freshness;
@@ -191,8 +195,8 @@
   return { cachedObjects, freshness, ownStore, store };
 };
 
-/** Applies what updates say of services, workers, purges and other caches. */
-const followUpdates = (
+/** Subscribes to updates of services, workers, purges and other caches, and applies them. */
+const subscribeToUpdates = (
   clock: Clock,
   { updates, subscriber }: DataPlaneNode,
   { routes, workers, faults }: Upstream,
@@ -259,13 +263,8 @@
   const log = loggerFor("cache");
   const serve: SessionHandler = (connection, hello, incoming) =>
     server.serve(connection, hello, incoming);
-  const node = joinCluster(
-    settings,
-    clock,
-    "cache",
-    { [OBJECT_MESSAGE.hello]: serve },
-    (question) =>
-      question.kind === "retries" ? { kind: "retries", rows: retryBudgets.snapshot() } : undefined,
+  const node = joinCluster(settings, clock, "cache", { [OBJECT_MESSAGE.hello]: serve }, (query) =>
+    query.kind === "retries" ? { kind: "retries", rows: retryBudgets.snapshot() } : undefined,
   );
   const { updates, subscriber, relay } = node;
   const incarnation = `${process.pid}-${clock.nowUs()}-${Math.random()}`;
@@ -277,7 +276,7 @@
   const { rateLimiter } = upstream;
   const { store, ownStore } = stores;
   const server = new ObjectServer({ clock, store, ownStore, rateLimiter, log });
-  const purges = followUpdates(clock, node, upstream, stores, members);
+  const purges = subscribeToUpdates(clock, node, upstream, stores, members);
   const rateLeases = new RateLeaseRenewer({
     clock,
     limiter: rateLimiter,
@@ -292,7 +291,7 @@
   const reports = startReports(clock, subscriber, upstream, stores, origin);
   log.info("cache is listening", { address: members.ownAddress });
   return {
-    figures: relayFigures(node),
+    figures: relayMetrics(node),
     applySettings: ({ seedNodes }) => subscriber.renewSeeds(seedNodes),
     stop: async () => {
       log.info("cache is shutting down");
--- a/src/programs/ctl/command-line.ts
+++ b/src/programs/ctl/command-line.ts
@@ -1,23 +1,20 @@
-/**
- * What all commands of `yewreel ctl` share: their options, their output, and how an error ends
- * them.
- */
+/** Shared parts of all `yewreel ctl` commands: options, output and error handling. */
 import type { Command } from "commander";
 import { CommandError } from "./errors.js";
 import { ControllerClient } from "./controller-client.js";
 
-/** The options of a command that calls the controllers. */
+/** Options of a command that calls the controllers. */
 export interface ControllerOptions {
   readonly controller?: readonly string[];
 }
 
-/** The options of a command that prints an answer. */
+/** Options of a command that prints a response. */
 export interface QueryOptions extends ControllerOptions {
   readonly json?: boolean;
 }
 
 /** Adds `--controller`. */
-export const withControllers = (command: Command): Command =>
+export const withControllerOptions = (command: Command): Command =>
   command.option(
     "-c, --controller <address...>",
     "controllers to call, as ip:port, tried in turn (env: YEWREEL_CONTROLLERS, comma-separated)",
@@ -25,16 +22,16 @@
 
 /** Adds `--controller` and `--json`. */
 export const withQueryOptions = (command: Command): Command =>
-  withControllers(command).option("--json", "print JSON instead of a table");
+  withControllerOptions(command).option("--json", "print JSON instead of a table");
 
-/** The client for the controllers that the options name, or else the environment. */
+/** Creates a client for the controllers named in the options, or else in the environment. */
 export const clientFor = ({ controller }: ControllerOptions): ControllerClient =>
   new ControllerClient(
     controller ??
       (process.env["YEWREEL_CONTROLLERS"] ?? "").split(",").filter((address) => address !== ""),
   );
 
-/** Writes one line, or more, to standard output. */
+/** Writes a text and a newline to standard output. */
 export const print = (text: string): void => {
   process.stdout.write(`${text}\n`);
 };
--- a/src/programs/ctl/commands/backends.ts
+++ b/src/programs/ctl/commands/backends.ts
@@ -1,6 +1,6 @@
 /**
- * `backends forecast`: what adding or retiring workers would move, before it is done and checked
- * after it.
+ * `backends forecast`: forecasts which requests would move when workers are added or retired, and
+ * checks the forecast after the change.
  */
 import type { Command } from "commander";
 import { isRecord, type UnknownRecord } from "../../../common/decode.js";
@@ -14,7 +14,7 @@
 } from "../command-line.js";
 import { InvalidInputError } from "../errors.js";
 import { parseJsonFile, readTextFile, writeJsonFile } from "../files.js";
-import { countsOf, readKept, checkForecast, type CheckedRow } from "../forecast-check.js";
+import { countResults, readKept, checkForecast, type CheckedRow } from "../forecast-check.js";
 import { rowsOf, textOf, textsOf } from "../json-values.js";
 import { formatTable } from "../table.js";
 
@@ -56,14 +56,17 @@
 const roundFields = (row: UnknownRecord): UnknownRecord =>
   Object.fromEntries(Object.entries(row).map(([name, value]) => [name, round(value)]));
 
-/** A forecast for people: shares in percent, the zones that requests go to in one column. */
+/**
+ * Formats a forecast as tables: shares in percent, the zones that requests would move to in one
+ * column.
+ */
 const formatForecast = (forecast: UnknownRecord, isByNode: boolean): string => {
   const loaded = rowsOf(forecast["loaded"]).map(roundFields);
   return [
     formatTable(rowsOf(forecast["fleet"]).map(toForecastRow)),
     ...(isByNode ? ["", formatTable(rowsOf(forecast["nodes"]).map(toForecastRow))] : []),
     ...(loaded.length > 0
-      ? ["", "Workers whose slots would be in use beyond four fifths:", formatTable(loaded)]
+      ? ["", "Workers that would have more than 80% of their slots in use:", formatTable(loaded)]
       : []),
     ...textsOf(forecast["warnings"]).map((warning) => `Warning: ${warning}.`),
   ].join("\n");
@@ -78,22 +81,24 @@
     seenJoin: formatPercent(row.seenJoin),
     seenLeave: formatPercent(row.seenLeave),
   }));
-  const totals = Object.entries(countsOf(rows)).map(([result, count]) => `${count} ${result}`);
+  const totals = Object.entries(countResults(rows)).map(([result, count]) => `${count} ${result}`);
   return `${formatTable(shown)}\n${totals.join(", ")}`;
 };
 
 const readForecastFile = async (file: string): Promise<UnknownRecord> => {
-  const kept = readKept(parseJsonFile(file, await readTextFile(file)));
-  if (typeof kept === "string") throw new InvalidInputError(kept);
-  return kept;
+  const forecast = readKept(parseJsonFile(file, await readTextFile(file)));
+  if (typeof forecast === "string") throw new InvalidInputError(forecast);
+  return forecast;
 };
 
-/** Compares a forecast that `--keep` wrote with what the nodes have counted since. */
+/** Compares a forecast saved by `--keep` with what the nodes have counted since. */
 const checkBackends = async (file: string, options: ForecastOptions): Promise<void> => {
-  const kept = await readForecastFile(file);
-  const services = [...new Set(rowsOf(kept["subsets"]).map((row) => textOf(row["service"])))];
+  const savedForecast = await readForecastFile(file);
+  const services = [
+    ...new Set(rowsOf(savedForecast["subsets"]).map((row) => textOf(row["service"]))),
+  ];
   const answer = await clientFor(options).post("/backends/seen", { services });
-  const rows = checkForecast(kept, rowsOf(answer["seen"]));
+  const rows = checkForecast(savedForecast, rowsOf(answer["seen"]));
   if (options.json === true) printJson(rows);
   else print(formatCheck(rows));
 };
@@ -129,12 +134,12 @@
       )
       .option("--add <workers...>", "workers to add, each as SERVICE@ZONE or SERVICE@ZONE*COUNT")
       .option("--retire <worker...>", "workers to retire")
-      .option("--by-route", "a row for each route")
-      .option("--by-node", "print the rows of each node too")
-      .option("--keep <file>", "keep the forecast in a file, for --check")
+      .option("--by-route", "print a row for each route")
+      .option("--by-node", "also print the rows of each node")
+      .option("--keep <file>", "save the forecast to a file, for --check")
       .option(
         "--check <file>",
-        "compare a kept forecast with what the nodes have seen since, a minute after the change",
+        "compare a saved forecast with what the nodes have counted since, a minute after the change",
       ),
   ).action(commandAction(forecastBackends));
 };
--- a/src/programs/ctl/commands/configuration.ts
+++ b/src/programs/ctl/commands/configuration.ts
@@ -1,4 +1,4 @@
-/** `apply` and `read`: the configuration as a whole. */
+/** `apply` and `read`: changing and reading the configuration. */
 import type { Command } from "commander";
 import { isRecord } from "../../../common/decode.js";
 import {
@@ -6,20 +6,20 @@
   commandAction,
   print,
   printJson,
-  withControllers,
+  withControllerOptions,
   type ControllerOptions,
 } from "../command-line.js";
 import { InvalidInputError } from "../errors.js";
 import { parseJsonFile, readTextFile } from "../files.js";
 
 /**
- * The change request that a file stands for: its text as it is if it has `putItems` or `remove`, or
- * else a request that puts the items of the file.
+ * Reads a change request from a file: the text unchanged if it has `putItems` or `remove`, or else
+ * a request that puts the items of the file.
  */
 const readChangeRequest = async (path: string): Promise<string> => {
   const text = await readTextFile(path);
   const items = parseJsonFile(path, text);
-  if (!isRecord(items)) throw new InvalidInputError(`${path} holds no JSON table`);
+  if (!isRecord(items)) throw new InvalidInputError(`${path} does not contain a JSON object`);
   return items["putItems"] === undefined && items["remove"] === undefined
     ? JSON.stringify({ putItems: items, remove: { routes: [] } })
     : text;
@@ -27,7 +27,7 @@
 
 /** Adds the commands to `ctl`. */
 export const addConfigurationCommands = (ctl: Command): void => {
-  withControllers(
+  withControllerOptions(
     ctl
       .command("apply <file>")
       .summary("apply a configuration file")
@@ -39,7 +39,7 @@
       print("Taken.");
     }),
   );
-  withControllers(
+  withControllerOptions(
     ctl
       .command("read")
       .summary("print the configuration in force, as JSON")
--- a/src/programs/ctl/commands/forecast.ts
+++ b/src/programs/ctl/commands/forecast.ts
@@ -1,4 +1,4 @@
-/** `forecast`: how near each service is to its capacity. */
+/** `forecast`: how close each service is to its capacity. */
 import type { Command } from "commander";
 import {
   clientFor,
@@ -18,7 +18,7 @@
     (row) => service === undefined || row["service"] === service,
   );
   if (service !== undefined && rows.length === 0)
-    throw new RejectedError(`nothing is known of a service ${service}`);
+    throw new RejectedError(`unknown service ${service}`);
   if (options.json === true) printJson(rows);
   else print(formatTable(rows));
 };
@@ -26,6 +26,6 @@
 /** Adds the command to `ctl`. */
 export const addForecastCommand = (ctl: Command): void => {
   withQueryOptions(
-    ctl.command("forecast [service]").description("show how near each service is to its capacity"),
+    ctl.command("forecast [service]").description("show how close each service is to its capacity"),
   ).action(commandAction(showForecast));
 };
--- a/src/programs/ctl/commands/leadership.ts
+++ b/src/programs/ctl/commands/leadership.ts
@@ -1,6 +1,4 @@
-/**
- * `duty` and `copies`: the leader lease, the voter set, and what each controller knows by itself.
- */
+/** `duty` and `copies`: the leader lease, the voter set, and the local state of each controller. */
 import type { Command } from "commander";
 import { isRecord, type UnknownRecord } from "../../../common/decode.js";
 import {
@@ -18,8 +16,8 @@
 import { formatTable } from "../table.js";
 
 /**
- * The leader, its term and the voter set, and below them every controller with why it does not
- * count.
+ * Formats the leader, its term and the voter set, followed by every controller with the reason why
+ * it does not count towards a quorum.
  */
 const formatLeadership = (answer: UnknownRecord): string => {
   const { holder, term, roster, boxes } = isRecord(answer["duty"]) ? answer["duty"] : answer;
@@ -38,15 +36,15 @@
 };
 
 /**
- * What one controller says of itself, also one that is partitioned off; its failure is a row as
- * well.
+ * Queries the local state of one controller, which also works if it is partitioned off. A failure
+ * becomes a row as well.
  */
 const describeController = async (address: string): Promise<UnknownRecord> => {
   try {
     const answer = await callAddress(address, { method: "GET", path: "/tell/copy" });
-    const own = isRecord(answer["copy"]) ? answer["copy"] : {};
+    const ownState = isRecord(answer["copy"]) ? answer["copy"] : {};
     return Object.fromEntries(
-      Object.entries(own).map(([name, value]) => [
+      Object.entries(ownState).map(([name, value]) => [
         name,
         Array.isArray(value) ? value.join(" ") : value,
       ]),
@@ -73,8 +71,8 @@
       .command("duty")
       .summary("show the leader, its term, the voter set and the controllers")
       .description(
-        "Show the leader, its term, the voter set, and each controller with why it does not count.\n" +
-          "The controller that is asked confirms a quorum first.",
+        "Show the leader, its term, the voter set, and each controller with the reason why it does not count.\n" +
+          "The queried controller confirms a quorum first.",
       ),
   ).action(
     commandAction(async (options: QueryOptions) => {
@@ -86,9 +84,7 @@
   withQueryOptions(
     ctl
       .command("copies")
-      .summary("show what each named controller knows by itself")
-      .description(
-        "Show what each named controller knows by itself, also one that is partitioned off.",
-      ),
+      .summary("show the local state of each named controller")
+      .description("Show the local state of each named controller, even if it is partitioned off."),
   ).action(commandAction(showControllers));
 };
--- a/src/programs/ctl/commands/purge.ts
+++ b/src/programs/ctl/commands/purge.ts
@@ -1,10 +1,10 @@
-/** `purge`: ends cached objects. */
+/** `purge`: purges cached objects. */
 import type { Command } from "commander";
 import {
   clientFor,
   commandAction,
   print,
-  withControllers,
+  withControllerOptions,
   type ControllerOptions,
 } from "../command-line.js";
 import { InvalidInputError } from "../errors.js";
@@ -28,7 +28,7 @@
 
 /** Adds the command to `ctl`. */
 export const addPurgeCommand = (ctl: Command): void => {
-  withControllers(
+  withControllerOptions(
     ctl
       .command("purge")
       .summary("purge cached objects")
--- a/src/programs/ctl/commands/queries.ts
+++ b/src/programs/ctl/commands/queries.ts
@@ -12,7 +12,8 @@
 import { formatTable } from "../table.js";
 
 /**
- * By command; the admin API has the same name below `/tell/`, and its answer a field of that name.
+ * Summaries by command name. The path of the admin API below `/tell/` and the field of its response
+ * have the same name.
  */
 const QUERIES: Readonly<Record<string, string>> = {
   nodes: "list the gateways with a session",
@@ -22,7 +23,7 @@
   goods: "show what each cache holds, hit, missed, checked and rejected",
 };
 
-/** Prints one field of an answer, or the whole answer where it lacks the field. */
+/** Prints one field of a response, or the whole response if it lacks the field. */
 export const runQuery = async (
   options: QueryOptions,
   path: string,
--- a/src/programs/ctl/commands/retries.ts
+++ b/src/programs/ctl/commands/retries.ts
@@ -4,7 +4,7 @@
   clientFor,
   commandAction,
   print,
-  withControllers,
+  withControllerOptions,
   withQueryOptions,
   type ControllerOptions,
   type QueryOptions,
@@ -41,7 +41,7 @@
       .command("show")
       .description("show limit, spent, rejected and left, by service and kind, over all nodes"),
   ).action(commandAction((options: QueryOptions) => runQuery(options, "/tell/retries", "retries")));
-  withControllers(
+  withControllerOptions(
     retries
       .command("set <kind>")
       .summary("set the limit of one kind")
--- a/src/programs/ctl/commands/rollout.ts
+++ b/src/programs/ctl/commands/rollout.ts
@@ -6,7 +6,7 @@
   commandAction,
   print,
   printJson,
-  withControllers,
+  withControllerOptions,
   withQueryOptions,
   type ControllerOptions,
   type QueryOptions,
@@ -39,7 +39,7 @@
 
 const showRollout = async (route: string, options: QueryOptions): Promise<void> => {
   const rows = (await fetchRollouts(options)).filter((row) => row["route"] === route);
-  if (rows.length === 0) throw new RejectedError(`${route} is no route that splits its traffic`);
+  if (rows.length === 0) throw new RejectedError(`${route} is not a route that splits its traffic`);
   if (options.json === true) printJson(rows);
   else print(rows.map((row) => formatTable(rowsOf(row))).join("\n\n"));
 };
@@ -73,10 +73,10 @@
       .command("show <route>")
       .description("show counts, difference, bounds and reason of one route"),
   ).action(commandAction(showRollout));
-  withControllers(
+  withControllerOptions(
     rollout
       .command("clear <route>")
-      .description("lift a stop; the comparison begins anew")
+      .description("lift a stop and restart the comparison")
       .option("--version-in-force <number>", "only if this version is in force"),
   ).action(commandAction(clearRollout));
 };
--- a/src/programs/ctl/commands/usage.ts
+++ b/src/programs/ctl/commands/usage.ts
@@ -3,7 +3,7 @@
 import { commandAction, print } from "../command-line.js";
 import { callAddress } from "../controller-client.js";
 import { InvalidInputError } from "../errors.js";
-import { writingFile } from "../files.js";
+import { withWriteErrors } from "../files.js";
 import { rowsOf } from "../json-values.js";
 import type { UsageRow } from "../usage-export.js";
 
@@ -15,7 +15,7 @@
     const answer = await callAddress(address, { method: "GET", path: "/tell/counts" });
     rows.push(...rowsOf(answer["counts"]).map((row) => readUsageRow(address, row)));
   }
-  const isWritten = await writingFile(file, () => writeUsage(file, rows));
+  const isWritten = await withWriteErrors(file, () => writeUsage(file, rows));
   if (!isWritten) throw new InvalidInputError(`${file} must end in .csv or .parquet`);
   return rows.length;
 };
--- a/src/programs/ctl/commands/windows.ts
+++ b/src/programs/ctl/commands/windows.ts
@@ -7,7 +7,7 @@
   commandAction,
   print,
   printJson,
-  withControllers,
+  withControllerOptions,
   withQueryOptions,
   type ControllerOptions,
   type QueryOptions,
@@ -16,17 +16,20 @@
 import { nestedRows, rowsOf, textOf, textsOf } from "../json-values.js";
 import { formatTable } from "../table.js";
 
-/** A duration such as 90s as it is; a moment of the calendar becomes the duration until then. */
+/**
+ * Returns a duration such as 90s unchanged, and converts a date and time to the duration until
+ * then.
+ */
 const readOpening = (when: string): string => {
   if (parseDuration(when).isOk) return when;
   const leftMs = Date.parse(when) - Date.now();
   if (leftMs > 0) return `${leftMs}ms`;
-  throw new InvalidInputError(`${when} is neither a span such as 90s nor a moment to come`);
+  throw new InvalidInputError(`${when} is neither a duration such as 90s nor a time in the future`);
 };
 
 const requireDuration = (option: string, example: string, value: string): string => {
   if (parseDuration(value).isOk) return value;
-  throw new InvalidInputError(`${option} must be a span such as ${example}`);
+  throw new InvalidInputError(`${option} must be a duration such as ${example}`);
 };
 
 interface AddOptions extends ControllerOptions {
@@ -79,14 +82,14 @@
 /** Adds the commands to `ctl`. */
 export const addWindowCommands = (ctl: Command): void => {
   const window = ctl.command("window").description("plan maintenance windows of zones");
-  withControllers(
+  withControllerOptions(
     window
       .command("add <zone>")
       .summary("plan a window")
       .description("Plan a window. Its requests move to the other zones before it opens.")
       .requiredOption(
         "--opens <when>",
-        "a duration from now such as 600s, or a moment such as 2027-01-31T02:00Z",
+        "a duration from now such as 600s, or a time such as 2027-01-31T02:00Z",
       )
       .requiredOption("--lasts <duration>", "how long it lasts, such as 1800s"),
   ).action(commandAction(addWindow));
@@ -96,10 +99,10 @@
   withQueryOptions(window.command("show <id>").description("show one window")).action(
     commandAction(showWindow),
   );
-  withControllers(
+  withControllerOptions(
     window.command("cancel <id>").description("cancel a window; its requests return"),
   ).action(commandAction(cancelWindow));
-  withControllers(
+  withControllerOptions(
     window
       .command("extend <id>")
       .description("make a window longer")
--- a/src/programs/ctl/commands/zones.ts
+++ b/src/programs/ctl/commands/zones.ts
@@ -4,7 +4,7 @@
   clientFor,
   commandAction,
   print,
-  withControllers,
+  withControllerOptions,
   type ControllerOptions,
 } from "../command-line.js";
 
@@ -12,7 +12,9 @@
   ctl: Command,
   command: { name: string; description: string; why: string; done: string },
 ): void => {
-  withControllers(ctl.command(`${command.name} <zone>`).description(command.description)).action(
+  withControllerOptions(
+    ctl.command(`${command.name} <zone>`).description(command.description),
+  ).action(
     commandAction(async (zone: string, options: ControllerOptions) => {
       await clientFor(options).post("/cells/shift", { cell: zone, why: command.why });
       print(command.done);
@@ -34,7 +36,7 @@
     why: "practice",
     done: "Practice begun.",
   });
-  withControllers(ctl.command("unshift").description("end the zonal shift")).action(
+  withControllerOptions(ctl.command("unshift").description("end the zonal shift")).action(
     commandAction(async (options: ControllerOptions) => {
       await clientFor(options).post("/cells/shift", { cell: "" });
       print("Shifted back.");
--- a/src/programs/ctl/controller-client.ts
+++ b/src/programs/ctl/controller-client.ts
@@ -1,4 +1,4 @@
-/** The HTTP client of the operator's commands: one call, sent to the named controllers in turn. */
+/** HTTP client of the `ctl` commands: sends a call to the named controllers in turn. */
 import { request } from "node:http";
 import { isRecord, parseJson, type UnknownRecord } from "../../common/decode.js";
 import { InvalidInputError, RejectedError, UnreachableError } from "./errors.js";
@@ -21,12 +21,15 @@
 
 const HTTP_OK = 200;
 const HTTP_TEMPORARY_REDIRECT = 307;
-/** From this status on it is the controller's failure, and another one may do better. */
+/** From this status on the failure is the controller's, and another controller may succeed. */
 const HTTP_SERVER_ERROR = 500;
 const TIMEOUT_MS = 5_000;
 const MAX_REDIRECTS = 3;
 
-/** A body that is no JSON object counts as an empty one: the status alone decides then. */
+/**
+ * Parses a response body. One that is not a JSON object is treated as empty, so that the status
+ * alone decides.
+ */
 const parseBody = (text: string): UnknownRecord => {
   try {
     const value = parseJson(text);
@@ -50,7 +53,12 @@
         const chunks: Buffer[] = [];
         response.on("data", (chunk: Buffer) => chunks.push(chunk));
         response.on("error", (cause) =>
-          reject(new UnreachableError(`${address} broke off`, { cause })),
+          reject(
+            new UnreachableError(
+              `${address} closed the connection before the response was complete`,
+              { cause },
+            ),
+          ),
         );
         response.on("end", () =>
           resolve({
@@ -95,8 +103,8 @@
   }
   const { status, body } = response;
   if (status === HTTP_OK) return body;
-  const sentence = `${url.host} says ${status}: ${textOf(body["problem"] ?? "no reason given")}`;
-  throw status >= HTTP_SERVER_ERROR ? new UnreachableError(sentence) : new RejectedError(sentence);
+  const message = `${url.host} responded with ${status}: ${textOf(body["problem"] ?? "no reason given")}`;
+  throw status >= HTTP_SERVER_ERROR ? new UnreachableError(message) : new RejectedError(message);
 };
 
 /** Sends calls to the controllers that the command line or the environment names. */
@@ -107,10 +115,10 @@
    */
   constructor(readonly addresses: readonly string[]) {}
 
-  /** Reads; see `call`. */
+  /** Sends a GET request; see `call`. */
   readonly get = (path: string): Promise<UnknownRecord> => this.call({ method: "GET", path });
 
-  /** Changes something; `payload` is sent as JSON. See `call`. */
+  /** Sends a POST request with `payload` as JSON; see `call`. */
   readonly post = (path: string, payload?: unknown): Promise<UnknownRecord> =>
     this.call({
       method: "POST",
@@ -119,24 +127,24 @@
     });
 
   /**
-   * Tries one controller after the other until one accepts the call or rejects it for good.
+   * Tries one controller after the other until one accepts or rejects the call.
    *
    * @throws InvalidInputError if no controller is named
-   * @throws RejectedError by the first controller that rejects the call
-   * @throws UnreachableError of the last controller, if none answered
+   * @throws RejectedError if a controller rejects the call; no further controller is tried
+   * @throws UnreachableError for the last controller, if none answered
    */
   readonly call = async (call: ControllerCall): Promise<UnknownRecord> => {
-    let last: UnreachableError | undefined;
+    let lastError: UnreachableError | undefined;
     for (const address of this.addresses) {
       try {
         return await callAddress(address, call);
       } catch (error) {
         if (!(error instanceof UnreachableError)) throw error;
-        last = error;
+        lastError = error;
       }
     }
     throw (
-      last ??
+      lastError ??
       new InvalidInputError("no controller is named; give --controller or set YEWREEL_CONTROLLERS")
     );
   };
--- a/src/programs/ctl/ctl.ts
+++ b/src/programs/ctl/ctl.ts
@@ -1,6 +1,6 @@
 /**
- * `yewreel ctl`: the operator's command line. It talks to any controller over HTTP. Queries take
- * `--json`; commands answer with one line. Exit codes are in `exit-codes.ts`.
+ * `yewreel ctl`: the operator's command line. It calls any controller over HTTP. Queries take
+ * `--json`; other commands print one line. Exit codes are in `exit-codes.ts`.
  */
 import type { Command } from "commander";
 import { addBackendCommands } from "./commands/backends.js";
@@ -22,8 +22,8 @@
 
 Exit codes:
   ${EXIT_DONE}  done
-  ${EXIT_REJECTED}  rejected by the controllers, or no such thing
-  ${EXIT_INVALID_INPUT}  wrong command line or file
+  ${EXIT_REJECTED}  rejected by the controllers, or not found
+  ${EXIT_INVALID_INPUT}  invalid command line or file
   ${EXIT_UNREACHABLE}  no controller answered, or none has a quorum
 
 Examples:
--- a/src/programs/ctl/errors.ts
+++ b/src/programs/ctl/errors.ts
@@ -1,14 +1,14 @@
-/** What a command can end with, each error with the exit code that it stands for. */
+/** Errors that end a command, each with its exit code. */
 import { CodedError } from "../../common/errors.js";
 import { EXIT_INVALID_INPUT, EXIT_REJECTED, EXIT_UNREACHABLE } from "./exit-codes.js";
 
-/** The base of the errors that end a command with a sentence on standard error. */
+/** Base class of the errors that end a command with a message on standard error. */
 export abstract class CommandError extends CodedError {
   /** One of `exit-codes.ts`. */
   abstract readonly exitCode: number;
 }
 
-/** The command line, or a file that it names, is wrong. */
+/** The command line, or a file that it names, is invalid. */
 export class InvalidInputError extends CommandError {
   readonly code = "INVALID_INPUT";
   readonly exitCode = EXIT_INVALID_INPUT;
@@ -21,8 +21,8 @@
 }
 
 /**
- * An address did not answer, broke off, or answered with a status of 500 or more. Another one may
- * still answer.
+ * An address did not answer, closed the connection during the response, or answered with a status
+ * of 500 or more. Another address may still answer.
  */
 export class UnreachableError extends CommandError {
   readonly code = "UNREACHABLE";
--- a/src/programs/ctl/exit-codes.ts
+++ b/src/programs/ctl/exit-codes.ts
@@ -1,13 +1,13 @@
 /**
- * The exit codes of `yewreel ctl` and `yewreel loadgen`. Scripts depend on them: they never change
- * their meaning.
+ * Exit codes of `yewreel ctl` and `yewreel loadgen`. Scripts depend on them, so their meaning must
+ * never change.
  */
 
-/** The command was done. */
+/** The command succeeded. */
 export const EXIT_DONE = 0;
 /** A controller rejected the command; another controller would as well. */
 export const EXIT_REJECTED = 1;
-/** The command line or a file named by it is wrong; nothing was sent. */
+/** The command line or a file named by it is invalid; nothing was sent. */
 export const EXIT_INVALID_INPUT = 2;
 /** No controller answered, or none could reach a quorum. */
 export const EXIT_UNREACHABLE = 3;
--- a/src/programs/ctl/files.ts
+++ b/src/programs/ctl/files.ts
@@ -1,4 +1,7 @@
-/** Files that a command line names; what goes wrong with one is invalid input. */
+/**
+ * Access to files named on the command line. A failure to read or write one counts as invalid
+ * input.
+ */
 import { readFile, writeFile } from "node:fs/promises";
 import { parseJson } from "../../common/decode.js";
 import { messageOf } from "../../common/errors.js";
@@ -13,7 +16,7 @@
   }
 };
 
-/** @throws InvalidInputError if the text of the file at `path` is no JSON */
+/** @throws InvalidInputError if the text of the file at `path` is not JSON */
 export const parseJsonFile = (path: string, text: string): unknown => {
   try {
     return parseJson(text);
@@ -23,7 +26,7 @@
 };
 
 /** @throws InvalidInputError if the file cannot be written */
-export const writingFile = async <T>(path: string, write: () => Promise<T>): Promise<T> => {
+export const withWriteErrors = async <T>(path: string, write: () => Promise<T>): Promise<T> => {
   try {
     return await write();
   } catch (cause) {
@@ -33,4 +36,4 @@
 
 /** @throws InvalidInputError if the file cannot be written */
 export const writeJsonFile = (path: string, value: unknown): Promise<void> =>
-  writingFile(path, () => writeFile(path, JSON.stringify(value)));
+  withWriteErrors(path, () => writeFile(path, JSON.stringify(value)));
--- a/src/programs/ctl/forecast-check.ts
+++ b/src/programs/ctl/forecast-check.ts
@@ -14,21 +14,24 @@
   type UnknownRecord,
 } from "../../common/decode.js";
 
-/** How a forecast compares with the counts. */
+/** Result of comparing a forecast with the counts. */
 export type CheckResult = "within" | "outside" | "too few calls" | "not heard";
 
-/** One node, service and kind of request. Printed as JSON, so the names of the fields stay. */
+/**
+ * One row for each node, service and kind of request. Printed as JSON, so the field names must not
+ * change.
+ */
 export interface CheckedRow extends UnknownRecord {
   readonly node: string;
   readonly service: string;
   readonly kind: string;
   /** The requests counted after the change. */
   readonly calls: number;
-  /** The forecast share of requests at workers new to the node's subset. */
+  /** The forecast share of requests to workers that are new in the node's subset. */
   readonly forecastJoin: number;
   /** The same share as counted. */
   readonly seenJoin: number;
-  /** The share of requests at workers that were to leave the subset. */
+  /** The share of requests to workers that the forecast expected to leave the subset. */
   readonly seenLeave: number;
   readonly verdict: CheckResult;
 }
@@ -72,41 +75,41 @@
 };
 
 const compare = (row: {
-  readonly isHeard: boolean;
+  readonly hasAnswer: boolean;
   readonly calls: number;
   readonly seenJoin: number;
   readonly low: number;
   readonly high: number;
 }): CheckResult => {
-  if (!row.isHeard) return "not heard";
+  if (!row.hasAnswer) return "not heard";
   if (row.calls < MIN_REQUESTS) return "too few calls";
   return row.seenJoin >= row.low && row.seenJoin <= row.high ? "within" : "outside";
 };
 
 /**
- * Compares by node, service and kind. To be asked one counting window after the change, when
- * nothing older is counted.
+ * Compares a forecast with the counts by node, service and kind. The counts must be queried one
+ * counting window after the change, when they include nothing older.
  *
- * @param forecast - as `readKept` accepts it
- * @param seen - rows of `/backends/seen`, one for each node that was asked
+ * @param forecast - a saved forecast that {@link readKept} has accepted
+ * @param seenAnswers - rows of `/backends/seen`, one for each node that was queried
  */
 export const checkForecast = (
   forecast: UnknownRecord,
-  seen: readonly UnknownRecord[],
+  seenAnswers: readonly UnknownRecord[],
 ): readonly CheckedRow[] => {
   const formerSubsets = readFormerSubsets(forecast);
-  const heard = new Map(
-    seen.filter((row) => row["heard"] === true).map((row) => [readString(row, "node"), row]),
+  const answersByNode = new Map(
+    seenAnswers.filter((row) => row["heard"] === true).map((row) => [readString(row, "node"), row]),
   );
   return readList(forecast, "nodes", (value) => {
     const row = asRecord(value);
     const node = readString(row, "node");
     const service = readString(row, "service");
     const kind = readString(row, "kind");
-    const ofService = readList(heard.get(node) ?? {}, "services", asRecord).find(
+    const serviceCounts = readList(answersByNode.get(node) ?? {}, "services", asRecord).find(
       (one) => one["service"] === service,
     );
-    const counts = readList(ofService ?? {}, "calls", readWorkerCount).filter(
+    const counts = readList(serviceCounts ?? {}, "calls", readWorkerCount).filter(
       (count) => count.kind === kind,
     );
     const leavers = new Set(readList(row, "leavers", asString));
@@ -117,7 +120,7 @@
     const calls = sumCounts(counts);
     const seenJoin = shareAt(counts, (worker) => !former.has(worker));
     const seenLeave = shareAt(counts, (worker) => leavers.has(worker));
-    const isHeard = ofService !== undefined;
+    const hasAnswer = serviceCounts !== undefined;
     return {
       node,
       service,
@@ -128,15 +131,18 @@
       high,
       seenJoin,
       seenLeave,
-      verdict: compare({ isHeard, calls, seenJoin, low, high }),
+      verdict: compare({ hasAnswer, calls, seenJoin, low, high }),
     };
   });
 };
 
-/** The forecast that a file holds, or a sentence on what is wrong with it. */
+/**
+ * Validates the content of a forecast file. Returns the forecast, or a message that says what is
+ * wrong with it.
+ */
 export const readKept = (value: unknown): UnknownRecord | string => {
   if (!isRecord(value) || !Array.isArray(value["nodes"]) || !Array.isArray(value["subsets"]))
-    return "the file holds no kept forecast";
+    return "the file does not contain a saved forecast";
   try {
     readList(value, "nodes", (row) =>
       [
@@ -153,8 +159,8 @@
   }
 };
 
-/** How many rows there are of each result. */
-export const countsOf = (rows: readonly CheckedRow[]): Readonly<Record<string, number>> => {
+/** The number of rows with each result. */
+export const countResults = (rows: readonly CheckedRow[]): Readonly<Record<string, number>> => {
   const counts: Record<string, number> = {};
   rows.forEach(({ verdict: result }) => (counts[result] = asNumber(counts[result] ?? 0) + 1));
   return counts;
--- a/src/programs/ctl/table.ts
+++ b/src/programs/ctl/table.ts
@@ -1,10 +1,10 @@
-/** Tables on the terminal. */
+/** Formatting of tables for the terminal. */
 import type { UnknownRecord } from "../../common/decode.js";
 import { textOf } from "./json-values.js";
 
 /**
- * Rows below a heading, with every column that any of them has, in the order of first appearance;
- * `none` without rows.
+ * Formats rows below a header, with every column that any row has, in the order of first
+ * appearance. Without rows the result is `none`.
  */
 export const formatTable = (rows: readonly UnknownRecord[]): string => {
   if (rows.length === 0) return "none";
@@ -14,7 +14,7 @@
   );
   const formatLine = (values: readonly string[]) =>
     values
-      .map((value, at) => value.padEnd(widths[at] ?? 0))
+      .map((value, index) => value.padEnd(widths[index] ?? 0))
       .join("  ")
       .trimEnd();
   const lines = rows.map((row) => formatLine(columns.map((column) => textOf(row[column]))));
--- a/src/programs/ctl/usage-export.ts
+++ b/src/programs/ctl/usage-export.ts
@@ -1,12 +1,12 @@
-/** The file formats of `ctl usage`: CSV and Parquet. */
+/** File formats of `ctl usage`: CSV and Parquet. */
 import { writeFile } from "node:fs/promises";
 import { stringify } from "csv-stringify/sync";
 import { parquetWriteBuffer } from "hyparquet-writer";
 import { asRecord, readString, readNumber } from "../../common/decode.js";
 
 /**
- * One row for each node, route, kind, zone and outcome; `cell` is the column's and the answer's
- * name of the zone. Invariant: `count` is cumulative for the node's present incarnation.
+ * One row for each node, route, kind, zone and outcome. The zone is named `cell` in the file and in
+ * the gateway's response. Invariant: `count` is cumulative for the node's current incarnation.
  */
 export interface UsageRow {
   readonly node: string;
@@ -45,11 +45,11 @@
   };
 };
 
-/** CSV with a heading. */
+/** Encodes rows as CSV with a header. */
 export const usageAsCsv = (rows: readonly UsageRow[]): string =>
   stringify([...rows], { header: true, columns: USAGE_SCHEMA.map(({ name }) => name) });
 
-/** A Parquet file with the columns of `USAGE_SCHEMA`. */
+/** Encodes rows as a Parquet file with the columns of `USAGE_SCHEMA`. */
 export const usageAsParquet = (rows: readonly UsageRow[]): Uint8Array => {
   const columnData = USAGE_SCHEMA.map(({ name, type }) => ({
     name,
@@ -60,8 +60,8 @@
 };
 
 /**
- * Writes the format that the file's extension names; false, and nothing written, for any other
- * extension.
+ * Writes a file in the format of its extension. Returns false and writes nothing if the extension
+ * is neither .csv nor .parquet.
  */
 export const writeUsage = async (path: string, rows: readonly UsageRow[]): Promise<boolean> => {
   if (path.endsWith(".csv")) await writeFile(path, usageAsCsv(rows));
--- a/src/programs/gateway/admin-api.ts
+++ b/src/programs/gateway/admin-api.ts
@@ -1,5 +1,5 @@
 /**
- * The gateway's admin API: readiness for load balancers in front of it, and figures for operators.
+ * The gateway's admin API: readiness for load balancers in front of it, and counters for operators.
  */
 import type { UnknownRecord } from "../../common/decode.js";
 import type { Worker } from "../../proxy/worker.js";
@@ -7,29 +7,29 @@
 import type { ApiRoute } from "../http-api.js";
 import type { OutcomeCounts } from "./outcome-counts.js";
 
-/** What the admin API reads. */
+/** Sources of the admin API's responses. */
 export interface AdminApiOptions {
   readonly isReady: () => boolean;
   readonly outcomes: OutcomeCounts;
   readonly workers: WorkerDirectory;
-  /** The figures of the object cache; empty where the deployment has none. */
-  readonly objectCacheFigures: () => UnknownRecord;
+  /** Counters of the object cache; empty if the deployment has none. */
+  readonly objectCacheCounters: () => UnknownRecord;
 }
 
-const query = (path: string, body: () => UnknownRecord): ApiRoute => ({
+const getRoute = (path: string, body: () => UnknownRecord): ApiRoute => ({
   method: "GET",
   path,
   handle: async () => ({ outcome: "taken", body: body() }),
 });
 
-/** The routes of the admin API. Paths and field names are those that operators' tools read. */
+/** Routes of the admin API. Operators' tools depend on the paths and field names. */
 export const adminRoutes = ({
   isReady,
   outcomes,
   workers,
-  objectCacheFigures,
+  objectCacheCounters,
 }: AdminApiOptions): readonly ApiRoute[] => {
-  const rowOf = (worker: Worker): UnknownRecord => ({
+  const toWorkerRow = (worker: Worker): UnknownRecord => ({
     id: worker.id,
     service: worker.service,
     cell: worker.zone,
@@ -43,8 +43,8 @@
       path: "/ready",
       handle: async () => ({ outcome: isReady() ? "taken" : "noPlan" }),
     },
-    query("/tell/counts", () => ({ counts: outcomes.rows() })),
-    query("/tell/goods", () => ({ goods: objectCacheFigures() })),
-    query("/tell/workers", () => ({ workers: workers.all().map(rowOf) })),
+    getRoute("/tell/counts", () => ({ counts: outcomes.rows() })),
+    getRoute("/tell/goods", () => ({ goods: objectCacheCounters() })),
+    getRoute("/tell/workers", () => ({ workers: workers.all().map(toWorkerRow) })),
   ];
 };
--- a/src/programs/gateway/data-plane.ts
+++ b/src/programs/gateway/data-plane.ts
@@ -1,6 +1,6 @@
 /**
- * The state of the data plane on one gateway: routes, workers, counters and budgets, kept up to
- * date from updates.
+ * State of the data plane on one gateway: routes, workers, counters and budgets, kept current by
+ * updates.
  */
 import type { Clock } from "../../common/clock.js";
 import type { Settings } from "../../common/settings.js";
@@ -19,7 +19,7 @@
 import { OutcomeCounts } from "./outcome-counts.js";
 import { openRetryBudgets } from "./retry-budgets.js";
 
-/** What requests are served with. */
+/** The state that requests are served with. */
 export interface DataPlane {
   readonly routes: RouteTable;
   readonly workers: WorkerDirectory;
@@ -29,15 +29,18 @@
   readonly requestCounters: RequestCounters;
   readonly outcomes: OutcomeCounts;
   readonly retryBudgets: RetryBudgets;
-  /** Tells this run of the process from others in its reports. */
+  /** Identifies this run of the process in its reports. */
   readonly incarnation: string;
   /**
-   * How many connections this node may hold to one worker of a service: an equal part of the
+   * Maximum number of connections from this node to one worker of a service: an equal share of the
    * service's limit.
    */
   readonly connectionShare: (service: string) => number;
-  /** Has updates and the cluster's size applied from now on, and the server told of changes. */
-  readonly follow: (server: ProxyServer) => void;
+  /**
+   * Subscribes to updates and to the cluster's size, applies them, and notifies the server of
+   * changes.
+   */
+  readonly subscribe: (server: ProxyServer) => void;
 }
 
 const DEFAULT_MAX_CONNECTIONS = 16;
@@ -58,7 +61,7 @@
   });
 };
 
-/** Opens the data plane's state; it is empty until updates come. */
+/** Opens the data plane's state, which is empty until updates arrive. */
 export const openDataPlane = (
   settings: Settings,
   clock: Clock,
@@ -71,7 +74,7 @@
   const canary = new CanaryCounters(incarnation);
   let clusterSize: ClusterSize = { gateways: 1, zones: {} };
 
-  const follow = (server: ProxyServer): void => {
+  const subscribe = (server: ProxyServer): void => {
     updates.events.on("changed", (changed) => {
       const beganUs = clock.nowUs();
       routes.applyUpdates(changed);
@@ -109,6 +112,6 @@
       const limit = routes.service(service)?.maxConnections ?? DEFAULT_MAX_CONNECTIONS;
       return Math.max(1, Math.floor(limit / Math.max(1, clusterSize.gateways)));
     },
-    follow,
+    subscribe,
   };
 };
--- a/src/programs/gateway/figures.ts
+++ b/src/programs/gateway/figures.ts
@@ -1,11 +1,11 @@
-/** What a gateway tells of itself to those who watch it. */
+/** Metrics that gateways and caches export. */
 import type { Figure, LabelledValue } from "../metrics-server.js";
 import type { ProxyServer } from "../../proxy/proxy-server.js";
 import type { DataPlane } from "./data-plane.js";
 import type { DataPlaneNode } from "../data-plane-node.js";
 
-/** What the figures of a gateway are read from. */
-export interface GatewayFiguresOptions {
+/** Sources of a gateway's metrics. */
+export interface GatewayMetricsOptions {
   readonly dataPlane: DataPlane;
   readonly node: DataPlaneNode;
   readonly server: ProxyServer;
@@ -20,8 +20,8 @@
   return [...totals].map(([outcome, value]) => ({ labels: { outcome }, value }));
 };
 
-/** The figures of a node's place in the relay tree, for gateways and caches alike. */
-export const relayFigures = ({
+/** Metrics of a node's position in the relay tree, for gateways and caches. */
+export const relayMetrics = ({
   subscriber,
   publisher,
   updates,
@@ -48,13 +48,13 @@
   },
 ];
 
-/** The figures of a gateway. */
-export const gatewayFigures = ({
+/** Metrics of a gateway. */
+export const gatewayMetrics = ({
   dataPlane,
   node,
   server,
-}: GatewayFiguresOptions): readonly Figure[] => [
-  ...relayFigures(node),
+}: GatewayMetricsOptions): readonly Figure[] => [
+  ...relayMetrics(node),
   {
     name: "yewreel_config_version",
     help: "The highest version of any configuration item in force here.",
--- a/src/programs/gateway/gateway.ts
+++ b/src/programs/gateway/gateway.ts
@@ -1,4 +1,4 @@
-/** The gateway program: joins the cluster, and serves requests until it is told to stop. */
+/** The gateway program: joins the cluster and serves requests until it is stopped. */
 import { sleep, type Clock } from "../../common/clock.js";
 import { MILLISECOND_US } from "../../common/duration.js";
 import { loggerFor } from "../../common/logger.js";
@@ -8,7 +8,7 @@
 import { serveApi } from "../http-api.js";
 import type { RunningProgram } from "../running-program.js";
 import { adminRoutes } from "./admin-api.js";
-import { gatewayFigures } from "./figures.js";
+import { gatewayMetrics } from "./figures.js";
 import { openDataPlane, type DataPlane } from "./data-plane.js";
 import { nodeQueryHandlers } from "./node-queries.js";
 import type { GatewayObjectCache, GatewayObjectCacheOptions } from "./object-cache.js";
@@ -16,21 +16,22 @@
 
 const MB = 1024 * 1024;
 const DEFAULT_MEMORY_MB = 256;
-/** Buffered bodies take at most this part (1/n) of the memory. */
+/** Buffered bodies use at most 1/n of the memory. */
 const BUFFER_MEMORY_DIVISOR = 4;
 /**
- * How long after SIGTERM connections are still accepted, until everyone has seen that this node
- * isn't ready.
+ * How long connections are still accepted after SIGTERM, so that everyone who checks readiness has
+ * seen that this node is not ready.
  */
 const DRAIN_NOTICE_US = 2_800 * MILLISECOND_US;
-/** Kept back of the grace period, for closing what is left. */
+/** Part of the grace period that is reserved for closing the remaining connections. */
 const SHUTDOWN_MARGIN_US = 400 * MILLISECOND_US;
 const DRAIN_CHECK_US = 50 * MILLISECOND_US;
 
 /**
- * The kind of deployment with an object cache and idempotency keys; others don't load their code.
+ * The kind of deployment with an object cache and idempotency keys; other kinds do not load that
+ * code.
  */
-const CONTENT = "content";
+const CONTENT_DEPLOYMENT = "content";
 const openObjectCache = async (options: GatewayObjectCacheOptions): Promise<GatewayObjectCache> =>
   (await import("./object-cache.js")).openGatewayObjectCache(options);
 
@@ -68,8 +69,8 @@
 };
 
 /**
- * Stops accepting connections once others have seen that this node isn't ready, then waits for open
- * requests.
+ * Stops accepting connections once others have seen that this node is not ready, then waits for
+ * open requests until the deadline.
  */
 const drain = async (server: ProxyServer, clock: Clock, graceUs: number): Promise<void> => {
   const deadlineUs = clock.nowUs() + graceUs - SHUTDOWN_MARGIN_US;
@@ -82,7 +83,7 @@
   }
 };
 
-/** Runs a gateway. Resolves once it listens. */
+/** Starts a gateway. Resolves once it listens. */
 export const runGateway = async (settings: Settings, clock: Clock): Promise<RunningProgram> => {
   const log = loggerFor("gateway");
   let objectCache: GatewayObjectCache | undefined;
@@ -91,13 +92,13 @@
     clock,
     "gateway",
     { goods: (...session) => objectCache?.serveObjects(...session) ?? Promise.resolve() },
-    (question) => answerQuery(question),
+    (query) => answerQuery(query),
   );
   const { updates, subscriber, relay } = node;
   const dataPlane = openDataPlane(settings, clock, node);
   const { workers, routes, outcomes } = dataPlane;
   const answerQuery = nodeQueryHandlers({ ...dataPlane, node: settings.name, zone: settings.zone });
-  if (settings.deployment === CONTENT)
+  if (settings.deployment === CONTENT_DEPLOYMENT)
     objectCache = await openObjectCache({
       ...dataPlane,
       settings,
@@ -107,7 +108,7 @@
       countFault: dataPlane.faults.count,
     });
   const server = openProxyServer(settings, clock, dataPlane, objectCache, node.lag.isBehind);
-  dataPlane.follow(server);
+  dataPlane.subscribe(server);
   let isStopping = false;
   const isReady = (): boolean =>
     !isStopping &&
@@ -115,10 +116,10 @@
     !workers.isDrained(settings.zone) &&
     routes.isLoaded &&
     workers.size > 0;
-  const objectCacheFigures = () => objectCache?.objects.snapshot() ?? {};
+  const objectCacheCounters = () => objectCache?.objects.snapshot() ?? {};
   const adminApi = await serveApi(
     settings.ready,
-    adminRoutes({ isReady, outcomes, workers, objectCacheFigures }),
+    adminRoutes({ isReady, outcomes, workers, objectCacheCounters }),
   );
   await server.listen(settings.front);
   await relay.listen(settings.ip, settings.relayPort);
@@ -127,7 +128,7 @@
   log.info("gateway is listening", { address: settings.front });
 
   return {
-    figures: gatewayFigures({ dataPlane, node, server }),
+    figures: gatewayMetrics({ dataPlane, node, server }),
     applySettings: ({ seedNodes }) => subscriber.renewSeeds(seedNodes),
     stop: async () => {
       log.info("gateway is shutting down");
--- a/src/programs/gateway/node-queries.ts
+++ b/src/programs/gateway/node-queries.ts
@@ -12,7 +12,7 @@
 } from "../../common/decode.js";
 import type { Message } from "../../transport/connection.js";
 
-/** What the answers to operators' queries are taken from. */
+/** Sources of the answers to operators' queries. */
 export interface NodeQueryOptions {
   readonly node: string;
   readonly zone: string;
@@ -22,8 +22,9 @@
 }
 
 /**
- * Reads the change of backends that a query asks about; throws a DecodeError if a field is missing
- * or wrong.
+ * Reads the change of backends that a query is about.
+ *
+ * @throws DecodeError if a field is missing or invalid
  */
 export const readBackendChange = (message: Message): BackendChange => ({
   add: readList(message, "add", (value) => {
@@ -39,33 +40,33 @@
 });
 
 /**
- * What a gateway answers a controller that asks on an operator's behalf. Queries only: they count,
- * and change nothing.
+ * Answers the queries that a controller sends on an operator's behalf. Queries only read and
+ * compute; they change nothing.
  */
 export const nodeQueryHandlers = ({
   node,
   zone,
-  workers: pool,
-  requestCounters: calls,
+  workers,
+  requestCounters,
   retryBudgets,
 }: NodeQueryOptions): ((question: Message) => Message | undefined) => {
-  const moves = (question: Message): Message => {
-    const change = readBackendChange(question);
-    const forecasts = readList(question, "services", asString).map((service) => ({
+  const forecastMoves = (query: Message): Message => {
+    const change = readBackendChange(query);
+    const forecasts = readList(query, "services", asString).map((service) => ({
       service,
       ...forecastReassignment({
         node,
         zone,
-        nodeCount: pool.nodeCount,
+        nodeCount: workers.nodeCount,
         service,
-        workers: pool.readyWorkersOf(service),
+        workers: workers.readyWorkersOf(service),
         change,
-        ...readCalls(service),
+        ...readRequestCounts(service),
       }),
     }));
     const loads = forecasts
       .flatMap((forecast) => forecast.loads)
-      .map((load) => ({ ...load, tookUs: pool.meanLatencyUs(load.worker) }));
+      .map((load) => ({ ...load, tookUs: workers.meanLatencyUs(load.worker) }));
     return {
       kind: "moves",
       rows: forecasts.flatMap((forecast) => forecast.rows),
@@ -73,25 +74,25 @@
       loads,
     };
   };
-  const readCalls = (service: string) => {
-    const { spanUs, counts } = calls.countsFor(service);
+  const readRequestCounts = (service: string) => {
+    const { spanUs, counts } = requestCounters.countsFor(service);
     return { spanUs, calls: counts };
   };
-  const seen = (question: Message): Message => ({
+  const countRequests = (query: Message): Message => ({
     kind: "seen",
-    services: readList(question, "services", (value) => {
+    services: readList(query, "services", (value) => {
       const service = asString(value);
-      return { service, ...readCalls(service) };
+      return { service, ...readRequestCounts(service) };
     }),
   });
-  return (question) => {
-    switch (question.kind) {
+  return (query) => {
+    switch (query.kind) {
       case "retries":
         return { kind: "retries", rows: retryBudgets.snapshot() };
       case "moves":
-        return moves(question);
+        return forecastMoves(query);
       case "seen":
-        return seen(question);
+        return countRequests(query);
       default:
         return undefined;
     }
--- a/src/programs/gateway/object-cache.ts
+++ b/src/programs/gateway/object-cache.ts
@@ -1,4 +1,4 @@
-/** The part of a gateway that caches objects, and that distributes large ones within its zone. */
+/** The part of a gateway that caches objects and distributes large ones within its zone. */
 import { CachedObjects, cacheKey } from "../../cache/cached-objects.js";
 import { packObjectRequest, readObject, unavailableReason } from "../../cache/messages.js";
 import { ObjectServer } from "../../cache/object-server.js";
@@ -23,7 +23,7 @@
 import type { Settings } from "../../common/settings.js";
 import { subscribeToPurges } from "../purge-subscriber.js";
 
-/** What `openGatewayObjectCache` works on. */
+/** Dependencies of {@link openGatewayObjectCache}. */
 export interface GatewayObjectCacheOptions {
   readonly settings: Settings;
   readonly clock: Clock;
@@ -37,7 +37,7 @@
   readonly countFault: (worker: string, isFault: boolean) => void;
 }
 
-/** The object cache of a gateway while it runs. */
+/** A running object cache of a gateway. */
 export interface GatewayObjectCache {
   readonly objects: ObjectClient;
   readonly idempotencyClient: IdempotencyClient;
@@ -48,13 +48,13 @@
 
 const MB = 1024 * 1024;
 const DEFAULT_MEMORY_MB = 256;
-/** The cached objects of the gateway itself take the memory divided by this. */
+/** The gateway's own cached objects use at most the memory divided by this. */
 const GATEWAY_CACHE_MEMORY_DIVISOR = 24;
-/** Those that it distributes in its zone take the memory divided by this. */
+/** Objects that the gateway distributes in its zone use at most the memory divided by this. */
 const DISTRIBUTOR_MEMORY_DIVISOR = 4;
 const MAX_OBJECT_BYTES = 4 * MB;
 
-const freshnessOf = ({ settings, clock, subscriber }: GatewayObjectCacheOptions): Freshness =>
+const openFreshness = ({ settings, clock, subscriber }: GatewayObjectCacheOptions): Freshness =>
   new Freshness({
     clock,
     maxPurgeDelayUs: settings.purgeUs,
@@ -95,7 +95,7 @@
   (clock: Clock, caches: PeerCaches): ObjectFetch =>
   async (request, previous) => {
     const sentAtUs = clock.nowUs();
-    const reply = await caches.ask(
+    const reply = await caches.request(
       cacheKey(request),
       packObjectRequest(request, sentAtUs, undefined, previous),
       request.deadlineUs - sentAtUs,
@@ -109,14 +109,15 @@
     };
   };
 
-/** The server of a zone distributor, and the timer that its purges need. */
+/** The server of a zone distributor, and the timer of its purge subscription. */
 interface Distributor {
   readonly server: ObjectServer;
   readonly purges: Timer;
 }
 
 /**
- * Opens the store of large objects that this node serves in its zone, revalidated without bodies.
+ * Opens the store of large objects that this node serves in its zone. Its revalidations transfer no
+ * bodies of unchanged objects.
  */
 const openDistributor = (
   { settings, clock, updates, subscriber }: GatewayObjectCacheOptions,
@@ -148,7 +149,7 @@
 };
 
 /** Connects to the caches, and to the zone's distributors while no cache runs in the zone. */
-const followClusterSize = (
+const subscribeToClusterSize = (
   { settings, subscriber }: GatewayObjectCacheOptions,
   caches: PeerCaches,
   zoneDistributors: PeerCaches,
@@ -165,7 +166,7 @@
   });
 };
 
-/** Opens the object cache of a gateway, and its key client. */
+/** Opens the object cache of a gateway, and its idempotency key client. */
 export const openGatewayObjectCache = (options: GatewayObjectCacheOptions): GatewayObjectCache => {
   const { settings, clock, updates, subscriber, routes, incarnation } = options;
   const caches = new PeerCaches(clock, zoneDistance(settings.zone, settings.regions));
@@ -174,7 +175,7 @@
     clock,
     (service) => routes.service(service)?.maxRequestsPerS ?? 0,
   );
-  const freshness = freshnessOf(options);
+  const freshness = openFreshness(options);
   const objects = new ObjectClient({
     clock,
     maxBytes: ((settings.memoryMb || DEFAULT_MEMORY_MB) * MB) / GATEWAY_CACHE_MEMORY_DIVISOR,
@@ -194,7 +195,7 @@
     detach: objects.detachInFlight,
   });
   const distributor = openDistributor(options, caches, freshness, rateLimiter);
-  followClusterSize(options, caches, zoneDistributors);
+  subscribeToClusterSize(options, caches, zoneDistributors);
   const rateLeases = new RateLeaseRenewer({
     clock,
     limiter: rateLimiter,
--- a/src/programs/gateway/outcome-counts.ts
+++ b/src/programs/gateway/outcome-counts.ts
@@ -1,7 +1,7 @@
-/** How the requests of this gateway ended, since it started. */
+/** Outcomes of this gateway's requests since it started. */
 import type { UnknownRecord } from "../../common/decode.js";
 
-/** Counts of outcomes by route and kind of route. */
+/** Counts of outcomes by route and kind of request. */
 export class OutcomeCounts {
   private readonly counts = new Map<string, number>();
 
@@ -13,7 +13,7 @@
     this.counts.set(key, (this.counts.get(key) ?? 0) + 1);
   };
 
-  /** One row a route, kind and outcome, with the field names of the admin API. */
+  /** One row for each route, kind and outcome, with the field names of the admin API. */
   readonly rows = (): readonly UnknownRecord[] =>
     [...this.counts].map(([key, count]) => {
       const [route, kind, cell, outcome] = key.split("|");
--- a/src/programs/gateway/reports.ts
+++ b/src/programs/gateway/reports.ts
@@ -7,10 +7,10 @@
 import type { UpdateSubscriber } from "../../membership/update-subscriber.js";
 import type { WorkerDirectory } from "../../proxy/worker-directory.js";
 
-const REPORT_US = 2 * SECOND_US;
-const CANARY_REPORT_US = 500 * MILLISECOND_US;
+const REPORT_INTERVAL_US = 2 * SECOND_US;
+const CANARY_REPORT_INTERVAL_US = 500 * MILLISECOND_US;
 
-/** The counters that are reported. */
+/** The reported counters, and the dependencies of the reports. */
 export interface ReportsOptions {
   readonly clock: Clock;
   readonly subscriber: UpdateSubscriber;
@@ -20,7 +20,7 @@
   readonly workers: WorkerDirectory;
 }
 
-/** Starts the reports, and closes idle connections at the same pace. */
+/** Starts the periodic reports, and closes idle connections at the interval of the main report. */
 export const startReports = ({
   clock,
   subscriber,
@@ -29,11 +29,11 @@
   load,
   workers,
 }: ReportsOptions): Timer => {
-  const canaryReports = clock.every(CANARY_REPORT_US, () => {
+  const canaryReports = clock.every(CANARY_REPORT_INTERVAL_US, () => {
     const message = canary.takeReport();
     if (message) subscriber.report(message);
   });
-  const reports = clock.every(REPORT_US, () => {
+  const reports = clock.every(REPORT_INTERVAL_US, () => {
     const faultReport = faults.takeReport();
     if (faultReport) subscriber.report(faultReport);
     const loadReport = load.takeReport();
--- a/src/programs/gateway/retry-budgets.ts
+++ b/src/programs/gateway/retry-budgets.ts
@@ -15,19 +15,20 @@
 });
 
 /**
- * The retry budgets of one node, kept to the written limit by the news and to the slack by leases.
+ * Opens the retry budgets of one node. Updates bring the configured limits, and leases grant the
+ * slack.
  */
 export const openRetryBudgets = (
   settings: Settings,
   clock: Clock,
   updates: UpdateStore,
   subscriber: UpdateSubscriber,
-  life: string,
+  incarnation: string,
 ): RetryBudgets => {
   let limits = defaultLimits(retryMaximumOf(settings));
-  updates.events.on("changed", (facts) => {
-    const written = facts.find(({ key }) => key === RETRIES_KEY);
-    if (written) limits = readRetryLimits(written.body);
+  updates.events.on("changed", (changed) => {
+    const limitsUpdate = changed.find(({ key }) => key === RETRIES_KEY);
+    if (limitsUpdate) limits = readRetryLimits(limitsUpdate.body);
   });
   const retryBudgets = new RetryBudgets({
     clock,
@@ -35,7 +36,7 @@
     windowUs: settings.retryWindowUs,
     limits: () => limits,
   });
-  const keeper = new RetryLeaseRenewer(clock, retryBudgets, life, subscriber.request);
-  keeper.start();
+  const leaseRenewer = new RetryLeaseRenewer(clock, retryBudgets, incarnation, subscriber.request);
+  leaseRenewer.start();
   return retryBudgets;
 };
--- a/src/programs/loadgen/loadgen.ts
+++ b/src/programs/loadgen/loadgen.ts
@@ -8,9 +8,9 @@
 import { MILLISECOND_US, SECOND_US } from "../../common/duration.js";
 import { EXIT_INVALID_INPUT } from "../ctl/exit-codes.js";
 
-/** What is sent, where to and how often. */
+/** Parameters of a load run. */
 export interface LoadSettings {
-  /** The gateways' proxy addresses as `ip:port`, used in turn. */
+  /** Proxy addresses of the gateways as `ip:port`, used in round-robin order. */
   readonly targets: readonly string[];
   readonly host: string;
   readonly path: string;
@@ -18,22 +18,22 @@
   readonly body: string;
   readonly ratePerS: number;
   readonly seconds: number;
-  /** The time-out of one request, also told to the gateway. */
+  /** Timeout of one request, which is also sent to the gateway. */
   readonly budgetMs: number;
 }
 
-/** What became of one request. */
+/** Result of one request. */
 export interface RequestResult {
-  /** The status, or `broken`, `out of time`, `no connection`. */
+  /** The HTTP status, or one of `broken`, `out of time` and `no connection`. */
   readonly outcome: string;
   /**
-   * From the intended send time, so that a target that stalls cannot hide its stall (coordinated
-   * omission).
+   * Measured from the intended send time, so that a target that stalls cannot hide the stall
+   * (coordinated omission).
    */
-  readonly tookUs: number;
+  readonly latencyUs: number;
 }
 
-/** The summary of a run; printed by `--json`, so the names of the fields stay. */
+/** Summary of a run. It is printed by `--json`, so the field names must not change. */
 export interface LoadReport {
   readonly takenOn: string;
   readonly sent: number;
@@ -77,7 +77,9 @@
     outgoing.end(load.body);
   });
 
-/** Open loop: each request is sent at its time, whatever became of the earlier ones. */
+/**
+ * Sends an open-loop load: each request is sent at its scheduled time, regardless of earlier ones.
+ */
 export const generateLoad = async (
   load: LoadSettings,
   clock: Clock,
@@ -85,14 +87,14 @@
   const agent = new Agent({ keepAlive: true });
   const startUs = clock.nowUs();
   const count = Math.floor(load.ratePerS * load.seconds);
-  const run = `${process.pid}${Math.floor(Math.random() * 1e9).toString(16)}`;
-  const all = Array.from({ length: count }, (_, at): Promise<RequestResult> => {
-    const dueUs = startUs + Math.round((at * SECOND_US) / load.ratePerS);
+  const runId = `${process.pid}${Math.floor(Math.random() * 1e9).toString(16)}`;
+  const all = Array.from({ length: count }, (_, index): Promise<RequestResult> => {
+    const dueUs = startUs + Math.round((index * SECOND_US) / load.ratePerS);
     return new Promise((resolve) => {
       clock.after(dueUs - clock.nowUs(), () => {
-        const target = load.targets[at % load.targets.length] ?? "";
-        void sendRequest(load, target, `${run}-${at}`, agent).then((outcome) =>
-          resolve({ outcome, tookUs: clock.nowUs() - dueUs }),
+        const target = load.targets[index % load.targets.length] ?? "";
+        void sendRequest(load, target, `${runId}-${index}`, agent).then((outcome) =>
+          resolve({ outcome, latencyUs: clock.nowUs() - dueUs }),
         );
       });
     });
@@ -103,15 +105,17 @@
 };
 
 /**
- * The nearest-rank percentile: the smallest value that the given share of all values does not
+ * The nearest-rank percentile: the smallest value that the given fraction of all values does not
  * exceed.
  */
-const percentile = (sorted: readonly number[], share: number): number =>
-  sorted[Math.max(0, Math.ceil(sorted.length * share) - 1)] ?? 0;
+const percentile = (sorted: readonly number[], fraction: number): number =>
+  sorted[Math.max(0, Math.ceil(sorted.length * fraction) - 1)] ?? 0;
 
-/** Counts the outcomes and gives the percentiles of the latency. */
+/** Counts the outcomes and computes the percentiles of the latency. */
 export const summarize = (results: readonly RequestResult[]): LoadReport => {
-  const tookMs = results.map(({ tookUs }) => tookUs / MILLISECOND_US).sort((a, b) => a - b);
+  const latenciesMs = results
+    .map(({ latencyUs: tookUs }) => tookUs / MILLISECOND_US)
+    .sort((a, b) => a - b);
   const outcomes: Record<string, number> = {};
   results.forEach(({ outcome }) => {
     outcomes[outcome] = (outcomes[outcome] ?? 0) + 1;
@@ -120,10 +124,10 @@
     takenOn: hostname(),
     sent: results.length,
     outcomes,
-    p50Ms: percentile(tookMs, 0.5),
-    p90Ms: percentile(tookMs, 0.9),
-    p99Ms: percentile(tookMs, 0.99),
-    mostMs: percentile(tookMs, 1),
+    p50Ms: percentile(latenciesMs, 0.5),
+    p90Ms: percentile(latenciesMs, 0.9),
+    p99Ms: percentile(latenciesMs, 0.99),
+    mostMs: percentile(latenciesMs, 1),
   };
 };
 
@@ -153,13 +157,13 @@
     .description(
       "Send an open-loop load to gateways (ip:port) and report latency from the intended send time.",
     )
-    .requiredOption("--host <host>", "the Host of the route")
-    .option("--path <path>", "the path", "/")
-    .option("--method <method>", "the method", "GET")
-    .option("--body <text>", "the body", "")
-    .option("--rate <number>", "requests a second", "10")
-    .option("--seconds <number>", "for how long", "5")
-    .option("--budget-ms <number>", "how long each request may take", "2000")
+    .requiredOption("--host <host>", "Host header of the requests")
+    .option("--path <path>", "path of the requests", "/")
+    .option("--method <method>", "HTTP method", "GET")
+    .option("--body <text>", "request body", "")
+    .option("--rate <number>", "requests per second", "10")
+    .option("--seconds <number>", "duration of the run in seconds", "5")
+    .option("--budget-ms <number>", "timeout of each request in milliseconds", "2000")
     .option("--json", "print JSON")
     .action(async (targets: string[], flags: Flags) => {
       const [ratePerS, seconds, budgetMs] = [
@@ -169,7 +173,7 @@
       ];
       if (![ratePerS, seconds, budgetMs].every((number) => Number.isFinite(number) && number > 0)) {
         process.stderr.write(
-          "loadgen: --rate, --seconds and --budget-ms must be numbers above 0.\n",
+          "loadgen: --rate, --seconds and --budget-ms must be positive numbers.\n",
         );
         process.exitCode = EXIT_INVALID_INPUT;
         return;
