--- a/src/cache/peer-caches.ts
+++ b/src/cache/peer-caches.ts
@@ -25,7 +25,7 @@
 interface PeerCache {
   readonly link: PeerLink;
   readonly zone: string;
-  lastHeardUs: number;
+  lastMessageAtUs: number;
   suspectedUntilUs: number;
 }
 
@@ -66,13 +66,13 @@
 
   /** Connects to the caches of this list, and disconnects from all others. */
   readonly setAddresses = (addresses: readonly CacheAddress[]): void => {
-    const wanted = new Map(addresses.map(({ address, zone }) => [address, zone]));
+    const zonesByAddress = new Map(addresses.map(({ address, zone }) => [address, zone]));
     this.peers.forEach((cache, address) => {
-      if (wanted.has(address)) return;
+      if (zonesByAddress.has(address)) return;
       cache.link.stop();
       this.peers.delete(address);
     });
-    wanted.forEach((zone, address) => {
+    zonesByAddress.forEach((zone, address) => {
       if (!this.peers.has(address)) this.connect(address, zone);
     });
   };
@@ -112,13 +112,13 @@
       );
       if (promptReply === "silent") {
         const lateReply =
-          cache.lastHeardUs >= sentAtUs || cache === ranked[ranked.length - 1]
+          cache.lastMessageAtUs >= sentAtUs || cache === ranked[ranked.length - 1]
             ? await reply
             : undefined;
         if (lateReply) return lateReply;
         cache.suspectedUntilUs = clock.nowUs() + SUSPECT_DURATION_US;
       } else if (promptReply) {
-        cache.lastHeardUs = clock.nowUs();
+        cache.lastMessageAtUs = clock.nowUs();
         return promptReply;
       }
     }
@@ -149,9 +149,9 @@
       backoffUs: RECONNECT_BACKOFF_US,
       hello: packHello,
     });
-    const cache: PeerCache = { link, zone, lastHeardUs: 0, suspectedUntilUs: 0 };
+    const cache: PeerCache = { link, zone, lastMessageAtUs: 0, suspectedUntilUs: 0 };
     link.events.on("message", () => {
-      cache.lastHeardUs = clock.nowUs();
+      cache.lastMessageAtUs = clock.nowUs();
     });
     this.peers.set(address, cache);
     void link.run();
--- a/src/programs/ctl/commands/queries.ts
+++ b/src/programs/ctl/commands/queries.ts
@@ -20,7 +20,7 @@
   workers: "list the workers by their last heartbeats",
   inspection: "show faults by worker, ejections and the zonal shift, with their reasons",
   keys: "show idempotency keys and purges held, and whether this replica counts",
-  goods: "show what each cache holds, hit, missed, checked and rejected",
+  goods: "show the content, hits, misses, revalidations and rejections of each cache",
 };
 
 /** Prints one field of a response, or the whole response if it lacks the field. */
--- a/src/programs/gateway/outcome-counts.ts
+++ b/src/programs/gateway/outcome-counts.ts
@@ -1,7 +1,7 @@
 /** Outcomes of this gateway's requests since it started. */
 import type { UnknownRecord } from "../../common/decode.js";
 
-/** Counts of outcomes by route and kind of request. */
+/** Counts of outcomes by route and kind of route. */
 export class OutcomeCounts {
   private readonly counts = new Map<string, number>();
 
