--- a/src/programs/ctl/commands/queries.ts
+++ b/src/programs/ctl/commands/queries.ts
@@ -12,17 +12,18 @@
 import { formatTable } from "../table.js";
 
 /**
- * By command; the admin API has the same name below `/tell/`, and its answer a field of that name.
+ * Summaries by command name. The path of the admin API below `/tell/` and the field of its response
+ * have the same name.
  */
 const QUERIES: Readonly<Record<string, string>> = {
   nodes: "list the gateways with a session",
   workers: "list the workers by their last heartbeats",
   inspection: "show faults by worker, ejections and the zonal shift, with their reasons",
   keys: "show idempotency keys and purges held, and whether this replica counts",
-  goods: "show what each cache holds, hit, missed, checked and rejected",
+  goods: "show the content, hits, misses, revalidations and rejections of each cache",
 };
 
-/** Prints one field of an answer, or the whole answer where it lacks the field. */
+/** Prints one field of a response, or the whole response if it lacks the field. */
 export const runQuery = async (
   options: QueryOptions,
   path: string,
