--- a/features/steps/fuzz.ts
+++ b/features/steps/fuzz.ts
@@ -3,7 +3,7 @@
 import { playSeed } from "../../fuzz/play-seed.js";
 import { VARIANTS } from "../../fuzz/variants.js";
 
-const MOST_SEEDS = 600;
+const MAX_SEEDS = 600;
 
 let tries = 0;
 let found: string[] = [];
@@ -20,9 +20,9 @@
     }
   },
 );
-Then("no history shows a violation, and more than {int} attempts were made", (least: number) => {
+Then("no history shows a violation, and more than {int} attempts were made", (minimum: number) => {
   assert.deepEqual(found, []);
-  assert.ok(tries > least, `${tries} tries`);
+  assert.ok(tries > minimum, `${tries} tries`);
 });
 When(
   /^seeds are played where (.*), until a check notices$/,
@@ -31,7 +31,7 @@
     const variant = VARIANTS[name];
     assert.ok(variant, `no such variant: ${name}`);
     found = [];
-    for (let seed = 1; seed <= MOST_SEEDS && !found.includes(variant.noticedBy); seed += 1)
+    for (let seed = 1; seed <= MAX_SEEDS && !found.includes(variant.detectedBy); seed += 1)
       found.push(...(await playSeed(seed, variant, false)).violations.map(({ check }) => check));
   },
 );
--- a/features/steps/simulator.ts
+++ b/features/steps/simulator.ts
@@ -22,7 +22,7 @@
     violationsOf(await simulate(schedule, components), schedule).forEach((violation) =>
       found.push({
         ...violation,
-        sentence: `seed ${schedule.seed} of ${schedule.deployment}: ${violation.sentence}`,
+        description: `seed ${schedule.seed} of ${schedule.deployment}: ${violation.description}`,
       }),
     );
   violations = found;
@@ -41,7 +41,7 @@
  * A change that controller 2 hears of only after all three have lost power, controller 1 with its
  * disk; controller 0 comes back last.
  */
-const lateThirdSchedule = (seed: number, harm: string): Schedule => {
+const laggingReplicaSchedule = (seed: number, harm: string): Schedule => {
   const change = (id: number, atUs: number): Event => ({
     atUs,
     kind: "change",
@@ -51,7 +51,7 @@
     requires: "",
     answerLossProbability: 0,
   });
-  const strikeUs = 5_100 * MILLISECOND_US;
+  const outageUs = 5_100 * MILLISECOND_US;
   const events: Event[] = [
     change(1, 1 * SECOND_US),
     {
@@ -60,11 +60,11 @@
       slot: 2,
       others: [0, 1],
       direction: "both",
-      durationUs: strikeUs - 4_980 * MILLISECOND_US,
+      durationUs: outageUs - 4_980 * MILLISECOND_US,
     },
     change(2, 5 * SECOND_US),
     {
-      atUs: strikeUs,
+      atUs: outageUs,
       kind: "stop-all",
       byPower: true,
       wiped: harm === "wiped" ? [1] : [],
@@ -72,7 +72,7 @@
       downUs: [1 * SECOND_US, 50 * MILLISECOND_US, 50 * MILLISECOND_US],
     },
     ...Array.from({ length: 24 }, (_none, at): Event => ({
-      atUs: strikeUs + at * 50 * MILLISECOND_US,
+      atUs: outageUs + at * 50 * MILLISECOND_US,
       kind: "read",
       slot: 1 + (at % 2),
     })),
@@ -83,7 +83,7 @@
     exceedsTolerance: false,
     paddingBytes: 0,
     events,
-    calmUs: 7 * SECOND_US,
+    faultsEndUs: 7 * SECOND_US,
   };
 };
 
@@ -113,7 +113,7 @@
   "a change reaches two of three, the third is late, and all lose power while one of the two is {word}",
   { timeout: 60_000 },
   (harm: string) =>
-    runAll(Array.from({ length: 10 }, (_none, at) => lateThirdSchedule(at + 1, harm))),
+    runAll(Array.from({ length: 10 }, (_none, at) => laggingReplicaSchedule(at + 1, harm))),
 );
 
 When(
--- a/features/support/broken-controllers.ts
+++ b/features/support/broken-controllers.ts
@@ -13,7 +13,7 @@
 
 /** Components whose replicated store has some methods replaced, given the real one's. */
 const storeWith = (
-  broken: (
+  overrides: (
     real: Pick<ReplicatedStore, "handleRequest" | "start" | "read" | "propose" | "changeMembers">,
     options: ReplicatedStoreOptions,
   ) => Partial<ReplicatedStore>,
@@ -22,20 +22,20 @@
   store: (options) => {
     const store = new ReplicatedStore(options);
     // eslint-disable-next-line @typescript-eslint/no-misused-spread -- its methods are fields of the instance
-    return Object.assign(store, broken({ ...store }, options));
+    return Object.assign(store, overrides({ ...store }, options));
   },
 });
 
-class ForgetfulReplica extends Replica {
+class PromiseForgettingReplica extends Replica {
   override readonly promisedFor = () => NO_BALLOT;
 }
 
-class ReplicaWithoutHistory extends Replica {
+class HistoryForgettingReplica extends Replica {
   override readonly historyOf = () => undefined;
 }
 
 /** Shows no file that is corrupt, and none that came after it. */
-const hidingCorruptFiles = (disk: FileSystem): FileSystem => ({
+const hideCorruptFiles = (disk: FileSystem): FileSystem => ({
   ...disk,
   list: async (folder) => {
     const names = await disk.list(folder);
@@ -66,15 +66,15 @@
   })),
   "an acceptor accepts what it promised not to": {
     ...REAL_COMPONENTS,
-    replica: () => new ForgetfulReplica(),
+    replica: () => new PromiseForgettingReplica(),
   },
   "what was proposed together is forgotten": {
     ...REAL_COMPONENTS,
-    replica: () => new ReplicaWithoutHistory(),
+    replica: () => new HistoryForgettingReplica(),
   },
   "a corrupt file is ignored in favour of older ones": {
     ...REAL_COMPONENTS,
-    disk: hidingCorruptFiles,
+    disk: hideCorruptFiles,
   },
   "a wiped one votes at once": storeWith((real, { replica }) => ({
     start: async (firstRun) => {
--- a/fuzz/checks.ts
+++ b/fuzz/checks.ts
@@ -20,7 +20,7 @@
   readonly key: string;
   readonly sentUs: number;
   /** When its client was gone for good, if it left before it was answered. */
-  leftUs: number | undefined;
+  disconnectedUs: number | undefined;
   /**
    * Its client waited beyond the time it gave, nothing stalled meanwhile, and no response before
    * closed the connection.
@@ -64,7 +64,7 @@
 export type Check = (history: History) => readonly string[];
 
 const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
-const CLOSE_NOTICED_US = 60_000;
+const CLOSE_DETECTION_US = 60_000;
 
 const runsOf = ({ received }: History, attemptId: string): number =>
   received.filter((one) => one.ran && one.attemptId === attemptId).length;
@@ -154,30 +154,32 @@
 const answered: Check = ({ sent, interrupted }) =>
   sent
     .filter(
-      ({ isResponseDue: isOwed, response, attemptId }) =>
-        isOwed && !response && !interrupted.has(attemptId),
+      ({ isResponseDue: isDue, response, attemptId }) =>
+        isDue && !response && !interrupted.has(attemptId),
     )
     .map(({ attemptId }) => `${attemptId} got no complete response`);
 
 /**
  * Nothing is sent for a client that has gone, unless its close lies unread behind a streamed body.
  */
-const notAfterLeaving: Check = ({ sent, firstBytes: headers }) =>
-  headers.flatMap(({ attemptId, atUs }) => {
-    const { leftUs, isBehindStreamedBody: isLong } = sent.find(
+const notAfterLeaving: Check = ({ sent, firstBytes: arrivals }) =>
+  arrivals.flatMap(({ attemptId, atUs }) => {
+    const { disconnectedUs, isBehindStreamedBody: isBehindStream } = sent.find(
       (one) => one.attemptId === attemptId,
     ) ?? {
-      leftUs: undefined,
+      disconnectedUs: undefined,
       isBehindStreamedBody: true,
     };
-    return !isLong && leftUs !== undefined && atUs > leftUs + CLOSE_NOTICED_US
-      ? [`${attemptId} was sent ${atUs - leftUs} us after its client had left`]
+    return !isBehindStream &&
+      disconnectedUs !== undefined &&
+      atUs > disconnectedUs + CLOSE_DETECTION_US
+      ? [`${attemptId} was sent ${atUs - disconnectedUs} us after its client had left`]
       : [];
   });
 
 /** Nothing is left behind. */
-const nothingLeftOpen: Check = ({ openAtEnd: leftOpen }) =>
-  leftOpen === 0 ? [] : [`${leftOpen} requests were left open`];
+const nothingLeftOpen: Check = ({ openAtEnd: openCount }) =>
+  openCount === 0 ? [] : [`${openCount} requests were left open`];
 
 export const CHECKS = {
   ownResponse,
--- a/fuzz/client-runs.ts
+++ b/fuzz/client-runs.ts
@@ -9,11 +9,11 @@
 import type { Schedule } from "./schedule.js";
 
 const MS = 1_000;
-const STEP_MS = 10;
+const POLL_INTERVAL_MS = 10;
 /** How much longer than the time it gave a client waits. */
 const CLIENT_GRACE_MS = 500;
-const REPEAT_AFTER_MS = 50;
-const SECOND_HALF_AFTER_MS = 40;
+const REPEAT_DELAY_MS = 50;
+const SECOND_HALF_DELAY_MS = 40;
 const STREAMED_BODY = "z".repeat(200_000);
 const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 /** So often an operation is sent again after a promise that it has not run. */
@@ -33,7 +33,7 @@
   /** Whether the record of what clients sent differs from what they sent. */
   readonly altersBodies: boolean;
   /** Whether clients that leave keep their connections, so that nobody can notice. */
-  readonly hidesClientLeaving: boolean;
+  readonly keepsAbandonedConnections: boolean;
 }
 
 /** One client's connection. */
@@ -100,7 +100,7 @@
     const run: ClientRun = { script, client, operations, sent: [], repeats, isDone: false };
     this.sendNext(run);
     if (script.leaves) schedule.after(script.leaves.afterMs, () => this.end(run, true));
-    schedule.after(STEP_MS, () => this.look(run));
+    schedule.after(POLL_INTERVAL_MS, () => this.pollResponses(run));
   };
 
   private readonly sendNext = (run: ClientRun): void => {
@@ -113,7 +113,7 @@
   };
 
   /** Looks for responses: a client that doesn't pipeline sends its next request after each. */
-  private readonly look = (run: ClientRun): void => {
+  private readonly pollResponses = (run: ClientRun): void => {
     if (run.isDone) return;
     const { client, script, sent } = run;
     if (client.responses.length === script.requests.length || client.isClosed) {
@@ -121,10 +121,10 @@
       return;
     }
     if (client.responses.length === sent.length) this.sendNext(run);
-    this.options.schedule.after(STEP_MS, () => this.look(run));
+    this.options.schedule.after(POLL_INTERVAL_MS, () => this.pollResponses(run));
   };
 
-  private readonly end = (run: ClientRun, isLeaving: boolean): void => {
+  private readonly end = (run: ClientRun, isDisconnecting: boolean): void => {
     if (run.isDone) return;
     run.isDone = true;
     this.open -= 1;
@@ -132,11 +132,11 @@
     const nowUs = this.options.harness.skippingClock.nowUs();
     run.sent.forEach((sent, at) => {
       sent.response = client.responses[at];
-      if (isLeaving && !sent.response) sent.leftUs = nowUs;
+      if (isDisconnecting && !sent.response) sent.disconnectedUs = nowUs;
     });
-    this.markResponseDue(run, isLeaving, nowUs);
-    if (isLeaving && this.options.hidesClientLeaving) client.socket.pause();
-    else if (isLeaving && script.leaves?.resets === true) client.socket.resetAndDestroy();
+    this.markResponseDue(run, isDisconnecting, nowUs);
+    if (isDisconnecting && this.options.keepsAbandonedConnections) client.socket.pause();
+    else if (isDisconnecting && script.leaves?.resets === true) client.socket.resetAndDestroy();
     else client.socket.destroy();
     if (!script.leaves && run.repeats < MAX_REPEATS) this.repeatOperations(run);
   };
@@ -150,7 +150,7 @@
     const requests = promised.flatMap(({ request }) => (request ? [request] : []));
     if (requests.length === 0) return;
     this.open += 1;
-    this.options.schedule.after(REPEAT_AFTER_MS, () =>
+    this.options.schedule.after(REPEAT_DELAY_MS, () =>
       this.start(
         { ...script, requests },
         promised.map(({ operation }) => operation),
@@ -200,7 +200,7 @@
       isBehindStreamedBody: script.requests.some(({ body: size }) => size === "long"),
       key,
       sentUs: this.options.harness.skippingClock.nowUs(),
-      leftUs: undefined,
+      disconnectedUs: undefined,
       isResponseDue: false,
       response: undefined,
     };
@@ -239,6 +239,6 @@
     const bytes = requestBytes(method, path, headers, body);
     client.write(bytes.slice(0, bytes.length - back.length));
     client.defer(back);
-    this.options.schedule.after(SECOND_HALF_AFTER_MS, client.flush);
+    this.options.schedule.after(SECOND_HALF_DELAY_MS, client.flush);
   };
 }
--- a/fuzz/play-seed.ts
+++ b/fuzz/play-seed.ts
@@ -5,7 +5,7 @@
 import type { Variant } from "./variants.js";
 import { ScenarioRun } from "./scenario-run.js";
 
-export interface Played {
+export interface FuzzResult {
   readonly seed: number;
   /** Attempts that clients sent, and requests that workers ran. */
   readonly tries: number;
@@ -22,11 +22,11 @@
   seed: number,
   variant?: Variant,
   shrinks = true,
-): Promise<Played> => {
+): Promise<FuzzResult> => {
   let violations: readonly Violation[] = [];
   let [attempts, runs] = [0, 0];
   const property = fc.asyncProperty(fc.noBias(scenario), async (drawn) => {
-    const history = await new ScenarioRun(drawn, variant?.harness, variant?.deceptions).run();
+    const history = await new ScenarioRun(drawn, variant?.harness, variant?.simulatedDefects).run();
     const found = violationsOf(history);
     if (violations.length === 0)
       [attempts, runs, violations] = [
--- a/fuzz/proxy-harness.ts
+++ b/fuzz/proxy-harness.ts
@@ -50,15 +50,15 @@
   readonly claims = new Map<string, { readonly token: string; answer: unknown }>();
   readonly ask = async (message: Message): Promise<Message | undefined> => {
     const [key, token] = [String(message["key"]), String(message["token"])];
-    const held = this.claims.get(key);
+    const existing = this.claims.get(key);
     if (message.kind === "key-done") {
       this.claims.set(key, { token, answer: message["answer"] });
       return { kind: "claim", kept: true };
     }
-    if (held && held.token !== token)
-      return held.answer === undefined
+    if (existing && existing.token !== token)
+      return existing.answer === undefined
         ? { kind: "claim", verdict: "working" }
-        : { kind: "claim", verdict: "done", answer: held.answer };
+        : { kind: "claim", verdict: "done", answer: existing.answer };
     this.claims.set(key, { token, answer: undefined });
     return { kind: "claim", verdict: "won" };
   };
@@ -74,15 +74,15 @@
 export class SkippingClock implements Clock {
   private skippedUs = 0;
 
-  constructor(private readonly own: ManualClock) {}
+  constructor(private readonly inner: ManualClock) {}
 
-  readonly nowUs = (): number => this.own.nowUs() + this.skippedUs;
-  readonly after = (waitUs: number, act: () => void): Timer => this.own.after(waitUs, act);
-  readonly every = (gapUs: number, act: () => void): Timer => this.own.every(gapUs, act);
+  readonly nowUs = (): number => this.inner.nowUs() + this.skippedUs;
+  readonly after = (waitUs: number, act: () => void): Timer => this.inner.after(waitUs, act);
+  readonly every = (gapUs: number, act: () => void): Timer => this.inner.every(gapUs, act);
 
   /** As after a stall: what lies at the process's sockets is read before any timer acts. */
-  readonly skip = (spanUs: number): void => {
-    this.skippedUs += spanUs;
+  readonly skip = (durationUs: number): void => {
+    this.skippedUs += durationUs;
   };
 }
 
@@ -93,13 +93,13 @@
   readonly clockOf?: (skippingClock: SkippingClock) => Clock;
   /** The connection between the proxy server and the key service. */
   readonly keyServiceOf?: (
-    book: InMemoryKeyService,
+    keyService: InMemoryKeyService,
     clock: Clock,
   ) => Pick<InMemoryKeyService, "ask" | "notify">;
   readonly retryRatio?: number;
 }
 
-let harnesses = 0;
+let harnessCount = 0;
 
 /**
  * One proxy server on a clock of its own, at an address that no other harness or process of this
@@ -127,9 +127,9 @@
     } = options;
     const clock = clockOf?.(this.skippingClock) ?? this.skippingClock;
     const keyService = options.keyServiceOf?.(this.keyService, clock) ?? this.keyService;
-    harnesses += 1;
-    this.host = `127.${64 + ((process.pid >> 8) % 64)}.${process.pid & 255}.${(harnesses % 250) + 1}`;
-    this.port = 12_000 + Math.floor(harnesses / 250);
+    harnessCount += 1;
+    this.host = `127.${64 + ((process.pid >> 8) % 64)}.${process.pid & 255}.${(harnessCount % 250) + 1}`;
+    this.port = 12_000 + Math.floor(harnessCount / 250);
     this.updates = new UpdateStore(clock);
     this.pool = new WorkerDirectory(clock, "n1", "c1");
     const table = new RouteTable();
@@ -179,10 +179,10 @@
    * Moves the clock on in steps until it is so, or for a minute; what is under test never waits for
    * real time.
    */
-  readonly until = async (isSo: () => boolean, stepUs = 5_000): Promise<void> => {
-    for (let passedUs = 0; passedUs < 60_000_000 && !isSo(); passedUs += stepUs)
+  readonly until = async (condition: () => boolean, stepUs = 5_000): Promise<void> => {
+    for (let passedUs = 0; passedUs < 60_000_000 && !condition(); passedUs += stepUs)
       await this.clock.pass(stepUs);
-    assert.ok(isSo(), "it never came to be");
+    assert.ok(condition(), "it never came to be");
   };
 
   readonly stop = (): void => {
--- a/fuzz/run.ts
+++ b/fuzz/run.ts
@@ -9,7 +9,7 @@
   readonly json?: boolean;
 }
 
-const WRONG_INPUT_EXIT_CODE = 2;
+const INVALID_USAGE_EXIT_CODE = 2;
 const PROGRESS_EVERY_SEEDS = 100;
 
 /**
@@ -28,7 +28,7 @@
     process.stderr.write(
       `fuzz: --seeds must be 1 or more, --from a whole number, --variant one of: ${Object.keys(VARIANTS).join("; ")}.\n`,
     );
-    process.exitCode = WRONG_INPUT_EXIT_CODE;
+    process.exitCode = INVALID_USAGE_EXIT_CODE;
     return;
   }
   let [tries, runs, failed] = [0, 0, 0];
--- a/fuzz/scenario-run.ts
+++ b/fuzz/scenario-run.ts
@@ -21,15 +21,15 @@
  * A deception by the scenario instead of a fault built into the proxy server: what the checks then
  * see is the same.
  */
-export interface Deceptions {
+export interface SimulatedDefects {
   /** Workers run what they say they rejected. */
-  readonly runsWhatItRejects?: boolean;
+  readonly runsRejectedRequests?: boolean;
   /** A late response bears the id of the attempt that is due. */
-  readonly borrowsAttemptIds?: boolean;
+  readonly forgesAttemptIds?: boolean;
   /** What clients say they sent is not what they sent. */
   readonly altersBodies?: boolean;
   /** Clients that leave keep their connections, so nobody can notice. */
-  readonly hidesClientLeaving?: boolean;
+  readonly keepsAbandonedConnections?: boolean;
 }
 
 /** A proxy server, with workers and clients around it, on one clock that only moves when told. */
@@ -46,7 +46,7 @@
   constructor(
     private readonly scenario: Scenario,
     options: ProxyHarnessOptions = {},
-    private readonly deceptions: Deceptions = {},
+    private readonly simulatedDefects: SimulatedDefects = {},
   ) {
     const keyServiceOf = unreliableKeyService(scenario.keyMessages);
     this.harness = new ProxyHarness({ keyServiceOf, ...options });
@@ -55,12 +55,12 @@
       harness: this.harness,
       schedule: this.schedule,
       stalls: this.stalls,
-      altersBodies: deceptions.altersBodies === true,
-      hidesClientLeaving: deceptions.hidesClientLeaving === true,
+      altersBodies: simulatedDefects.altersBodies === true,
+      keepsAbandonedConnections: simulatedDefects.keepsAbandonedConnections === true,
     });
     this.responses = new WorkerResponses({
       after: this.schedule.after,
-      borrowsAttemptIds: deceptions.borrowsAttemptIds === true,
+      forgesAttemptIds: simulatedDefects.forgesAttemptIds === true,
     });
   }
 
@@ -80,7 +80,7 @@
       const next = stalls[0];
       if (!next || skippingClock.nowUs() < startUs + next.atMs * MS) continue;
       stalls.shift();
-      await this.settleAll();
+      await this.settleEverything();
       this.stall(next.spanMs * MS);
     }
     const openAtEnd = await this.waitForClose();
@@ -103,19 +103,20 @@
   };
 
   /** What has been sent arrives, and what follows from it at this same time. */
-  private readonly settleAll = async (): Promise<void> => {
-    const seen = () => this.firstBytes.length + this.received.length + this.clients.responseCount;
-    for (let before = -1; before !== seen();) {
-      before = seen();
+  private readonly settleEverything = async (): Promise<void> => {
+    const eventCount = () =>
+      this.firstBytes.length + this.received.length + this.clients.responseCount;
+    for (let before = -1; before !== eventCount();) {
+      before = eventCount();
       await settle(20);
     }
   };
 
   /** All act but the proxy server, whose event loop doesn't turn while this runs. */
-  private readonly stall = (spanUs: number): void => {
+  private readonly stall = (durationUs: number): void => {
     const { skippingClock } = this.harness;
     const fromUs = skippingClock.nowUs();
-    const toUs = fromUs + spanUs;
+    const toUs = fromUs + durationUs;
     this.stalls.push({ fromUs, toUs });
     this.schedule.runDue(toUs);
     skippingClock.skip(Math.max(0, toUs - skippingClock.nowUs()));
@@ -139,9 +140,9 @@
       },
       onRequest: (request, socket) => {
         const action = actionOf.get(socket) ?? "answers";
-        const isMine = request.expectedWorker === id && action !== "is another";
-        this.record(request, isMine && this.runs(action));
-        if (!isMine) {
+        const isAddressee = request.expectedWorker === id && action !== "is another";
+        this.record(request, isAddressee && this.runsRequest(action));
+        if (!isAddressee) {
           const headers = { "Yewreel-Try-Id": request.attemptId, "Yewreel-Worker-Id": "w-other" };
           socket.write(responseBytes(421, headers));
           return;
@@ -155,8 +156,8 @@
     return worker;
   };
 
-  private readonly runs = (action: WorkerAction): boolean =>
-    !REJECTIONS.has(action) || this.deceptions.runsWhatItRejects === true;
+  private readonly runsRequest = (action: WorkerAction): boolean =>
+    !REJECTIONS.has(action) || this.simulatedDefects.runsRejectedRequests === true;
 
   private readonly record = (request: WorkerRequest, ran: boolean): void => {
     const { worker, attemptId, method, path, body } = request;
--- a/fuzz/unreliable-key-service.ts
+++ b/fuzz/unreliable-key-service.ts
@@ -3,8 +3,8 @@
 import type { InMemoryKeyService } from "./proxy-harness.js";
 import type { KeyMessageFate } from "./scenario.js";
 
-const KEY_REPLY_LATE_US = 90_000;
-const KEY_REPLY_LOST_US = 600_000;
+const LATE_REPLY_DELAY_US = 90_000;
+const LOST_REPLY_TIMEOUT_US = 600_000;
 
 /** What a proxy server sees of a key service. */
 export type KeyServiceConnection = Pick<InMemoryKeyService, "ask" | "notify">;
@@ -27,7 +27,10 @@
         const fate = nextFate();
         const reply = fate === "lost on its way" ? undefined : await keyService.ask(message);
         if (fate !== "answered")
-          await sleep(clock, fate === "answered late" ? KEY_REPLY_LATE_US : KEY_REPLY_LOST_US);
+          await sleep(
+            clock,
+            fate === "answered late" ? LATE_REPLY_DELAY_US : LOST_REPLY_TIMEOUT_US,
+          );
         return fate === "answered" || fate === "answered late" ? reply : undefined;
       },
       notify: (message) => {
--- a/fuzz/variants.ts
+++ b/fuzz/variants.ts
@@ -1,7 +1,7 @@
 /** Broken variants, each of which one check must notice. */
 import { configurationOf, MAX_TRIES, type ProxyHarnessOptions } from "./proxy-harness.js";
 import type { CheckName } from "./checks.js";
-import type { Deceptions } from "./scenario-run.js";
+import type { SimulatedDefects } from "./scenario-run.js";
 
 /**
  * A proxy server that is broken on purpose, or a sound one that is deceived, and the check that
@@ -9,39 +9,39 @@
  */
 export interface Variant {
   readonly harness: ProxyHarnessOptions;
-  readonly deceptions: Deceptions;
-  readonly noticedBy: CheckName;
+  readonly simulatedDefects: SimulatedDefects;
+  readonly detectedBy: CheckName;
 }
 
-const NEVER = { stop: () => undefined };
+const INERT_TIMER = { stop: () => undefined };
 
 export const VARIANTS: Readonly<Record<string, Variant>> = {
   "another's answer passes as this try's": {
     harness: {},
-    deceptions: { borrowsAttemptIds: true },
-    noticedBy: "ownResponse",
+    simulatedDefects: { forgesAttemptIds: true },
+    detectedBy: "ownResponse",
   },
   "what can't be repeated is taken for repeatable": {
     harness: {
       configuration: configurationOf(MAX_TRIES, (kind) => (kind === "unsafe" ? "safe" : kind)),
     },
-    deceptions: {},
-    noticedBy: "atMostOnce",
+    simulatedDefects: {},
+    detectedBy: "atMostOnce",
   },
   "what has run is promised not to have": {
     harness: {},
-    deceptions: { runsWhatItRejects: true },
-    noticedBy: "promiseKept",
+    simulatedDefects: { runsRejectedRequests: true },
+    detectedBy: "promiseKept",
   },
   "bodies change on their way": {
     harness: {},
-    deceptions: { altersBodies: true },
-    noticedBy: "unchangedRequest",
+    simulatedDefects: { altersBodies: true },
+    detectedBy: "unchangedRequest",
   },
   "tries are not counted": {
     harness: { configuration: configurationOf(MAX_TRIES + 2) },
-    deceptions: {},
-    noticedBy: "maxTries",
+    simulatedDefects: {},
+    detectedBy: "maxTries",
   },
   "every claim of a key wins": {
     harness: {
@@ -53,22 +53,26 @@
         }),
       }),
     },
-    deceptions: {},
-    noticedBy: "oneRunPerKey",
+    simulatedDefects: {},
+    detectedBy: "oneRunPerKey",
   },
   "no time ever runs out": {
-    harness: { clockOf: ({ nowUs }) => ({ nowUs, after: () => NEVER, every: () => NEVER }) },
-    deceptions: {},
-    noticedBy: "answered",
+    harness: {
+      clockOf: ({ nowUs }) => ({ nowUs, after: () => INERT_TIMER, every: () => INERT_TIMER }),
+    },
+    simulatedDefects: {},
+    detectedBy: "answered",
   },
   "callers leave and nobody notices": {
     harness: {},
-    deceptions: { hidesClientLeaving: true },
-    noticedBy: "notAfterLeaving",
+    simulatedDefects: { keepsAbandonedConnections: true },
+    detectedBy: "notAfterLeaving",
   },
   "calls are never ended": {
-    harness: { clockOf: ({ nowUs }) => ({ nowUs, after: () => NEVER, every: () => NEVER }) },
-    deceptions: {},
-    noticedBy: "nothingLeftOpen",
+    harness: {
+      clockOf: ({ nowUs }) => ({ nowUs, after: () => INERT_TIMER, every: () => INERT_TIMER }),
+    },
+    simulatedDefects: {},
+    detectedBy: "nothingLeftOpen",
   },
 };
--- a/fuzz/worker-responses.ts
+++ b/fuzz/worker-responses.ts
@@ -23,7 +23,7 @@
   /** Schedules an act so many milliseconds from now. */
   readonly after: (waitMs: number, act: () => void) => void;
   /** Whether late responses to others bear the id of the attempt that is due. */
-  readonly borrowsAttemptIds: boolean;
+  readonly forgesAttemptIds: boolean;
 }
 
 const rejectionBytes = (status: number, request: WorkerRequest, body = ""): string =>
@@ -57,12 +57,12 @@
     );
   };
 
-  private readonly plain = (request: WorkerRequest, status = 200): string =>
+  private readonly attemptResponse = (request: WorkerRequest, status = 200): string =>
     this.write(request, status, `ran ${request.attemptId}`);
 
   /** Late responses of every kind, to somebody else. */
-  private readonly lateResponse = ({ request, delayMs }: Exchange): string => {
-    const id = this.options.borrowsAttemptIds ? request.attemptId : "t-somebody-else";
+  private readonly strayResponse = ({ request, delayMs }: Exchange): string => {
+    const id = this.options.forgesAttemptIds ? request.attemptId : "t-somebody-else";
     const responses: readonly [number, Readonly<Record<string, string>>, string][] = [
       [200, { "Yewreel-Server-Seal": "s.extra" }, "EXTRA"],
       [503, NOT_RUN, ""],
@@ -73,7 +73,7 @@
     return responseBytes(status, { "Yewreel-Try-Id": id, ...headers }, body);
   };
 
-  private readonly breakOff = ({ request, socket }: Exchange, bytes: string): void => {
+  private readonly writeTruncated = ({ request, socket }: Exchange, bytes: string): void => {
     this.interrupted.add(request.attemptId);
     socket.end(bytes);
   };
@@ -84,11 +84,11 @@
   };
 
   private readonly answer: Respond = ({ request, socket }) => {
-    socket.write(this.plain(request));
+    socket.write(this.attemptResponse(request));
   };
 
   private readonly answerInPieces: Respond = ({ request, socket }) => {
-    const bytes = this.plain(request);
+    const bytes = this.attemptResponse(request);
     for (let at = 0; at < bytes.length; at += 40)
       this.options.after(10 + at / 4, () => socket.write(bytes.slice(at, at + 40)));
   };
@@ -108,7 +108,7 @@
   private readonly answerAndThen =
     (later: Respond): Respond =>
     (exchange) => {
-      exchange.socket.write(this.plain(exchange.request));
+      exchange.socket.write(this.attemptResponse(exchange.request));
       this.options.after(exchange.delayMs / 4, () => later(exchange));
     };
 
@@ -127,49 +127,56 @@
         this.write(request, 200, `ran ${request.attemptId}`, { Connection: "close" }),
       ),
     "answers and doubles": (exchange) =>
-      void exchange.socket.write(this.plain(exchange.request) + this.lateResponse(exchange)),
+      void exchange.socket.write(
+        this.attemptResponse(exchange.request) + this.strayResponse(exchange),
+      ),
     "answers behind a hint": ({ request, socket }) =>
-      void socket.write(`HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n${this.plain(request)}`),
+      void socket.write(
+        `HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n${this.attemptResponse(request)}`,
+      ),
     "answers behind a late one": (exchange) =>
-      void exchange.socket.write(this.lateResponse(exchange) + this.plain(exchange.request)),
+      void exchange.socket.write(
+        this.strayResponse(exchange) + this.attemptResponse(exchange.request),
+      ),
     "answers and doubles late": this.answerAndThen(
-      (exchange) => void exchange.socket.write(this.lateResponse(exchange)),
+      (exchange) => void exchange.socket.write(this.strayResponse(exchange)),
     ),
     "answers and writes rubbish late": this.answerAndThen(
       ({ socket }) => void socket.write("\u0001\u0002\r\n\r\n"),
     ),
     "answers and resets late": this.answerAndThen(({ socket }) => void socket.resetAndDestroy()),
-    fails: ({ request, socket }) => void socket.write(this.plain(request, 500)),
-    "knows nothing of it": ({ request, socket }) => void socket.write(this.plain(request, 404)),
+    fails: ({ request, socket }) => void socket.write(this.attemptResponse(request, 500)),
+    "knows nothing of it": ({ request, socket }) =>
+      void socket.write(this.attemptResponse(request, 404)),
     sheds: ({ request, socket }) => void socket.write(rejectionBytes(503, request)),
     limits: ({ request, socket }) => void socket.write(rejectionBytes(429, request)),
     "fails without saying whether it ran": ({ request, socket, delayMs }) =>
-      void socket.write(this.plain(request, [503, 429, 408][delayMs % 3])),
+      void socket.write(this.attemptResponse(request, [503, 429, 408][delayMs % 3])),
     "forgets the seal": ({ request, socket }) =>
       void socket.write(
         responseBytes(200, { "Yewreel-Try-Id": request.attemptId }, `ran ${request.attemptId}`),
       ),
     "tells two ids": ({ request, socket }) =>
       void socket.write(
-        this.plain(request).replace(
+        this.attemptResponse(request).replace(
           "Yewreel-Server-Seal",
           "Yewreel-Try-Id: t-somebody-else\r\nYewreel-Server-Seal",
         ),
       ),
-    "tells another id": (exchange) => void exchange.socket.write(this.lateResponse(exchange)),
+    "tells another id": (exchange) => void exchange.socket.write(this.strayResponse(exchange)),
     "tells no id": ({ socket }) => void socket.write(responseBytes(503, NOT_RUN)),
     "cuts the head": (exchange) =>
-      this.breakOff(exchange, this.plain(exchange.request).slice(0, 40)),
+      this.writeTruncated(exchange, this.attemptResponse(exchange.request).slice(0, 40)),
     "cuts the body": (exchange) =>
-      this.breakOff(exchange, this.plain(exchange.request).slice(0, -2)),
+      this.writeTruncated(exchange, this.attemptResponse(exchange.request).slice(0, -2)),
     "cuts a large body": (exchange) =>
-      this.breakOff(exchange, this.write(exchange.request, 200, LARGE_BODY).slice(0, -2)),
+      this.writeTruncated(exchange, this.write(exchange.request, 200, LARGE_BODY).slice(0, -2)),
     "cuts its refusal": (exchange) =>
-      this.breakOff(exchange, rejectionBytes(503, exchange.request, "full").slice(0, -2)),
+      this.writeTruncated(exchange, rejectionBytes(503, exchange.request, "full").slice(0, -2)),
     "loses the answer": this.reset,
     "resets at the head": this.reset,
     "continues unasked": ({ request, socket }) =>
-      void socket.write(`HTTP/1.1 100 Continue\r\n\r\n${this.plain(request)}`),
+      void socket.write(`HTTP/1.1 100 Continue\r\n\r\n${this.attemptResponse(request)}`),
     "is silent": () => undefined,
   };
 }
--- a/simulator/change-generator.ts
+++ b/simulator/change-generator.ts
@@ -29,45 +29,46 @@
     let atUs = 500 * MILLISECOND_US;
     while (atUs < untilUs) {
       const burst = random.occurs(0.15) ? random.integer(2, 8) : 1;
-      for (let count = 0; count < burst; count += 1) this.addChangeWithRival(atUs);
+      for (let count = 0; count < burst; count += 1) this.addChangeWithConflict(atUs);
       if (random.occurs(0.5))
         this.events.push({
           atUs: atUs + random.integer(0, 800 * MILLISECOND_US),
           kind: "read",
-          slot: this.anySlot(),
+          slot: this.randomSlot(),
         });
       atUs += random.integer(50 * MILLISECOND_US, 1_300 * MILLISECOND_US);
     }
     return this.events;
   };
 
-  private readonly anySlot = (): number => this.random.integer(0, this.deployment.controllers - 1);
+  private readonly randomSlot = (): number =>
+    this.random.integer(0, this.deployment.controllers - 1);
 
   /** The body of the next change. */
   private readonly nextBody = (): string => `{"order":${this.lastId + 1}}`;
 
-  private readonly addChangeWithRival = (atUs: number): void => {
+  private readonly addChangeWithConflict = (atUs: number): void => {
     const { random } = this;
     const keys = KEYS.filter(() => random.occurs(0.18));
-    const items = (keys.length > 0 ? keys : [random.pick(KEYS)]).map(this.itemOf);
+    const items = (keys.length > 0 ? keys : [random.pick(KEYS)]).map(this.drawItem);
     this.addChange(
       atUs,
-      random.occurs(0.1) ? [...items, this.repeated(random.pick(items))] : items,
+      random.occurs(0.1) ? [...items, this.duplicateOf(random.pick(items))] : items,
     );
     // A rival puts another body under one of these versions at the same moment.
     if (!random.occurs(0.25)) return;
-    const rivals = items.filter(() => random.occurs(0.6));
-    if (rivals.length === 0) return;
-    const rivalUs = atUs + random.integer(0, 30 * MILLISECOND_US);
+    const conflicting = items.filter(() => random.occurs(0.6));
+    if (conflicting.length === 0) return;
+    const conflictUs = atUs + random.integer(0, 30 * MILLISECOND_US);
     const body = this.nextBody();
     this.addChange(
-      rivalUs,
-      rivals.map((item) => ({ ...item, body })),
+      conflictUs,
+      conflicting.map((item) => ({ ...item, body })),
     );
   };
 
   /** Most often the item's next version; at times one that was used, or one too high. */
-  private readonly itemOf = (key: string): Item => {
+  private readonly drawItem = (key: string): Item => {
     const { random } = this;
     const newest = this.newestVersions.get(key) ?? 0;
     const version = random.occurs(0.08)
@@ -81,7 +82,7 @@
    * An item that a change names a second time: as it was, with another body, or under another
    * version.
    */
-  private readonly repeated = (item: Item): Item => {
+  private readonly duplicateOf = (item: Item): Item => {
     const body = `{"order":${this.lastId + 1},"again":1}`;
     return this.random.pick([
       item,
@@ -97,7 +98,7 @@
       atUs,
       kind: "change",
       id: this.lastId,
-      slot: this.anySlot(),
+      slot: this.randomSlot(),
       items,
       requires: random.occurs(0.15) ? random.pick(["service/e", MISSING_ITEM]) : "",
       answerLossProbability: random.occurs(0.3) ? 0.5 : 0,
@@ -107,7 +108,7 @@
         atUs: atUs + random.integer(50 * MILLISECOND_US, 12 * SECOND_US),
         kind: "resend",
         id: this.lastId,
-        slot: this.anySlot(),
+        slot: this.randomSlot(),
       });
   };
 }
--- a/simulator/configuration-invariants.ts
+++ b/simulator/configuration-invariants.ts
@@ -18,7 +18,7 @@
 /** For each key and version at most one content is ever confirmed or in force. */
 export const singleValue: Invariant = (outcome) => {
   const { history } = outcome;
-  const known = new Map<string, { readonly digest: string; readonly where: string }>();
+  const firstSeen = new Map<string, { readonly digest: string; readonly where: string }>();
   const confirmed = history.attempts.filter(isConfirmed).flatMap((attempt) =>
     (history.changes.get(attempt.change) ?? []).map((register) => ({
       register,
@@ -27,9 +27,9 @@
     })),
   );
   for (const { register, where, atUs } of [...confirmed, ...observedRegisters(outcome)]) {
-    const before = known.get(nameOf(register));
+    const before = firstSeen.get(nameOf(register));
     if (!before)
-      known.set(nameOf(register), {
+      firstSeen.set(nameOf(register), {
         digest: register.digest,
         where: `${where} at ${seconds(atUs)}`,
       });
@@ -45,28 +45,28 @@
  */
 export const rejected: Invariant = (outcome) => {
   const { history } = outcome;
-  const carriers = changesByDigest(outcome);
+  const changeIdsByDigest = changesByDigest(outcome);
   const byChange = new Map<number, Attempt[]>();
   history.attempts.forEach((attempt) =>
     byChange.set(attempt.change, [...(byChange.get(attempt.change) ?? []), attempt]),
   );
-  const seen = new Map<string, { readonly where: string; readonly lastUs: number }>();
+  const lastObserved = new Map<string, { readonly where: string; readonly lastUs: number }>();
   observedRegisters(outcome).forEach(({ register, where, atUs }) => {
-    const before = seen.get(register.digest);
-    if (!before || before.lastUs < atUs) seen.set(register.digest, { where, lastUs: atUs });
+    const before = lastObserved.get(register.digest);
+    if (!before || before.lastUs < atUs) lastObserved.set(register.digest, { where, lastUs: atUs });
   });
   for (const [id, attempts] of byChange) {
     const registers = (history.changes.get(id) ?? []).filter(
-      ({ digest }) => carriers.get(digest)?.size === 1,
+      ({ digest }) => changeIdsByDigest.get(digest)?.size === 1,
     );
     const confirmed = attempts.filter(isConfirmed);
     // A change whose every content is also another's changes nothing, valid or not.
     if (history.neverValid.has(id) && registers.length > 0) {
-      const observed = registers.find(({ digest }) => seen.has(digest));
+      const observed = registers.find(({ digest }) => lastObserved.has(digest));
       if (confirmed[0])
         return `change ${id} can never be valid, and was confirmed by ${confirmed[0].controller} at ${seconds(confirmed[0].endUs)}`;
       if (observed)
-        return `change ${id} can never be valid, and its ${nameOf(observed)} was in force: ${seen.get(observed.digest)?.where}`;
+        return `change ${id} can never be valid, and its ${nameOf(observed)} was in force: ${lastObserved.get(observed.digest)?.where}`;
     }
     for (const attempt of attempts.filter(
       ({ result }) => result === "conflict" || result === "invalid",
@@ -82,7 +82,7 @@
         attempt.result === "conflict" ||
         attempts.every((other) => other === attempt || other.endUs < attempt.startUs);
       for (const register of registers) {
-        const found = seen.get(register.digest);
+        const found = lastObserved.get(register.digest);
         if (isLast && found && (attempt.result === "conflict" || found.lastUs > attempt.endUs))
           return `${rejection}, and its ${nameOf(register)} was in force: ${found.where} at ${seconds(found.lastUs)}`;
       }
@@ -101,8 +101,9 @@
     readonly version: number;
     readonly where: string;
   }
-  const floors = new Map<string, Point[]>();
-  const add = (key: string, point: Point) => floors.set(key, [...(floors.get(key) ?? []), point]);
+  const lowerBounds = new Map<string, Point[]>();
+  const add = (key: string, point: Point) =>
+    lowerBounds.set(key, [...(lowerBounds.get(key) ?? []), point]);
   history.attempts
     .filter(isConfirmed)
     .forEach(({ change: id, endUs, controller }) =>
@@ -119,14 +120,14 @@
         add(key, { atUs: endUs, version, where: `read at ${controller}` }),
       ),
   );
-  floors.forEach((points, key) => {
+  lowerBounds.forEach((points, key) => {
     const rising: Point[] = [];
     points
       .sort((one, other) => one.atUs - other.atUs)
       .forEach((point) => {
         if (point.version > (rising.at(-1)?.version ?? 0)) rising.push(point);
       });
-    floors.set(key, rising);
+    lowerBounds.set(key, rising);
   });
   const sentUs = new Map<string, number>();
   history.attempts.forEach(({ change: id, startUs }) =>
@@ -138,32 +139,32 @@
   );
   for (const { controller, startUs, endUs, registers } of history.reads) {
     const read = new Map(registers.map((register) => [register.key, register]));
-    for (const [key, rising] of floors) {
-      const floor = rising.filter(({ atUs }) => atUs < startUs).at(-1);
+    for (const [key, rising] of lowerBounds) {
+      const lowerBound = rising.filter(({ atUs }) => atUs < startUs).at(-1);
       const version = read.get(key)?.version ?? 0;
-      if (floor && version < floor.version)
-        return `a read at ${controller} from ${seconds(startUs)} to ${seconds(endUs)} found ${key} at version ${version}, after ${floor.where} at ${seconds(floor.atUs)} had version ${floor.version}`;
+      if (lowerBound && version < lowerBound.version)
+        return `a read at ${controller} from ${seconds(startUs)} to ${seconds(endUs)} found ${key} at version ${version}, after ${lowerBound.where} at ${seconds(lowerBound.atUs)} had version ${lowerBound.version}`;
     }
-    const invented = registers.find(
+    const unsent = registers.find(
       (register) =>
         isConfiguration(register) &&
         !((sentUs.get(register.digest) ?? Number.POSITIVE_INFINITY) <= endUs),
     );
-    if (invented)
-      return `a read at ${controller} at ${seconds(endUs)} found ${nameOf(invented)}, which nobody had sent`;
+    if (unsent)
+      return `a read at ${controller} at ${seconds(endUs)} found ${nameOf(unsent)}, which nobody had sent`;
   }
   return undefined;
 };
 
 /** Tells whether a register was committed in the end, even if a later version replaced it. */
-const agreementOf = ({ history }: Outcome): ((register: Register) => boolean) => {
+const committedAtEnd = ({ history }: Outcome): ((register: Register) => boolean) => {
   const last = history.reads.at(-1)?.registers ?? [];
-  const agreed = new Set(
+  const committed = new Set(
     last.flatMap(({ key, version, digest, past }) =>
       [[version, digest] as const, ...past].map(([number, sum]) => `${key} ${number} ${sum}`),
     ),
   );
-  return ({ key, version, digest }) => agreed.has(`${key} ${version} ${digest}`);
+  return ({ key, version, digest }) => committed.has(`${key} ${version} ${digest}`);
 };
 
 /**
@@ -172,12 +173,12 @@
  */
 export const complete: Invariant = (outcome) => {
   const { history } = outcome;
-  const isAgreed = agreementOf(outcome);
+  const isCommitted = committedAtEnd(outcome);
   const readUs = history.reads.at(-1)?.startUs ?? 0;
   for (const { change: id } of history.attempts.filter(
     (attempt) => isConfirmed(attempt) && attempt.endUs < readUs,
   )) {
-    const missing = (history.changes.get(id) ?? []).find((register) => !isAgreed(register));
+    const missing = (history.changes.get(id) ?? []).find((register) => !isCommitted(register));
     if (missing)
       return `change ${id} was confirmed, and in the end its ${nameOf(missing)} is not known to be committed`;
   }
@@ -186,14 +187,14 @@
 
 /** In the end all items of a change are committed, or none, whatever was answered. */
 export const atomic: Invariant = (outcome) => {
-  const isAgreed = agreementOf(outcome);
-  const carriers = changesByDigest(outcome);
+  const isCommitted = committedAtEnd(outcome);
+  const changeIdsByDigest = changesByDigest(outcome);
   for (const [id, registers] of outcome.history.changes) {
-    const own = registers.filter(({ digest }) => carriers.get(digest)?.size === 1);
-    const missing = own.find((register) => !isAgreed(register));
-    const agreed = own.find(isAgreed);
-    if (missing && agreed)
-      return `change ${id} stands in part: its ${nameOf(agreed)} was agreed, its ${nameOf(missing)} never`;
+    const exclusive = registers.filter(({ digest }) => changeIdsByDigest.get(digest)?.size === 1);
+    const missing = exclusive.find((register) => !isCommitted(register));
+    const present = exclusive.find(isCommitted);
+    if (missing && present)
+      return `change ${id} stands in part: its ${nameOf(present)} was agreed, its ${nameOf(missing)} never`;
   }
   return undefined;
 };
--- a/simulator/control-plane-invariants.ts
+++ b/simulator/control-plane-invariants.ts
@@ -30,7 +30,7 @@
     if (term > 0) writeTerms.set(register.version, term);
   });
   let highest = 0;
-  for (const [version, term] of [...writeTerms].sort(([one], [other]) => one - other)) {
+  for (const [version, term] of [...writeTerms].sort(([one], [mismatch]) => one - mismatch)) {
     if (term < highest)
       return `write ${version} of term ${term} was committed after one of term ${highest}`;
     highest = term;
@@ -50,7 +50,7 @@
  * Quorum contact is confirmed only once a majority has answered something sent after the question.
  */
 export const quorumContact: Invariant = ({ history }) => {
-  const wrong = history.quorumContacts.find(
+  const unjustified = history.quorumContacts.find(
     ({ heardFrom, voterSets }) =>
       !voterSets.some((sets) =>
         sets.every(
@@ -59,21 +59,21 @@
       ),
   );
   return (
-    wrong &&
-    `${wrong.controller} confirmed contact at ${seconds(wrong.atUs)} having heard ${wrong.heardFrom.join(", ")} of ${wrong.voterSets.flat(2).join(", ")}`
+    unjustified &&
+    `${unjustified.controller} confirmed contact at ${seconds(unjustified.atUs)} having heard ${unjustified.heardFrom.join(", ")} of ${unjustified.voterSets.flat(2).join(", ")}`
   );
 };
 
 /** Once `CATCH_UP_US` have passed in calm, every controller confirms a change and serves a read. */
 export const availability: Invariant = ({ history }, schedule) => {
   if (schedule.exceedsTolerance) return undefined;
-  const late = history.finalRequests.find(
+  const unserved = history.finalRequests.find(
     ({ startUs, servedAtUs }) =>
       servedAtUs === undefined || servedAtUs - startUs > SERVE_TIMEOUT_US,
   );
   return (
-    late &&
-    `${late.description}, sent in the calm at ${seconds(late.startUs)}, ${late.servedAtUs === undefined ? "was never served" : `took ${seconds(late.servedAtUs - late.startUs)}`}`
+    unserved &&
+    `${unserved.description}, sent in the calm at ${seconds(unserved.startUs)}, ${unserved.servedAtUs === undefined ? "was never served" : `took ${seconds(unserved.servedAtUs - unserved.startUs)}`}`
   );
 };
 
@@ -83,19 +83,19 @@
  */
 export const voterSets: Invariant = ({ history, liveIds }, schedule) => {
   const { controllers, withstandMachines } = deploymentOf(schedule.deployment);
-  const known = new Map<number, VoterSet>();
+  const firstSeen = new Map<number, VoterSet>();
   for (const { controller, voterSet: seen } of history.voterSets) {
-    const before = known.get(seen.number);
+    const before = firstSeen.get(seen.number);
     if (
       before &&
       (before.members.join() !== seen.members.join() || before.from.join() !== seen.from.join())
     )
       return `voter set ${seen.number} is ${seen.members.join(", ")} at ${controller}, and ${before.members.join(", ")} elsewhere`;
-    known.set(seen.number, seen);
+    firstSeen.set(seen.number, seen);
   }
   const required = Math.min(controllers, 2 * withstandMachines + 1);
   let largest = 0;
-  for (const { number, members } of [...known.values()].sort(
+  for (const { number, members } of [...firstSeen.values()].sort(
     (one, other) => one.number - other.number,
   )) {
     if (members.length < Math.min(largest, required))
@@ -105,14 +105,14 @@
   if (schedule.exceedsTolerance) return undefined;
   const endUs = history.voterSets.at(-1)?.atUs ?? 0;
   const last = history.voterSets.filter(({ atUs }) => atUs === endUs);
-  const wanted = [...liveIds].sort().join(", ");
+  const expected = [...liveIds].sort().join(", ");
   const other = last.find(
     ({ voterSet: { members, from } }) =>
-      from.length > 0 || [...members].sort().join(", ") !== wanted,
+      from.length > 0 || [...members].sort().join(", ") !== expected,
   );
   if (other)
-    return `in the end the voter set at ${other.controller} is ${other.voterSet.members.join(", ")}, and ${wanted} are there`;
+    return `in the end the voter set at ${other.controller} is ${other.voterSet.members.join(", ")}, and ${expected} are there`;
   return last.length < liveIds.length
-    ? `in the end only ${last.map(({ controller }) => controller).join(", ")} vote, of ${wanted}`
+    ? `in the end only ${last.map(({ controller }) => controller).join(", ")} vote, of ${expected}`
     : undefined;
 };
--- a/simulator/fault-generator.ts
+++ b/simulator/fault-generator.ts
@@ -42,7 +42,7 @@
   private readonly lostUntilUs: number[];
   private readonly diskLostUntilUs: number[];
   private noisyUntilUs = 0;
-  private calmUs = CATCH_UP_US;
+  private faultsEndUs = CATCH_UP_US;
   private disksLost = 0;
   /**
    * A machine killed while it shuts down has not left gracefully, and nobody comes in its place; so
@@ -63,7 +63,7 @@
     this.diskLostUntilUs = new Array<number>(controllers).fill(0);
   }
 
-  readonly generate = (): { readonly events: readonly Event[]; readonly calmUs: number } => {
+  readonly generate = (): { readonly events: readonly Event[]; readonly faultsEndUs: number } => {
     const { random, changes } = this;
     // Schedules differ in what happens most in them, so that rare things happen together in some.
     const drawnKind = random.pick(FAULT_KINDS);
@@ -81,9 +81,9 @@
       if (kind === "noise" || random.occurs(noiseProbability))
         this.addNoise(Math.max(CATCH_UP_US, atUs - random.integer(0, 500 * MILLISECOND_US)));
       if (kind === "stop-all") this.stopAll(atUs, change);
-      else if (kind !== "noise") atUs = this.strikeOne(atUs, kind);
+      else if (kind !== "noise") atUs = this.injectMachineFault(atUs, kind);
     }
-    return { events: this.events, calmUs: this.calmUs };
+    return { events: this.events, faultsEndUs: this.faultsEndUs };
   };
 
   private readonly isLost = (slot: number, atUs: number): boolean =>
@@ -93,7 +93,7 @@
     (this.diskLostUntilUs[slot] ?? 0) > atUs;
 
   private readonly markLost = (slot: number, untilUs: number, withDisk: boolean): void => {
-    this.calmUs = Math.max(this.calmUs, untilUs);
+    this.faultsEndUs = Math.max(this.faultsEndUs, untilUs);
     const backUs = Math.max(untilUs, this.noisyUntilUs) + CATCH_UP_US;
     const lostUntilUs = Math.max(backUs, this.lostUntilUs[slot] ?? 0);
     this.lostUntilUs[slot] = lostUntilUs;
@@ -106,7 +106,7 @@
     const { random, slots } = this;
     const durationUs = random.integer(200 * MILLISECOND_US, 2_500 * MILLISECOND_US);
     this.noisyUntilUs = Math.max(this.noisyUntilUs, atUs + durationUs);
-    this.calmUs = Math.max(this.calmUs, this.noisyUntilUs);
+    this.faultsEndUs = Math.max(this.faultsEndUs, this.noisyUntilUs);
     slots
       .filter((slot) => this.isLost(slot, atUs))
       .forEach((slot) => this.markLost(slot, this.noisyUntilUs, false));
@@ -126,7 +126,7 @@
   };
 
   /** Whoever is back is asked at once. */
-  private readonly readSoonAfter = (atUs: number): void => {
+  private readonly addReadsAfter = (atUs: number): void => {
     const { random } = this;
     for (let count = 0; count < 3; count += 1)
       this.events.push({
@@ -140,15 +140,15 @@
     if (atUs < this.drainingUntilUs) return;
     const { random, slots } = this;
     const byPower = random.occurs(0.6);
-    const harmed = this.drawHarmedDisks(atUs);
-    const wiped = harmed.filter(() => random.occurs(0.5));
-    const corrupted = harmed.filter((slot) => !wiped.includes(slot));
+    const damaged = this.drawDamagedDisks(atUs);
+    const wiped = damaged.filter(() => random.occurs(0.5));
+    const corrupted = damaged.filter((slot) => !wiped.includes(slot));
     const downUs = slots.map(() => random.integer(50 * MILLISECOND_US, 1_000 * MILLISECOND_US));
     slots.forEach((slot) =>
       this.markLost(
         slot,
         atUs + (downUs[slot] ?? 0),
-        harmed.includes(slot) || this.isDiskLost(slot, atUs),
+        damaged.includes(slot) || this.isDiskLost(slot, atUs),
       ),
     );
     this.events.push({ atUs, kind: "stop-all", byPower, wiped, corrupted, downUs });
@@ -164,11 +164,11 @@
         durationUs: atUs - change.atUs + SHORT_PARTITION_US,
       });
     }
-    this.readSoonAfter(atUs + Math.min(...downUs));
+    this.addReadsAfter(atUs + Math.min(...downUs));
   };
 
   /** The slots whose disks are harmed when all stop: no more than may still be lost. */
-  private readonly drawHarmedDisks = (atUs: number): readonly number[] => {
+  private readonly drawDamagedDisks = (atUs: number): readonly number[] => {
     const { random, slots } = this;
     const { controllers, withstandMachines } = this.deployment;
     const sound = slots.filter((slot) => !this.isLost(slot, atUs));
@@ -181,7 +181,7 @@
    * Strikes one machine, or none if too many are lost already; gives the moment from which the next
    * fault is drawn.
    */
-  private readonly strikeOne = (atUs: number, kind: MachineFaultKind): number => {
+  private readonly injectMachineFault = (atUs: number, kind: MachineFaultKind): number => {
     const { random, slots } = this;
     const { controllers, withstandMachines } = this.deployment;
     const { exceedsTolerance } = this.options;
@@ -219,7 +219,7 @@
       case "wipe":
       case "corrupt":
         events.push({ atUs, kind, slot, downUs: durationUs });
-        this.readSoonAfter(endUs);
+        this.addReadsAfter(endUs);
         this.markLost(slot, endUs, true);
         break;
       case "freeze":
@@ -240,10 +240,10 @@
         this.markLost(slot, atUs + REPLACEMENT_DELAY_US, true);
         break;
       case "planned-replace": {
-        const goneUs = atUs + REPLACEMENT_OVERLAP_US + SHUTDOWN_TIMEOUT_US;
+        const removedUs = atUs + REPLACEMENT_OVERLAP_US + SHUTDOWN_TIMEOUT_US;
         events.push({ atUs, kind, slot });
-        this.markLost(slot, goneUs, true);
-        this.drainingUntilUs = Math.max(this.drainingUntilUs, goneUs);
+        this.markLost(slot, removedUs, true);
+        this.drainingUntilUs = Math.max(this.drainingUntilUs, removedUs);
         break;
       }
     }
--- a/simulator/fleet.ts
+++ b/simulator/fleet.ts
@@ -19,7 +19,7 @@
   controller: SimulatedController | undefined;
   downUntilUs: number;
   /** When it was gone for good; undefined while it belongs to the deployment. */
-  goneUs: number | undefined;
+  removedUs: number | undefined;
   isDraining: boolean;
 }
 
@@ -32,7 +32,7 @@
 }
 
 /** A machine that is gone stays on the operator's list for so long. */
-const LIST_LAG_US = 3 * SECOND_US;
+const LISTED_AFTER_REMOVAL_US = 3 * SECOND_US;
 /**
  * Stands in what the simulated disks hold. So, like the bodies of changes, it is part of what a
  * seed comes to, and stays the same as long as seeds named in docs/simulator.md must run as they
@@ -48,7 +48,7 @@
   readonly machines: Machine[] = [];
   readonly slots: Machine[];
   readonly network: SimulatedNetwork;
-  private readonly firstSeeds: readonly string[];
+  private readonly initialSeeds: readonly string[];
 
   constructor(private readonly options: FleetOptions) {
     const { deployment, time, random } = options;
@@ -59,7 +59,10 @@
       this.liveControllers,
     );
     this.slots = Array.from({ length: deployment.controllers }, this.addMachine);
-    this.firstSeeds = Array.from({ length: deployment.seeds }, (_none, at) => `${ID_PREFIX}${at}`);
+    this.initialSeeds = Array.from(
+      { length: deployment.seeds },
+      (_none, at) => `${ID_PREFIX}${at}`,
+    );
   }
 
   readonly machineAt = (slot: number): Machine => {
@@ -70,21 +73,22 @@
 
   /** Those that are not gone for good, whether or not their process runs. */
   readonly present = (): readonly Machine[] =>
-    this.machines.filter(({ goneUs }) => goneUs === undefined);
+    this.machines.filter(({ removedUs }) => removedUs === undefined);
 
   /** The operator's list: it names a machine for a while after it has gone. */
   readonly listed = (): readonly Machine[] =>
     this.machines.filter(
-      ({ goneUs, controller }) =>
+      ({ removedUs, controller }) =>
         controller !== undefined &&
-        (goneUs === undefined || this.options.time.nowUs() - goneUs < LIST_LAG_US),
+        (removedUs === undefined ||
+          this.options.time.nowUs() - removedUs < LISTED_AFTER_REMOVAL_US),
     );
 
   /** Starts a machine's process unless it runs or the machine has gone. */
   readonly start = (machine: Machine, isFirstRun: boolean): void => {
-    if (machine.goneUs !== undefined || machine.controller?.isAlive === true) return;
+    if (machine.removedUs !== undefined || machine.controller?.isAlive === true) return;
     const { deployment, time, random, history, components } = this.options;
-    const seeds = isFirstRun ? this.firstSeeds : this.seedsFor(machine);
+    const seeds = isFirstRun ? this.initialSeeds : this.seedsFor(machine);
     const controller = new SimulatedController({
       id: machine.id,
       seeds,
@@ -109,7 +113,7 @@
   readonly stop = (machine: Machine, downUs: number, mode: StopMode): void => {
     const { time } = this.options;
     machine.controller?.terminate(mode === "kill" || mode === "corrupt");
-    if (machine.isDraining) machine.goneUs ??= time.nowUs();
+    if (machine.isDraining) machine.removedUs ??= time.nowUs();
     if (mode === "power-loss") machine.disk.losePower();
     if (mode === "wipe") machine.disk.wipe();
     if (mode === "corrupt") machine.disk.corrupt();
@@ -122,7 +126,7 @@
   /** Takes a machine out of the deployment for good. */
   readonly remove = (machine: Machine): void => {
     machine.controller?.terminate(false);
-    machine.goneUs ??= this.options.time.nowUs();
+    machine.removedUs ??= this.options.time.nowUs();
   };
 
   /** Puts an empty machine into a slot; it is not started. */
@@ -138,7 +142,7 @@
       disk: new SimulatedDisk(this.options.time, this.options.random.fork()),
       controller: undefined,
       downUntilUs: 0,
-      goneUs: undefined,
+      removedUs: undefined,
       isDraining: false,
     };
     this.machines.push(machine);
@@ -160,11 +164,13 @@
   private readonly seedsFor = (machine: Machine): readonly string[] => {
     const { random } = this.options;
     const others = this.listed().filter((other) => other !== machine);
-    const sound = others.filter(({ goneUs, isDraining }) => goneUs === undefined && !isDraining);
-    const first = sound.length > 0 ? random.integer(0, sound.length - 1) : 0;
+    const staying = others.filter(
+      ({ removedUs, isDraining }) => removedUs === undefined && !isDraining,
+    );
+    const first = staying.length > 0 ? random.integer(0, staying.length - 1) : 0;
     const picked = [
-      sound[first],
-      sound[(first + 1) % Math.max(1, sound.length)],
+      staying[first],
+      staying[(first + 1) % Math.max(1, staying.length)],
       others.length > 0 ? random.pick(others) : undefined,
     ];
     return [...new Set(picked.flatMap((other) => (other ? [other.id] : [])))];
--- a/simulator/invariants.ts
+++ b/simulator/invariants.ts
@@ -14,7 +14,7 @@
 /** What is wrong with a run: the invariant that does not hold, and one line for people. */
 export interface Violation {
   readonly invariant: InvariantName;
-  readonly sentence: string;
+  readonly description: string;
 }
 
 export type InvariantName =
@@ -66,8 +66,8 @@
 ): readonly Violation[] => {
   const violations: Violation[] = [];
   names.forEach((invariant) => {
-    const sentence = INVARIANTS[invariant](outcome, schedule);
-    if (sentence !== undefined) violations.push({ invariant, sentence });
+    const description = INVARIANTS[invariant](outcome, schedule);
+    if (description !== undefined) violations.push({ invariant, description });
   });
   return violations;
 };
--- a/simulator/observations.ts
+++ b/simulator/observations.ts
@@ -30,11 +30,11 @@
 
 /** The changes that carry each content; two deletions under one version are the same content. */
 export const changesByDigest = ({ history }: Outcome): ReadonlyMap<string, ReadonlySet<number>> => {
-  const carriers = new Map<string, Set<number>>();
+  const changeIds = new Map<string, Set<number>>();
   history.changes.forEach((registers, id) =>
     registers.forEach(({ digest }) =>
-      carriers.set(digest, (carriers.get(digest) ?? new Set()).add(id)),
+      changeIds.set(digest, (changeIds.get(digest) ?? new Set()).add(id)),
     ),
   );
-  return carriers;
+  return changeIds;
 };
--- a/simulator/schedule-generator.ts
+++ b/simulator/schedule-generator.ts
@@ -6,7 +6,7 @@
 import { SeededRandom } from "./seeded-random.js";
 
 const PADDING_BYTES = 12_000;
-const MAX_CALM_US = 40 * SECOND_US;
+const CHANGES_END_US = 40 * SECOND_US;
 
 export const generateSchedule = (
   seed: number,
@@ -15,10 +15,10 @@
 ): Schedule => {
   const random = new SeededRandom(seed);
   const deployment = deploymentOf(deploymentName);
-  const changes = generateChanges(random.fork(), deployment, MAX_CALM_US).sort(
+  const changes = generateChanges(random.fork(), deployment, CHANGES_END_US).sort(
     (one, other) => one.atUs - other.atUs,
   );
-  const { events, calmUs } = new FaultGenerator(
+  const { events, faultsEndUs } = new FaultGenerator(
     random.fork(),
     deployment,
     options,
@@ -30,8 +30,8 @@
     deployment: deploymentName,
     exceedsTolerance: options.exceedsTolerance,
     paddingBytes,
-    calmUs,
-    events: [...events, ...changes.filter(({ atUs }) => atUs < calmUs)].sort(
+    faultsEndUs,
+    events: [...events, ...changes.filter(({ atUs }) => atUs < faultsEndUs)].sort(
       (one, other) => one.atUs - other.atUs,
     ),
   };
--- a/simulator/schedule.ts
+++ b/simulator/schedule.ts
@@ -101,7 +101,7 @@
   /** Blanks after each body; with many, reads are paged and snapshots are due often. */
   readonly paddingBytes: number;
   /** When the last fault is over. */
-  readonly calmUs: number;
+  readonly faultsEndUs: number;
 }
 
 /** What may be chosen of a schedule besides its seed and its deployment. */
--- a/simulator/seed-runner.ts
+++ b/simulator/seed-runner.ts
@@ -60,9 +60,9 @@
     events: eventCount,
     changes: history.changes.size,
     confirmed: new Set(confirmed.map(({ change }) => change)).size,
-    violations: violations.map(({ invariant, sentence }) => `${invariant}: ${sentence}`),
+    violations: violations.map(({ invariant, description }) => `${invariant}: ${description}`),
     shortest: (shrunk?.schedule.events ?? []).map(formatEvent),
-    shortestViolation: shrunk?.violation.sentence ?? "",
+    shortestViolation: shrunk?.violation.description ?? "",
   };
 };
 
--- a/simulator/simulated-controller.ts
+++ b/simulator/simulated-controller.ts
@@ -38,7 +38,7 @@
   replica: () => new Replica(),
   store: (options) => new ReplicatedStore(options),
   lease: (options) => new LeaderLease(options),
-  handleMessage: (_box, message, answer) => answer(message),
+  handleMessage: (_controller, message, answer) => answer(message),
 };
 
 export interface SimulatedControllerOptions {
@@ -59,7 +59,7 @@
 const LEADER_WRITE_INTERVAL_US = 900 * MILLISECOND_US;
 const CONTACT_CHECK_INTERVAL_US = 700 * MILLISECOND_US;
 /** Results of a change by the code of the error; without one that is here, it is unclear. */
-const RESULTS: ReadonlyMap<string, "conflict" | "invalid"> = new Map([
+const RESULT_BY_ERROR_CODE: ReadonlyMap<string, "conflict" | "invalid"> = new Map([
   ["VERSION_CONFLICT", "conflict"],
   ["INVALID_WRITE", "invalid"],
 ]);
@@ -82,7 +82,7 @@
    * Whether its peers notice its end at once: a killed process resets its connections, a machine
    * without power does not.
    */
-  wasReset = false;
+  resetsConnections = false;
   private isFrozen = false;
   private frozenWork: (() => void)[] = [];
   private hasReadOnce = false;
@@ -123,7 +123,7 @@
     });
   }
 
-  get isAwake(): boolean {
+  get isRunning(): boolean {
     return this.isAlive && !this.isFrozen;
   }
 
@@ -133,17 +133,17 @@
       history.publications.push({ atUs: time.nowUs(), controller: this.id, registers });
     });
     this.store.events.on("voterSet", () => this.addPeers(this.store.members()));
-    this.store.events.on("behind", () => void this.readAll());
+    this.store.events.on("behind", () => void this.readFromQuorum());
     await this.store.start(isFirstRun);
     this.isListening = true;
     this.addPeers([...seeds, ...this.store.members()]);
-    const early = this.clock.every(FIRST_READ_INTERVAL_US, () => {
-      if (this.hasReadOnce) early.stop();
-      else void this.readAll();
+    const initialReads = this.clock.every(FIRST_READ_INTERVAL_US, () => {
+      if (this.hasReadOnce) initialReads.stop();
+      else void this.readFromQuorum();
     });
-    this.clock.every(READ_INTERVAL_US, () => void this.readAll());
+    this.clock.every(READ_INTERVAL_US, () => void this.readFromQuorum());
     this.clock.every(LEADER_WRITE_INTERVAL_US, () => void this.writeAsLeader());
-    this.clock.every(CONTACT_CHECK_INTERVAL_US, () => void this.checkContact());
+    this.clock.every(CONTACT_CHECK_INTERVAL_US, () => void this.checkLeaseOrQuorum());
     this.lease.start();
   };
 
@@ -165,9 +165,9 @@
     pending.forEach((work) => this.options.time.after(0, () => this.run(work)));
   };
 
-  readonly terminate = (wasReset: boolean): void => {
+  readonly terminate = (resetsConnections: boolean): void => {
     this.isAlive = false;
-    this.wasReset = wasReset;
+    this.resetsConnections = resetsConnections;
   };
 
   /** A graceful shutdown: it gives up the leader lease and leaves the voter set. */
@@ -236,7 +236,7 @@
       return "ok";
     }
     const { code } = proposed.error;
-    const result = RESULTS.get(code) ?? "unclear";
+    const result = RESULT_BY_ERROR_CODE.get(code) ?? "unclear";
     attempt.result = result;
     attempt.reason = code;
     return result;
@@ -256,7 +256,7 @@
     return read.isOk;
   };
 
-  private readonly readAll = async (): Promise<void> => {
+  private readonly readFromQuorum = async (): Promise<void> => {
     const read = await this.store.read();
     if (read.isOk && this.store.isVoting) this.hasReadOnce = true;
     else await this.store.confirmQuorum();
@@ -288,7 +288,7 @@
    * Has the leader lease confirmed or, as all others do before they serve, the contact with a
    * quorum.
    */
-  private readonly checkContact = async (): Promise<void> => {
+  private readonly checkLeaseOrQuorum = async (): Promise<void> => {
     const { history, time } = this.options;
     const startUs = time.nowUs();
     const number = this.lease.activeTerm()?.number ?? 0;
--- a/simulator/simulated-disk.ts
+++ b/simulator/simulated-disk.ts
@@ -31,12 +31,12 @@
  * write that was interrupted leaves a part of its bytes.
  */
 export class SimulatedDisk {
-  private readonly names = new Map<string, FileContent>();
-  private readonly durable = new Map<string, FileContent>();
+  private readonly entries = new Map<string, FileContent>();
+  private readonly durableEntries = new Map<string, FileContent>();
   private readonly unsynced = new Set<string>();
   private folders = new Set<string>();
   private fault: DiskFault | undefined;
-  private stalled: (() => void)[] = [];
+  private stalledCalls: (() => void)[] = [];
   private powerLosses = 0;
   private filesCreated = 0;
 
@@ -46,24 +46,24 @@
   ) {}
 
   readonly openFor = (client: DiskClient): FileSystem => ({
-    list: (folder) => this.call(client, false, () => this.list(folder)),
-    read: (path) => this.call(client, false, () => this.names.get(path)?.bytes.slice()),
+    list: (folder) => this.performCall(client, false, () => this.list(folder)),
+    read: (path) => this.performCall(client, false, () => this.entries.get(path)?.bytes.slice()),
     write: (path, bytes) => this.write(client, path, bytes),
     rename: (from, to) =>
-      this.call(client, false, () => {
-        const content = this.names.get(from);
+      this.performCall(client, false, () => {
+        const content = this.entries.get(from);
         if (!content) throw new Error(`no file ${from}`);
-        this.link(from, undefined);
-        this.link(to, content);
+        this.setEntry(from, undefined);
+        this.setEntry(to, content);
       }),
-    remove: (path) => this.call(client, false, () => this.link(path, undefined)),
+    remove: (path) => this.performCall(client, false, () => this.setEntry(path, undefined)),
     makeFolder: (path) =>
-      this.call(client, !this.folders.has(path), () => {
+      this.performCall(client, !this.folders.has(path), () => {
         const names = path.split("/");
         names.forEach((_name, at) => this.folders.add(names.slice(0, at + 1).join("/")));
       }),
     syncFolder: (path) =>
-      this.call(client, false, () => {
+      this.performCall(client, false, () => {
         if (!this.folders.has(path)) throw new Error(`no folder ${path}`);
         this.unsynced.forEach((name) => {
           if (folderOf(name) === path) this.makeDurable(name);
@@ -74,23 +74,23 @@
   readonly losePower = (): void => {
     this.powerLosses += 1;
     this.unsynced.forEach((path) => {
-      const kept = this.random.occurs(0.5) ? this.names.get(path) : this.durable.get(path);
-      this.link(path, kept);
+      const kept = this.random.occurs(0.5) ? this.entries.get(path) : this.durableEntries.get(path);
+      this.setEntry(path, kept);
       this.makeDurable(path);
     });
   };
 
   readonly wipe = (): void => {
     this.powerLosses += 1;
-    this.names.clear();
-    this.durable.clear();
+    this.entries.clear();
+    this.durableEntries.clear();
     this.unsynced.clear();
     this.folders = new Set();
   };
 
   /** Flips one bit of one file, most often of the newest. */
   readonly corrupt = (): void => {
-    const files = [...this.names.values()]
+    const files = [...this.entries.values()]
       .filter(({ bytes }) => bytes.length > 0)
       .sort((one, other) => other.creationNumber - one.creationNumber);
     const file = this.random.occurs(0.6)
@@ -106,26 +106,26 @@
   readonly setFault = (fault: DiskFault | undefined): void => {
     this.fault = fault;
     if (fault === "stalled") return;
-    this.stalled.forEach((finish) => finish());
-    this.stalled = [];
+    this.stalledCalls.forEach((finish) => finish());
+    this.stalledCalls = [];
   };
 
   private readonly list = (folder: string): readonly string[] => {
-    const paths = [...this.names.keys(), ...this.folders];
+    const paths = [...this.entries.keys(), ...this.folders];
     return paths.filter((path) => path !== "" && folderOf(path) === folder).map(nameOf);
   };
 
   private readonly makeDurable = (path: string): void => {
-    const content = this.names.get(path);
-    if (content) this.durable.set(path, content);
-    else this.durable.delete(path);
+    const content = this.entries.get(path);
+    if (content) this.durableEntries.set(path, content);
+    else this.durableEntries.delete(path);
     this.unsynced.delete(path);
   };
 
-  private readonly link = (path: string, content: FileContent | undefined): void => {
-    if (content) this.names.set(path, content);
-    else this.names.delete(path);
-    if (this.durable.get(path) === content) this.unsynced.delete(path);
+  private readonly setEntry = (path: string, content: FileContent | undefined): void => {
+    if (content) this.entries.set(path, content);
+    else this.entries.delete(path);
+    if (this.durableEntries.get(path) === content) this.unsynced.delete(path);
     else this.unsynced.add(path);
   };
 
@@ -133,11 +133,11 @@
     let content: FileContent | undefined;
     if (this.folders.has(folderOf(path))) {
       this.filesCreated += 1;
-      content = this.names.get(path) ?? { bytes, creationNumber: this.filesCreated };
+      content = this.entries.get(path) ?? { bytes, creationNumber: this.filesCreated };
       content.bytes = bytes.slice(0, this.random.integer(0, Math.max(0, bytes.length - 1)));
-      this.link(path, content);
+      this.setEntry(path, content);
     }
-    return this.call(client, true, () => {
+    return this.performCall(client, true, () => {
       if (!content) throw new Error(`no folder for ${path}`);
       content.bytes = bytes.slice();
     });
@@ -147,7 +147,7 @@
    * One system call: it takes its time, and may have its effect even if the process is dead by
    * then.
    */
-  private readonly call = <T>(
+  private readonly performCall = <T>(
     client: DiskClient,
     allocates: boolean,
     effect: () => T,
@@ -156,7 +156,7 @@
       const { powerLosses } = this;
       const finish = () => {
         if (this.fault === "stalled") {
-          this.stalled.push(finish);
+          this.stalledCalls.push(finish);
           return;
         }
         if (powerLosses !== this.powerLosses || (!client.isAlive && this.random.occurs(0.5)))
@@ -170,8 +170,8 @@
           client.run(() => reject(error instanceof Error ? error : new Error(String(error))));
         }
       };
-      const slowUs =
+      const extraDelayUs =
         this.fault === "slow" ? this.random.integer(50 * MILLISECOND_US, 400 * MILLISECOND_US) : 0;
-      this.time.after(this.random.integer(100, 1_500) + slowUs, finish);
+      this.time.after(this.random.integer(100, 1_500) + extraDelayUs, finish);
     });
 }
--- a/simulator/simulated-network.ts
+++ b/simulator/simulated-network.ts
@@ -47,7 +47,7 @@
 /** Of the messages that a partition holds up, this share is delivered after it. */
 const DELIVERED_AFTER_PARTITION = 0.5;
 
-const directionOf = (from: string, to: string): string => `${from}>${to}`;
+const directionKey = (from: string, to: string): string => `${from}>${to}`;
 
 /**
  * Connects controllers, gives connections up after a second without contact, and delivers messages
@@ -76,26 +76,26 @@
 
   readonly partition = (from: string, to: string): void => {
     this.partitions.set(
-      directionOf(from, to),
-      (this.partitions.get(directionOf(from, to)) ?? 0) + 1,
+      directionKey(from, to),
+      (this.partitions.get(directionKey(from, to)) ?? 0) + 1,
     );
   };
 
   readonly heal = (from: string, to: string): void => {
-    const left = (this.partitions.get(directionOf(from, to)) ?? 1) - 1;
-    if (left > 0) this.partitions.set(directionOf(from, to), left);
-    else this.partitions.delete(directionOf(from, to));
-    const free = this.pending.filter(
+    const left = (this.partitions.get(directionKey(from, to)) ?? 1) - 1;
+    if (left > 0) this.partitions.set(directionKey(from, to), left);
+    else this.partitions.delete(directionKey(from, to));
+    const released = this.pending.filter(
       (envelope) => !this.isPartitioned(envelope.from.id, envelope.to.id),
     );
-    this.pending = this.pending.filter((envelope) => !free.includes(envelope));
-    free
+    this.pending = this.pending.filter((envelope) => !released.includes(envelope));
+    released
       .filter(() => this.random.occurs(DELIVERED_AFTER_PARTITION))
       .forEach((envelope) => this.transmit(envelope));
   };
 
   readonly isPartitioned = (from: string, to: string): boolean =>
-    this.partitions.has(directionOf(from, to));
+    this.partitions.has(directionKey(from, to));
 
   readonly send = (from: SimulatedController, to: SimulatedController, message: Message): void => {
     const envelope = {
@@ -111,18 +111,20 @@
 
   private readonly transmit = (envelope: Envelope): void => {
     const {
-      lossProbability: lost,
-      delayProbability: late,
-      duplicateProbability: doubled,
+      lossProbability: lossRate,
+      delayProbability: delayRate,
+      duplicateProbability: duplicateRate,
     } = this.noise;
-    if (this.random.occurs(lost)) return;
-    const soonUs = this.random.integer(300, 3_000);
+    if (this.random.occurs(lossRate)) return;
+    const usualDelayUs = this.random.integer(300, 3_000);
     this.deliverAfter(
       envelope,
-      this.random.occurs(late) ? this.random.integer(soonUs, MAX_DELAY_US) : soonUs,
+      this.random.occurs(delayRate)
+        ? this.random.integer(usualDelayUs, MAX_DELAY_US)
+        : usualDelayUs,
     );
-    if (this.random.occurs(doubled))
-      this.deliverAfter(envelope, this.random.integer(soonUs, MAX_DELAY_US));
+    if (this.random.occurs(duplicateRate))
+      this.deliverAfter(envelope, this.random.integer(usualDelayUs, MAX_DELAY_US));
   };
 
   /** As on a connection, a message in flight reaches only the process that it was sent to. */
@@ -135,7 +137,7 @@
 
   private readonly updateLinks = (): void => {
     this.controllers().forEach((controller) => {
-      if (controller.isAwake && controller.isListening)
+      if (controller.isRunning && controller.isListening)
         controller.links.forEach((link, id) => this.updateLink(controller, link, id));
     });
     this.time.after(LINK_CHECK_INTERVAL_US, this.updateLinks);
@@ -146,7 +148,7 @@
     const other = this.controllerOf(id);
     const isReady =
       other !== undefined &&
-      other.isAwake &&
+      other.isRunning &&
       other.isListening &&
       !this.isPartitioned(controller.id, id) &&
       !this.isPartitioned(id, controller.id);
@@ -156,7 +158,7 @@
         return;
       }
       link.silentSinceUs ??= nowUs;
-      const isReset = other !== link.peer && link.peer.wasReset;
+      const isReset = other !== link.peer && link.peer.resetsConnections;
       if (!isReset && nowUs - link.silentSinceUs < CONNECTION_TIMEOUT_US) return;
       link.peer = undefined;
       link.silentSinceUs = undefined;
--- a/simulator/simulated-operator.ts
+++ b/simulator/simulated-operator.ts
@@ -39,7 +39,7 @@
   readonly registers: readonly Register[];
   readonly requires: string;
   readonly slot: number;
-  readonly untilUs: number;
+  readonly deadlineUs: number;
   readonly answerLossProbability: number;
 }
 
@@ -59,8 +59,15 @@
     this.requirements.set(id, requires);
     if (requires === MISSING_ITEM) history.neverValid.add(id);
     const registers = this.recordChange(id, items);
-    const untilUs = time.nowUs() + timeoutUs;
-    return this.deliver({ id, registers, requires, slot, untilUs, answerLossProbability });
+    const deadlineUs = time.nowUs() + timeoutUs;
+    return this.deliver({
+      id,
+      registers,
+      requires,
+      slot,
+      deadlineUs: deadlineUs,
+      answerLossProbability,
+    });
   };
 
   /** Sends a change of before once more, to one controller. */
@@ -68,12 +75,12 @@
     const registers = this.options.history.changes.get(id);
     if (!registers) return;
     const requires = this.requirements.get(id) ?? "";
-    void this.deliver({ id, registers, requires, slot, untilUs: 0, answerLossProbability: 0 });
+    void this.deliver({ id, registers, requires, slot, deadlineUs: 0, answerLossProbability: 0 });
   };
 
   readonly readAt = (slot: number): void => {
-    const controller = this.listedAt(slot)?.controller;
-    if (controller?.isListening === true) void this.answerOf(controller, controller.read);
+    const controller = this.machineListedAt(slot)?.controller;
+    if (controller?.isListening === true) void this.callWithTimeout(controller, controller.read);
   };
 
   /** Reads at one controller until a read is served. */
@@ -81,7 +88,8 @@
     controller: SimulatedController | undefined,
     onServed: () => void,
   ): Promise<void> => {
-    if (controller && (await this.answerOf(controller, controller.read)) === true) onServed();
+    if (controller && (await this.callWithTimeout(controller, controller.read)) === true)
+      onServed();
     else
       await this.pause(200 * MILLISECOND_US).then(() => this.readUntilServed(controller, onServed));
   };
@@ -101,27 +109,27 @@
     registers,
     requires,
     slot,
-    untilUs,
+    deadlineUs: deadlineUs,
     answerLossProbability,
   }: Delivery): Promise<boolean> => {
     const { time, random } = this.options;
-    let at = slot;
+    let position = slot;
     do {
-      const controller = this.listedAt(at)?.controller;
+      const controller = this.machineListedAt(position)?.controller;
       const answer =
         controller?.isAlive === true && controller.isListening
-          ? await this.answerOf(controller, () =>
+          ? await this.callWithTimeout(controller, () =>
               controller.submitChange({ id, registers, requires }),
             )
           : "unclear";
       if (answer !== "unclear" && !random.occurs(answerLossProbability)) return answer === "ok";
       await this.pause(random.integer(50 * MILLISECOND_US, 500 * MILLISECOND_US));
-      at += 1;
-    } while (time.nowUs() < untilUs);
+      position += 1;
+    } while (time.nowUs() < deadlineUs);
     return false;
   };
 
-  private readonly listedAt = (at: number): Machine | undefined => {
+  private readonly machineListedAt = (at: number): Machine | undefined => {
     const listed = this.options.fleet.listed();
     return listed[at % Math.max(1, listed.length)];
   };
@@ -129,7 +137,7 @@
   private readonly pause = (waitUs: number): Promise<void> =>
     new Promise((resolve) => this.options.time.after(waitUs, resolve));
 
-  private readonly answerOf = <T>(
+  private readonly callWithTimeout = <T>(
     controller: SimulatedController,
     call: () => Promise<T>,
   ): Promise<T | "unclear"> =>
--- a/simulator/simulation.ts
+++ b/simulator/simulation.ts
@@ -69,13 +69,15 @@
     );
     schedule.events.forEach((event) => time.at(event.atUs, () => this.apply(event)));
     time.after(SAMPLE_INTERVAL_US, this.sampleRepeatedly);
-    const calmUs = schedule.calmUs + CATCH_UP_US;
-    time.at(calmUs, this.sendFinalRequests);
-    const endUs = calmUs + Math.max(SERVE_TIMEOUT_US, VOTER_SET_TIMEOUT_US) + SECOND_US;
+    const quietUs = schedule.faultsEndUs + CATCH_UP_US;
+    time.at(quietUs, this.sendFinalRequests);
+    const endUs = quietUs + Math.max(SERVE_TIMEOUT_US, VOTER_SET_TIMEOUT_US) + SECOND_US;
     time.at(endUs - SECOND_US, () =>
       fleet.machines.forEach(
-        ({ goneUs, controller }) =>
-          void (goneUs === undefined && controller !== undefined ? controller.read() : undefined),
+        ({ removedUs, controller }) =>
+          void (removedUs === undefined && controller !== undefined
+            ? controller.read()
+            : undefined),
       ),
     );
     await time.run(endUs);
@@ -124,7 +126,7 @@
         this.stopAll(event);
         break;
       case "noise":
-        this.makeNoise(event);
+        this.applyNoise(event);
         break;
     }
   };
@@ -142,9 +144,9 @@
     durationUs,
   }: EventOf<"partition">): void => {
     const { fleet, time } = this;
-    const here = fleet.machineAt(slot).id;
+    const machineId = fleet.machineAt(slot).id;
     const pairs = others.flatMap((other) =>
-      directedPairs(here, fleet.machineAt(other).id, direction),
+      directedPairs(machineId, fleet.machineAt(other).id, direction),
     );
     pairs.forEach(([from, to]) => fleet.network.partition(from, to));
     time.after(durationUs, () => pairs.forEach(([from, to]) => fleet.network.heal(from, to)));
@@ -192,7 +194,7 @@
       });
   };
 
-  private readonly makeNoise = ({ noise, durationUs }: EventOf<"noise">): void => {
+  private readonly applyNoise = ({ noise, durationUs }: EventOf<"noise">): void => {
     const { network } = this.fleet;
     network.noise = noise;
     this.time.after(durationUs, () => (network.noise = NO_NOISE));
@@ -201,7 +203,7 @@
   private readonly sampleRepeatedly = (): void => {
     const { time, history, fleet } = this;
     fleet.machines.forEach(({ id, controller }) => {
-      if (controller?.isAwake === true && controller.store.isVoting)
+      if (controller?.isRunning === true && controller.store.isVoting)
         history.voterSets.push({
           atUs: time.nowUs(),
           controller: id,
--- a/simulator/virtual-time.ts
+++ b/simulator/virtual-time.ts
@@ -12,7 +12,7 @@
  * How many events run before the event loop's own round: only promises must settle between two,
  * which they do.
  */
-const EVENTS_PER_ROUND = 64;
+const EVENTS_PER_BATCH = 64;
 
 /**
  * Invariants: events run in the order of their time, and in the order in which they were scheduled
@@ -20,19 +20,19 @@
  */
 export class VirtualTime {
   private currentUs = 0;
-  private scheduled = 0;
+  private scheduledCount = 0;
   private readonly heap: ScheduledEvent[] = [];
 
   readonly nowUs = (): number => this.currentUs;
 
   /** How many events there were or will be. */
-  readonly eventCount = (): number => this.scheduled;
+  readonly eventCount = (): number => this.scheduledCount;
 
   readonly at = (atUs: number, work: () => void): ScheduledEvent => {
-    this.scheduled += 1;
+    this.scheduledCount += 1;
     const event: ScheduledEvent = {
       atUs: Math.max(atUs, this.currentUs),
-      sequence: this.scheduled,
+      sequence: this.scheduledCount,
       run: work,
       isCancelled: false,
     };
@@ -41,9 +41,9 @@
     heap.push(event);
     while (index > 0) {
       const parent = (index - 1) >> 1;
-      const above = heap[parent];
-      if (!above || !isBefore(event, above)) break;
-      heap[index] = above;
+      const parentEvent = heap[parent];
+      if (!parentEvent || !isBefore(event, parentEvent)) break;
+      heap[index] = parentEvent;
       index = parent;
     }
     heap[index] = event;
@@ -76,12 +76,12 @@
           reject(error instanceof Error ? error : new Error(String(error)));
         }
       };
-      const round = () => {
+      const runBatch = () => {
         if (isOver) return;
-        for (let count = 0; count < EVENTS_PER_ROUND; count += 1) setImmediate(step);
-        setImmediate(round);
+        for (let count = 0; count < EVENTS_PER_BATCH; count += 1) setImmediate(step);
+        setImmediate(runBatch);
       };
-      round();
+      runBatch();
     });
 
   /** A clock whose timers run through `execute`, which may delay or drop them. */
@@ -98,15 +98,15 @@
         },
       };
     };
-    const every = (gapUs: number, work: () => void): Timer => {
+    const every = (intervalUs: number, work: () => void): Timer => {
       let timer: Timer = { stop: () => undefined };
       let stopped = false;
       const again = () => {
         if (stopped) return;
-        timer = after(gapUs, again);
+        timer = after(intervalUs, again);
         work();
       };
-      timer = after(gapUs, again);
+      timer = after(intervalUs, again);
       return {
         stop: () => {
           stopped = true;
@@ -126,11 +126,11 @@
       const left = heap[2 * index + 1];
       const right = heap[2 * index + 2];
       if (!left) break;
-      const takesRight = right !== undefined && isBefore(right, left);
-      const below = takesRight ? right : left;
-      if (!isBefore(below, last)) break;
-      heap[index] = below;
-      index = 2 * index + (takesRight ? 2 : 1);
+      const isRightSmaller = right !== undefined && isBefore(right, left);
+      const child = isRightSmaller ? right : left;
+      if (!isBefore(child, last)) break;
+      heap[index] = child;
+      index = 2 * index + (isRightSmaller ? 2 : 1);
     }
     heap[index] = last;
   };
