--- a/features/fuzz.feature
+++ b/features/fuzz.feature
@@ -1,22 +1,23 @@
-Feature: Random faults between clients, a proxy server and workers; both sides' histories are matched afterwards
-  Each response complete and to its client; what is not idempotent at most once; each promise kept. `npm run fuzz` plays more.
+Feature: Random faults between clients, a proxy server and workers
+  The histories of clients and workers are compared: each response is complete and belongs to its client, a request that
+  is not idempotent runs at most once, and each promise is kept. `npm run fuzz` runs more seeds.
 
-  Scenario: A count of seeds shows no violation
-    When 200 seeds are played from 1
-    Then no history shows a violation, and more than 1000 attempts were made
+  Scenario: No check fails for a fixed range of seeds
+    When 200 seeds are fuzzed, starting at 1
+    Then no check fails, and more than 1000 attempts were made
 
-  Scenario Outline: Each check notices what it is there for
-    When seeds are played where <broken>, until a check notices
-    Then it is noticed by "<check>"
+  Scenario Outline: Each check detects the defect that it is meant for
+    When seeds of the variant "<variant>" are fuzzed until the defect is detected
+    Then the check "<check>" detects it
 
     Examples:
-      | broken                                         | check            |
-      | another's answer passes as this try's          | ownResponse      |
-      | what can't be repeated is taken for repeatable | atMostOnce       |
-      | what has run is promised not to have           | promiseKept      |
-      | bodies change on their way                     | unchangedRequest |
-      | tries are not counted                          | maxTries         |
-      | every claim of a key wins                      | oneRunPerKey     |
-      | no time ever runs out                          | answered         |
-      | callers leave and nobody notices               | notAfterLeaving  |
-      | calls are never ended                          | nothingLeftOpen  |
+      | variant                                   | check            |
+      | a response to another attempt is accepted | ownResponse      |
+      | an unsafe request is treated as safe      | atMostOnce       |
+      | a request that ran is reported as not run | promiseKept      |
+      | request bodies are altered                | unchangedRequest |
+      | the limit on tries is exceeded            | maxTries         |
+      | every key claim is granted                | oneRunPerKey     |
+      | time-outs never expire                    | answered         |
+      | client disconnects are not detected       | notAfterLeaving  |
+      | calls to workers are never ended          | nothingLeftOpen  |
--- a/features/simulator.feature
+++ b/features/simulator.feature
@@ -1,8 +1,8 @@
-Feature: The simulator runs the control state under faults and checks invariants of what was recorded
+Feature: The simulator runs the control plane under injected faults and checks invariants of the history
 
-  Scenario Outline: No invariant is violated on a fixed range of seeds
-    When <seeds> seeds of the deployment "<deployment>" are run
-    Then every invariant holds on each
+  Scenario Outline: No invariant is violated by a fixed range of seeds
+    When <seeds> seeds of the deployment "<deployment>" are simulated
+    Then no invariant is violated
 
     Examples:
       | deployment | seeds |
@@ -10,47 +10,47 @@
       | grown      | 20    |
       | large      | 5     |
 
-  Scenario: No safety invariant is violated when more is lost at once than is withstood
-    When 25 seeds of the deployment "small" are run, with more lost than it withstands
-    Then every invariant holds on each
+  Scenario: No safety invariant is violated when faults exceed the fault tolerance
+    When 25 seeds of the deployment "small" are simulated, with faults beyond its fault tolerance
+    Then no invariant is violated
 
-  Scenario: A seed runs the same way each time
-    Then seed 7 of the deployment "grown" gives the same history twice
+  Scenario: A seed always produces the same history
+    Then seed 7 of the deployment "grown" produces the same history twice
 
-  Scenario Outline: Each invariant finds what it is there for
-    Given controllers of which <defect>
-    When seeds with much "<favoured>" are run until the invariant "<invariant>" is violated
-    Then the shortest schedule found violates the same invariant
+  Scenario Outline: Each invariant detects a defect that violates it
+    Given controllers with the defect "<defect>"
+    When seeds with frequent "<fault>" faults are simulated until the invariant "<invariant>" is violated
+    Then the shrunk schedule violates the same invariant
 
     Examples:
-      | defect                                                   | favoured | invariant      |
-      | a proposer ignores what was accepted before              | kill     | single-value   |
-      | an acceptor accepts what it promised not to              | kill     | linearizable   |
-      | a read asks no quorum                                    | kill     | linearizable   |
-      | what was committed under earlier versions is forgotten   | kill     | rejected       |
-      | only the first item of a change is proposed              | kill     | complete       |
-      | what was proposed together is forgotten                  | freeze   | atomic         |
-      | a change is accepted without a check of what it requires | kill     | rejected       |
-      | terms are not checked                                    | freeze   | leader-terms   |
-      | quorum contact is taken for granted                      | freeze   | quorum-contact |
-      | the voter set only grows                                 | replace  | voter-set      |
-      | nobody lets a wiped one catch up                         | wipe     | availability   |
-
-  Scenario Outline: What a lost disk may cost is found too
-    Given controllers of which <defect>
-    When a change reaches two of three, the third is late, and all lose power while one of the two is <harm>
+      | defect                                                 | fault   | invariant      |
+      | a proposer ignores previously accepted values          | kill    | single-value   |
+      | an acceptor accepts ballots below its promise          | kill    | linearizable   |
+      | a read does not contact a quorum                       | kill    | linearizable   |
+      | versions committed before the latest one are forgotten | kill    | rejected       |
+      | only the first item of a change is proposed            | kill    | complete       |
+      | the items that were proposed together are forgotten    | freeze  | atomic         |
+      | a change is accepted without checking its requirements | kill    | rejected       |
+      | terms are not checked                                  | freeze  | leader-terms   |
+      | quorum contact is confirmed without a check            | freeze  | quorum-contact |
+      | the voter set only grows                               | replace | voter-set      |
+      | a wiped controller is never allowed to catch up        | wipe    | availability   |
+
+  Scenario Outline: Defects in the recovery from a damaged disk are detected
+    Given controllers with the defect "<defect>"
+    When a change reaches two of three controllers before all lose power and the disk of one of the two is <damage>
     Then the invariant "linearizable" is violated
 
     Examples:
-      | defect                                            | harm      |
-      | a wiped one votes at once                         | wiped     |
-      | a corrupt file is ignored in favour of older ones | corrupted |
+      | defect                                            | damage    |
+      | a wiped controller votes at once                  | wiped     |
+      | a corrupt file is ignored and older ones are used | corrupted |
 
-  Scenario Outline: The real controllers withstand the same
-    When a change reaches two of three, the third is late, and all lose power while one of the two is <harm>
-    Then every invariant holds on each
+  Scenario Outline: The real controllers recover from a damaged disk
+    When a change reaches two of three controllers before all lose power and the disk of one of the two is <damage>
+    Then no invariant is violated
 
     Examples:
-      | harm      |
+      | damage    |
       | wiped     |
       | corrupted |
--- a/features/steps/fuzz.ts
+++ b/features/steps/fuzz.ts
@@ -9,7 +9,7 @@
 let found: string[] = [];
 
 When(
-  "{int} seeds are played from {int}",
+  "{int} seeds are fuzzed, starting at {int}",
   { timeout: 60_000 },
   async (count: number, from: number) => {
     [tries, found] = [0, []];
@@ -20,21 +20,21 @@
     }
   },
 );
-Then("no history shows a violation, and more than {int} attempts were made", (minimum: number) => {
+Then("no check fails, and more than {int} attempts were made", (minimum: number) => {
   assert.deepEqual(found, []);
   assert.ok(tries > minimum, `${tries} tries`);
 });
 When(
-  /^seeds are played where (.*), until a check notices$/,
+  /^seeds of the variant "(.*)" are fuzzed until the defect is detected$/,
   { timeout: 60_000 },
   async (name: string) => {
     const variant = VARIANTS[name];
-    assert.ok(variant, `no such variant: ${name}`);
+    assert.ok(variant, `unknown variant: ${name}`);
     found = [];
     for (let seed = 1; seed <= MAX_SEEDS && !found.includes(variant.detectedBy); seed += 1)
       found.push(...(await playSeed(seed, variant, false)).violations.map(({ check }) => check));
   },
 );
-Then("it is noticed by {string}", (check: string) =>
-  assert.ok(found.includes(check), `noticed by: ${[...new Set(found)].join(", ")}`),
+Then("the check {string} detects it", (check: string) =>
+  assert.ok(found.includes(check), `detected by: ${[...new Set(found)].join(", ")}`),
 );
--- a/features/steps/simulator.ts
+++ b/features/steps/simulator.ts
@@ -7,9 +7,9 @@
 import { generateSchedule } from "../../simulator/schedule-generator.js";
 import { faultKindOf, type Event, type Schedule } from "../../simulator/schedule.js";
 import { shrink } from "../../simulator/shrink.js";
-import { BROKEN_COMPONENTS } from "../support/broken-controllers.js";
+import { DEFECTIVE_COMPONENTS } from "../support/broken-controllers.js";
 
-/** The variant that a scenario runs, and what it violated. */
+/** The components that the scenario runs, and the violations found. */
 let components: Components = REAL_COMPONENTS;
 let violations: readonly Violation[] = [];
 let failing: { readonly schedule: Schedule; readonly violation: Violation } | undefined;
@@ -38,10 +38,10 @@
   );
 
 /**
- * A change that controller 2 hears of only after all three have lost power, controller 1 with its
- * disk; controller 0 comes back last.
+ * A change reaches controllers 0 and 1, but controller 2 only after all three have lost power. The
+ * disk of controller 1 is wiped or corrupted then, and controller 0 restarts last.
  */
-const laggingReplicaSchedule = (seed: number, harm: string): Schedule => {
+const laggingReplicaSchedule = (seed: number, damage: string): Schedule => {
   const change = (id: number, atUs: number): Event => ({
     atUs,
     kind: "change",
@@ -67,8 +67,8 @@
       atUs: outageUs,
       kind: "stop-all",
       byPower: true,
-      wiped: harm === "wiped" ? [1] : [],
-      corrupted: harm === "corrupted" ? [1] : [],
+      wiped: damage === "wiped" ? [1] : [],
+      corrupted: damage === "corrupted" ? [1] : [],
       downUs: [1 * SECOND_US, 50 * MILLISECOND_US, 50 * MILLISECOND_US],
     },
     ...Array.from({ length: 24 }, (_none, at): Event => ({
@@ -91,33 +91,33 @@
   components = REAL_COMPONENTS;
 });
 
-Given("controllers of which {}", (defect: string) => {
-  const broken = BROKEN_COMPONENTS[defect];
-  assert.ok(broken, `no such variant: ${defect}`);
-  components = broken;
+Given("controllers with the defect {string}", (defect: string) => {
+  const defective = DEFECTIVE_COMPONENTS[defect];
+  assert.ok(defective, `unknown defect: ${defect}`);
+  components = defective;
 });
 
 When(
-  "{int} seeds of the deployment {string} are run",
+  "{int} seeds of the deployment {string} are simulated",
   { timeout: 60_000 },
   (seeds: number, deployment: string) => runAll(schedulesOf(seeds, deployment, false)),
 );
 
 When(
-  "{int} seeds of the deployment {string} are run, with more lost than it withstands",
+  "{int} seeds of the deployment {string} are simulated, with faults beyond its fault tolerance",
   { timeout: 60_000 },
   (seeds: number, deployment: string) => runAll(schedulesOf(seeds, deployment, true)),
 );
 
 When(
-  "a change reaches two of three, the third is late, and all lose power while one of the two is {word}",
+  "a change reaches two of three controllers before all lose power and the disk of one of the two is {word}",
   { timeout: 60_000 },
-  (harm: string) =>
-    runAll(Array.from({ length: 10 }, (_none, at) => laggingReplicaSchedule(at + 1, harm))),
+  (damage: string) =>
+    runAll(Array.from({ length: 10 }, (_none, at) => laggingReplicaSchedule(at + 1, damage))),
 );
 
 When(
-  "seeds with much {string} are run until the invariant {string} is violated",
+  "seeds with frequent {string} faults are simulated until the invariant {string} is violated",
   { timeout: 60_000 },
   async (kind: string, invariant: string) => {
     failing = undefined;
@@ -133,20 +133,20 @@
       );
       if (violation) failing = { schedule, violation };
     }
-    assert.ok(failing, `the invariant ${invariant} held for ${MAX_SEEDS} seeds`);
+    assert.ok(failing, `invariant ${invariant} was not violated by ${MAX_SEEDS} seeds`);
   },
 );
 
-Then("every invariant holds on each", () => assert.deepEqual(violations, []));
+Then("no invariant is violated", () => assert.deepEqual(violations, []));
 
 Then("the invariant {string} is violated", (invariant: string) =>
   assert.ok(
     violations.some((violation) => violation.invariant === invariant),
-    `${invariant} held`,
+    `invariant ${invariant} was not violated`,
   ),
 );
 
-Then("the shortest schedule found violates the same invariant", { timeout: 60_000 }, async () => {
+Then("the shrunk schedule violates the same invariant", { timeout: 60_000 }, async () => {
   assert.ok(failing);
   const { schedule, violation, runs } = await shrink(
     failing.schedule,
@@ -157,12 +157,12 @@
   assert.equal(violation.invariant, failing.violation.invariant);
   assert.ok(
     schedule.events.length < failing.schedule.events.length,
-    `${runs} runs left out nothing`,
+    `no event was removed in ${runs} runs`,
   );
 });
 
 Then(
-  "seed {int} of the deployment {string} gives the same history twice",
+  "seed {int} of the deployment {string} produces the same history twice",
   { timeout: 60_000 },
   async (seed: number, deployment: string) => {
     const schedule = generateSchedule(seed, deployment, { exceedsTolerance: false });
--- a/features/support/broken-controllers.ts
+++ b/features/support/broken-controllers.ts
@@ -1,4 +1,4 @@
-/** Controllers that are broken on purpose, for the invariants of the simulator to find. */
+/** Controllers with injected defects, which the invariants of the simulator must detect. */
 import { createHash } from "node:crypto";
 import { ok } from "true-myth/result";
 import { NO_BALLOT } from "../../src/consensus/ballot.js";
@@ -11,7 +11,7 @@
 import { asList, isRecord } from "../../src/common/decode.js";
 import { REAL_COMPONENTS, type Components } from "../../simulator/simulated-controller.js";
 
-/** Components whose replicated store has some methods replaced, given the real one's. */
+/** Components whose replicated store has some methods replaced by `overrides`. */
 const storeWith = (
   overrides: (
     real: Pick<ReplicatedStore, "handleRequest" | "start" | "read" | "propose" | "changeMembers">,
@@ -34,7 +34,7 @@
   override readonly historyOf = () => undefined;
 }
 
-/** Shows no file that is corrupt, and none that came after it. */
+/** Lists neither a corrupt file nor the files that were written after it. */
 const hideCorruptFiles = (disk: FileSystem): FileSystem => ({
   ...disk,
   list: async (folder) => {
@@ -54,9 +54,9 @@
   },
 });
 
-/** By what is wrong with them; each is there for an invariant to find. */
-export const BROKEN_COMPONENTS: Readonly<Record<string, Components>> = {
-  "a proposer ignores what was accepted before": storeWith((real) => ({
+/** The defective components by their defect. Each must violate an invariant. */
+export const DEFECTIVE_COMPONENTS: Readonly<Record<string, Components>> = {
+  "a proposer ignores previously accepted values": storeWith((real) => ({
     handleRequest: async (message) => {
       const reply = await real.handleRequest(message);
       return reply.kind === "promised" && message.kind === "promise"
@@ -64,28 +64,28 @@
         : reply;
     },
   })),
-  "an acceptor accepts what it promised not to": {
+  "an acceptor accepts ballots below its promise": {
     ...REAL_COMPONENTS,
     replica: () => new PromiseForgettingReplica(),
   },
-  "what was proposed together is forgotten": {
+  "the items that were proposed together are forgotten": {
     ...REAL_COMPONENTS,
     replica: () => new HistoryForgettingReplica(),
   },
-  "a corrupt file is ignored in favour of older ones": {
+  "a corrupt file is ignored and older ones are used": {
     ...REAL_COMPONENTS,
     disk: hideCorruptFiles,
   },
-  "a wiped one votes at once": storeWith((real, { replica }) => ({
+  "a wiped controller votes at once": storeWith((real, { replica }) => ({
     start: async (firstRun) => {
       await real.start(firstRun);
       replica.setVoting();
     },
   })),
-  "a read asks no quorum": storeWith((real, { replica }) => ({
+  "a read does not contact a quorum": storeWith((real, { replica }) => ({
     read: async () => (replica.isVoting ? ok(undefined) : real.read()),
   })),
-  "what was committed under earlier versions is forgotten": storeWith((real) => ({
+  "versions committed before the latest one are forgotten": storeWith((real) => ({
     handleRequest: (message) => {
       if (message.kind !== "accept") return real.handleRequest(message);
       const items = asList(message["items"]).map((item) => {
@@ -98,16 +98,18 @@
   "only the first item of a change is proposed": storeWith((real) => ({
     propose: (registers, problemOf) => real.propose(registers.slice(0, 1), problemOf),
   })),
-  "a change is accepted without a check of what it requires": storeWith((real) => ({
+  "a change is accepted without checking its requirements": storeWith((real) => ({
     propose: (registers) => real.propose(registers),
   })),
   "terms are not checked": storeWith(() => ({ isSuperseded: () => false })),
-  "quorum contact is taken for granted": storeWith(() => ({ confirmQuorum: async () => true })),
+  "quorum contact is confirmed without a check": storeWith(() => ({
+    confirmQuorum: async () => true,
+  })),
   "the voter set only grows": storeWith((real) => ({
     changeMembers: (change, moveMore) =>
       real.changeMembers((members) => [...new Set([...members, ...change(members)])], moveMore),
   })),
-  "nobody lets a wiped one catch up": storeWith((real) => ({
+  "a wiped controller is never allowed to catch up": storeWith((real) => ({
     handleRequest: async (message) =>
       message.kind === "read" && message["floor"] !== undefined
         ? { kind: "refused", why: "not-counting" }
--- a/fuzz/checks.ts
+++ b/fuzz/checks.ts
@@ -1,4 +1,4 @@
-/** What must hold of a run, matched against what both sides of the proxy server saw. */
+/** The checks of a run, which compare the histories of clients and workers. */
 import { createHash } from "node:crypto";
 import type { ClientResponse } from "./raw-client.js";
 import { MAX_TRIES } from "./proxy-harness.js";
@@ -6,31 +6,37 @@
 export const digestOf = (body: string): string =>
   createHash("sha1").update(body, "latin1").digest("hex").slice(0, 12);
 
-/** One attempt, as its client sent it. */
+/** An attempt as its client sent it. */
 export interface SentRequest {
   readonly attemptId: string;
-  /** Attempts of one operation differ in id alone; all after the first follow a promise. */
+  /**
+   * Attempts of one operation differ only in their id. An operation is repeated only after a
+   * response that promises that it has not run.
+   */
   readonly operation: string;
   readonly kind: "safe" | "unsafe" | "keyed";
   readonly method: string;
   readonly path: string;
   readonly digest: string;
-  /** A long body on its connection is streamed, so that the client left is read only after it. */
+  /**
+   * Whether its connection carries a streamed body: the proxy server reads that body first, and
+   * only then detects that the client has disconnected.
+   */
   readonly isBehindStreamedBody: boolean;
   readonly key: string;
   readonly sentUs: number;
-  /** When its client was gone for good, if it left before it was answered. */
+  /** When its client disconnected, if that was before it had the response. */
   disconnectedUs: number | undefined;
   /**
-   * Its client waited beyond the time it gave, nothing stalled meanwhile, and no response before
-   * closed the connection.
+   * Whether a response is due: its client waited beyond the time left that it stated, the proxy
+   * server did not stall meanwhile, and no earlier response closed the connection.
    */
   isResponseDue: boolean;
-  /** The complete response at its place on the connection. */
+  /** The complete response at the position of this request on the connection. */
   response: ClientResponse | undefined;
 }
 
-/** One complete request, as a worker read it. */
+/** A complete request as a worker read it. */
 export interface ReceivedRequest {
   readonly worker: string;
   readonly attemptId: string;
@@ -40,7 +46,7 @@
   readonly ran: boolean;
 }
 
-/** One response that a worker wrote to this attempt. */
+/** A response that a worker wrote to an attempt. */
 export interface WrittenResponse {
   readonly attemptId: string;
   readonly status: number;
@@ -48,19 +54,20 @@
   readonly digest: string;
 }
 
-/** Both sides of a run, each as it was seen on its own sockets. */
+/** The history of a run as clients and workers observed it on their sockets. */
 export interface History {
   readonly sent: readonly SentRequest[];
   readonly received: readonly ReceivedRequest[];
   readonly written: readonly WrittenResponse[];
-  /** When the first bytes of an attempt came to a worker. */
+  /** When a worker received the head of an attempt. */
   readonly firstBytes: readonly { readonly attemptId: string; readonly atUs: number }[];
-  /** Attempts whose response a worker broke off. */
+  /** Attempts whose response a worker truncated or replaced by a connection reset. */
   readonly interrupted: ReadonlySet<string>;
-  /** Requests still open at the proxy server once every client had gone. */
+  /** Requests still open at the proxy server after every client had disconnected. */
   readonly openAtEnd: number;
 }
 
+/** Returns a description of each violation. */
 export type Check = (history: History) => readonly string[];
 
 const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
@@ -69,14 +76,19 @@
 const runsOf = ({ received }: History, attemptId: string): number =>
   received.filter((one) => one.ran && one.attemptId === attemptId).length;
 
-/** Each response is its client's own and complete; of keyed requests, that of the key's run. */
+/**
+ * Each response is complete and belongs to the attempt; that of a keyed request belongs to an
+ * attempt with the same key.
+ */
 const ownResponse: Check = ({ sent, written }) =>
   sent.flatMap(({ attemptId, key, kind, method, response }) => {
     if (!response) return [];
     if (response.attemptId !== "" && response.attemptId !== attemptId)
-      return [`${attemptId} got the response of ${response.attemptId}`];
+      return [`${attemptId} received the response of ${response.attemptId}`];
     if (response.seal === "")
-      return response.status < 300 ? [`${attemptId} got ${response.status} without a seal`] : [];
+      return response.status < 300
+        ? [`${attemptId} received ${response.status} without a seal`]
+        : [];
     const ids = new Set(
       kind === "keyed"
         ? sent.filter((other) => other.key === key).map((other) => other.attemptId)
@@ -91,10 +103,10 @@
     );
     return match
       ? []
-      : [`${attemptId} got ${response.status} ${response.seal}, which no worker answered it`];
+      : [`${attemptId} received ${response.status} ${response.seal}, which no worker sent for it`];
   });
 
-/** What is not idempotent runs once at most, over all attempts of its operation. */
+/** A request that is not idempotent runs at most once over all attempts of its operation. */
 const atMostOnce: Check = (history) => {
   const runs = new Map<string, number>();
   history.sent
@@ -107,7 +119,7 @@
     .map(([operation, count]) => `${operation} ran ${count} times`);
 };
 
-/** What was promised not to have run has not run, and never does. */
+/** A request whose response promises that it has not run does not run, also not later. */
 const promiseKept: Check = (history) =>
   history.sent
     .filter(
@@ -117,9 +129,9 @@
         NOT_RUN_STATUSES.has(response.status) &&
         runsOf(history, attemptId) > 0,
     )
-    .map(({ attemptId, response }) => `${attemptId} got ${response?.status} and ran`);
+    .map(({ attemptId, response }) => `${attemptId} received ${response?.status} but ran`);
 
-/** Workers get what clients sent, and nothing else. */
+/** Workers receive exactly the requests that clients sent, unchanged. */
 const unchangedRequest: Check = ({ sent, received }) =>
   received.flatMap((one) => {
     const operation = sent.find(({ attemptId }) => attemptId === one.attemptId);
@@ -127,19 +139,19 @@
       operation.path === one.path &&
       operation.digest === one.digest
       ? []
-      : [`${one.worker} got ${one.method} ${one.path} ${one.digest} as ${one.attemptId}`];
+      : [`${one.worker} received ${one.method} ${one.path} ${one.digest} as ${one.attemptId}`];
   });
 
-/** One request never comes to more workers than its route's tries. */
+/** A request is sent to at most as many workers as its route allows tries. */
 const maxTries: Check = ({ sent, received }) =>
   sent.flatMap(({ attemptId }) => {
     const workers = new Set(
       received.filter((one) => one.attemptId === attemptId).map(({ worker }) => worker),
     );
-    return workers.size > MAX_TRIES ? [`${attemptId} came to ${workers.size} workers`] : [];
+    return workers.size > MAX_TRIES ? [`${attemptId} was sent to ${workers.size} workers`] : [];
   });
 
-/** One key runs once. */
+/** Requests with the same key run at most once. */
 const oneRunPerKey: Check = (history) => {
   const keys = new Set(history.sent.filter(({ kind }) => kind === "keyed").map(({ key }) => key));
   return [...keys].flatMap((key) => {
@@ -150,17 +162,18 @@
   });
 };
 
-/** A client that waits gets a complete response, unless the worker broke it off. */
+/** A client that waits receives a complete response, unless a worker interrupted it. */
 const answered: Check = ({ sent, interrupted }) =>
   sent
     .filter(
       ({ isResponseDue: isDue, response, attemptId }) =>
         isDue && !response && !interrupted.has(attemptId),
     )
-    .map(({ attemptId }) => `${attemptId} got no complete response`);
+    .map(({ attemptId }) => `${attemptId} received no complete response`);
 
 /**
- * Nothing is sent for a client that has gone, unless its close lies unread behind a streamed body.
+ * No attempt is sent for a client that has disconnected, unless a streamed body keeps the proxy
+ * server from detecting that.
  */
 const notAfterLeaving: Check = ({ sent, firstBytes: arrivals }) =>
   arrivals.flatMap(({ attemptId, atUs }) => {
@@ -173,13 +186,13 @@
     return !isBehindStream &&
       disconnectedUs !== undefined &&
       atUs > disconnectedUs + CLOSE_DETECTION_US
-      ? [`${attemptId} was sent ${atUs - disconnectedUs} us after its client had left`]
+      ? [`${attemptId} was sent ${atUs - disconnectedUs} us after its client had disconnected`]
       : [];
   });
 
-/** Nothing is left behind. */
+/** No request stays open at the proxy server. */
 const nothingLeftOpen: Check = ({ openAtEnd: openCount }) =>
-  openCount === 0 ? [] : [`${openCount} requests were left open`];
+  openCount === 0 ? [] : [`${openCount} requests are still open`];
 
 export const CHECKS = {
   ownResponse,
@@ -196,10 +209,12 @@
 const isName = (name: string): name is CheckName => name in CHECKS;
 export const CHECK_NAMES: readonly CheckName[] = Object.keys(CHECKS).filter(isName);
 
+/** A failed check with a description of what it found. */
 export interface Violation {
   readonly check: CheckName;
   readonly what: string;
 }
 
+/** Runs all checks on a history. */
 export const violationsOf = (history: History): readonly Violation[] =>
   CHECK_NAMES.flatMap((check) => CHECKS[check](history).map((what) => ({ check, what })));
--- a/fuzz/client-runs.ts
+++ b/fuzz/client-runs.ts
@@ -1,6 +1,6 @@
 /**
- * The clients of a scenario: they send, leave, and repeat operations, and record what they were
- * told.
+ * The clients of a scenario, which send requests, disconnect and repeat operations, and record the
+ * responses.
  */
 import { digestOf, type SentRequest } from "./checks.js";
 import { HOST, type ProxyHarness } from "./proxy-harness.js";
@@ -10,37 +10,38 @@
 
 const MS = 1_000;
 const POLL_INTERVAL_MS = 10;
-/** How much longer than the time it gave a client waits. */
+/** How long a client waits beyond the time left that it stated. */
 const CLIENT_GRACE_MS = 500;
 const REPEAT_DELAY_MS = 50;
 const SECOND_HALF_DELAY_MS = 40;
 const STREAMED_BODY = "z".repeat(200_000);
 const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
-/** So often an operation is sent again after a promise that it has not run. */
+/** How often an operation is repeated after responses that promise that it has not run. */
 const MAX_REPEATS = 2;
 
-/** A time in which the proxy server stood still. */
+/** A period in which the proxy server was stalled. */
 export interface Stall {
   readonly fromUs: number;
   readonly toUs: number;
 }
 
+/** Dependencies of {@link ClientRuns}. */
 export interface ClientRunsOptions {
   readonly harness: ProxyHarness;
   readonly schedule: Schedule;
   /** The stalls so far. */
   readonly stalls: readonly Stall[];
-  /** Whether the record of what clients sent differs from what they sent. */
+  /** Whether the recorded bodies differ from those sent. */
   readonly altersBodies: boolean;
-  /** Whether clients that leave keep their connections, so that nobody can notice. */
+  /** Whether disconnecting clients keep their connections open, so that it goes undetected. */
   readonly keepsAbandonedConnections: boolean;
 }
 
-/** One client's connection. */
+/** The state of a client on one connection. */
 interface ClientRun {
   readonly script: ClientScript;
   readonly client: RawClient;
-  /** One a request; requests of one operation differ in their attempt id alone. */
+  /** The operation of each request; attempts of one operation differ only in their id. */
   readonly operations: readonly string[];
   readonly sent: SentRequest[];
   readonly repeats: number;
@@ -59,10 +60,10 @@
 
 const chunkOf = (bytes: string): string => `${bytes.length.toString(16)}\r\n${bytes}\r\n`;
 
-/** Plays all clients of a scenario. */
+/** Runs all clients of a scenario. */
 export class ClientRuns {
   readonly sent: SentRequest[] = [];
-  /** Clients that have not ended yet. */
+  /** The number of clients that have not finished. */
   open = 0;
   private readonly clients: RawClient[] = [];
   private attempts = 0;
@@ -70,12 +71,12 @@
 
   constructor(private readonly options: ClientRunsOptions) {}
 
-  /** Responses that have come to all clients. */
+  /** The number of responses that all clients have received. */
   get responseCount(): number {
     return this.clients.reduce((sum, { responses }) => sum + responses.length, 0);
   }
 
-  /** Schedules a client. */
+  /** Schedules the start of a client. */
   readonly add = (script: ClientScript): void => {
     this.open += 1;
     this.options.schedule.after(script.startMs, () => {
@@ -112,7 +113,7 @@
     if (script.isPipelined) this.sendNext(run);
   };
 
-  /** Looks for responses: a client that doesn't pipeline sends its next request after each. */
+  /** Polls for responses; without pipelining, each is followed by the next request. */
   private readonly pollResponses = (run: ClientRun): void => {
     if (run.isDone) return;
     const { client, script, sent } = run;
@@ -141,7 +142,7 @@
     if (!script.leaves && run.repeats < MAX_REPEATS) this.repeatOperations(run);
   };
 
-  /** Operations go again only after a promise that they have not run, each as a new attempt. */
+  /** Repeats, as new attempts, the operations whose response promises that they have not run. */
   private readonly repeatOperations = (run: ClientRun): void => {
     const { script, operations, repeats } = run;
     const promised = run.sent
@@ -159,7 +160,10 @@
     );
   };
 
-  /** Only to the first request without a response can one be due: what is behind it waits on it. */
+  /**
+   * Marks the first unanswered request if its response is due. No response is due for later ones,
+   * which wait for it.
+   */
   private readonly markResponseDue = (
     { script, client, sent }: ClientRun,
     isLeaving: boolean,
@@ -168,7 +172,7 @@
     const answered = client.responses.length;
     const first = sent[answered];
     if (!first || client.responses.some(({ head }) => /^connection: close/im.test(head))) return;
-    // Behind a streamed body, a request is read only once that body is.
+    // The proxy server reads a pipelined request only after the streamed body before it.
     const isBehindStream = script.requests.slice(0, answered).some(({ body }) => body === "long");
     if (script.isPipelined && isBehindStream) return;
     const hasStalled = this.options.stalls.some(
--- a/fuzz/play-seed.ts
+++ b/fuzz/play-seed.ts
@@ -1,14 +1,16 @@
-/** Plays the scenario of one seed and checks its history. */
+/** Runs the scenario of one seed and checks its history. */
 import fc from "fast-check";
 import { violationsOf, type Violation } from "./checks.js";
 import { scenario, type Scenario } from "./scenario.js";
 import type { Variant } from "./variants.js";
 import { ScenarioRun } from "./scenario-run.js";
 
+/** The result of one seed. */
 export interface FuzzResult {
   readonly seed: number;
-  /** Attempts that clients sent, and requests that workers ran. */
+  /** The number of attempts that clients sent. */
   readonly tries: number;
+  /** The number of requests that workers ran. */
   readonly runs: number;
   readonly violations: readonly Violation[];
   /** The shortest scenario found that still shows a violation. */
@@ -17,7 +19,7 @@
 
 const SHRINK_MS = 20_000;
 
-/** Plays one seed; the scenario of a violation is shrunk, unless `shrinks` is false. */
+/** Runs one seed. A scenario with a violation is shrunk unless `shrinks` is false. */
 export const playSeed = async (
   seed: number,
   variant?: Variant,
--- a/fuzz/proxy-harness.ts
+++ b/fuzz/proxy-harness.ts
@@ -1,4 +1,4 @@
-/** A proxy server under test, with its collaborators in memory. */
+/** A test harness around a proxy server, with its collaborators in memory. */
 import assert from "node:assert/strict";
 import { settle, ManualClock } from "../features/support/manual-clock.js";
 import { configurationUpdates, workerUpdate } from "../features/support/proxy-updates.js";
@@ -15,11 +15,11 @@
 import type { ScriptedWorker } from "./scripted-worker.js";
 
 export const HOST = "a.example";
-/** How many workers one request may go to, by the configuration. */
+/** The configured maximum number of workers that a request is sent to. */
 export const MAX_TRIES = 2;
 export const GIVE_UP_US = 3_000_000;
 
-/** Routes "/safe/", "/unsafe/" and "/keyed/", all to the service "s1". */
+/** Returns a configuration with the routes "/safe/", "/unsafe/" and "/keyed/" to service "s1". */
 export const configurationOf = (
   tries = MAX_TRIES,
   kindOf: (kind: string) => string = (kind) => kind,
@@ -45,7 +45,7 @@
     },
   });
 
-/** A key service in memory: who has which key, and what its run was answered with. */
+/** An in-memory idempotency key service: the token that holds each key, and the stored response. */
 export class InMemoryKeyService {
   readonly claims = new Map<string, { readonly token: string; answer: unknown }>();
   readonly ask = async (message: Message): Promise<Message | undefined> => {
@@ -70,7 +70,7 @@
   };
 }
 
-/** A clock that can skip ahead: timers that fell due meanwhile act only afterwards. */
+/** A clock that can skip ahead; timers that fall due in the skipped time run only afterwards. */
 export class SkippingClock implements Clock {
   private skippedUs = 0;
 
@@ -80,18 +80,19 @@
   readonly after = (waitUs: number, act: () => void): Timer => this.inner.after(waitUs, act);
   readonly every = (gapUs: number, act: () => void): Timer => this.inner.every(gapUs, act);
 
-  /** As after a stall: what lies at the process's sockets is read before any timer acts. */
+  /** Skips time as a stalled process does: pending socket data is read before any timer runs. */
   readonly skip = (durationUs: number): void => {
     this.skippedUs += durationUs;
   };
 }
 
+/** Settings of {@link ProxyHarness} that a test may replace. */
 export interface ProxyHarnessOptions {
   readonly configuration?: string;
   readonly random?: () => number;
-  /** The clock of the proxy server instead of the harness's own. */
+  /** Replaces the clock of the proxy server. */
   readonly clockOf?: (skippingClock: SkippingClock) => Clock;
-  /** The connection between the proxy server and the key service. */
+  /** Replaces the connection between the proxy server and the key service. */
   readonly keyServiceOf?: (
     keyService: InMemoryKeyService,
     clock: Clock,
@@ -102,8 +103,8 @@
 let harnessCount = 0;
 
 /**
- * One proxy server on a clock of its own, at an address that no other harness or process of this
- * machine has.
+ * A proxy server with its own clock, on a loopback address derived from the process id and the
+ * number of the harness, so that harnesses and concurrent processes don't collide.
  */
 export class ProxyHarness {
   readonly clock = new ManualClock();
@@ -114,7 +115,7 @@
   readonly proxy: ProxyServer;
   readonly host: string;
   readonly port: number;
-  /** Called when a worker has been chosen and the connection is begun. */
+  /** Called when a worker has been selected and the connection attempt starts. */
   onAttempt: () => void = () => undefined;
   readonly retriesOf: (kind: RouteKind) => number;
 
@@ -176,8 +177,8 @@
   };
 
   /**
-   * Moves the clock on in steps until it is so, or for a minute; what is under test never waits for
-   * real time.
+   * Advances the clock in steps until the condition holds; fails after a minute of simulated time.
+   * The proxy server never waits for real time.
    */
   readonly until = async (condition: () => boolean, stepUs = 5_000): Promise<void> => {
     for (let passedUs = 0; passedUs < 60_000_000 && !condition(); passedUs += stepUs)
--- a/fuzz/raw-client.ts
+++ b/fuzz/raw-client.ts
@@ -1,8 +1,8 @@
-/** A client on a bare socket, which can send and leave in every way. */
+/** An HTTP client on a raw socket, which can send any bytes and disconnect in any way. */
 import { connect, type Socket } from "node:net";
 import { parseBody, headValue } from "./scripted-worker.js";
 
-/** One response as a client's socket saw it. */
+/** A response as a client received it. */
 export interface ClientResponse {
   readonly status: number;
   readonly head: string;
@@ -11,13 +11,13 @@
   readonly body: string;
 }
 
-/** Bytes on a bare connection to a proxy server, and the complete responses that come back. */
+/** Writes bytes to a connection to a proxy server and parses the complete responses. */
 export class RawClient {
   readonly responses: ClientResponse[] = [];
-  /** Methods of what was sent, in order; a response to HEAD has no body whatever its head says. */
+  /** Methods of the sent requests, in order: a response to HEAD has no body despite its headers. */
   private readonly methods: string[] = [];
   private deferred = "";
-  /** Bytes that have come and are no complete response. */
+  /** Received bytes that do not form a complete response yet. */
   unread = "";
   isClosed = false;
   readonly socket: Socket;
@@ -34,7 +34,7 @@
     });
   }
 
-  /** Notes that a request is sent whose bytes are written by hand. */
+  /** Records the method of a request whose bytes are written with `write`. */
   readonly expect = (method: string): void => {
     this.methods.push(method);
   };
@@ -54,7 +54,7 @@
     this.socket.write(bytes, "latin1");
   };
 
-  /** Keeps bytes back until more is written or they are flushed. */
+  /** Buffers bytes until the next write or flush. */
   readonly defer = (bytes: string): void => {
     this.deferred = bytes;
   };
@@ -86,7 +86,7 @@
   };
 }
 
-/** The bytes of a request as clients write it. */
+/** Serializes a request. */
 export const requestBytes = (
   method: string,
   path: string,
--- a/fuzz/run.ts
+++ b/fuzz/run.ts
@@ -13,8 +13,8 @@
 const PROGRESS_EVERY_SEEDS = 100;
 
 /**
- * Plays seed after seed and reports the violations; the exit code is 1 if any seed shows a
- * violation.
+ * Runs a range of seeds and reports the violations. The exit code is 1 if there are any, and 2 if
+ * an option is invalid.
  */
 const run = async ({ seeds, from, variant: name, json }: Flags): Promise<void> => {
   const [count, first] = [Number(seeds), Number(from)];
@@ -26,7 +26,7 @@
     (name !== undefined && !variant)
   ) {
     process.stderr.write(
-      `fuzz: --seeds must be 1 or more, --from a whole number, --variant one of: ${Object.keys(VARIANTS).join("; ")}.\n`,
+      `fuzz: --seeds must be an integer of at least 1, --from an integer, --variant one of: ${Object.keys(VARIANTS).join("; ")}.\n`,
     );
     process.exitCode = INVALID_USAGE_EXIT_CODE;
     return;
@@ -41,7 +41,7 @@
       if (json === true) process.stdout.write(`${JSON.stringify(played)}\n`);
       else
         process.stdout.write(
-          `seed ${seed}: ${played.violations.map(({ check, what }) => `${check}: ${what}`).join("; ")}\n  shortest found: ${JSON.stringify(played.shortest)}\n`,
+          `seed ${seed}: ${played.violations.map(({ check, what }) => `${check}: ${what}`).join("; ")}\n  shortest scenario found: ${JSON.stringify(played.shortest)}\n`,
         );
     }
     if (json !== true && (seed - first + 1) % PROGRESS_EVERY_SEEDS === 0)
@@ -58,11 +58,11 @@
 
 await new Command("fuzz")
   .description(
-    "random faults between clients, a proxy server and workers on real sockets, both sides' histories matched afterwards",
+    "injects random faults between clients, a proxy server and workers on real sockets, and checks the histories of both sides",
   )
-  .option("--seeds <count>", "how many seeds to play", "100")
-  .option("--from <seed>", "the first seed", "1")
-  .option("--variant <name>", "play a broken variant, which a check must notice")
+  .option("--seeds <count>", "number of seeds to run", "100")
+  .option("--from <seed>", "first seed", "1")
+  .option("--variant <name>", "run a defective variant, which a check must detect")
   .option("--json", "print JSON lines")
   .action(run)
   .parseAsync();
--- a/fuzz/scenario-run.ts
+++ b/fuzz/scenario-run.ts
@@ -1,4 +1,4 @@
-/** Plays one scenario on real sockets, and records what both sides of the proxy server saw. */
+/** Runs one scenario on real sockets and records the history of clients and workers. */
 import type { Socket } from "node:net";
 import { settle } from "../features/support/manual-clock.js";
 import { digestOf, type History, type ReceivedRequest } from "./checks.js";
@@ -13,26 +13,26 @@
 const MS = 1_000;
 const STEP_US = 10 * MS;
 const MAX_SCENARIO_US = 30_000 * MS;
-/** For how many steps what is open at the end may still end by itself. */
+/** How many steps requests that are open at the end may take to complete. */
 const MAX_CLOSING_STEPS = 700;
 const REJECTIONS: ReadonlySet<WorkerAction> = new Set(["sheds", "limits", "cuts its refusal"]);
 
 /**
- * A deception by the scenario instead of a fault built into the proxy server: what the checks then
- * see is the same.
+ * Defects of the proxy server that the scenario simulates in clients and workers. To the checks
+ * they look the same as defects of the proxy server itself.
  */
 export interface SimulatedDefects {
-  /** Workers run what they say they rejected. */
+  /** Workers run requests that they reject. */
   readonly runsRejectedRequests?: boolean;
-  /** A late response bears the id of the attempt that is due. */
+  /** Stray responses of workers carry the id of the current attempt. */
   readonly forgesAttemptIds?: boolean;
-  /** What clients say they sent is not what they sent. */
+  /** The recorded bodies differ from those that clients sent. */
   readonly altersBodies?: boolean;
-  /** Clients that leave keep their connections, so nobody can notice. */
+  /** Disconnecting clients keep their connections open, so that it goes undetected. */
   readonly keepsAbandonedConnections?: boolean;
 }
 
-/** A proxy server, with workers and clients around it, on one clock that only moves when told. */
+/** A proxy server, its workers and its clients, on one manually advanced clock. */
 export class ScenarioRun {
   private readonly harness: ProxyHarness;
   private readonly schedule: Schedule;
@@ -64,7 +64,7 @@
     });
   }
 
-  /** Plays the scenario to its end. */
+  /** Runs the scenario to its end. */
   readonly run = async (): Promise<History> => {
     const { harness, scenario, schedule } = this;
     const { skippingClock, clock } = harness;
@@ -93,7 +93,7 @@
     return { sent: this.clients.sent, received, written, firstBytes, interrupted, openAtEnd };
   };
 
-  /** Waits until nothing is open any more; what still is when the wait is over is left behind. */
+  /** Waits until no request is open; returns how many still are when the wait times out. */
   private readonly waitForClose = async (): Promise<number> => {
     const { proxy, pool, clock } = this.harness;
     const open = () =>
@@ -102,7 +102,7 @@
     return open();
   };
 
-  /** What has been sent arrives, and what follows from it at this same time. */
+  /** Waits until all sent bytes, and those sent in reaction at the same time, have arrived. */
   private readonly settleEverything = async (): Promise<void> => {
     const eventCount = () =>
       this.firstBytes.length + this.received.length + this.clients.responseCount;
@@ -112,7 +112,10 @@
     }
   };
 
-  /** All act but the proxy server, whose event loop doesn't turn while this runs. */
+  /**
+   * Runs the scheduled actions of clients and workers synchronously. The proxy server, whose event
+   * loop is blocked meanwhile, is stalled.
+   */
   private readonly stall = (durationUs: number): void => {
     const { skippingClock } = this.harness;
     const fromUs = skippingClock.nowUs();
--- a/fuzz/scenario.ts
+++ b/fuzz/scenario.ts
@@ -1,9 +1,10 @@
 /**
- * Random scenarios: what workers, clients and the key service do, and when the proxy server stalls.
+ * Random scenarios: the behaviour of workers, clients and the key service, and the stalls of the
+ * proxy server.
  */
 import fc from "fast-check";
 
-/** What a worker does with one request. */
+/** How a worker may handle a request. */
 export const WORKER_ACTIONS = [
   "answers",
   "answers in pieces",
@@ -40,7 +41,7 @@
 
 export type WorkerAction = (typeof WORKER_ACTIONS)[number];
 
-/** What becomes of a message from the proxy server to the key service. */
+/** What may happen to a message from the proxy server to the key service. */
 export const KEY_MESSAGE_FATES = [
   "answered",
   "answered late",
@@ -49,37 +50,41 @@
 ] as const;
 export type KeyMessageFate = (typeof KEY_MESSAGE_FATES)[number];
 
+/** The behaviour of a worker. */
 export interface WorkerScript {
-  /** One action a request, over and over. */
+  /** One action per request, repeated cyclically. */
   readonly actions: readonly WorkerAction[];
   readonly delayMs: number;
 }
 
+/** A request of a client. */
 export interface RequestScript {
   readonly kind: "safe" | "unsafe" | "keyed";
   readonly body: "none" | "small" | "long";
   readonly sending: "at once" | "chunked" | "in two parts";
   readonly leftMs: number;
-  /** Requests of one key are one operation. */
+  /** Requests with the same key are one operation. */
   readonly key: number;
   readonly isHead: boolean;
 }
 
+/** The behaviour of a client on one connection. */
 export interface ClientScript {
   readonly startMs: number;
   readonly requests: readonly RequestScript[];
-  /** All are sent without waiting for responses. */
+  /** Whether all requests are sent without waiting for responses. */
   readonly isPipelined: boolean;
-  /** It leaves so long after its start, and by a reset or in order. */
+  /** When it disconnects after its start, and whether by a reset or an orderly close. */
   readonly leaves: { readonly afterMs: number; readonly resets: boolean } | null;
 }
 
+/** The input of a run. */
 export interface Scenario {
   readonly workers: readonly WorkerScript[];
   readonly clients: readonly ClientScript[];
-  /** One fate a message, over and over. */
+  /** One fate per message, repeated cyclically. */
   readonly keyMessages: readonly KeyMessageFate[];
-  /** The proxy server stands still while the others go on. */
+  /** When and for how long the proxy server stalls while clients and workers continue. */
   readonly stalls: readonly { readonly atMs: number; readonly spanMs: number }[];
 }
 
--- a/fuzz/schedule.ts
+++ b/fuzz/schedule.ts
@@ -1,21 +1,21 @@
-/** What is still to happen in a scenario, on a clock that can skip. */
+/** The pending actions of a scenario, on a clock that can skip ahead. */
 import type { SkippingClock } from "./proxy-harness.js";
 
 const MS = 1_000;
 
-/** Acts at their times, in order; nothing happens until `runDue` is called. */
+/** Runs actions in order of their time, and only when `runDue` is called. */
 export class Schedule {
   private readonly entries: { readonly atUs: number; readonly act: () => void }[] = [];
 
   constructor(private readonly clock: SkippingClock) {}
 
-  /** Schedules an act so many milliseconds from now. */
+  /** Schedules an action `waitMs` milliseconds from now. */
   readonly after = (waitMs: number, act: () => void): void => {
     this.entries.push({ atUs: this.clock.nowUs() + waitMs * MS, act });
     this.entries.sort((one, other) => one.atUs - other.atUs);
   };
 
-  /** Runs all that is due up to a time, moving the clock on to each act's own time. */
+  /** Runs the actions due up to a time, and advances the clock to the time of each. */
   readonly runDue = (untilUs: number): void => {
     for (let next = this.entries[0]; next && next.atUs <= untilUs; next = this.entries[0]) {
       this.entries.shift();
--- a/fuzz/scripted-worker.ts
+++ b/fuzz/scripted-worker.ts
@@ -1,38 +1,38 @@
-/** A worker on bare sockets that follows a script. */
+/** A worker on raw sockets that follows a script. */
 import { createServer, type Server, type Socket } from "node:net";
 
-/** One request as a worker's socket saw it. */
+/** A request as a worker received it. */
 export interface WorkerRequest {
   readonly worker: string;
-  /** Which of the worker's connections it came on, from 1. */
+  /** The number of the worker's connection that it arrived on, from 1. */
   readonly connection: number;
   readonly method: string;
   readonly path: string;
   readonly head: string;
   readonly attemptId: string;
   readonly expectedWorker: string;
-  /** All of the body, without the framing of chunks. */
+  /** The complete body, without chunked framing. */
   readonly body: string;
 }
 
 /**
- * What a worker does at each moment; it is given the bare socket, so that it can misbehave in every
- * way.
+ * The callbacks of a worker. They receive the raw socket, so that they can violate the protocol in
+ * any way.
  */
 export interface Script {
   readonly onConnect?: (socket: Socket, connection: number) => void;
-  /** After the head; an action may end the connection here. */
+  /** Called after the head of a request; may close the connection. */
   readonly onHead?: (head: Omit<WorkerRequest, "body">, socket: Socket) => void;
   readonly onRequest?: (request: WorkerRequest, socket: Socket) => void;
 }
 
-/** The value of a header in the text of a head; empty if there is none. */
+/** Returns the value of a header in a raw head; empty if it is missing. */
 export const headValue = (head: string, name: string): string =>
   new RegExp(`^${name}:[ \\t]*(.*)$`, "im").exec(head)?.[1]?.trim() ?? "";
 
 /**
- * The body at the start of the bytes, and how many bytes it took; undefined while it is not all
- * there.
+ * Parses the body at the start of `unread` and returns it with the number of bytes it takes up;
+ * undefined while it is incomplete.
  */
 export const parseBody = (
   head: string,
@@ -53,10 +53,10 @@
   }
 };
 
-/** A worker that follows a script and remembers every byte its sockets saw. */
+/** A worker that follows a script and records every byte that it receives. */
 export class ScriptedWorker {
   readonly requests: WorkerRequest[] = [];
-  /** What each connection brought, in the order they were accepted. */
+  /** The bytes received on each connection, in the order of acceptance. */
   readonly bytes: string[] = [];
   private server: Server | undefined;
   private readonly sockets = new Set<Socket>();
@@ -81,7 +81,7 @@
       this.server.listen(0, "127.0.0.1", resolve);
     });
 
-  /** Connections end, and new ones are refused. */
+  /** Closes all connections and refuses new ones. */
   readonly stop = (): void => {
     this.sockets.forEach((socket) => socket.destroy());
     this.server?.close();
@@ -129,7 +129,7 @@
   };
 }
 
-/** The bytes of a response as workers write it; headers given as undefined are left out. */
+/** Serializes a response; headers whose value is undefined are omitted. */
 export const responseBytes = (
   status: number,
   headers: Readonly<Record<string, string | undefined>>,
--- a/fuzz/unreliable-key-service.ts
+++ b/fuzz/unreliable-key-service.ts
@@ -1,4 +1,4 @@
-/** A sound key service behind a connection that loses and delays messages. */
+/** A correct key service behind a connection that loses and delays messages. */
 import { sleep, type Clock } from "../src/common/clock.js";
 import type { InMemoryKeyService } from "./proxy-harness.js";
 import type { KeyMessageFate } from "./scenario.js";
@@ -6,12 +6,12 @@
 const LATE_REPLY_DELAY_US = 90_000;
 const LOST_REPLY_TIMEOUT_US = 600_000;
 
-/** What a proxy server sees of a key service. */
+/** The interface of the key service that a proxy server uses. */
 export type KeyServiceConnection = Pick<InMemoryKeyService, "ask" | "notify">;
 
 /**
- * Puts a connection before a key service; the fates are those of its messages, one each, over and
- * over.
+ * Wraps a key service in an unreliable connection. `fates` applies to its messages in order, one
+ * each, repeated cyclically.
  */
 export const unreliableKeyService =
   (fates: readonly KeyMessageFate[]) =>
--- a/fuzz/variants.ts
+++ b/fuzz/variants.ts
@@ -1,11 +1,11 @@
-/** Broken variants, each of which one check must notice. */
+/** Defective variants, each of which a check must detect. */
 import { configurationOf, MAX_TRIES, type ProxyHarnessOptions } from "./proxy-harness.js";
 import type { CheckName } from "./checks.js";
 import type { SimulatedDefects } from "./scenario-run.js";
 
 /**
- * A proxy server that is broken on purpose, or a sound one that is deceived, and the check that
- * must notice.
+ * A proxy server with an injected defect, or a correct one with a defect simulated around it, and
+ * the check that must detect it.
  */
 export interface Variant {
   readonly harness: ProxyHarnessOptions;
@@ -15,35 +15,36 @@
 
 const INERT_TIMER = { stop: () => undefined };
 
+/** The variants by their defect. */
 export const VARIANTS: Readonly<Record<string, Variant>> = {
-  "another's answer passes as this try's": {
+  "a response to another attempt is accepted": {
     harness: {},
     simulatedDefects: { forgesAttemptIds: true },
     detectedBy: "ownResponse",
   },
-  "what can't be repeated is taken for repeatable": {
+  "an unsafe request is treated as safe": {
     harness: {
       configuration: configurationOf(MAX_TRIES, (kind) => (kind === "unsafe" ? "safe" : kind)),
     },
     simulatedDefects: {},
     detectedBy: "atMostOnce",
   },
-  "what has run is promised not to have": {
+  "a request that ran is reported as not run": {
     harness: {},
     simulatedDefects: { runsRejectedRequests: true },
     detectedBy: "promiseKept",
   },
-  "bodies change on their way": {
+  "request bodies are altered": {
     harness: {},
     simulatedDefects: { altersBodies: true },
     detectedBy: "unchangedRequest",
   },
-  "tries are not counted": {
+  "the limit on tries is exceeded": {
     harness: { configuration: configurationOf(MAX_TRIES + 2) },
     simulatedDefects: {},
     detectedBy: "maxTries",
   },
-  "every claim of a key wins": {
+  "every key claim is granted": {
     harness: {
       keyServiceOf: ({ notify }) => ({
         notify,
@@ -56,19 +57,19 @@
     simulatedDefects: {},
     detectedBy: "oneRunPerKey",
   },
-  "no time ever runs out": {
+  "time-outs never expire": {
     harness: {
       clockOf: ({ nowUs }) => ({ nowUs, after: () => INERT_TIMER, every: () => INERT_TIMER }),
     },
     simulatedDefects: {},
     detectedBy: "answered",
   },
-  "callers leave and nobody notices": {
+  "client disconnects are not detected": {
     harness: {},
     simulatedDefects: { keepsAbandonedConnections: true },
     detectedBy: "notAfterLeaving",
   },
-  "calls are never ended": {
+  "calls to workers are never ended": {
     harness: {
       clockOf: ({ nowUs }) => ({ nowUs, after: () => INERT_TIMER, every: () => INERT_TIMER }),
     },
--- a/fuzz/worker-responses.ts
+++ b/fuzz/worker-responses.ts
@@ -1,7 +1,4 @@
-/**
- * The ways in which scripted workers respond, proper ones and broken ones, and a record of what
- * they wrote.
- */
+/** The correct and faulty responses of scripted workers, and a record of those written. */
 import type { Socket } from "node:net";
 import { digestOf, type WrittenResponse } from "./checks.js";
 import type { WorkerAction } from "./scenario.js";
@@ -10,7 +7,7 @@
 const LARGE_BODY = "y".repeat(400_000);
 const NOT_RUN = { "Yewreel-Not-Run": "1" };
 
-/** One request to answer. */
+/** A request to respond to. */
 interface Exchange {
   readonly request: WorkerRequest;
   readonly socket: Socket;
@@ -19,29 +16,30 @@
 
 type Respond = (exchange: Exchange) => void;
 
+/** Dependencies of {@link WorkerResponses}. */
 export interface WorkerResponsesOptions {
-  /** Schedules an act so many milliseconds from now. */
+  /** Schedules an action `waitMs` milliseconds from now. */
   readonly after: (waitMs: number, act: () => void) => void;
-  /** Whether late responses to others bear the id of the attempt that is due. */
+  /** Whether stray responses carry the id of the current attempt. */
   readonly forgesAttemptIds: boolean;
 }
 
 const rejectionBytes = (status: number, request: WorkerRequest, body = ""): string =>
   responseBytes(status, { "Yewreel-Try-Id": request.attemptId, ...NOT_RUN }, body);
 
-/** Writes the responses of all workers of a scenario. */
+/** Writes and records the responses of all workers of a scenario. */
 export class WorkerResponses {
   readonly written: WrittenResponse[] = [];
-  /** Attempts whose response was broken off. */
+  /** Attempts whose response was truncated or replaced by a connection reset. */
   readonly interrupted = new Set<string>();
 
   constructor(private readonly options: WorkerResponsesOptions) {}
 
-  /** Answers a request in one of the 31 ways. */
+  /** Responds to a request as the action says. */
   readonly respond = (action: WorkerAction, exchange: Exchange): void =>
     this.actions[action](exchange);
 
-  /** A response that the worker means for this attempt, recorded as such. */
+  /** Serializes a response to this attempt and records it. */
   readonly write = (
     request: WorkerRequest,
     status: number,
@@ -60,7 +58,7 @@
   private readonly attemptResponse = (request: WorkerRequest, status = 200): string =>
     this.write(request, status, `ran ${request.attemptId}`);
 
-  /** Late responses of every kind, to somebody else. */
+  /** A stray response to another attempt; its status depends on the delay. */
   private readonly strayResponse = ({ request, delayMs }: Exchange): string => {
     const id = this.options.forgesAttemptIds ? request.attemptId : "t-somebody-else";
     const responses: readonly [number, Readonly<Record<string, string>>, string][] = [
@@ -104,7 +102,7 @@
     socket.write(`${head}\r\n\r\n${chunks}`);
   };
 
-  /** Answers, and does something to the connection a moment later. */
+  /** Responds, and misuses the connection a moment later. */
   private readonly answerAndThen =
     (later: Respond): Respond =>
     (exchange) => {
--- a/simulator/change-generator.ts
+++ b/simulator/change-generator.ts
@@ -1,4 +1,4 @@
-/** Draws what operators send: changes of configuration items, resent changes and reads. */
+/** Generates the operators' requests: configuration changes, resent changes and reads. */
 import { MILLISECOND_US, SECOND_US } from "../src/common/duration.js";
 import { MISSING_ITEM, type Deployment, type Event, type Item } from "./schedule.js";
 import type { SeededRandom } from "./seeded-random.js";
@@ -44,7 +44,6 @@
   private readonly randomSlot = (): number =>
     this.random.integer(0, this.deployment.controllers - 1);
 
-  /** The body of the next change. */
   private readonly nextBody = (): string => `{"order":${this.lastId + 1}}`;
 
   private readonly addChangeWithConflict = (atUs: number): void => {
@@ -55,7 +54,7 @@
       atUs,
       random.occurs(0.1) ? [...items, this.duplicateOf(random.pick(items))] : items,
     );
-    // A rival puts another body under one of these versions at the same moment.
+    // A concurrent change submits the same versions of some of these items with another body.
     if (!random.occurs(0.25)) return;
     const conflicting = items.filter(() => random.occurs(0.6));
     if (conflicting.length === 0) return;
@@ -67,7 +66,7 @@
     );
   };
 
-  /** Most often the item's next version; at times one that was used, or one too high. */
+  /** Usually the item's next version; sometimes one already used, or one that skips a version. */
   private readonly drawItem = (key: string): Item => {
     const { random } = this;
     const newest = this.newestVersions.get(key) ?? 0;
@@ -79,8 +78,8 @@
   };
 
   /**
-   * An item that a change names a second time: as it was, with another body, or under another
-   * version.
+   * A second entry for the same key within one change: identical, with another body, or with
+   * another version.
    */
   private readonly duplicateOf = (item: Item): Item => {
     const body = `{"order":${this.lastId + 1},"again":1}`;
@@ -114,8 +113,8 @@
 }
 
 /**
- * Changes one after the other and in bursts, at times two under one version, at times sent again
- * much later.
+ * Generates single changes and bursts, some of which conflict with a concurrent change of the same
+ * version or are resent up to 12 s later.
  */
 export const generateChanges = (
   random: SeededRandom,
--- a/simulator/configuration-invariants.ts
+++ b/simulator/configuration-invariants.ts
@@ -1,6 +1,6 @@
 /**
- * What must hold of configuration changes and reads: they behave as registers that only ever go
- * forward.
+ * Invariants of configuration changes and reads: each item behaves as a register whose version
+ * never decreases.
  */
 import type { Register } from "../src/consensus/register.js";
 import type { Attempt } from "./history.js";
@@ -15,7 +15,7 @@
 } from "./observations.js";
 import type { Outcome } from "./simulation.js";
 
-/** For each key and version at most one content is ever confirmed or in force. */
+/** At most one content is ever confirmed or observed for each key and version. */
 export const singleValue: Invariant = (outcome) => {
   const { history } = outcome;
   const firstSeen = new Map<string, { readonly digest: string; readonly where: string }>();
@@ -40,8 +40,8 @@
 };
 
 /**
- * What was rejected, or can never be valid, is never in force, and what was confirmed is never
- * rejected.
+ * A change that was rejected or can never be valid is never observed, and a confirmed change is
+ * never rejected.
  */
 export const rejected: Invariant = (outcome) => {
   const { history } = outcome;
@@ -60,13 +60,13 @@
       ({ digest }) => changeIdsByDigest.get(digest)?.size === 1,
     );
     const confirmed = attempts.filter(isConfirmed);
-    // A change whose every content is also another's changes nothing, valid or not.
+    // A change whose contents all occur in other changes too can't be told apart from them.
     if (history.neverValid.has(id) && registers.length > 0) {
       const observed = registers.find(({ digest }) => lastObserved.has(digest));
       if (confirmed[0])
         return `change ${id} can never be valid, and was confirmed by ${confirmed[0].controller} at ${seconds(confirmed[0].endUs)}`;
       if (observed)
-        return `change ${id} can never be valid, and its ${nameOf(observed)} was in force: ${lastObserved.get(observed.digest)?.where}`;
+        return `change ${id} can never be valid, and its ${nameOf(observed)} was observed: ${lastObserved.get(observed.digest)?.where}`;
     }
     for (const attempt of attempts.filter(
       ({ result }) => result === "conflict" || result === "invalid",
@@ -77,14 +77,14 @@
       );
       if (before)
         return `${rejection} and confirmed by ${before.controller} at ${seconds(before.endUs)}`;
-      // A change found invalid may be sent again and confirmed then.
+      // A change that was rejected as invalid may be confirmed when it is resent later.
       const isLast =
         attempt.result === "conflict" ||
         attempts.every((other) => other === attempt || other.endUs < attempt.startUs);
       for (const register of registers) {
         const found = lastObserved.get(register.digest);
         if (isLast && found && (attempt.result === "conflict" || found.lastUs > attempt.endUs))
-          return `${rejection}, and its ${nameOf(register)} was in force: ${found.where} at ${seconds(found.lastUs)}`;
+          return `${rejection}, and its ${nameOf(register)} was observed: ${found.where} at ${seconds(found.lastUs)}`;
       }
     }
   }
@@ -92,8 +92,9 @@
 };
 
 /**
- * Each register behaves as one memory cell whose version only rises: a read sees no less than what
- * was acknowledged or read before it began, and nothing that nobody had sent by its end.
+ * Each register is linearizable and its version never decreases: a read returns at least the
+ * version that was confirmed or read before the read began, and only contents that had been sent
+ * before it ended.
  */
 export const linearizable: Invariant = ({ history }) => {
   interface Point {
@@ -151,12 +152,15 @@
         !((sentUs.get(register.digest) ?? Number.POSITIVE_INFINITY) <= endUs),
     );
     if (unsent)
-      return `a read at ${controller} at ${seconds(endUs)} found ${nameOf(unsent)}, which nobody had sent`;
+      return `a read at ${controller} at ${seconds(endUs)} found ${nameOf(unsent)}, which had not been sent`;
   }
   return undefined;
 };
 
-/** Tells whether a register was committed in the end, even if a later version replaced it. */
+/**
+ * Returns a predicate that tells whether a register was committed by the end of the run, including
+ * versions that a later one has replaced.
+ */
 const committedAtEnd = ({ history }: Outcome): ((register: Register) => boolean) => {
   const last = history.reads.at(-1)?.registers ?? [];
   const committed = new Set(
@@ -167,10 +171,7 @@
   return ({ key, version, digest }) => committed.has(`${key} ${version} ${digest}`);
 };
 
-/**
- * Every item of a confirmed change is committed, by the last read that was served after its
- * confirmation.
- */
+/** Every item of a change that was confirmed before the last read is committed in that read. */
 export const complete: Invariant = (outcome) => {
   const { history } = outcome;
   const isCommitted = committedAtEnd(outcome);
@@ -180,12 +181,12 @@
   )) {
     const missing = (history.changes.get(id) ?? []).find((register) => !isCommitted(register));
     if (missing)
-      return `change ${id} was confirmed, and in the end its ${nameOf(missing)} is not known to be committed`;
+      return `change ${id} was confirmed, but its ${nameOf(missing)} is not committed at the end`;
   }
   return undefined;
 };
 
-/** In the end all items of a change are committed, or none, whatever was answered. */
+/** At the end either all items of a change are committed or none, whatever the response was. */
 export const atomic: Invariant = (outcome) => {
   const isCommitted = committedAtEnd(outcome);
   const changeIdsByDigest = changesByDigest(outcome);
@@ -194,7 +195,7 @@
     const missing = exclusive.find((register) => !isCommitted(register));
     const present = exclusive.find(isCommitted);
     if (missing && present)
-      return `change ${id} stands in part: its ${nameOf(present)} was agreed, its ${nameOf(missing)} never`;
+      return `change ${id} is committed in part: its ${nameOf(present)} was committed, its ${nameOf(missing)} was not`;
   }
   return undefined;
 };
--- a/simulator/control-plane-invariants.ts
+++ b/simulator/control-plane-invariants.ts
@@ -1,7 +1,4 @@
-/**
- * What must hold of the controllers among themselves: the leader lease, quorum contact,
- * availability and the voter set.
- */
+/** Invariants of the control plane: leader lease, quorum contact, availability and voter set. */
 import type { VoterSet } from "../src/consensus/voter-set.js";
 import { observedRegisters, seconds, type Invariant } from "./observations.js";
 import { deploymentOf } from "./schedule.js";
@@ -9,15 +6,15 @@
 import { SERVE_TIMEOUT_US } from "./simulation.js";
 
 /**
- * One leader a term, no write of an older term after one of a newer, and no lease confirmed after a
- * newer leader's write.
+ * Each term has one leader, no write of an older term is committed after one of a newer term, and
+ * no lease is confirmed after the write of a newer leader.
  */
 export const leaderTerms: Invariant = (outcome) => {
   const { history } = outcome;
   const holders = new Map<number, string>();
   for (const { term, holder, controller, atUs } of history.leaderClaims) {
     if (holder !== controller)
-      return `${controller} took itself for the leader of term ${term}, which is ${holder}'s, at ${seconds(atUs)}`;
+      return `${controller} acted as the leader of term ${term}, which belongs to ${holder}, at ${seconds(atUs)}`;
     const before = holders.get(term);
     if (before !== undefined && before !== controller)
       return `term ${term} was held by ${before} and by ${controller}`;
@@ -47,7 +44,8 @@
 };
 
 /**
- * Quorum contact is confirmed only once a majority has answered something sent after the question.
+ * Quorum contact is confirmed only if a majority has replied to a message that was sent after the
+ * check began.
  */
 export const quorumContact: Invariant = ({ history }) => {
   const unjustified = history.quorumContacts.find(
@@ -60,11 +58,14 @@
   );
   return (
     unjustified &&
-    `${unjustified.controller} confirmed contact at ${seconds(unjustified.atUs)} having heard ${unjustified.heardFrom.join(", ")} of ${unjustified.voterSets.flat(2).join(", ")}`
+    `${unjustified.controller} confirmed quorum contact at ${seconds(unjustified.atUs)} with replies from only ${unjustified.heardFrom.join(", ")} of ${unjustified.voterSets.flat(2).join(", ")}`
   );
 };
 
-/** Once `CATCH_UP_US` have passed in calm, every controller confirms a change and serves a read. */
+/**
+ * Once `CATCH_UP_US` have passed without faults, every controller confirms a change and serves a
+ * read within `SERVE_TIMEOUT_US`.
+ */
 export const availability: Invariant = ({ history }, schedule) => {
   if (schedule.exceedsTolerance) return undefined;
   const unserved = history.finalRequests.find(
@@ -73,13 +74,13 @@
   );
   return (
     unserved &&
-    `${unserved.description}, sent in the calm at ${seconds(unserved.startUs)}, ${unserved.servedAtUs === undefined ? "was never served" : `took ${seconds(unserved.servedAtUs - unserved.startUs)}`}`
+    `${unserved.description}, sent after the last fault at ${seconds(unserved.startUs)}, ${unserved.servedAtUs === undefined ? "was never served" : `took ${seconds(unserved.servedAtUs - unserved.startUs)}`}`
   );
 };
 
 /**
- * One voter set a number; none shrinks below what the tolerance needs; the last names just the
- * machines that are there.
+ * Each voter set number identifies one set, no set shrinks below the size that the fault tolerance
+ * requires, and the last set consists of exactly the remaining machines.
  */
 export const voterSets: Invariant = ({ history, liveIds }, schedule) => {
   const { controllers, withstandMachines } = deploymentOf(schedule.deployment);
@@ -111,8 +112,8 @@
       from.length > 0 || [...members].sort().join(", ") !== expected,
   );
   if (other)
-    return `in the end the voter set at ${other.controller} is ${other.voterSet.members.join(", ")}, and ${expected} are there`;
+    return `at the end the voter set at ${other.controller} is ${other.voterSet.members.join(", ")}, expected ${expected}`;
   return last.length < liveIds.length
-    ? `in the end only ${last.map(({ controller }) => controller).join(", ")} vote, of ${expected}`
+    ? `at the end only ${last.map(({ controller }) => controller).join(", ")} vote, expected ${expected}`
     : undefined;
 };
--- a/simulator/fault-generator.ts
+++ b/simulator/fault-generator.ts
@@ -1,6 +1,6 @@
 /**
- * Draws the faults of a schedule, within what the deployment withstands unless the options say
- * otherwise.
+ * Generates the faults of a schedule, within the fault tolerance of the deployment unless the
+ * options say otherwise.
  */
 import { MILLISECOND_US, SECOND_US } from "../src/common/duration.js";
 import {
@@ -20,21 +20,21 @@
 
 const LAST_FAULT_US = 26 * SECOND_US;
 /**
- * A partition as short as this only delays messages or, where an end is killed, loses them; nobody
- * counts as lost by it.
+ * A partition that lasts this long at most only delays messages, or loses them if one end is killed
+ * meanwhile. It does not make a machine count as lost.
  */
 const SHORT_PARTITION_US = 20 * MILLISECOND_US;
 const DISK_FAULTS: readonly DiskFault[] = ["full", "refusing", "stalled", "slow"];
 const DIRECTIONS: readonly Direction[] = ["both", "from", "to"];
 const DISK_LOSING_FAULTS: readonly string[] = ["wipe", "corrupt", "replace", "planned-replace"];
 
-/** A fault of one machine. */
+/** The kinds of faults that affect a single machine. */
 type MachineFaultKind = Exclude<FaultKind, "noise" | "stop-all">;
 
 /**
- * Faults one after the other, as many at once as the deployment withstands; all processes, or all
- * power, may go in any case. Many strike while a change is in flight or just confirmed, and in the
- * noise.
+ * Generates faults in order of time, with at most as many machines lost at once as the deployment
+ * tolerates. All processes may be killed, or lose power, at the same time regardless. Many faults
+ * are timed to occur while a change is in flight or just confirmed, and during network noise.
  */
 export class FaultGenerator {
   private readonly events: Event[] = [];
@@ -45,8 +45,8 @@
   private faultsEndUs = CATCH_UP_US;
   private disksLost = 0;
   /**
-   * A machine killed while it shuts down has not left gracefully, and nobody comes in its place; so
-   * all are not killed before then.
+   * Until when a planned replacement may still be shutting down. A machine that is killed during
+   * its shutdown has not left the voter set and is not replaced, so no "stop-all" occurs before.
    */
   private drainingUntilUs = 0;
 
@@ -54,7 +54,7 @@
     private readonly random: SeededRandom,
     private readonly deployment: Deployment,
     private readonly options: ScheduleOptions,
-    /** In the order of their time. */
+    /** Ordered by time. */
     private readonly changes: readonly Event[],
   ) {
     const { controllers } = deployment;
@@ -65,7 +65,7 @@
 
   readonly generate = (): { readonly events: readonly Event[]; readonly faultsEndUs: number } => {
     const { random, changes } = this;
-    // Schedules differ in what happens most in them, so that rare things happen together in some.
+    // Each schedule favours one kind of fault, so that rare faults coincide in some schedules.
     const drawnKind = random.pick(FAULT_KINDS);
     const frequent = this.options.frequentFault ?? drawnKind;
     const noiseProbability = random.pick([0, 0.2, 0.8]);
@@ -125,7 +125,7 @@
     });
   };
 
-  /** Whoever is back is asked at once. */
+  /** Adds reads shortly after machines have restarted, when stale data would show. */
   private readonly addReadsAfter = (atUs: number): void => {
     const { random } = this;
     for (let count = 0; count < 3; count += 1)
@@ -152,7 +152,7 @@
       ),
     );
     this.events.push({ atUs, kind: "stop-all", byPower, wiped, corrupted, downUs });
-    // At times the change that is then in flight or just confirmed has not reached everyone yet.
+    // Sometimes the change in flight or just confirmed has not reached every controller yet.
     if (change && random.occurs(0.7)) {
       const slot = random.pick(slots);
       this.events.push({
@@ -167,7 +167,7 @@
     this.addReadsAfter(atUs + Math.min(...downUs));
   };
 
-  /** The slots whose disks are harmed when all stop: no more than may still be lost. */
+  /** The slots whose disks are wiped or corrupted in a "stop-all", within the fault tolerance. */
   private readonly drawDamagedDisks = (atUs: number): readonly number[] => {
     const { random, slots } = this;
     const { controllers, withstandMachines } = this.deployment;
@@ -178,8 +178,8 @@
   };
 
   /**
-   * Strikes one machine, or none if too many are lost already; gives the moment from which the next
-   * fault is drawn.
+   * Adds a fault of one machine, or none if no further machine may be lost. Returns the time from
+   * which the next fault is drawn.
    */
   private readonly injectMachineFault = (atUs: number, kind: MachineFaultKind): number => {
     const { random, slots } = this;
@@ -187,7 +187,7 @@
     const { exceedsTolerance } = this.options;
     const sound = slots.filter((slot) => !this.isLost(slot, atUs));
     if (!exceedsTolerance && controllers - sound.length >= withstandMachines) {
-      // The next one strikes as soon as it may.
+      // The next fault occurs as soon as the fault tolerance allows it.
       const descending = [...this.lostUntilUs].sort((one, other) => other - one);
       const freeUs = descending[withstandMachines - 1] ?? 0;
       return Math.max(atUs, freeUs + 1 - 10 * MILLISECOND_US);
--- a/simulator/fleet.ts
+++ b/simulator/fleet.ts
@@ -1,7 +1,4 @@
-/**
- * The machines of a simulated deployment: their disks, their processes, and who starts, stops and
- * replaces them.
- */
+/** The machines of a simulated deployment with their disks and processes. */
 import { SECOND_US } from "../src/common/duration.js";
 import type { History } from "./history.js";
 import type { Deployment, StopMode } from "./schedule.js";
@@ -11,18 +8,19 @@
 import { SimulatedNetwork } from "./simulated-network.js";
 import type { VirtualTime } from "./virtual-time.js";
 
-/** One machine at one address. Its disk outlives its processes. */
+/** A machine at a fixed address. Its disk persists across restarts of its process. */
 export interface Machine {
   readonly id: string;
   readonly disk: SimulatedDisk;
-  /** The latest process; it may have ended. */
+  /** The most recent process, which may have terminated. */
   controller: SimulatedController | undefined;
   downUntilUs: number;
-  /** When it was gone for good; undefined while it belongs to the deployment. */
+  /** When it was removed permanently; undefined while it belongs to the deployment. */
   removedUs: number | undefined;
   isDraining: boolean;
 }
 
+/** Dependencies of {@link Fleet}. */
 export interface FleetOptions {
   readonly deployment: Deployment;
   readonly time: VirtualTime;
@@ -31,18 +29,18 @@
   readonly components: Components;
 }
 
-/** A machine that is gone stays on the operator's list for so long. */
+/** How long a removed machine stays on the operator's list. */
 const LISTED_AFTER_REMOVAL_US = 3 * SECOND_US;
 /**
- * Stands in what the simulated disks hold. So, like the bodies of changes, it is part of what a
- * seed comes to, and stays the same as long as seeds named in docs/simulator.md must run as they
- * did.
+ * Prefix of machine ids. Ids are stored on the simulated disks, so like the bodies of changes they
+ * affect the outcome of a seed: a new prefix would make the seeds that docs/simulator.md names run
+ * differently.
  */
 const ID_PREFIX = "box";
 
 /**
- * Invariant: each slot names a machine of the deployment; `machines` also holds those that were
- * replaced.
+ * Starts, stops and replaces machines. Invariant: each slot refers to a machine of the deployment;
+ * `machines` also contains those that were replaced.
  */
 export class Fleet {
   readonly machines: Machine[] = [];
@@ -67,15 +65,15 @@
 
   readonly machineAt = (slot: number): Machine => {
     const machine = this.slots[slot];
-    if (!machine) throw new Error(`there is no slot ${slot}`);
+    if (!machine) throw new Error(`no machine in slot ${slot}`);
     return machine;
   };
 
-  /** Those that are not gone for good, whether or not their process runs. */
+  /** The machines that have not been removed, whether or not their process runs. */
   readonly present = (): readonly Machine[] =>
     this.machines.filter(({ removedUs }) => removedUs === undefined);
 
-  /** The operator's list: it names a machine for a while after it has gone. */
+  /** The operator's list, which still contains a machine for a while after its removal. */
   readonly listed = (): readonly Machine[] =>
     this.machines.filter(
       ({ removedUs, controller }) =>
@@ -84,7 +82,7 @@
           this.options.time.nowUs() - removedUs < LISTED_AFTER_REMOVAL_US),
     );
 
-  /** Starts a machine's process unless it runs or the machine has gone. */
+  /** Starts a machine's process unless it is running or the machine has been removed. */
   readonly start = (machine: Machine, isFirstRun: boolean): void => {
     if (machine.removedUs !== undefined || machine.controller?.isAlive === true) return;
     const { deployment, time, random, history, components } = this.options;
@@ -105,11 +103,11 @@
     void controller
       .start()
       .catch((error: unknown) =>
-        history.errors.push(`${machine.id} failed at its start: ${String(error)}`),
+        history.errors.push(`${machine.id} failed to start: ${String(error)}`),
       );
   };
 
-  /** Ends the process, and with the power what was not synced; it starts again after a while. */
+  /** Terminates the process, applies the mode's damage to the disk, and restarts after `downUs`. */
   readonly stop = (machine: Machine, downUs: number, mode: StopMode): void => {
     const { time } = this.options;
     machine.controller?.terminate(mode === "kill" || mode === "corrupt");
@@ -123,13 +121,13 @@
     });
   };
 
-  /** Takes a machine out of the deployment for good. */
+  /** Removes a machine from the deployment permanently. */
   readonly remove = (machine: Machine): void => {
     machine.controller?.terminate(false);
     machine.removedUs ??= this.options.time.nowUs();
   };
 
-  /** Puts an empty machine into a slot; it is not started. */
+  /** Assigns a new machine with an empty disk to a slot, without starting it. */
   readonly replaceAt = (slot: number): Machine => {
     const machine = this.addMachine();
     this.slots[slot] = machine;
@@ -158,8 +156,8 @@
     this.machines.flatMap(({ controller }) => (controller?.isAlive === true ? [controller] : []));
 
   /**
-   * Three of the operator's list, which may name one that has gone meanwhile; two are there when
-   * the file is written.
+   * Picks up to three seeds from the operator's list: two that are neither removed nor draining,
+   * and one that may have been removed already.
    */
   private readonly seedsFor = (machine: Machine): readonly string[] => {
     const { random } = this.options;
--- a/simulator/history.ts
+++ b/simulator/history.ts
@@ -1,14 +1,15 @@
 /**
- * What one simulated run recorded, for the invariants to check. Times are virtual, in microseconds.
+ * The records of one simulated run that the invariants check. Times are virtual, in microseconds.
  */
 import type { Register } from "../src/consensus/register.js";
 import type { VoterSet } from "../src/consensus/voter-set.js";
 
+/** The result of an attempt; "open" until the controller responds. */
 export type ChangeResult = "open" | "ok" | "conflict" | "invalid" | "unclear";
 
 /**
- * One attempt of a change at one controller, as that controller answered it, whether or not the
- * operator got the answer.
+ * An attempt to submit a change to one controller. The result is the controller's, whether or not
+ * the response reached the operator.
  */
 export interface Attempt {
   readonly change: number;
@@ -19,7 +20,7 @@
   reason: string;
 }
 
-/** What a controller found in force after a quorum read. */
+/** The committed registers of a controller after a quorum read. */
 export interface Read {
   readonly controller: string;
   readonly startUs: number;
@@ -27,14 +28,14 @@
   readonly registers: readonly Register[];
 }
 
-/** What a controller published to its nodes as committed. */
+/** Registers that a controller published to its nodes as committed. */
 export interface Publication {
   readonly atUs: number;
   readonly controller: string;
   readonly registers: readonly Register[];
 }
 
-/** What a controller did as holder of the leader lease, and under which term. */
+/** An operation that a controller performed as holder of the leader lease of `term`. */
 export interface LeaderAction {
   readonly controller: string;
   readonly term: number;
@@ -42,43 +43,44 @@
   readonly endUs: number;
 }
 
-/** A controller took itself for the holder of the leader lease. */
+/** A point at which a controller considered itself the holder of the leader lease. */
 export interface LeaderClaim {
   readonly atUs: number;
   readonly controller: string;
   readonly term: number;
-  /** Who holds that term, as the controller knows it. */
+  /** The holder of the term according to the controller. */
   readonly holder: string;
 }
 
-/** A controller confirmed that it is in contact with a quorum. */
+/** A confirmation by a controller that it is in contact with a quorum. */
 export interface QuorumContact {
   readonly controller: string;
   readonly atUs: number;
-  /** Who, itself included, answered something that it sent after it was asked. */
+  /** Itself and the controllers that replied to a message sent after the check began. */
   readonly heardFrom: readonly string[];
-  /** The sets that each need a majority, before the confirmation and after. */
+  /** The sets that each require a majority, before and after the confirmation. */
   readonly voterSets: readonly (readonly (readonly string[])[])[];
 }
 
-/** The voter set that a voting controller had at some moment. */
+/** A sample of the voter set of a voting controller. */
 export interface VoterSetSample {
   readonly atUs: number;
   readonly controller: string;
   readonly voterSet: VoterSet;
 }
 
-/** A change or a read that must be served in the calm at the end. */
+/** A change or a read that must be served after the last fault. */
 export interface FinalRequest {
   readonly description: string;
   readonly startUs: number;
   servedAtUs: number | undefined;
 }
 
+/** Collects the records of one simulated run. */
 export class History {
   /** The registers of each change, by its id. */
   readonly changes = new Map<number, readonly Register[]>();
-  /** The changes that can never be valid. */
+  /** The ids of changes that can never be valid. */
   readonly neverValid = new Set<number>();
   readonly attempts: Attempt[] = [];
   readonly reads: Read[] = [];
@@ -89,10 +91,10 @@
   readonly quorumContacts: QuorumContact[] = [];
   readonly voterSets: VoterSetSample[] = [];
   readonly finalRequests: FinalRequest[] = [];
-  /** Whatever was thrown where nothing should. */
+  /** Unexpected errors. */
   readonly errors: string[] = [];
 
-  /** Records an attempt that begins; its result is filled in when the controller answers. */
+  /** Records the start of an attempt; the controller fills in its result. */
   readonly beginAttempt = (change: number, controller: string, startUs: number): Attempt => {
     const attempt: Attempt = {
       change,
--- a/simulator/invariants.ts
+++ b/simulator/invariants.ts
@@ -1,4 +1,4 @@
-/** All invariants by name, and what a run violates of them. */
+/** All invariants by name, and the check of a run against them. */
 import {
   atomic,
   complete,
@@ -11,7 +11,7 @@
 import type { Schedule } from "./schedule.js";
 import type { Outcome } from "./simulation.js";
 
-/** What is wrong with a run: the invariant that does not hold, and one line for people. */
+/** A violated invariant with a one-line description. */
 export interface Violation {
   readonly invariant: InvariantName;
   readonly description: string;
@@ -31,6 +31,7 @@
 
 const error: Invariant = ({ history }) => history.errors[0];
 
+/** The invariants by name. */
 export const INVARIANTS: Readonly<Record<InvariantName, Invariant>> = {
   error,
   "single-value": singleValue,
@@ -44,7 +45,7 @@
   "voter-set": voterSets,
 };
 
-/** What is always checked. */
+/** The invariants checked by default, in the order in which violations are reported. */
 const ALL_INVARIANTS: readonly InvariantName[] = [
   "error",
   "single-value",
@@ -58,7 +59,7 @@
   "voter-set",
 ];
 
-/** The violations of a run, at most one an invariant, in the order of `names`. */
+/** Returns the violations of a run, at most one per invariant, in the order of `names`. */
 export const violationsOf = (
   outcome: Outcome,
   schedule: Schedule,
--- a/simulator/observations.ts
+++ b/simulator/observations.ts
@@ -1,10 +1,10 @@
-/** What the invariants share: what a run's outcome shows, and how it is put into words. */
+/** Helpers shared by the invariants: queries on the outcome of a run, and formatting. */
 import type { Register } from "../src/consensus/register.js";
 import type { Attempt } from "./history.js";
 import type { Schedule } from "./schedule.js";
 import type { Outcome } from "./simulation.js";
 
-/** One sentence that says how the invariant was violated; undefined if it holds. */
+/** Returns a description of the violation, or undefined if the invariant holds. */
 export type Invariant = (outcome: Outcome, schedule: Schedule) => string | undefined;
 
 export const seconds = (us: number): string => `${(us / 1_000_000).toFixed(3)} s`;
@@ -12,7 +12,7 @@
 export const isConfiguration = ({ key }: Register): boolean => !key.startsWith("duty/");
 export const isConfirmed = ({ result }: Attempt): boolean => result === "ok";
 
-/** Everything that was ever seen in force somewhere, with where and when. */
+/** All registers that were read or published during the run, with place and time. */
 export const observedRegisters = ({
   history,
 }: Outcome): readonly {
@@ -28,7 +28,7 @@
   ),
 ];
 
-/** The changes that carry each content; two deletions under one version are the same content. */
+/** The ids of the changes with each digest. Two deletions of one version have the same digest. */
 export const changesByDigest = ({ history }: Outcome): ReadonlyMap<string, ReadonlySet<number>> => {
   const changeIds = new Map<string, Set<number>>();
   history.changes.forEach((registers, id) =>
--- a/simulator/run.ts
+++ b/simulator/run.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run simulate`: runs seeds, shows those that violate an invariant, and ends with code 1 if
- * any does.
+ * `npm run simulate`: runs a range of seeds and prints the violated invariants. The exit code is 1
+ * if there are any, and 2 if an option is invalid.
  */
 import { availableParallelism } from "node:os";
 import { isMainThread, parentPort, workerData } from "node:worker_threads";
@@ -24,7 +24,7 @@
   readonly json: boolean;
 }
 
-/** Undefined if an option is not as `USAGE` says. */
+/** Returns undefined if an option is invalid; see `USAGE`. */
 const readRunOptions = (options: Readonly<Record<string, unknown>>): RunOptions | undefined => {
   const [seeds, from, jobs] = [
     Number(options["seeds"]),
@@ -51,16 +51,16 @@
   return { range, seeds, jobs, json: readFlag(options, "json") };
 };
 
-const USAGE = `seeds, from and jobs are whole numbers from 1 on, no more jobs than processors, the deployment is one of ${Object.keys(DEPLOYMENTS).join(", ")}, and the fault is a kind of them.`;
+const USAGE = `seeds, from and jobs must be integers of at least 1, jobs at most the number of processors, deployment one of ${Object.keys(DEPLOYMENTS).join(", ")}, and favour a kind of fault.`;
 
 const failureLines = ({ deployment, exceedsTolerance }: SeedRange, result: SeedResult): string => {
   const lines = [
-    `Seed ${result.seed} of ${deployment}${exceedsTolerance ? " (beyond)" : ""} fails.`,
+    `Seed ${result.seed} of ${deployment}${exceedsTolerance ? " (beyond)" : ""} failed.`,
     ...result.violations.map((violation) => `  ${violation}`),
   ];
   if (result.shortest.length > 0)
     lines.push(
-      `  Shortest schedule found, which fails so: ${result.shortestViolation}`,
+      `  Shortest failing schedule found, which violates: ${result.shortestViolation}`,
       ...result.shortest.map((line) => `    ${line}`),
     );
   return `${lines.join("\n")}\n`;
@@ -86,14 +86,14 @@
     if (sum.seeds % PROGRESS_EVERY !== 0) return;
     const perSecond = sum.seeds / ((performance.now() - this.startMs) / 1_000);
     process.stderr.write(
-      `${sum.seeds} of ${options.seeds} seeds, ${failed.length} failed, ${perSecond.toFixed(0)} a second\n`,
+      `${sum.seeds} of ${options.seeds} seeds, ${failed.length} failed, ${perSecond.toFixed(0)} seeds/s\n`,
     );
   };
 
   readonly failedSeeds = (): readonly number[] =>
     [...this.failed].sort((one, other) => one - other);
 
-  /** One line of JSON, or one sentence. */
+  /** The results as one line of JSON, or as text. */
   readonly summary = (): string => {
     const { sum } = this;
     const { deployment, exceedsTolerance, from } = this.options.range;
@@ -109,7 +109,7 @@
         failed,
       });
     const which = failed.length > 0 ? ` (${failed.join(", ")})` : "";
-    return `${sum.seeds} seeds of ${deployment}${exceedsTolerance ? ", beyond" : ""} from ${from} on: ${failed.length} failed${which}; ${sum.changes} changes, ${sum.confirmed} confirmed, ${sum.events} events, ${seconds} s.`;
+    return `${sum.seeds} seeds of ${deployment}${exceedsTolerance ? ", beyond" : ""} starting at ${from}: ${failed.length} failed${which}; ${sum.changes} changes, ${sum.confirmed} confirmed, ${sum.events} events, ${seconds} s.`;
   };
 }
 
@@ -129,21 +129,17 @@
 
 const main = async (): Promise<void> => {
   const cli = new Command("simulate").description(
-    "runs the control state under seeded faults, in virtual time, and checks invariants of what was recorded",
+    "runs the control plane under seeded faults in virtual time and checks invariants of the recorded history",
   );
   cli
-    .option("--seeds <n>", "how many seeds are run", "300")
-    .option("--from <seed>", "the first of them", "1")
+    .option("--seeds <n>", "number of seeds to run", "300")
+    .option("--from <seed>", "first seed", "1")
     .option("--deployment <name>", Object.keys(DEPLOYMENTS).join(", "), "small")
-    .option("--beyond", "more is lost at once than the deployment withstands", false)
-    .option(
-      "--favour <kind>",
-      "the fault that comes most often; otherwise each seed picks its own",
-      "",
-    )
-    .option("--jobs <n>", "threads", "1")
-    .option("--no-shrink", "failing schedules are shown as they are")
-    .option("--json", "one line of JSON at the end", false)
+    .option("--beyond", "exceed the fault tolerance of the deployment", false)
+    .option("--favour <kind>", "most frequent kind of fault (default: each seed picks one)", "")
+    .option("--jobs <n>", "number of threads", "1")
+    .option("--no-shrink", "do not shrink failing schedules")
+    .option("--json", "print the results as one line of JSON", false)
     .action(run);
   await cli.parseAsync();
 };
--- a/simulator/schedule-generator.ts
+++ b/simulator/schedule-generator.ts
@@ -1,4 +1,4 @@
-/** Draws a schedule from a seed: the same seed, deployment and options give the same schedule. */
+/** Generates a schedule deterministically from a seed, a deployment and options. */
 import { SECOND_US } from "../src/common/duration.js";
 import { generateChanges } from "./change-generator.js";
 import { FaultGenerator } from "./fault-generator.js";
--- a/simulator/schedule.ts
+++ b/simulator/schedule.ts
@@ -1,16 +1,17 @@
 /**
- * What a simulated run consists of: the size of the deployment, the changes that operators send,
- * and the faults that are injected, each at its moment. Plain data, so that a failing schedule can
- * be shrunk and shown.
+ * The schedule of a simulated run: the size of the deployment, the requests of operators and the
+ * injected faults, each with its time. Schedules are plain data, so that a failing one can be
+ * shrunk and printed.
  */
 import { SECOND_US } from "../src/common/duration.js";
 import type { DiskFault } from "./simulated-disk.js";
 import type { NetworkNoise } from "./simulated-network.js";
 
+/** The size and fault tolerance of a simulated deployment. */
 export interface Deployment {
   readonly controllers: number;
   readonly seeds: number;
-  /** How many machines may be lost at once. */
+  /** How many machines may be lost at the same time. */
   readonly withstandMachines: number;
 }
 
@@ -20,32 +21,35 @@
   large: { controllers: 7, seeds: 3, withstandMachines: 2 },
 };
 
-/** The deployment of this name; throws if there is none. */
+/** Returns the deployment of this name; throws if there is none. */
 export const deploymentOf = (name: string): Deployment => {
   const deployment = DEPLOYMENTS[name];
-  if (!deployment) throw new Error(`${name} is none of ${Object.keys(DEPLOYMENTS).join(", ")}`);
+  if (!deployment)
+    throw new Error(
+      `unknown deployment ${name}; expected one of ${Object.keys(DEPLOYMENTS).join(", ")}`,
+    );
   return deployment;
 };
 
-/** One item of a change: its key, version and body; an empty body deletes the item. */
+/** An item of a configuration change. An empty body deletes the item. */
 export interface Item {
   readonly key: string;
   readonly version: number;
   readonly body: string;
 }
 
-/** Which messages of a machine a partition stops: those it sends, those it receives, or both. */
+/** Which messages of a machine a partition blocks: those it sends, those it receives, or both. */
 export type Direction = "both" | "from" | "to";
 
 /**
- * How a process ends: killed, with its power (unsynced data may go), with its disk, or with one
- * corrupt byte on disk.
+ * How a process is stopped: by a kill, by a power loss (unsynced data may be lost), with its disk
+ * wiped, or with one corrupted byte on its disk.
  */
 export type StopMode = "kill" | "power-loss" | "wipe" | "corrupt";
 
 /**
- * What happens besides the system's own work. `slot` is a machine's index in the deployment;
- * `others` are slots too.
+ * A request of an operator or an injected fault. `slot` is the index of a machine in the
+ * deployment; `others` contains slots too.
  */
 export type Event = { readonly atUs: number } & (
   | {
@@ -55,7 +59,7 @@
       readonly items: readonly Item[];
       /** An item that must exist for the change to be valid; empty if none. */
       readonly requires: string;
-      /** Probability that the answer does not reach the operator. */
+      /** Probability that the response does not reach the operator. */
       readonly answerLossProbability: number;
     }
   | { readonly kind: "resend"; readonly id: number; readonly slot: number }
@@ -75,9 +79,9 @@
       readonly fault: DiskFault;
       readonly durationUs: number;
     }
-  /** The machine is lost for good, and an empty one comes a second later at another address. */
+  /** The machine is lost permanently; an empty one at another address replaces it after 1 s. */
   | { readonly kind: "replace"; readonly slot: number }
-  /** The new machine comes first, and the old one shuts down gracefully. */
+  /** The new machine starts first, then the old one shuts down gracefully. */
   | { readonly kind: "planned-replace"; readonly slot: number }
   | {
       readonly kind: "stop-all";
@@ -89,41 +93,42 @@
   | { readonly kind: "noise"; readonly noise: NetworkNoise; readonly durationUs: number }
 );
 
+/** The input of a simulated run. */
 export interface Schedule {
   readonly seed: number;
   readonly deployment: string;
   /**
-   * Whether more may be lost at once than the deployment withstands; then availability is not
+   * Whether the faults may exceed the fault tolerance of the deployment; availability is then not
    * checked.
    */
   readonly exceedsTolerance: boolean;
   readonly events: readonly Event[];
-  /** Blanks after each body; with many, reads are paged and snapshots are due often. */
+  /** Spaces appended to each body. Large bodies cause paged reads and frequent snapshots. */
   readonly paddingBytes: number;
-  /** When the last fault is over. */
+  /** When the last fault ends. */
   readonly faultsEndUs: number;
 }
 
-/** What may be chosen of a schedule besides its seed and its deployment. */
+/** Options of a schedule besides its seed and its deployment. */
 export interface ScheduleOptions {
   readonly exceedsTolerance: boolean;
-  /** The kind of fault that comes most often; left out, the seed picks it. */
+  /** The most frequent kind of fault; if omitted, it is drawn from the seed. */
   readonly frequentFault?: FaultKind;
 }
 
-/** For so long after its return a machine still counts as lost. */
+/** How long a machine still counts as lost after it is back. */
 export const CATCH_UP_US = 4 * SECOND_US;
-/** A graceful shutdown takes no longer. */
+/** The maximum duration of a graceful shutdown. */
 export const SHUTDOWN_TIMEOUT_US = 6 * SECOND_US;
-/** After a machine was lost for good, its replacement comes so much later. */
+/** The time between the permanent loss of a machine and the start of its replacement. */
 export const REPLACEMENT_DELAY_US = 1 * SECOND_US;
-/** A planned replacement is up for so long before the old machine is told to shut down. */
+/** How long a planned replacement runs before the old machine is told to shut down. */
 export const REPLACEMENT_OVERLAP_US = 5 * SECOND_US;
 
-/** An item that never exists, so that changes that require it are never valid. */
+/** An item that never exists: changes that require it are never valid. */
 export const MISSING_ITEM = "service/never";
 
-/** The kinds of faults, as often as their weight in the draw. */
+/** The kinds of faults, each repeated according to its weight in the random choice. */
 export const FAULT_KINDS = [
   "kill",
   "kill",
--- a/simulator/seed-runner.ts
+++ b/simulator/seed-runner.ts
@@ -1,4 +1,4 @@
-/** Runs many seeds, in worker threads, and tells what each came to. */
+/** Runs ranges of seeds in worker threads and reports the result of each seed. */
 import { Worker } from "node:worker_threads";
 import {
   asRecord,
@@ -14,27 +14,27 @@
 import { shrink } from "./shrink.js";
 import { simulate } from "./simulation.js";
 
-/** What one thread runs: from `from` up to, but not, `to`, every `step`th seed. */
+/** The seeds that one thread runs: every `step`th from `from` up to, but excluding, `to`. */
 export interface SeedRange {
   readonly from: number;
   readonly to: number;
   readonly step: number;
   readonly deployment: string;
   readonly exceedsTolerance: boolean;
-  /** A kind of fault; empty where the seed picks it. */
+  /** A kind of fault; empty if it is drawn from the seed. */
   readonly frequentFault: string;
   readonly shrinks: boolean;
 }
 
-/** What one seed came to. */
+/** The result of one seed. */
 export interface SeedResult {
   readonly seed: number;
   readonly events: number;
   readonly changes: number;
   readonly confirmed: number;
-  /** Each begins with the name of its invariant; empty if all hold. */
+  /** Descriptions of the violations, each prefixed with the name of its invariant. */
   readonly violations: readonly string[];
-  /** The shortest schedule found that violates the first invariant, an event a line. */
+  /** The events of the shortest schedule found that violates the first invariant, one per line. */
   readonly shortest: readonly string[];
   readonly shortestViolation: string;
 }
@@ -66,7 +66,7 @@
   };
 };
 
-/** Runs one thread's seeds one after the other. */
+/** Runs the seeds of a range sequentially. */
 export const simulateRange = async (
   range: SeedRange,
   report: (result: SeedResult) => void,
@@ -76,8 +76,8 @@
 };
 
 /**
- * Spreads a range over `threads` workers that run `script`; resolves when all have ended, rejects
- * if one fails.
+ * Distributes a range over `threads` worker threads that run `script`. Resolves when all have
+ * exited; rejects if one fails.
  */
 export const simulateInThreads = async (
   script: URL,
@@ -101,7 +101,7 @@
   );
 };
 
-/** Reads what a worker was given; throws a DecodeError that names a field which is wrong. */
+/** Decodes the data passed to a worker thread; throws a DecodeError that names an invalid field. */
 export const readSeedRange = (value: unknown): SeedRange => {
   const record = asRecord(value, "range");
   return {
--- a/simulator/shrink.ts
+++ b/simulator/shrink.ts
@@ -1,4 +1,4 @@
-/** Makes a failing schedule shorter, so that people can read what goes wrong. */
+/** Shrinks a failing schedule, so that its cause is easier to find. */
 import type { Components } from "./simulated-controller.js";
 import { violationsOf, type Violation } from "./invariants.js";
 import { simulate } from "./simulation.js";
@@ -6,6 +6,7 @@
 
 const MAX_RUNS = 400;
 
+/** The shortest failing schedule found, its violation, and the number of runs it took. */
 export interface Shrunk {
   readonly schedule: Schedule;
   readonly violation: Violation;
@@ -13,7 +14,7 @@
 }
 
 /**
- * Leaves out events, first many at once and then one by one, for as long as the same invariant is
+ * Removes events in ever smaller groups, down to single ones, as long as the same invariant is
  * still violated.
  */
 export const shrink = async (
--- a/simulator/simulated-controller.ts
+++ b/simulator/simulated-controller.ts
@@ -1,6 +1,6 @@
 /**
- * One process of a simulated controller: the real control state over simulated network, disk and
- * clock.
+ * A simulated controller process: the real replicated store and leader lease on a simulated
+ * network, disk and clock.
  */
 import { WriteAheadLog } from "../src/storage/write-ahead-log.js";
 import { Replica } from "../src/consensus/replica.js";
@@ -19,13 +19,13 @@
 import type { Link, SimulatedNetwork } from "./simulated-network.js";
 import type { VirtualTime } from "./virtual-time.js";
 
-/** What a test may replace by something broken. */
+/** Factories of the parts of a controller that a test may replace with defective ones. */
 export interface Components {
   readonly disk: (disk: FileSystem) => FileSystem;
   readonly replica: () => Replica;
   readonly store: (options: ReplicatedStoreOptions) => ReplicatedStore;
   readonly lease: (options: LeaderLeaseOptions) => LeaderLease;
-  /** Sees every message that a controller answers, and may answer in its place. */
+  /** Intercepts every request to a controller, and may reply instead of it. */
   readonly handleMessage: (
     controller: SimulatedController,
     message: Message,
@@ -33,6 +33,7 @@
   ) => Promise<Message | undefined>;
 }
 
+/** The components without injected defects. */
 export const REAL_COMPONENTS: Components = {
   disk: (disk) => disk,
   replica: () => new Replica(),
@@ -41,6 +42,7 @@
   handleMessage: (_controller, message, answer) => answer(message),
 };
 
+/** Dependencies and settings of {@link SimulatedController}. */
 export interface SimulatedControllerOptions {
   readonly id: string;
   readonly seeds: readonly string[];
@@ -58,7 +60,7 @@
 const FIRST_READ_INTERVAL_US = 100 * MILLISECOND_US;
 const LEADER_WRITE_INTERVAL_US = 900 * MILLISECOND_US;
 const CONTACT_CHECK_INTERVAL_US = 700 * MILLISECOND_US;
-/** Results of a change by the code of the error; without one that is here, it is unclear. */
+/** Results of a rejected change by error code; with any other code the result is unclear. */
 const RESULT_BY_ERROR_CODE: ReadonlyMap<string, "conflict" | "invalid"> = new Map([
   ["VERSION_CONFLICT", "conflict"],
   ["INVALID_WRITE", "invalid"],
@@ -66,9 +68,9 @@
 export const LEADER_WRITE_KEY = "duty/act";
 
 /**
- * One incarnation of a controller: its replicated store, write-ahead log and leader lease, and what
- * src/programs/controller does around them. Invariant: nothing of a dead process runs any more; of
- * a frozen one, all that came meanwhile runs after the thaw.
+ * One process of a controller: its replicated store, write-ahead log and leader lease, and the
+ * periodic work of src/programs/controller. Invariant: no callback of a terminated process runs;
+ * callbacks that fall due while the process is frozen run after it is thawed.
  */
 export class SimulatedController {
   readonly id: string;
@@ -79,8 +81,8 @@
   isAlive = true;
   isListening = false;
   /**
-   * Whether its peers notice its end at once: a killed process resets its connections, a machine
-   * without power does not.
+   * Whether its peers detect its termination at once: the connections of a killed process are
+   * reset, those of a machine that lost power are not.
    */
   resetsConnections = false;
   private isFrozen = false;
@@ -157,7 +159,7 @@
     this.isFrozen = true;
   };
 
-  /** Timers and messages that came meanwhile run at once, in the order in which they came. */
+  /** Runs the timers and messages that fell due while it was frozen at once, in their order. */
   readonly thaw = (): void => {
     this.isFrozen = false;
     const pending = this.frozenWork;
@@ -170,7 +172,7 @@
     this.resetsConnections = resetsConnections;
   };
 
-  /** A graceful shutdown: it gives up the leader lease and leaves the voter set. */
+  /** Shuts down gracefully: gives up the leader lease and leaves the voter set. */
   readonly shutDown = (): Promise<void> => this.lease.stepDown();
 
   readonly knownIds = (): readonly string[] => [this.id, ...this.links.keys()];
@@ -210,15 +212,12 @@
       })
       .catch((error: unknown) =>
         this.options.history.errors.push(
-          `${this.id} failed on ${message.kind}: ${error instanceof Error ? (error.stack ?? error.message) : String(error)}`,
+          `${this.id} failed to handle ${message.kind}: ${error instanceof Error ? (error.stack ?? error.message) : String(error)}`,
         ),
       );
   };
 
-  /**
-   * One change of an operator, as the admin API takes it; the answer is recorded as it leaves the
-   * controller.
-   */
+  /** Submits an operator's change as the admin API does, and records the controller's response. */
   readonly submitChange = async (change: {
     readonly id: number;
     readonly registers: readonly Register[];
@@ -228,7 +227,9 @@
     const attempt = history.beginAttempt(change.id, this.id, time.nowUs());
     const { requires } = change;
     const problemOf = (get: (key: string) => Register | undefined) =>
-      requires === "" || get(requires)?.dropped === false ? undefined : `there is no ${requires}`;
+      requires === "" || get(requires)?.dropped === false
+        ? undefined
+        : `${requires} does not exist`;
     const proposed = await this.store.propose(change.registers, problemOf);
     attempt.endUs = time.nowUs();
     if (proposed.isOk) {
@@ -262,7 +263,7 @@
     else await this.store.confirmQuorum();
   };
 
-  /** What the lease holder does: it writes a register under its term. */
+  /** Writes a register under the current term if this controller holds the leader lease. */
   private readonly writeAsLeader = async (): Promise<void> => {
     const { history, time } = this.options;
     const term = this.lease.activeTerm();
@@ -285,8 +286,8 @@
   };
 
   /**
-   * Has the leader lease confirmed or, as all others do before they serve, the contact with a
-   * quorum.
+   * Confirms the leader lease if this controller holds it, and otherwise the contact with a quorum,
+   * as controllers do before they serve.
    */
   private readonly checkLeaseOrQuorum = async (): Promise<void> => {
     const { history, time } = this.options;
@@ -328,7 +329,7 @@
         this.store.applyCommitted(message);
         return undefined;
       default:
-        throw new Error(`nothing handles ${message.kind}`);
+        throw new Error(`no handler for message kind ${message.kind}`);
     }
   };
 
--- a/simulator/simulated-disk.ts
+++ b/simulator/simulated-disk.ts
@@ -1,24 +1,22 @@
-/**
- * A simulated disk: it takes its time, has faults, and loses what was not synced when the power
- * goes.
- */
+/** A simulated disk with latency and faults, which may lose unsynced data on a power loss. */
 import type { FileSystem } from "../src/storage/file-system.js";
 import { MILLISECOND_US } from "../src/common/duration.js";
 import type { SeededRandom } from "./seeded-random.js";
 import type { VirtualTime } from "./virtual-time.js";
 
-/** The content of a file, apart from its name. */
+/** The content of a file, independent of the names that refer to it (an inode). */
 interface FileContent {
   bytes: Uint8Array;
   readonly creationNumber: number;
 }
 
+/** A disk is full, rejects every call, or delays calls: until the fault ends, or by up to 400 ms. */
 export type DiskFault = "full" | "refusing" | "stalled" | "slow";
 
-/** The process that a call comes from. */
+/** The process that makes a call. */
 export interface DiskClient {
   readonly isAlive: boolean;
-  /** Runs work in the process, later if it is frozen, never if it is dead. */
+  /** Runs work in the process: after the thaw if it is frozen, never if it has terminated. */
   readonly run: (work: () => void) => void;
 }
 
@@ -26,9 +24,10 @@
 const nameOf = (path: string): string => path.slice(path.lastIndexOf("/") + 1);
 
 /**
- * A machine's disk, which outlives processes. Invariants: `durable` is what a loss of power leaves
- * for sure; a name in which `names` differs from it is `unsynced`, and kept or lost by itself. A
- * write that was interrupted leaves a part of its bytes.
+ * A machine's disk, which persists across restarts. Invariants: `durableEntries` are the directory
+ * entries that survive a power loss; a path whose entry in `entries` differs is in `unsynced`, and
+ * a power loss keeps or loses each such path independently. An interrupted write leaves a prefix of
+ * its bytes.
  */
 export class SimulatedDisk {
   private readonly entries = new Map<string, FileContent>();
@@ -52,7 +51,7 @@
     rename: (from, to) =>
       this.performCall(client, false, () => {
         const content = this.entries.get(from);
-        if (!content) throw new Error(`no file ${from}`);
+        if (!content) throw new Error(`no such file: ${from}`);
         this.setEntry(from, undefined);
         this.setEntry(to, content);
       }),
@@ -64,7 +63,7 @@
       }),
     syncFolder: (path) =>
       this.performCall(client, false, () => {
-        if (!this.folders.has(path)) throw new Error(`no folder ${path}`);
+        if (!this.folders.has(path)) throw new Error(`no such folder: ${path}`);
         this.unsynced.forEach((name) => {
           if (folderOf(name) === path) this.makeDurable(name);
         });
@@ -88,7 +87,7 @@
     this.folders = new Set();
   };
 
-  /** Flips one bit of one file, most often of the newest. */
+  /** Flips one bit of one file, usually of the newest. */
   readonly corrupt = (): void => {
     const files = [...this.entries.values()]
       .filter(({ bytes }) => bytes.length > 0)
@@ -138,14 +137,14 @@
       this.setEntry(path, content);
     }
     return this.performCall(client, true, () => {
-      if (!content) throw new Error(`no folder for ${path}`);
+      if (!content) throw new Error(`no such folder for ${path}`);
       content.bytes = bytes.slice();
     });
   };
 
   /**
-   * One system call: it takes its time, and may have its effect even if the process is dead by
-   * then.
+   * Performs a system call with latency. If the process terminates meanwhile, the call may still
+   * take effect.
    */
   private readonly performCall = <T>(
     client: DiskClient,
--- a/simulator/simulated-network.ts
+++ b/simulator/simulated-network.ts
@@ -1,6 +1,6 @@
 /**
- * The network between simulated controllers: connections with time-outs, loss, delay, duplication
- * and partitions.
+ * The network between simulated controllers: connections with time-outs, and messages that are
+ * lost, delayed, duplicated or blocked by partitions.
  */
 import { PendingRequests } from "../src/transport/pending-requests.js";
 import type { Message } from "../src/transport/connection.js";
@@ -9,7 +9,7 @@
 import type { SeededRandom } from "./seeded-random.js";
 import type { VirtualTime } from "./virtual-time.js";
 
-/** The probabilities that a message is lost, delayed by up to four seconds, or delivered twice. */
+/** The probabilities that a message is lost, delayed by up to 4 s, or delivered twice. */
 export interface NetworkNoise {
   readonly lossProbability: number;
   readonly delayProbability: number;
@@ -22,7 +22,7 @@
   duplicateProbability: 0,
 };
 
-/** The dialling side of a connection, as src/transport/peer-link.ts keeps it. */
+/** The dialling side of a connection, like src/transport/peer-link.ts. */
 export interface Link {
   readonly requests: PendingRequests;
   /** The process at the other end; undefined while not connected. */
@@ -36,7 +36,7 @@
   readonly to: SimulatedController;
   readonly message: Message;
   readonly sentUs: number;
-  /** The newest moment at which `to` sent something that `from` had handled when it sent this. */
+  /** The send time of the latest message from `to` that `from` had received when it sent this. */
   readonly echoUs: number;
 }
 
@@ -44,14 +44,14 @@
 const CONNECTION_TIMEOUT_US = 1 * SECOND_US;
 const RECONNECT_DELAY_US = 300 * MILLISECOND_US;
 const MAX_DELAY_US = 4 * SECOND_US;
-/** Of the messages that a partition holds up, this share is delivered after it. */
+/** The share of the messages blocked by a partition that is delivered after it heals. */
 const DELIVERED_AFTER_PARTITION = 0.5;
 
 const directionKey = (from: string, to: string): string => `${from}>${to}`;
 
 /**
- * Connects controllers, gives connections up after a second without contact, and delivers messages
- * or loses them.
+ * Connects controllers, closes connections after 1 s without contact, and delivers or drops
+ * messages.
  */
 export class SimulatedNetwork {
   noise: NetworkNoise = NO_NOISE;
@@ -127,7 +127,7 @@
       this.deliverAfter(envelope, this.random.integer(usualDelayUs, MAX_DELAY_US));
   };
 
-  /** As on a connection, a message in flight reaches only the process that it was sent to. */
+  /** Delivers only to the process that the message was sent to, as a real connection does. */
   private readonly deliverAfter = (
     { from, to, message, sentUs, echoUs }: Envelope,
     delayUs: number,
--- a/simulator/simulated-operator.ts
+++ b/simulator/simulated-operator.ts
@@ -1,6 +1,6 @@
 /**
- * Operators who send changes and reads to controllers, as `yewreel ctl` does, and try the next one
- * without a clear answer.
+ * Operators who send changes and reads to controllers, as `yewreel ctl` does. A change without a
+ * definite response is sent to the next controller.
  */
 import { MILLISECOND_US, SECOND_US } from "../src/common/duration.js";
 import { makeRegister, type Register } from "../src/consensus/register.js";
@@ -12,25 +12,27 @@
 import type { VirtualTime } from "./virtual-time.js";
 
 const ANSWER_TIMEOUT_US = 1 * SECOND_US;
-/** An operator gives a change up after so long. */
+/** How long an operator keeps trying to submit a change. */
 const CHANGE_TIMEOUT_US = 6 * SECOND_US;
 
+/** A configuration change and how it is sent. */
 export interface ChangeRequest {
   readonly id: number;
   readonly items: readonly Item[];
   /** An item that must exist for the change to be valid; empty if none. */
   readonly requires: string;
-  /** The place in the operator's list where it is sent first. */
+  /** The position on the operator's list of the controller that receives it first. */
   readonly slot: number;
   readonly answerLossProbability: number;
 }
 
+/** Dependencies of {@link SimulatedOperator}. */
 export interface OperatorOptions {
   readonly fleet: Fleet;
   readonly time: VirtualTime;
   readonly random: SeededRandom;
   readonly history: History;
-  /** Appended to each body. */
+  /** Padding appended to each body. */
   readonly padding: string;
 }
 
@@ -43,13 +45,15 @@
   readonly answerLossProbability: number;
 }
 
+/** Sends the requests of a schedule and those after its last fault. */
 export class SimulatedOperator {
   private readonly requirements = new Map<number, string>();
 
   constructor(private readonly options: OperatorOptions) {}
 
   /**
-   * Sends a change until it has a clear answer or the operator gives up; true if it was confirmed.
+   * Sends a change until it gets a definite response or the time-out expires. Resolves with true if
+   * it was confirmed.
    */
   readonly submit = (
     { id, items, requires, slot, answerLossProbability }: ChangeRequest,
@@ -65,12 +69,12 @@
       registers,
       requires,
       slot,
-      deadlineUs: deadlineUs,
+      deadlineUs,
       answerLossProbability,
     });
   };
 
-  /** Sends a change of before once more, to one controller. */
+  /** Sends an earlier change once more, to one controller. */
   readonly resend = (id: number, slot: number): void => {
     const registers = this.options.history.changes.get(id);
     if (!registers) return;
@@ -83,7 +87,7 @@
     if (controller?.isListening === true) void this.callWithTimeout(controller, controller.read);
   };
 
-  /** Reads at one controller until a read is served. */
+  /** Repeats a read at one controller until it is served. */
   readonly readUntilServed = async (
     controller: SimulatedController | undefined,
     onServed: () => void,
@@ -103,13 +107,13 @@
     return registers;
   };
 
-  /** To one controller after the other. */
+  /** Tries one controller after the other until there is a definite response. */
   private readonly deliver = async ({
     id,
     registers,
     requires,
     slot,
-    deadlineUs: deadlineUs,
+    deadlineUs,
     answerLossProbability,
   }: Delivery): Promise<boolean> => {
     const { time, random } = this.options;
--- a/simulator/simulation.ts
+++ b/simulator/simulation.ts
@@ -1,6 +1,6 @@
 /**
- * Runs one schedule in virtual time, from the first start of all controllers to a calm end, and
- * records what was seen.
+ * Runs one schedule in virtual time, from the first start of all controllers to a fault-free end,
+ * and records the history.
  */
 import { MILLISECOND_US, SECOND_US } from "../src/common/duration.js";
 import { Fleet, type Machine } from "./fleet.js";
@@ -24,15 +24,16 @@
 
 const SAMPLE_INTERVAL_US = 500 * MILLISECOND_US;
 /**
- * Once `CATCH_UP_US` have passed after the last fault, a change must be confirmed and a read served
- * in so much time.
+ * The time within which a change must be confirmed and a read served, once `CATCH_UP_US` have
+ * passed after the last fault.
  */
 export const SERVE_TIMEOUT_US = 4 * SECOND_US;
-/** The voter set must be as it should so long after that. */
+/** The time within which the voter set must match the remaining machines, from the same start. */
 const VOTER_SET_TIMEOUT_US = 4 * SECOND_US;
-/** Keeps the run's own draws apart from those of the schedule of the same seed. */
+/** Separates the random numbers of the run from those of the schedule with the same seed. */
 const RUN_SEED_MASK = 0x5bd1e995;
 
+/** The history of a run, and the state of the deployment at its end. */
 export interface Outcome {
   readonly history: History;
   /** The machines that belong to the deployment at the end. */
@@ -213,9 +214,7 @@
     time.after(SAMPLE_INTERVAL_US, this.sampleRepeatedly);
   };
 
-  /**
-   * In the calm at the end, each controller that is there must confirm a change and serve a read.
-   */
+  /** After the last fault, each remaining controller must confirm a change and serve a read. */
   private readonly sendFinalRequests = (): void =>
     this.fleet.present().forEach((machine, at) => this.sendFinalRequestsAt(machine, at));
 
@@ -243,7 +242,7 @@
   };
 }
 
-/** The ordered pairs of machines whose messages a partition between two stops. */
+/** The (sender, receiver) pairs whose messages a partition between two machines blocks. */
 const directedPairs = (
   here: string,
   there: string,
@@ -253,7 +252,7 @@
   ...(direction === "from" ? [] : [[there, here] as const]),
 ];
 
-/** One run of a schedule, with the system's own components or with those that a test replaces. */
+/** Runs a schedule, with the real components unless others are given. */
 export const simulate = (
   schedule: Schedule,
   components: Components = REAL_COMPONENTS,
--- a/simulator/virtual-time.ts
+++ b/simulator/virtual-time.ts
@@ -1,4 +1,4 @@
-/** Virtual time: events that run in order of their moment, without waiting. */
+/** Virtual time: runs scheduled events in order of their time, without waiting. */
 import type { Clock, Timer } from "../src/common/clock.js";
 
 interface ScheduledEvent {
@@ -9,14 +9,15 @@
 }
 
 /**
- * How many events run before the event loop's own round: only promises must settle between two,
- * which they do.
+ * How many events are queued per iteration of the event loop. The microtask queue is drained
+ * between two `setImmediate` callbacks, so promises still settle between two events of a batch.
  */
 const EVENTS_PER_BATCH = 64;
 
 /**
- * Invariants: events run in the order of their time, and in the order in which they were scheduled
- * where that is the same; between two events every promise that can settle has settled.
+ * A discrete-event scheduler. Invariants: events run in order of their time, and those with the
+ * same time in the order in which they were scheduled; between two events every promise that can
+ * settle has settled.
  */
 export class VirtualTime {
   private currentUs = 0;
@@ -25,7 +26,7 @@
 
   readonly nowUs = (): number => this.currentUs;
 
-  /** How many events there were or will be. */
+  /** The number of events scheduled so far, whether or not they have run. */
   readonly eventCount = (): number => this.scheduledCount;
 
   readonly at = (atUs: number, work: () => void): ScheduledEvent => {
@@ -53,7 +54,7 @@
   readonly after = (waitUs: number, work: () => void): ScheduledEvent =>
     this.at(this.currentUs + Math.max(0, Math.round(waitUs)), work);
 
-  /** Runs all that is due up to a moment; rejects with what an event throws. */
+  /** Runs the events due up to and including `untilUs`; rejects with the error that one throws. */
   readonly run = (untilUs: number): Promise<void> =>
     new Promise((resolve, reject) => {
       let isOver = false;
@@ -84,7 +85,7 @@
       runBatch();
     });
 
-  /** A clock whose timers run through `execute`, which may delay or drop them. */
+  /** Returns a clock whose timers run through `execute`, which may delay or drop them. */
   readonly clockThrough = (execute: (work: () => void) => void): Clock => {
     const after = (waitUs: number, work: () => void): Timer => {
       const event = this.after(waitUs, () =>
