--- a/simulator/simulated-disk.ts
+++ b/simulator/simulated-disk.ts
@@ -10,7 +10,7 @@
   readonly creationNumber: number;
 }
 
-/** A disk is full, rejects every call, or delays calls: until the fault ends, or by up to 400 ms. */
+/** A disk is full, rejects every call, stalls until the fault ends, or is slow (up to 400 ms). */
 export type DiskFault = "full" | "refusing" | "stalled" | "slow";
 
 /** The process that makes a call. */
