--- a/features/fuzz.feature
+++ b/features/fuzz.feature
@@ -6,7 +6,7 @@
     When 200 seeds are fuzzed, starting at 1
     Then no check fails, and more than 1000 attempts were made
 
-  Scenario Outline: Each check detects the defect that it is meant for
+  Scenario Outline: Each check detects the defect that it guards against
     When seeds of the variant "<variant>" are fuzzed until the defect is detected
     Then the check "<check>" detects it
 
--- a/features/steps/fuzz.ts
+++ b/features/steps/fuzz.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { Then, When } from "@cucumber/cucumber";
-import { playSeed } from "../../fuzz/play-seed.js";
+import { fuzzSeed } from "../../fuzz/play-seed.js";
 import { VARIANTS } from "../../fuzz/variants.js";
 
 const MAX_SEEDS = 600;
@@ -14,9 +14,9 @@
   async (count: number, from: number) => {
     [tries, found] = [0, []];
     for (let seed = from; seed < from + count; seed += 1) {
-      const played = await playSeed(seed, undefined, false);
-      tries += played.tries;
-      found.push(...played.violations.map(({ check, what }) => `seed ${seed}, ${check}: ${what}`));
+      const result = await fuzzSeed(seed, undefined, false);
+      tries += result.tries;
+      found.push(...result.violations.map(({ check, what }) => `seed ${seed}, ${check}: ${what}`));
     }
   },
 );
@@ -32,7 +32,7 @@
     assert.ok(variant, `unknown variant: ${name}`);
     found = [];
     for (let seed = 1; seed <= MAX_SEEDS && !found.includes(variant.detectedBy); seed += 1)
-      found.push(...(await playSeed(seed, variant, false)).violations.map(({ check }) => check));
+      found.push(...(await fuzzSeed(seed, variant, false)).violations.map(({ check }) => check));
   },
 );
 Then("the check {string} detects it", (check: string) =>
--- a/fuzz/play-seed.ts
+++ b/fuzz/play-seed.ts
@@ -20,7 +20,7 @@
 const SHRINK_MS = 20_000;
 
 /** Runs one seed. A scenario with a violation is shrunk unless `shrinks` is false. */
-export const playSeed = async (
+export const fuzzSeed = async (
   seed: number,
   variant?: Variant,
   shrinks = true,
--- a/fuzz/run.ts
+++ b/fuzz/run.ts
@@ -1,5 +1,5 @@
 import { Command } from "commander";
-import { playSeed } from "./play-seed.js";
+import { fuzzSeed } from "./play-seed.js";
 import { VARIANTS } from "./variants.js";
 
 interface Flags {
@@ -33,15 +33,15 @@
   }
   let [tries, runs, failed] = [0, 0, 0];
   for (let seed = first; seed < first + count; seed += 1) {
-    const played = await playSeed(seed, variant);
-    tries += played.tries;
-    runs += played.runs;
-    if (played.violations.length > 0) {
+    const result = await fuzzSeed(seed, variant);
+    tries += result.tries;
+    runs += result.runs;
+    if (result.violations.length > 0) {
       failed += 1;
-      if (json === true) process.stdout.write(`${JSON.stringify(played)}\n`);
+      if (json === true) process.stdout.write(`${JSON.stringify(result)}\n`);
       else
         process.stdout.write(
-          `seed ${seed}: ${played.violations.map(({ check, what }) => `${check}: ${what}`).join("; ")}\n  shortest scenario found: ${JSON.stringify(played.shortest)}\n`,
+          `seed ${seed}: ${result.violations.map(({ check, what }) => `${check}: ${what}`).join("; ")}\n  shortest scenario found: ${JSON.stringify(result.shortest)}\n`,
         );
     }
     if (json !== true && (seed - first + 1) % PROGRESS_EVERY_SEEDS === 0)
--- a/simulator/fault-generator.ts
+++ b/simulator/fault-generator.ts
@@ -171,10 +171,12 @@
   private readonly drawDamagedDisks = (atUs: number): readonly number[] => {
     const { random, slots } = this;
     const { controllers, withstandMachines } = this.deployment;
-    const sound = slots.filter((slot) => !this.isLost(slot, atUs));
-    const lost = this.options.exceedsTolerance ? this.disksLost : controllers - sound.length;
+    const available = slots.filter((slot) => !this.isLost(slot, atUs));
+    const lost = this.options.exceedsTolerance ? this.disksLost : controllers - available.length;
     if (!random.occurs(0.7)) return [];
-    return sound.filter(() => random.occurs(0.5)).slice(0, Math.max(0, withstandMachines - lost));
+    return available
+      .filter(() => random.occurs(0.5))
+      .slice(0, Math.max(0, withstandMachines - lost));
   };
 
   /**
@@ -185,14 +187,14 @@
     const { random, slots } = this;
     const { controllers, withstandMachines } = this.deployment;
     const { exceedsTolerance } = this.options;
-    const sound = slots.filter((slot) => !this.isLost(slot, atUs));
-    if (!exceedsTolerance && controllers - sound.length >= withstandMachines) {
+    const available = slots.filter((slot) => !this.isLost(slot, atUs));
+    if (!exceedsTolerance && controllers - available.length >= withstandMachines) {
       // The next fault occurs as soon as the fault tolerance allows it.
       const descending = [...this.lostUntilUs].sort((one, other) => other - one);
       const freeUs = descending[withstandMachines - 1] ?? 0;
       return Math.max(atUs, freeUs + 1 - 10 * MILLISECOND_US);
     }
-    const slot = random.pick(exceedsTolerance ? slots : sound);
+    const slot = random.pick(exceedsTolerance ? slots : available);
     const losesDisk = DISK_LOSING_FAULTS.includes(kind);
     if (exceedsTolerance && losesDisk && this.disksLost >= withstandMachines) return atUs;
     const durationUs = random.occurs(0.4)
