--- a/fuzz/client-runs.ts
+++ b/fuzz/client-runs.ts
@@ -1,6 +1,6 @@
 /**
- * The clients of a scenario: they send, leave, and repeat operations, and record what they were
- * told.
+ * The clients of a scenario, which send requests, disconnect and repeat operations, and record the
+ * responses.
  */
 import { digestOf, type SentRequest } from "./checks.js";
 import { HOST, type ProxyHarness } from "./proxy-harness.js";
@@ -9,38 +9,39 @@
 import type { Schedule } from "./schedule.js";
 
 const MS = 1_000;
-const STEP_MS = 10;
-/** How much longer than the time it gave a client waits. */
+const POLL_INTERVAL_MS = 10;
+/** How long a client waits beyond the time left that it stated. */
 const CLIENT_GRACE_MS = 500;
-const REPEAT_AFTER_MS = 50;
-const SECOND_HALF_AFTER_MS = 40;
+const REPEAT_DELAY_MS = 50;
+const SECOND_HALF_DELAY_MS = 40;
 const STREAMED_BODY = "z".repeat(200_000);
 const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
-/** So often an operation is sent again after a promise that it has not run. */
+/** How often an operation is repeated after responses that promise that it has not run. */
 const MAX_REPEATS = 2;
 
-/** A time in which the proxy server stood still. */
+/** A period in which the proxy server was stalled. */
 export interface Stall {
   readonly fromUs: number;
   readonly toUs: number;
 }
 
+/** Dependencies of {@link ClientRuns}. */
 export interface ClientRunsOptions {
   readonly harness: ProxyHarness;
   readonly schedule: Schedule;
   /** The stalls so far. */
   readonly stalls: readonly Stall[];
-  /** Whether the record of what clients sent differs from what they sent. */
+  /** Whether the recorded bodies differ from those sent. */
   readonly altersBodies: boolean;
-  /** Whether clients that leave keep their connections, so that nobody can notice. */
-  readonly hidesClientLeaving: boolean;
+  /** Whether disconnecting clients keep their connections open, so that it goes undetected. */
+  readonly keepsAbandonedConnections: boolean;
 }
 
-/** One client's connection. */
+/** The state of a client on one connection. */
 interface ClientRun {
   readonly script: ClientScript;
   readonly client: RawClient;
-  /** One a request; requests of one operation differ in their attempt id alone. */
+  /** The operation of each request; attempts of one operation differ only in their id. */
   readonly operations: readonly string[];
   readonly sent: SentRequest[];
   readonly repeats: number;
@@ -59,10 +60,10 @@
 
 const chunkOf = (bytes: string): string => `${bytes.length.toString(16)}\r\n${bytes}\r\n`;
 
-/** Plays all clients of a scenario. */
+/** Runs all clients of a scenario. */
 export class ClientRuns {
   readonly sent: SentRequest[] = [];
-  /** Clients that have not ended yet. */
+  /** The number of clients that have not finished. */
   open = 0;
   private readonly clients: RawClient[] = [];
   private attempts = 0;
@@ -70,12 +71,12 @@
 
   constructor(private readonly options: ClientRunsOptions) {}
 
-  /** Responses that have come to all clients. */
+  /** The number of responses that all clients have received. */
   get responseCount(): number {
     return this.clients.reduce((sum, { responses }) => sum + responses.length, 0);
   }
 
-  /** Schedules a client. */
+  /** Schedules the start of a client. */
   readonly add = (script: ClientScript): void => {
     this.open += 1;
     this.options.schedule.after(script.startMs, () => {
@@ -100,7 +101,7 @@
     const run: ClientRun = { script, client, operations, sent: [], repeats, isDone: false };
     this.sendNext(run);
     if (script.leaves) schedule.after(script.leaves.afterMs, () => this.end(run, true));
-    schedule.after(STEP_MS, () => this.look(run));
+    schedule.after(POLL_INTERVAL_MS, () => this.pollResponses(run));
   };
 
   private readonly sendNext = (run: ClientRun): void => {
@@ -112,8 +113,8 @@
     if (script.isPipelined) this.sendNext(run);
   };
 
-  /** Looks for responses: a client that doesn't pipeline sends its next request after each. */
-  private readonly look = (run: ClientRun): void => {
+  /** Polls for responses; without pipelining, each is followed by the next request. */
+  private readonly pollResponses = (run: ClientRun): void => {
     if (run.isDone) return;
     const { client, script, sent } = run;
     if (client.responses.length === script.requests.length || client.isClosed) {
@@ -121,10 +122,10 @@
       return;
     }
     if (client.responses.length === sent.length) this.sendNext(run);
-    this.options.schedule.after(STEP_MS, () => this.look(run));
+    this.options.schedule.after(POLL_INTERVAL_MS, () => this.pollResponses(run));
   };
 
-  private readonly end = (run: ClientRun, isLeaving: boolean): void => {
+  private readonly end = (run: ClientRun, isDisconnecting: boolean): void => {
     if (run.isDone) return;
     run.isDone = true;
     this.open -= 1;
@@ -132,16 +133,16 @@
     const nowUs = this.options.harness.skippingClock.nowUs();
     run.sent.forEach((sent, at) => {
       sent.response = client.responses[at];
-      if (isLeaving && !sent.response) sent.leftUs = nowUs;
+      if (isDisconnecting && !sent.response) sent.disconnectedUs = nowUs;
     });
-    this.markResponseDue(run, isLeaving, nowUs);
-    if (isLeaving && this.options.hidesClientLeaving) client.socket.pause();
-    else if (isLeaving && script.leaves?.resets === true) client.socket.resetAndDestroy();
+    this.markResponseDue(run, isDisconnecting, nowUs);
+    if (isDisconnecting && this.options.keepsAbandonedConnections) client.socket.pause();
+    else if (isDisconnecting && script.leaves?.resets === true) client.socket.resetAndDestroy();
     else client.socket.destroy();
     if (!script.leaves && run.repeats < MAX_REPEATS) this.repeatOperations(run);
   };
 
-  /** Operations go again only after a promise that they have not run, each as a new attempt. */
+  /** Repeats, as new attempts, the operations whose response promises that they have not run. */
   private readonly repeatOperations = (run: ClientRun): void => {
     const { script, operations, repeats } = run;
     const promised = run.sent
@@ -150,7 +151,7 @@
     const requests = promised.flatMap(({ request }) => (request ? [request] : []));
     if (requests.length === 0) return;
     this.open += 1;
-    this.options.schedule.after(REPEAT_AFTER_MS, () =>
+    this.options.schedule.after(REPEAT_DELAY_MS, () =>
       this.start(
         { ...script, requests },
         promised.map(({ operation }) => operation),
@@ -159,7 +160,10 @@
     );
   };
 
-  /** Only to the first request without a response can one be due: what is behind it waits on it. */
+  /**
+   * Marks the first unanswered request if its response is due. No response is due for later ones,
+   * which wait for it.
+   */
   private readonly markResponseDue = (
     { script, client, sent }: ClientRun,
     isLeaving: boolean,
@@ -168,7 +172,7 @@
     const answered = client.responses.length;
     const first = sent[answered];
     if (!first || client.responses.some(({ head }) => /^connection: close/im.test(head))) return;
-    // Behind a streamed body, a request is read only once that body is.
+    // The proxy server reads a pipelined request only after the streamed body before it.
     const isBehindStream = script.requests.slice(0, answered).some(({ body }) => body === "long");
     if (script.isPipelined && isBehindStream) return;
     const hasStalled = this.options.stalls.some(
@@ -200,7 +204,7 @@
       isBehindStreamedBody: script.requests.some(({ body: size }) => size === "long"),
       key,
       sentUs: this.options.harness.skippingClock.nowUs(),
-      leftUs: undefined,
+      disconnectedUs: undefined,
       isResponseDue: false,
       response: undefined,
     };
@@ -239,6 +243,6 @@
     const bytes = requestBytes(method, path, headers, body);
     client.write(bytes.slice(0, bytes.length - back.length));
     client.defer(back);
-    this.options.schedule.after(SECOND_HALF_AFTER_MS, client.flush);
+    this.options.schedule.after(SECOND_HALF_DELAY_MS, client.flush);
   };
 }
--- a/fuzz/proxy-harness.ts
+++ b/fuzz/proxy-harness.ts
@@ -1,4 +1,4 @@
-/** A proxy server under test, with its collaborators in memory. */
+/** A test harness around a proxy server, with its collaborators in memory. */
 import assert from "node:assert/strict";
 import { settle, ManualClock } from "../features/support/manual-clock.js";
 import { configurationUpdates, workerUpdate } from "../features/support/proxy-updates.js";
@@ -15,11 +15,11 @@
 import type { ScriptedWorker } from "./scripted-worker.js";
 
 export const HOST = "a.example";
-/** How many workers one request may go to, by the configuration. */
+/** The configured maximum number of workers that a request is sent to. */
 export const MAX_TRIES = 2;
 export const GIVE_UP_US = 3_000_000;
 
-/** Routes "/safe/", "/unsafe/" and "/keyed/", all to the service "s1". */
+/** Returns a configuration with the routes "/safe/", "/unsafe/" and "/keyed/" to service "s1". */
 export const configurationOf = (
   tries = MAX_TRIES,
   kindOf: (kind: string) => string = (kind) => kind,
@@ -45,20 +45,20 @@
     },
   });
 
-/** A key service in memory: who has which key, and what its run was answered with. */
+/** An in-memory idempotency key service: the token that holds each key, and the stored response. */
 export class InMemoryKeyService {
   readonly claims = new Map<string, { readonly token: string; answer: unknown }>();
   readonly ask = async (message: Message): Promise<Message | undefined> => {
     const [key, token] = [String(message["key"]), String(message["token"])];
-    const held = this.claims.get(key);
+    const existing = this.claims.get(key);
     if (message.kind === "key-done") {
       this.claims.set(key, { token, answer: message["answer"] });
       return { kind: "claim", kept: true };
     }
-    if (held && held.token !== token)
-      return held.answer === undefined
+    if (existing && existing.token !== token)
+      return existing.answer === undefined
         ? { kind: "claim", verdict: "working" }
-        : { kind: "claim", verdict: "done", answer: held.answer };
+        : { kind: "claim", verdict: "done", answer: existing.answer };
     this.claims.set(key, { token, answer: undefined });
     return { kind: "claim", verdict: "won" };
   };
@@ -70,40 +70,41 @@
   };
 }
 
-/** A clock that can skip ahead: timers that fell due meanwhile act only afterwards. */
+/** A clock that can skip ahead; timers that fall due in the skipped time run only afterwards. */
 export class SkippingClock implements Clock {
   private skippedUs = 0;
 
-  constructor(private readonly own: ManualClock) {}
+  constructor(private readonly inner: ManualClock) {}
 
-  readonly nowUs = (): number => this.own.nowUs() + this.skippedUs;
-  readonly after = (waitUs: number, act: () => void): Timer => this.own.after(waitUs, act);
-  readonly every = (gapUs: number, act: () => void): Timer => this.own.every(gapUs, act);
+  readonly nowUs = (): number => this.inner.nowUs() + this.skippedUs;
+  readonly after = (waitUs: number, act: () => void): Timer => this.inner.after(waitUs, act);
+  readonly every = (gapUs: number, act: () => void): Timer => this.inner.every(gapUs, act);
 
-  /** As after a stall: what lies at the process's sockets is read before any timer acts. */
-  readonly skip = (spanUs: number): void => {
-    this.skippedUs += spanUs;
+  /** Skips time as a stalled process does: pending socket data is read before any timer runs. */
+  readonly skip = (durationUs: number): void => {
+    this.skippedUs += durationUs;
   };
 }
 
+/** Settings of {@link ProxyHarness} that a test may replace. */
 export interface ProxyHarnessOptions {
   readonly configuration?: string;
   readonly random?: () => number;
-  /** The clock of the proxy server instead of the harness's own. */
+  /** Replaces the clock of the proxy server. */
   readonly clockOf?: (skippingClock: SkippingClock) => Clock;
-  /** The connection between the proxy server and the key service. */
+  /** Replaces the connection between the proxy server and the key service. */
   readonly keyServiceOf?: (
-    book: InMemoryKeyService,
+    keyService: InMemoryKeyService,
     clock: Clock,
   ) => Pick<InMemoryKeyService, "ask" | "notify">;
   readonly retryRatio?: number;
 }
 
-let harnesses = 0;
+let harnessCount = 0;
 
 /**
- * One proxy server on a clock of its own, at an address that no other harness or process of this
- * machine has.
+ * A proxy server with its own clock, on a loopback address derived from the process id and the
+ * number of the harness, so that harnesses and concurrent processes don't collide.
  */
 export class ProxyHarness {
   readonly clock = new ManualClock();
@@ -114,7 +115,7 @@
   readonly proxy: ProxyServer;
   readonly host: string;
   readonly port: number;
-  /** Called when a worker has been chosen and the connection is begun. */
+  /** Called when a worker has been selected and the connection attempt starts. */
   onAttempt: () => void = () => undefined;
   readonly retriesOf: (kind: RouteKind) => number;
 
@@ -127,9 +128,9 @@
     } = options;
     const clock = clockOf?.(this.skippingClock) ?? this.skippingClock;
     const keyService = options.keyServiceOf?.(this.keyService, clock) ?? this.keyService;
-    harnesses += 1;
-    this.host = `127.${64 + ((process.pid >> 8) % 64)}.${process.pid & 255}.${(harnesses % 250) + 1}`;
-    this.port = 12_000 + Math.floor(harnesses / 250);
+    harnessCount += 1;
+    this.host = `127.${64 + ((process.pid >> 8) % 64)}.${process.pid & 255}.${(harnessCount % 250) + 1}`;
+    this.port = 12_000 + Math.floor(harnessCount / 250);
     this.updates = new UpdateStore(clock);
     this.pool = new WorkerDirectory(clock, "n1", "c1");
     const table = new RouteTable();
@@ -176,13 +177,13 @@
   };
 
   /**
-   * Moves the clock on in steps until it is so, or for a minute; what is under test never waits for
-   * real time.
+   * Advances the clock in steps until the condition holds; fails after a minute of simulated time.
+   * The proxy server never waits for real time.
    */
-  readonly until = async (isSo: () => boolean, stepUs = 5_000): Promise<void> => {
-    for (let passedUs = 0; passedUs < 60_000_000 && !isSo(); passedUs += stepUs)
+  readonly until = async (condition: () => boolean, stepUs = 5_000): Promise<void> => {
+    for (let passedUs = 0; passedUs < 60_000_000 && !condition(); passedUs += stepUs)
       await this.clock.pass(stepUs);
-    assert.ok(isSo(), "it never came to be");
+    assert.ok(condition(), "it never came to be");
   };
 
   readonly stop = (): void => {
--- a/fuzz/run.ts
+++ b/fuzz/run.ts
@@ -1,5 +1,5 @@
 import { Command } from "commander";
-import { playSeed } from "./play-seed.js";
+import { fuzzSeed } from "./play-seed.js";
 import { VARIANTS } from "./variants.js";
 
 interface Flags {
@@ -9,12 +9,12 @@
   readonly json?: boolean;
 }
 
-const WRONG_INPUT_EXIT_CODE = 2;
+const INVALID_USAGE_EXIT_CODE = 2;
 const PROGRESS_EVERY_SEEDS = 100;
 
 /**
- * Plays seed after seed and reports the violations; the exit code is 1 if any seed shows a
- * violation.
+ * Runs a range of seeds and reports the violations. The exit code is 1 if there are any, and 2 if
+ * an option is invalid.
  */
 const run = async ({ seeds, from, variant: name, json }: Flags): Promise<void> => {
   const [count, first] = [Number(seeds), Number(from)];
@@ -26,22 +26,22 @@
     (name !== undefined && !variant)
   ) {
     process.stderr.write(
-      `fuzz: --seeds must be 1 or more, --from a whole number, --variant one of: ${Object.keys(VARIANTS).join("; ")}.\n`,
+      `fuzz: --seeds must be an integer of at least 1, --from an integer, --variant one of: ${Object.keys(VARIANTS).join("; ")}.\n`,
     );
-    process.exitCode = WRONG_INPUT_EXIT_CODE;
+    process.exitCode = INVALID_USAGE_EXIT_CODE;
     return;
   }
   let [tries, runs, failed] = [0, 0, 0];
   for (let seed = first; seed < first + count; seed += 1) {
-    const played = await playSeed(seed, variant);
-    tries += played.tries;
-    runs += played.runs;
-    if (played.violations.length > 0) {
+    const result = await fuzzSeed(seed, variant);
+    tries += result.tries;
+    runs += result.runs;
+    if (result.violations.length > 0) {
       failed += 1;
-      if (json === true) process.stdout.write(`${JSON.stringify(played)}\n`);
+      if (json === true) process.stdout.write(`${JSON.stringify(result)}\n`);
       else
         process.stdout.write(
-          `seed ${seed}: ${played.violations.map(({ check, what }) => `${check}: ${what}`).join("; ")}\n  shortest found: ${JSON.stringify(played.shortest)}\n`,
+          `seed ${seed}: ${result.violations.map(({ check, what }) => `${check}: ${what}`).join("; ")}\n  shortest scenario found: ${JSON.stringify(result.shortest)}\n`,
         );
     }
     if (json !== true && (seed - first + 1) % PROGRESS_EVERY_SEEDS === 0)
@@ -58,11 +58,11 @@
 
 await new Command("fuzz")
   .description(
-    "random faults between clients, a proxy server and workers on real sockets, both sides' histories matched afterwards",
+    "injects random faults between clients, a proxy server and workers on real sockets, and checks the histories of both sides",
   )
-  .option("--seeds <count>", "how many seeds to play", "100")
-  .option("--from <seed>", "the first seed", "1")
-  .option("--variant <name>", "play a broken variant, which a check must notice")
+  .option("--seeds <count>", "number of seeds to run", "100")
+  .option("--from <seed>", "first seed", "1")
+  .option("--variant <name>", "run a defective variant, which a check must detect")
   .option("--json", "print JSON lines")
   .action(run)
   .parseAsync();
--- a/fuzz/scenario-run.ts
+++ b/fuzz/scenario-run.ts
@@ -1,4 +1,4 @@
-/** Plays one scenario on real sockets, and records what both sides of the proxy server saw. */
+/** Runs one scenario on real sockets and records the history of clients and workers. */
 import type { Socket } from "node:net";
 import { settle } from "../features/support/manual-clock.js";
 import { digestOf, type History, type ReceivedRequest } from "./checks.js";
@@ -13,26 +13,26 @@
 const MS = 1_000;
 const STEP_US = 10 * MS;
 const MAX_SCENARIO_US = 30_000 * MS;
-/** For how many steps what is open at the end may still end by itself. */
+/** How many steps requests that are open at the end may take to complete. */
 const MAX_CLOSING_STEPS = 700;
 const REJECTIONS: ReadonlySet<WorkerAction> = new Set(["sheds", "limits", "cuts its refusal"]);
 
 /**
- * A deception by the scenario instead of a fault built into the proxy server: what the checks then
- * see is the same.
+ * Defects of the proxy server that the scenario simulates in clients and workers. To the checks
+ * they look the same as defects of the proxy server itself.
  */
-export interface Deceptions {
-  /** Workers run what they say they rejected. */
-  readonly runsWhatItRejects?: boolean;
-  /** A late response bears the id of the attempt that is due. */
-  readonly borrowsAttemptIds?: boolean;
-  /** What clients say they sent is not what they sent. */
+export interface SimulatedDefects {
+  /** Workers run requests that they reject. */
+  readonly runsRejectedRequests?: boolean;
+  /** Stray responses of workers carry the id of the current attempt. */
+  readonly forgesAttemptIds?: boolean;
+  /** The recorded bodies differ from those that clients sent. */
   readonly altersBodies?: boolean;
-  /** Clients that leave keep their connections, so nobody can notice. */
-  readonly hidesClientLeaving?: boolean;
+  /** Disconnecting clients keep their connections open, so that it goes undetected. */
+  readonly keepsAbandonedConnections?: boolean;
 }
 
-/** A proxy server, with workers and clients around it, on one clock that only moves when told. */
+/** A proxy server, its workers and its clients, on one manually advanced clock. */
 export class ScenarioRun {
   private readonly harness: ProxyHarness;
   private readonly schedule: Schedule;
@@ -46,7 +46,7 @@
   constructor(
     private readonly scenario: Scenario,
     options: ProxyHarnessOptions = {},
-    private readonly deceptions: Deceptions = {},
+    private readonly simulatedDefects: SimulatedDefects = {},
   ) {
     const keyServiceOf = unreliableKeyService(scenario.keyMessages);
     this.harness = new ProxyHarness({ keyServiceOf, ...options });
@@ -55,16 +55,16 @@
       harness: this.harness,
       schedule: this.schedule,
       stalls: this.stalls,
-      altersBodies: deceptions.altersBodies === true,
-      hidesClientLeaving: deceptions.hidesClientLeaving === true,
+      altersBodies: simulatedDefects.altersBodies === true,
+      keepsAbandonedConnections: simulatedDefects.keepsAbandonedConnections === true,
     });
     this.responses = new WorkerResponses({
       after: this.schedule.after,
-      borrowsAttemptIds: deceptions.borrowsAttemptIds === true,
+      forgesAttemptIds: simulatedDefects.forgesAttemptIds === true,
     });
   }
 
-  /** Plays the scenario to its end. */
+  /** Runs the scenario to its end. */
   readonly run = async (): Promise<History> => {
     const { harness, scenario, schedule } = this;
     const { skippingClock, clock } = harness;
@@ -80,7 +80,7 @@
       const next = stalls[0];
       if (!next || skippingClock.nowUs() < startUs + next.atMs * MS) continue;
       stalls.shift();
-      await this.settleAll();
+      await this.settleEverything();
       this.stall(next.spanMs * MS);
     }
     const openAtEnd = await this.waitForClose();
@@ -93,7 +93,7 @@
     return { sent: this.clients.sent, received, written, firstBytes, interrupted, openAtEnd };
   };
 
-  /** Waits until nothing is open any more; what still is when the wait is over is left behind. */
+  /** Waits until no request is open; returns how many still are when the wait times out. */
   private readonly waitForClose = async (): Promise<number> => {
     const { proxy, pool, clock } = this.harness;
     const open = () =>
@@ -102,20 +102,24 @@
     return open();
   };
 
-  /** What has been sent arrives, and what follows from it at this same time. */
-  private readonly settleAll = async (): Promise<void> => {
-    const seen = () => this.firstBytes.length + this.received.length + this.clients.responseCount;
-    for (let before = -1; before !== seen();) {
-      before = seen();
+  /** Waits until all sent bytes, and those sent in reaction at the same time, have arrived. */
+  private readonly settleEverything = async (): Promise<void> => {
+    const eventCount = () =>
+      this.firstBytes.length + this.received.length + this.clients.responseCount;
+    for (let before = -1; before !== eventCount();) {
+      before = eventCount();
       await settle(20);
     }
   };
 
-  /** All act but the proxy server, whose event loop doesn't turn while this runs. */
-  private readonly stall = (spanUs: number): void => {
+  /**
+   * Runs the scheduled actions of clients and workers synchronously. The proxy server, whose event
+   * loop is blocked meanwhile, is stalled.
+   */
+  private readonly stall = (durationUs: number): void => {
     const { skippingClock } = this.harness;
     const fromUs = skippingClock.nowUs();
-    const toUs = fromUs + spanUs;
+    const toUs = fromUs + durationUs;
     this.stalls.push({ fromUs, toUs });
     this.schedule.runDue(toUs);
     skippingClock.skip(Math.max(0, toUs - skippingClock.nowUs()));
@@ -139,9 +143,9 @@
       },
       onRequest: (request, socket) => {
         const action = actionOf.get(socket) ?? "answers";
-        const isMine = request.expectedWorker === id && action !== "is another";
-        this.record(request, isMine && this.runs(action));
-        if (!isMine) {
+        const isAddressee = request.expectedWorker === id && action !== "is another";
+        this.record(request, isAddressee && this.runsRequest(action));
+        if (!isAddressee) {
           const headers = { "Yewreel-Try-Id": request.attemptId, "Yewreel-Worker-Id": "w-other" };
           socket.write(responseBytes(421, headers));
           return;
@@ -155,8 +159,8 @@
     return worker;
   };
 
-  private readonly runs = (action: WorkerAction): boolean =>
-    !REJECTIONS.has(action) || this.deceptions.runsWhatItRejects === true;
+  private readonly runsRequest = (action: WorkerAction): boolean =>
+    !REJECTIONS.has(action) || this.simulatedDefects.runsRejectedRequests === true;
 
   private readonly record = (request: WorkerRequest, ran: boolean): void => {
     const { worker, attemptId, method, path, body } = request;
--- a/simulator/control-plane-invariants.ts
+++ b/simulator/control-plane-invariants.ts
@@ -1,7 +1,4 @@
-/**
- * What must hold of the controllers among themselves: the leader lease, quorum contact,
- * availability and the voter set.
- */
+/** Invariants of the control plane: leader lease, quorum contact, availability and voter set. */
 import type { VoterSet } from "../src/consensus/voter-set.js";
 import { observedRegisters, seconds, type Invariant } from "./observations.js";
 import { deploymentOf } from "./schedule.js";
@@ -9,15 +6,15 @@
 import { SERVE_TIMEOUT_US } from "./simulation.js";
 
 /**
- * One leader a term, no write of an older term after one of a newer, and no lease confirmed after a
- * newer leader's write.
+ * Each term has one leader, no write of an older term is committed after one of a newer term, and
+ * no lease is confirmed after the write of a newer leader.
  */
 export const leaderTerms: Invariant = (outcome) => {
   const { history } = outcome;
   const holders = new Map<number, string>();
   for (const { term, holder, controller, atUs } of history.leaderClaims) {
     if (holder !== controller)
-      return `${controller} took itself for the leader of term ${term}, which is ${holder}'s, at ${seconds(atUs)}`;
+      return `${controller} acted as the leader of term ${term}, which belongs to ${holder}, at ${seconds(atUs)}`;
     const before = holders.get(term);
     if (before !== undefined && before !== controller)
       return `term ${term} was held by ${before} and by ${controller}`;
@@ -30,7 +27,7 @@
     if (term > 0) writeTerms.set(register.version, term);
   });
   let highest = 0;
-  for (const [version, term] of [...writeTerms].sort(([one], [other]) => one - other)) {
+  for (const [version, term] of [...writeTerms].sort(([one], [mismatch]) => one - mismatch)) {
     if (term < highest)
       return `write ${version} of term ${term} was committed after one of term ${highest}`;
     highest = term;
@@ -47,10 +44,11 @@
 };
 
 /**
- * Quorum contact is confirmed only once a majority has answered something sent after the question.
+ * Quorum contact is confirmed only if a majority has replied to a message that was sent after the
+ * check began.
  */
 export const quorumContact: Invariant = ({ history }) => {
-  const wrong = history.quorumContacts.find(
+  const unjustified = history.quorumContacts.find(
     ({ heardFrom, voterSets }) =>
       !voterSets.some((sets) =>
         sets.every(
@@ -59,43 +57,46 @@
       ),
   );
   return (
-    wrong &&
-    `${wrong.controller} confirmed contact at ${seconds(wrong.atUs)} having heard ${wrong.heardFrom.join(", ")} of ${wrong.voterSets.flat(2).join(", ")}`
+    unjustified &&
+    `${unjustified.controller} confirmed quorum contact at ${seconds(unjustified.atUs)} with replies from only ${unjustified.heardFrom.join(", ")} of ${unjustified.voterSets.flat(2).join(", ")}`
   );
 };
 
-/** Once `CATCH_UP_US` have passed in calm, every controller confirms a change and serves a read. */
+/**
+ * Once `CATCH_UP_US` have passed without faults, every controller confirms a change and serves a
+ * read within `SERVE_TIMEOUT_US`.
+ */
 export const availability: Invariant = ({ history }, schedule) => {
   if (schedule.exceedsTolerance) return undefined;
-  const late = history.finalRequests.find(
+  const unserved = history.finalRequests.find(
     ({ startUs, servedAtUs }) =>
       servedAtUs === undefined || servedAtUs - startUs > SERVE_TIMEOUT_US,
   );
   return (
-    late &&
-    `${late.description}, sent in the calm at ${seconds(late.startUs)}, ${late.servedAtUs === undefined ? "was never served" : `took ${seconds(late.servedAtUs - late.startUs)}`}`
+    unserved &&
+    `${unserved.description}, sent after the last fault at ${seconds(unserved.startUs)}, ${unserved.servedAtUs === undefined ? "was never served" : `took ${seconds(unserved.servedAtUs - unserved.startUs)}`}`
   );
 };
 
 /**
- * One voter set a number; none shrinks below what the tolerance needs; the last names just the
- * machines that are there.
+ * Each voter set number identifies one set, no set shrinks below the size that the fault tolerance
+ * requires, and the last set consists of exactly the remaining machines.
  */
 export const voterSets: Invariant = ({ history, liveIds }, schedule) => {
   const { controllers, withstandMachines } = deploymentOf(schedule.deployment);
-  const known = new Map<number, VoterSet>();
+  const firstSeen = new Map<number, VoterSet>();
   for (const { controller, voterSet: seen } of history.voterSets) {
-    const before = known.get(seen.number);
+    const before = firstSeen.get(seen.number);
     if (
       before &&
       (before.members.join() !== seen.members.join() || before.from.join() !== seen.from.join())
     )
       return `voter set ${seen.number} is ${seen.members.join(", ")} at ${controller}, and ${before.members.join(", ")} elsewhere`;
-    known.set(seen.number, seen);
+    firstSeen.set(seen.number, seen);
   }
   const required = Math.min(controllers, 2 * withstandMachines + 1);
   let largest = 0;
-  for (const { number, members } of [...known.values()].sort(
+  for (const { number, members } of [...firstSeen.values()].sort(
     (one, other) => one.number - other.number,
   )) {
     if (members.length < Math.min(largest, required))
@@ -105,14 +106,14 @@
   if (schedule.exceedsTolerance) return undefined;
   const endUs = history.voterSets.at(-1)?.atUs ?? 0;
   const last = history.voterSets.filter(({ atUs }) => atUs === endUs);
-  const wanted = [...liveIds].sort().join(", ");
+  const expected = [...liveIds].sort().join(", ");
   const other = last.find(
     ({ voterSet: { members, from } }) =>
-      from.length > 0 || [...members].sort().join(", ") !== wanted,
+      from.length > 0 || [...members].sort().join(", ") !== expected,
   );
   if (other)
-    return `in the end the voter set at ${other.controller} is ${other.voterSet.members.join(", ")}, and ${wanted} are there`;
+    return `at the end the voter set at ${other.controller} is ${other.voterSet.members.join(", ")}, expected ${expected}`;
   return last.length < liveIds.length
-    ? `in the end only ${last.map(({ controller }) => controller).join(", ")} vote, of ${wanted}`
+    ? `at the end only ${last.map(({ controller }) => controller).join(", ")} vote, expected ${expected}`
     : undefined;
 };
--- a/simulator/fault-generator.ts
+++ b/simulator/fault-generator.ts
@@ -1,6 +1,6 @@
 /**
- * Draws the faults of a schedule, within what the deployment withstands unless the options say
- * otherwise.
+ * Generates the faults of a schedule, within the fault tolerance of the deployment unless the
+ * options say otherwise.
  */
 import { MILLISECOND_US, SECOND_US } from "../src/common/duration.js";
 import {
@@ -20,21 +20,21 @@
 
 const LAST_FAULT_US = 26 * SECOND_US;
 /**
- * A partition as short as this only delays messages or, where an end is killed, loses them; nobody
- * counts as lost by it.
+ * A partition that lasts this long at most only delays messages, or loses them if one end is killed
+ * meanwhile. It does not make a machine count as lost.
  */
 const SHORT_PARTITION_US = 20 * MILLISECOND_US;
 const DISK_FAULTS: readonly DiskFault[] = ["full", "refusing", "stalled", "slow"];
 const DIRECTIONS: readonly Direction[] = ["both", "from", "to"];
 const DISK_LOSING_FAULTS: readonly string[] = ["wipe", "corrupt", "replace", "planned-replace"];
 
-/** A fault of one machine. */
+/** The kinds of faults that affect a single machine. */
 type MachineFaultKind = Exclude<FaultKind, "noise" | "stop-all">;
 
 /**
- * Faults one after the other, as many at once as the deployment withstands; all processes, or all
- * power, may go in any case. Many strike while a change is in flight or just confirmed, and in the
- * noise.
+ * Generates faults in order of time, with at most as many machines lost at once as the deployment
+ * tolerates. All processes may be killed, or lose power, at the same time regardless. Many faults
+ * are timed to occur while a change is in flight or just confirmed, and during network noise.
  */
 export class FaultGenerator {
   private readonly events: Event[] = [];
@@ -42,11 +42,11 @@
   private readonly lostUntilUs: number[];
   private readonly diskLostUntilUs: number[];
   private noisyUntilUs = 0;
-  private calmUs = CATCH_UP_US;
+  private faultsEndUs = CATCH_UP_US;
   private disksLost = 0;
   /**
-   * A machine killed while it shuts down has not left gracefully, and nobody comes in its place; so
-   * all are not killed before then.
+   * Until when a planned replacement may still be shutting down. A machine that is killed during
+   * its shutdown has not left the voter set and is not replaced, so no "stop-all" occurs before.
    */
   private drainingUntilUs = 0;
 
@@ -54,7 +54,7 @@
     private readonly random: SeededRandom,
     private readonly deployment: Deployment,
     private readonly options: ScheduleOptions,
-    /** In the order of their time. */
+    /** Ordered by time. */
     private readonly changes: readonly Event[],
   ) {
     const { controllers } = deployment;
@@ -63,9 +63,9 @@
     this.diskLostUntilUs = new Array<number>(controllers).fill(0);
   }
 
-  readonly generate = (): { readonly events: readonly Event[]; readonly calmUs: number } => {
+  readonly generate = (): { readonly events: readonly Event[]; readonly faultsEndUs: number } => {
     const { random, changes } = this;
-    // Schedules differ in what happens most in them, so that rare things happen together in some.
+    // Each schedule favours one kind of fault, so that rare faults coincide in some schedules.
     const drawnKind = random.pick(FAULT_KINDS);
     const frequent = this.options.frequentFault ?? drawnKind;
     const noiseProbability = random.pick([0, 0.2, 0.8]);
@@ -81,9 +81,9 @@
       if (kind === "noise" || random.occurs(noiseProbability))
         this.addNoise(Math.max(CATCH_UP_US, atUs - random.integer(0, 500 * MILLISECOND_US)));
       if (kind === "stop-all") this.stopAll(atUs, change);
-      else if (kind !== "noise") atUs = this.strikeOne(atUs, kind);
+      else if (kind !== "noise") atUs = this.injectMachineFault(atUs, kind);
     }
-    return { events: this.events, calmUs: this.calmUs };
+    return { events: this.events, faultsEndUs: this.faultsEndUs };
   };
 
   private readonly isLost = (slot: number, atUs: number): boolean =>
@@ -93,7 +93,7 @@
     (this.diskLostUntilUs[slot] ?? 0) > atUs;
 
   private readonly markLost = (slot: number, untilUs: number, withDisk: boolean): void => {
-    this.calmUs = Math.max(this.calmUs, untilUs);
+    this.faultsEndUs = Math.max(this.faultsEndUs, untilUs);
     const backUs = Math.max(untilUs, this.noisyUntilUs) + CATCH_UP_US;
     const lostUntilUs = Math.max(backUs, this.lostUntilUs[slot] ?? 0);
     this.lostUntilUs[slot] = lostUntilUs;
@@ -106,7 +106,7 @@
     const { random, slots } = this;
     const durationUs = random.integer(200 * MILLISECOND_US, 2_500 * MILLISECOND_US);
     this.noisyUntilUs = Math.max(this.noisyUntilUs, atUs + durationUs);
-    this.calmUs = Math.max(this.calmUs, this.noisyUntilUs);
+    this.faultsEndUs = Math.max(this.faultsEndUs, this.noisyUntilUs);
     slots
       .filter((slot) => this.isLost(slot, atUs))
       .forEach((slot) => this.markLost(slot, this.noisyUntilUs, false));
@@ -125,8 +125,8 @@
     });
   };
 
-  /** Whoever is back is asked at once. */
-  private readonly readSoonAfter = (atUs: number): void => {
+  /** Adds reads shortly after machines have restarted, when stale data would show. */
+  private readonly addReadsAfter = (atUs: number): void => {
     const { random } = this;
     for (let count = 0; count < 3; count += 1)
       this.events.push({
@@ -140,19 +140,19 @@
     if (atUs < this.drainingUntilUs) return;
     const { random, slots } = this;
     const byPower = random.occurs(0.6);
-    const harmed = this.drawHarmedDisks(atUs);
-    const wiped = harmed.filter(() => random.occurs(0.5));
-    const corrupted = harmed.filter((slot) => !wiped.includes(slot));
+    const damaged = this.drawDamagedDisks(atUs);
+    const wiped = damaged.filter(() => random.occurs(0.5));
+    const corrupted = damaged.filter((slot) => !wiped.includes(slot));
     const downUs = slots.map(() => random.integer(50 * MILLISECOND_US, 1_000 * MILLISECOND_US));
     slots.forEach((slot) =>
       this.markLost(
         slot,
         atUs + (downUs[slot] ?? 0),
-        harmed.includes(slot) || this.isDiskLost(slot, atUs),
+        damaged.includes(slot) || this.isDiskLost(slot, atUs),
       ),
     );
     this.events.push({ atUs, kind: "stop-all", byPower, wiped, corrupted, downUs });
-    // At times the change that is then in flight or just confirmed has not reached everyone yet.
+    // Sometimes the change in flight or just confirmed has not reached every controller yet.
     if (change && random.occurs(0.7)) {
       const slot = random.pick(slots);
       this.events.push({
@@ -164,35 +164,37 @@
         durationUs: atUs - change.atUs + SHORT_PARTITION_US,
       });
     }
-    this.readSoonAfter(atUs + Math.min(...downUs));
+    this.addReadsAfter(atUs + Math.min(...downUs));
   };
 
-  /** The slots whose disks are harmed when all stop: no more than may still be lost. */
-  private readonly drawHarmedDisks = (atUs: number): readonly number[] => {
+  /** The slots whose disks are wiped or corrupted in a "stop-all", within the fault tolerance. */
+  private readonly drawDamagedDisks = (atUs: number): readonly number[] => {
     const { random, slots } = this;
     const { controllers, withstandMachines } = this.deployment;
-    const sound = slots.filter((slot) => !this.isLost(slot, atUs));
-    const lost = this.options.exceedsTolerance ? this.disksLost : controllers - sound.length;
+    const available = slots.filter((slot) => !this.isLost(slot, atUs));
+    const lost = this.options.exceedsTolerance ? this.disksLost : controllers - available.length;
     if (!random.occurs(0.7)) return [];
-    return sound.filter(() => random.occurs(0.5)).slice(0, Math.max(0, withstandMachines - lost));
+    return available
+      .filter(() => random.occurs(0.5))
+      .slice(0, Math.max(0, withstandMachines - lost));
   };
 
   /**
-   * Strikes one machine, or none if too many are lost already; gives the moment from which the next
-   * fault is drawn.
+   * Adds a fault of one machine, or none if no further machine may be lost. Returns the time from
+   * which the next fault is drawn.
    */
-  private readonly strikeOne = (atUs: number, kind: MachineFaultKind): number => {
+  private readonly injectMachineFault = (atUs: number, kind: MachineFaultKind): number => {
     const { random, slots } = this;
     const { controllers, withstandMachines } = this.deployment;
     const { exceedsTolerance } = this.options;
-    const sound = slots.filter((slot) => !this.isLost(slot, atUs));
-    if (!exceedsTolerance && controllers - sound.length >= withstandMachines) {
-      // The next one strikes as soon as it may.
+    const available = slots.filter((slot) => !this.isLost(slot, atUs));
+    if (!exceedsTolerance && controllers - available.length >= withstandMachines) {
+      // The next fault occurs as soon as the fault tolerance allows it.
       const descending = [...this.lostUntilUs].sort((one, other) => other - one);
       const freeUs = descending[withstandMachines - 1] ?? 0;
       return Math.max(atUs, freeUs + 1 - 10 * MILLISECOND_US);
     }
-    const slot = random.pick(exceedsTolerance ? slots : sound);
+    const slot = random.pick(exceedsTolerance ? slots : available);
     const losesDisk = DISK_LOSING_FAULTS.includes(kind);
     if (exceedsTolerance && losesDisk && this.disksLost >= withstandMachines) return atUs;
     const durationUs = random.occurs(0.4)
@@ -219,7 +221,7 @@
       case "wipe":
       case "corrupt":
         events.push({ atUs, kind, slot, downUs: durationUs });
-        this.readSoonAfter(endUs);
+        this.addReadsAfter(endUs);
         this.markLost(slot, endUs, true);
         break;
       case "freeze":
@@ -240,10 +242,10 @@
         this.markLost(slot, atUs + REPLACEMENT_DELAY_US, true);
         break;
       case "planned-replace": {
-        const goneUs = atUs + REPLACEMENT_OVERLAP_US + SHUTDOWN_TIMEOUT_US;
+        const removedUs = atUs + REPLACEMENT_OVERLAP_US + SHUTDOWN_TIMEOUT_US;
         events.push({ atUs, kind, slot });
-        this.markLost(slot, goneUs, true);
-        this.drainingUntilUs = Math.max(this.drainingUntilUs, goneUs);
+        this.markLost(slot, removedUs, true);
+        this.drainingUntilUs = Math.max(this.drainingUntilUs, removedUs);
         break;
       }
     }
--- a/simulator/fleet.ts
+++ b/simulator/fleet.ts
@@ -1,7 +1,4 @@
-/**
- * The machines of a simulated deployment: their disks, their processes, and who starts, stops and
- * replaces them.
- */
+/** The machines of a simulated deployment with their disks and processes. */
 import { SECOND_US } from "../src/common/duration.js";
 import type { History } from "./history.js";
 import type { Deployment, StopMode } from "./schedule.js";
@@ -11,18 +8,19 @@
 import { SimulatedNetwork } from "./simulated-network.js";
 import type { VirtualTime } from "./virtual-time.js";
 
-/** One machine at one address. Its disk outlives its processes. */
+/** A machine at a fixed address. Its disk persists across restarts of its process. */
 export interface Machine {
   readonly id: string;
   readonly disk: SimulatedDisk;
-  /** The latest process; it may have ended. */
+  /** The most recent process, which may have terminated. */
   controller: SimulatedController | undefined;
   downUntilUs: number;
-  /** When it was gone for good; undefined while it belongs to the deployment. */
-  goneUs: number | undefined;
+  /** When it was removed permanently; undefined while it belongs to the deployment. */
+  removedUs: number | undefined;
   isDraining: boolean;
 }
 
+/** Dependencies of {@link Fleet}. */
 export interface FleetOptions {
   readonly deployment: Deployment;
   readonly time: VirtualTime;
@@ -31,24 +29,24 @@
   readonly components: Components;
 }
 
-/** A machine that is gone stays on the operator's list for so long. */
-const LIST_LAG_US = 3 * SECOND_US;
+/** How long a removed machine stays on the operator's list. */
+const LISTED_AFTER_REMOVAL_US = 3 * SECOND_US;
 /**
- * Stands in what the simulated disks hold. So, like the bodies of changes, it is part of what a
- * seed comes to, and stays the same as long as seeds named in docs/simulator.md must run as they
- * did.
+ * Prefix of machine ids. Ids are stored on the simulated disks, so like the bodies of changes they
+ * affect the outcome of a seed: a new prefix would make the seeds that docs/simulator.md names run
+ * differently.
  */
 const ID_PREFIX = "box";
 
 /**
- * Invariant: each slot names a machine of the deployment; `machines` also holds those that were
- * replaced.
+ * Starts, stops and replaces machines. Invariant: each slot refers to a machine of the deployment;
+ * `machines` also contains those that were replaced.
  */
 export class Fleet {
   readonly machines: Machine[] = [];
   readonly slots: Machine[];
   readonly network: SimulatedNetwork;
-  private readonly firstSeeds: readonly string[];
+  private readonly initialSeeds: readonly string[];
 
   constructor(private readonly options: FleetOptions) {
     const { deployment, time, random } = options;
@@ -59,32 +57,36 @@
       this.liveControllers,
     );
     this.slots = Array.from({ length: deployment.controllers }, this.addMachine);
-    this.firstSeeds = Array.from({ length: deployment.seeds }, (_none, at) => `${ID_PREFIX}${at}`);
+    this.initialSeeds = Array.from(
+      { length: deployment.seeds },
+      (_none, at) => `${ID_PREFIX}${at}`,
+    );
   }
 
   readonly machineAt = (slot: number): Machine => {
     const machine = this.slots[slot];
-    if (!machine) throw new Error(`there is no slot ${slot}`);
+    if (!machine) throw new Error(`no machine in slot ${slot}`);
     return machine;
   };
 
-  /** Those that are not gone for good, whether or not their process runs. */
+  /** The machines that have not been removed, whether or not their process runs. */
   readonly present = (): readonly Machine[] =>
-    this.machines.filter(({ goneUs }) => goneUs === undefined);
+    this.machines.filter(({ removedUs }) => removedUs === undefined);
 
-  /** The operator's list: it names a machine for a while after it has gone. */
+  /** The operator's list, which still contains a machine for a while after its removal. */
   readonly listed = (): readonly Machine[] =>
     this.machines.filter(
-      ({ goneUs, controller }) =>
+      ({ removedUs, controller }) =>
         controller !== undefined &&
-        (goneUs === undefined || this.options.time.nowUs() - goneUs < LIST_LAG_US),
+        (removedUs === undefined ||
+          this.options.time.nowUs() - removedUs < LISTED_AFTER_REMOVAL_US),
     );
 
-  /** Starts a machine's process unless it runs or the machine has gone. */
+  /** Starts a machine's process unless it is running or the machine has been removed. */
   readonly start = (machine: Machine, isFirstRun: boolean): void => {
-    if (machine.goneUs !== undefined || machine.controller?.isAlive === true) return;
+    if (machine.removedUs !== undefined || machine.controller?.isAlive === true) return;
     const { deployment, time, random, history, components } = this.options;
-    const seeds = isFirstRun ? this.firstSeeds : this.seedsFor(machine);
+    const seeds = isFirstRun ? this.initialSeeds : this.seedsFor(machine);
     const controller = new SimulatedController({
       id: machine.id,
       seeds,
@@ -101,15 +103,15 @@
     void controller
       .start()
       .catch((error: unknown) =>
-        history.errors.push(`${machine.id} failed at its start: ${String(error)}`),
+        history.errors.push(`${machine.id} failed to start: ${String(error)}`),
       );
   };
 
-  /** Ends the process, and with the power what was not synced; it starts again after a while. */
+  /** Terminates the process, applies the mode's damage to the disk, and restarts after `downUs`. */
   readonly stop = (machine: Machine, downUs: number, mode: StopMode): void => {
     const { time } = this.options;
     machine.controller?.terminate(mode === "kill" || mode === "corrupt");
-    if (machine.isDraining) machine.goneUs ??= time.nowUs();
+    if (machine.isDraining) machine.removedUs ??= time.nowUs();
     if (mode === "power-loss") machine.disk.losePower();
     if (mode === "wipe") machine.disk.wipe();
     if (mode === "corrupt") machine.disk.corrupt();
@@ -119,13 +121,13 @@
     });
   };
 
-  /** Takes a machine out of the deployment for good. */
+  /** Removes a machine from the deployment permanently. */
   readonly remove = (machine: Machine): void => {
     machine.controller?.terminate(false);
-    machine.goneUs ??= this.options.time.nowUs();
+    machine.removedUs ??= this.options.time.nowUs();
   };
 
-  /** Puts an empty machine into a slot; it is not started. */
+  /** Assigns a new machine with an empty disk to a slot, without starting it. */
   readonly replaceAt = (slot: number): Machine => {
     const machine = this.addMachine();
     this.slots[slot] = machine;
@@ -138,7 +140,7 @@
       disk: new SimulatedDisk(this.options.time, this.options.random.fork()),
       controller: undefined,
       downUntilUs: 0,
-      goneUs: undefined,
+      removedUs: undefined,
       isDraining: false,
     };
     this.machines.push(machine);
@@ -154,17 +156,19 @@
     this.machines.flatMap(({ controller }) => (controller?.isAlive === true ? [controller] : []));
 
   /**
-   * Three of the operator's list, which may name one that has gone meanwhile; two are there when
-   * the file is written.
+   * Picks up to three seeds from the operator's list: two that are neither removed nor draining,
+   * and one that may have been removed already.
    */
   private readonly seedsFor = (machine: Machine): readonly string[] => {
     const { random } = this.options;
     const others = this.listed().filter((other) => other !== machine);
-    const sound = others.filter(({ goneUs, isDraining }) => goneUs === undefined && !isDraining);
-    const first = sound.length > 0 ? random.integer(0, sound.length - 1) : 0;
+    const staying = others.filter(
+      ({ removedUs, isDraining }) => removedUs === undefined && !isDraining,
+    );
+    const first = staying.length > 0 ? random.integer(0, staying.length - 1) : 0;
     const picked = [
-      sound[first],
-      sound[(first + 1) % Math.max(1, sound.length)],
+      staying[first],
+      staying[(first + 1) % Math.max(1, staying.length)],
       others.length > 0 ? random.pick(others) : undefined,
     ];
     return [...new Set(picked.flatMap((other) => (other ? [other.id] : [])))];
--- a/simulator/simulated-operator.ts
+++ b/simulator/simulated-operator.ts
@@ -1,6 +1,6 @@
 /**
- * Operators who send changes and reads to controllers, as `yewreel ctl` does, and try the next one
- * without a clear answer.
+ * Operators who send changes and reads to controllers, as `yewreel ctl` does. A change without a
+ * definite response is sent to the next controller.
  */
 import { MILLISECOND_US, SECOND_US } from "../src/common/duration.js";
 import { makeRegister, type Register } from "../src/consensus/register.js";
@@ -12,25 +12,27 @@
 import type { VirtualTime } from "./virtual-time.js";
 
 const ANSWER_TIMEOUT_US = 1 * SECOND_US;
-/** An operator gives a change up after so long. */
+/** How long an operator keeps trying to submit a change. */
 const CHANGE_TIMEOUT_US = 6 * SECOND_US;
 
+/** A configuration change and how it is sent. */
 export interface ChangeRequest {
   readonly id: number;
   readonly items: readonly Item[];
   /** An item that must exist for the change to be valid; empty if none. */
   readonly requires: string;
-  /** The place in the operator's list where it is sent first. */
+  /** The position on the operator's list of the controller that receives it first. */
   readonly slot: number;
   readonly answerLossProbability: number;
 }
 
+/** Dependencies of {@link SimulatedOperator}. */
 export interface OperatorOptions {
   readonly fleet: Fleet;
   readonly time: VirtualTime;
   readonly random: SeededRandom;
   readonly history: History;
-  /** Appended to each body. */
+  /** Padding appended to each body. */
   readonly padding: string;
 }
 
@@ -39,17 +41,19 @@
   readonly registers: readonly Register[];
   readonly requires: string;
   readonly slot: number;
-  readonly untilUs: number;
+  readonly deadlineUs: number;
   readonly answerLossProbability: number;
 }
 
+/** Sends the requests of a schedule and those after its last fault. */
 export class SimulatedOperator {
   private readonly requirements = new Map<number, string>();
 
   constructor(private readonly options: OperatorOptions) {}
 
   /**
-   * Sends a change until it has a clear answer or the operator gives up; true if it was confirmed.
+   * Sends a change until it gets a definite response or the time-out expires. Resolves with true if
+   * it was confirmed.
    */
   readonly submit = (
     { id, items, requires, slot, answerLossProbability }: ChangeRequest,
@@ -59,29 +63,37 @@
     this.requirements.set(id, requires);
     if (requires === MISSING_ITEM) history.neverValid.add(id);
     const registers = this.recordChange(id, items);
-    const untilUs = time.nowUs() + timeoutUs;
-    return this.deliver({ id, registers, requires, slot, untilUs, answerLossProbability });
+    const deadlineUs = time.nowUs() + timeoutUs;
+    return this.deliver({
+      id,
+      registers,
+      requires,
+      slot,
+      deadlineUs,
+      answerLossProbability,
+    });
   };
 
-  /** Sends a change of before once more, to one controller. */
+  /** Sends an earlier change once more, to one controller. */
   readonly resend = (id: number, slot: number): void => {
     const registers = this.options.history.changes.get(id);
     if (!registers) return;
     const requires = this.requirements.get(id) ?? "";
-    void this.deliver({ id, registers, requires, slot, untilUs: 0, answerLossProbability: 0 });
+    void this.deliver({ id, registers, requires, slot, deadlineUs: 0, answerLossProbability: 0 });
   };
 
   readonly readAt = (slot: number): void => {
-    const controller = this.listedAt(slot)?.controller;
-    if (controller?.isListening === true) void this.answerOf(controller, controller.read);
+    const controller = this.machineListedAt(slot)?.controller;
+    if (controller?.isListening === true) void this.callWithTimeout(controller, controller.read);
   };
 
-  /** Reads at one controller until a read is served. */
+  /** Repeats a read at one controller until it is served. */
   readonly readUntilServed = async (
     controller: SimulatedController | undefined,
     onServed: () => void,
   ): Promise<void> => {
-    if (controller && (await this.answerOf(controller, controller.read)) === true) onServed();
+    if (controller && (await this.callWithTimeout(controller, controller.read)) === true)
+      onServed();
     else
       await this.pause(200 * MILLISECOND_US).then(() => this.readUntilServed(controller, onServed));
   };
@@ -95,33 +107,33 @@
     return registers;
   };
 
-  /** To one controller after the other. */
+  /** Tries one controller after the other until there is a definite response. */
   private readonly deliver = async ({
     id,
     registers,
     requires,
     slot,
-    untilUs,
+    deadlineUs,
     answerLossProbability,
   }: Delivery): Promise<boolean> => {
     const { time, random } = this.options;
-    let at = slot;
+    let position = slot;
     do {
-      const controller = this.listedAt(at)?.controller;
+      const controller = this.machineListedAt(position)?.controller;
       const answer =
         controller?.isAlive === true && controller.isListening
-          ? await this.answerOf(controller, () =>
+          ? await this.callWithTimeout(controller, () =>
               controller.submitChange({ id, registers, requires }),
             )
           : "unclear";
       if (answer !== "unclear" && !random.occurs(answerLossProbability)) return answer === "ok";
       await this.pause(random.integer(50 * MILLISECOND_US, 500 * MILLISECOND_US));
-      at += 1;
-    } while (time.nowUs() < untilUs);
+      position += 1;
+    } while (time.nowUs() < deadlineUs);
     return false;
   };
 
-  private readonly listedAt = (at: number): Machine | undefined => {
+  private readonly machineListedAt = (at: number): Machine | undefined => {
     const listed = this.options.fleet.listed();
     return listed[at % Math.max(1, listed.length)];
   };
@@ -129,7 +141,7 @@
   private readonly pause = (waitUs: number): Promise<void> =>
     new Promise((resolve) => this.options.time.after(waitUs, resolve));
 
-  private readonly answerOf = <T>(
+  private readonly callWithTimeout = <T>(
     controller: SimulatedController,
     call: () => Promise<T>,
   ): Promise<T | "unclear"> =>
