--- a/features/steps/visibility.ts
+++ b/features/steps/visibility.ts
@@ -31,7 +31,7 @@
         request: (peer, { kind }, timeoutUs) =>
           new Promise((resolve) => questions.push({ peer, kind, timeoutUs, answer: resolve })),
       },
-      quorum: { caughtUp: async () => undefined },
+      quorum: { whenCaughtUp: async () => undefined },
     });
   },
 );
@@ -78,7 +78,7 @@
   });
   check = new VisibilityCheck({
     peers: { known: () => [], isConnected: () => true, request: async () => undefined },
-    quorum: { caughtUp: () => reading },
+    quorum: { whenCaughtUp: () => reading },
   });
 });
 When("a peer asks whether it has posted what is committed", async () => {
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 import { stat } from "node:fs/promises";
 import { Command } from "commander";
-import { MetricsServer, processFigures } from "./programs/metrics-server.js";
+import { MetricsServer, processMetrics } from "./programs/metrics-server.js";
 import type { RunningProgram } from "./programs/running-program.js";
 import { SteadyClock, type Clock } from "./common/clock.js";
 import { EventLoopDelayRecorder } from "./common/event-loop-delay.js";
@@ -12,10 +12,10 @@
 import { NodeFileSystem } from "./storage/file-system.js";
 
 const SETTINGS_VARIABLE = "YEWREEL_CONFIG";
-const LOOK_US = 2 * SECOND_US;
-const WRONG_SETTINGS = 2;
+const SETTINGS_POLL_INTERVAL_US = 2 * SECOND_US;
+const EXIT_INVALID_SETTINGS = 2;
 
-const stamp = async (path: string): Promise<number> => {
+const modificationTimeMs = async (path: string): Promise<number> => {
   try {
     return (await stat(path)).mtimeMs;
   } catch {
@@ -30,22 +30,22 @@
 const watchSettings = async (
   path: string,
   clock: Clock,
-  renew: (settings: Settings) => void,
+  applySettings: (settings: Settings) => void,
 ): Promise<void> => {
   const log = loggerFor("settings");
-  let last = await stamp(path);
-  const look = async () => {
-    const now = await stamp(path);
-    if (now === last) return;
-    last = now;
+  let lastModifiedMs = await modificationTimeMs(path);
+  const reloadIfModified = async () => {
+    const modifiedMs = await modificationTimeMs(path);
+    if (modifiedMs === lastModifiedMs) return;
+    lastModifiedMs = modifiedMs;
     const read = await readSettings(path);
     if (read.isOk) {
       setLogLevel(read.value.logLevel);
-      renew(read.value);
+      applySettings(read.value);
     } else log.warn(`The changed settings are not taken: ${read.error.sentence}.`);
   };
-  clock.every(LOOK_US, () => void look());
-  process.on("SIGHUP", () => void look());
+  clock.every(SETTINGS_POLL_INTERVAL_US, () => void reloadIfModified());
+  process.on("SIGHUP", () => void reloadIfModified());
 };
 
 type Program = (settings: Settings, clock: Clock) => Promise<RunningProgram>;
@@ -62,7 +62,7 @@
   await new MetricsServer({
     ...endpoint,
     ip: settings.ip,
-    figures: [...processFigures(delays), ...program.figures],
+    figures: [...processMetrics(delays), ...program.figures],
     log: loggerFor("metrics"),
   }).listen();
 };
@@ -73,7 +73,7 @@
   const read = await readSettings(path);
   if (read.isErr) {
     process.stderr.write(`yewreel: ${path}: ${read.error.sentence}\n`);
-    process.exit(WRONG_SETTINGS);
+    process.exit(EXIT_INVALID_SETTINGS);
   }
   setLogLevel(read.value.logLevel);
   const log = loggerFor("yewreel");
@@ -93,10 +93,10 @@
   const running = await program(read.value, clock);
   await serveMetrics(role, read.value, clock, running);
   await watchSettings(path, clock, running.applySettings);
-  let stopping = false;
+  let isStopping = false;
   const stop = () => {
-    if (stopping) return;
-    stopping = true;
+    if (isStopping) return;
+    isStopping = true;
     void running.stop().then(() => process.exit(0));
   };
   process.on("SIGTERM", stop);
--- a/src/programs/controller/admin-api.ts
+++ b/src/programs/controller/admin-api.ts
@@ -28,40 +28,43 @@
 
 /** Only what can never be in force is refused; all else has no clear answer. */
 export const fromStoreError = (error: ReplicatedStoreError): AdminApiError => {
-  const failed = (outcome: OutcomeName, message: string): AdminApiError =>
+  const withOutcome = (outcome: OutcomeName, message: string): AdminApiError =>
     new AdminApiError(outcome, message, { cause: error });
   switch (error.code) {
     case "VERSION_CONFLICT": {
       const item = `${error.key.replace("/", " ")} at version ${error.version}`;
-      return failed("versionTaken", `${item} is already agreed with another content`);
+      return withOutcome("versionTaken", `${item} is already agreed with another content`);
     }
     case "INVALID_WRITE":
-      return failed("wrong", error.message);
+      return withOutcome("wrong", error.message);
     case "NO_QUORUM":
-      return failed("noQuorum", `only ${error.responded} of ${error.needed} copies answered well`);
+      return withOutcome(
+        "noQuorum",
+        `only ${error.responded} of ${error.needed} copies answered well`,
+      );
     case "STALE_TERM":
-      return failed("noQuorum", "the term is stale");
+      return withOutcome("noQuorum", "the term is stale");
     case "STALE_VOTER_SET":
-      return failed("noQuorum", "the roster is stale");
+      return withOutcome("noQuorum", "the roster is stale");
     case "UNCLEAR_OUTCOME":
-      return failed("noQuorum", error.message);
+      return withOutcome("noQuorum", error.message);
   }
 };
 
 /** The response to a call that failed, with a sentence on why. */
-export const failure = (outcome: OutcomeName, problem: string): ApiResponse => ({
+export const failureResponse = (outcome: OutcomeName, problem: string): ApiResponse => ({
   outcome,
   body: { problem },
 });
 
 /** The response to a call that names what can't be. */
-export const wrong = (problem: string): ApiResponse => failure("wrong", problem);
+export const badRequest = (problem: string): ApiResponse => failureResponse("wrong", problem);
 
 /** The response to a call that ended in `result`. */
 export const toApiResponse = (result: Result<UnknownRecord, AdminApiError>): ApiResponse =>
   result.isOk
     ? { outcome: "taken", body: result.value }
-    : failure(result.error.outcome, result.error.message);
+    : failureResponse(result.error.outcome, result.error.message);
 
 /**
  * The body as a JSON object; empty where it is none, so that the fields it lacks are what is
--- a/src/programs/controller/backend-change.ts
+++ b/src/programs/controller/backend-change.ts
@@ -11,7 +11,7 @@
     .all()
     .filter((heartbeat) => heartbeat.service === service && heartbeat.state === "ready");
 
-const problemOfAdded = (
+const findProblemOfAdditions = (
   added: BackendChange["add"],
   services: ReadonlySet<string>,
   zones: readonly string[],
@@ -25,7 +25,7 @@
   return undefined;
 };
 
-const problemOfRetired = (
+const findProblemOfRetirements = (
   retired: readonly string[],
   registry: WorkerRegistry,
 ): string | undefined => {
@@ -39,7 +39,7 @@
 };
 
 /** The first service that would be left without any worker. */
-const emptiedService = (
+const findEmptiedService = (
   { add, retire }: BackendChange,
   registry: WorkerRegistry,
   services: ReadonlySet<string>,
@@ -54,7 +54,7 @@
   });
 
 /** What is wrong with a change, as a sentence; undefined where it could be made. */
-export const problemOf = (
+export const findProblem = (
   change: BackendChange,
   registry: WorkerRegistry,
   zones: () => readonly string[],
@@ -63,9 +63,9 @@
   if (change.add.length + change.retire.length === 0)
     return "name a backend to add or a worker to retire";
   const problem =
-    (change.add.length > 0 ? problemOfAdded(change.add, services, zones()) : undefined) ??
-    problemOfRetired(change.retire, registry);
+    (change.add.length > 0 ? findProblemOfAdditions(change.add, services, zones()) : undefined) ??
+    findProblemOfRetirements(change.retire, registry);
   if (problem !== undefined) return problem;
-  const emptied = emptiedService(change, registry, services);
+  const emptied = findEmptiedService(change, registry, services);
   return emptied === undefined ? undefined : `all workers of ${emptied} would be gone`;
 };
--- a/src/programs/controller/backend-forecast.ts
+++ b/src/programs/controller/backend-forecast.ts
@@ -18,14 +18,18 @@
 import { MILLISECOND_US } from "../../common/duration.js";
 import { readBackendChange } from "../gateway/node-queries.js";
 import type { ApiRequest, ApiResponse, ApiRoute } from "../http-api.js";
-import { readBody, wrong } from "./admin-api.js";
-import { problemOf, readyWorkers } from "./backend-change.js";
+import { readBody, badRequest } from "./admin-api.js";
+import { findProblem, readyWorkers } from "./backend-change.js";
 import { NODE_QUERY } from "./node-messages.js";
 import type { NodeQueries } from "./node-queries.js";
-import { fleetRow, loadedWorkers, unevennessAmong } from "./reassignment-summary.js";
+import {
+  aggregateRows,
+  findHighlyUtilizedWorkers,
+  requestRateVariation,
+} from "./reassignment-summary.js";
 
 /** How many of the nodes that did not answer a warning names. */
-const MAX_NAMED = 5;
+const MAX_NODES_IN_WARNING = 5;
 
 /** What forecasts are made from. */
 export interface BackendForecastOptions {
@@ -50,7 +54,7 @@
     readList(answer ?? {}, "subsets", (value): UnknownRecord => ({ node, ...asRecord(value) })),
   );
 
-const unheardNodes = (answers: readonly NodeAnswer[]): readonly string[] =>
+const nodesWithoutAnswer = (answers: readonly NodeAnswer[]): readonly string[] =>
   answers.filter(({ answer }) => answer === undefined).map(({ node }) => node);
 
 /** The rows of each service, kind and route. */
@@ -67,21 +71,21 @@
   Object.fromEntries(Object.entries(row).filter(([field]) => field !== "draws"));
 
 /** Why a forecast may say less than it seems to. */
-const warningsOf = (
+const collectWarnings = (
   answers: readonly NodeAnswer[],
   rows: readonly UnknownRecord[],
   services: readonly string[],
   haveWorkersChanged: boolean,
 ): readonly string[] => {
-  const unheard = unheardNodes(answers);
-  const named = unheard.slice(0, MAX_NAMED).join(", ");
-  const few = rows.filter((row) => readNumber(row, "calls") < MIN_REQUESTS).length;
+  const silentNodes = nodesWithoutAnswer(answers);
+  const named = silentNodes.slice(0, MAX_NODES_IN_WARNING).join(", ");
+  const smallSamples = rows.filter((row) => readNumber(row, "calls") < MIN_REQUESTS).length;
   return [
-    ...(unheard.length > 0
-      ? [`${unheard.length} of ${answers.length} nodes were not heard: ${named}`]
+    ...(silentNodes.length > 0
+      ? [`${silentNodes.length} of ${answers.length} nodes were not heard: ${named}`]
       : []),
-    ...(few > 0
-      ? [`${few} rows of nodes stand on fewer than ${MIN_REQUESTS} calls and say little`]
+    ...(smallSamples > 0
+      ? [`${smallSamples} rows of nodes stand on fewer than ${MIN_REQUESTS} calls and say little`]
       : []),
     ...services
       .filter((service) => !rows.some((row) => row["service"] === service))
@@ -95,18 +99,18 @@
   constructor(private readonly options: BackendForecastOptions) {}
 
   /** What would move if the backends changed as the order says. */
-  readonly forecast = async (order: UnknownRecord): Promise<ApiResponse> => {
+  readonly forecast = async (body: UnknownRecord): Promise<ApiResponse> => {
     const { registry, zones, queries } = this.options;
     let change: BackendChange;
     try {
-      change = readBackendChange({ kind: NODE_QUERY.reassignments, ...order });
+      change = readBackendChange({ kind: NODE_QUERY.reassignments, ...body });
     } catch (error) {
-      return wrong(error instanceof Error ? error.message : "unreadable");
+      return badRequest(error instanceof Error ? error.message : "unreadable");
     }
-    const problem = problemOf(change, registry, zones);
-    if (problem !== undefined) return wrong(problem);
+    const problem = findProblem(change, registry, zones);
+    if (problem !== undefined) return badRequest(problem);
     const { add, retire, byRoute } = change;
-    const services = this.servicesOf(change);
+    const services = this.affectedServices(change);
     const before = this.readyIds(services);
     const answers = await queries.askAll({
       kind: NODE_QUERY.reassignments,
@@ -116,7 +120,7 @@
       byRoute,
     });
     const rows = nodeRows(answers);
-    const warnings = warningsOf(answers, rows, services, this.readyIds(services) !== before);
+    const warnings = collectWarnings(answers, rows, services, this.readyIds(services) !== before);
     const moves = {
       change: { add, retire, byRoute },
       windowMs: REQUEST_WINDOW_US / MILLISECOND_US,
@@ -124,20 +128,20 @@
       fleet: this.fleetRows(rows, answers),
       nodes: rows.map(withoutDraws),
       subsets: nodeSubsets(answers),
-      loaded: loadedWorkers(answers, registry),
-      unheard: unheardNodes(answers),
+      loaded: findHighlyUtilizedWorkers(answers, registry),
+      unheard: nodesWithoutAnswer(answers),
       warnings,
     };
     return { outcome: "taken", body: { moves } };
   };
 
   /** How many requests each worker of these services has lately got, by node. */
-  readonly seen = async (order: UnknownRecord): Promise<ApiResponse> => {
+  readonly countRecentRequests = async (body: UnknownRecord): Promise<ApiResponse> => {
     let services: readonly string[];
     try {
-      services = readList(order, "services", asString);
+      services = readList(body, "services", asString);
     } catch {
-      return wrong("services must be a list of texts");
+      return badRequest("services must be a list of texts");
     }
     const answers = await this.options.queries.askAll({ kind: NODE_QUERY.requestsSeen, services });
     const seen = answers.map(({ node, zone, answer }) => ({
@@ -149,7 +153,7 @@
     return { outcome: "taken", body: { seen } };
   };
 
-  private readonly servicesOf = ({ add, retire }: BackendChange): readonly string[] => [
+  private readonly affectedServices = ({ add, retire }: BackendChange): readonly string[] => [
     ...new Set([
       ...add.map(({ service }) => service),
       ...retire.flatMap((id) => this.options.registry.get(id)?.service ?? []),
@@ -168,11 +172,11 @@
   ): readonly UnknownRecord[] =>
     groupRows(rows).map((group) => {
       const workers = readyWorkers(this.options.registry, String(group[0]?.["service"]));
-      const unevenness = unevennessAmong(
+      const loadVariation = requestRateVariation(
         workers.map(({ id }) => id),
         answers,
       );
-      return fleetRow(group, unevenness);
+      return aggregateRows(group, loadVariation);
     });
 }
 
@@ -182,13 +186,13 @@
 export const backendForecastRoutes = (options: BackendForecastOptions): readonly ApiRoute[] => {
   const forecast = new BackendForecast(options);
   const withMajority =
-    (handle: (order: UnknownRecord) => Promise<ApiResponse>) =>
+    (handle: (body: UnknownRecord) => Promise<ApiResponse>) =>
     async (request: ApiRequest): Promise<ApiResponse> => {
-      const order = readBody(request);
-      return (await options.store.confirmQuorum()) ? handle(order) : { outcome: "noMajority" };
+      const body = readBody(request);
+      return (await options.store.confirmQuorum()) ? handle(body) : { outcome: "noMajority" };
     };
   return [
     { method: "POST", path: "/backends/forecast", handle: withMajority(forecast.forecast) },
-    { method: "POST", path: "/backends/seen", handle: withMajority(forecast.seen) },
+    { method: "POST", path: "/backends/seen", handle: withMajority(forecast.countRecentRequests) },
   ];
 };
--- a/src/programs/controller/canaries.ts
+++ b/src/programs/controller/canaries.ts
@@ -11,7 +11,7 @@
 import { loggerFor } from "../../common/logger.js";
 import type { Settings } from "../../common/settings.js";
 import type { ApiRequest, ApiResponse, ApiRoute } from "../http-api.js";
-import { pathArgument, readBody, wrong } from "./admin-api.js";
+import { pathArgument, readBody, badRequest } from "./admin-api.js";
 import type { Consensus } from "./consensus.js";
 import type { MessageHandlers } from "./message-dispatcher.js";
 import {
@@ -51,7 +51,7 @@
 }
 
 /** Follows the routes as they are committed. */
-const followRoutes = (store: ReplicatedStore): SplitRoutes => {
+const trackSplitRoutes = (store: ReplicatedStore): SplitRoutes => {
   const splitRoutes = new SplitRoutes();
   store.events.on("committed", (committed) =>
     committed
@@ -87,22 +87,22 @@
 /** Opens the canary analysis; its caller starts and stops the analyzer. */
 export const openCanaries = (options: CanariesOptions): Canaries => {
   const { store, lease, askHolder } = options;
-  const splitRoutes = followRoutes(store);
+  const splitRoutes = trackSplitRoutes(store);
   const analyzer = createAnalyzer(options, splitRoutes);
 
-  const clearAsHolder = async ({ route, version }: CanaryClearance): Promise<OutcomeName> => {
+  const clearAsLeader = async ({ route, version }: CanaryClearance): Promise<OutcomeName> => {
     if (!(await lease.confirm())) return "noQuorum";
     const error = await analyzer.clearStop(route, version);
     return error === undefined ? "taken" : CLEAR_OUTCOMES[error.code];
   };
-  const clear = async (order: CanaryClearance): Promise<OutcomeName> =>
+  const clear = async (command: CanaryClearance): Promise<OutcomeName> =>
     lease.isHolder()
-      ? clearAsHolder(order)
-      : readOutcome(await askHolder(packCanaryClearance(order), WRITE_TIMEOUT_US));
+      ? clearAsLeader(command)
+      : readOutcome(await askHolder(packCanaryClearance(command), WRITE_TIMEOUT_US));
   const clearRoute = async (request: ApiRequest): Promise<ApiResponse> => {
     const { version } = readBody(request);
     if (version !== undefined && typeof version !== "number")
-      return wrong("version must be a number");
+      return badRequest("version must be a number");
     return { outcome: await clear({ route: pathArgument(request), version }) };
   };
 
@@ -111,7 +111,7 @@
     splitRoutes,
     peerHandlers: {
       [PEER_REQUEST.clearCanary]: async (message) =>
-        packOutcome(await clearAsHolder(readCanaryClearance(message))),
+        packOutcome(await clearAsLeader(readCanaryClearance(message))),
     },
     routes: [{ method: "POST", path: "/rollouts/*/clear", handle: clearRoute }],
   };
--- a/src/programs/controller/config.ts
+++ b/src/programs/controller/config.ts
@@ -81,7 +81,7 @@
   });
 };
 
-const propose = async (
+const proposeChange = async (
   store: ReplicatedStore,
   change: readonly Register[],
 ): Promise<Result<UnknownRecord, AdminApiError>> => {
@@ -101,7 +101,7 @@
   log.info("configuration change received", { bytes: request.body.length });
   const change = await parseChangeInTurns(request.body);
   if (change.isErr) return toApiResponse(err(fromConfigError(change.error)));
-  const result = await propose(store, change.value);
+  const result = await proposeChange(store, change.value);
   if (result.isOk) await visibility.waitForPeers();
   log.info("configuration change ended", { items: change.value.length, committed: result.isOk });
   return toApiResponse(result);
--- a/src/programs/controller/content.ts
+++ b/src/programs/controller/content.ts
@@ -71,7 +71,7 @@
 
   readonly lease = async (message: Message): Promise<Message> => {
     const { lease, askHolder } = this.options;
-    if (lease.isHolder()) return this.leaseAsHolder(message);
+    if (lease.isHolder()) return this.leaseAsLeader(message);
     return (await askHolder(message, WRITE_TIMEOUT_US)) ?? { kind: PEER_REPLY.rateLease };
   };
 
@@ -79,7 +79,7 @@
    * Only by a holder that a majority has just heard of: one that was cut off or frozen may have a
    * successor.
    */
-  readonly leaseAsHolder = async (message: Message): Promise<Message> => {
+  readonly leaseAsLeader = async (message: Message): Promise<Message> => {
     if (!(await this.options.lease.confirm())) return { kind: PEER_REPLY.rateLease };
     const share = this.allocator.allocate(
       readString(message, "life"),
@@ -92,7 +92,7 @@
   /**
    * Forgets what was leased while this controller held the leader lease, where it no longer does.
    */
-  readonly check = (): void => {
+  readonly resetIfNotLeader = (): void => {
     if (!this.options.lease.isHolder()) this.allocator.reset();
   };
 }
@@ -135,10 +135,10 @@
   },
   [NODE_REQUEST.completeKey]: async (message) => {
     const answer = readStoredResponse(message["answer"]);
-    const kept =
+    const isStored =
       answer !== undefined &&
       (await keys.complete(readString(message, "key"), readString(message, "token"), answer));
-    return { kind: NODE_REPLY.claim, kept };
+    return { kind: NODE_REPLY.claim, kept: isStored };
   },
 });
 
@@ -146,7 +146,7 @@
  * Reads the purges of a quorum, one reading at a time, and tells the nodes as of when they know
  * them all.
  */
-const purgeReader = (
+const createPurgeReader = (
   keys: IdempotencyKeyReplication,
   { clock, publisher }: ContentOptions,
 ): (() => Promise<void>) => {
@@ -154,9 +154,9 @@
   return async () => {
     if (isReading) return;
     isReading = true;
-    const beganUs = clock.nowUs();
+    const startedUs = clock.nowUs();
     if ((await keys.readPurges()) && keys.isVoting)
-      publisher.sendFreshness(clock.nowUs() - beganUs);
+      publisher.sendFreshness(clock.nowUs() - startedUs);
     isReading = false;
   };
 };
@@ -167,7 +167,7 @@
   const table = openKeyTable(options);
   const keys = openKeys(options, table);
   const rates = new RateLeases(options);
-  const readPurges = purgeReader(keys, options);
+  const readPurges = createPurgeReader(keys, options);
   /** The newest status that each cache has reported, by node. */
   const cacheStatus = new Map<string, UnknownRecord>();
   sessions.events.on("report", (report) => {
@@ -177,7 +177,7 @@
       cacheStatus.set(readString(report, "node"), { ...report });
   });
   const catchUpTimer = clock.every(CATCH_UP_PERIOD_US, () => {
-    rates.check();
+    rates.resetIfNotLeader();
     void keys.catchUp();
     void readPurges();
   });
@@ -192,7 +192,7 @@
   });
   return {
     nodeHandlers: { ...keyHandlers(keys), [NODE_REQUEST.leaseRate]: rates.lease },
-    peerHandlers: { [PEER_REQUEST.leaseRate]: rates.leaseAsHolder },
+    peerHandlers: { [PEER_REQUEST.leaseRate]: rates.leaseAsLeader },
     peerFallback: keys.handleRequest,
     queries: { keys: describeKeys, goods: () => [...cacheStatus.values()] },
     purge: keys.purge,
--- a/src/programs/controller/control-loop.ts
+++ b/src/programs/controller/control-loop.ts
@@ -26,7 +26,7 @@
   readonly registry: WorkerRegistry;
   readonly publisher: UpdatePublisher;
   /** Looks after the leases of retries. */
-  readonly checkRetryLeases: () => void;
+  readonly refreshRetryLeases: () => void;
 }
 
 /**
@@ -43,20 +43,20 @@
       quorum.freshness.recordCutOff();
       sessions.closeAll();
     } else registry.sweep();
-    options.checkRetryLeases();
+    options.refreshRetryLeases();
     if (!wasComplete && registry.isComplete()) publisher.sendSnapshot();
     wasComplete = registry.isComplete();
-    void quorum.sweep();
+    void quorum.refresh();
   };
-  const untilFirstRead = clock.every(FIRST_READ_PERIOD_US, () => {
-    if (quorum.freshness.hasRead) untilFirstRead.stop();
-    else void quorum.sweep();
+  const firstReadTimer = clock.every(FIRST_READ_PERIOD_US, () => {
+    if (quorum.freshness.hasRead) firstReadTimer.stop();
+    else void quorum.refresh();
   });
-  const loop = clock.every(PERIOD_US, runOnce);
+  const periodicTimer = clock.every(PERIOD_US, runOnce);
   return {
     close: () => {
-      loop.stop();
-      untilFirstRead.stop();
+      periodicTimer.stop();
+      firstReadTimer.stop();
     },
   };
 };
--- a/src/programs/controller/controller.ts
+++ b/src/programs/controller/controller.ts
@@ -21,7 +21,7 @@
 import { configRoutes, publishCommitted } from "./config.js";
 import { openConsensus } from "./consensus.js";
 import { startControlLoop } from "./control-loop.js";
-import { controllerFigures } from "./figures.js";
+import { controllerMetrics } from "./figures.js";
 import { queryRoutes, ReplicaStatus, type QueryHandlers } from "./fleet-queries.js";
 import { openHealth } from "./health.js";
 import { MessageDispatcher } from "./message-dispatcher.js";
@@ -66,7 +66,7 @@
   const nodes = openNodeSessions({
     ...shared,
     mayServeNodes: quorum.mayServeNodes,
-    emptiedZone: published.emptiedZone,
+    drainedZone: published.drainedZone,
   });
   const { sessions, queries } = nodes;
   const content =
@@ -127,19 +127,19 @@
 const adminRoutes = (subsystems: Subsystems): readonly ApiRoute[] => {
   const { store, registry, workers, nodes, content, health, retries, replicaStatus, visibility } =
     subsystems;
-  const ofFleet: QueryHandlers = {
+  const fleetQueries: QueryHandlers = {
     nodes: () => nodes.sessions.nodes().map(packNode),
     workers: () => registry.all().map(packHeartbeat),
-    duty: replicaStatus.ofLeaderLease,
+    duty: replicaStatus.describeLeaderLease,
     ...health.queries,
-    retries: retries.show,
+    retries: retries.describeUsage,
     ...content?.queries,
   };
   return [
     ...configRoutes(store, visibility),
     ...workers.routes,
     ...purgeRoutes(content?.purge, workers.confirmQuorum),
-    ...queryRoutes(store, ofFleet, { copy: replicaStatus.ofThisReplica }),
+    ...queryRoutes(store, fleetQueries, { copy: replicaStatus.describeReplica }),
     ...health.routes,
     ...retries.routes,
     ...backendForecastRoutes({ ...subsystems, queries: nodes.queries }),
@@ -174,14 +174,14 @@
   const controlLoop = startControlLoop({
     ...subsystems,
     sessions: nodes.sessions,
-    checkRetryLeases: retries.check,
+    refreshRetryLeases: retries.refreshAllocator,
   });
   lease.start();
   health.start();
   log.info("controller started", { address: settings.control });
 
   return {
-    figures: controllerFigures({
+    figures: controllerMetrics({
       ...subsystems,
       sessions: nodes.sessions,
       freshness: subsystems.quorum.freshness,
--- a/src/programs/controller/figures.ts
+++ b/src/programs/controller/figures.ts
@@ -9,7 +9,7 @@
 import type { QuorumFreshness } from "./quorum-freshness.js";
 
 /** What the figures of a controller are read from. */
-export interface ControllerFiguresOptions {
+export interface ControllerMetricsOptions {
   readonly store: ReplicatedStore;
   readonly updates: UpdateStore;
   readonly publisher: UpdatePublisher;
@@ -19,14 +19,14 @@
 }
 
 /** The figures of a controller. */
-export const controllerFigures = ({
+export const controllerMetrics = ({
   store,
   updates,
   publisher,
   sessions,
   peers,
   freshness,
-}: ControllerFiguresOptions): readonly Figure[] => [
+}: ControllerMetricsOptions): readonly Figure[] => [
   {
     name: "yewreel_voting",
     help: "1 while this replica takes part in quorums.",
--- a/src/programs/controller/fleet-queries.ts
+++ b/src/programs/controller/fleet-queries.ts
@@ -36,7 +36,7 @@
 
   constructor(private readonly options: ReplicaStatusOptions) {
     this.peerHandlers = {
-      [PEER_REQUEST.describeReplica]: () => ({ kind: PEER_REPLY.done, ...this.ofThisReplica() }),
+      [PEER_REQUEST.describeReplica]: () => ({ kind: PEER_REPLY.done, ...this.describeReplica() }),
     };
   }
 
@@ -44,7 +44,7 @@
    * What this replica knows by itself, also while it is cut off; nothing of it speaks for the
    * fleet.
    */
-  readonly ofThisReplica = (): UnknownRecord => {
+  readonly describeReplica = (): UnknownRecord => {
     const { self, store, lease, freshness } = this.options;
     const { number, members, from } = store.voterSet();
     const term = store.term();
@@ -68,10 +68,10 @@
    * The holder and term of the leader lease, the voter set, and every controller with why it
    * doesn't vote.
    */
-  readonly ofLeaderLease = async (): Promise<UnknownRecord> => {
+  readonly describeLeaderLease = async (): Promise<UnknownRecord> => {
     const { self, store, lease, peers } = this.options;
     const controllers = [...new Set([self, ...store.members(), ...peers.known()])].sort();
-    const rows = await Promise.all(controllers.map(this.rowOf));
+    const rows = await Promise.all(controllers.map(this.describeController));
     const { number, members, from } = store.voterSet();
     return {
       holder: lease.holder(),
@@ -83,11 +83,11 @@
   };
 
   /** One controller as it describes itself; one that doesn't answer is named as unseen. */
-  private readonly rowOf = async (controller: string): Promise<UnknownRecord> => {
+  private readonly describeController = async (controller: string): Promise<UnknownRecord> => {
     const { self, store, peers } = this.options;
     const status =
       controller === self
-        ? this.ofThisReplica()
+        ? this.describeReplica()
         : await peers.request(controller, { kind: PEER_REQUEST.describeReplica }, WRITE_TIMEOUT_US);
     const isMember = store.members().includes(controller);
     if (!status)
@@ -114,17 +114,17 @@
 /**
  * The route that answers queries by name.
  *
- * @param ofFleet - answered only once a majority was heard after the call came
+ * @param fleetQueries - answered only once a majority was heard after the call came
  * @param ofThisReplica - answered at any time
  */
 export const queryRoutes = (
   store: ReplicatedStore,
-  ofFleet: QueryHandlers,
+  fleetQueries: QueryHandlers,
   ofThisReplica: QueryHandlers,
 ): readonly ApiRoute[] => {
   const answer = async (request: ApiRequest): Promise<ApiResponse> => {
     const name = pathArgument(request);
-    const query = ofThisReplica[name] ?? ofFleet[name];
+    const query = ofThisReplica[name] ?? fleetQueries[name];
     if (!query) return { outcome: "unknownCall" };
     if (ofThisReplica[name] === undefined && !(await store.confirmQuorum()))
       return { outcome: "noMajority" };
--- a/src/programs/controller/health.ts
+++ b/src/programs/controller/health.ts
@@ -78,23 +78,23 @@
  * What only the lease holder knows is asked of the holder; where it isn't reached, this
  * controller's own view is given.
  */
-const holderQueries = (
+const leaderQueries = (
   { lease, askHolder }: HealthOptions,
   explanations: Explanations,
 ): Pick<Health, "peerHandlers" | "queries"> => {
-  const explainAsHolder = async (topic: string): Promise<unknown> =>
+  const explainAsLeader = async (topic: string): Promise<unknown> =>
     (await lease.confirm()) ? explanations[topic]?.() : undefined;
-  const askHolderToExplain = async (topic: string): Promise<unknown> => {
+  const askLeaderToExplain = async (topic: string): Promise<unknown> => {
     const question: Message = { kind: PEER_REQUEST.explain, what: topic };
     return (await askHolder(question, WRITE_TIMEOUT_US))?.["told"];
   };
   const explain = async (topic: string): Promise<unknown> =>
-    (await explainAsHolder(topic)) ?? (await askHolderToExplain(topic)) ?? explanations[topic]?.();
+    (await explainAsLeader(topic)) ?? (await askLeaderToExplain(topic)) ?? explanations[topic]?.();
   return {
     peerHandlers: {
       [PEER_REQUEST.explain]: async (message) => ({
         kind: PEER_REPLY.done,
-        told: await explainAsHolder(readString(message, "what")),
+        told: await explainAsLeader(readString(message, "what")),
       }),
     },
     queries: Object.fromEntries(
@@ -122,7 +122,7 @@
       [NODE_REPORT.load, forecaster],
     ]),
   );
-  const { peerHandlers: explainHandlers, queries } = holderQueries(options, {
+  const { peerHandlers: explainHandlers, queries } = leaderQueries(options, {
     inspection: detector.explain,
     rollouts: analyzer.explain,
     forecast: forecaster.explain,
--- a/src/programs/controller/heartbeat-replicator.ts
+++ b/src/programs/controller/heartbeat-replicator.ts
@@ -57,7 +57,7 @@
       .known()
       .filter((id) => !store.members().includes(id))
       .forEach((id) => void peers.request(id, message, WRITE_TIMEOUT_US));
-    const [held, isConfirmed] = await Promise.all([
+    const [stored, isConfirmed] = await Promise.all([
       store.callQuorum(
         message,
         (reply) => reply.kind === MessageKind.heartbeatsTaken,
@@ -66,7 +66,7 @@
       ),
       store.confirmQuorum(),
     ]);
-    return held.isOk && isConfirmed;
+    return stored.isOk && isConfirmed;
   };
 
   private readonly sendPending = (): void => {
--- a/src/programs/controller/maintenance-windows.ts
+++ b/src/programs/controller/maintenance-windows.ts
@@ -20,7 +20,7 @@
 import { loggerFor } from "../../common/logger.js";
 import type { Settings } from "../../common/settings.js";
 import { readApiResponse, type ApiRequest, type ApiResponse, type ApiRoute } from "../http-api.js";
-import { failure, pathArgument, readBody, wrong } from "./admin-api.js";
+import { failureResponse, pathArgument, readBody, badRequest } from "./admin-api.js";
 import type { Consensus } from "./consensus.js";
 import type { MessageHandlers } from "./message-dispatcher.js";
 import {
@@ -33,7 +33,7 @@
 import { PUBLISHED_REGISTER, type PublishedState } from "./published-state.js";
 
 /** What is learned so soon after a start may have been so for any time. */
-const STARTUP_US = 10 * SECOND_US;
+const STARTUP_PERIOD_US = 10 * SECOND_US;
 /** A command is written like any other, after a quorum check by the holder. */
 const COMMAND_TIMEOUT_US = 2 * WRITE_TIMEOUT_US;
 
@@ -49,7 +49,7 @@
 };
 
 const toFailure = (error: WindowError): ApiResponse =>
-  failure(WINDOW_OUTCOMES[error.code], error.message);
+  failureResponse(WINDOW_OUTCOMES[error.code], error.message);
 
 /** What maintenance windows work on. */
 export interface MaintenanceWindowsOptions {
@@ -89,7 +89,7 @@
     if (committed.some(({ key }) => key === PUBLISHED_REGISTER.windows)) learnedUs = clock.nowUs();
   });
   return () =>
-    learnedUs === undefined || learnedUs - startedUs < STARTUP_US
+    learnedUs === undefined || learnedUs - startedUs < STARTUP_PERIOD_US
       ? undefined
       : clock.nowUs() - learnedUs;
 };
@@ -133,23 +133,23 @@
 };
 
 /** A span such as `90s` in microseconds; NaN where it is none. */
-const readSpan = (value: unknown): number => parseDuration(value).unwrapOr(Number.NaN);
+const readDurationUs = (value: unknown): number => parseDuration(value).unwrapOr(Number.NaN);
 
 const windowRoutes = (
   change: (command: WindowCommand) => Promise<ApiResponse>,
 ): readonly ApiRoute[] => {
   const add = async (request: ApiRequest): Promise<ApiResponse> => {
     const { cell: zone, opens, lasts } = readBody(request);
-    const [opensInUs, durationUs] = [readSpan(opens), readSpan(lasts)];
+    const [opensInUs, durationUs] = [readDurationUs(opens), readDurationUs(lasts)];
     if (typeof zone !== "string" || Number.isNaN(opensInUs) || Number.isNaN(durationUs))
-      return wrong("cell must be text, opens and lasts spans such as 90s");
+      return badRequest("cell must be text, opens and lasts spans such as 90s");
     return change({ action: "add", zone, opensInUs, durationUs });
   };
   const cancel = (request: ApiRequest): Promise<ApiResponse> =>
     change({ action: "cancel", id: pathArgument(request) });
   const extend = async (request: ApiRequest): Promise<ApiResponse> => {
-    const byUs = readSpan(readBody(request)["by"]);
-    if (Number.isNaN(byUs)) return wrong("by must be a span such as 90s");
+    const byUs = readDurationUs(readBody(request)["by"]);
+    if (Number.isNaN(byUs)) return badRequest("by must be a span such as 90s");
     return change({ action: "extend", id: pathArgument(request), byUs });
   };
   return [
@@ -173,7 +173,7 @@
       ? { outcome: "taken", body: { id, warnings: added.value } }
       : toFailure(added.error);
   };
-  const changeAsHolder = async (command: WindowCommand): Promise<ApiResponse> => {
+  const changeAsLeader = async (command: WindowCommand): Promise<ApiResponse> => {
     if (!(await lease.confirm())) return toFailure(new WindowNotStoredError());
     if (command.action === "add") return add(command.zone, command.opensInUs, command.durationUs);
     const error = await (command.action === "cancel"
@@ -182,7 +182,7 @@
     return error === undefined ? { outcome: "taken" } : toFailure(error);
   };
   const change = async (command: WindowCommand): Promise<ApiResponse> => {
-    if (lease.isHolder()) return changeAsHolder(command);
+    if (lease.isHolder()) return changeAsLeader(command);
     const reply = await askHolder(packWindowCommand(command), COMMAND_TIMEOUT_US);
     return readApiResponse(reply) ?? toFailure(new WindowNotStoredError());
   };
@@ -191,7 +191,7 @@
     windows,
     peerHandlers: {
       [PEER_REQUEST.changeWindow]: async (message) =>
-        packApiResponse(await changeAsHolder(readWindowCommand(message))),
+        packApiResponse(await changeAsLeader(readWindowCommand(message))),
     },
     routes: windowRoutes(change),
   };
--- a/src/programs/controller/node-queries.ts
+++ b/src/programs/controller/node-queries.ts
@@ -28,13 +28,15 @@
     const { sessions, peers } = this;
     const known = sessions.nodes();
     const request: Message = { kind: MessageKind.queryNodes, question };
-    const asked = peers.known().map((id) => peers.request(id, request, PEER_TIMEOUT_US));
-    const own = await sessions.queryAll(question, NODE_TIMEOUT_US);
-    const replies = await Promise.all(asked);
-    const others = replies.flatMap((reply) =>
+    const peerReplies = peers.known().map((id) => peers.request(id, request, PEER_TIMEOUT_US));
+    const localAnswers = await sessions.queryAll(question, NODE_TIMEOUT_US);
+    const replies = await Promise.all(peerReplies);
+    const peerAnswers = replies.flatMap((reply) =>
       reply ? readList(reply, "answers", readNodeAnswer) : [],
     );
-    const byNode = new Map([...own, ...others].map((answer) => [answer.node, answer]));
+    const byNode = new Map(
+      [...localAnswers, ...peerAnswers].map((answer) => [answer.node, answer]),
+    );
     return known.map(
       ({ name, zone }) => byNode.get(name) ?? { node: name, zone, answer: undefined },
     );
--- a/src/programs/controller/node-sessions.ts
+++ b/src/programs/controller/node-sessions.ts
@@ -34,7 +34,7 @@
    */
   readonly mayServeNodes: () => Promise<boolean>;
   /** The zone that a maintenance window has emptied; "" where none is. */
-  readonly emptiedZone: () => string;
+  readonly drainedZone: () => string;
 }
 
 /** The open sessions of nodes. */
@@ -60,7 +60,7 @@
     controllers: peers.connectedControllers,
     zone: settings.zone,
     linkMbps: settings.linkMbps,
-    drainedZone: options.emptiedZone,
+    drainedZone: options.drainedZone,
     answer: async (message, node): Promise<Message> =>
       (await requests.dispatch(message, node)) ?? { kind: MessageKind.unknown },
   });
--- a/src/programs/controller/outlier-detection.ts
+++ b/src/programs/controller/outlier-detection.ts
@@ -8,11 +8,11 @@
 import type { Clock } from "../../common/clock.js";
 import { loggerFor } from "../../common/logger.js";
 import type { ApiRequest, ApiResponse, ApiRoute } from "../http-api.js";
-import { readBody, wrong } from "./admin-api.js";
+import { readBody, badRequest } from "./admin-api.js";
 import type { Consensus } from "./consensus.js";
 import type { MessageHandlers } from "./message-dispatcher.js";
 import {
-  isYes,
+  isPositiveReply,
   packDecision,
   packZoneShift,
   PEER_REQUEST,
@@ -22,8 +22,8 @@
 import { PUBLISHED_REGISTER, type PublishedState } from "./published-state.js";
 
 /** The reason that stands for a practice; every other one is an operator's shift. */
-const PRACTICE = "practice";
-const BY_HAND = "by hand";
+const REASON_PRACTICE = "practice";
+const REASON_MANUAL = "by hand";
 
 /** What the outlier detection works on. */
 export interface OutlierDetectionOptions {
@@ -70,19 +70,21 @@
   const { lease, askHolder } = options;
   const detector = createDetector(options);
 
-  const shiftAsHolder = async ({ zone, why }: ZoneShift): Promise<boolean> => {
+  const shiftAsLeader = async ({ zone, why }: ZoneShift): Promise<boolean> => {
     if (!(await lease.confirm())) return false;
     const { zonalShift } = detector;
-    return why === PRACTICE ? zonalShift.startPractice(zone) : zonalShift.shiftManually(zone);
+    return why === REASON_PRACTICE
+      ? zonalShift.startPractice(zone)
+      : zonalShift.shiftManually(zone);
   };
-  const shift = async (order: ZoneShift): Promise<boolean> =>
+  const shift = async (command: ZoneShift): Promise<boolean> =>
     lease.isHolder()
-      ? shiftAsHolder(order)
-      : isYes(await askHolder(packZoneShift(order), WRITE_TIMEOUT_US));
+      ? shiftAsLeader(command)
+      : isPositiveReply(await askHolder(packZoneShift(command), WRITE_TIMEOUT_US));
   const shiftRoute = async (request: ApiRequest): Promise<ApiResponse> => {
     const { cell: zone, why } = readBody(request);
-    if (typeof zone !== "string") return wrong("cell must be text");
-    const isShifted = await shift({ zone, why: why === PRACTICE ? why : BY_HAND });
+    if (typeof zone !== "string") return badRequest("cell must be text");
+    const isShifted = await shift({ zone, why: why === REASON_PRACTICE ? why : REASON_MANUAL });
     return { outcome: isShifted ? "taken" : "noQuorum" };
   };
 
@@ -90,7 +92,7 @@
     detector,
     peerHandlers: {
       [PEER_REQUEST.shiftZone]: async (message) =>
-        packDecision(await shiftAsHolder(readZoneShift(message))),
+        packDecision(await shiftAsLeader(readZoneShift(message))),
     },
     routes: [{ method: "POST", path: "/cells/shift", handle: shiftRoute }],
   };
--- a/src/programs/controller/peer-messages.ts
+++ b/src/programs/controller/peer-messages.ts
@@ -37,7 +37,7 @@
 export const packDecision = (yes: boolean): Message => ({ kind: PEER_REPLY.done, yes });
 
 /** Whether a peer replied, and replied yes. */
-export const isYes = (reply: Message | undefined): boolean =>
+export const isPositiveReply = (reply: Message | undefined): boolean =>
   reply !== undefined && readFlag(reply, "yes");
 
 /** The reply to a forwarded call of the admin API. */
--- a/src/programs/controller/peer-server.ts
+++ b/src/programs/controller/peer-server.ts
@@ -26,7 +26,7 @@
  * connection that each peer has dialled; only its end may end the peer's sessions.
  */
 export class PeerServer {
-  private readonly newest = new Map<string, Connection>();
+  private readonly newestConnections = new Map<string, Connection>();
 
   constructor(private readonly options: PeerServerOptions) {}
 
@@ -40,15 +40,15 @@
     const peer = readString(hello, "from");
     connection.send({ ...peers.hello(), kind: MessageKind.welcome });
     peers.learnFrom(hello);
-    this.newest.set(peer, connection);
+    this.newestConnections.set(peer, connection);
     // A peer that dials anew may have forgotten the sessions here while its link was down.
     announceToPeers();
     for await (const message of incoming) {
       if (message.kind === MessageKind.sessions) sessions.applyPeerSessions(peer, message);
       else void this.answer(connection, message, peer);
     }
-    if (this.newest.get(peer) !== connection) return;
-    this.newest.delete(peer);
+    if (this.newestConnections.get(peer) !== connection) return;
+    this.newestConnections.delete(peer);
     if (!peers.isConnected(peer)) sessions.forget(peer);
   };
 
--- a/src/programs/controller/published-state.ts
+++ b/src/programs/controller/published-state.ts
@@ -52,7 +52,7 @@
    * The zone that a maintenance window has emptied; "" where none is. Its relays and controller
    * serve nobody elsewhere.
    */
-  readonly emptiedZone = (): string => {
+  readonly drainedZone = (): string => {
     const { shift } = this.ejections();
     return shift?.cause === "window" && shift.unsafeShare === 1 ? shift.zone : "";
   };
@@ -62,21 +62,21 @@
    *
    * @returns false if that state or the term has been overtaken, or no quorum answered
    */
-  readonly publish = async (key: PublishedKey, wanted: unknown): Promise<boolean> => {
+  readonly publish = async (key: PublishedKey, state: unknown): Promise<boolean> => {
     const term = this.lease.activeTerm();
     if (!term) return false;
-    const before = this.store.get(key)?.digest;
-    const body = JSON.stringify(wanted);
+    const expectedDigest = this.store.get(key)?.digest;
+    const body = JSON.stringify(state);
     const decided = await this.store.decide(
       key,
-      (now) => (now?.digest === before ? body : undefined),
+      (current) => (current?.digest === expectedDigest ? body : undefined),
       term,
     );
     return decided.isOk && decided.value?.body === body;
   };
 
-  private readonly read = <T>(key: PublishedKey, read: (value: unknown) => T, none: T): T => {
+  private readonly read = <T>(key: PublishedKey, read: (value: unknown) => T, fallback: T): T => {
     const register = this.store.get(key);
-    return register ? read(parseJson(register.body)) : none;
+    return register ? read(parseJson(register.body)) : fallback;
   };
 }
--- a/src/programs/controller/purge-route.ts
+++ b/src/programs/controller/purge-route.ts
@@ -2,7 +2,7 @@
 import { err, ok, type Result } from "true-myth/result";
 import { isRecord, parseJson, type UnknownRecord } from "../../common/decode.js";
 import type { ApiRequest, ApiResponse, ApiRoute } from "../http-api.js";
-import { wrong } from "./admin-api.js";
+import { badRequest } from "./admin-api.js";
 
 /** What a purge names: a host and a path, or a label. What isn't named is empty. */
 export interface PurgeTarget {
@@ -43,10 +43,10 @@
 ): readonly ApiRoute[] => {
   const handle = async (request: ApiRequest): Promise<ApiResponse> => {
     const target = readRecord(request.body).andThen(readTarget);
-    if (target.isErr) return wrong(target.error);
+    if (target.isErr) return badRequest(target.error);
     if (!purge) return { outcome: "unknownCall" };
-    const [isHeld, isConfirmed] = await Promise.all([purge(target.value), confirmQuorum()]);
-    return { outcome: isHeld && isConfirmed ? "taken" : "noQuorum" };
+    const [isReplicated, isConfirmed] = await Promise.all([purge(target.value), confirmQuorum()]);
+    return { outcome: isReplicated && isConfirmed ? "taken" : "noQuorum" };
   };
   return [{ method: "POST", path: "/purge", handle }];
 };
--- a/src/programs/controller/quorum-freshness.ts
+++ b/src/programs/controller/quorum-freshness.ts
@@ -7,9 +7,9 @@
  * then.
  */
 export class QuorumFreshness {
-  private confirmedUs: number;
+  private lastContactUs: number;
   /** Undefined until a quorum was read in this process's life. */
-  private readUs: number | undefined;
+  private lastReadUs: number | undefined;
   /**
    * Whether heartbeats couldn't come in since the last contact, so that their lack says nothing.
    */
@@ -20,31 +20,31 @@
     private readonly clock: Clock,
     private readonly onRegained: () => void,
   ) {
-    this.confirmedUs = clock.nowUs();
+    this.lastContactUs = clock.nowUs();
   }
 
   /** Whether a quorum was read since this process started. */
   get hasRead(): boolean {
-    return this.readUs !== undefined;
+    return this.lastReadUs !== undefined;
   }
 
   /** Microseconds since the last contact with a majority; at first since the start. */
-  readonly contactAgeUs = (): number => this.clock.nowUs() - this.confirmedUs;
+  readonly contactAgeUs = (): number => this.clock.nowUs() - this.lastContactUs;
 
   /** Microseconds since the last reading of a quorum; infinite before the first. */
   readonly readAgeUs = (): number =>
-    this.readUs === undefined ? Infinity : this.clock.nowUs() - this.readUs;
+    this.lastReadUs === undefined ? Infinity : this.clock.nowUs() - this.lastReadUs;
 
   /** Records a reading of a quorum that began at `beganUs`. */
-  readonly recordRead = (beganUs: number): void => {
-    this.readUs = beganUs;
+  readonly recordRead = (startedUs: number): void => {
+    this.lastReadUs = startedUs;
   };
 
   /** Records that a majority answered what was asked at `beganUs`. */
-  readonly recordContact = (beganUs: number): void => {
+  readonly recordContact = (startedUs: number): void => {
     if (this.wasCutOff) this.onRegained();
     this.wasCutOff = false;
-    this.confirmedUs = Math.max(this.confirmedUs, beganUs);
+    this.lastContactUs = Math.max(this.lastContactUs, startedUs);
   };
 
   /** Records that this controller is cut off from the majority. */
--- a/src/programs/controller/quorum-reader.ts
+++ b/src/programs/controller/quorum-reader.ts
@@ -24,12 +24,12 @@
 export class QuorumReader {
   readonly freshness: QuorumFreshness;
   /** The reading that was begun because others hold something newer. */
-  private catchingUp: Promise<unknown> = Promise.resolve();
+  private pendingCatchUp: Promise<unknown> = Promise.resolve();
 
   constructor(private readonly options: QuorumReaderOptions) {
     this.freshness = new QuorumFreshness(options.clock, options.onRegained);
     options.store.events.on("behind", () => {
-      this.catchingUp = this.sweep();
+      this.pendingCatchUp = this.refresh();
     });
   }
 
@@ -39,19 +39,19 @@
    *
    * @returns true after a reading
    */
-  readonly sweep = async (): Promise<boolean> => {
+  readonly refresh = async (): Promise<boolean> => {
     const { clock, store } = this.options;
-    const beganUs = clock.nowUs();
+    const startedUs = clock.nowUs();
     const read = await store.read();
     const isRead = read.isOk && store.isVoting;
-    if (isRead) this.freshness.recordRead(beganUs);
-    if (isRead || (await store.confirmQuorum())) this.freshness.recordContact(beganUs);
+    if (isRead) this.freshness.recordRead(startedUs);
+    if (isRead || (await store.confirmQuorum())) this.freshness.recordContact(startedUs);
     return isRead;
   };
 
   /** Resolves once what others were known to hold before the call has been read. */
-  readonly caughtUp = async (): Promise<void> => {
-    await this.catchingUp;
+  readonly whenCaughtUp = async (): Promise<void> => {
+    await this.pendingCatchUp;
   };
 
   /**
@@ -62,6 +62,6 @@
     if (!this.freshness.hasRead || this.options.isWithoutQuorum()) return false;
     return this.freshness.readAgeUs() < MAX_SNAPSHOT_AGE_US
       ? this.options.store.confirmQuorum()
-      : this.sweep();
+      : this.refresh();
   };
 }
--- a/src/programs/controller/reassignment-summary.ts
+++ b/src/programs/controller/reassignment-summary.ts
@@ -20,7 +20,7 @@
 import { SECOND_US } from "../../common/duration.js";
 
 /** A worker whose slots would be in use beyond this part is named. */
-const LOADED_PART = 0.8;
+const HIGH_UTILIZATION = 0.8;
 
 /** The load of one worker, summed over nodes. */
 interface LoadSum {
@@ -32,21 +32,22 @@
 
 const NO_LOAD: LoadSum = { perSNow: 0, perSThen: 0, busySlots: 0 };
 
-const sumOf = (rows: readonly UnknownRecord[], field: string): number =>
+const sumField = (rows: readonly UnknownRecord[], field: string): number =>
   rows.reduce((sum, row) => sum + readNumber(row, field), 0);
 
 /** The mean of a field, each row weighted by its requests. */
 const weightedMean = (rows: readonly UnknownRecord[], field: string): number =>
   rows.reduce((sum, row) => sum + readNumber(row, field) * readNumber(row, "calls"), 0) /
-  Math.max(1, sumOf(rows, "calls"));
+  Math.max(1, sumField(rows, "calls"));
 
 /** The mean of each of the simulated draws over the nodes, each node weighted by its requests. */
 const meanDraws = (rows: readonly UnknownRecord[], requests: number): readonly number[] => {
   const draws = rows.map((row) => readList(row, "draws", asNumber));
   return (draws[0] ?? []).map(
-    (_share, at) =>
+    (_share, drawIndex) =>
       rows.reduce(
-        (sum, row, which) => sum + (draws[which]?.[at] ?? 0) * readNumber(row, "calls"),
+        (sum, row, rowIndex) =>
+          sum + (draws[rowIndex]?.[drawIndex] ?? 0) * readNumber(row, "calls"),
         0,
       ) / Math.max(1, requests),
   );
@@ -70,14 +71,17 @@
  * Sums up the nodes' rows of one kind. All nodes see the same quick and slow workers, so their
  * bands don't even out.
  */
-export const fleetRow = (rows: readonly UnknownRecord[], unevenness: number): UnknownRecord => {
-  const calls = sumOf(rows, "calls");
+export const aggregateRows = (
+  rows: readonly UnknownRecord[],
+  loadVariation: number,
+): UnknownRecord => {
+  const calls = sumField(rows, "calls");
   const first = rows[0] ?? {};
   const draws = meanDraws(rows, calls);
   const moved = weightedMean(rows, "moved");
-  const band =
+  const halfWidth =
     draws.length > 1
-      ? joinConfidenceHalfWidth(moved, calls, unevenness)
+      ? joinConfidenceHalfWidth(moved, calls, loadVariation)
       : confidenceHalfWidth(moved, calls);
   const toCells = sharesByZone(rows, calls);
   return {
@@ -85,14 +89,14 @@
     kind: first["kind"],
     ...(first["route"] === "" ? {} : { route: first["route"] }),
     calls,
-    perS: sumOf(rows, "perS"),
+    perS: sumField(rows, "perS"),
     moved,
-    low: Math.max(0, Math.min(...draws) - band),
-    high: Math.min(1, Math.max(...draws) + band),
+    low: Math.max(0, Math.min(...draws) - halfWidth),
+    high: Math.min(1, Math.max(...draws) + halfWidth),
     leave: weightedMean(rows, "leave"),
     join: weightedMean(rows, "join"),
     toCells,
-    newConnections: sumOf(rows, "newConnections"),
+    newConnections: sumField(rows, "newConnections"),
   };
 };
 
@@ -105,7 +109,7 @@
   answers.forEach(({ answer }) => readList(answer ?? {}, field, (value) => visit(asRecord(value))));
 
 /** How unevenly the requests of now are spread over these workers, by the nodes' answers. */
-export const unevennessAmong = (
+export const requestRateVariation = (
   workers: readonly string[],
   answers: readonly NodeAnswer[],
 ): number => {
@@ -134,7 +138,7 @@
 };
 
 /** The workers whose load would rise to most of their capacity or beyond. */
-export const loadedWorkers = (
+export const findHighlyUtilizedWorkers = (
   answers: readonly NodeAnswer[],
   registry: WorkerRegistry,
 ): readonly UnknownRecord[] =>
@@ -142,7 +146,7 @@
     const heartbeat = registry.get(worker);
     if (!heartbeat || perSThen <= perSNow) return [];
     const usedPart = busySlots / heartbeat.capacity;
-    if (!(usedPart >= LOADED_PART)) return [];
+    if (!(usedPart >= HIGH_UTILIZATION)) return [];
     const { service, zone } = heartbeat;
     return [{ worker, service, cell: zone, perSNow, perSThen, usedPart }];
   });
--- a/src/programs/controller/retry-quota.ts
+++ b/src/programs/controller/retry-quota.ts
@@ -30,7 +30,7 @@
 import type { Message } from "../../transport/connection.js";
 import { retryMaximumOf } from "../gateway/retry-budgets.js";
 import { readApiResponse, type ApiRequest, type ApiResponse, type ApiRoute } from "../http-api.js";
-import { readBody, wrong } from "./admin-api.js";
+import { readBody, badRequest } from "./admin-api.js";
 import type { Consensus } from "./consensus.js";
 import type { MessageHandlers } from "./message-dispatcher.js";
 import { NODE_QUERY, NODE_REPLY, NODE_REQUEST } from "./node-messages.js";
@@ -130,21 +130,21 @@
     });
     this.nodeHandlers = { [NODE_REQUEST.leaseRetries]: this.leaseToNode };
     this.peerHandlers = {
-      [PEER_REQUEST.leaseRetries]: this.leaseAsHolder,
+      [PEER_REQUEST.leaseRetries]: this.leaseAsLeader,
       [PEER_REQUEST.setRetryLimit]: async (message) =>
-        packApiResponse(await this.setAsHolder(asRecord(message["order"], "order"))),
+        packApiResponse(await this.setLimitAsLeader(asRecord(message["order"], "order"))),
     };
-    this.routes = [{ method: "POST", path: "/retries", handle: this.set }];
+    this.routes = [{ method: "POST", path: "/retries", handle: this.setLimit }];
   }
 
   /**
    * Called every second: a new holder's wait begins when it takes the lease, not when it is first
    * asked.
    */
-  readonly check = (): void => this.allocator.refresh();
+  readonly refreshAllocator = (): void => this.allocator.refresh();
 
   /** What is spent and left, by service and kind, over all nodes that answer. */
-  readonly show = async (): Promise<readonly UnknownRecord[]> => {
+  readonly describeUsage = async (): Promise<readonly UnknownRecord[]> => {
     const answers = await this.options.queries.askAll({ kind: NODE_QUERY.retries });
     const sums = sumRetries(answers);
     const limits = this.limits();
@@ -156,15 +156,15 @@
   };
 
   private readonly limits = (): RetryLimits => {
-    const written = this.options.published.retryLimits();
-    return written === undefined
+    const stored = this.options.published.retryLimits();
+    return stored === undefined
       ? defaultLimits(retryMaximumOf(this.options.settings))
-      : readRetryLimits(written);
+      : readRetryLimits(stored);
   };
 
   private readonly leaseToNode = async (message: Message): Promise<Message> => {
     const { lease, askHolder } = this.options;
-    if (lease.isHolder()) return this.leaseAsHolder(message);
+    if (lease.isHolder()) return this.leaseAsLeader(message);
     return (await askHolder(message, WRITE_TIMEOUT_US)) ?? { kind: NODE_REPLY.retryLeases };
   };
 
@@ -172,39 +172,40 @@
    * Only by a holder that a majority has just heard of: one that was cut off or frozen may have a
    * successor.
    */
-  private readonly leaseAsHolder = async (message: Message): Promise<Message> =>
+  private readonly leaseAsLeader = async (message: Message): Promise<Message> =>
     (await this.options.lease.confirm())
       ? this.allocator.handleRequest(message)
       : { kind: PEER_REPLY.retryLeases };
 
-  private readonly set = async (request: ApiRequest): Promise<ApiResponse> => {
+  private readonly setLimit = async (request: ApiRequest): Promise<ApiResponse> => {
     const { lease, askHolder } = this.options;
-    const order = readBody(request);
-    const { service, kind } = order;
+    const body = readBody(request);
+    const { service, kind } = body;
     if (typeof service !== "string" || service === "" || typeof kind !== "string")
-      return wrong("service and kind must be texts");
-    if (lease.isHolder()) return this.setAsHolder(order);
+      return badRequest("service and kind must be texts");
+    if (lease.isHolder()) return this.setLimitAsLeader(body);
     const reply = await askHolder(
-      { ...order, kind: PEER_REQUEST.setRetryLimit, order },
+      { ...body, kind: PEER_REQUEST.setRetryLimit, order: body },
       2 * WRITE_TIMEOUT_US,
     );
     return readApiResponse(reply) ?? { outcome: "noQuorum" };
   };
 
-  private readonly setAsHolder = async (order: UnknownRecord): Promise<ApiResponse> => {
+  private readonly setLimitAsLeader = async (command: UnknownRecord): Promise<ApiResponse> => {
     const { settings, store, lease, published } = this.options;
     if (!(await lease.confirm())) return { outcome: "noQuorum" };
-    const service = readString(order, "service");
+    const service = readString(command, "service");
     const isService = store.get(serviceKey(service))?.dropped === false;
-    if (service !== EVERY_SERVICE && !isService) return wrong(`there is no service ${service}`);
+    if (service !== EVERY_SERVICE && !isService)
+      return badRequest(`there is no service ${service}`);
     const changed = withLimit(
       this.limits(),
       retryMaximumOf(settings),
       service,
-      readString(order, "kind"),
-      { ratio: order["ratio"], slack: order["slack"] },
+      readString(command, "kind"),
+      { ratio: command["ratio"], slack: command["slack"] },
     );
-    if (changed.isErr) return wrong(changed.error);
+    if (changed.isErr) return badRequest(changed.error);
     const isPublished = await published.publish(PUBLISHED_REGISTER.retryLimits, changed.value);
     return { outcome: isPublished ? "taken" : "noQuorum" };
   };
--- a/src/programs/controller/visibility-check.ts
+++ b/src/programs/controller/visibility-check.ts
@@ -18,7 +18,7 @@
 /** What a {@link VisibilityCheck} asks and answers with. */
 export interface VisibilityCheckOptions {
   readonly peers: Pick<Peers, "known" | "isConnected" | "request">;
-  readonly quorum: Pick<QuorumReader, "caughtUp">;
+  readonly quorum: Pick<QuorumReader, "whenCaughtUp">;
 }
 
 /**
@@ -29,7 +29,7 @@
   readonly peerHandlers: MessageHandlers;
 
   constructor(private readonly options: VisibilityCheckOptions) {
-    this.peerHandlers = { [PEER_REQUEST.confirmPosted]: this.answer };
+    this.peerHandlers = { [PEER_REQUEST.confirmPosted]: this.answerPeer };
   }
 
   /** Resolves once every connected peer has posted what was committed here, or after the wait. */
@@ -40,10 +40,10 @@
     await Promise.all(connected.map((id) => peers.request(id, question, MAX_WAIT_US)));
   };
 
-  private readonly answer = async (): Promise<Message> => {
+  private readonly answerPeer = async (): Promise<Message> => {
     // The listeners of a notice that came just before run within this turn.
     await new Promise((resolve) => setImmediate(resolve));
-    await this.options.quorum.caughtUp();
+    await this.options.quorum.whenCaughtUp();
     return { kind: PEER_REPLY.done };
   };
 }
--- a/src/programs/controller/worker-memory.ts
+++ b/src/programs/controller/worker-memory.ts
@@ -30,7 +30,7 @@
  */
 export const restoreWorkers = async (options: WorkerMemoryOptions): Promise<void> => {
   const { settings, clock, fileSystem, registry, updates } = options;
-  const memory = new WriteAheadLog({
+  const workerLog = new WriteAheadLog({
     folder: settings.dataFolder === "" ? "" : join(settings.dataFolder, "workers"),
     fileSystem,
     snapshot: () =>
@@ -39,10 +39,10 @@
         .filter((heartbeat) => heartbeat.state === "ready")
         .map(packHeartbeat),
   });
-  const found = await memory.load();
-  if (found.kind !== "empty") registry.restore(found.records.map(readSharedHeartbeat));
+  const loaded = await workerLog.load();
+  if (loaded.kind !== "empty") registry.restore(loaded.records.map(readSharedHeartbeat));
   // What a disk refuses now is in the next snapshot, which holds all workers.
-  const writeSoon = debounce(clock, WRITE_DELAY_US, () => void memory.writeVerifiedSnapshot());
+  const writeSoon = debounce(clock, WRITE_DELAY_US, () => void workerLog.writeVerifiedSnapshot());
   updates.events.on("changed", (changed) => {
     if (changed.some(({ key }) => key.startsWith(WORKER_PREFIX))) writeSoon();
   });
--- a/src/programs/controller/workers.ts
+++ b/src/programs/controller/workers.ts
@@ -15,10 +15,10 @@
 import type { Settings } from "../../common/settings.js";
 import type { Message } from "../../transport/connection.js";
 import type { ApiRequest, ApiResponse, ApiRoute } from "../http-api.js";
-import { pathArgument, wrong } from "./admin-api.js";
+import { pathArgument, badRequest } from "./admin-api.js";
 import { HeartbeatReplicator } from "./heartbeat-replicator.js";
 import type { MessageHandlers } from "./message-dispatcher.js";
-import { isYes, packDecision, PEER_REQUEST } from "./peer-messages.js";
+import { isPositiveReply, packDecision, PEER_REQUEST } from "./peer-messages.js";
 
 /** What the handling of heartbeats works on. */
 export interface WorkersOptions {
@@ -57,7 +57,7 @@
     try {
       heartbeat = readHeartbeat(pathArgument(request), parseJson(request.body));
     } catch (error) {
-      return wrong(error instanceof Error ? error.message : "unreadable");
+      return badRequest(error instanceof Error ? error.message : "unreadable");
     }
     if (isWithoutQuorum()) return { outcome: "adrift" };
     registry.record(heartbeat);
@@ -66,7 +66,7 @@
       heartbeat.state === "ready"
         ? this.replicator.replicateSoon(merged)
         : this.replicator.replicateToQuorum(merged),
-      this.controllerOf(heartbeat.zone),
+      this.findZoneController(heartbeat.zone),
     ]);
     if (!isReplicated) return { outcome: "noQuorum" };
     return { outcome: "taken", body: reportTo === undefined ? {} : { reportTo } };
@@ -82,14 +82,14 @@
   };
 
   /** The other controller of that zone, if it says now that it hears a majority. */
-  private readonly controllerOf = async (zone: string): Promise<string | undefined> => {
+  private readonly findZoneController = async (zone: string): Promise<string | undefined> => {
     const { settings, peers } = this.options;
     const controller = peers.connectedControllers().find((candidate) => candidate.zone === zone);
     if (controller === undefined || controller.id === settings.control || settings.zone === zone)
       return undefined;
     const question: Message = { kind: PEER_REQUEST.confirmQuorum };
     const reply = await peers.request(controller.id, question, WRITE_TIMEOUT_US);
-    return isYes(reply) ? controller.id : undefined;
+    return isPositiveReply(reply) ? controller.id : undefined;
   };
 }
 
--- a/src/programs/data-plane-node.ts
+++ b/src/programs/data-plane-node.ts
@@ -65,12 +65,12 @@
   const publisher = new UpdatePublisher(clock, updates, () => false, {
     linkMbps: settings.linkMbps,
   });
-  const children = relayHandlers({ subscriber, publisher, log });
+  const relaySessions = relayHandlers({ subscriber, publisher, log });
   return {
     updates,
     subscriber,
     publisher,
     lag,
-    relay: new Listener(clock, KEEP_ALIVE, { ...children, ...receivers }, log),
+    relay: new Listener(clock, KEEP_ALIVE, { ...relaySessions, ...receivers }, log),
   };
 };
--- a/src/programs/http-api.ts
+++ b/src/programs/http-api.ts
@@ -42,11 +42,11 @@
 const MAX_BODY_BYTES = 16 * 1024 * 1024;
 
 const matches = (route: ApiRoute, method: string, segments: readonly string[]): boolean => {
-  const wanted = route.path.split("/").slice(1);
+  const pattern = route.path.split("/").slice(1);
   return (
     route.method === method &&
-    wanted.length === segments.length &&
-    wanted.every((segment, at) => segment === "*" || segment === segments[at])
+    pattern.length === segments.length &&
+    pattern.every((segment, index) => segment === "*" || segment === segments[index])
   );
 };
 
--- a/src/programs/metrics-server.ts
+++ b/src/programs/metrics-server.ts
@@ -110,7 +110,7 @@
 }
 
 /** Figures of the process that every program has. */
-export const processFigures = (delays: EventLoopDelayRecorder): readonly Figure[] => [
+export const processMetrics = (delays: EventLoopDelayRecorder): readonly Figure[] => [
   {
     name: "yewreel_event_loop_delay_microseconds",
     help: "How late timers fired since the last reading.",
