--- a/src/programs/controller/backend-change.ts
+++ b/src/programs/controller/backend-change.ts
@@ -1,11 +1,11 @@
-/** Checks whether a change of backends that an operator asks about could be made at all. */
+/** Validates the change of backends that an operator requests a forecast for. */
 import type { Heartbeat } from "../../membership/cluster.js";
 import type { WorkerRegistry } from "../../membership/worker-registry.js";
 import type { BackendChange } from "../../proxy/reassignment-forecast.js";
 
 const MAX_ADDED = 1_000;
 
-/** The workers of a service that are ready. */
+/** Returns the ready workers of a service. */
 export const readyWorkers = (registry: WorkerRegistry, service: string): readonly Heartbeat[] =>
   registry
     .all()
@@ -20,7 +20,7 @@
     if (!services.has(service)) return `there is no service ${service}`;
     if (!zones.includes(zone)) return `there is no cell ${zone}`;
     if (!Number.isSafeInteger(count) || count < 1 || count > MAX_ADDED)
-      return `${count} is no count of backends from 1 to ${MAX_ADDED}`;
+      return `${count} backends: the count must be an integer from 1 to ${MAX_ADDED}`;
   }
   return undefined;
 };
@@ -29,7 +29,7 @@
   retired: readonly string[],
   registry: WorkerRegistry,
 ): string | undefined => {
-  if (new Set(retired).size < retired.length) return "a worker is named twice";
+  if (new Set(retired).size < retired.length) return "a worker is listed twice";
   for (const id of retired) {
     const heartbeat = registry.get(id);
     if (!heartbeat || heartbeat.state === "gone") return `there is no worker ${id}`;
@@ -38,7 +38,7 @@
   return undefined;
 };
 
-/** The first service that would be left without any worker. */
+/** Returns the first service that the change would leave without any worker. */
 const findEmptiedService = (
   { add, retire }: BackendChange,
   registry: WorkerRegistry,
@@ -53,7 +53,7 @@
     );
   });
 
-/** What is wrong with a change, as a sentence; undefined where it could be made. */
+/** Returns why a change is impossible, as text for the operator; undefined if it is valid. */
 export const findProblem = (
   change: BackendChange,
   registry: WorkerRegistry,
--- a/src/programs/controller/backend-forecast.ts
+++ b/src/programs/controller/backend-forecast.ts
@@ -1,7 +1,7 @@
 /**
- * Forecasts which requests would move if backends were added or retired, asked of every node.
- * Queries only: they write nothing and move nothing. Field names are those of the admin API and of
- * the nodes' answers.
+ * Forecasts which requests would be reassigned if backends were added or retired, by querying every
+ * node. Read-only: nothing is written and no traffic moves. Field names are those of the admin API
+ * and of the nodes' answers.
  */
 import type { ReplicatedStore } from "../../consensus/replicated-store.js";
 import type { NodeAnswer } from "../../membership/cluster.js";
@@ -28,10 +28,10 @@
   requestRateVariation,
 } from "./reassignment-summary.js";
 
-/** How many of the nodes that did not answer a warning names. */
+/** Maximum number of unresponsive nodes that a warning lists by name. */
 const MAX_NODES_IN_WARNING = 5;
 
-/** What forecasts are made from. */
+/** Dependencies of the forecast routes. */
 export interface BackendForecastOptions {
   readonly store: ReplicatedStore;
   readonly registry: WorkerRegistry;
@@ -57,7 +57,7 @@
 const nodesWithoutAnswer = (answers: readonly NodeAnswer[]): readonly string[] =>
   answers.filter(({ answer }) => answer === undefined).map(({ node }) => node);
 
-/** The rows of each service, kind and route. */
+/** Groups rows by service, kind and route. */
 const groupRows = (rows: readonly UnknownRecord[]): readonly (readonly UnknownRecord[])[] => {
   const groups = new Map<string, UnknownRecord[]>();
   rows.forEach((row) => {
@@ -70,7 +70,7 @@
 const withoutDraws = (row: UnknownRecord): UnknownRecord =>
   Object.fromEntries(Object.entries(row).filter(([field]) => field !== "draws"));
 
-/** Why a forecast may say less than it seems to. */
+/** Lists the reasons why a forecast may be incomplete or imprecise. */
 const collectWarnings = (
   answers: readonly NodeAnswer[],
   rows: readonly UnknownRecord[],
@@ -82,23 +82,23 @@
   const smallSamples = rows.filter((row) => readNumber(row, "calls") < MIN_REQUESTS).length;
   return [
     ...(silentNodes.length > 0
-      ? [`${silentNodes.length} of ${answers.length} nodes were not heard: ${named}`]
+      ? [`${silentNodes.length} of ${answers.length} nodes did not answer: ${named}`]
       : []),
     ...(smallSamples > 0
-      ? [`${smallSamples} rows of nodes stand on fewer than ${MIN_REQUESTS} calls and say little`]
+      ? [`${smallSamples} rows of nodes have fewer than ${MIN_REQUESTS} calls and are imprecise`]
       : []),
     ...services
       .filter((service) => !rows.some((row) => row["service"] === service))
-      .map((service) => `no node has lately called ${service}`),
-    ...(haveWorkersChanged ? ["workers came or went while the nodes were asked: ask again"] : []),
+      .map((service) => `no node has recently called ${service}`),
+    ...(haveWorkersChanged ? ["workers joined or left while the nodes were queried: repeat the query"] : []),
   ];
 };
 
-/** Asks the nodes, and sums up what they answer. */
+/** Queries the nodes and aggregates their answers. */
 class BackendForecast {
   constructor(private readonly options: BackendForecastOptions) {}
 
-  /** What would move if the backends changed as the order says. */
+  /** Forecasts the effect of the change of backends in the body. */
   readonly forecast = async (body: UnknownRecord): Promise<ApiResponse> => {
     const { registry, zones, queries } = this.options;
     let change: BackendChange;
@@ -135,13 +135,13 @@
     return { outcome: "taken", body: { moves } };
   };
 
-  /** How many requests each worker of these services has lately got, by node. */
+  /** Returns the recent request counts of the workers of the given services, by node. */
   readonly countRecentRequests = async (body: UnknownRecord): Promise<ApiResponse> => {
     let services: readonly string[];
     try {
       services = readList(body, "services", asString);
     } catch {
-      return badRequest("services must be a list of texts");
+      return badRequest("services must be a list of strings");
     }
     const answers = await this.options.queries.askAll({ kind: NODE_QUERY.requestsSeen, services });
     const seen = answers.map(({ node, zone, answer }) => ({
@@ -181,7 +181,7 @@
 }
 
 /**
- * The routes of the forecast; each is answered only once a majority was heard after the call came.
+ * The routes of the forecast. Each responds only once a majority asked after the call has answered.
  */
 export const backendForecastRoutes = (options: BackendForecastOptions): readonly ApiRoute[] => {
   const forecast = new BackendForecast(options);
--- a/src/programs/controller/canaries.ts
+++ b/src/programs/controller/canaries.ts
@@ -1,4 +1,4 @@
-/** The canary analysis of the lease holder, over the split routes of the configuration. */
+/** Wires the canary analysis, which runs on the leader, to the split routes and the admin API. */
 import type { LeaderLease } from "../../consensus/leader-lease.js";
 import type { ReplicatedStore } from "../../consensus/replicated-store.js";
 import { WRITE_TIMEOUT_US } from "../../consensus/timeouts.js";
@@ -32,7 +32,7 @@
   CLEAR_NOT_STORED: "noQuorum",
 };
 
-/** What the canary analysis works on. */
+/** Dependencies of {@link openCanaries}. */
 export interface CanariesOptions {
   readonly settings: Settings;
   readonly clock: Clock;
@@ -42,7 +42,7 @@
   readonly published: PublishedState;
 }
 
-/** The open canary analysis. */
+/** The canary analysis with its message handlers and routes. */
 export interface Canaries {
   readonly analyzer: CanaryAnalyzer;
   readonly splitRoutes: SplitRoutes;
@@ -50,7 +50,7 @@
   readonly routes: readonly ApiRoute[];
 }
 
-/** Follows the routes as they are committed. */
+/** Tracks the split routes of the committed configuration. */
 const trackSplitRoutes = (store: ReplicatedStore): SplitRoutes => {
   const splitRoutes = new SplitRoutes();
   store.events.on("committed", (committed) =>
@@ -84,7 +84,7 @@
   return known.find((name) => name === reply?.["outcome"]) ?? "noQuorum";
 };
 
-/** Opens the canary analysis; its caller starts and stops the analyzer. */
+/** Creates the canary analysis. The caller starts and stops the analyzer. */
 export const openCanaries = (options: CanariesOptions): Canaries => {
   const { store, lease, askHolder } = options;
   const splitRoutes = trackSplitRoutes(store);
--- a/src/programs/controller/capacity-forecasts.ts
+++ b/src/programs/controller/capacity-forecasts.ts
@@ -1,7 +1,4 @@
-/**
- * The capacity forecaster of the lease holder, over the workers known here and the load that nodes
- * report.
- */
+/** Wires the capacity forecaster, which runs on the leader, to the known workers and the nodes. */
 import type { LeaderLease } from "../../consensus/leader-lease.js";
 import { CapacityForecaster } from "../../health/capacity-forecast.js";
 import { FORECAST_SETTINGS } from "../../health/capacity-state.js";
@@ -11,7 +8,7 @@
 import { loggerFor } from "../../common/logger.js";
 import { PUBLISHED_REGISTER, type PublishedState } from "./published-state.js";
 
-/** What the forecaster works on. */
+/** Dependencies of {@link createForecaster}. */
 export interface CapacityForecastsOptions {
   readonly clock: Clock;
   readonly lease: LeaderLease;
@@ -20,7 +17,7 @@
   readonly published: PublishedState;
 }
 
-/** Creates the forecaster; a worker counts as used while it is ready and not ejected. */
+/** Creates the forecaster. A worker is routable while it is ready and not ejected. */
 export const createForecaster = (options: CapacityForecastsOptions): CapacityForecaster => {
   const { clock, lease, registry, sessions, published } = options;
   return new CapacityForecaster({
--- a/src/programs/controller/config.ts
+++ b/src/programs/controller/config.ts
@@ -1,8 +1,8 @@
 /**
- * The configuration: changes and reads by the admin API, and updates to the nodes of what is
- * committed. A change comes in by its route and is proposed to the store; what a quorum has agreed
- * comes back as `committed`, here and at every other controller, and is posted as updates, which
- * the publisher sends to the nodes.
+ * Configuration changes and reads through the admin API, and distribution of the committed
+ * configuration to the nodes. A change is received by its route and proposed to the store. Once a
+ * quorum has accepted it, the store emits `committed` on every controller, and each posts the items
+ * as updates, which the publisher sends to the nodes.
  */
 import { err, type Result } from "true-myth/result";
 import { parseChangeInTurns } from "../../config/change-request.js";
@@ -27,7 +27,7 @@
 import type { VisibilityCheck } from "./visibility-check.js";
 import { PUBLISHED_REGISTER } from "./published-state.js";
 
-/** The registers that nodes are sent as they are, and the key of the update that carries each. */
+/** Maps each register that is sent to nodes unchanged to the key of its update. */
 const UPDATE_KEYS: Readonly<Record<string, string>> = {
   [PUBLISHED_REGISTER.ejections]: EJECTIONS_KEY,
   [PUBLISHED_REGISTER.forecasts]: FORECAST_KEY,
@@ -36,8 +36,8 @@
 };
 
 /**
- * What nodes are told of a committed item. A committed version names one content for good, so no
- * tie between two contents has to be broken; a digest would make up half of a large update.
+ * Converts a committed item to an update. The tie-breaker stays empty: a committed version always
+ * has the same content, and a digest would make up half of a large update.
  */
 export const toConfigUpdate = (register: Register): NewUpdate => ({
   key: CONFIG_PREFIX + register.key,
@@ -54,8 +54,8 @@
 });
 
 /**
- * Posts what is committed as updates for the nodes. Nodes leave an emptied zone before they are
- * told of it.
+ * Posts committed items as updates for the nodes. Nodes are moved off a drained zone before they
+ * receive the update that announces it.
  */
 export const publishCommitted = (
   store: ReplicatedStore,
@@ -107,7 +107,7 @@
   return toApiResponse(result);
 };
 
-/** Reads the configuration that a quorum holds. */
+/** Reads the configuration from a quorum. */
 const readConfig = async (store: ReplicatedStore): Promise<ApiResponse> => {
   const read = await store.read();
   return toApiResponse(
--- a/src/programs/controller/consensus.ts
+++ b/src/programs/controller/consensus.ts
@@ -1,4 +1,4 @@
-/** The controller's replica, the replicated store over it, and the leader lease. */
+/** Sets up the controller's replica, its replicated store, and the leader lease. */
 import { NodeFileSystem } from "../../storage/file-system.js";
 import { WriteAheadLog } from "../../storage/write-ahead-log.js";
 import { LeaderLease } from "../../consensus/leader-lease.js";
@@ -16,48 +16,47 @@
 import { LEASE_REQUESTS, PEER_REQUEST } from "./peer-messages.js";
 
 /**
- * How long the lease holder must be unseen before others propose themselves; a link notices silence
- * after a second.
+ * How long the leader must be disconnected before other controllers stand for election. This comes
+ * on top of the one second after which a link detects silence.
  */
 const HOLDER_TIMEOUT_US = 500 * MILLISECOND_US;
 
-/** What consensus is opened on. */
+/** Dependencies of {@link openConsensus}. */
 export interface ConsensusOptions {
   readonly settings: Settings;
   readonly clock: Clock;
   readonly fileSystem: NodeFileSystem;
   readonly peers: Peers;
   /**
-   * Copies what else new voters must hold before the old ones stop counting; true once that is
-   * done.
+   * Copies the state outside the store that new voters need before the old ones stop voting; true
+   * once complete.
    */
   readonly copyOtherState: () => Promise<boolean>;
 }
 
-/** The open replicated store and leader lease. */
+/** The replicated store and the leader lease, with their message handlers. */
 export interface Consensus {
   readonly store: ReplicatedStore;
   readonly lease: LeaderLease;
   /**
-   * Whether this controller's links reach no majority: a belief, reason enough to refuse, while the
-   * contrary proves nothing.
+   * Whether this controller's links reach no majority. This is a local estimate: true suffices to
+   * reject calls, but false does not prove that there is a quorum.
    */
   readonly isWithoutQuorum: () => boolean;
   /**
-   * Asks the holder of the leader lease, as far as it is known here; undefined where it doesn't
-   * reply in time.
+   * Sends a request to the leader, as far as it is known locally; undefined if it does not reply in
+   * time.
    */
   readonly askHolder: (message: Message, waitUs: number) => Promise<Message | undefined>;
   readonly peerHandlers: MessageHandlers;
-  /** Loads what the disk holds and takes part from then on. */
+  /** Loads the state on disk and joins the cluster. */
   readonly start: () => Promise<void>;
-  /** Hands over the lease and leaves the voters, if that can be done in time. */
+  /** Transfers the lease and leaves the voter set, if possible within the grace period. */
   readonly close: () => Promise<void>;
 }
 
 /**
- * Opens the replica on disk, the replicated store and the leader lease. Nothing is sent before
- * `start`.
+ * Creates the replica, the replicated store and the leader lease. Sends no messages before `start`.
  */
 export const openConsensus = (options: ConsensusOptions): Consensus => {
   const { settings, clock, fileSystem, peers, copyOtherState } = options;
@@ -72,7 +71,7 @@
     self,
     writeAheadLog,
     replica,
-    // At the first start no peer is known; later the seed nodes may all be gone.
+    // No peer is known at the first start; later, all seed nodes may have been replaced.
     seeds: () => [...new Set([...settings.seedNodes, ...peers.known()])],
     transport: { request: peers.request, broadcast: peers.broadcast },
     clock,
--- a/src/programs/controller/content.ts
+++ b/src/programs/controller/content.ts
@@ -1,6 +1,6 @@
 /**
- * What a controller of a content deployment does besides: idempotency keys, purges of cached
- * objects, and leases of the origins' rates. Only such a deployment loads this module and what it
+ * Additional services of a controller in a content deployment: idempotency keys, purges of cached
+ * objects, and leases of the origins' rate limits. Other deployments do not load this module or its
  * imports.
  */
 import { join } from "node:path";
@@ -32,7 +32,7 @@
 const CATCH_UP_PERIOD_US = 300 * MILLISECOND_US;
 const EXPIRY_PERIOD_US = SECOND_US;
 
-/** What a content deployment works on. */
+/** Dependencies of {@link openContent}. */
 export interface ContentOptions {
   readonly settings: Settings;
   readonly clock: Clock;
@@ -45,23 +45,23 @@
   readonly publisher: UpdatePublisher;
 }
 
-/** The open subsystem of a content deployment. */
+/** The subsystem of a content deployment. */
 export interface Content {
   readonly nodeHandlers: MessageHandlers;
   readonly peerHandlers: MessageHandlers;
-  /** Answers the messages of peers about idempotency keys and purges. */
+  /** Handles messages from peers about idempotency keys and purges. */
   readonly peerFallback: MessageHandler;
   readonly queries: QueryHandlers;
-  /** Makes a purge durable and sends it out; false where no quorum holds it. */
+  /** Persists a purge on a quorum and distributes it; false if no quorum stored it. */
   readonly purge: (target: PurgeTarget) => Promise<boolean>;
-  /** Brings what the old voters hold to the new ones; true once it is done. */
+  /** Copies keys and purges from the old voters to the new ones; true once complete. */
   readonly copyToNewMembers: () => Promise<boolean>;
-  /** Loads the keys that the disk holds. */
+  /** Loads the keys stored on disk. */
   readonly start: () => Promise<void>;
   readonly close: () => void;
 }
 
-/** Leases the origins' rates to nodes; the holder of the leader lease gives them out. */
+/** Leases shares of the origins' rate limits to nodes. The leader allocates them. */
 class RateLeases {
   private readonly allocator: RateAllocator;
 
@@ -76,8 +76,8 @@
   };
 
   /**
-   * Only by a holder that a majority has just heard of: one that was cut off or frozen may have a
-   * successor.
+   * Allocates a share only after a majority has confirmed the leadership, because a leader that was
+   * partitioned or suspended may have been replaced.
    */
   readonly leaseAsLeader = async (message: Message): Promise<Message> => {
     if (!(await this.options.lease.confirm())) return { kind: PEER_REPLY.rateLease };
@@ -89,9 +89,7 @@
     return { kind: PEER_REPLY.rateLease, share, lastsUs: RATE_LEASE_US };
   };
 
-  /**
-   * Forgets what was leased while this controller held the leader lease, where it no longer does.
-   */
+  /** Discards the allocations if this controller is no longer the leader. */
   readonly resetIfNotLeader = (): void => {
     if (!this.options.lease.isHolder()) this.allocator.reset();
   };
@@ -143,8 +141,8 @@
 });
 
 /**
- * Reads the purges of a quorum, one reading at a time, and tells the nodes as of when they know
- * them all.
+ * Returns a function that reads the purges from a quorum and sends the nodes the time as of which
+ * they have all of them. Calls are skipped while a read is in progress.
  */
 const createPurgeReader = (
   keys: IdempotencyKeyReplication,
@@ -161,14 +159,14 @@
   };
 };
 
-/** Opens idempotency keys, purges and leases of rates. */
+/** Creates the subsystem and starts its periodic tasks. */
 export const openContent = (options: ContentOptions): Content => {
   const { settings, clock, sessions, updates } = options;
   const table = openKeyTable(options);
   const keys = openKeys(options, table);
   const rates = new RateLeases(options);
   const readPurges = createPurgeReader(keys, options);
-  /** The newest status that each cache has reported, by node. */
+  /** The latest status reported by each cache, by node. */
   const cacheStatus = new Map<string, UnknownRecord>();
   sessions.events.on("report", (report) => {
     if (report.kind === NODE_REPORT.releaseKey)
--- a/src/programs/controller/control-loop.ts
+++ b/src/programs/controller/control-loop.ts
@@ -1,5 +1,6 @@
 /**
- * The loop that keeps the controller in touch with a quorum and looks after what depends on that.
+ * The periodic loop of the controller: keeps contact with a quorum and updates everything that
+ * depends on it.
  */
 import type { NodeSessions } from "../../membership/node-sessions.js";
 import type { UpdatePublisher } from "../../membership/update-publisher.js";
@@ -9,15 +10,15 @@
 import type { QuorumReader } from "./quorum-reader.js";
 
 const PERIOD_US = SECOND_US;
-/** How often a quorum is read until the first reading. */
+/** Interval of quorum reads until the first one succeeds. */
 const FIRST_READ_PERIOD_US = 100 * MILLISECOND_US;
 /**
- * A controller that no majority has answered for so long serves no nodes, also where its links seem
- * to be up.
+ * A controller without an answer from a majority for this long stops serving nodes, even if its
+ * links appear to be up.
  */
 const MAX_CONTACT_AGE_US = 3 * SECOND_US;
 
-/** What the loop looks after. */
+/** Dependencies of {@link startControlLoop}. */
 export interface ControlLoopOptions {
   readonly clock: Clock;
   readonly quorum: QuorumReader;
@@ -25,15 +26,16 @@
   readonly sessions: NodeSessions;
   readonly registry: WorkerRegistry;
   readonly publisher: UpdatePublisher;
-  /** Looks after the leases of retries. */
+  /** Updates the allocation of retry leases; called on every run. */
   readonly refreshRetryLeases: () => void;
 }
 
 /**
- * Every second: ends the nodes' sessions where no majority is reached, or marks workers as missing
- * where one is; sends the nodes a snapshot once every worker could be heard; and reads a quorum.
+ * Starts the loop. Every second it closes the nodes' sessions if there is no majority, or else
+ * marks silent workers as missing; sends the nodes a snapshot once every worker had time to report;
+ * and reads from a quorum.
  *
- * @returns what ends the loop
+ * @returns a handle that stops the loop
  */
 export const startControlLoop = (options: ControlLoopOptions): { readonly close: () => void } => {
   const { clock, quorum, isWithoutQuorum, sessions, registry, publisher } = options;
--- a/src/programs/controller/controller.ts
+++ b/src/programs/controller/controller.ts
@@ -1,8 +1,8 @@
 /**
- * The controller program: a member of the control plane. `runController` only joins the subsystems
- * and starts and stops them in order; each has a module of its own. Messages of peers and requests
- * of nodes are dispatched by kind to the handlers that the subsystems contribute, and calls of the
- * admin API by their routes.
+ * The controller program, a member of the control plane. `runController` only wires the subsystems,
+ * which have modules of their own, and starts and stops them in order. Messages from peers and
+ * requests from nodes are dispatched by kind to the handlers that the subsystems register; calls of
+ * the admin API are dispatched by route.
  */
 import { randomUUID } from "node:crypto";
 import { NodeFileSystem } from "../../storage/file-system.js";
@@ -37,7 +37,7 @@
 import { openWorkers } from "./workers.js";
 
 /**
- * Opens every subsystem, each on those before it. Nothing is sent or served before they are
+ * Creates the subsystems in order of their dependencies. Nothing is sent or served before they are
  * started.
  */
 const openSubsystems = async (settings: Settings, clock: Clock) => {
@@ -54,8 +54,8 @@
     clock,
     fileSystem,
     peers,
-    // New voters are only brought in once the controller runs, and so after `content` was opened
-    // below.
+    // Voters are only added while the controller runs, so `content` has been initialized below by
+    // then.
     copyOtherState: async () => (await content?.copyToNewMembers()) ?? true,
   });
   const shared = { settings, clock, fileSystem, updates, registry, publisher, peers, ...consensus };
@@ -102,8 +102,8 @@
 type Subsystems = Awaited<ReturnType<typeof openSubsystems>>;
 
 /**
- * Registers the handlers of all subsystems for what nodes ask, and gives the server for what peers
- * ask.
+ * Registers the subsystems' handlers for requests from nodes, and creates the server that
+ * dispatches requests from peers.
  */
 const openPeerServer = (subsystems: Subsystems): PeerServer => {
   const { consensus, workers, nodes, content, health, retries, replicaStatus, visibility, peers } =
@@ -123,7 +123,7 @@
   });
 };
 
-/** The routes of the admin API, for workers and operators. */
+/** The routes of the admin API, which serves workers and operators. */
 const adminRoutes = (subsystems: Subsystems): readonly ApiRoute[] => {
   const { store, registry, workers, nodes, content, health, retries, replicaStatus, visibility } =
     subsystems;
@@ -147,10 +147,10 @@
 };
 
 /**
- * Runs a controller. Resolves once it serves its peers, nodes, workers and operators.
+ * Starts a controller. Resolves once it serves peers, nodes, workers and operators.
  *
- * @returns the running program; its `stop` hands over the leader lease and leaves the voters first,
- *   if that can be done
+ * @returns the running program. Its `stop` first transfers the leader lease and leaves the voter
+ *   set, if possible.
  */
 export const runController = async (settings: Settings, clock: Clock): Promise<RunningProgram> => {
   const log = loggerFor("controller");
--- a/src/programs/controller/figures.ts
+++ b/src/programs/controller/figures.ts
@@ -1,4 +1,4 @@
-/** What a controller tells of itself to those who watch it. */
+/** Metrics of the controller. */
 import { isConfigKey } from "../../config/config-keys.js";
 import type { ReplicatedStore } from "../../consensus/replicated-store.js";
 import type { NodeSessions } from "../../membership/node-sessions.js";
@@ -8,7 +8,7 @@
 import type { Figure } from "../metrics-server.js";
 import type { QuorumFreshness } from "./quorum-freshness.js";
 
-/** What the figures of a controller are read from. */
+/** Dependencies of {@link controllerMetrics}. */
 export interface ControllerMetricsOptions {
   readonly store: ReplicatedStore;
   readonly updates: UpdateStore;
@@ -18,7 +18,7 @@
   readonly freshness: QuorumFreshness;
 }
 
-/** The figures of a controller. */
+/** Returns the metrics of a controller. */
 export const controllerMetrics = ({
   store,
   updates,
--- a/src/programs/controller/fleet-queries.ts
+++ b/src/programs/controller/fleet-queries.ts
@@ -1,6 +1,6 @@
 /**
- * Operators' questions about the fleet, the leader lease, and this replica.
- * Field names are those of the admin API and of messages between controllers, and never change.
+ * Operators' queries about the fleet, the leader lease, and this replica. Field names are part of
+ * the admin API and of the messages between controllers, and must not change.
  */
 import type { LeaderLease } from "../../consensus/leader-lease.js";
 import type { ReplicatedStore } from "../../consensus/replicated-store.js";
@@ -14,12 +14,12 @@
 import { PEER_REPLY, PEER_REQUEST } from "./peer-messages.js";
 import type { QuorumFreshness } from "./quorum-freshness.js";
 
-/** Answers to queries by name; a name is a segment of the path. */
+/** Query handlers by name; the name is a segment of the path. */
 export type QueryHandlers = Readonly<Record<string, () => unknown>>;
 
-/** What {@link ReplicaStatus} describes. */
+/** Dependencies of {@link ReplicaStatus}. */
 export interface ReplicaStatusOptions {
-  /** This controller's id. */
+  /** The id of this controller. */
   readonly self: string;
   readonly store: ReplicatedStore;
   readonly lease: LeaderLease;
@@ -28,7 +28,7 @@
 }
 
 /**
- * The status of this replica, and, by asking the others, of the leader lease and of every
+ * Describes this replica and, by querying the other controllers, the leader lease and every
  * controller.
  */
 export class ReplicaStatus {
@@ -41,8 +41,8 @@
   }
 
   /**
-   * What this replica knows by itself, also while it is cut off; nothing of it speaks for the
-   * fleet.
+   * The local view of this replica, available even without a quorum. It may differ from the state
+   * of the fleet.
    */
   readonly describeReplica = (): UnknownRecord => {
     const { self, store, lease, freshness } = this.options;
@@ -65,8 +65,8 @@
   };
 
   /**
-   * The holder and term of the leader lease, the voter set, and every controller with why it
-   * doesn't vote.
+   * The holder and term of the leader lease, the voter set, and the status of every controller with
+   * the reason if it does not vote.
    */
   readonly describeLeaderLease = async (): Promise<UnknownRecord> => {
     const { self, store, lease, peers } = this.options;
@@ -82,7 +82,7 @@
     };
   };
 
-  /** One controller as it describes itself; one that doesn't answer is named as unseen. */
+  /** The status of one controller as it reports it; without an answer it is marked as unseen. */
   private readonly describeController = async (controller: string): Promise<UnknownRecord> => {
     const { self, store, peers } = this.options;
     const status =
@@ -114,19 +114,19 @@
 /**
  * The route that answers queries by name.
  *
- * @param fleetQueries - answered only once a majority was heard after the call came
- * @param ofThisReplica - answered at any time
+ * @param fleetQueries - answered only once a majority asked after the call has answered
+ * @param localQueries - answered at any time
  */
 export const queryRoutes = (
   store: ReplicatedStore,
   fleetQueries: QueryHandlers,
-  ofThisReplica: QueryHandlers,
+  localQueries: QueryHandlers,
 ): readonly ApiRoute[] => {
   const answer = async (request: ApiRequest): Promise<ApiResponse> => {
     const name = pathArgument(request);
-    const query = ofThisReplica[name] ?? fleetQueries[name];
+    const query = localQueries[name] ?? fleetQueries[name];
     if (!query) return { outcome: "unknownCall" };
-    if (ofThisReplica[name] === undefined && !(await store.confirmQuorum()))
+    if (localQueries[name] === undefined && !(await store.confirmQuorum()))
       return { outcome: "noMajority" };
     return { outcome: "taken", body: { [name]: await query() } };
   };
--- a/src/programs/controller/health.ts
+++ b/src/programs/controller/health.ts
@@ -1,7 +1,7 @@
 /**
- * The health of workers and zones, judged by the lease holder: outliers, canaries, capacity, and
- * maintenance windows. What nodes report goes to the holder: a report comes in with a node's
- * session, and is forwarded where this controller doesn't hold the lease.
+ * The health subsystem: outlier detection, canary analysis, capacity forecast and maintenance
+ * windows, all of which decide on the leader only. A node sends its reports to the controller that
+ * it has a session with; any other controller than the leader forwards them to the leader.
  */
 import type { LeaderLease } from "../../consensus/leader-lease.js";
 import type { ReplicatedStore } from "../../consensus/replicated-store.js";
@@ -24,7 +24,7 @@
 import { PEER_REPLY, PEER_REQUEST } from "./peer-messages.js";
 import type { PublishedState } from "./published-state.js";
 
-/** What the health subsystem works on. */
+/** Dependencies of {@link openHealth}. */
 export interface HealthOptions {
   readonly settings: Settings;
   readonly clock: Clock;
@@ -39,14 +39,14 @@
   readonly zones: () => readonly string[];
 }
 
-/** What decides something as the lease holder, by the name that operators ask for it by. */
+/** Describe the leader's decisions, by the topic that operators query. */
 type Explanations = Readonly<Record<string, () => unknown>>;
 
-/** The open health subsystem. */
+/** The health subsystem with its message handlers, routes and queries. */
 export interface Health {
   readonly peerHandlers: MessageHandlers;
   readonly routes: readonly ApiRoute[];
-  /** Answers to operators' questions; asked of the lease holder where this controller isn't it. */
+  /** Handlers of operators' queries, which are forwarded to the leader from other controllers. */
   readonly queries: Readonly<Record<string, () => Promise<unknown>>>;
   readonly start: () => void;
   readonly close: () => void;
@@ -56,7 +56,7 @@
   readonly receive: (report: Message) => void;
 }
 
-/** Hands the reports of nodes to their receivers at the lease holder. */
+/** Delivers the reports of nodes to their receivers on the leader. */
 const routeReports = (
   { lease, askHolder, sessions }: HealthOptions,
   receivers: ReadonlyMap<string, ReportReceiver>,
@@ -75,8 +75,8 @@
 };
 
 /**
- * What only the lease holder knows is asked of the holder; where it isn't reached, this
- * controller's own view is given.
+ * Creates queries for state that only the leader has. If the leader can't be reached, they return
+ * this controller's own view.
  */
 const leaderQueries = (
   { lease, askHolder }: HealthOptions,
@@ -103,7 +103,7 @@
   };
 };
 
-/** Opens what judges the health of workers and zones. Nothing is judged before `start`. */
+/** Creates the health subsystem. It makes no decisions before `start`. */
 export const openHealth = (options: HealthOptions): Health => {
   const { detector, ...outliers } = openOutlierDetection(options);
   const { analyzer, splitRoutes, ...canaries } = openCanaries(options);
--- a/src/programs/controller/heartbeat-replicator.ts
+++ b/src/programs/controller/heartbeat-replicator.ts
@@ -1,4 +1,4 @@
-/** Sends the heartbeats that workers report here on to the other controllers. */
+/** Replicates the heartbeats that workers send to this controller to the other controllers. */
 import type { ReplicatedStore } from "../../consensus/replicated-store.js";
 import { WRITE_TIMEOUT_US } from "../../consensus/timeouts.js";
 import type { Heartbeat } from "../../membership/cluster.js";
@@ -9,12 +9,12 @@
 import type { Message } from "../../transport/connection.js";
 
 /**
- * Heartbeats that come within this time of each other share a message and a quorum check, which
- * waits a little for others itself.
+ * Heartbeats received within this time share a message and a quorum check. The quorum check itself
+ * also briefly waits for other callers.
  */
 const BATCH_US = 100 * MILLISECOND_US;
 
-/** What heartbeats are replicated with. */
+/** Dependencies of {@link HeartbeatReplicator}. */
 export interface HeartbeatReplicatorOptions {
   readonly clock: Clock;
   readonly store: ReplicatedStore;
@@ -22,16 +22,16 @@
 }
 
 /**
- * Replicates heartbeats.
- * Invariant: what is confirmed here was confirmed by a majority that was asked after the call.
+ * Replicates heartbeats. Invariant: a call is only confirmed by a majority that was asked after the
+ * call was made.
  */
 export class HeartbeatReplicator {
   /**
-   * Resolves to true once a majority answered after the call; heartbeats pending by then are sent
-   * before.
+   * Resolves to true once a majority that was asked after the call has answered. Pending heartbeats
+   * are sent first.
    */
   readonly confirmQuorum: () => Promise<boolean>;
-  /** Heartbeats that change nothing, not yet sent; the newest of each worker. */
+  /** Heartbeats without a state change that are not sent yet; the latest by worker. */
   private readonly pending = new Map<string, Heartbeat>();
 
   constructor(private readonly options: HeartbeatReplicatorOptions) {
@@ -41,14 +41,15 @@
     });
   }
 
-  /** Sends a heartbeat with the next batch; true once a majority was heard after the call. */
+  /** Sends a heartbeat with the next batch; true once a majority asked after the call answered. */
   readonly replicateSoon = (heartbeat: Heartbeat): Promise<boolean> => {
     this.pending.set(heartbeat.id, heartbeat);
     return this.confirmQuorum();
   };
 
   /**
-   * Sends a heartbeat at once; true once a quorum holds it and a majority was heard after the call.
+   * Sends a heartbeat immediately; true once a quorum has stored it and a majority asked after the
+   * call has answered.
    */
   readonly replicateToQuorum = async (heartbeat: Heartbeat): Promise<boolean> => {
     const { store, peers } = this.options;
--- a/src/programs/controller/maintenance-windows.ts
+++ b/src/programs/controller/maintenance-windows.ts
@@ -1,6 +1,6 @@
 /**
- * The maintenance windows that the lease holder takes through their stages, and operators' changes
- * to them.
+ * Maintenance windows, which the leader advances through their stages, and the operators' commands
+ * to change them.
  */
 import { randomUUID } from "node:crypto";
 import type { LeaderLease } from "../../consensus/leader-lease.js";
@@ -32,9 +32,12 @@
 } from "./peer-messages.js";
 import { PUBLISHED_REGISTER, type PublishedState } from "./published-state.js";
 
-/** What is learned so soon after a start may have been so for any time. */
+/**
+ * Windows learned within this time of the start may have been stored long before, so their age is
+ * unknown.
+ */
 const STARTUP_PERIOD_US = 10 * SECOND_US;
-/** A command is written like any other, after a quorum check by the holder. */
+/** A command takes one write to the store, preceded by a quorum check by the leader. */
 const COMMAND_TIMEOUT_US = 2 * WRITE_TIMEOUT_US;
 
 const WINDOW_OUTCOMES: Readonly<Record<WindowError["code"], OutcomeName>> = {
@@ -51,7 +54,7 @@
 const toFailure = (error: WindowError): ApiResponse =>
   failureResponse(WINDOW_OUTCOMES[error.code], error.message);
 
-/** What maintenance windows work on. */
+/** Dependencies of {@link openMaintenanceWindows}. */
 export interface MaintenanceWindowsOptions {
   readonly settings: Settings;
   readonly clock: Clock;
@@ -64,13 +67,13 @@
   readonly detector: OutlierDetector;
   /** The zones of all workers and nodes. */
   readonly zones: () => readonly string[];
-  /** The longest time that a request may take, in microseconds, by the routes in force. */
+  /** The longest request deadline of the routes in force, in microseconds. */
   readonly longestDeadlineUs: () => number;
-  /** Requests in flight by worker. */
+  /** Requests in flight by service. */
   readonly inFlight: () => ReadonlyMap<string, number>;
 }
 
-/** The open maintenance windows. */
+/** The maintenance windows with their message handlers and routes. */
 export interface OpenMaintenanceWindows {
   readonly windows: MaintenanceWindows;
   readonly peerHandlers: MessageHandlers;
@@ -78,9 +81,9 @@
 }
 
 /**
- * For how long this process has known the windows as they are, in microseconds; undefined where
- * they may have been so for any time, since they are as found on disk or were learned soon after
- * the start.
+ * Returns a function for the time since this process learned the current windows, in microseconds.
+ * It gives undefined if their age is unknown, because they were loaded from disk or learned soon
+ * after the start.
  */
 const windowsAge = (clock: Clock, store: ReplicatedStore): (() => number | undefined) => {
   const startedUs = clock.nowUs();
@@ -132,7 +135,7 @@
   });
 };
 
-/** A span such as `90s` in microseconds; NaN where it is none. */
+/** Parses a duration such as `90s` to microseconds; NaN if it is malformed. */
 const readDurationUs = (value: unknown): number => parseDuration(value).unwrapOr(Number.NaN);
 
 const windowRoutes = (
@@ -142,14 +145,14 @@
     const { cell: zone, opens, lasts } = readBody(request);
     const [opensInUs, durationUs] = [readDurationUs(opens), readDurationUs(lasts)];
     if (typeof zone !== "string" || Number.isNaN(opensInUs) || Number.isNaN(durationUs))
-      return badRequest("cell must be text, opens and lasts spans such as 90s");
+      return badRequest("cell must be a string, opens and lasts must be durations such as 90s");
     return change({ action: "add", zone, opensInUs, durationUs });
   };
   const cancel = (request: ApiRequest): Promise<ApiResponse> =>
     change({ action: "cancel", id: pathArgument(request) });
   const extend = async (request: ApiRequest): Promise<ApiResponse> => {
     const byUs = readDurationUs(readBody(request)["by"]);
-    if (Number.isNaN(byUs)) return badRequest("by must be a span such as 90s");
+    if (Number.isNaN(byUs)) return badRequest("by must be a duration such as 90s");
     return change({ action: "extend", id: pathArgument(request), byUs });
   };
   return [
@@ -159,7 +162,7 @@
   ];
 };
 
-/** Opens the maintenance windows; their caller starts and stops them. */
+/** Creates the maintenance windows. The caller starts and stops them. */
 export const openMaintenanceWindows = (
   options: MaintenanceWindowsOptions,
 ): OpenMaintenanceWindows => {
