--- a/src/main.ts
+++ b/src/main.ts
@@ -24,8 +24,8 @@
 };
 
 /**
- * The settings file may change with a signal or without one; what is wrong in it then changes
- * nothing.
+ * Reloads the settings file when it changes on disk or on SIGHUP. An invalid file is logged, and
+ * the current settings stay in force.
  */
 const watchSettings = async (
   path: string,
@@ -42,7 +42,7 @@
     if (read.isOk) {
       setLogLevel(read.value.logLevel);
       applySettings(read.value);
-    } else log.warn(`The changed settings are not taken: ${read.error.sentence}.`);
+    } else log.warn(`The changed settings are not applied: ${read.error.sentence}.`);
   };
   clock.every(SETTINGS_POLL_INTERVAL_US, () => void reloadIfModified());
   process.on("SIGHUP", () => void reloadIfModified());
@@ -67,7 +67,7 @@
   }).listen();
 };
 
-/** Each program loads only what it is made of. */
+/** Runs a program. `load` imports its modules, so that only those of one program are loaded. */
 const run = async (role: Role, load: () => Promise<Program>): Promise<void> => {
   const path = process.env[SETTINGS_VARIABLE] ?? "/etc/yewreel/boot.toml";
   const read = await readSettings(path);
--- a/src/programs/controller/backend-forecast.ts
+++ b/src/programs/controller/backend-forecast.ts
@@ -90,7 +90,9 @@
     ...services
       .filter((service) => !rows.some((row) => row["service"] === service))
       .map((service) => `no node has recently called ${service}`),
-    ...(haveWorkersChanged ? ["workers joined or left while the nodes were queried: repeat the query"] : []),
+    ...(haveWorkersChanged
+      ? ["workers joined or left while the nodes were queried: repeat the query"]
+      : []),
   ];
 };
 
--- a/src/programs/controller/message-dispatcher.ts
+++ b/src/programs/controller/message-dispatcher.ts
@@ -25,7 +25,8 @@
 
   readonly register = (handlers: MessageHandlers): void =>
     Object.entries(handlers).forEach(([kind, handler]) => {
-      if (this.handlers.has(kind)) throw new Error(`Duplicate handler for messages of kind ${kind}.`);
+      if (this.handlers.has(kind))
+        throw new Error(`Duplicate handler for messages of kind ${kind}.`);
       this.handlers.set(kind, handler);
     });
 
--- a/src/programs/controller/node-messages.ts
+++ b/src/programs/controller/node-messages.ts
@@ -1,9 +1,10 @@
 /**
- * The requests and reports that come from nodes over their sessions, and what nodes are asked on an
- * operator's behalf. The strings are on the wire: nodes of other releases write and read them too.
+ * Kinds of the requests and reports that nodes send over their sessions, and of the queries sent to
+ * nodes on behalf of operators. The values are part of the wire protocol and must not change: nodes
+ * of other releases use them.
  */
 
-/** What nodes ask of the control plane. */
+/** Requests from nodes to the control plane. */
 export const NODE_REQUEST = {
   claimKey: "key-claim",
   completeKey: "key-done",
@@ -11,13 +12,13 @@
   leaseRate: "rate-ask",
 } as const;
 
-/** What the control plane replies. */
+/** Replies of the control plane. */
 export const NODE_REPLY = {
   claim: "claim",
   retryLeases: "retries",
 } as const;
 
-/** What nodes report without waiting for a reply. */
+/** Reports from nodes, which get no reply. */
 export const NODE_REPORT = {
   faults: "faults",
   canary: "rollout",
@@ -26,7 +27,7 @@
   cacheStatus: "goods",
 } as const;
 
-/** What nodes are asked; each answers with a message of the same kind. */
+/** Queries to nodes; the reply has the same kind. */
 export const NODE_QUERY = {
   retries: "retries",
   reassignments: "moves",
--- a/src/programs/controller/node-queries.ts
+++ b/src/programs/controller/node-queries.ts
@@ -1,5 +1,5 @@
 /**
- * Questions to every node of the fleet, each asked through the controller that the node has its
+ * Queries to all nodes of the fleet. Each node is queried through the controller that it has its
  * session with.
  */
 import type { Peers } from "../../membership/peers.js";
@@ -13,7 +13,7 @@
 const NODE_TIMEOUT_US = 1_500 * MILLISECOND_US;
 const PEER_TIMEOUT_US = 2_000 * MILLISECOND_US;
 
-/** Asks nodes on an operator's behalf. */
+/** Queries nodes on behalf of operators. */
 export class NodeQueries {
   constructor(
     private readonly sessions: NodeSessions,
@@ -21,8 +21,8 @@
   ) {}
 
   /**
-   * Asks every node with a session anywhere; one that doesn't answer within two seconds has no
-   * answer in the list.
+   * Queries every node with a session on any controller. The answer of a node that does not reply
+   * within two seconds is undefined.
    */
   readonly askAll = async (question: Message): Promise<readonly NodeAnswer[]> => {
     const { sessions, peers } = this;
@@ -42,7 +42,7 @@
     );
   };
 
-  /** Asks the nodes with a session here, for a peer. */
+  /** Queries the nodes with a session on this controller on behalf of a peer. */
   readonly answerPeer = async (message: Message): Promise<Message> => {
     const question = asRecord(message["question"], "question");
     const answers = await this.sessions.queryAll(
--- a/src/programs/controller/node-sessions.ts
+++ b/src/programs/controller/node-sessions.ts
@@ -1,8 +1,8 @@
 /**
- * The sessions of nodes with this controller: who has one is told to the peers, and the size of the
- * cluster to the nodes. A node's session begins at the listener (`peer-server.ts`), is served by
- * NodeSessions, and its requests are dispatched by kind to the handlers that the other subsystems
- * register in `requests`.
+ * Wires the sessions of nodes with this controller: announces the list of sessions to the peers,
+ * and the size of the cluster to the nodes. The listener passes a node's connection to
+ * NodeSessions, and the node's requests are dispatched by kind to the handlers that other
+ * subsystems register in `requests`.
  */
 import { MessageKind } from "../../membership/messages.js";
 import { NodeSessions } from "../../membership/node-sessions.js";
@@ -17,12 +17,12 @@
 import { NodeQueries } from "./node-queries.js";
 
 /**
- * Nodes join in crowds: what is announced about sessions is announced once for all that came within
- * this time.
+ * Nodes often join in large numbers at once, so changes of sessions within this time share one
+ * announcement.
  */
 const ANNOUNCE_DELAY_US = 60 * MILLISECOND_US;
 
-/** What the nodes' sessions work on. */
+/** Dependencies of {@link openNodeSessions}. */
 export interface NodeSessionsOptions {
   readonly settings: Settings;
   readonly clock: Clock;
@@ -30,25 +30,26 @@
   readonly peers: Peers;
   readonly isWithoutQuorum: () => boolean;
   /**
-   * Whether nodes may be served: the state here is fresh, and a majority was heard after the call.
+   * Whether nodes may be served: the local state is recent, and a majority asked after the call has
+   * answered.
    */
   readonly mayServeNodes: () => Promise<boolean>;
-  /** The zone that a maintenance window has emptied; "" where none is. */
+  /** The zone drained by a maintenance window, or empty. */
   readonly drainedZone: () => string;
 }
 
-/** The open sessions of nodes. */
+/** The node sessions with their queries and message handlers. */
 export interface OpenNodeSessions {
   readonly sessions: NodeSessions;
-  /** Answers what nodes ask over their sessions; other subsystems register their handlers here. */
+  /** Dispatches requests from nodes; other subsystems register their handlers here. */
   readonly requests: MessageDispatcher;
   readonly queries: NodeQueries;
   readonly peerHandlers: MessageHandlers;
-  /** Sends the sessions here to all peers soon, once for all who asked for it meanwhile. */
+  /** Sends the list of local sessions to all peers after a short delay; calls are debounced. */
   readonly announceToPeers: () => void;
 }
 
-/** Opens the sessions of nodes; they end with the listener that brings them. */
+/** Creates the node sessions. They end when the listener closes their connections. */
 export const openNodeSessions = (options: NodeSessionsOptions): OpenNodeSessions => {
   const { settings, clock, publisher, peers, isWithoutQuorum } = options;
   const requests = new MessageDispatcher();
--- a/src/programs/controller/outlier-detection.ts
+++ b/src/programs/controller/outlier-detection.ts
@@ -1,4 +1,4 @@
-/** The outlier detector of the lease holder, and operators' shifts of traffic away from a zone. */
+/** Wires the outlier detector, which runs on the leader, and the operators' zonal shifts. */
 import type { LeaderLease } from "../../consensus/leader-lease.js";
 import { WRITE_TIMEOUT_US } from "../../consensus/timeouts.js";
 import { packHealthDecisions } from "../../health/decisions-codec.js";
@@ -21,11 +21,11 @@
 } from "./peer-messages.js";
 import { PUBLISHED_REGISTER, type PublishedState } from "./published-state.js";
 
-/** The reason that stands for a practice; every other one is an operator's shift. */
+/** The reason given for a practice run; any other reason means a manual shift. */
 const REASON_PRACTICE = "practice";
 const REASON_MANUAL = "by hand";
 
-/** What the outlier detection works on. */
+/** Dependencies of {@link openOutlierDetection}. */
 export interface OutlierDetectionOptions {
   readonly clock: Clock;
   readonly lease: LeaderLease;
@@ -34,7 +34,7 @@
   readonly published: PublishedState;
 }
 
-/** The open outlier detection. */
+/** The outlier detector with its message handlers and routes. */
 export interface OutlierDetection {
   readonly detector: OutlierDetector;
   readonly peerHandlers: MessageHandlers;
@@ -65,7 +65,7 @@
   });
 };
 
-/** Opens the outlier detector; its caller starts and stops it. */
+/** Creates the outlier detector. The caller starts and stops it. */
 export const openOutlierDetection = (options: OutlierDetectionOptions): OutlierDetection => {
   const { lease, askHolder } = options;
   const detector = createDetector(options);
@@ -83,7 +83,7 @@
       : isPositiveReply(await askHolder(packZoneShift(command), WRITE_TIMEOUT_US));
   const shiftRoute = async (request: ApiRequest): Promise<ApiResponse> => {
     const { cell: zone, why } = readBody(request);
-    if (typeof zone !== "string") return badRequest("cell must be text");
+    if (typeof zone !== "string") return badRequest("cell must be a string");
     const isShifted = await shift({ zone, why: why === REASON_PRACTICE ? why : REASON_MANUAL });
     return { outcome: isShifted ? "taken" : "noQuorum" };
   };
--- a/src/programs/controller/peer-messages.ts
+++ b/src/programs/controller/peer-messages.ts
@@ -1,14 +1,14 @@
 /**
- * The messages that controllers send each other beside those of consensus, idempotency keys and
- * sessions. The strings and field names are on the wire: controllers of other releases write and
- * read them too.
+ * Messages between controllers, except for those of consensus, idempotency keys and sessions. The
+ * values and field names are part of the wire protocol and must not change: controllers of other
+ * releases use them.
  */
 import type { OutcomeName } from "../../common/http-outcomes.js";
 import { readFlag, readNumber, readString } from "../../common/decode.js";
 import type { Message } from "../../transport/connection.js";
 import type { ApiResponse } from "../http-api.js";
 
-/** The kinds of requests that a controller takes from a peer, by what each asks for. */
+/** Kinds of requests between controllers. */
 export const PEER_REQUEST = {
   confirmQuorum: "hear-majority",
   shiftZone: "shift",
@@ -23,74 +23,74 @@
   confirmPosted: "posted",
 } as const;
 
-/** The requests that the leader lease answers. */
+/** Kinds of requests that the leader lease handles. */
 export const LEASE_REQUESTS = ["unseen", "join", "leave", "succeed"] as const;
 
-/** The kinds of replies. */
+/** Kinds of replies between controllers. */
 export const PEER_REPLY = {
   done: "done",
   retryLeases: "retries",
   rateLease: "rate",
 } as const;
 
-/** A reply that says yes or no. */
+/** Builds a boolean reply. */
 export const packDecision = (yes: boolean): Message => ({ kind: PEER_REPLY.done, yes });
 
-/** Whether a peer replied, and replied yes. */
+/** Whether there is a reply and it is positive. */
 export const isPositiveReply = (reply: Message | undefined): boolean =>
   reply !== undefined && readFlag(reply, "yes");
 
-/** The reply to a forwarded call of the admin API. */
+/** Builds the reply to a forwarded call of the admin API. */
 export const packApiResponse = ({ outcome, body = {} }: ApiResponse): Message => ({
   kind: PEER_REPLY.done,
   outcome,
   body,
 });
 
-/** An order to shift traffic away from a zone, or back where the zone is empty. */
+/** A command to shift traffic away from a zone, or to end the shift if `zone` is empty. */
 export interface ZoneShift {
   readonly zone: string;
-  /** `practice`, or anything else for an operator's shift. */
+  /** `practice` for a practice run; any other value means a manual shift. */
   readonly why: string;
 }
 
-/** The message that forwards a {@link ZoneShift} to the lease holder. */
+/** Builds the message that forwards a {@link ZoneShift} to the leader. */
 export const packZoneShift = ({ zone, why }: ZoneShift): Message => ({
   kind: PEER_REQUEST.shiftZone,
   cell: zone,
   why,
 });
 
-/** Reads what {@link packZoneShift} gave; throws a DecodeError where a field is missing. */
+/** Inverse of {@link packZoneShift}; throws a DecodeError if a field is missing. */
 export const readZoneShift = (message: Message): ZoneShift => ({
   zone: readString(message, "cell"),
   why: readString(message, "why"),
 });
 
-/** An order to let a stopped candidate take traffic again. */
+/** A command to let a stopped candidate receive traffic again. */
 export interface CanaryClearance {
   readonly route: string;
-  /** The version of the route that is meant; any where undefined. */
+  /** The expected version of the route; undefined accepts any. */
   readonly version: number | undefined;
 }
 
-/** The message that forwards a {@link CanaryClearance} to the lease holder. */
+/** Builds the message that forwards a {@link CanaryClearance} to the leader. */
 export const packCanaryClearance = ({ route, version }: CanaryClearance): Message => ({
   kind: PEER_REQUEST.clearCanary,
   route,
   ...(version === undefined ? {} : { version }),
 });
 
-/** Reads what {@link packCanaryClearance} gave; throws a DecodeError where the route is missing. */
+/** Inverse of {@link packCanaryClearance}; throws a DecodeError if the route is missing. */
 export const readCanaryClearance = (message: Message): CanaryClearance => ({
   route: readString(message, "route"),
   version: typeof message["version"] === "number" ? message["version"] : undefined,
 });
 
-/** The reply to a {@link CanaryClearance}, which has no body. */
+/** Builds the reply to a {@link CanaryClearance}, which has no body. */
 export const packOutcome = (outcome: OutcomeName): Message => ({ kind: PEER_REPLY.done, outcome });
 
-/** A change to the maintenance windows. Times are microseconds from when the order is given. */
+/** A command to change a maintenance window. Times are microseconds from when it is given. */
 export type WindowCommand =
   | {
       readonly action: "add";
@@ -101,7 +101,7 @@
   | { readonly action: "cancel"; readonly id: string }
   | { readonly action: "extend"; readonly id: string; readonly byUs: number };
 
-/** The message that forwards a {@link WindowCommand} to the lease holder. */
+/** Builds the message that forwards a {@link WindowCommand} to the leader. */
 export const packWindowCommand = (command: WindowCommand): Message => {
   const kind = PEER_REQUEST.changeWindow;
   switch (command.action) {
@@ -120,7 +120,7 @@
   }
 };
 
-/** Reads what {@link packWindowCommand} gave; throws a DecodeError where a field is missing. */
+/** Inverse of {@link packWindowCommand}; throws a DecodeError if a field is missing. */
 export const readWindowCommand = (message: Message): WindowCommand => {
   switch (readString(message, "what")) {
     case "add":
--- a/src/programs/controller/peer-server.ts
+++ b/src/programs/controller/peer-server.ts
@@ -1,6 +1,6 @@
 /**
- * Serves the connections that peers dial: answers their requests by kind, and takes the sessions
- * that they list.
+ * Serves inbound connections from peers: dispatches their requests and receives their lists of node
+ * sessions.
  */
 import { MessageKind } from "../../membership/messages.js";
 import type { NodeSessions } from "../../membership/node-sessions.js";
@@ -11,26 +11,26 @@
 import type { Connection, Message } from "../../transport/connection.js";
 import type { MessageDispatcher } from "./message-dispatcher.js";
 
-/** What a {@link PeerServer} hands messages on to. */
+/** Dependencies of {@link PeerServer}. */
 export interface PeerServerOptions {
   readonly peers: Peers;
   readonly sessions: NodeSessions;
   readonly requests: MessageDispatcher;
-  /** Sends the sessions here to all peers soon. */
+  /** Sends the list of local node sessions to all peers after a short delay. */
   readonly announceToPeers: () => void;
   readonly log: Logger;
 }
 
 /**
- * The inbound side of the links between controllers. Invariant: `newest` holds the newest
- * connection that each peer has dialled; only its end may end the peer's sessions.
+ * The inbound side of the links between controllers. Invariant: `newestConnections` holds the
+ * latest connection from each peer; only when that one ends are the peer's sessions removed.
  */
 export class PeerServer {
   private readonly newestConnections = new Map<string, Connection>();
 
   constructor(private readonly options: PeerServerOptions) {}
 
-  /** Serves one connection for as long as it lasts. */
+  /** Serves a connection until it ends. */
   readonly serve = async (
     connection: Connection,
     hello: Message,
@@ -41,7 +41,7 @@
     connection.send({ ...peers.hello(), kind: MessageKind.welcome });
     peers.learnFrom(hello);
     this.newestConnections.set(peer, connection);
-    // A peer that dials anew may have forgotten the sessions here while its link was down.
+    // A peer that reconnects may have dropped the sessions of this controller while disconnected.
     announceToPeers();
     for await (const message of incoming) {
       if (message.kind === MessageKind.sessions) sessions.applyPeerSessions(peer, message);
@@ -52,7 +52,7 @@
     if (!peers.isConnected(peer)) sessions.forget(peer);
   };
 
-  /** Answers a request on the connection that brought it. */
+  /** Replies to a request on the connection that it came from. */
   private readonly answer = async (
     connection: Connection,
     message: Message,
@@ -64,7 +64,7 @@
       if (reply && typeof message["ask"] === "number")
         connection.send({ ...reply, re: message["ask"] });
     } catch (error) {
-      log.warn("request of a peer failed", {
+      log.warn("request from peer failed", {
         peer,
         kind: message.kind,
         error: messageOf(error),
--- a/src/programs/controller/peers.ts
+++ b/src/programs/controller/peers.ts
@@ -1,11 +1,11 @@
-/** The links to the other controllers. */
+/** Creates the links to the other controllers. */
 import { Peers } from "../../membership/peers.js";
 import type { Clock } from "../../common/clock.js";
 import { loggerFor } from "../../common/logger.js";
 import type { Settings } from "../../common/settings.js";
 import { KEEP_ALIVE } from "../data-plane-node.js";
 
-/** Creates the links, none of them dialled yet, and logs when one comes up or goes down. */
+/** Creates the links without connecting any, and logs when a link goes up or down. */
 export const openPeers = (settings: Settings, clock: Clock): Peers => {
   const log = loggerFor("controller");
   const peers = new Peers({
--- a/src/programs/controller/published-state.ts
+++ b/src/programs/controller/published-state.ts
@@ -1,6 +1,6 @@
 /**
- * What the lease holder has decided and published: registers of the replicated store that are
- * written under its term.
+ * Decisions published by the leader, in registers of the replicated store that are written under
+ * its term.
  */
 import type { LeaderLease } from "../../consensus/leader-lease.js";
 import type { ReplicatedStore } from "../../consensus/replicated-store.js";
@@ -12,7 +12,7 @@
 import { readWindows } from "../../health/windows-codec.js";
 import { parseJson } from "../../common/decode.js";
 
-/** The keys of the registers. They are stored and sent: they never change. */
+/** Keys of the registers. They are stored and sent on the wire, and must not change. */
 export const PUBLISHED_REGISTER = {
   ejections: "duty/ejections",
   canaries: "duty/rollouts",
@@ -23,10 +23,7 @@
 
 type PublishedKey = (typeof PUBLISHED_REGISTER)[keyof typeof PUBLISHED_REGISTER];
 
-/**
- * Reads the published state as held here, and publishes it anew where this controller holds the
- * lease.
- */
+/** Reads the published state from the local replica and, on the leader, updates it. */
 export class PublishedState {
   constructor(
     private readonly store: ReplicatedStore,
@@ -44,13 +41,13 @@
 
   readonly windows = (): WindowState => this.read(PUBLISHED_REGISTER.windows, readWindows, []);
 
-  /** The written retry limits, still to be decoded; undefined where none were ever written. */
+  /** The stored retry limits, not yet decoded; undefined if none were ever stored. */
   readonly retryLimits = (): unknown =>
     this.read<unknown>(PUBLISHED_REGISTER.retryLimits, (value) => value, undefined);
 
   /**
-   * The zone that a maintenance window has emptied; "" where none is. Its relays and controller
-   * serve nobody elsewhere.
+   * The zone drained by a maintenance window, or empty. Its relays and controller do not serve
+   * nodes of other zones.
    */
   readonly drainedZone = (): string => {
     const { shift } = this.ejections();
@@ -58,9 +55,10 @@
   };
 
   /**
-   * Makes a decision, taken on the state as held here, durable under the holder's term.
+   * Persists a decision under the leader's term, provided that the local state that it is based on
+   * is still current.
    *
-   * @returns false if that state or the term has been overtaken, or no quorum answered
+   * @returns false if that state or the term is outdated, or no quorum answered
    */
   readonly publish = async (key: PublishedKey, state: unknown): Promise<boolean> => {
     const term = this.lease.activeTerm();
--- a/src/programs/controller/purge-route.ts
+++ b/src/programs/controller/purge-route.ts
@@ -1,10 +1,10 @@
-/** The route by which operators purge cached objects. */
+/** The route that lets operators purge cached objects. */
 import { err, ok, type Result } from "true-myth/result";
 import { isRecord, parseJson, type UnknownRecord } from "../../common/decode.js";
 import type { ApiRequest, ApiResponse, ApiRoute } from "../http-api.js";
 import { badRequest } from "./admin-api.js";
 
-/** What a purge names: a host and a path, or a label. What isn't named is empty. */
+/** The target of a purge: a host and a path, or a label. Unused fields are empty. */
 export interface PurgeTarget {
   readonly host: string;
   readonly path: string;
@@ -14,9 +14,9 @@
 const readRecord = (body: string): Result<UnknownRecord, string> => {
   try {
     const value = parseJson(body);
-    return isRecord(value) ? ok(value) : err("the purge is no JSON table");
+    return isRecord(value) ? ok(value) : err("the purge must be a JSON object");
   } catch {
-    return err("the purge is no whole JSON table");
+    return err("the purge is not valid JSON");
   }
 };
 
@@ -24,18 +24,18 @@
   if (label !== undefined && host === undefined && path === undefined)
     return typeof label === "string" && label !== ""
       ? ok({ host: "", path: "", label })
-      : err("label must be a text that is not empty");
-  if (label !== undefined) return err("a purge names a host and a path, or a label, not both");
-  if (typeof host !== "string" || host === "") return err("host must be a text that is not empty");
-  if (typeof path !== "string" || !path.startsWith("/")) return err("path must begin with a slash");
+      : err("label must be a non-empty string");
+  if (label !== undefined) return err("a purge takes either a host and a path, or a label");
+  if (typeof host !== "string" || host === "") return err("host must be a non-empty string");
+  if (typeof path !== "string" || !path.startsWith("/")) return err("path must start with a slash");
   return ok({ host: host.toLowerCase(), path, label: "" });
 };
 
 /**
  * The purge route.
  *
- * @param purge - makes a purge durable and sends it out; undefined where no objects are cached
- * @param confirmQuorum - resolves to true once a majority answered after the call
+ * @param purge - persists and distributes a purge; undefined if the deployment caches no objects
+ * @param confirmQuorum - resolves to true once a majority asked after the call has answered
  */
 export const purgeRoutes = (
   purge: ((target: PurgeTarget) => Promise<boolean>) | undefined,
--- a/src/programs/controller/quorum-freshness.ts
+++ b/src/programs/controller/quorum-freshness.ts
@@ -1,21 +1,21 @@
-/** How recently this controller was in touch with a quorum. */
+/** Tracks how recently this controller had contact with a quorum. */
 import type { Clock } from "../../common/clock.js";
 
 /**
- * When a quorum last answered this controller, and when it last read the state of one. Times of
- * contact are those of the question, not of the answer: what was answered holds at least as of
- * then.
+ * The times of the last answer from a majority and of the last read from a quorum. Both are the
+ * times of the request, not of the answer, because an answer is at least as recent as its request.
  */
 export class QuorumFreshness {
   private lastContactUs: number;
-  /** Undefined until a quorum was read in this process's life. */
+  /** Undefined until this process has read from a quorum. */
   private lastReadUs: number | undefined;
   /**
-   * Whether heartbeats couldn't come in since the last contact, so that their lack says nothing.
+   * Whether this controller was cut off since the last contact. It may then have missed heartbeats,
+   * so their absence does not show that workers are missing.
    */
   private wasCutOff = false;
 
-  /** @param onRegained - called at the first contact after the controller was cut off */
+  /** @param onRegained - called on the first contact after the controller was cut off */
   constructor(
     private readonly clock: Clock,
     private readonly onRegained: () => void,
@@ -23,24 +23,24 @@
     this.lastContactUs = clock.nowUs();
   }
 
-  /** Whether a quorum was read since this process started. */
+  /** Whether this process has read from a quorum. */
   get hasRead(): boolean {
     return this.lastReadUs !== undefined;
   }
 
-  /** Microseconds since the last contact with a majority; at first since the start. */
+  /** Microseconds since the last contact with a majority, or since the start before the first. */
   readonly contactAgeUs = (): number => this.clock.nowUs() - this.lastContactUs;
 
-  /** Microseconds since the last reading of a quorum; infinite before the first. */
+  /** Microseconds since the last read from a quorum; infinite before the first. */
   readonly readAgeUs = (): number =>
     this.lastReadUs === undefined ? Infinity : this.clock.nowUs() - this.lastReadUs;
 
-  /** Records a reading of a quorum that began at `beganUs`. */
+  /** Records a read from a quorum that was started at `startedUs`. */
   readonly recordRead = (startedUs: number): void => {
     this.lastReadUs = startedUs;
   };
 
-  /** Records that a majority answered what was asked at `beganUs`. */
+  /** Records that a majority answered a request that was sent at `startedUs`. */
   readonly recordContact = (startedUs: number): void => {
     if (this.wasCutOff) this.onRegained();
     this.wasCutOff = false;
--- a/src/programs/controller/quorum-reader.ts
+++ b/src/programs/controller/quorum-reader.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps the state held here in step with a quorum, and decides whether nodes may be served from it.
+ * Keeps the local state up to date with a quorum, and decides whether it may be served to nodes.
  */
 import type { ReplicatedStore } from "../../consensus/replicated-store.js";
 import type { Clock } from "../../common/clock.js";
@@ -7,23 +7,23 @@
 import { QuorumFreshness } from "./quorum-freshness.js";
 
 /**
- * A node's first snapshot is no older than this: where the last reading is, another comes first.
+ * Maximum age of a node's first snapshot. If the last read is older, another one is made first.
  */
 const MAX_SNAPSHOT_AGE_US = 2 * SECOND_US;
 
-/** What a {@link QuorumReader} reads. */
+/** Dependencies of {@link QuorumReader}. */
 export interface QuorumReaderOptions {
   readonly clock: Clock;
   readonly store: ReplicatedStore;
   readonly isWithoutQuorum: () => boolean;
-  /** Called at the first contact with a majority after this controller was cut off. */
+  /** Called on the first contact with a majority after this controller was cut off. */
   readonly onRegained: () => void;
 }
 
-/** Reads the state of a quorum and records how fresh the contact with one is. */
+/** Reads the state from a quorum and tracks how recent it is. */
 export class QuorumReader {
   readonly freshness: QuorumFreshness;
-  /** The reading that was begun because others hold something newer. */
+  /** The read started because other replicas have newer state. */
   private pendingCatchUp: Promise<unknown> = Promise.resolve();
 
   constructor(private readonly options: QuorumReaderOptions) {
@@ -34,10 +34,10 @@
   }
 
   /**
-   * Reads a quorum. Where that fails, as it may while others write, asks at least whether a
-   * majority is there.
+   * Reads from a quorum. If that fails, as it can while others write, checks at least for contact
+   * with a majority.
    *
-   * @returns true after a reading
+   * @returns true if the read succeeded
    */
   readonly refresh = async (): Promise<boolean> => {
     const { clock, store } = this.options;
@@ -49,14 +49,14 @@
     return isRead;
   };
 
-  /** Resolves once what others were known to hold before the call has been read. */
+  /** Resolves once all newer state that was known to exist before the call has been read. */
   readonly whenCaughtUp = async (): Promise<void> => {
     await this.pendingCatchUp;
   };
 
   /**
-   * Whether nodes may be served: the state here was read lately, and a majority answered after this
-   * call.
+   * Whether nodes may be served: the local state was read recently, and a majority asked after the
+   * call has answered.
    */
   readonly mayServeNodes = async (): Promise<boolean> => {
     if (!this.freshness.hasRead || this.options.isWithoutQuorum()) return false;
--- a/src/programs/controller/reassignment-summary.ts
+++ b/src/programs/controller/reassignment-summary.ts
@@ -1,6 +1,6 @@
 /**
- * Sums up what nodes answer when they are asked which requests a change of backends would move.
- * Field names are those of the nodes' answers and of the admin API.
+ * Aggregates the nodes' forecasts of the requests that a change of backends would reassign. Field
+ * names are those of the nodes' answers and of the admin API.
  */
 import type { NodeAnswer } from "../../membership/cluster.js";
 import type { WorkerRegistry } from "../../membership/worker-registry.js";
@@ -19,14 +19,14 @@
 } from "../../common/decode.js";
 import { SECOND_US } from "../../common/duration.js";
 
-/** A worker whose slots would be in use beyond this part is named. */
+/** Workers whose slots would be utilized at this share or above are reported. */
 const HIGH_UTILIZATION = 0.8;
 
-/** The load of one worker, summed over nodes. */
+/** The load of one worker, summed over all nodes. */
 interface LoadSum {
   readonly perSNow: number;
   readonly perSThen: number;
-  /** Slots that would be in use. */
+  /** Number of slots that would be in use. */
   readonly busySlots: number;
 }
 
@@ -35,12 +35,12 @@
 const sumField = (rows: readonly UnknownRecord[], field: string): number =>
   rows.reduce((sum, row) => sum + readNumber(row, field), 0);
 
-/** The mean of a field, each row weighted by its requests. */
+/** The mean of a field, weighted by the requests of each row. */
 const weightedMean = (rows: readonly UnknownRecord[], field: string): number =>
   rows.reduce((sum, row) => sum + readNumber(row, field) * readNumber(row, "calls"), 0) /
   Math.max(1, sumField(rows, "calls"));
 
-/** The mean of each of the simulated draws over the nodes, each node weighted by its requests. */
+/** The mean of each simulated draw over the nodes, weighted by the requests of each node. */
 const meanDraws = (rows: readonly UnknownRecord[], requests: number): readonly number[] => {
   const draws = rows.map((row) => readList(row, "draws", asNumber));
   return (draws[0] ?? []).map(
@@ -68,8 +68,8 @@
 };
 
 /**
- * Sums up the nodes' rows of one kind. All nodes see the same quick and slow workers, so their
- * bands don't even out.
+ * Aggregates the nodes' rows of one service, kind and route. All nodes see the same fast and slow
+ * workers, so their deviations are correlated and their confidence intervals don't average out.
  */
 export const aggregateRows = (
   rows: readonly UnknownRecord[],
@@ -108,7 +108,7 @@
 ): void =>
   answers.forEach(({ answer }) => readList(answer ?? {}, field, (value) => visit(asRecord(value))));
 
-/** How unevenly the requests of now are spread over these workers, by the nodes' answers. */
+/** The coefficient of variation of the current request rates of the given workers. */
 export const requestRateVariation = (
   workers: readonly string[],
   answers: readonly NodeAnswer[],
@@ -137,7 +137,7 @@
   return sums;
 };
 
-/** The workers whose load would rise to most of their capacity or beyond. */
+/** The workers whose load would rise to {@link HIGH_UTILIZATION} of their capacity or above. */
 export const findHighlyUtilizedWorkers = (
   answers: readonly NodeAnswer[],
   registry: WorkerRegistry,
--- a/src/programs/controller/retry-quota.ts
+++ b/src/programs/controller/retry-quota.ts
@@ -1,6 +1,6 @@
 /**
- * The fleet's limits on retries: kept in a register, leased to the nodes by the holder of the
- * leader lease, and set and shown by operators.
+ * The fleet-wide limits on retries. They are stored in a register and set by operators; the leader
+ * leases their slack to the nodes.
  */
 import { serviceKey } from "../../config/config-keys.js";
 import type { LeaderLease } from "../../consensus/leader-lease.js";
@@ -38,7 +38,7 @@
 import { packApiResponse, PEER_REPLY, PEER_REQUEST } from "./peer-messages.js";
 import { PUBLISHED_REGISTER, type PublishedState } from "./published-state.js";
 
-/** What the retry quota works on. */
+/** Dependencies of {@link RetryQuota}. */
 export interface RetryQuotaOptions {
   readonly settings: Settings;
   readonly clock: Clock;
@@ -49,7 +49,7 @@
   readonly queries: NodeQueries;
 }
 
-/** The retries of one service and kind, summed over nodes. */
+/** The retries of one service and kind, summed over all nodes. */
 interface RetrySum {
   readonly requests: number;
   readonly retries: number;
@@ -59,7 +59,7 @@
 
 const NO_RETRIES: RetrySum = { requests: 0, retries: 0, refused: 0, leased: 0 };
 
-/** Sums by service and kind, the two joined by a line feed. */
+/** Returns the sums by service and kind; the keys join the two with a line feed. */
 const sumRetries = (answers: readonly NodeAnswer[]): ReadonlyMap<string, RetrySum> => {
   const sums = new Map<string, RetrySum>();
   answers.forEach(({ answer }) =>
@@ -102,7 +102,7 @@
   };
 };
 
-/** The limits alone, where no node has told of any request. */
+/** Returns the limits only, for use when no node has reported any request. */
 const limitRows = (limits: RetryLimits, unheard: number): readonly UnknownRecord[] =>
   Object.entries(limits).flatMap(([service, kinds]) =>
     ROUTE_KINDS.map((kind) => ({
@@ -113,7 +113,7 @@
     })),
   );
 
-/** Sets and shows the limits, and leases the retries of a node that asks. */
+/** Manages the limits, reports their usage, and leases retries to nodes. */
 export class RetryQuota {
   readonly nodeHandlers: MessageHandlers;
   readonly peerHandlers: MessageHandlers;
@@ -138,12 +138,12 @@
   }
 
   /**
-   * Called every second: a new holder's wait begins when it takes the lease, not when it is first
-   * asked.
+   * Called every second, so that the initial wait of a new leader starts when it becomes leader
+   * rather than at the first request for a lease.
    */
   readonly refreshAllocator = (): void => this.allocator.refresh();
 
-  /** What is spent and left, by service and kind, over all nodes that answer. */
+  /** The used and remaining retries by service and kind, over all nodes that answer. */
   readonly describeUsage = async (): Promise<readonly UnknownRecord[]> => {
     const answers = await this.options.queries.askAll({ kind: NODE_QUERY.retries });
     const sums = sumRetries(answers);
@@ -169,8 +169,8 @@
   };
 
   /**
-   * Only by a holder that a majority has just heard of: one that was cut off or frozen may have a
-   * successor.
+   * Leases retries only after a majority has confirmed the leadership, because a leader that was
+   * partitioned or suspended may have been replaced.
    */
   private readonly leaseAsLeader = async (message: Message): Promise<Message> =>
     (await this.options.lease.confirm())
@@ -182,7 +182,7 @@
     const body = readBody(request);
     const { service, kind } = body;
     if (typeof service !== "string" || service === "" || typeof kind !== "string")
-      return badRequest("service and kind must be texts");
+      return badRequest("service and kind must be strings");
     if (lease.isHolder()) return this.setLimitAsLeader(body);
     const reply = await askHolder(
       { ...body, kind: PEER_REQUEST.setRetryLimit, order: body },
--- a/src/programs/controller/visibility-check.ts
+++ b/src/programs/controller/visibility-check.ts
@@ -1,6 +1,6 @@
 /**
- * Makes sure that a confirmed change is on its way to every node: before a change is acknowledged,
- * the connected controllers say that they have posted it to their own nodes.
+ * Ensures that an acknowledged change is on its way to every node: before a change is acknowledged,
+ * the connected controllers confirm that they have posted it to their own nodes.
  */
 import type { Peers } from "../../membership/peers.js";
 import { MILLISECOND_US } from "../../common/duration.js";
@@ -10,20 +10,20 @@
 import type { QuorumReader } from "./quorum-reader.js";
 
 /**
- * How long an acknowledgement waits for a controller that doesn't answer: one that is cut off is
- * noticed later than this, and must not hold up changes.
+ * Maximum delay of an acknowledgement by a controller that does not answer. A partitioned
+ * controller is detected later than this and must not delay changes.
  */
 const MAX_WAIT_US = 300 * MILLISECOND_US;
 
-/** What a {@link VisibilityCheck} asks and answers with. */
+/** Dependencies of {@link VisibilityCheck}. */
 export interface VisibilityCheckOptions {
   readonly peers: Pick<Peers, "known" | "isConnected" | "request">;
   readonly quorum: Pick<QuorumReader, "whenCaughtUp">;
 }
 
 /**
- * Asks peers whether they have posted what is committed, and answers that question. A question is
- * sent behind the notice of what was committed, over the same link, so its answer covers it.
+ * Asks peers whether they have posted the committed changes, and answers the same question. The
+ * question follows the commit notification on the same link, so the answer covers that change.
  */
 export class VisibilityCheck {
   readonly peerHandlers: MessageHandlers;
@@ -32,7 +32,7 @@
     this.peerHandlers = { [PEER_REQUEST.confirmPosted]: this.answerPeer };
   }
 
-  /** Resolves once every connected peer has posted what was committed here, or after the wait. */
+  /** Resolves once every connected peer has posted the committed changes or timed out. */
   readonly waitForPeers = async (): Promise<void> => {
     const { peers } = this.options;
     const question: Message = { kind: PEER_REQUEST.confirmPosted };
@@ -41,7 +41,7 @@
   };
 
   private readonly answerPeer = async (): Promise<Message> => {
-    // The listeners of a notice that came just before run within this turn.
+    // The listeners of a commit notification received just before run in this event-loop turn.
     await new Promise((resolve) => setImmediate(resolve));
     await this.options.quorum.whenCaughtUp();
     return { kind: PEER_REPLY.done };
--- a/src/programs/controller/worker-memory.ts
+++ b/src/programs/controller/worker-memory.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the workers last known on disk, so that after a loss of every process they need not all be
- * heard again first.
+ * Persists the known workers, so that after a restart of all controllers they are available before
+ * every worker has sent a heartbeat.
  */
 import { join } from "node:path";
 import { NodeFileSystem } from "../../storage/file-system.js";
@@ -12,10 +12,10 @@
 import { MILLISECOND_US } from "../../common/duration.js";
 import type { Settings } from "../../common/settings.js";
 
-/** Changes to the workers within this time share a write. */
+/** Changes of workers within this time share one write. */
 const WRITE_DELAY_US = 500 * MILLISECOND_US;
 
-/** What is remembered, and where. */
+/** Dependencies of {@link restoreWorkers}. */
 export interface WorkerMemoryOptions {
   readonly settings: Settings;
   readonly clock: Clock;
@@ -24,10 +24,7 @@
   readonly updates: UpdateStore;
 }
 
-/**
- * Restores the workers that were ready when they were last written, and writes them again whenever
- * they change.
- */
+/** Restores the workers that were ready at the last write, and writes them on every change. */
 export const restoreWorkers = async (options: WorkerMemoryOptions): Promise<void> => {
   const { settings, clock, fileSystem, registry, updates } = options;
   const workerLog = new WriteAheadLog({
@@ -41,7 +38,7 @@
   });
   const loaded = await workerLog.load();
   if (loaded.kind !== "empty") registry.restore(loaded.records.map(readSharedHeartbeat));
-  // What a disk refuses now is in the next snapshot, which holds all workers.
+  // A failed write is made up for by the next snapshot, which contains all workers.
   const writeSoon = debounce(clock, WRITE_DELAY_US, () => void workerLog.writeVerifiedSnapshot());
   updates.events.on("changed", (changed) => {
     if (changed.some(({ key }) => key.startsWith(WORKER_PREFIX))) writeSoon();
--- a/src/programs/controller/workers.ts
+++ b/src/programs/controller/workers.ts
@@ -1,8 +1,8 @@
 /**
- * Workers: their heartbeats and departures, as they come in from workers and from the other
- * controllers. A heartbeat comes in by its route, goes to the registry, and from there to the nodes
- * as an update; the replicator sends it on to the peers, and it is acknowledged once a majority was
- * heard.
+ * Heartbeats and departures of workers, received from the workers and from other controllers. A
+ * heartbeat received by its route is recorded in the registry, which posts it to the nodes as an
+ * update. The replicator sends it to the peers, and it is acknowledged once a majority has
+ * answered.
  */
 import type { ReplicatedStore } from "../../consensus/replicated-store.js";
 import { WRITE_TIMEOUT_US } from "../../consensus/timeouts.js";
@@ -20,7 +20,7 @@
 import type { MessageHandlers } from "./message-dispatcher.js";
 import { isPositiveReply, packDecision, PEER_REQUEST } from "./peer-messages.js";
 
-/** What the handling of heartbeats works on. */
+/** Dependencies of {@link openWorkers}. */
 export interface WorkersOptions {
   readonly settings: Settings;
   readonly clock: Clock;
@@ -30,11 +30,11 @@
   readonly isWithoutQuorum: () => boolean;
 }
 
-/** The open handling of heartbeats. */
+/** The heartbeat handling with its message handlers and routes. */
 export interface Workers {
   /**
-   * Resolves to true once a majority answered after the call; calls within a tenth of a second
-   * share the question.
+   * Resolves to true once a majority asked after the call has answered. Calls within 100 ms share
+   * one request.
    */
   readonly confirmQuorum: () => Promise<boolean>;
   readonly peerHandlers: MessageHandlers;
@@ -42,8 +42,8 @@
 }
 
 /**
- * Takes a worker's heartbeat, replicates it, and tells the worker where its own zone's controller
- * is.
+ * Records and replicates heartbeats and departures, and refers a worker to the controller of its
+ * own zone.
  */
 class HeartbeatRoutes {
   constructor(
@@ -81,7 +81,7 @@
     return (await isConfirmed) ? { outcome: "taken" } : { outcome: "noQuorum" };
   };
 
-  /** The other controller of that zone, if it says now that it hears a majority. */
+  /** The id of another controller in the zone, if it confirms that it has a majority. */
   private readonly findZoneController = async (zone: string): Promise<string | undefined> => {
     const { settings, peers } = this.options;
     const controller = peers.connectedControllers().find((candidate) => candidate.zone === zone);
@@ -94,8 +94,8 @@
 }
 
 /**
- * Merges the heartbeats that a peer sent into the registry; each may say how old it is, in
- * microseconds.
+ * Merges heartbeats from a peer into the registry. Each may carry its age in microseconds, which is
+ * 0 by default.
  */
 const mergeHeartbeats = (registry: WorkerRegistry, message: Message): void => {
   readList(message, "beats", (value) => {
@@ -107,7 +107,7 @@
   });
 };
 
-/** Opens the handling of heartbeats; a peer whose link comes up is sent every worker known here. */
+/** Creates the heartbeat handling. All known workers are sent to peers when a link goes up. */
 export const openWorkers = (options: WorkersOptions): Workers => {
   const { registry, store, peers } = options;
   const replicator = new HeartbeatReplicator(options);
--- a/src/programs/data-plane-node.ts
+++ b/src/programs/data-plane-node.ts
@@ -10,28 +10,29 @@
 import type { Settings } from "../common/settings.js";
 import { MILLISECOND_US } from "../common/duration.js";
 
-/** Intervals of the connections between nodes and controllers, in microseconds. */
+/** Keep-alive settings of the connections between nodes and controllers, in microseconds. */
 export const KEEP_ALIVE = { heartbeatUs: 300 * MILLISECOND_US, timeoutUs: 1_000 * MILLISECOND_US };
 
 /**
- * A node that has missed an announced update for this part of the bound rejects requests. The rest
- * of the bound is for the time from an acknowledgement to its announcement.
+ * A node that lacks an announced update for longer than this fraction of the bound rejects
+ * requests. The rest of the bound covers the time from the acknowledgement of a change to its
+ * announcement.
  */
 const LAG_LIMIT_FRACTION = 0.6;
 
-/** The parts of a node that take updates and relay them. */
+/** The components of a node that receive and relay updates. */
 export interface DataPlaneNode {
   readonly updates: UpdateStore;
   readonly subscriber: UpdateSubscriber;
   readonly relay: Listener;
   readonly publisher: UpdatePublisher;
-  /** Whether this node lacks updates that it was told of. */
+  /** Tracks whether this node lacks updates that were announced to it. */
   readonly lag: UpdateLag;
 }
 
 /**
- * A node of the data plane among the others: its session with a controller, and its place in the
- * relay tree.
+ * Creates the components that connect a data plane node to the cluster: its session with a
+ * controller, and its place in the relay tree.
  */
 export const joinCluster = (
   settings: Settings,
--- a/src/programs/http-api.ts
+++ b/src/programs/http-api.ts
@@ -1,5 +1,6 @@
 /**
- * The HTTP server of a program's own API: a table of routes, and one way to answer each outcome.
+ * The HTTP server of a program's own API, with a table of routes and a uniform response for each
+ * outcome.
  */
 import express, { type Request, type Response } from "express";
 import { createServer, type Server } from "node:http";
@@ -8,35 +9,35 @@
 import { asRecord, type UnknownRecord } from "../common/decode.js";
 
 /**
- * How a call ended; the outcome gives the status, and the text of the answer where there is no
- * body.
+ * The response to a call. The outcome determines the status and, if there is no body, the text of
+ * the response.
  */
 export interface ApiResponse {
   readonly outcome: OutcomeName;
   readonly body?: UnknownRecord;
 }
 
-/** Reads the response in a peer's reply to a forwarded call; undefined where no reply came. */
+/** Reads the response from a peer's reply to a forwarded call; undefined without a reply. */
 export const readApiResponse = (reply: UnknownRecord | undefined): ApiResponse | undefined => {
   const outcome = OUTCOME_NAMES.find((name) => name === reply?.["outcome"]);
   return outcome === undefined ? undefined : { outcome, body: asRecord(reply?.["body"] ?? {}) };
 };
 
-/** A call as its route's handler gets it. */
+/** A call as passed to the handler of its route. */
 export interface ApiRequest {
   /** The decoded segments of the path. */
   readonly segments: readonly string[];
   readonly body: string;
 }
 
-/** One route. In `path`, "*" matches any one segment. */
+/** A route. In `path`, "*" matches exactly one segment. */
 export interface ApiRoute {
   readonly method: string;
   readonly path: string;
   readonly handle: (request: ApiRequest) => Promise<ApiResponse>;
 }
 
-/** The value of `Retry-After`, in seconds, where an outcome has one. */
+/** The value of the `Retry-After` header in seconds, for outcomes that have one. */
 export const RETRY_AFTER_S = 0.25;
 
 const MAX_BODY_BYTES = 16 * 1024 * 1024;
@@ -50,7 +51,7 @@
   );
 };
 
-/** A segment that is no valid encoding is taken literally. */
+/** Decodes a segment; one with an invalid encoding is returned unchanged. */
 const decodeSegment = (segment: string): string => {
   try {
     return decodeURIComponent(segment);
@@ -59,10 +60,7 @@
   }
 };
 
-/**
- * Calls the first route that matches the method and the path; answers `unknownCall` where none
- * does.
- */
+/** Calls the first route that matches method and path; `unknownCall` if there is none. */
 const dispatch = async (
   routes: readonly ApiRoute[],
   method: string,
@@ -74,7 +72,7 @@
   return route ? route.handle({ segments, body }) : { outcome: "unknownCall" };
 };
 
-/** The complete body, or undefined if it breaks off or is too large. */
+/** Reads the complete body; undefined if it is truncated or too large. */
 const readBody = async (request: Request): Promise<string | undefined> => {
   const chunks: Buffer[] = [];
   let size = 0;
@@ -86,7 +84,7 @@
       chunks.push(chunk);
     }
   } catch {
-    // The client broke off; nobody reads an answer that says more.
+    // The client disconnected, so nobody would read a more detailed response.
     return undefined;
   }
   return Buffer.concat(chunks).toString("utf8");
@@ -109,8 +107,8 @@
 /**
  * Serves the routes.
  *
- * @param address - `ip:port` to listen at
- * @returns the server, once it listens; rejects with the system's error where it can't
+ * @param address - `ip:port` to listen on
+ * @returns the listening server; rejects with the system error if it can't listen
  */
 export const serveApi = (address: string, routes: readonly ApiRoute[]): Promise<Server> => {
   const app = express();
--- a/src/programs/metrics-server.ts
+++ b/src/programs/metrics-server.ts
@@ -1,7 +1,6 @@
 /**
- * The figures of a program in the text format of Prometheus, at a port of their own. The library
- * that writes the format is loaded when the figures are first asked for, so that starting and
- * serving cost nothing for it.
+ * Exposes the metrics of a program in the Prometheus text format on a separate port. The client
+ * library is loaded on the first scrape, so it costs nothing at start-up.
  */
 import { createServer, type Server, type ServerResponse } from "node:http";
 import type { Registry } from "prom-client";
@@ -10,21 +9,21 @@
 import type { EventLoopDelayRecorder } from "../common/event-loop-delay.js";
 import type { Logger } from "../common/logger.js";
 
-/** A value of a figure, with the labels that tell it from the figure's others. */
+/** One sample of a metric, identified by its labels. */
 export interface LabelledValue {
   readonly labels: Readonly<Record<string, string>>;
   readonly value: number;
 }
 
-/** One figure; it is read when somebody asks. */
+/** A gauge that is read on each scrape. */
 export interface Figure {
-  /** With its unit at the end, for example `yewreel_children` or `yewreel_uptime_seconds`. */
+  /** Ends with the unit, if any: for example `yewreel_children` or `yewreel_uptime_seconds`. */
   readonly name: string;
   readonly help: string;
   readonly read: () => number | readonly LabelledValue[];
 }
 
-/** What a {@link MetricsServer} serves, and where. */
+/** Settings and dependencies of {@link MetricsServer}. */
 export interface MetricsServerOptions {
   readonly ip: string;
   readonly port: number;
@@ -61,7 +60,7 @@
   return registry;
 };
 
-/** Serves figures over HTTP. */
+/** Serves metrics over HTTP. */
 export class MetricsServer {
   private server: Server | undefined;
   private registry: Promise<Registry> | undefined;
@@ -69,8 +68,8 @@
   constructor(private readonly options: MetricsServerOptions) {}
 
   /**
-   * Listens. A port that is taken is logged and stops nothing else: the figures are then not to be
-   * had.
+   * Starts to listen. If the port is in use, logs a warning and resolves, so that the program runs
+   * without its metrics endpoint.
    */
   readonly listen = (): Promise<void> =>
     new Promise((resolve) => {
@@ -103,13 +102,13 @@
       const text = await registry.metrics();
       response.writeHead(200, { "Content-Type": registry.contentType }).end(text);
     } catch (error) {
-      log.warn("metrics can't be given", { error: messageOf(error) });
+      log.warn("collecting metrics failed", { error: messageOf(error) });
       response.writeHead(500).end();
     }
   };
 }
 
-/** Figures of the process that every program has. */
+/** Process metrics, common to all programs. */
 export const processMetrics = (delays: EventLoopDelayRecorder): readonly Figure[] => [
   {
     name: "yewreel_event_loop_delay_microseconds",
--- a/src/programs/purge-subscriber.ts
+++ b/src/programs/purge-subscriber.ts
@@ -1,6 +1,5 @@
 /**
- * Keeps cached objects in step with the purges that updates bring, in the gateway and in the cache
- * program.
+ * Applies purges received as updates to the cached objects of the gateway and the cache program.
  */
 import type { CachedObjects } from "../cache/cached-objects.js";
 import type { Freshness } from "../cache/freshness.js";
@@ -10,7 +9,7 @@
 import { readString } from "../common/decode.js";
 import { SECOND_US } from "../common/duration.js";
 
-/** What {@link subscribeToPurges} works on. */
+/** Dependencies of {@link subscribeToPurges}. */
 export interface PurgeSubscriberOptions {
   readonly clock: Clock;
   readonly updates: UpdateStore;
@@ -18,24 +17,25 @@
   readonly freshness: Freshness;
   readonly copies: CachedObjects;
   /**
-   * Called once for each batch of updates that purged something: ends what is being fetched of it.
+   * Called once for each batch of updates that purged something. Detaches the fetches in flight, so
+   * that they serve no later requests.
    */
   readonly detach: () => void;
 }
 
 /**
- * Beyond this age of the updates a purge might have come and been forgotten again, so no cached
- * object is trusted.
+ * If the updates are older than this, a purge may have been issued and expired unnoticed, so all
+ * cached objects are dropped.
  */
 const MAX_UPDATE_AGE_US = 20 * SECOND_US;
 
 const isPurge = ({ key }: Update): boolean => key.startsWith(PURGE_PREFIX);
 
 /**
- * Removes what a purge names as soon as an update brings it.
+ * Removes purged objects as soon as an update names them.
  *
- * @returns the timer that drops every cached object once the updates are too old; the caller stops
- *   it
+ * @returns the timer that drops all cached objects once the updates are too old. The caller stops
+ *   it.
  */
 export const subscribeToPurges = ({
   clock,
--- a/src/programs/running-program.ts
+++ b/src/programs/running-program.ts
@@ -1,13 +1,13 @@
-/** What `main.ts` holds of the program that it has started. */
+/** The interface between `main.ts` and the program that it starts. */
 import type { Settings } from "../common/settings.js";
 import type { Figure } from "./metrics-server.js";
 
-/** A program that runs on one machine until it is stopped in order. */
+/** A running program. */
 export interface RunningProgram {
-  /** Shuts the program down; resolves once it no longer serves anybody. */
+  /** Shuts the program down; resolves once it serves no more requests. */
   readonly stop: () => Promise<void>;
-  /** Applies what a settings file that was read again says of other machines: the seed nodes. */
+  /** Applies reloaded settings. Only the seed nodes take effect at runtime. */
   readonly applySettings: (settings: Settings) => void;
-  /** What the program tells of itself to those who watch it. */
+  /** The metrics of the program, in addition to those of the process. */
   readonly figures: readonly Figure[];
 }
