--- a/src/programs/controller/admin-api.ts
+++ b/src/programs/controller/admin-api.ts
@@ -36,7 +36,7 @@
   switch (error.code) {
     case "VERSION_CONFLICT": {
       const item = `${error.key.replace("/", " ")} at version ${error.version}`;
-      return withOutcome("versionTaken", `${item} is already committed with different content`);
+      return withOutcome("versionTaken", `${item} is already agreed with another content`);
     }
     case "INVALID_WRITE":
       return withOutcome("wrong", error.message);
--- a/src/programs/controller/health.ts
+++ b/src/programs/controller/health.ts
@@ -39,7 +39,7 @@
   readonly zones: () => readonly string[];
 }
 
-/** Describe the leader's decisions, by the topic that operators query. */
+/** Functions that describe the leader's decisions, by query topic. */
 type Explanations = Readonly<Record<string, () => unknown>>;
 
 /** The health subsystem with its message handlers, routes and queries. */
--- a/src/programs/controller/node-queries.ts
+++ b/src/programs/controller/node-queries.ts
@@ -28,9 +28,9 @@
     const { sessions, peers } = this;
     const known = sessions.nodes();
     const request: Message = { kind: MessageKind.queryNodes, question };
-    const peerReplies = peers.known().map((id) => peers.request(id, request, PEER_TIMEOUT_US));
+    const pendingReplies = peers.known().map((id) => peers.request(id, request, PEER_TIMEOUT_US));
     const localAnswers = await sessions.queryAll(question, NODE_TIMEOUT_US);
-    const replies = await Promise.all(peerReplies);
+    const replies = await Promise.all(pendingReplies);
     const peerAnswers = replies.flatMap((reply) =>
       reply ? readList(reply, "answers", readNodeAnswer) : [],
     );
