--- a/src/programs/controller/consensus.ts
+++ b/src/programs/controller/consensus.ts
@@ -19,7 +19,7 @@
  * How long the leader must be disconnected before other controllers stand for election. This comes
  * on top of the one second after which a link detects silence.
  */
-const HOLDER_TIMEOUT_US = 500 * MILLISECOND_US;
+const LEADER_TIMEOUT_US = 500 * MILLISECOND_US;
 
 /** Dependencies of {@link openConsensus}. */
 export interface ConsensusOptions {
@@ -47,7 +47,7 @@
    * Sends a request to the leader, as far as it is known locally; undefined if it does not reply in
    * time.
    */
-  readonly askHolder: (message: Message, waitUs: number) => Promise<Message | undefined>;
+  readonly askLeader: (message: Message, waitUs: number) => Promise<Message | undefined>;
   readonly peerHandlers: MessageHandlers;
   /** Loads the state on disk and joins the cluster. */
   readonly start: () => Promise<void>;
@@ -88,7 +88,7 @@
     request: peers.request,
     hasDisk: writeAheadLog.hasDisk,
     withstandMachines: settings.withstandMachines,
-    holderTimeoutUs: HOLDER_TIMEOUT_US,
+    holderTimeoutUs: LEADER_TIMEOUT_US,
     leaveTimeoutUs: Math.max(SECOND_US, settings.graceUs - SECOND_US),
     copyOtherState,
   });
@@ -98,7 +98,7 @@
     store,
     lease,
     isWithoutQuorum: () => !lease.seesMajority(),
-    askHolder: (message, waitUs) => peers.request(lease.holder(), message, waitUs),
+    askLeader: (message, waitUs) => peers.request(lease.holder(), message, waitUs),
     peerHandlers: {
       ...Object.fromEntries(
         [...CONSENSUS_MESSAGE_KINDS].map((kind) => [kind, store.handleRequest]),
--- a/src/programs/controller/maintenance-windows.ts
+++ b/src/programs/controller/maintenance-windows.ts
@@ -60,7 +60,7 @@
   readonly clock: Clock;
   readonly store: ReplicatedStore;
   readonly lease: LeaderLease;
-  readonly askHolder: Consensus["askHolder"];
+  readonly askLeader: Consensus["askLeader"];
   readonly peers: Peers;
   readonly registry: WorkerRegistry;
   readonly published: PublishedState;
@@ -85,7 +85,7 @@
  * It gives undefined if their age is unknown, because they were loaded from disk or learned soon
  * after the start.
  */
-const windowsAge = (clock: Clock, store: ReplicatedStore): (() => number | undefined) => {
+const trackWindowsAge = (clock: Clock, store: ReplicatedStore): (() => number | undefined) => {
   const startedUs = clock.nowUs();
   let learnedUs: number | undefined;
   store.events.on("committed", (committed) => {
@@ -114,7 +114,7 @@
     settings: WINDOW_SETTINGS,
     isLeader: lease.isHolder,
     state: published.windows,
-    stateAgeUs: windowsAge(clock, store),
+    stateAgeUs: trackWindowsAge(clock, store),
     publish: (windows) => published.publish(PUBLISHED_REGISTER.windows, packWindows(windows)),
     shift: () => published.ejections().shift,
     setShift: detector.zonalShift.setShift,
@@ -166,7 +166,7 @@
 export const openMaintenanceWindows = (
   options: MaintenanceWindowsOptions,
 ): OpenMaintenanceWindows => {
-  const { lease, askHolder } = options;
+  const { lease, askLeader } = options;
   const windows = createWindows(options);
 
   const add = async (zone: string, opensInUs: number, durationUs: number): Promise<ApiResponse> => {
@@ -186,7 +186,7 @@
   };
   const change = async (command: WindowCommand): Promise<ApiResponse> => {
     if (lease.isHolder()) return changeAsLeader(command);
-    const reply = await askHolder(packWindowCommand(command), COMMAND_TIMEOUT_US);
+    const reply = await askLeader(packWindowCommand(command), COMMAND_TIMEOUT_US);
     return readApiResponse(reply) ?? toFailure(new WindowNotStoredError());
   };
 
--- a/src/programs/controller/worker-memory.ts
+++ b/src/programs/controller/worker-memory.ts
@@ -16,7 +16,7 @@
 const WRITE_DELAY_US = 500 * MILLISECOND_US;
 
 /** Dependencies of {@link restoreWorkers}. */
-export interface WorkerMemoryOptions {
+export interface WorkerPersistenceOptions {
   readonly settings: Settings;
   readonly clock: Clock;
   readonly fileSystem: NodeFileSystem;
@@ -25,7 +25,7 @@
 }
 
 /** Restores the workers that were ready at the last write, and writes them on every change. */
-export const restoreWorkers = async (options: WorkerMemoryOptions): Promise<void> => {
+export const restoreWorkers = async (options: WorkerPersistenceOptions): Promise<void> => {
   const { settings, clock, fileSystem, registry, updates } = options;
   const workerLog = new WriteAheadLog({
     folder: settings.dataFolder === "" ? "" : join(settings.dataFolder, "workers"),
