--- a/src/programs/controller/canaries.ts
+++ b/src/programs/controller/canaries.ts
@@ -38,7 +38,7 @@
   readonly clock: Clock;
   readonly store: ReplicatedStore;
   readonly lease: LeaderLease;
-  readonly askLeader: Consensus["askLeader"];
+  readonly askHolder: Consensus["askHolder"];
   readonly published: PublishedState;
 }
 
@@ -86,7 +86,7 @@
 
 /** Creates the canary analysis. The caller starts and stops the analyzer. */
 export const openCanaries = (options: CanariesOptions): Canaries => {
-  const { store, lease, askLeader } = options;
+  const { store, lease, askHolder } = options;
   const splitRoutes = trackSplitRoutes(store);
   const analyzer = createAnalyzer(options, splitRoutes);
 
@@ -98,7 +98,7 @@
   const clear = async (command: CanaryClearance): Promise<OutcomeName> =>
     lease.isHolder()
       ? clearAsLeader(command)
-      : readOutcome(await askLeader(packCanaryClearance(command), WRITE_TIMEOUT_US));
+      : readOutcome(await askHolder(packCanaryClearance(command), WRITE_TIMEOUT_US));
   const clearRoute = async (request: ApiRequest): Promise<ApiResponse> => {
     const { version } = readBody(request);
     if (version !== undefined && typeof version !== "number")
--- a/src/programs/controller/consensus.ts
+++ b/src/programs/controller/consensus.ts
@@ -47,7 +47,7 @@
    * Sends a request to the leader, as far as it is known locally; undefined if it does not reply in
    * time.
    */
-  readonly askLeader: (message: Message, waitUs: number) => Promise<Message | undefined>;
+  readonly askHolder: (message: Message, waitUs: number) => Promise<Message | undefined>;
   readonly peerHandlers: MessageHandlers;
   /** Loads the state on disk and joins the cluster. */
   readonly start: () => Promise<void>;
@@ -98,7 +98,7 @@
     store,
     lease,
     isWithoutQuorum: () => !lease.seesMajority(),
-    askLeader: (message, waitUs) => peers.request(lease.holder(), message, waitUs),
+    askHolder: (message, waitUs) => peers.request(lease.holder(), message, waitUs),
     peerHandlers: {
       ...Object.fromEntries(
         [...CONSENSUS_MESSAGE_KINDS].map((kind) => [kind, store.handleRequest]),
--- a/src/programs/controller/content.ts
+++ b/src/programs/controller/content.ts
@@ -38,7 +38,7 @@
   readonly clock: Clock;
   readonly store: ReplicatedStore;
   readonly lease: LeaderLease;
-  readonly askLeader: Consensus["askLeader"];
+  readonly askHolder: Consensus["askHolder"];
   readonly peers: Peers;
   readonly sessions: NodeSessions;
   readonly updates: UpdateStore;
@@ -70,9 +70,9 @@
   }
 
   readonly lease = async (message: Message): Promise<Message> => {
-    const { lease, askLeader } = this.options;
+    const { lease, askHolder } = this.options;
     if (lease.isHolder()) return this.leaseAsLeader(message);
-    return (await askLeader(message, WRITE_TIMEOUT_US)) ?? { kind: PEER_REPLY.rateLease };
+    return (await askHolder(message, WRITE_TIMEOUT_US)) ?? { kind: PEER_REPLY.rateLease };
   };
 
   /**
--- a/src/programs/controller/health.ts
+++ b/src/programs/controller/health.ts
@@ -30,7 +30,7 @@
   readonly clock: Clock;
   readonly store: ReplicatedStore;
   readonly lease: LeaderLease;
-  readonly askLeader: Consensus["askLeader"];
+  readonly askHolder: Consensus["askHolder"];
   readonly peers: Peers;
   readonly registry: WorkerRegistry;
   readonly sessions: NodeSessions;
@@ -58,14 +58,14 @@
 
 /** Delivers the reports of nodes to their receivers on the leader. */
 const routeReports = (
-  { lease, askLeader, sessions }: HealthOptions,
+  { lease, askHolder, sessions }: HealthOptions,
   receivers: ReadonlyMap<string, ReportReceiver>,
 ): MessageHandlers => {
   sessions.events.on("report", (report) => {
     const receiver = receivers.get(report.kind);
     if (!receiver) return;
     if (lease.isHolder()) receiver.receive(report);
-    else void askLeader(report, 0);
+    else void askHolder(report, 0);
   });
   const receive = (report: Message): undefined => {
     receivers.get(report.kind)?.receive(report);
@@ -79,14 +79,14 @@
  * this controller's own view.
  */
 const leaderQueries = (
-  { lease, askLeader }: HealthOptions,
+  { lease, askHolder }: HealthOptions,
   explanations: Explanations,
 ): Pick<Health, "peerHandlers" | "queries"> => {
   const explainAsLeader = async (topic: string): Promise<unknown> =>
     (await lease.confirm()) ? explanations[topic]?.() : undefined;
   const askLeaderToExplain = async (topic: string): Promise<unknown> => {
     const question: Message = { kind: PEER_REQUEST.explain, what: topic };
-    return (await askLeader(question, WRITE_TIMEOUT_US))?.["told"];
+    return (await askHolder(question, WRITE_TIMEOUT_US))?.["told"];
   };
   const explain = async (topic: string): Promise<unknown> =>
     (await explainAsLeader(topic)) ?? (await askLeaderToExplain(topic)) ?? explanations[topic]?.();
--- a/src/programs/controller/maintenance-windows.ts
+++ b/src/programs/controller/maintenance-windows.ts
@@ -60,7 +60,7 @@
   readonly clock: Clock;
   readonly store: ReplicatedStore;
   readonly lease: LeaderLease;
-  readonly askLeader: Consensus["askLeader"];
+  readonly askHolder: Consensus["askHolder"];
   readonly peers: Peers;
   readonly registry: WorkerRegistry;
   readonly published: PublishedState;
@@ -166,7 +166,7 @@
 export const openMaintenanceWindows = (
   options: MaintenanceWindowsOptions,
 ): OpenMaintenanceWindows => {
-  const { lease, askLeader } = options;
+  const { lease, askHolder } = options;
   const windows = createWindows(options);
 
   const add = async (zone: string, opensInUs: number, durationUs: number): Promise<ApiResponse> => {
@@ -186,7 +186,7 @@
   };
   const change = async (command: WindowCommand): Promise<ApiResponse> => {
     if (lease.isHolder()) return changeAsLeader(command);
-    const reply = await askLeader(packWindowCommand(command), COMMAND_TIMEOUT_US);
+    const reply = await askHolder(packWindowCommand(command), COMMAND_TIMEOUT_US);
     return readApiResponse(reply) ?? toFailure(new WindowNotStoredError());
   };
 
--- a/src/programs/controller/outlier-detection.ts
+++ b/src/programs/controller/outlier-detection.ts
@@ -29,7 +29,7 @@
 export interface OutlierDetectionOptions {
   readonly clock: Clock;
   readonly lease: LeaderLease;
-  readonly askLeader: Consensus["askLeader"];
+  readonly askHolder: Consensus["askHolder"];
   readonly registry: WorkerRegistry;
   readonly published: PublishedState;
 }
@@ -67,7 +67,7 @@
 
 /** Creates the outlier detector. The caller starts and stops it. */
 export const openOutlierDetection = (options: OutlierDetectionOptions): OutlierDetection => {
-  const { lease, askLeader } = options;
+  const { lease, askHolder } = options;
   const detector = createDetector(options);
 
   const shiftAsLeader = async ({ zone, why }: ZoneShift): Promise<boolean> => {
@@ -80,7 +80,7 @@
   const shift = async (command: ZoneShift): Promise<boolean> =>
     lease.isHolder()
       ? shiftAsLeader(command)
-      : isPositiveReply(await askLeader(packZoneShift(command), WRITE_TIMEOUT_US));
+      : isPositiveReply(await askHolder(packZoneShift(command), WRITE_TIMEOUT_US));
   const shiftRoute = async (request: ApiRequest): Promise<ApiResponse> => {
     const { cell: zone, why } = readBody(request);
     if (typeof zone !== "string") return badRequest("cell must be a string");
--- a/src/programs/controller/retry-quota.ts
+++ b/src/programs/controller/retry-quota.ts
@@ -44,7 +44,7 @@
   readonly clock: Clock;
   readonly store: ReplicatedStore;
   readonly lease: LeaderLease;
-  readonly askLeader: Consensus["askLeader"];
+  readonly askHolder: Consensus["askHolder"];
   readonly published: PublishedState;
   readonly queries: NodeQueries;
 }
@@ -163,9 +163,9 @@
   };
 
   private readonly leaseToNode = async (message: Message): Promise<Message> => {
-    const { lease, askLeader } = this.options;
+    const { lease, askHolder } = this.options;
     if (lease.isHolder()) return this.leaseAsLeader(message);
-    return (await askLeader(message, WRITE_TIMEOUT_US)) ?? { kind: NODE_REPLY.retryLeases };
+    return (await askHolder(message, WRITE_TIMEOUT_US)) ?? { kind: NODE_REPLY.retryLeases };
   };
 
   /**
@@ -178,13 +178,13 @@
       : { kind: PEER_REPLY.retryLeases };
 
   private readonly setLimit = async (request: ApiRequest): Promise<ApiResponse> => {
-    const { lease, askLeader } = this.options;
+    const { lease, askHolder } = this.options;
     const body = readBody(request);
     const { service, kind } = body;
     if (typeof service !== "string" || service === "" || typeof kind !== "string")
       return badRequest("service and kind must be strings");
     if (lease.isHolder()) return this.setLimitAsLeader(body);
-    const reply = await askLeader(
+    const reply = await askHolder(
       { ...body, kind: PEER_REQUEST.setRetryLimit, order: body },
       2 * WRITE_TIMEOUT_US,
     );
