--- a/src/main.ts
+++ b/src/main.ts
@@ -24,8 +24,8 @@
 };
 
 /**
- * Reloads the settings file when it changes on disk or on SIGHUP. An invalid file is logged, and
- * the current settings stay in force.
+ * Reloads the settings file when its modification time has changed, which is checked periodically
+ * and on SIGHUP. An invalid file is logged, and the current settings stay in force.
  */
 const watchSettings = async (
   path: string,
