--- a/src/programs/controller/backend-change.ts
+++ b/src/programs/controller/backend-change.ts
@@ -1,17 +1,17 @@
-/** Checks whether a change of backends that an operator asks about could be made at all. */
+/** Validates the change of backends that an operator requests a forecast for. */
 import type { Heartbeat } from "../../membership/cluster.js";
 import type { WorkerRegistry } from "../../membership/worker-registry.js";
 import type { BackendChange } from "../../proxy/reassignment-forecast.js";
 
 const MAX_ADDED = 1_000;
 
-/** The workers of a service that are ready. */
+/** Returns the ready workers of a service. */
 export const readyWorkers = (registry: WorkerRegistry, service: string): readonly Heartbeat[] =>
   registry
     .all()
     .filter((heartbeat) => heartbeat.service === service && heartbeat.state === "ready");
 
-const problemOfAdded = (
+const findProblemOfAdditions = (
   added: BackendChange["add"],
   services: ReadonlySet<string>,
   zones: readonly string[],
@@ -20,16 +20,16 @@
     if (!services.has(service)) return `there is no service ${service}`;
     if (!zones.includes(zone)) return `there is no cell ${zone}`;
     if (!Number.isSafeInteger(count) || count < 1 || count > MAX_ADDED)
-      return `${count} is no count of backends from 1 to ${MAX_ADDED}`;
+      return `${count} backends: the count must be an integer from 1 to ${MAX_ADDED}`;
   }
   return undefined;
 };
 
-const problemOfRetired = (
+const findProblemOfRetirements = (
   retired: readonly string[],
   registry: WorkerRegistry,
 ): string | undefined => {
-  if (new Set(retired).size < retired.length) return "a worker is named twice";
+  if (new Set(retired).size < retired.length) return "a worker is listed twice";
   for (const id of retired) {
     const heartbeat = registry.get(id);
     if (!heartbeat || heartbeat.state === "gone") return `there is no worker ${id}`;
@@ -38,8 +38,8 @@
   return undefined;
 };
 
-/** The first service that would be left without any worker. */
-const emptiedService = (
+/** Returns the first service that the change would leave without any worker. */
+const findEmptiedService = (
   { add, retire }: BackendChange,
   registry: WorkerRegistry,
   services: ReadonlySet<string>,
@@ -53,8 +53,8 @@
     );
   });
 
-/** What is wrong with a change, as a sentence; undefined where it could be made. */
-export const problemOf = (
+/** Returns why a change is impossible, as text for the operator; undefined if it is valid. */
+export const findProblem = (
   change: BackendChange,
   registry: WorkerRegistry,
   zones: () => readonly string[],
@@ -63,9 +63,9 @@
   if (change.add.length + change.retire.length === 0)
     return "name a backend to add or a worker to retire";
   const problem =
-    (change.add.length > 0 ? problemOfAdded(change.add, services, zones()) : undefined) ??
-    problemOfRetired(change.retire, registry);
+    (change.add.length > 0 ? findProblemOfAdditions(change.add, services, zones()) : undefined) ??
+    findProblemOfRetirements(change.retire, registry);
   if (problem !== undefined) return problem;
-  const emptied = emptiedService(change, registry, services);
+  const emptied = findEmptiedService(change, registry, services);
   return emptied === undefined ? undefined : `all workers of ${emptied} would be gone`;
 };
--- a/src/programs/controller/canaries.ts
+++ b/src/programs/controller/canaries.ts
@@ -1,4 +1,4 @@
-/** The canary analysis of the lease holder, over the split routes of the configuration. */
+/** Wires the canary analysis, which runs on the leader, to the split routes and the admin API. */
 import type { LeaderLease } from "../../consensus/leader-lease.js";
 import type { ReplicatedStore } from "../../consensus/replicated-store.js";
 import { WRITE_TIMEOUT_US } from "../../consensus/timeouts.js";
@@ -11,7 +11,7 @@
 import { loggerFor } from "../../common/logger.js";
 import type { Settings } from "../../common/settings.js";
 import type { ApiRequest, ApiResponse, ApiRoute } from "../http-api.js";
-import { pathArgument, readBody, wrong } from "./admin-api.js";
+import { pathArgument, readBody, badRequest } from "./admin-api.js";
 import type { Consensus } from "./consensus.js";
 import type { MessageHandlers } from "./message-dispatcher.js";
 import {
@@ -32,7 +32,7 @@
   CLEAR_NOT_STORED: "noQuorum",
 };
 
-/** What the canary analysis works on. */
+/** Dependencies of {@link openCanaries}. */
 export interface CanariesOptions {
   readonly settings: Settings;
   readonly clock: Clock;
@@ -42,7 +42,7 @@
   readonly published: PublishedState;
 }
 
-/** The open canary analysis. */
+/** The canary analysis with its message handlers and routes. */
 export interface Canaries {
   readonly analyzer: CanaryAnalyzer;
   readonly splitRoutes: SplitRoutes;
@@ -50,8 +50,8 @@
   readonly routes: readonly ApiRoute[];
 }
 
-/** Follows the routes as they are committed. */
-const followRoutes = (store: ReplicatedStore): SplitRoutes => {
+/** Tracks the split routes of the committed configuration. */
+const trackSplitRoutes = (store: ReplicatedStore): SplitRoutes => {
   const splitRoutes = new SplitRoutes();
   store.events.on("committed", (committed) =>
     committed
@@ -84,25 +84,25 @@
   return known.find((name) => name === reply?.["outcome"]) ?? "noQuorum";
 };
 
-/** Opens the canary analysis; its caller starts and stops the analyzer. */
+/** Creates the canary analysis. The caller starts and stops the analyzer. */
 export const openCanaries = (options: CanariesOptions): Canaries => {
   const { store, lease, askHolder } = options;
-  const splitRoutes = followRoutes(store);
+  const splitRoutes = trackSplitRoutes(store);
   const analyzer = createAnalyzer(options, splitRoutes);
 
-  const clearAsHolder = async ({ route, version }: CanaryClearance): Promise<OutcomeName> => {
+  const clearAsLeader = async ({ route, version }: CanaryClearance): Promise<OutcomeName> => {
     if (!(await lease.confirm())) return "noQuorum";
     const error = await analyzer.clearStop(route, version);
     return error === undefined ? "taken" : CLEAR_OUTCOMES[error.code];
   };
-  const clear = async (order: CanaryClearance): Promise<OutcomeName> =>
+  const clear = async (command: CanaryClearance): Promise<OutcomeName> =>
     lease.isHolder()
-      ? clearAsHolder(order)
-      : readOutcome(await askHolder(packCanaryClearance(order), WRITE_TIMEOUT_US));
+      ? clearAsLeader(command)
+      : readOutcome(await askHolder(packCanaryClearance(command), WRITE_TIMEOUT_US));
   const clearRoute = async (request: ApiRequest): Promise<ApiResponse> => {
     const { version } = readBody(request);
     if (version !== undefined && typeof version !== "number")
-      return wrong("version must be a number");
+      return badRequest("version must be a number");
     return { outcome: await clear({ route: pathArgument(request), version }) };
   };
 
@@ -111,7 +111,7 @@
     splitRoutes,
     peerHandlers: {
       [PEER_REQUEST.clearCanary]: async (message) =>
-        packOutcome(await clearAsHolder(readCanaryClearance(message))),
+        packOutcome(await clearAsLeader(readCanaryClearance(message))),
     },
     routes: [{ method: "POST", path: "/rollouts/*/clear", handle: clearRoute }],
   };
--- a/src/programs/controller/figures.ts
+++ b/src/programs/controller/figures.ts
@@ -1,4 +1,4 @@
-/** What a controller tells of itself to those who watch it. */
+/** Metrics of the controller. */
 import { isConfigKey } from "../../config/config-keys.js";
 import type { ReplicatedStore } from "../../consensus/replicated-store.js";
 import type { NodeSessions } from "../../membership/node-sessions.js";
@@ -8,8 +8,8 @@
 import type { Figure } from "../metrics-server.js";
 import type { QuorumFreshness } from "./quorum-freshness.js";
 
-/** What the figures of a controller are read from. */
-export interface ControllerFiguresOptions {
+/** Dependencies of {@link controllerMetrics}. */
+export interface ControllerMetricsOptions {
   readonly store: ReplicatedStore;
   readonly updates: UpdateStore;
   readonly publisher: UpdatePublisher;
@@ -18,15 +18,15 @@
   readonly freshness: QuorumFreshness;
 }
 
-/** The figures of a controller. */
-export const controllerFigures = ({
+/** Returns the metrics of a controller. */
+export const controllerMetrics = ({
   store,
   updates,
   publisher,
   sessions,
   peers,
   freshness,
-}: ControllerFiguresOptions): readonly Figure[] => [
+}: ControllerMetricsOptions): readonly Figure[] => [
   {
     name: "yewreel_voting",
     help: "1 while this replica takes part in quorums.",
--- a/src/programs/controller/node-queries.ts
+++ b/src/programs/controller/node-queries.ts
@@ -1,5 +1,5 @@
 /**
- * Questions to every node of the fleet, each asked through the controller that the node has its
+ * Queries to all nodes of the fleet. Each node is queried through the controller that it has its
  * session with.
  */
 import type { Peers } from "../../membership/peers.js";
@@ -13,7 +13,7 @@
 const NODE_TIMEOUT_US = 1_500 * MILLISECOND_US;
 const PEER_TIMEOUT_US = 2_000 * MILLISECOND_US;
 
-/** Asks nodes on an operator's behalf. */
+/** Queries nodes on behalf of operators. */
 export class NodeQueries {
   constructor(
     private readonly sessions: NodeSessions,
@@ -21,26 +21,28 @@
   ) {}
 
   /**
-   * Asks every node with a session anywhere; one that doesn't answer within two seconds has no
-   * answer in the list.
+   * Queries every node with a session on any controller. The answer of a node that does not reply
+   * within two seconds is undefined.
    */
   readonly askAll = async (question: Message): Promise<readonly NodeAnswer[]> => {
     const { sessions, peers } = this;
     const known = sessions.nodes();
     const request: Message = { kind: MessageKind.queryNodes, question };
-    const asked = peers.known().map((id) => peers.request(id, request, PEER_TIMEOUT_US));
-    const own = await sessions.queryAll(question, NODE_TIMEOUT_US);
-    const replies = await Promise.all(asked);
-    const others = replies.flatMap((reply) =>
+    const pendingReplies = peers.known().map((id) => peers.request(id, request, PEER_TIMEOUT_US));
+    const localAnswers = await sessions.queryAll(question, NODE_TIMEOUT_US);
+    const replies = await Promise.all(pendingReplies);
+    const peerAnswers = replies.flatMap((reply) =>
       reply ? readList(reply, "answers", readNodeAnswer) : [],
     );
-    const byNode = new Map([...own, ...others].map((answer) => [answer.node, answer]));
+    const byNode = new Map(
+      [...localAnswers, ...peerAnswers].map((answer) => [answer.node, answer]),
+    );
     return known.map(
       ({ name, zone }) => byNode.get(name) ?? { node: name, zone, answer: undefined },
     );
   };
 
-  /** Asks the nodes with a session here, for a peer. */
+  /** Queries the nodes with a session on this controller on behalf of a peer. */
   readonly answerPeer = async (message: Message): Promise<Message> => {
     const question = asRecord(message["question"], "question");
     const answers = await this.sessions.queryAll(
--- a/src/programs/controller/retry-quota.ts
+++ b/src/programs/controller/retry-quota.ts
@@ -1,6 +1,6 @@
 /**
- * The fleet's limits on retries: kept in a register, leased to the nodes by the holder of the
- * leader lease, and set and shown by operators.
+ * The fleet-wide limits on retries. They are stored in a register and set by operators; the leader
+ * leases their slack to the nodes.
  */
 import { serviceKey } from "../../config/config-keys.js";
 import type { LeaderLease } from "../../consensus/leader-lease.js";
@@ -30,7 +30,7 @@
 import type { Message } from "../../transport/connection.js";
 import { retryMaximumOf } from "../gateway/retry-budgets.js";
 import { readApiResponse, type ApiRequest, type ApiResponse, type ApiRoute } from "../http-api.js";
-import { readBody, wrong } from "./admin-api.js";
+import { readBody, badRequest } from "./admin-api.js";
 import type { Consensus } from "./consensus.js";
 import type { MessageHandlers } from "./message-dispatcher.js";
 import { NODE_QUERY, NODE_REPLY, NODE_REQUEST } from "./node-messages.js";
@@ -38,7 +38,7 @@
 import { packApiResponse, PEER_REPLY, PEER_REQUEST } from "./peer-messages.js";
 import { PUBLISHED_REGISTER, type PublishedState } from "./published-state.js";
 
-/** What the retry quota works on. */
+/** Dependencies of {@link RetryQuota}. */
 export interface RetryQuotaOptions {
   readonly settings: Settings;
   readonly clock: Clock;
@@ -49,7 +49,7 @@
   readonly queries: NodeQueries;
 }
 
-/** The retries of one service and kind, summed over nodes. */
+/** The retries of one service and kind, summed over all nodes. */
 interface RetrySum {
   readonly requests: number;
   readonly retries: number;
@@ -59,7 +59,7 @@
 
 const NO_RETRIES: RetrySum = { requests: 0, retries: 0, refused: 0, leased: 0 };
 
-/** Sums by service and kind, the two joined by a line feed. */
+/** Returns the sums by service and kind; the keys join the two with a line feed. */
 const sumRetries = (answers: readonly NodeAnswer[]): ReadonlyMap<string, RetrySum> => {
   const sums = new Map<string, RetrySum>();
   answers.forEach(({ answer }) =>
@@ -102,7 +102,7 @@
   };
 };
 
-/** The limits alone, where no node has told of any request. */
+/** Returns the limits only, for use when no node has reported any request. */
 const limitRows = (limits: RetryLimits, unheard: number): readonly UnknownRecord[] =>
   Object.entries(limits).flatMap(([service, kinds]) =>
     ROUTE_KINDS.map((kind) => ({
@@ -113,7 +113,7 @@
     })),
   );
 
-/** Sets and shows the limits, and leases the retries of a node that asks. */
+/** Manages the limits, reports their usage, and leases retries to nodes. */
 export class RetryQuota {
   readonly nodeHandlers: MessageHandlers;
   readonly peerHandlers: MessageHandlers;
@@ -130,21 +130,21 @@
     });
     this.nodeHandlers = { [NODE_REQUEST.leaseRetries]: this.leaseToNode };
     this.peerHandlers = {
-      [PEER_REQUEST.leaseRetries]: this.leaseAsHolder,
+      [PEER_REQUEST.leaseRetries]: this.leaseAsLeader,
       [PEER_REQUEST.setRetryLimit]: async (message) =>
-        packApiResponse(await this.setAsHolder(asRecord(message["order"], "order"))),
+        packApiResponse(await this.setLimitAsLeader(asRecord(message["order"], "order"))),
     };
-    this.routes = [{ method: "POST", path: "/retries", handle: this.set }];
+    this.routes = [{ method: "POST", path: "/retries", handle: this.setLimit }];
   }
 
   /**
-   * Called every second: a new holder's wait begins when it takes the lease, not when it is first
-   * asked.
+   * Called every second, so that the initial wait of a new leader starts when it becomes leader
+   * rather than at the first request for a lease.
    */
-  readonly check = (): void => this.allocator.refresh();
+  readonly refreshAllocator = (): void => this.allocator.refresh();
 
-  /** What is spent and left, by service and kind, over all nodes that answer. */
-  readonly show = async (): Promise<readonly UnknownRecord[]> => {
+  /** The used and remaining retries by service and kind, over all nodes that answer. */
+  readonly describeUsage = async (): Promise<readonly UnknownRecord[]> => {
     const answers = await this.options.queries.askAll({ kind: NODE_QUERY.retries });
     const sums = sumRetries(answers);
     const limits = this.limits();
@@ -156,55 +156,56 @@
   };
 
   private readonly limits = (): RetryLimits => {
-    const written = this.options.published.retryLimits();
-    return written === undefined
+    const stored = this.options.published.retryLimits();
+    return stored === undefined
       ? defaultLimits(retryMaximumOf(this.options.settings))
-      : readRetryLimits(written);
+      : readRetryLimits(stored);
   };
 
   private readonly leaseToNode = async (message: Message): Promise<Message> => {
     const { lease, askHolder } = this.options;
-    if (lease.isHolder()) return this.leaseAsHolder(message);
+    if (lease.isHolder()) return this.leaseAsLeader(message);
     return (await askHolder(message, WRITE_TIMEOUT_US)) ?? { kind: NODE_REPLY.retryLeases };
   };
 
   /**
-   * Only by a holder that a majority has just heard of: one that was cut off or frozen may have a
-   * successor.
+   * Leases retries only after a majority has confirmed the leadership, because a leader that was
+   * partitioned or suspended may have been replaced.
    */
-  private readonly leaseAsHolder = async (message: Message): Promise<Message> =>
+  private readonly leaseAsLeader = async (message: Message): Promise<Message> =>
     (await this.options.lease.confirm())
       ? this.allocator.handleRequest(message)
       : { kind: PEER_REPLY.retryLeases };
 
-  private readonly set = async (request: ApiRequest): Promise<ApiResponse> => {
+  private readonly setLimit = async (request: ApiRequest): Promise<ApiResponse> => {
     const { lease, askHolder } = this.options;
-    const order = readBody(request);
-    const { service, kind } = order;
+    const body = readBody(request);
+    const { service, kind } = body;
     if (typeof service !== "string" || service === "" || typeof kind !== "string")
-      return wrong("service and kind must be texts");
-    if (lease.isHolder()) return this.setAsHolder(order);
+      return badRequest("service and kind must be strings");
+    if (lease.isHolder()) return this.setLimitAsLeader(body);
     const reply = await askHolder(
-      { ...order, kind: PEER_REQUEST.setRetryLimit, order },
+      { ...body, kind: PEER_REQUEST.setRetryLimit, order: body },
       2 * WRITE_TIMEOUT_US,
     );
     return readApiResponse(reply) ?? { outcome: "noQuorum" };
   };
 
-  private readonly setAsHolder = async (order: UnknownRecord): Promise<ApiResponse> => {
+  private readonly setLimitAsLeader = async (command: UnknownRecord): Promise<ApiResponse> => {
     const { settings, store, lease, published } = this.options;
     if (!(await lease.confirm())) return { outcome: "noQuorum" };
-    const service = readString(order, "service");
+    const service = readString(command, "service");
     const isService = store.get(serviceKey(service))?.dropped === false;
-    if (service !== EVERY_SERVICE && !isService) return wrong(`there is no service ${service}`);
+    if (service !== EVERY_SERVICE && !isService)
+      return badRequest(`there is no service ${service}`);
     const changed = withLimit(
       this.limits(),
       retryMaximumOf(settings),
       service,
-      readString(order, "kind"),
-      { ratio: order["ratio"], slack: order["slack"] },
+      readString(command, "kind"),
+      { ratio: command["ratio"], slack: command["slack"] },
     );
-    if (changed.isErr) return wrong(changed.error);
+    if (changed.isErr) return badRequest(changed.error);
     const isPublished = await published.publish(PUBLISHED_REGISTER.retryLimits, changed.value);
     return { outcome: isPublished ? "taken" : "noQuorum" };
   };
