--- a/features/steps/soak.ts
+++ b/features/steps/soak.ts
@@ -17,7 +17,7 @@
 let failures: readonly string[] = [];
 
 When(
-  "the soak plays seed {int} for {int} seconds with {int} gateways",
+  "the soak test runs seed {int} for {int} seconds with {int} gateways",
   { timeout: 180_000 },
   async (seed: number, seconds: number, gateways: number) => {
     const schedule = drawSchedule(seed, seconds * 1_000);
@@ -26,7 +26,7 @@
     failures = result.failures;
   },
 );
-Then("no check finds anything", () => {
+Then("no check reports a violation", () => {
   assert.ok(recorded);
   const completeHistory = recorded;
   const found = Object.entries(CHECKS).flatMap(([name, check]) =>
@@ -34,7 +34,7 @@
   );
   assert.deepEqual([...failures, ...found], []);
 });
-Then("requests, runs, changes, readings and signals were recorded", () => {
+Then("requests, executions, changes, reads and faults were recorded", () => {
   const { requests = [], runs = [], changes = [], reads = [], faults = [] } = recorded ?? {};
   [requests, runs, changes, reads, faults].forEach((records, at) =>
     assert.ok(records.length > 0, `list ${at + 1} is empty`),
@@ -42,7 +42,7 @@
 });
 
 Then(
-  "seed {int} gives the same schedule twice and seed {int} another one",
+  "seed {int} gives the same schedule twice and seed {int} a different one",
   (seed: number, other: number) => {
     assert.deepEqual(drawSchedule(seed, 30_000), drawSchedule(seed, 30_000));
     assert.notDeepEqual(drawSchedule(seed, 30_000).actions, drawSchedule(other, 30_000).actions);
@@ -95,7 +95,7 @@
   history.runs.push(
     { attemptId: "a", service: "s0", atUs: 20 * SECOND },
     { attemptId: "p", service: "s1", atUs: 20 * SECOND },
-    // Within the bound the version before is still allowed.
+    // The previous version is still allowed until `applyUs` after the acknowledgement.
     { attemptId: "q", service: "s0", atUs: 12 * SECOND },
   );
   history.reads.push(readOf());
@@ -117,24 +117,25 @@
 };
 
 const DEFECTS: Readonly<Record<string, () => void>> = {
-  "an unsafe request runs twice": () =>
+  "an unsafe request is executed twice": () =>
     void history.runs.push({ attemptId: "a", service: "s0", atUs: 20 * SECOND }),
-  "an unsafe request ran and its client got 503": () =>
+  "an unsafe request is executed and its client gets 503": () =>
     void history.runs.push({ attemptId: "refused", service: "s0", atUs: 20 * SECOND }),
-  "a client gets the answer of another attempt": () =>
+  "a client gets the response to another attempt": () =>
     void history.requests.push(requestOf("b", { body: "answer to a" })),
-  "a success has no seal": () => void history.requests.push(requestOf("b", { hasSeal: false })),
-  "a request is run by the old service long after the change": addStaleProbe,
-  "a reading shows an older version than was acknowledged": () =>
+  "a 200 response has no seal": () =>
+    void history.requests.push(requestOf("b", { hasSeal: false })),
+  "a request is handled by the old service long after a change": addStaleProbe,
+  "a read returns an older version than was acknowledged": () =>
     void history.reads.push(readOf({ probeVersion: 1 })),
-  "a reading lacks a route that was acknowledged": () =>
+  "a read lacks a route that was acknowledged": () =>
     void history.reads.push(readOf({ routes: new Set(["r-probe"]) })),
-  "a gateway that was told to end cuts off a request": () => {
+  "a draining gateway aborts a request": () => {
     const cut = { gateway: "gateway-2", status: undefined, sentUs: 29.9 * SECOND };
     history.requests.push(requestOf("cut", { ...cut, endedUs: 31 * SECOND }));
     history.runs.push({ attemptId: "cut", service: "s0", atUs: 29.95 * SECOND });
   },
-  "a process ends by itself": () =>
+  "a process exits unexpectedly": () =>
     void history.exits.push({
       process: "controller-1",
       atUs: SECOND,
@@ -142,7 +143,7 @@
       termUs: undefined,
       wasKilled: false,
     }),
-  "a process takes too long to end": () =>
+  "a process takes too long to exit": () =>
     void history.exits.push({
       process: "gateway-2",
       atUs: 60 * SECOND,
@@ -152,7 +153,7 @@
     }),
 };
 When(new RegExp(`^(${Object.keys(DEFECTS).join("|")})$`), (defect: string) => DEFECTS[defect]?.());
-When("the machine itself was late at that time", () =>
+When("the host machine was delayed at that time", () =>
   history.machineDelays.push({ fromUs: 24 * SECOND, toUs: 24.5 * SECOND }),
 );
 
@@ -160,11 +161,11 @@
   Object.entries(CHECKS)
     .filter(([, check]) => check(history).violations.length > 0)
     .map(([name]) => name);
-Then("each check finds nothing in it", () => assert.deepEqual(violatedChecks(), []));
-Then("just the check {string} finds it", (name: string) =>
+Then("no check reports a violation of it", () => assert.deepEqual(violatedChecks(), []));
+Then("only the check {string} reports a violation", (name: string) =>
   assert.deepEqual(violatedChecks(), [name]),
 );
-Then("each check finds nothing in it, and {int} observation was left out", (count: number) => {
+Then("no check reports a violation of it, and {int} observation was skipped", (count: number) => {
   assert.deepEqual(violatedChecks(), []);
   const skipped = Object.values(CHECKS).reduce((sum, check) => sum + check(history).skipped, 0);
   assert.equal(skipped, count);
--- a/soak/bounds.ts
+++ b/soak/bounds.ts
@@ -1,4 +1,4 @@
-/** The bounds that the soak's programs are set to, and that its checks judge by, in microseconds. */
+/** Time bounds, in microseconds, that the programs under test run with and the checks rely on. */
 export const BOUNDS = {
   heartbeatUs: 1_000_000,
   drainUs: 2_000_000,
--- a/soak/checks.ts
+++ b/soak/checks.ts
@@ -1,24 +1,25 @@
 /**
- * The checks of a soak. Each reads a history and gives a sentence for each violation; some leave out
- * what the machine's own delays may have brought about, and count it.
+ * Invariant checks of a soak run. Each check reads a history and reports one message per violation.
+ * Some skip observations that may have been caused by delays of the host machine, and count them.
  */
 import { BOUNDS } from "./bounds.js";
 import type { FaultRecord, History, RequestRecord, RunRecord } from "./history.js";
 
-/** What a check found. */
+/** Result of one {@link Check}. */
 export interface CheckResult {
   readonly violations: readonly string[];
-  /** How many observations were judged, and how many left out for the machine's delays. */
+  /** Number of observations that were evaluated. */
   readonly judged: number;
+  /** Number of observations left out because the host machine was delayed at that time. */
   readonly skipped: number;
 }
 
-/** One check. */
+/** Evaluates one invariant over a recorded history. */
 export type Check = (history: History) => CheckResult;
 
-/** Statuses that promise that a request has not run and never will. */
+/** Response statuses which guarantee that the request was not and will not be executed. */
 const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
-/** How long a process may take beyond its grace period to be gone. */
+/** How long a process may take to exit beyond its grace period. */
 const EXIT_SLACK_US = 1_000_000;
 
 const formatSeconds = (us: number): string => `${(us / 1_000_000).toFixed(3)} s`;
@@ -40,7 +41,10 @@
   return byAttempt;
 };
 
-/** No unsafe request runs twice, and none whose response promised that it had not run. */
+/**
+ * An unsafe request is executed at most once, and never if its response status guarantees that it
+ * was not executed.
+ */
 export const runsAtMostOnce: Check = ({ requests, runs }) => {
   const byAttempt = groupByAttempt(runs);
   const unsafe = requests.filter(({ isSafe }) => !isSafe);
@@ -48,12 +52,12 @@
     const count = byAttempt.get(attemptId)?.length ?? 0;
     if (count > 1) return `${attemptId} ran ${count} times (${gateway}, ${formatSeconds(sentUs)})`;
     return count === 1 && status !== undefined && NOT_RUN_STATUSES.has(status)
-      ? `${attemptId} ran, and its client got ${status} from ${gateway} (${formatSeconds(sentUs)})`
+      ? `${attemptId} ran, but its client got ${status} from ${gateway} (${formatSeconds(sentUs)})`
       : undefined;
   });
 };
 
-/** Every success has the worker's seal and the complete body of its own attempt. */
+/** Every 200 response carries the worker's seal and the complete body for its own attempt. */
 export const answersBelong: Check = ({ requests }) =>
   checkEach(
     requests.filter(({ status }) => status === 200),
@@ -69,7 +73,10 @@
   toUs: number,
 ): boolean => span.fromUs <= toUs && span.toUs >= fromUs;
 
-/** A gateway is in touch if nothing was done to it, or to a controller, in the contact time before. */
+/**
+ * Whether the gateway is expected to have been in contact with the controllers during the request:
+ * no fault affected it or any controller from `contactUs` before the request until its end.
+ */
 const hadControllerContact = (
   faults: readonly FaultRecord[],
   gateway: string,
@@ -81,7 +88,10 @@
       overlaps(fault, sentUs - BOUNDS.contactUs, endedUs),
   );
 
-/** The versions that may be in force for a request: none older than what must be, none never sent. */
+/**
+ * Services that may handle a probe request. Excluded are versions older than the newest one
+ * acknowledged more than `applyUs` before the request, and versions sent only after its end.
+ */
 const allowedServices = (
   { changes }: History,
   { sentUs, endedUs }: RequestRecord,
@@ -99,7 +109,10 @@
   );
 };
 
-/** After `apply` past an acknowledgement no gateway in touch handles a request by an older version. */
+/**
+ * Once `applyUs` has passed since a change was acknowledged, no gateway in contact with the
+ * controllers handles a request by an older version.
+ */
 export const configurationInForce: Check = (history) => {
   const { requests, runs, faults, machineDelays } = history;
   const byAttempt = groupByAttempt(runs);
@@ -116,13 +129,13 @@
       ({ service }) => !allowed.has(service),
     );
     return staleRun
-      ? `${request.attemptId} was run by ${staleRun.service}, which only an older version allows (${request.gateway}, ${formatSeconds(request.sentUs)})`
+      ? `${request.attemptId} was handled by ${staleRun.service}, which is valid only in an older version (${request.gateway}, ${formatSeconds(request.sentUs)})`
       : undefined;
   });
   return { ...result, skipped: probes.length - judged.length };
 };
 
-/** A reading of the configuration holds all that was acknowledged before it began. */
+/** A configuration read includes every change that was acknowledged before the read began. */
 export const readsAreCurrent: Check = ({ reads, changes, largeChanges }) =>
   checkEach(reads, ({ controller, startUs, probeVersion, routes }) => {
     const isBefore = (acknowledgedUs: number | undefined): boolean =>
@@ -131,17 +144,20 @@
       .filter(({ acknowledgedUs }) => isBefore(acknowledgedUs))
       .reduce((highest, { version }) => Math.max(highest, version), 0);
     if (probeVersion < required)
-      return `${controller} showed version ${probeVersion} after ${required} was acknowledged (${formatSeconds(startUs)})`;
+      return `${controller} returned version ${probeVersion} after ${required} was acknowledged (${formatSeconds(startUs)})`;
     const missing = largeChanges
       .filter(({ acknowledgedUs }) => isBefore(acknowledgedUs))
       .flatMap((change) => change.routes)
       .find((route) => !routes.has(route));
     return missing === undefined
       ? undefined
-      : `${controller} lacked the acknowledged route ${missing} (${formatSeconds(startUs)})`;
+      : `${controller} is missing the acknowledged route ${missing} (${formatSeconds(startUs)})`;
   });
 
-/** A gateway that was only told to end cuts off no request that a worker has begun. */
+/**
+ * A gateway that drains after SIGTERM, and was not also killed or frozen, aborts no request that a
+ * worker has begun to execute.
+ */
 export const drainsCutNothing: Check = ({ requests, runs, faults }) => {
   const byAttempt = groupByAttempt(runs);
   const requestsDuringDrain = requests.filter(
@@ -162,24 +178,25 @@
   );
   return checkEach(requestsDuringDrain, ({ attemptId, status, gateway, sentUs }) =>
     status === undefined && byAttempt.has(attemptId)
-      ? `${attemptId} was cut off by ${gateway}, which was told to end (${formatSeconds(sentUs)})`
+      ? `${attemptId} was aborted by ${gateway} while it was draining (${formatSeconds(sentUs)})`
       : undefined,
   );
 };
 
-/** Processes end when they are told to, within their grace period, and not by themselves. */
+/** A process exits only on SIGTERM or SIGKILL; on SIGTERM with code 0 within its grace period. */
 export const exitsAreAsked: Check = ({ exits }) =>
   checkEach(exits, ({ process, atUs, code, termUs, wasKilled }) => {
     if (wasKilled) return undefined;
     if (termUs === undefined)
-      return `${process} ended by itself with ${code} (${formatSeconds(atUs)})`;
-    if (code !== 0) return `${process} ended with ${code} after SIGTERM (${formatSeconds(atUs)})`;
+      return `${process} exited unexpectedly with code ${code} (${formatSeconds(atUs)})`;
+    if (code !== 0)
+      return `${process} exited with code ${code} after SIGTERM (${formatSeconds(atUs)})`;
     return atUs - termUs > BOUNDS.graceUs + EXIT_SLACK_US
-      ? `${process} took ${formatSeconds(atUs - termUs)} to end`
+      ? `${process} took ${formatSeconds(atUs - termUs)} to exit after SIGTERM`
       : undefined;
   });
 
-/** All checks by name. */
+/** All checks, by the name under which results report them. */
 export const CHECKS: Readonly<Record<string, Check>> = {
   "runs-at-most-once": runsAtMostOnce,
   "answers-belong": answersBelong,
--- a/soak/client.ts
+++ b/soak/client.ts
@@ -1,4 +1,4 @@
-/** Clients that keep using their open connections until the gateway closes them. */
+/** Load clients that reuse their keep-alive connections until the gateway closes them. */
 import { Agent, request, type IncomingMessage } from "node:http";
 import type { HistoryRecorder } from "./history.js";
 import type { Program } from "./program.js";
@@ -8,21 +8,21 @@
 const CONNECTIONS = 3;
 const HOST = "soak.example";
 
-/** Where a request goes. */
+/** A route of the configuration, and the kind of requests it takes. */
 export interface ClientRoute {
   readonly path: string;
   readonly isProbe: boolean;
   readonly isSafe: boolean;
 }
 
-/** The routes that clients call. */
+/** The routes that clients send requests to. */
 export const CLIENT_ROUTES: readonly ClientRoute[] = [
   { path: "/safe/", isProbe: false, isSafe: true },
   { path: "/unsafe/", isProbe: false, isSafe: false },
   { path: "/probe/", isProbe: true, isSafe: true },
 ];
 
-/** What the clients of one gateway are made with. */
+/** Options of a {@link Client}. */
 export interface ClientOptions {
   readonly gateway: Program;
   readonly history: HistoryRecorder;
@@ -33,7 +33,7 @@
   readonly intervalMs: number;
 }
 
-/** Sends requests to one gateway at a bounded rate. */
+/** Sends requests to one gateway at a fixed rate. */
 export class Client {
   private readonly agent = new Agent({ keepAlive: true, maxSockets: CONNECTIONS });
   private timer: NodeJS.Timeout | undefined;
--- a/soak/history.ts
+++ b/soak/history.ts
@@ -1,39 +1,39 @@
-/** What a run of the soak records; all times are microseconds on one monotonic clock. */
+/** Records of a soak run. All times are in microseconds on one monotonic clock. */
 
-/** A client's request to a gateway, and how it ended. */
+/** A client's request to a gateway and its outcome. */
 export interface RequestRecord {
   readonly attemptId: string;
   readonly gateway: string;
-  /** Whether its route moves from service to service with the versions of the configuration. */
+  /** Whether the route is moved to another service by each version of the configuration. */
   readonly isProbe: boolean;
-  /** Whether it may run more than once. */
+  /** Whether the request may be executed more than once. */
   readonly isSafe: boolean;
   readonly sentUs: number;
   readonly endedUs: number;
-  /** Undefined where the connection ended first. */
+  /** Undefined if the connection closed before the response was complete. */
   readonly status: number | undefined;
   readonly hasSeal: boolean;
-  /** Complete, as far as the response's length tells. */
+  /** Complete if `status` is set; otherwise what arrived before the connection closed. */
   readonly body: string;
 }
 
-/** A worker has begun to work on a request. */
+/** The start of a request's execution by a worker. */
 export interface RunRecord {
   readonly attemptId: string;
   readonly service: string;
   readonly atUs: number;
 }
 
-/** A change of the probe's route; its version says which service gets the requests. */
+/** A change of the probe route, which moves its requests to another service. */
 export interface ChangeRecord {
   readonly version: number;
   readonly service: string;
   readonly sentUs: number;
-  /** Undefined where it got no 2xx. */
+  /** Undefined if no controller acknowledged the change. */
   readonly acknowledgedUs: number | undefined;
 }
 
-/** A reading of the configuration from one controller; others than 200 aren't recorded. */
+/** A configuration read from one controller. Only reads answered with status 200 are recorded. */
 export interface ReadRecord {
   readonly controller: string;
   readonly startUs: number;
@@ -41,23 +41,23 @@
   readonly routes: ReadonlySet<string>;
 }
 
-/** A change that adds many routes. */
+/** A change that adds many routes at once. */
 export interface LargeChangeRecord {
   readonly routes: readonly string[];
   readonly acknowledgedUs: number | undefined;
 }
 
-/** The end of a process. */
+/** The exit of a process. */
 export interface ExitRecord {
   readonly process: string;
   readonly atUs: number;
   readonly code: number | null;
-  /** When it was asked to end by SIGTERM; undefined where it was not. */
+  /** When SIGTERM was sent; undefined if it was not. */
   readonly termUs: number | undefined;
   readonly wasKilled: boolean;
 }
 
-/** What was done to a process, from its begin until the process was up again. */
+/** A fault injected into a process, from its begin until the process was up again. */
 export interface FaultRecord {
   readonly process: string;
   readonly kind: "term" | "kill" | "stop" | "start";
@@ -65,13 +65,13 @@
   readonly toUs: number;
 }
 
-/** A time in which the machine itself was late, by a plain timer beside the run. */
+/** A period in which the host machine was delayed, as measured by a timer of the test process. */
 export interface MachineDelay {
   readonly fromUs: number;
   readonly toUs: number;
 }
 
-/** Everything that was recorded of one run. */
+/** All records of one run. */
 export interface History {
   readonly requests: readonly RequestRecord[];
   readonly runs: readonly RunRecord[];
@@ -83,7 +83,7 @@
   readonly machineDelays: readonly MachineDelay[];
 }
 
-/** Collects a history while the run goes on. */
+/** Collects the records during a run. */
 export class HistoryRecorder implements History {
   readonly requests: RequestRecord[] = [];
   readonly runs: RunRecord[] = [];
--- a/soak/http-call.ts
+++ b/soak/http-call.ts
@@ -1,13 +1,13 @@
-/** One call of a program's HTTP API. */
+/** HTTP calls to the programs under test. */
 import { request } from "node:http";
 
-/** What a call was answered with. */
+/** The response to a call. */
 export interface ApiReply {
   readonly status: number;
   readonly body: string;
 }
 
-/** Undefined where no complete answer comes within the time-out. */
+/** Sends one request. Resolves to undefined if no complete response arrives within the timeout. */
 export const callApi = (
   address: string,
   method: string,
--- a/soak/operator.ts
+++ b/soak/operator.ts
@@ -1,4 +1,4 @@
-/** The operator: changes the configuration in series, and reads it back. */
+/** Simulates an operator who changes the configuration and reads it back. */
 import { asRecord, parseJson, readList, readNumber, readString } from "../src/common/decode.js";
 import { CLIENT_ROUTES } from "./client.js";
 import type { HistoryRecorder } from "./history.js";
@@ -11,10 +11,10 @@
 const CALL_TIMEOUT_MS = 1_500;
 const MAX_CALLS = 8;
 const RETRY_PAUSE_MS = 200;
-/** Statuses that end a change at once: it is not and will not be in force. */
+/** Statuses of a final rejection: the change is not and will not be in force; it is not retried. */
 const REJECTED_STATUSES = new Set([400, 409, 412, 413, 422]);
 
-/** What the operator works with. */
+/** Options of an {@link Operator}. */
 export interface OperatorOptions {
   readonly controllers: readonly Program[];
   readonly services: readonly string[];
@@ -41,14 +41,14 @@
 const pause = (waitMs: number): Promise<void> =>
   new Promise((resolve) => setTimeout(resolve, waitMs));
 
-/** Sends changes one after the other; one without a clear answer goes to the next controller. */
+/** Sends changes; one without a definite response is retried on a randomly chosen controller. */
 export class Operator {
   private version = 1;
   private readonly routeNames = CLIENT_ROUTES.map(({ path }) => `r-${path.replaceAll("/", "")}`);
 
   constructor(private readonly options: OperatorOptions) {}
 
-  /** The first configuration; throws where no controller takes it. */
+  /** Sends the initial configuration. Throws if no controller acknowledges it. */
   readonly applyInitial = async (): Promise<void> => {
     const { services, history, nowUs } = this.options;
     const [service = ""] = services;
@@ -76,10 +76,10 @@
       history.changes.push({ version: this.version, service, sentUs, acknowledgedUs });
       return;
     }
-    throw new Error("no controller took the first configuration");
+    throw new Error("no controller acknowledged the initial configuration");
   };
 
-  /** Moves the probe's route to another service. Resolves to whether it was acknowledged. */
+  /** Moves the probe route to another service. Resolves to whether the change was acknowledged. */
   readonly moveProbe = async (): Promise<boolean> => {
     const { services, history, nowUs } = this.options;
     this.version += 1;
@@ -95,7 +95,7 @@
     return acknowledgedUs !== undefined;
   };
 
-  /** Adds many routes at once. */
+  /** Adds `count` routes in one change. */
   readonly addRoutes = async (count: number): Promise<void> => {
     const { services, history } = this.options;
     this.version += 1;
@@ -108,7 +108,7 @@
     history.largeChanges.push({ routes: names, acknowledgedUs });
   };
 
-  /** Sends a change that is invalid. Resolves to whether it was refused, or not answered at all. */
+  /** Sends an invalid change. Resolves to true if it was rejected or never answered. */
   readonly sendInvalid = async (): Promise<boolean> => {
     const rules = [makeRule("r-wrong", 1, "no-such-service", { path: "/wrong/", isSafe: true })];
     return (await this.send({ putItems: { listeners: [{ host: HOST, rules }] } })) === undefined;
@@ -132,7 +132,7 @@
     });
   };
 
-  /** When the change was acknowledged; undefined where it was refused or never answered clearly. */
+  /** Resolves to the time of the acknowledgement; undefined if rejected or if all calls failed. */
   private readonly send = async (change: unknown): Promise<number | undefined> => {
     const { controllers, nowUs, random } = this.options;
     const body = JSON.stringify(change);
--- a/soak/program.ts
+++ b/soak/program.ts
@@ -1,4 +1,4 @@
-/** One program under test: a real process with its own settings file and data folder. */
+/** A program under test: a real process with its own settings file and data folder. */
 import { spawn, type ChildProcess } from "node:child_process";
 import { createWriteStream, type WriteStream } from "node:fs";
 import { mkdir, writeFile } from "node:fs/promises";
@@ -7,13 +7,13 @@
 import { BOUNDS } from "./bounds.js";
 import type { HistoryRecorder } from "./history.js";
 
-/** Programs of the same run share these ports; each has an IP of its own. */
+/** All programs of a run use the same ports, each on its own loopback address. */
 const PORTS = { front: 18_100, ready: 18_101, control: 18_102, firstSpare: 18_110 } as const;
 const MS_PER_US = 0.001;
 const RETRY_WINDOW = "10s";
 const KILL_AFTER_GRACE_US = 3_000_000;
 
-/** What a program is started with. */
+/** Options of a {@link Program}. */
 export interface ProgramOptions {
   readonly name: string;
   readonly role: "gateway" | "controller";
@@ -21,7 +21,7 @@
   readonly zone: string;
   readonly zones: readonly string[];
   readonly controllerIps: readonly string[];
-  /** Holds its settings, data and output. */
+  /** Holds the program's settings file, data and output. */
   readonly folder: string;
   readonly history: HistoryRecorder;
   readonly nowUs: () => number;
@@ -65,7 +65,7 @@
   });
 };
 
-/** A process that can be started, signalled and started again. */
+/** A process that can be started, signalled and restarted. */
 export class Program {
   private child: ChildProcess | undefined;
   private output: WriteStream | undefined;
@@ -79,22 +79,22 @@
     return this.options.name;
   }
 
-  /** The address (ip:port) for clients. */
+  /** Address (ip:port) for client traffic. */
   get front(): string {
     return `${this.options.ip}:${PORTS.front}`;
   }
 
-  /** The address (ip:port) for operators and workers. */
+  /** Address (ip:port) of the API for operators and workers. */
   get control(): string {
     return `${this.options.ip}:${PORTS.control}`;
   }
 
-  /** The address (ip:port) of the readiness check. */
+  /** Address (ip:port) of the readiness check. */
   get ready(): string {
     return `${this.options.ip}:${PORTS.ready}`;
   }
 
-  /** Starts the process; does nothing while one runs. */
+  /** Starts the process; does nothing if it is already running. */
   readonly start = async (firstRun: boolean): Promise<void> => {
     if (this.child) return;
     const { folder, role } = this.options;
@@ -109,7 +109,7 @@
     child.stdout.pipe(this.output, { end: false });
     child.stderr.pipe(this.output, { end: false });
     this.child = child;
-    // Nothing that was started outlives this process.
+    // The child must not outlive this process.
     const killAtExit = (): void => void child.kill("SIGKILL");
     process.once("exit", killAtExit);
     this.termUs = undefined;
@@ -123,7 +123,10 @@
     });
   };
 
-  /** Asks the process to end; one that doesn't is killed some time after its grace period. */
+  /**
+   * Sends SIGTERM and waits for the exit. A process that is still running some time after its grace
+   * period is killed.
+   */
   readonly terminate = async (): Promise<void> => {
     const { child } = this;
     if (!child) return;
@@ -143,12 +146,12 @@
     await this.exited;
   };
 
-  /** Stops the process for a while, as a pause of its machine would. */
+  /** Suspends the process until {@link thaw}, as a pause of its machine would. */
   readonly freeze = (): void => void this.child?.kill("SIGSTOP");
 
   readonly thaw = (): void => void this.child?.kill("SIGCONT");
 
-  /** Ends the process and closes its output; it is not started again. */
+  /** Kills the process and closes its output file; it cannot be started again. */
   readonly close = async (): Promise<void> => {
     await this.kill();
     this.output?.end();
--- a/soak/run.ts
+++ b/soak/run.ts
@@ -1,6 +1,7 @@
 /**
- * `npm run soak`: plays seeds on real programs over loopback and ends with code 1 if a check finds
- * something, 3 if too much had to be left out for the machine's own delays, 2 for wrong options.
+ * `npm run soak`: runs seeded schedules against real programs over loopback. Exits with code 1 if a
+ * check finds a violation, 2 for invalid options, and 3 if too many observations were skipped
+ * because of delays of the host machine.
  */
 import { writeFile } from "node:fs/promises";
 import { Command } from "commander";
@@ -12,11 +13,11 @@
 const EXIT_INVALID_OPTIONS = 2;
 const EXIT_INCONCLUSIVE = 3;
 const EXIT_INTERRUPTED = 130;
-/** With more than this part of the observations left out a run tells nothing. */
+/** A run with a larger fraction of skipped observations is inconclusive. */
 const MAX_SKIPPED_FRACTION = 0.05;
 const MAX_GATEWAYS = 200;
 
-/** What is told of one seed. */
+/** Result of one seed, as the `--json` file contains it. */
 interface SeedReport {
   readonly seed: number;
   readonly requests: number;
@@ -25,7 +26,7 @@
   readonly judged: number;
   readonly skipped: number;
   readonly violations: readonly string[];
-  /** Where the programs' output is; empty where nothing was found. */
+  /** Folder with the settings, data and output of the programs. */
   readonly folder: string;
 }
 
@@ -53,7 +54,7 @@
   const counts = `${requests} requests, ${changes} changes, ${signals} signals, ${judged} judged, ${skipped} skipped`;
   const found = violations.slice(0, 10).map((violation) => `\n  ${violation}`);
   const where = violations.length > 0 ? `\n  output: ${folder}` : "";
-  return `seed ${seed}: ${counts}, ${violations.length} found${found.join("")}${where}\n`;
+  return `seed ${seed}: ${counts}, ${violations.length} violations${found.join("")}${where}\n`;
 };
 
 const exitCodeOf = (reports: readonly SeedReport[]): number => {
@@ -72,7 +73,7 @@
   );
   if (!areValid || !seeds || !from || !seconds || !gateways || gateways > MAX_GATEWAYS) {
     process.stderr.write(
-      `soak: seeds, from, seconds and gateways are whole numbers from 1 on, gateways up to ${MAX_GATEWAYS}\n`,
+      `soak: --seeds, --from, --seconds and --gateways must be positive integers, --gateways at most ${MAX_GATEWAYS}\n`,
     );
     process.exitCode = EXIT_INVALID_OPTIONS;
     return;
@@ -95,12 +96,17 @@
 process.on("SIGINT", () => process.exit(EXIT_INTERRUPTED));
 process.on("SIGTERM", () => process.exit(EXIT_INTERRUPTED));
 await new Command("soak")
-  .description("plays seeded schedules on real programs over loopback and checks what was seen")
-  .option("--seeds <n>", "how many seeds are played, one after the other", "3")
-  .option("--from <seed>", "the first of them; --seeds 1 plays one again", "1")
-  .option("--seconds <n>", "how long each is", "20")
-  .option("--gateways <n>", "how many gateways there are, beside three controllers", "4")
-  .option("--json <file>", "writes the reports there")
-  .addHelpText("after", "\nExit codes: 0 nothing found, 1 found, 2 wrong options, 3 inconclusive.")
+  .description(
+    "runs seeded schedules against real programs over loopback and checks the recorded history",
+  )
+  .option("--seeds <n>", "number of seeds to run, one after another", "3")
+  .option("--from <seed>", "first seed; with --seeds 1, repeats that seed", "1")
+  .option("--seconds <n>", "duration of each run", "20")
+  .option("--gateways <n>", "number of gateways, in addition to three controllers", "4")
+  .option("--json <file>", "write the reports to this file")
+  .addHelpText(
+    "after",
+    "\nExit codes: 0 no violations, 1 violations, 2 invalid options, 3 inconclusive.",
+  )
   .action(run)
   .parseAsync();
--- a/soak/schedule.ts
+++ b/soak/schedule.ts
@@ -1,7 +1,7 @@
-/** What a run does to its processes and its configuration, drawn from a seed. */
+/** Schedules of faults and configuration changes, drawn from a seed. */
 import { SeededRandom } from "../simulator/seeded-random.js";
 
-/** One thing that is done, and when, in milliseconds from the start. */
+/** An action and its time in milliseconds from the start of the run. */
 export type Action =
   | { readonly kind: "move-probe" | "add-routes" | "send-invalid" | "read"; readonly atMs: number }
   | { readonly kind: "kill-all-controllers"; readonly atMs: number }
@@ -12,7 +12,7 @@
       readonly slot: number;
     };
 
-/** A run's actions, in order. */
+/** The actions of a run, in order of time. */
 export interface SoakSchedule {
   readonly seed: number;
   readonly durationMs: number;
@@ -22,18 +22,18 @@
 const MEAN_CHANGE_INTERVAL_MS = 900;
 const MEAN_READ_INTERVAL_MS = 400;
 const MEAN_FAULT_INTERVAL_MS = 2_500;
-/** No fault begins so near to the end, so that all are up again when everything is read back. */
+/** No fault begins this close to the end, so that all programs are up again for the final reads. */
 const FAULT_FREE_END_MS = 6_000;
 const FAULTS = ["terminate", "kill", "freeze"] as const;
 const ALL_CONTROLLERS_PROBABILITY = 0.1;
-/** Of the other faults, those that hit a gateway. */
+/** Probability that a fault of a single program hits a gateway, not a controller. */
 const GATEWAY_PROBABILITY = 0.65;
 const LARGE_CHANGE_PROBABILITY = 0.1;
 const INVALID_PROBABILITY = 0.1;
-/** Slots are taken modulo the number of programs of the role. */
+/** Upper bound of slots, which are taken modulo the number of programs of the role. */
 const MAX_SLOT = 10_000;
 
-/** Half to one and a half of the mean gap. */
+/** Draws an interval between 0.5 and 1.5 times the mean. */
 const drawIntervalMs = (meanMs: number, random: SeededRandom): number =>
   meanMs / 2 + random.integer(0, meanMs);
 
@@ -55,7 +55,7 @@
   return { kind: random.occurs(INVALID_PROBABILITY) ? "send-invalid" : "move-probe", atMs };
 };
 
-/** Draws the schedule of a seed. */
+/** Draws a schedule; the same seed and duration give the same schedule. */
 export const drawSchedule = (seed: number, durationMs: number): SoakSchedule => {
   const random = new SeededRandom(seed);
   const actions: Action[] = [
--- a/soak/soak-run.ts
+++ b/soak/soak-run.ts
@@ -1,4 +1,4 @@
-/** Plays one schedule on real programs over loopback, and gives what was recorded. */
+/** Runs one schedule against real programs over loopback and records the history. */
 import { mkdtemp, rm } from "node:fs/promises";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
@@ -23,24 +23,24 @@
 const START_TIMEOUT_MS = 20_000;
 const POLL_MS = 100;
 const DELAY_CHECK_MS = 50;
-/** A plain timer that is so late shows that the machine, not a program, was slow. */
+/** A timer of the test process that fires this late shows that the host machine was delayed. */
 const MACHINE_DELAY_US = 250_000;
 
-/** What a run is made with. */
+/** Options of {@link runSoak}. */
 export interface SoakRunOptions {
   readonly schedule: SoakSchedule;
-  /** How many gateways there are. */
+  /** Number of gateways. */
   readonly gateways: number;
-  /** Whether the programs' files are kept afterwards. */
+  /** Whether the files of the programs are kept after the run. */
   readonly keepsFiles: boolean;
 }
 
-/** What a run gives. */
+/** Result of {@link runSoak}. */
 export interface SoakRunResult {
   readonly history: History;
-  /** What did not come about in time, such as a gateway that never became ready again. */
+  /** Errors of actions, such as a gateway that did not become ready again in time. */
   readonly failures: readonly string[];
-  /** Where settings, data and output of the programs are, if they were kept. */
+  /** Folder with the settings, data and output of the programs, if they were kept. */
   readonly folder: string;
 }
 
@@ -48,7 +48,7 @@
   new Promise((resolve) => setTimeout(resolve, waitMs));
 const nowUs = (): number => Math.round(performance.now() * 1_000);
 
-/** The programs, workers, clients and the operator of one run. */
+/** The programs, workers, clients and operator of one run. */
 class SoakFleet {
   readonly history = new HistoryRecorder();
   readonly failures: string[] = [];
@@ -109,7 +109,7 @@
     );
   }
 
-  /** Starts everything; throws where the gateways aren't ready in time. */
+  /** Starts everything. Throws if a gateway is not ready in time. */
   readonly start = async (): Promise<void> => {
     await Promise.all(
       [...this.controllers, ...this.gateways].map((program) => program.start(true)),
@@ -121,7 +121,7 @@
     this.clients.forEach((client) => client.start());
   };
 
-  /** Plays the actions, each at its time, whether or not earlier ones have ended. */
+  /** Starts each action at its time, whether or not earlier actions have finished. */
   readonly run = async ({ actions, durationMs }: SoakSchedule): Promise<void> => {
     const startMs = nowUs() / 1_000;
     const running: Promise<void>[] = [];
@@ -159,7 +159,7 @@
       case "read":
         return operator.read(random.pick(controllers));
       case "kill-all-controllers":
-        // The worst moment is right after an acknowledgement.
+        // Right after an acknowledgement, a change that is not yet durable would be lost.
         await operator.moveProbe();
         await Promise.all(controllers.map((controller) => this.injectFault(controller, "kill")));
         return;
@@ -171,7 +171,10 @@
     }
   };
 
-  /** Does something to a program that nothing is being done to, until it is up again. */
+  /**
+   * Injects a fault and waits until the program is up again. Does nothing while another fault of
+   * this program is in progress.
+   */
   private readonly injectFault = async (
     program: Program,
     action: "terminate" | "kill" | "freeze",
@@ -220,10 +223,10 @@
       if (reply && statuses.includes(reply.status)) return;
       await pause(POLL_MS);
     }
-    throw new Error(`within ${START_TIMEOUT_MS} ms it never came to be that ${what}`);
+    throw new Error(`timed out after ${START_TIMEOUT_MS} ms waiting until ${what}`);
   };
 
-  /** A plain timer beside the run tells when the machine itself is late. */
+  /** Records when the host machine is delayed, by how late a timer of the test process fires. */
   private readonly monitorMachine = (): void => {
     let dueUs = nowUs() + DELAY_CHECK_MS * 1_000;
     this.delayTimer = setInterval(() => {
@@ -235,7 +238,7 @@
   };
 }
 
-/** Plays a schedule from the start of all programs to their end. */
+/** Starts all programs, runs a schedule and stops the programs. */
 export const runSoak = async (options: SoakRunOptions): Promise<SoakRunResult> => {
   const folder = await mkdtemp(join(tmpdir(), "yewreel-soak-"));
   const fleet = new SoakFleet(folder, options);
--- a/soak/worker.ts
+++ b/soak/worker.ts
@@ -1,4 +1,4 @@
-/** A stand-in worker: serves requests as the protocol says, sends heartbeats, and at times fails. */
+/** Stand-in worker: implements the worker protocol, sends heartbeats and fails some requests. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
 import type { HistoryRecorder } from "./history.js";
@@ -7,11 +7,12 @@
 
 const MAX_WORK_MS = 60;
 const CAPACITY = 8;
-/** Fractions of requests that end in each way; the others are answered well. */
+/** Fraction of requests whose connection is closed without a response after they were executed. */
 const LOST_FRACTION = 0.01;
+/** Fraction of requests that are rejected with 503 before they are executed. */
 const BUSY_FRACTION = 0.03;
 
-/** What a worker is started with. */
+/** Options of a {@link Worker}. */
 export interface WorkerOptions {
   readonly id: string;
   readonly service: string;
@@ -26,7 +27,7 @@
 const isAddress = (value: AddressInfo | string | null): value is AddressInfo =>
   typeof value === "object" && value !== null;
 
-/** A worker that lives until it is closed. */
+/** A worker that serves requests until it is closed. */
 export class Worker {
   private readonly server: Server;
   private callCount = 0;
@@ -36,7 +37,7 @@
     this.server = createServer((request, response) => this.serve(request, response));
   }
 
-  /** Listens, and sends heartbeats from then on. */
+  /** Starts to listen and to send heartbeats. */
   readonly start = async (heartbeatMs: number): Promise<void> => {
     await new Promise<void>((resolve) => this.server.listen(0, this.options.ip, resolve));
     await this.sendHeartbeat();
@@ -49,7 +50,7 @@
     this.server.closeAllConnections();
   };
 
-  /** Calls one controller after the other until one acknowledges. */
+  /** Tries the controllers in order until one acknowledges the heartbeat. */
   private readonly sendHeartbeat = async (): Promise<void> => {
     const { id, service, zone, controllers } = this.options;
     const address = this.server.address();
