--- a/chaos/day-generator.ts
+++ b/chaos/day-generator.ts
@@ -1,4 +1,4 @@
-/** Draws days, schedules of faults and changes, from a seed and formats them as the bench's files. */
+/** Draws days (schedules of faults and changes) from a seed and formats them as day files. */
 import { RandomDraws } from "./random-draws.js";
 import type { ParameterDefault, FaultKind, FaultKinds } from "./fault-kinds.js";
 
--- a/chaos/page.ts
+++ b/chaos/page.ts
@@ -29,15 +29,15 @@
   return [
     "# Fault campaigns",
     "",
-    "Made from `journal/` and `chaos/notes.toml` by `npm run chaos -- table`; all figures are simulated. Days are counted once,",
-    "however often they were run, as *full + small twins*; a day with another seed is another day. *Own* are days of `chaos/days/`",
-    "or drawn by `npm run chaos -- days`, *bench's* are those of its fault campaigns, *standard* those of scores, single runs,",
-    "incidents and replays. *Unbroken* is how many runs in a row, up to the newest, broke nothing. A broken rule is *mended* only if",
-    "a note says so and the same day, run again, holds it; else it is *left*. A day that was aborted or run in part is not counted.",
-    "*Uncharged* are runs in which processor time cost nothing (`--no-cpu`).",
-    ...(since === "" ? [] : ["", `Only runs that began at ${since} or later are counted.`]),
+    "Generated from `journal/` and `chaos/notes.toml` by `npm run chaos -- table`; all figures are simulated. Each day is counted",
+    "once, however often it was run, as *full + small*; the same day with another seed is a different day. *Own* days are those of",
+    "`chaos/days/` and `npm run chaos -- days`, *hunt* days those of the bench's fault campaigns, *standard* days those of scores,",
+    "single runs, incidents and replays. *Unbroken* is the number of runs since the last one that violated a rule. A violated rule is",
+    "*mended* only if a note says so and the latest run of the same day does not violate it; otherwise it is *left*. Aborted and partial",
+    "runs are not counted. *Uncharged* runs do not simulate the cost of processor time (`--no-cpu`).",
+    ...(since === "" ? [] : ["", `Only runs started at ${since} or later are counted.`]),
     "",
-    "| deployment | own | bench's | standard | runs (uncharged) | aborted | in part or not finished | unbroken | rules broken | mended | left |",
+    "| deployment | own | hunt | standard | runs (uncharged) | aborted | partial | unbroken | rules violated | mended | left |",
     "|---|---|---|---|---|---|---|---|---|---|---|",
     ...rows.map(
       (row) =>
@@ -45,23 +45,23 @@
     ),
     `| all | ${total("own")} | ${total("hunt")} | ${total("standard")} | ${sum((row) => row.plays)} (${sum((row) => row.uncharged)}) | ${sum((row) => row.givenUp)} | ${sum((row) => row.partial)} | | ${sum((row) => row.found)} | ${sum((row) => row.mended)} | ${sum((row) => row.left)} |`,
     "",
-    "## Kinds of faults and changes, and in how many runs each came",
+    "## Kinds of faults and changes, with the number of runs of each",
     "",
     ...rows.map(
       (row) =>
         `- **${row.site}**: ${row.kinds.map(([kind, times]) => `${kind} ${times}`).join(", ") || "none"}.`,
     ),
     "",
-    "## Rules broken",
+    "## Rules violated",
     "",
     ...(findings.length === 0
       ? ["None."]
       : [
-          "| day | rule | times | entries | newest run | state | page |",
+          "| day | rule | times | entries | latest run | state | page |",
           "|---|---|---|---|---|---|---|",
           ...findings.map(
             (finding) =>
-              `| ${escapeCell(finding.key)} | ${finding.rule} | ${finding.times} | ${finding.entries.join(", ")} | ${finding.nowHeld ? "held" : "broken"} | ${finding.state} | ${escapeCell(finding.told)} |`,
+              `| ${escapeCell(finding.key)} | ${finding.rule} | ${finding.times} | ${finding.entries.join(", ")} | ${finding.nowHeld ? "held" : "violated"} | ${finding.state} | ${escapeCell(finding.told)} |`,
           ),
         ]),
     ...(givenUp.length === 0 ? [] : ["", "## Aborted days", "", ...abortedLines(givenUp)]),
--- a/chaos/run.ts
+++ b/chaos/run.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run chaos`: draws days of faults and changes for the bench, and summarizes their runs, as the
- * journal records them, in a table.
+ * `npm run chaos`: draws days of faults and changes for the bench, and summarizes their runs from
+ * the journal in a table.
  */
 import { mkdir, readdir, readFile, writeFile } from "node:fs/promises";
 import { basename, dirname, join } from "node:path";
--- a/features/steps/scalability.ts
+++ b/features/steps/scalability.ts
@@ -30,7 +30,7 @@
   });
 
 When(
-  "the benchmark runs {int} and {int} light nodes before {int} controllers",
+  "the benchmark runs {int} and {int} light nodes with {int} controllers",
   { timeout: 90_000 },
   async (small: number, large: number, controllers: number) => {
     const folder = await mkdtemp(join(tmpdir(), "yewreel-track-"));
@@ -57,7 +57,7 @@
     [undefined, undefined],
   ),
 );
-Then("one change makes one update frame for each node at either size", () => {
+Then("one change causes one update frame per node at both sizes", () => {
   results.forEach((result) =>
     assert.equal(
       framesOf(result, "change", "boxes", "news") + framesOf(result, "change", "nodes", "news"),
@@ -66,7 +66,7 @@
   );
 });
 Then(
-  "a node at rest sends no more than the keep-alives of {int} connections and its report, at either size",
+  "an idle node sends at most the keep-alives of {int} connections and its report at both sizes",
   (connections: number) => {
     results.forEach((result) => {
       const seconds = readNumber(asRecord(result["atRest"]), "seconds") + 0.5;
@@ -78,9 +78,9 @@
     });
   },
 );
-When(/^the benchmark is asked for (.+)$/, (args: string) => run(args.split(" ")));
+When(/^the benchmark is run with (.+)$/, (args: string) => run(args.split(" ")));
 Then(
-  "it ends with code {int} and one line that names {string}",
+  "it exits with code {int} and one line that contains {string}",
   (expected: number, what: string) => {
     assert.equal(code, expected);
     assert.ok(stderr.trim().split("\n").length === 1 && stderr.includes(what), stderr);
--- a/scalability/changes.ts
+++ b/scalability/changes.ts
@@ -10,7 +10,10 @@
 import { Host, post, makeRule, waitUntil } from "./host.js";
 import { controllerAddress, steadyUs } from "./loopback.js";
 
-/** What a change costs: real controllers over loopback, changes one after the other, then rest. */
+/**
+ * Measures the cost of configuration changes: real controllers over loopback, first idle, then with
+ * changes sent one after another.
+ */
 const clock = new SteadyClock();
 
 const bytesInFolder = async (folder: string): Promise<number> => {
@@ -25,6 +28,7 @@
   return sizes.reduce((sum, size) => sum + size, 0);
 };
 
+/** Totals over all controllers at one time. */
 interface Sample {
   readonly cpuUs: number;
   readonly frames: number;
@@ -163,8 +167,8 @@
   });
 
 /**
- * A controller is down over many changes, with its disk kept or lost; how long it takes to have
- * them while two more come each second.
+ * Measures how long a controller that was down during many changes, with its disk kept or wiped,
+ * takes to catch up while two more changes arrive per second.
  */
 const measureCatchUp = async (
   orders: number,
@@ -201,7 +205,7 @@
           JSON.stringify(configurationOf(routes)),
         )) === 200,
     );
-    await waitUntil("the last one has it", async () =>
+    await waitUntil("the last controller has the configuration", async () =>
       (await readConfiguration(controllerAddress(lastIndex))).includes(`"r-${routes - 1}"`),
     );
     controllers[lastIndex]?.kill();
@@ -215,7 +219,7 @@
     const fromUs = steadyUs();
     await startController(restarted, lastIndex);
     const upUs = steadyUs() - fromUs;
-    await waitUntil("it has all", async () =>
+    await waitUntil("the restarted controller has all changes", async () =>
       (await readConfiguration(controllerAddress(lastIndex))).includes(`"version":${1 + orders}`),
     );
     return {
@@ -234,19 +238,23 @@
 
 const main = async (): Promise<void> => {
   const cli = new Command("changes").description(
-    "measures what a change costs the control plane, over loopback",
+    "measures the cost of a configuration change in the control plane, over loopback",
   );
   cli
-    .option("--boxes <n>", "real controllers, a process each", "4")
-    .option("--orders <n>", "orders, one after the other, through each box in turn", "200")
-    .option("--routes <n>", "routes in force", "1400")
-    .option("--seconds <n>", "for how long it is measured at rest", "10")
+    .option("--boxes <n>", "number of real controllers, one process each", "4")
+    .option(
+      "--orders <n>",
+      "number of changes, sent one after another to each controller in turn",
+      "200",
+    )
+    .option("--routes <n>", "number of routes in the configuration", "1400")
+    .option("--seconds <n>", "duration of the idle measurement", "10")
     .option(
       "--down",
-      "measures instead how a controller that was down over these changes catches up, with its disk and without",
+      "measure instead how a controller that was down during the changes catches up, with its disk kept and wiped",
     )
-    .option("--commit <id>", "the commit that is measured", "")
-    .option("--out <file>", "where the result is written")
+    .option("--commit <id>", "commit under test", "")
+    .option("--out <file>", "write the result to this file")
     .action(async (options: Readonly<Record<string, string | true>>) => {
       const numberOption = (name: string) => Number(options[name]);
       const [orders, routes] = [numberOption("orders"), numberOption("routes")];
--- a/scalability/host-process.ts
+++ b/scalability/host-process.ts
@@ -19,8 +19,8 @@
 import { controllerAddress, steadyUs, nodeIp, settingsOf } from "./loopback.js";
 
 /**
- * One process of a run: a controller, many light nodes, many light workers, or one real gateway;
- * its parent says which.
+ * A child process of a benchmark run. On request of its parent it runs a controller, many light
+ * nodes, many light workers, or one real gateway.
  */
 setLogLevel("silent");
 const clock = new SteadyClock();
@@ -37,7 +37,7 @@
   };
 };
 
-// --- light nodes: the real session, relay, update and report code, without a proxy
+// --- Light nodes: the real session, relay, update and report code, without a proxy
 
 interface LightNode {
   readonly at: number;
@@ -94,7 +94,7 @@
   lightNodes.delete(node.at);
 };
 
-// --- light workers: their heartbeats over HTTP, nothing else
+// --- Light workers: only send heartbeats over HTTP
 
 const agent = new Agent({ keepAlive: true, maxSockets: 16 });
 let heartbeatsAccepted = 0;
@@ -140,7 +140,7 @@
   }
 };
 
-// --- what the parent requests
+// --- Requests of the parent
 
 const handleRequest = async (request: UnknownRecord): Promise<UnknownRecord> => {
   switch (readString(request, "what")) {
--- a/scalability/host.ts
+++ b/scalability/host.ts
@@ -7,7 +7,7 @@
 
 const clock = new SteadyClock();
 
-/** One child process, asked over its channel. */
+/** A child process that answers requests over its IPC channel. */
 export class Host {
   private readonly pending = new Map<number, (reply: UnknownRecord) => void>();
   private lastId = 0;
@@ -21,7 +21,9 @@
       const reply = asRecord(value);
       this.pending.get(asNumber(reply["re"]))?.(reply);
     });
-    this.child.on("exit", () => this.pending.forEach((resolve) => resolve({ mishap: "it ended" })));
+    this.child.on("exit", () =>
+      this.pending.forEach((resolve) => resolve({ mishap: "host process exited" })),
+    );
   }
 
   readonly request = async (request: UnknownRecord): Promise<UnknownRecord> => {
@@ -39,6 +41,7 @@
   readonly kill = (): boolean => this.child.kill("SIGKILL");
 }
 
+/** Sends a POST request. Resolves to the response status, or to 0 if the request failed. */
 export const post = (address: string, path: string, body: string): Promise<number> =>
   new Promise((resolve) => {
     const call = request(
@@ -54,6 +57,7 @@
     call.end(body);
   });
 
+/** Makes a route to the service for all paths under `/name/`. */
 export const makeRule = (name: string, version: number, service: string): UnknownRecord => ({
   name,
   routeKind: "safe",
@@ -64,6 +68,10 @@
   then: { service, giveUp: "2000ms", tries: 2 },
 });
 
+/**
+ * Polls until the condition holds and resolves to the time this took in microseconds. Rejects after
+ * the given number of seconds; `what` describes the condition in the error message.
+ */
 export const waitUntil = async (
   what: string,
   condition: () => Promise<boolean>,
@@ -74,5 +82,5 @@
     if (await condition()) return steadyUs() - fromUs;
     await sleep(clock, 50 * MILLISECOND_US);
   }
-  throw new Error(`after ${seconds} s it was still not so that ${what}`);
+  throw new Error(`timed out after ${seconds} s waiting until ${what}`);
 };
--- a/scalability/loopback.ts
+++ b/scalability/loopback.ts
@@ -8,8 +8,8 @@
 export const READY_PORT = 17_602;
 
 /**
- * Each run has a part of the loopback range of its own, so that two don't meet; children have that
- * of their parent.
+ * Second octet of the loopback addresses. Derived from the process id, so that concurrent runs use
+ * different addresses; child processes inherit it through the environment.
  */
 const subnet = process.env["SCALABILITY_NET"] ?? String(60 + (process.pid % 150));
 process.env["SCALABILITY_NET"] = subnet;
@@ -19,7 +19,7 @@
 export const nodeIp = (at: number): string =>
   `127.${subnet}.${Math.floor(at / 250) + 1}.${(at % 250) + 1}`;
 
-/** Settings of one program on loopback, with the bounds of a deployment of hundreds of machines. */
+/** Settings of a program on loopback; the bounds are those of a deployment of hundreds of machines. */
 export const settingsOf = (
   name: string,
   ip: string,
@@ -66,5 +66,5 @@
   rolloutWeights: { late: 0.3, lostSafe: 1, lostUnsafe: 2, doubled: 5 },
 });
 
-/** The machine's own steady clock, the same in all its processes. */
+/** Monotonic clock of the machine in microseconds, shared by all processes. */
 export const steadyUs = (): number => Number(process.hrtime.bigint() / 1_000n);
--- a/scalability/measurement.ts
+++ b/scalability/measurement.ts
@@ -1,5 +1,5 @@
 /**
- * Measures one size of the control plane: real controllers, a process each, before light nodes and
+ * Measures the control plane at one size: real controllers, one process each, with light nodes and
  * workers that share a few processes, all over loopback.
  */
 import { mkdtemp, rm } from "node:fs/promises";
@@ -16,6 +16,7 @@
 const ZONES = 7;
 const WORKERS_PER_HOST = 2_000;
 const HEAP_MB = { controller: 700, nodes: 1_800, workers: 500 };
+/** One of this many nodes is restarted. */
 const RESTART_EVERY_NTH = 7;
 
 const clock = new SteadyClock();
@@ -51,19 +52,19 @@
     remove: { routes: [] },
   });
 
-/** How many nodes hold what, summed over their processes. */
+/** Numbers of nodes in each state, summed over the processes. */
 interface NodeStatus {
-  /** Those that hold all items and workers. */
+  /** Nodes that have all items and workers. */
   readonly upToDate: number;
-  /** Those that hold the marked route at the version asked for, or a later one. */
+  /** Nodes that have the route `mark` at the requested version or a later one. */
   readonly marked: number;
-  /** Those with a session. */
+  /** Nodes with a session. */
   readonly connected: number;
-  /** When the last node got the marked route; microseconds of the machine's steady clock. */
+  /** When the last node received the route `mark`, by {@link steadyUs}. */
   readonly lastMarkUs: number;
 }
 
-/** What the processes of each role report about themselves. */
+/** Resource usage reported by the processes of each role. */
 interface Snapshot {
   readonly controllers: readonly UnknownRecord[];
   readonly nodes: readonly UnknownRecord[];
@@ -188,7 +189,7 @@
     nodes: await measureAll(this.nodeHosts),
   });
 
-  /** One change of one route: to its acknowledgement, and from there to the last node. */
+  /** Changes one route; times the acknowledgement, and from there the arrival at the last node. */
   private readonly timeChange = async (): Promise<UnknownRecord> => {
     const { size } = this;
     const startUs = steadyUs();
@@ -211,7 +212,7 @@
     };
   };
 
-  /** A seventh of the nodes restarts at once, until all have all updates again. */
+  /** Restarts a seventh of the nodes at once; times until all nodes have all updates again. */
   private readonly timeRestart = async (): Promise<UnknownRecord> => {
     const startUs = steadyUs();
     const replies = await Promise.all(
@@ -222,7 +223,7 @@
     return { nodes, tookUs: steadyUs() - startUs };
   };
 
-  /** The last controller is killed; microseconds until every node has a session again. */
+  /** Kills the last controller; resolves to the time until every node has a session again. */
   private readonly timeControllerLoss = async (): Promise<number> => {
     const startUs = steadyUs();
     this.controllers[this.controllers.length - 1]?.kill();
@@ -236,15 +237,16 @@
   };
 }
 
-/** The field names are those of committed results. */
+/** Usage between two snapshots, with the field names of committed results. */
 const usageOf = (before: Snapshot, after: Snapshot): UnknownRecord => ({
   boxes: usageBetween(before.controllers, after.controllers),
   nodes: usageBetween(before.nodes, after.nodes),
 });
 
 /**
- * One size: start, settle, measure at rest, time one change, restart a seventh of the nodes, kill a
- * controller. Gives one entry of a result file; rejects if a step does not come to its end in time.
+ * Measures one size: starts the processes, lets them settle, measures them idle, times one change,
+ * restarts a seventh of the nodes and kills a controller. Resolves to one entry of a result file;
+ * rejects if a step times out.
  */
 export const measureSize = async (size: Size): Promise<UnknownRecord> => {
   const folder = await mkdtemp(join(tmpdir(), "scalability-"));
--- a/scalability/node.ts
+++ b/scalability/node.ts
@@ -13,12 +13,12 @@
 import { Host, post, makeRule, waitUntil } from "./host.js";
 import { controllerAddress, FRONT_PORT, steadyUs, nodeIp, READY_PORT } from "./loopback.js";
 
-/** One node: what it keeps for so many workers and routes, and what a request costs it. */
+/** Measures one node: the memory it needs per worker and route, and the cost of a request. */
 const clock = new SteadyClock();
 const ZONES = 7;
 const WORKERS_PER_SERVICE = 50;
 
-/** Run in a process of its own, so that nothing else counts. */
+/** Runs in a separate process, so that the measured memory and time contain nothing else. */
 const measureStateInProcess = async (workers: number, routes: number): Promise<void> => {
   const collectGarbage = globalThis.gc ?? (() => undefined);
   collectGarbage();
@@ -86,12 +86,14 @@
       execArgv: ["--expose-gc", "--max-semi-space-size=1"],
     });
     child.on("message", (value: unknown) => resolve(asRecord(value)));
-    child.on("exit", (code) => reject(new Error(`it ended with ${String(code)}`)));
+    child.on("exit", (code) =>
+      reject(new Error(`measurement process exited with code ${String(code)}`)),
+    );
   });
 
 /**
- * A real gateway before stand-in workers, at several rates; the same load straight to a worker
- * beside it.
+ * Measures a real gateway with stand-in workers at several request rates and, for comparison, the
+ * same load sent directly to the workers.
  */
 const measureLoad = async (
   rates: readonly number[],
@@ -206,7 +208,7 @@
 cli
   .command("measure")
   .requiredOption("--out <file>")
-  .option("--commit <id>", "the commit that is measured", "")
+  .option("--commit <id>", "commit under test", "")
   .action(async ({ out, commit }: { readonly out: string; readonly commit: string }) => {
     const state: UnknownRecord[] = [];
     for (const workers of [250, 2_500, 10_000, 25_000]) state.push(await measureState(workers, 0));
--- a/scalability/run.ts
+++ b/scalability/run.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run scalability`: measures how the control plane grows with nodes, workers, routes or
- * services.
+ * `npm run scalability`: measures how the cost of the control plane grows with the number of nodes,
+ * workers, routes or services.
  */
 import { writeFile } from "node:fs/promises";
 import { cpus, totalmem } from "node:os";
@@ -34,7 +34,7 @@
   return values.map((size): Size => ({ ...base, [field]: Number(size) }));
 };
 
-/** A size that fails is an entry that says why. */
+/** Measures one size. A failure is reported as a result entry with its reason. */
 const measureOrReportFailure = async (size: Size): Promise<UnknownRecord> => {
   try {
     return await measureSize(size);
@@ -77,19 +77,19 @@
 
 await new Command("scalability")
   .description(
-    "measures how the control plane grows: real controllers, light nodes and workers, over loopback",
+    "measures how the cost of the control plane grows: real controllers, light nodes and workers, over loopback",
   )
-  .argument("<what>", `what grows: ${FIELDS.join(", ")}`)
-  .argument("<sizes...>", "its sizes, such as 100 300 1000 3000")
-  .option("--nodes <n>", "light nodes", "30")
-  .option("--workers <n>", "light workers", "30")
-  .option("--routes <n>", "routes", "30")
-  .option("--services <n>", "services", "5")
-  .option("--controllers <n>", "real controllers, a process each", "7")
-  .option("--hosts <n>", "processes that the light nodes share", "6")
-  .option("--seconds <n>", "for how long it is measured at rest", "8")
-  .option("--settle <n>", "for how long it rests before that", "6")
-  .option("--commit <id>", "the commit that is measured", "")
-  .option("--out <file>", "where the result is written")
+  .argument("<what>", `dimension that grows: ${FIELDS.join(", ")}`)
+  .argument("<sizes...>", "sizes of that dimension, such as 100 300 1000 3000")
+  .option("--nodes <n>", "number of light nodes", "30")
+  .option("--workers <n>", "number of light workers", "30")
+  .option("--routes <n>", "number of routes", "30")
+  .option("--services <n>", "number of services", "5")
+  .option("--controllers <n>", "number of real controllers, one process each", "7")
+  .option("--hosts <n>", "number of processes that the light nodes share", "6")
+  .option("--seconds <n>", "duration of the idle measurement", "8")
+  .option("--settle <n>", "time to settle before the idle measurement", "6")
+  .option("--commit <id>", "commit under test", "")
+  .option("--out <file>", "write the results to this file")
   .action(run)
   .parseAsync();
--- a/scalability/table.ts
+++ b/scalability/table.ts
@@ -9,7 +9,7 @@
   type UnknownRecord,
 } from "../src/common/decode.js";
 
-/** Makes the tables of docs/CAPACITY.md from committed results. */
+/** Generates the tables of docs/CAPACITY.md from committed results. */
 interface Point {
   readonly x: number;
   readonly y: number;
@@ -44,7 +44,7 @@
 const controllers = (result: UnknownRecord): number => numberAt(result, "size.boxes");
 const nodes = (result: UnknownRecord): number => numberAt(result, "size.nodes");
 
-/** What is read from each size, with its unit. */
+/** The metrics read from each result, labelled with their units. */
 const METRICS: readonly (readonly [string, (result: UnknownRecord) => number])[] = [
   [
     "controller, processor at rest, % of a core (mean of all)",
--- a/scalability/usage.ts
+++ b/scalability/usage.ts
@@ -1,6 +1,7 @@
-/** What the processes of a run used and sent between two measurements. */
+/** Resource usage and traffic of processes between two measurements. */
 import { asRecord, readNumber, type UnknownRecord } from "../src/common/decode.js";
 
+/** Totals over several processes; memory is the maximum of them. */
 export interface Usage {
   readonly cpuUs: number;
   readonly rssMb: number;
@@ -19,7 +20,10 @@
     ]),
   );
 
-/** What processes did between two measurements, all in all; memory as it is at the second. */
+/**
+ * Sums CPU time and sent frames between two measurements over all processes. Memory is taken from
+ * the second measurement.
+ */
 export const usageBetween = (
   before: readonly UnknownRecord[],
   after: readonly UnknownRecord[],
