--- a/chaos/day-generator.ts
+++ b/chaos/day-generator.ts
@@ -58,8 +58,8 @@
 const MAX_SHARE = 0.6;
 
 /**
- * Draws a value between half and twice the default, or within `openRange` if there is no default;
- * in either case at most `max`.
+ * Draws a value between half and twice the default, or within `openRange` if there is no default.
+ * The upper bound is limited to `max`, unless that is below the lower bound.
  */
 const drawAround = (
   draws: RandomDraws,
@@ -71,6 +71,7 @@
   return draws.logNumber(min, Math.max(min, Math.min(top, max)));
 };
 
+/** Draws the value of `how`: variants and selectors that apply to the kind. */
 const drawVariant = (draws: RandomDraws, kind: FaultKind, list: FaultKinds): string => {
   const words: (string | undefined)[] = [];
   if (draws.occurs(0.6)) words.push(draws.pick(kind.variants));
@@ -95,7 +96,7 @@
   site: Site,
 ): Entry => {
   const variant = drawVariant(draws, kind, list);
-  const change = kind.target === "orders";
+  const isChange = kind.target === "orders";
   const onCore = kind.target === "machines" && kind.share !== undefined && draws.occurs(0.5);
   const maxShare = typeof kind.share === "number" ? Math.max(MAX_SHARE, kind.share) : MAX_SHARE;
   const coreMachines = onCore && draws.occurs(0.7) ? draws.integer(1, 2) : undefined;
@@ -104,7 +105,7 @@
       ? coreMachines
       : kind.countIsRoutes
         ? draws.integer(20, MAX_ROUTES)
-        : draws.integer(1, change ? 10 : 3);
+        : draws.integer(1, isChange ? 10 : 3);
   // A default below 1 is a fraction, so that the drawn value must stay below 1.
   const x =
     kind.x === undefined
@@ -125,7 +126,7 @@
   return {
     at,
     kind: kind.name,
-    for_s: draws.logNumber(0.5, change && kind.isRepeated ? 6 : 20),
+    for_s: draws.logNumber(0.5, isChange && kind.isRepeated ? 6 : 20),
     ...(kind.isRepeated ? { gap_s: draws.logNumber(0.1, 2) } : {}),
     ...(kind.share === undefined || coreMachines !== undefined
       ? {}
@@ -195,7 +196,7 @@
   const downSeconds = draws.number(0.5, 2);
   const entriesIn = (section: "plan" | "faults") =>
     entries
-      .filter((one) => one.section === section)
+      .filter((drawn) => drawn.section === section)
       .map(({ entry }) => entry)
       .sort((a, b) => a.at - b.at);
   return {
--- a/chaos/summary.ts
+++ b/chaos/summary.ts
@@ -75,7 +75,9 @@
     Object.entries(run.violations).forEach(([rule, times]) => {
       const id = `${run.key} ${rule}`;
       const before = found.get(id);
-      const note = notes.find((one) => one.rule === rule && run.key.startsWith(one.day));
+      const note = notes.find(
+        (candidate) => candidate.rule === rule && run.key.startsWith(candidate.day),
+      );
       const nowHeld = latest.get(run.key)?.violations[rule] === undefined;
       // A note alone is not enough: the latest run of the same day must not violate the rule.
       const state =
@@ -112,7 +114,7 @@
     .filter((run) => run.at >= since)
     .sort((a, b) => (a.at < b.at ? -1 : a.at > b.at ? 1 : 0));
   const runs = recent.filter((run) => run.abortReason === undefined);
-  const partialRuns = allPartialRuns.filter((one) => one.at >= since);
+  const partialRuns = allPartialRuns.filter((run) => run.at >= since);
   const findings = findingsOf(runs, notes);
   const sites = [...new Set([...recent, ...partialRuns].map(({ site }) => site))].sort();
   const rows = sites.map((site): SiteRow => {
@@ -142,7 +144,7 @@
       plays: siteRuns.length,
       uncharged: siteRuns.filter((run) => !run.isCpuCharged).length,
       givenUp: recent.filter((run) => run.site === site && run.abortReason !== undefined).length,
-      partial: partialRuns.filter((one) => one.site === site).length,
+      partial: partialRuns.filter((run) => run.site === site).length,
       unbroken: {
         full: unbrokenOf(siteRuns.filter((run) => !run.isSmall)),
         small: unbrokenOf(siteRuns.filter((run) => run.isSmall)),
--- a/features/steps/chaos.ts
+++ b/features/steps/chaos.ts
@@ -115,16 +115,16 @@
 Given("a list of kinds with one that is not supported", prepare);
 When(
   "{int} days and then {int} days are drawn from seed {int}",
-  async (again: number, count: number, seed: number) => {
-    fewerDays = await drawDays(seed, again);
+  async (fewerCount: number, count: number, seed: number) => {
+    fewerDays = await drawDays(seed, fewerCount);
     drawnDays = await drawDays(seed, count);
     report = asRecord(parseJson(stdout));
   },
 );
 Then(
   "the {int} days are identical to the first of the {int} days",
-  (again: number, count: number) => {
-    assert.deepEqual([fewerDays.size, drawnDays.size], [again, count]);
+  (fewerCount: number, count: number) => {
+    assert.deepEqual([fewerDays.size, drawnDays.size], [fewerCount, count]);
     fewerDays.forEach((body, name) => assert.equal(drawnDays.get(name), body));
   },
 );
@@ -132,7 +132,7 @@
 const days = (): readonly UnknownRecord[] =>
   [...drawnDays.values()].map((body) => asRecord(parse(body)));
 const entriesOf = (day: UnknownRecord): readonly UnknownRecord[] =>
-  ["plan", "faults"].flatMap((book) => readList(day, book, (entry) => asRecord(entry)));
+  ["plan", "faults"].flatMap((section) => readList(day, section, (entry) => asRecord(entry)));
 
 Then(
   "every day is {int} to {int} s long, with at most {int} changes, at most {int} at a time, and no entry outside of its length",
@@ -174,7 +174,7 @@
       all.some((day) => day["closing"] !== undefined) &&
         all.some((day) => day["closing"] === undefined),
     );
-    const bound = (kind: string, field: string, min: number, max: number) =>
+    const assertBounds = (kind: string, field: string, min: number, max: number) =>
       entries
         .filter((entry) => entry["kind"] === kind && entry[field] !== undefined)
         .forEach((entry) =>
@@ -183,13 +183,13 @@
             JSON.stringify(entry),
           ),
         );
-    bound("srv_grey", "share", 0.1, 0.6);
-    bound("srv_grey", "x", 0.15, 0.6);
-    bound("node_kill", "share", 0.05, 0.2);
-    bound("roll_term", "share", 0.5, 1);
-    bound("roll_term", "x", 1, 4);
-    bound("big_config", "count", 20, 400);
-    bound("config_race", "gap_s", 0.1, 2);
+    assertBounds("srv_grey", "share", 0.1, 0.6);
+    assertBounds("srv_grey", "x", 0.15, 0.6);
+    assertBounds("node_kill", "share", 0.05, 0.2);
+    assertBounds("roll_term", "share", 0.5, 1);
+    assertBounds("roll_term", "x", 1, 4);
+    assertBounds("big_config", "count", 20, 400);
+    assertBounds("config_race", "gap_s", 0.1, 2);
     assert.ok(
       entries.every((entry) => entry["kind"] !== "give_up" || entry["x"] === undefined),
       "a default given in words must not be drawn",
--- a/scalability/changes.ts
+++ b/scalability/changes.ts
@@ -85,17 +85,22 @@
 });
 
 const measureChanges = async (
-  count: number,
-  orders: number,
+  controllerCount: number,
+  changeCount: number,
   routes: number,
   seconds: number,
 ): Promise<UnknownRecord> => {
   const folder = await mkdtemp(join(tmpdir(), "scalability-"));
-  const controllers = Array.from({ length: count }, () => new Host(300));
+  const controllers = Array.from({ length: controllerCount }, () => new Host(300));
   try {
     await Promise.all(
       controllers.map((controller, at) =>
-        controller.request({ what: "box", at, boxes: count, folder: join(folder, String(at)) }),
+        controller.request({
+          what: "box",
+          at,
+          boxes: controllerCount,
+          folder: join(folder, String(at)),
+        }),
       ),
     );
     await waitUntil(
@@ -113,7 +118,7 @@
     const idleEnd = await sample(controllers);
     const latenciesMs: number[] = [];
     let failed = 0;
-    for (let at = 0; at < orders; at += 1) {
+    for (let at = 0; at < changeCount; at += 1) {
       const change = {
         putItems: {
           listeners: [
@@ -124,7 +129,7 @@
       };
       const fromUs = steadyUs();
       const status = await post(
-        controllerAddress(at % count),
+        controllerAddress(at % controllerCount),
         "/plan/change",
         JSON.stringify(change),
       );
@@ -134,18 +139,18 @@
     const busyEnd = await sample(controllers);
     latenciesMs.sort((a, b) => a - b);
     return {
-      boxes: count,
-      orders,
+      boxes: controllerCount,
+      orders: changeCount,
       routes,
       failed,
       ms: {
         median: round(quantileSorted(latenciesMs, 0.5)),
         p99: round(quantileSorted(latenciesMs, 0.99)),
       },
-      cpuMsAnOrder: round((busyEnd.cpuUs - idleEnd.cpuUs) / MILLISECOND_US / orders),
-      bytesAnOrder: round((busyEnd.bytes - idleEnd.bytes) / orders),
-      idlePerBoxSecond: perControllerSecond(idleStart, idleEnd, count),
-      diskBytesPerBox: round((await bytesInFolder(folder)) / count),
+      cpuMsAnOrder: round((busyEnd.cpuUs - idleEnd.cpuUs) / MILLISECOND_US / changeCount),
+      bytesAnOrder: round((busyEnd.bytes - idleEnd.bytes) / changeCount),
+      idlePerBoxSecond: perControllerSecond(idleStart, idleEnd, controllerCount),
+      diskBytesPerBox: round((await bytesInFolder(folder)) / controllerCount),
     };
   } finally {
     controllers.forEach((controller) => controller.kill());
@@ -171,7 +176,7 @@
  * takes to catch up while two more changes arrive per second.
  */
 const measureCatchUp = async (
-  orders: number,
+  changeCount: number,
   routes: number,
   isWiped: boolean,
 ): Promise<UnknownRecord> => {
@@ -210,9 +215,9 @@
     );
     controllers[lastIndex]?.kill();
     if (isWiped) await rm(join(folder, String(lastIndex)), { recursive: true, force: true });
-    for (let at = 0; at < orders; at += 1)
+    for (let at = 0; at < changeCount; at += 1)
       await waitUntil("the change is accepted", async () => (await change(2 + at)) === 200);
-    let version = 2 + orders;
+    let version = 2 + changeCount;
     timer = clock.every(SECOND_US / 2, () => void change((version += 1)));
     const restarted = new Host(300);
     controllers[lastIndex] = restarted;
@@ -220,10 +225,12 @@
     await startController(restarted, lastIndex);
     const upUs = steadyUs() - fromUs;
     await waitUntil("the restarted controller has all changes", async () =>
-      (await readConfiguration(controllerAddress(lastIndex))).includes(`"version":${1 + orders}`),
+      (await readConfiguration(controllerAddress(lastIndex))).includes(
+        `"version":${1 + changeCount}`,
+      ),
     );
     return {
-      orders,
+      orders: changeCount,
       routes,
       isWiped,
       processUpMs: round(upUs / MILLISECOND_US),
@@ -257,16 +264,21 @@
     .option("--out <file>", "write the result to this file")
     .action(async (options: Readonly<Record<string, string | true>>) => {
       const numberOption = (name: string) => Number(options[name]);
-      const [orders, routes] = [numberOption("orders"), numberOption("routes")];
+      const [changeCount, routes] = [numberOption("orders"), numberOption("routes")];
       const measured =
         options["down"] === true
           ? {
               down: [
-                await measureCatchUp(orders, routes, false),
-                await measureCatchUp(orders, routes, true),
+                await measureCatchUp(changeCount, routes, false),
+                await measureCatchUp(changeCount, routes, true),
               ],
             }
-          : await measureChanges(numberOption("boxes"), orders, routes, numberOption("seconds"));
+          : await measureChanges(
+              numberOption("boxes"),
+              changeCount,
+              routes,
+              numberOption("seconds"),
+            );
       const result = { commit: options["commit"], node: process.version, ...measured };
       process.stdout.write(`${JSON.stringify(result)}\n`);
       if (typeof options["out"] === "string")
--- a/scalability/loopback.ts
+++ b/scalability/loopback.ts
@@ -19,7 +19,7 @@
 export const nodeIp = (at: number): string =>
   `127.${subnet}.${Math.floor(at / 250) + 1}.${(at % 250) + 1}`;
 
-/** Settings of a program on loopback; the bounds are those of a deployment of hundreds of machines. */
+/** Settings of a program on loopback, with the bounds of a deployment of hundreds of machines. */
 export const settingsOf = (
   name: string,
   ip: string,
