--- a/chaos/page.ts
+++ b/chaos/page.ts
@@ -61,7 +61,7 @@
           "|---|---|---|---|---|---|---|",
           ...findings.map(
             (finding) =>
-              `| ${escapeCell(finding.key)} | ${finding.rule} | ${finding.times} | ${finding.entries.join(", ")} | ${finding.nowHeld ? "held" : "violated"} | ${finding.state} | ${escapeCell(finding.told)} |`,
+              `| ${escapeCell(finding.key)} | ${finding.rule} | ${finding.times} | ${finding.entries.join(", ")} | ${finding.nowHeld ? "held" : "broken"} | ${finding.state} | ${escapeCell(finding.told)} |`,
           ),
         ]),
     ...(givenUp.length === 0 ? [] : ["", "## Aborted days", "", ...abortedLines(givenUp)]),
--- a/features/steps/chaos.ts
+++ b/features/steps/chaos.ts
@@ -372,7 +372,7 @@
       page,
       /harbour storm 4 full \| CONFIG \| 2 \| a1 \| held \| mended \| docs\/incidents\/page.md/,
     );
-    assert.match(page, /harbour storm 4 small \| CONFIG \| 2 \| a7, a8 \| violated \| open/);
+    assert.match(page, /harbour storm 4 small \| CONFIG \| 2 \| a7, a8 \| broken \| open/);
   },
 );
 Then("its unbroken runs are those since the last violation", () =>
