--- a/chaos/day-generator.ts
+++ b/chaos/day-generator.ts
@@ -1,16 +1,16 @@
-/** Draws days of faults and changes from a seed, and writes them as day files for the bench. */
+/** Draws days (schedules of faults and changes) from a seed and formats them as day files. */
 import { RandomDraws } from "./random-draws.js";
-import type { Figure, FaultKind, FaultKinds } from "./fault-kinds.js";
+import type { ParameterDefault, FaultKind, FaultKinds } from "./fault-kinds.js";
 
-/** What is known of a deployment. */
+/** The parts of a deployment's site file that days refer to. */
 export interface Site {
   readonly name: string;
   readonly zones: readonly string[];
 }
 
 /**
- * One entry of a day; `at`, `for_s` and `gap_s` in seconds from the start of traffic, as day files
- * write them.
+ * One fault or change of a day, with the field names of day files. `at` is in seconds from the
+ * start of traffic; `for_s` and `gap_s` are durations in seconds.
  */
 export interface Entry {
   readonly at: number;
@@ -26,6 +26,7 @@
   readonly how?: string;
 }
 
+/** A day with the field names of day files. */
 export interface Day {
   readonly name: string;
   readonly seed: number;
@@ -35,10 +36,7 @@
   readonly faults: readonly Entry[];
 }
 
-/**
- * What a drawn day is made of: a few faults and changes; many faults; hundreds of changes with some
- * faults.
- */
+/** Mixes of a day: few faults and changes, many faults, or hundreds of changes with some faults. */
 export const MIXES = ["few", "many", "changes"] as const;
 export type Mix = (typeof MIXES)[number];
 export const MAX_CHANGES_AT_ONCE = 8;
@@ -53,39 +51,43 @@
   many: [5, 40],
   changes: [100, MAX_CHANGES],
 };
-/** Nothing begins in the first and in the last seconds. */
+/** Nothing begins within the first `FIRST_S` and the last `QUIET_END_S` seconds of a day. */
 const FIRST_S = 1;
 const QUIET_END_S = 3;
 const MAX_ROUTES = 400;
 const MAX_SHARE = 0.6;
 
-/** A figure around its default, from half of it to twice as much; `open` where there is none. */
+/**
+ * Draws a value between half and twice the default, or within `openRange` if there is no default.
+ * The upper bound is limited to `max`, unless that is below the lower bound.
+ */
 const drawAround = (
   draws: RandomDraws,
-  figure: Figure,
-  open: readonly [number, number],
+  defaultValue: ParameterDefault,
+  openRange: readonly [number, number],
   max: number,
 ): number => {
-  const [min, top] = figure === "open" ? open : [figure / 2, figure * 2];
+  const [min, top] = defaultValue === "open" ? openRange : [defaultValue / 2, defaultValue * 2];
   return draws.logNumber(min, Math.max(min, Math.min(top, max)));
 };
 
+/** Draws the value of `how`: variants and selectors that apply to the kind. */
 const drawVariant = (draws: RandomDraws, kind: FaultKind, list: FaultKinds): string => {
   const words: (string | undefined)[] = [];
   if (draws.occurs(0.6)) words.push(draws.pick(kind.variants));
   if (kind.target === "servers" && draws.occurs(0.06)) words.push(draws.pick(list.serverSelectors));
-  const moved = kind.target === "machines" || kind.target === "links";
+  const affectsMachines = kind.target === "machines" || kind.target === "links";
   if (kind.target === "links" && draws.occurs(0.3)) words.push(draws.pick(list.partitionVariants));
-  if ((moved || kind.target === "disks") && draws.occurs(0.4))
+  if ((affectsMachines || kind.target === "disks") && draws.occurs(0.4))
     words.push(draws.pick(list.machineSelectors));
-  if (moved && draws.occurs(0.4)) words.push(draws.pick(list.concurrentChanges));
-  if (moved)
+  if (affectsMachines && draws.occurs(0.4)) words.push(draws.pick(list.concurrentChanges));
+  if (affectsMachines)
     list.restartVariants.forEach((word) => words.push(draws.occurs(0.2) ? word : undefined));
   if (kind.name === "roll_term" && draws.occurs(0.3)) words.push(draws.pick(list.rollVariants));
   return [...new Set(words.filter((word) => word !== undefined))].join(" ");
 };
 
-/** One entry of this kind at this moment. */
+/** Draws an entry of this kind at the given time. */
 const drawEntry = (
   draws: RandomDraws,
   at: number,
@@ -94,21 +96,21 @@
   site: Site,
 ): Entry => {
   const variant = drawVariant(draws, kind, list);
-  const change = kind.target === "orders";
+  const isChange = kind.target === "orders";
   const onCore = kind.target === "machines" && kind.share !== undefined && draws.occurs(0.5);
-  const mostShare = typeof kind.share === "number" ? Math.max(MAX_SHARE, kind.share) : MAX_SHARE;
-  const few = onCore && draws.occurs(0.7) ? draws.integer(1, 2) : undefined;
+  const maxShare = typeof kind.share === "number" ? Math.max(MAX_SHARE, kind.share) : MAX_SHARE;
+  const coreMachines = onCore && draws.occurs(0.7) ? draws.integer(1, 2) : undefined;
   const count =
     kind.count === undefined
-      ? few
-      : kind.countsRoutes
+      ? coreMachines
+      : kind.countIsRoutes
         ? draws.integer(20, MAX_ROUTES)
-        : draws.integer(1, change ? 10 : 3);
-  // What is a part of things stays one.
+        : draws.integer(1, isChange ? 10 : 3);
+  // A default below 1 is a fraction, so that the drawn value must stay below 1.
   const x =
     kind.x === undefined
       ? undefined
-      : kind.countsThings
+      : kind.xIsCount
         ? draws.integer(1, 4)
         : drawAround(
             draws,
@@ -124,11 +126,11 @@
   return {
     at,
     kind: kind.name,
-    for_s: draws.logNumber(0.5, change && kind.isRepeated ? 6 : 20),
+    for_s: draws.logNumber(0.5, isChange && kind.isRepeated ? 6 : 20),
     ...(kind.isRepeated ? { gap_s: draws.logNumber(0.1, 2) } : {}),
-    ...(kind.share === undefined || few !== undefined
+    ...(kind.share === undefined || coreMachines !== undefined
       ? {}
-      : { share: drawAround(draws, kind.share, [0.1, 0.5], mostShare) }),
+      : { share: drawAround(draws, kind.share, [0.1, 0.5], maxShare) }),
     ...(count === undefined ? {} : { count }),
     ...(x === undefined ? {} : { x }),
     ...(onCore ? { on: "core" } : {}),
@@ -138,7 +140,7 @@
   };
 };
 
-/** A day's changes: bursts of up to eight at one moment. */
+/** Draws the configuration changes of a day, in bursts of up to {@link MAX_CHANGES_AT_ONCE}. */
 const drawChanges = (
   draws: RandomDraws,
   kind: FaultKind | undefined,
@@ -147,12 +149,12 @@
 ): readonly Entry[] => {
   if (kind === undefined) return [];
   const entries: Entry[] = [];
-  // No moment is taken twice, so that no two bursts make one that is larger.
-  const taken = new Set<number>();
+  // Two bursts at the same time would add up to more than the maximum.
+  const usedTimes = new Set<number>();
   while (entries.length < count) {
     const at = moment();
-    if (taken.has(at)) continue;
-    taken.add(at);
+    if (usedTimes.has(at)) continue;
+    usedTimes.add(at);
     const burst = draws.occurs(0.7) ? 1 : draws.integer(2, MAX_CHANGES_AT_ONCE);
     for (let change = 0; change < burst && entries.length < count; change += 1) {
       const variant = draws.pick(kind.variants);
@@ -163,8 +165,8 @@
 };
 
 /**
- * One day, a pure function of its seed, the site, the list and the bounds of its length (whole
- * seconds).
+ * Draws one day: a pure function of the seed, the site, the list of kinds and the bounds of the
+ * day's length in whole seconds.
  */
 export const drawDay = (
   seed: number,
@@ -177,45 +179,45 @@
   const lengthS = draws.integer(length[0], length[1]);
   const moment = () => draws.number(FIRST_S, lengthS - QUIET_END_S);
   const change = list.kinds.find((kind) => kind.name === "config_change");
-  const entries: { readonly book: "plan" | "faults"; readonly entry: Entry }[] = drawChanges(
+  const entries: { readonly section: "plan" | "faults"; readonly entry: Entry }[] = drawChanges(
     draws,
     change,
     draws.integer(...CHANGE_COUNTS[mix]),
     moment,
-  ).map((entry) => ({ book: "plan", entry }));
+  ).map((entry) => ({ section: "plan", entry }));
   const faultKinds = list.kinds.filter((kind) => kind !== change);
   for (let left = draws.integer(...FAULT_COUNTS[mix]); left > 0; left -= 1) {
     const kind = draws.pick(faultKinds);
     if (kind)
-      entries.push({ book: kind.section, entry: drawEntry(draws, moment(), kind, list, site) });
+      entries.push({ section: kind.section, entry: drawEntry(draws, moment(), kind, list, site) });
   }
-  const close = draws.occurs(0.6) ? draws.pick(list.closingFaults) : undefined;
-  const closeHow = draws.occurs(0.4) ? draws.pick(list.closingVariants) : undefined;
-  const downS = draws.number(0.5, 2);
-  const of = (book: "plan" | "faults") =>
+  const closingKind = draws.occurs(0.6) ? draws.pick(list.closingFaults) : undefined;
+  const closingVariant = draws.occurs(0.4) ? draws.pick(list.closingVariants) : undefined;
+  const downSeconds = draws.number(0.5, 2);
+  const entriesIn = (section: "plan" | "faults") =>
     entries
-      .filter((one) => one.book === book)
+      .filter((drawn) => drawn.section === section)
       .map(({ entry }) => entry)
       .sort((a, b) => a.at - b.at);
   return {
     name: `${mix}-${seed}`,
     seed,
     length_s: lengthS,
-    ...(close === undefined
+    ...(closingKind === undefined
       ? {}
       : {
           closing: {
-            kind: close,
-            down_s: downS,
-            ...(closeHow === undefined ? {} : { how: closeHow }),
+            kind: closingKind,
+            down_s: downSeconds,
+            ...(closingVariant === undefined ? {} : { how: closingVariant }),
           },
         }),
-    plan: of("plan"),
-    faults: of("faults"),
+    plan: entriesIn("plan"),
+    faults: entriesIn("faults"),
   };
 };
 
-/** The seeds of the days of a campaign: day k is the same, however many are drawn. */
+/** Draws the seeds of a campaign's days. The seed of day k does not depend on `count`. */
 export const daySeeds = (seed: number, count: number): readonly number[] => {
   const draws = new RandomDraws(seed);
   return Array.from({ length: count }, () => draws.integer(1, 2 ** 31 - 1));
@@ -234,10 +236,10 @@
     ? `${name} = []`
     : `${name} = [\n${entries.map((entry) => `  ${inlineTable(entry)},\n`).join("")}]`;
 
-/** The day as a file, one entry a line. */
-export const formatDay = (day: Day, site: Site, from: string): string =>
+/** Formats a day as a TOML file with one entry per line. */
+export const formatDay = (day: Day, site: Site, provenance: string): string =>
   [
-    `# Drawn for ${site.name} by \`npm run chaos -- days\`, ${from}.`,
+    `# Drawn for ${site.name} by \`npm run chaos -- days\`, ${provenance}.`,
     `name = ${JSON.stringify(day.name)}`,
     `seed = ${day.seed}`,
     `length_s = ${day.length_s}`,
--- a/chaos/journal.ts
+++ b/chaos/journal.ts
@@ -1,4 +1,4 @@
-/** Reads the journal of bench runs: which days were run, and which rules they broke. */
+/** Reads the journal of bench runs: which days were run and which rules they violated. */
 import {
   asRecord,
   readFlag,
@@ -11,9 +11,9 @@
 } from "../src/common/decode.js";
 
 /**
- * One run of a day, as a journal entry records it. `key` is the same for every run of one day at
- * one size: deployment, name, seed, full or small. `violations` are rules with how often, and what
- * else failed the gate, in the entry's own words.
+ * One run of a day, as recorded in a journal entry. `key` identifies a day at one size: deployment,
+ * name, seed, and full or small. `violations` counts the violations of each rule and the other
+ * reasons for which the run failed the gate.
  */
 export interface DayRun {
   readonly entry: string;
@@ -24,15 +24,15 @@
   readonly key: string;
   readonly origin: "own" | "hunt" | "standard";
   readonly isSmall: boolean;
-  /** Whether processor time was charged. */
+  /** Whether the run simulated the cost of processor time. */
   readonly isCpuCharged: boolean;
   readonly kinds: readonly string[];
   readonly violations: Readonly<Record<string, number>>;
-  /** Why the day was not run to its end; undefined if it was. */
+  /** Why the run was aborted; undefined if it was completed. */
   readonly abortReason?: string;
 }
 
-/** An entry that records no complete day, and why. */
+/** A journal entry without a complete day, and the reason. */
 export interface PartialRun {
   readonly entry: string;
   readonly at: string;
@@ -48,22 +48,24 @@
   );
   const others = readList(day, "short", asString).filter((why) => !why.startsWith("fault:"));
   const acks = others.filter((why) => MISSING_ACKNOWLEDGEMENT.test(why)).length;
-  const floors = others.length - acks;
+  const belowFloor = others.length - acks;
   return {
     ...counts,
     ...(acks > 0 ? { "no ack": acks } : {}),
-    ...(floors > 0 ? { "below its floor": floors } : {}),
+    ...(belowFloor > 0 ? { "below its floor": belowFloor } : {}),
   };
 };
 
 const siteOf = (entry: UnknownRecord, argv: readonly string[]): string => {
-  const told = entry["site"];
-  return typeof told === "string" ? told : (/([^/]+)\.toml$/.exec(argv[0] ?? "")?.[1] ?? "unknown");
+  const recordedSite = entry["site"];
+  return typeof recordedSite === "string"
+    ? recordedSite
+    : (/([^/]+)\.toml$/.exec(argv[0] ?? "")?.[1] ?? "unknown");
 };
 
 /**
- * The days of one journal entry, in the order they stand there. Throws a DecodeError that names a
- * field which is not as it should be.
+ * Reads the days of one journal entry, in their order. Throws a DecodeError that names the first
+ * invalid field.
  */
 export const readEntry = (
   value: unknown,
@@ -73,9 +75,9 @@
   const argv = readList(entry, "argv", asString);
   const times = readList(entry, "at", asString);
   const site = siteOf(entry, argv);
-  const about = { entry: id, at: times[0] ?? "", site };
+  const common = { entry: id, at: times[0] ?? "", site };
   const days = readList(entry, "days", (day) => asRecord(day, "day"));
-  const incomplete = (reason: string) => ({ runs: [], partialRuns: [{ ...about, reason }] });
+  const incomplete = (reason: string) => ({ runs: [], partialRuns: [{ ...common, reason }] });
   if (argv.includes("--until")) return incomplete("run only in part");
   if (days.length === 0)
     return typeof entry["error"] === "string"
@@ -83,17 +85,17 @@
       : { runs: [], partialRuns: [] };
   const small = argv.includes("--small");
   const command = readString(entry, "cmd");
-  const own = command === "run" && argv.slice(1).some((word) => word.endsWith(".toml"));
+  const isOwnDay = command === "run" && argv.slice(1).some((word) => word.endsWith(".toml"));
   const runs = days.map((day): DayRun => {
     const name = readString(day, "name").replace(/ --seed \d+$/, "");
     const fault = day["fault"];
     const seed = typeof day["seed"] === "number" ? String(day["seed"]) : "sealed";
     return {
-      ...about,
+      ...common,
       commit: `${readString(entry, "head").slice(0, 7)}${readFlag(entry, "dirty") ? " and changes" : ""}`,
       name: `${name} (${seed})`,
       key: [site, name, seed, small ? "small" : "full"].join(" "),
-      origin: own ? "own" : command === "hunt" ? "hunt" : "standard",
+      origin: isOwnDay ? "own" : command === "hunt" ? "hunt" : "standard",
       isSmall: small,
       isCpuCharged: !argv.includes("--no-cpu"),
       kinds: readList(day, "troubles", asString),
--- a/chaos/run.ts
+++ b/chaos/run.ts
@@ -1,10 +1,10 @@
 /**
- * `npm run chaos`: draws days of faults and changes for the bench, and tables what the journal says
- * of days that were run.
+ * `npm run chaos`: draws days of faults and changes for the bench, and summarizes their runs from
+ * the journal in a table.
  */
 import { mkdir, readdir, readFile, writeFile } from "node:fs/promises";
 import { basename, dirname, join } from "node:path";
-import { text as textOfStream } from "node:stream/consumers";
+import { text as readStreamText } from "node:stream/consumers";
 import { Command } from "commander";
 import { parse } from "smol-toml";
 import { asRecord, readList, parseJson, DecodeError, readString } from "../src/common/decode.js";
@@ -15,19 +15,19 @@
 import { formatPage } from "./page.js";
 import { readNotes, summarize } from "./summary.js";
 
-/** What stops a command; its message is one line for whoever called it. */
+/** An error of a command's input. Its message is one line, printed to the user. */
 class ChaosError extends CodedError {
   readonly code = "INVALID_CALL";
 }
 
 const MAX_DAYS = 1_000;
-/** A day file's length in seconds; an issue of the users names these bounds. */
-const SHORTEST_S = 32;
-const LONGEST_S = 120;
+/** Bounds of a day's length in seconds; requested by users in an issue. */
+const MIN_LENGTH_S = 32;
+const MAX_LENGTH_S = 120;
 const PROGRESS_EVERY = 50;
 
 const readText = async (path: string): Promise<string> => {
-  if (path === "-") return textOfStream(process.stdin);
+  if (path === "-") return readStreamText(process.stdin);
   try {
     return await readFile(path, "utf8");
   } catch {
@@ -35,8 +35,8 @@
   }
 };
 
-/** Reads a file with a reader that throws; the error names the file. */
-const readWith = async <T>(path: string, read: (body: string) => T): Promise<T> => {
+/** Reads and parses a file. An error thrown by `read` is reported with the path of the file. */
+const parseFile = async <T>(path: string, read: (body: string) => T): Promise<T> => {
   const body = await readText(path);
   try {
     return read(body);
@@ -55,10 +55,10 @@
   };
 };
 
-const readInteger = (name: string, given: string, min: number, max: number): number => {
-  const value = Number(given);
+const readInteger = (name: string, text: string, min: number, max: number): number => {
+  const value = Number(text);
   if (!Number.isSafeInteger(value) || value < min || value > max)
-    throw new ChaosError(`${name} must be a whole number from ${min} to ${max}, not ${given}`);
+    throw new ChaosError(`${name} must be an integer from ${min} to ${max}, got ${text}`);
   return value;
 };
 
@@ -76,9 +76,9 @@
 const drawDays = async (options: DaysOptions): Promise<void> => {
   const seed = readInteger("--seed", options.seed, 0, 2 ** 31 - 1);
   const count = readInteger("--count", options.count, 1, MAX_DAYS);
-  const longest = readInteger("--longest", options.longest, SHORTEST_S, LONGEST_S);
-  const shortest = readInteger("--shortest", options.shortest, SHORTEST_S, longest);
-  const site = await readWith(options.site, readSite);
+  const longest = readInteger("--longest", options.longest, MIN_LENGTH_S, MAX_LENGTH_S);
+  const shortest = readInteger("--shortest", options.shortest, MIN_LENGTH_S, longest);
+  const site = await parseFile(options.site, readSite);
   const kinds = parseKinds(await readText(options.kinds));
   if (kinds.isErr) throw new ChaosError(kinds.error);
   await mkdir(options.out, { recursive: true });
@@ -116,9 +116,7 @@
       ),
     );
     if (leftOut.length > 0)
-      process.stdout.write(
-        `left out, since the system isn't built for them: ${leftOut.join(", ")}\n`,
-      );
+      process.stdout.write(`left out because they are not supported: ${leftOut.join(", ")}\n`);
   }
 };
 
@@ -130,10 +128,10 @@
   readonly json?: boolean;
 }
 
-const makeTable = async (options: TableOptions): Promise<void> => {
+const writeTable = async (options: TableOptions): Promise<void> => {
   if (options.since !== "" && Number.isNaN(Date.parse(options.since)))
     throw new ChaosError(
-      `--since must be a time such as 2026-12-02T04:30:00Z, not ${options.since}`,
+      `--since must be a time such as 2026-12-02T04:30:00Z, got ${options.since}`,
     );
   const names = await readdir(options.journal).catch(() => {
     throw new ChaosError(`${options.journal} cannot be read`);
@@ -142,27 +140,29 @@
   const runs: DayRun[] = [];
   const partialRuns: PartialRun[] = [];
   for (const [at, name] of files.entries()) {
-    const entry = await readWith(join(options.journal, name), (body) => readEntry(parseJson(body)));
+    const entry = await parseFile(join(options.journal, name), (body) =>
+      readEntry(parseJson(body)),
+    );
     runs.push(...entry.runs);
     partialRuns.push(...entry.partialRuns);
     if ((at + 1) % PROGRESS_EVERY === 0)
       process.stderr.write(`${at + 1} of ${files.length} entries\n`);
   }
-  const notes = await readWith(options.notes, (body) => readNotes(parse(body)));
+  const notes = await parseFile(options.notes, (body) => readNotes(parse(body)));
   const summary = summarize(runs, partialRuns, notes, options.since);
   await mkdir(dirname(options.out), { recursive: true });
   await writeFile(options.out, formatPage(summary));
   if (options.json === true) process.stdout.write(`${JSON.stringify(summary)}\n`);
   else
     process.stdout.write(
-      `${basename(options.out)}: ${files.length} entries, ${summary.rows.length} deployments, ${summary.findings.length} rules broken.\n`,
+      `${basename(options.out)}: ${files.length} entries, ${summary.rows.length} deployments, ${summary.findings.length} rules violated.\n`,
     );
 };
 
-/** Runs a command; what is wrong goes to stderr in one line, with code 2. */
-const guarded = async (work: Promise<void>): Promise<void> => {
+/** Runs a command. Prints an error of its input as one line on stderr and sets exit code 2. */
+const reportErrors = async (command: Promise<void>): Promise<void> => {
   try {
-    await work;
+    await command;
   } catch (error) {
     if (!(error instanceof ChaosError) && !(error instanceof DecodeError)) throw error;
     process.stderr.write(`chaos: ${error.message}.\n`);
@@ -171,29 +171,32 @@
 };
 
 const cli = new Command("chaos").description(
-  "draws days of faults and changes for the bench, and tables what the journal says of them",
+  "draws days of faults and changes for the bench, and summarizes their runs in a table",
 );
 cli
   .command("days")
   .description(
-    "draws day files for a deployment from its list of kinds; the same seed gives the same files",
+    "draw day files for a deployment from its list of kinds; the same seed gives the same files",
+  )
+  .requiredOption("--site <file>", "site file of the deployment")
+  .requiredOption(
+    "--kinds <file>",
+    "list of kinds printed by the bench for it; - reads standard input",
   )
-  .requiredOption("--site <file>", "the deployment's site file")
-  .requiredOption("--kinds <file>", "what the bench lists as kinds for it; - reads standard input")
-  .requiredOption("--seed <n>", "where the draws begin")
-  .option("--count <n>", "how many days", "10")
-  .requiredOption("--out <folder>", "where the files are written")
-  .option("--shortest <s>", "least length of a day in seconds", String(SHORTEST_S))
-  .option("--longest <s>", "greatest length of a day in seconds", String(LONGEST_S))
-  .option("--json", "prints what was drawn as JSON")
-  .action((options: DaysOptions) => guarded(drawDays(options)));
+  .requiredOption("--seed <n>", "seed of the random draws")
+  .option("--count <n>", "number of days", "10")
+  .requiredOption("--out <folder>", "folder the files are written to")
+  .option("--shortest <s>", "minimum length of a day in seconds", String(MIN_LENGTH_S))
+  .option("--longest <s>", "maximum length of a day in seconds", String(MAX_LENGTH_S))
+  .option("--json", "print the drawn days as JSON")
+  .action((options: DaysOptions) => reportErrors(drawDays(options)));
 cli
   .command("table")
-  .description("makes docs/chaos.md from the journal")
-  .option("--journal <folder>", "the journal's folder", "journal")
-  .option("--notes <file>", "what became of broken rules", "chaos/notes.toml")
-  .option("--out <file>", "the page", "docs/chaos.md")
-  .option("--since <time>", "leaves out runs that began before it", "")
-  .option("--json", "prints the sums as JSON")
-  .action((options: TableOptions) => guarded(makeTable(options)));
+  .description("generate docs/chaos.md from the journal")
+  .option("--journal <folder>", "folder of the journal", "journal")
+  .option("--notes <file>", "file with the state of violated rules", "chaos/notes.toml")
+  .option("--out <file>", "the page to write", "docs/chaos.md")
+  .option("--since <time>", "leave out runs that began earlier", "")
+  .option("--json", "print the summary as JSON")
+  .action((options: TableOptions) => reportErrors(writeTable(options)));
 await cli.parseAsync();
--- a/chaos/summary.ts
+++ b/chaos/summary.ts
@@ -1,10 +1,10 @@
-/** Sums what the journal says of the days that were run, deployment by deployment. */
+/** Summarizes the runs of the journal per deployment. */
 import { asRecord, readList, readString } from "../src/common/decode.js";
 import type { DayRun, PartialRun } from "./journal.js";
 
 /**
- * What is known of a broken rule, from chaos/notes.toml: which day (its key begins so), which rule,
- * what became of it and on which page it is written up.
+ * State of a violated rule, from chaos/notes.toml. `day` is a prefix of the keys of the days that
+ * the note applies to; `told` is the page that describes the fault.
  */
 export interface Note {
   readonly day: string;
@@ -13,10 +13,10 @@
   readonly told: string;
 }
 
-/** Reads `[[note]]` tables; throws a DecodeError that names the field which is wrong. */
+/** Reads `[[note]]` tables. Throws a DecodeError that names the invalid field. */
 export const readNotes = (value: unknown): readonly Note[] =>
-  readList(asRecord(value, "notes"), "note", (one) => {
-    const note = asRecord(one, "note");
+  readList(asRecord(value, "notes"), "note", (partialRun) => {
+    const note = asRecord(partialRun, "note");
     return {
       day: readString(note, "day"),
       rule: readString(note, "rule"),
@@ -25,31 +25,32 @@
     };
   });
 
-/** A rule that a day broke, over all runs of that day at that size, oldest first. */
+/** A rule violated by a day, over all runs of that day at that size, oldest first. */
 export interface Finding {
   readonly site: string;
   readonly key: string;
   readonly rule: string;
   readonly times: number;
   readonly entries: readonly string[];
-  /** Whether the latest run of the same day held it. */
+  /** Whether the latest run of the same day did not violate the rule. */
   readonly nowHeld: boolean;
   readonly state: "mended" | "left" | "open";
   readonly told: string;
 }
 
+/** Totals of one deployment. */
 export interface SiteRow {
   readonly site: string;
-  /** Different days run to their end, by origin and size. */
+  /** Number of distinct days that were completed, by origin and size. */
   readonly days: Readonly<
     Record<DayRun["origin"], { readonly full: number; readonly small: number }>
   >;
   readonly plays: number;
-  /** How many of the runs charged no processor time. */
+  /** Number of runs that did not simulate the cost of processor time. */
   readonly uncharged: number;
   readonly givenUp: number;
   readonly partial: number;
-  /** Runs of full days, and of small ones, that broke nothing since the last that did. */
+  /** Number of runs since the last one that violated a rule, for full and for small days. */
   readonly unbroken: { readonly full: number; readonly small: number };
   readonly kinds: readonly (readonly [string, number])[];
   readonly found: number;
@@ -57,6 +58,7 @@
   readonly left: number;
 }
 
+/** Summary of the journal. */
 export interface Summary {
   readonly since: string;
   readonly rows: readonly SiteRow[];
@@ -73,9 +75,11 @@
     Object.entries(run.violations).forEach(([rule, times]) => {
       const id = `${run.key} ${rule}`;
       const before = found.get(id);
-      const note = notes.find((one) => one.rule === rule && run.key.startsWith(one.day));
+      const note = notes.find(
+        (candidate) => candidate.rule === rule && run.key.startsWith(candidate.day),
+      );
       const nowHeld = latest.get(run.key)?.violations[rule] === undefined;
-      // A note alone mends nothing: the same day must have been run again.
+      // A note alone is not enough: the latest run of the same day must not violate the rule.
       const state =
         note === undefined ? "open" : note.state === "mended" && !nowHeld ? "open" : note.state;
       found.set(id, {
@@ -94,11 +98,11 @@
 };
 
 const unbrokenOf = (runs: readonly DayRun[]): number =>
-  runs.reduce((row, run) => (hasViolations(run) ? 0 : row + 1), 0);
+  runs.reduce((streak, run) => (hasViolations(run) ? 0 : streak + 1), 0);
 
 /**
- * Sums what the journal says; runs in any order. `since` leaves out what began before it (an ISO
- * time; empty: nothing).
+ * Summarizes runs, which may be in any order. Runs that began before `since` (an ISO time) are left
+ * out; an empty `since` includes all.
  */
 export const summarize = (
   allRuns: readonly DayRun[],
@@ -110,37 +114,45 @@
     .filter((run) => run.at >= since)
     .sort((a, b) => (a.at < b.at ? -1 : a.at > b.at ? 1 : 0));
   const runs = recent.filter((run) => run.abortReason === undefined);
-  const partialRuns = allPartialRuns.filter((one) => one.at >= since);
+  const partialRuns = allPartialRuns.filter((run) => run.at >= since);
   const findings = findingsOf(runs, notes);
   const sites = [...new Set([...recent, ...partialRuns].map(({ site }) => site))].sort();
   const rows = sites.map((site): SiteRow => {
-    const here = runs.filter((run) => run.site === site);
-    const sized = (whose: DayRun["origin"], small: boolean) =>
+    const siteRuns = runs.filter((run) => run.site === site);
+    const countDays = (origin: DayRun["origin"], small: boolean) =>
       new Set(
-        here.filter((run) => run.origin === whose && run.isSmall === small).map(({ key }) => key),
+        siteRuns
+          .filter((run) => run.origin === origin && run.isSmall === small)
+          .map(({ key }) => key),
       ).size;
-    const both = (whose: DayRun["origin"]) => ({
-      full: sized(whose, false),
-      small: sized(whose, true),
+    const countBySize = (origin: DayRun["origin"]) => ({
+      full: countDays(origin, false),
+      small: countDays(origin, true),
     });
     const kinds = new Map<string, number>();
-    here.forEach((run) => run.kinds.forEach((kind) => kinds.set(kind, (kinds.get(kind) ?? 0) + 1)));
-    const foundHere = findings.filter((finding) => finding.site === site);
+    siteRuns.forEach((run) =>
+      run.kinds.forEach((kind) => kinds.set(kind, (kinds.get(kind) ?? 0) + 1)),
+    );
+    const siteFindings = findings.filter((finding) => finding.site === site);
     return {
       site,
-      days: { own: both("own"), hunt: both("hunt"), standard: both("standard") },
-      plays: here.length,
-      uncharged: here.filter((run) => !run.isCpuCharged).length,
+      days: {
+        own: countBySize("own"),
+        hunt: countBySize("hunt"),
+        standard: countBySize("standard"),
+      },
+      plays: siteRuns.length,
+      uncharged: siteRuns.filter((run) => !run.isCpuCharged).length,
       givenUp: recent.filter((run) => run.site === site && run.abortReason !== undefined).length,
-      partial: partialRuns.filter((one) => one.site === site).length,
+      partial: partialRuns.filter((run) => run.site === site).length,
       unbroken: {
-        full: unbrokenOf(here.filter((run) => !run.isSmall)),
-        small: unbrokenOf(here.filter((run) => run.isSmall)),
+        full: unbrokenOf(siteRuns.filter((run) => !run.isSmall)),
+        small: unbrokenOf(siteRuns.filter((run) => run.isSmall)),
       },
       kinds: [...kinds].sort(([a, timesA], [b, timesB]) => timesB - timesA || (a < b ? -1 : 1)),
-      found: foundHere.length,
-      mended: foundHere.filter(({ state }) => state === "mended").length,
-      left: foundHere.filter(({ state }) => state !== "mended").length,
+      found: siteFindings.length,
+      mended: siteFindings.filter(({ state }) => state === "mended").length,
+      left: siteFindings.filter(({ state }) => state !== "mended").length,
     };
   });
   return { since, rows, findings, givenUp: recent.filter((run) => run.abortReason !== undefined) };
--- a/features/steps/chaos.ts
+++ b/features/steps/chaos.ts
@@ -45,8 +45,8 @@
 };
 
 let folder = "";
-let output = "";
-let errors = "";
+let stdout = "";
+let stderr = "";
 let code = 0;
 
 const run = (args: readonly string[]): Promise<void> =>
@@ -57,8 +57,8 @@
       { maxBuffer: 16 * 2 ** 20 },
       (error, out, errorLines) => {
         code = error && typeof error.code === "number" ? error.code : 0;
-        output = out;
-        errors = errorLines;
+        stdout = out;
+        stderr = errorLines;
         resolve();
       },
     );
@@ -80,7 +80,7 @@
   folder = "";
 });
 
-const draw = async (seed: number, count: number): Promise<Map<string, string>> => {
+const drawDays = async (seed: number, count: number): Promise<Map<string, string>> => {
   const out = join(folder, `${seed}-${count}`);
   await run([
     "days",
@@ -96,7 +96,7 @@
     out,
     "--json",
   ]);
-  assert.equal(code, 0, errors);
+  assert.equal(code, 0, stderr);
   const names = await readdir(out);
   return new Map(
     await Promise.all(
@@ -108,31 +108,34 @@
   );
 };
 
-let many = new Map<string, string>();
-let few = new Map<string, string>();
+let drawnDays = new Map<string, string>();
+let fewerDays = new Map<string, string>();
 let report: UnknownRecord = {};
 
-Given("a list of kinds with one that the system isn't built for", prepare);
+Given("a list of kinds with one that is not supported", prepare);
 When(
-  "{int} days are drawn from seed {int}, and {int} again",
-  async (count: number, seed: number, again: number) => {
-    few = await draw(seed, again);
-    many = await draw(seed, count);
-    report = asRecord(parseJson(output));
+  "{int} days and then {int} days are drawn from seed {int}",
+  async (fewerCount: number, count: number, seed: number) => {
+    fewerDays = await drawDays(seed, fewerCount);
+    drawnDays = await drawDays(seed, count);
+    report = asRecord(parseJson(stdout));
+  },
+);
+Then(
+  "the {int} days are identical to the first of the {int} days",
+  (fewerCount: number, count: number) => {
+    assert.deepEqual([fewerDays.size, drawnDays.size], [fewerCount, count]);
+    fewerDays.forEach((body, name) => assert.equal(drawnDays.get(name), body));
   },
 );
-Then("the {int} are the first of the {int}, word for word", (again: number, count: number) => {
-  assert.deepEqual([few.size, many.size], [again, count]);
-  few.forEach((body, name) => assert.equal(many.get(name), body));
-});
 
 const days = (): readonly UnknownRecord[] =>
-  [...many.values()].map((body) => asRecord(parse(body)));
+  [...drawnDays.values()].map((body) => asRecord(parse(body)));
 const entriesOf = (day: UnknownRecord): readonly UnknownRecord[] =>
-  ["plan", "faults"].flatMap((book) => readList(day, book, (entry) => asRecord(entry)));
+  ["plan", "faults"].flatMap((section) => readList(day, section, (entry) => asRecord(entry)));
 
 Then(
-  "every day has {int} to {int} s, at most {int} changes and {int} of them at one moment, and nothing outside of its length",
+  "every day is {int} to {int} s long, with at most {int} changes, at most {int} at a time, and no entry outside of its length",
   (min: number, max: number, changes: number, atOnce: number) => {
     days().forEach((day) => {
       const length = readNumber(day, "length_s");
@@ -151,7 +154,7 @@
   },
 );
 Then(
-  "every supported kind and each mix came, some kind twice in a day, some closing fault, and no figure is out of bounds",
+  "all supported kinds, all mixes, a repeated kind and a closing fault occur, with all parameters within bounds",
   () => {
     const all = days();
     const entries = all.flatMap(entriesOf);
@@ -171,7 +174,7 @@
       all.some((day) => day["closing"] !== undefined) &&
         all.some((day) => day["closing"] === undefined),
     );
-    const bound = (kind: string, field: string, min: number, max: number) =>
+    const assertBounds = (kind: string, field: string, min: number, max: number) =>
       entries
         .filter((entry) => entry["kind"] === kind && entry[field] !== undefined)
         .forEach((entry) =>
@@ -180,16 +183,16 @@
             JSON.stringify(entry),
           ),
         );
-    bound("srv_grey", "share", 0.1, 0.6);
-    bound("srv_grey", "x", 0.15, 0.6);
-    bound("node_kill", "share", 0.05, 0.2);
-    bound("roll_term", "share", 0.5, 1);
-    bound("roll_term", "x", 1, 4);
-    bound("big_config", "count", 20, 400);
-    bound("config_race", "gap_s", 0.1, 2);
+    assertBounds("srv_grey", "share", 0.1, 0.6);
+    assertBounds("srv_grey", "x", 0.15, 0.6);
+    assertBounds("node_kill", "share", 0.05, 0.2);
+    assertBounds("roll_term", "share", 0.5, 1);
+    assertBounds("roll_term", "x", 1, 4);
+    assertBounds("big_config", "count", 20, 400);
+    assertBounds("config_race", "gap_s", 0.1, 2);
     assert.ok(
       entries.every((entry) => entry["kind"] !== "give_up" || entry["x"] === undefined),
-      "a default told in words is left to the list",
+      "a default given in words must not be drawn",
     );
     entries.forEach((entry) => {
       const how = entry["how"];
@@ -206,16 +209,18 @@
     });
   },
 );
-Then("the kind that the system isn't built for is named and in no day", () => {
+Then("the unsupported kind is reported and occurs in no day", () => {
   assert.deepEqual(readList(report, "leftOut", asString), ["steer_ship"]);
-  many.forEach((body) => assert.ok(!body.includes("steer_ship")));
+  drawnDays.forEach((body) => assert.ok(!body.includes("steer_ship")));
 });
-let before = new Set<string>();
+let earlierNames = new Set<string>();
 When("{int} days are drawn from seed {int}", async (count: number, seed: number) => {
-  before = new Set(many.keys());
-  many = await draw(seed, count);
+  earlierNames = new Set(drawnDays.keys());
+  drawnDays = await drawDays(seed, count);
 });
-Then("they are other days", () => assert.ok([...many.keys()].every((name) => !before.has(name))));
+Then("all days are different", () =>
+  assert.ok([...drawnDays.keys()].every((name) => !earlierNames.has(name))),
+);
 
 interface JournalEntry {
   readonly id: string;
@@ -286,32 +291,35 @@
   },
 ];
 
-Given("a journal in which one rule was broken and held later, and two stayed broken", async () => {
-  await prepare();
-  await mkdir(join(folder, "journal"));
-  for (const { id, minute, cmd, argv, days: runs } of JOURNAL) {
-    const body = {
-      id,
-      at: [`2026-01-01T00:0${minute}:00Z`, ""],
-      cmd,
-      argv,
-      head: "0123456789",
-      site: "harbour",
-      days: (runs ?? []).map(([name, seed, rules, fault]) => ({
-        name,
-        seed,
-        rules,
-        short: [],
-        troubles: ["node_kill"],
-        fault: fault ?? null,
-      })),
-    };
-    await writeFile(join(folder, "journal", `${id}.json`), JSON.stringify(body));
-  }
-});
+Given(
+  "a journal in which one rule was violated and held later, and two remained violated",
+  async () => {
+    await prepare();
+    await mkdir(join(folder, "journal"));
+    for (const { id, minute, cmd, argv, days: runs } of JOURNAL) {
+      const body = {
+        id,
+        at: [`2026-01-01T00:0${minute}:00Z`, ""],
+        cmd,
+        argv,
+        head: "0123456789",
+        site: "harbour",
+        days: (runs ?? []).map(([name, seed, rules, fault]) => ({
+          name,
+          seed,
+          rules,
+          short: [],
+          troubles: ["node_kill"],
+          fault: fault ?? null,
+        })),
+      };
+      await writeFile(join(folder, "journal", `${id}.json`), JSON.stringify(body));
+    }
+  },
+);
 let summary: UnknownRecord = {};
 let page = "";
-const table = async (since: string): Promise<void> => {
+const makeTable = async (since: string): Promise<void> => {
   const out = join(folder, "chaos.md");
   await run([
     "table",
@@ -325,22 +333,22 @@
     since,
     "--json",
   ]);
-  assert.equal(code, 0, errors);
-  summary = asRecord(readList(asRecord(parseJson(output)), "rows", (row) => asRecord(row))[0]);
+  assert.equal(code, 0, stderr);
+  summary = asRecord(readList(asRecord(parseJson(stdout)), "rows", (row) => asRecord(row))[0]);
   page = await readFile(out, "utf8");
 };
-When("the table is made with notes that call two of them mended", async () => {
+When("the table is generated with notes that mark two of them as mended", async () => {
   const note = (day: string, rule: string) =>
     `[[note]]\nday = "${day}"\nrule = "${rule}"\nstate = "mended"\ntold = "docs/incidents/page.md"\n`;
   await writeFile(
     join(folder, "notes.toml"),
     note("harbour storm 4 full", "CONFIG") + note("harbour storm 4 small", "CONFIG"),
   );
-  await table("");
+  await makeTable("");
 });
-When("the table is made of runs since the last two days only", () => table("2026-01-01T00:07:00Z"));
+When("the table is generated from the last two runs only", () => makeTable("2026-01-01T00:07:00Z"));
 Then(
-  "it counts {int} full day(s) and {int} small twin of our own, {int} of the bench's hunts and {int} standard day(s)",
+  "it counts {int} full and {int} small day of origin own, {int} of origin hunt and {int} of origin standard",
   (full: number, small: number, hunted: number, standard: number) => {
     assert.deepEqual(summary["days"], {
       own: { full, small },
@@ -354,7 +362,7 @@
   },
 );
 Then(
-  "it reports {int} rule as mended and {int} as left, {int} day aborted and {int} run in part",
+  "it reports {int} rule as mended and {int} as left, {int} day as aborted and {int} as partially run",
   (mended: number, left: number, givenUp: number, partial: number) => {
     assert.deepEqual(
       [summary["mended"], summary["left"], summary["givenUp"], summary["partial"]],
@@ -367,13 +375,13 @@
     assert.match(page, /harbour storm 4 small \| CONFIG \| 2 \| a7, a8 \| broken \| open/);
   },
 );
-Then("its unbroken runs are those since the last that broke a rule", () =>
+Then("its unbroken runs are those since the last violation", () =>
   assert.deepEqual(summary["unbroken"], { full: 2, small: 0 }),
 );
 
-When(/^chaos is asked for (.+)$/, async (args: string) => {
+When(/^the chaos command is run with (.+)$/, async (args: string) => {
   await prepare();
-  const places: Readonly<Record<string, string>> = {
+  const paths: Readonly<Record<string, string>> = {
     SITE: "site.toml",
     KINDS: "kinds.txt",
     NOTES: "notes.toml",
@@ -381,10 +389,13 @@
     OUT: "out",
   };
   await run(
-    args.split(" ").map((word) => (places[word] === undefined ? word : join(folder, places[word]))),
+    args.split(" ").map((word) => (paths[word] === undefined ? word : join(folder, paths[word]))),
   );
 });
-Then("it ends with code {int} and says in one line {string}", (wanted: number, what: string) => {
-  assert.equal(code, wanted, errors);
-  assert.ok(errors.trim().split("\n").length === 1 && errors.includes(what), errors);
-});
+Then(
+  "it exits with code {int} and a one-line message containing {string}",
+  (expected: number, what: string) => {
+    assert.equal(code, expected, stderr);
+    assert.ok(stderr.trim().split("\n").length === 1 && stderr.includes(what), stderr);
+  },
+);
--- a/scalability/changes.ts
+++ b/scalability/changes.ts
@@ -10,7 +10,10 @@
 import { Host, post, makeRule, waitUntil } from "./host.js";
 import { controllerAddress, steadyUs } from "./loopback.js";
 
-/** What a change costs: real controllers over loopback, changes one after the other, then rest. */
+/**
+ * Measures the cost of configuration changes: real controllers over loopback, first idle, then with
+ * changes sent one after another.
+ */
 const clock = new SteadyClock();
 
 const bytesInFolder = async (folder: string): Promise<number> => {
@@ -25,6 +28,7 @@
   return sizes.reduce((sum, size) => sum + size, 0);
 };
 
+/** Totals over all controllers at one time. */
 interface Sample {
   readonly cpuUs: number;
   readonly frames: number;
@@ -81,17 +85,22 @@
 });
 
 const measureChanges = async (
-  count: number,
-  orders: number,
+  controllerCount: number,
+  changeCount: number,
   routes: number,
   seconds: number,
 ): Promise<UnknownRecord> => {
   const folder = await mkdtemp(join(tmpdir(), "scalability-"));
-  const controllers = Array.from({ length: count }, () => new Host(300));
+  const controllers = Array.from({ length: controllerCount }, () => new Host(300));
   try {
     await Promise.all(
       controllers.map((controller, at) =>
-        controller.request({ what: "box", at, boxes: count, folder: join(folder, String(at)) }),
+        controller.request({
+          what: "box",
+          at,
+          boxes: controllerCount,
+          folder: join(folder, String(at)),
+        }),
       ),
     );
     await waitUntil(
@@ -104,12 +113,12 @@
         )) === 200,
     );
     await sleep(clock, 6 * SECOND_US);
-    const idleFrom = await sample(controllers);
+    const idleStart = await sample(controllers);
     await sleep(clock, seconds * SECOND_US);
-    const idleTo = await sample(controllers);
-    const times: number[] = [];
+    const idleEnd = await sample(controllers);
+    const latenciesMs: number[] = [];
     let failed = 0;
-    for (let at = 0; at < orders; at += 1) {
+    for (let at = 0; at < changeCount; at += 1) {
       const change = {
         putItems: {
           listeners: [
@@ -120,25 +129,28 @@
       };
       const fromUs = steadyUs();
       const status = await post(
-        controllerAddress(at % count),
+        controllerAddress(at % controllerCount),
         "/plan/change",
         JSON.stringify(change),
       );
-      if (status === 200) times.push((steadyUs() - fromUs) / MILLISECOND_US);
+      if (status === 200) latenciesMs.push((steadyUs() - fromUs) / MILLISECOND_US);
       else failed += 1;
     }
-    const busyTo = await sample(controllers);
-    times.sort((a, b) => a - b);
+    const busyEnd = await sample(controllers);
+    latenciesMs.sort((a, b) => a - b);
     return {
-      boxes: count,
-      orders,
+      boxes: controllerCount,
+      orders: changeCount,
       routes,
       failed,
-      ms: { median: round(quantileSorted(times, 0.5)), p99: round(quantileSorted(times, 0.99)) },
-      cpuMsAnOrder: round((busyTo.cpuUs - idleTo.cpuUs) / MILLISECOND_US / orders),
-      bytesAnOrder: round((busyTo.bytes - idleTo.bytes) / orders),
-      idlePerBoxSecond: perControllerSecond(idleFrom, idleTo, count),
-      diskBytesPerBox: round((await bytesInFolder(folder)) / count),
+      ms: {
+        median: round(quantileSorted(latenciesMs, 0.5)),
+        p99: round(quantileSorted(latenciesMs, 0.99)),
+      },
+      cpuMsAnOrder: round((busyEnd.cpuUs - idleEnd.cpuUs) / MILLISECOND_US / changeCount),
+      bytesAnOrder: round((busyEnd.bytes - idleEnd.bytes) / changeCount),
+      idlePerBoxSecond: perControllerSecond(idleStart, idleEnd, controllerCount),
+      diskBytesPerBox: round((await bytesInFolder(folder)) / controllerCount),
     };
   } finally {
     controllers.forEach((controller) => controller.kill());
@@ -160,19 +172,19 @@
   });
 
 /**
- * A controller is down over many changes, with its disk kept or lost; how long it takes to have
- * them while two more come each second.
+ * Measures how long a controller that was down during many changes, with its disk kept or wiped,
+ * takes to catch up while two more changes arrive per second.
  */
 const measureCatchUp = async (
-  orders: number,
+  changeCount: number,
   routes: number,
   isWiped: boolean,
 ): Promise<UnknownRecord> => {
   const folder = await mkdtemp(join(tmpdir(), "scalability-"));
   const controllers = Array.from({ length: 4 }, () => new Host(300));
-  const last = 3;
+  const lastIndex = 3;
   let timer: Timer | undefined;
-  const startBox = (controller: Host, at: number) =>
+  const startController = (controller: Host, at: number) =>
     controller.request({ what: "box", at, boxes: 4, folder: join(folder, String(at)) });
   const change = (version: number) =>
     post(
@@ -188,7 +200,7 @@
       }),
     );
   try {
-    await Promise.all(controllers.map(startBox));
+    await Promise.all(controllers.map(startController));
     await waitUntil(
       "the configuration is accepted",
       async () =>
@@ -198,25 +210,27 @@
           JSON.stringify(configurationOf(routes)),
         )) === 200,
     );
-    await waitUntil("the last one has it", async () =>
-      (await readConfiguration(controllerAddress(last))).includes(`"r-${routes - 1}"`),
+    await waitUntil("the last controller has the configuration", async () =>
+      (await readConfiguration(controllerAddress(lastIndex))).includes(`"r-${routes - 1}"`),
     );
-    controllers[last]?.kill();
-    if (isWiped) await rm(join(folder, String(last)), { recursive: true, force: true });
-    for (let at = 0; at < orders; at += 1)
+    controllers[lastIndex]?.kill();
+    if (isWiped) await rm(join(folder, String(lastIndex)), { recursive: true, force: true });
+    for (let at = 0; at < changeCount; at += 1)
       await waitUntil("the change is accepted", async () => (await change(2 + at)) === 200);
-    let version = 2 + orders;
+    let version = 2 + changeCount;
     timer = clock.every(SECOND_US / 2, () => void change((version += 1)));
-    const back = new Host(300);
-    controllers[last] = back;
+    const restarted = new Host(300);
+    controllers[lastIndex] = restarted;
     const fromUs = steadyUs();
-    await startBox(back, last);
+    await startController(restarted, lastIndex);
     const upUs = steadyUs() - fromUs;
-    await waitUntil("it has all", async () =>
-      (await readConfiguration(controllerAddress(last))).includes(`"version":${1 + orders}`),
+    await waitUntil("the restarted controller has all changes", async () =>
+      (await readConfiguration(controllerAddress(lastIndex))).includes(
+        `"version":${1 + changeCount}`,
+      ),
     );
     return {
-      orders,
+      orders: changeCount,
       routes,
       isWiped,
       processUpMs: round(upUs / MILLISECOND_US),
@@ -231,31 +245,40 @@
 
 const main = async (): Promise<void> => {
   const cli = new Command("changes").description(
-    "measures what a change costs the control plane, over loopback",
+    "measures the cost of a configuration change in the control plane, over loopback",
   );
   cli
-    .option("--boxes <n>", "real controllers, a process each", "4")
-    .option("--orders <n>", "orders, one after the other, through each box in turn", "200")
-    .option("--routes <n>", "routes in force", "1400")
-    .option("--seconds <n>", "for how long it is measured at rest", "10")
+    .option("--boxes <n>", "number of real controllers, one process each", "4")
+    .option(
+      "--orders <n>",
+      "number of changes, sent one after another to each controller in turn",
+      "200",
+    )
+    .option("--routes <n>", "number of routes in the configuration", "1400")
+    .option("--seconds <n>", "duration of the idle measurement", "10")
     .option(
       "--down",
-      "measures instead how a controller that was down over these changes catches up, with its disk and without",
+      "measure instead how a controller that was down during the changes catches up, with its disk kept and wiped",
     )
-    .option("--commit <id>", "the commit that is measured", "")
-    .option("--out <file>", "where the result is written")
+    .option("--commit <id>", "commit under test", "")
+    .option("--out <file>", "write the result to this file")
     .action(async (options: Readonly<Record<string, string | true>>) => {
-      const given = (name: string) => Number(options[name]);
-      const [orders, routes] = [given("orders"), given("routes")];
+      const numberOption = (name: string) => Number(options[name]);
+      const [changeCount, routes] = [numberOption("orders"), numberOption("routes")];
       const measured =
         options["down"] === true
           ? {
               down: [
-                await measureCatchUp(orders, routes, false),
-                await measureCatchUp(orders, routes, true),
+                await measureCatchUp(changeCount, routes, false),
+                await measureCatchUp(changeCount, routes, true),
               ],
             }
-          : await measureChanges(given("boxes"), orders, routes, given("seconds"));
+          : await measureChanges(
+              numberOption("boxes"),
+              changeCount,
+              routes,
+              numberOption("seconds"),
+            );
       const result = { commit: options["commit"], node: process.version, ...measured };
       process.stdout.write(`${JSON.stringify(result)}\n`);
       if (typeof options["out"] === "string")
--- a/scalability/measurement.ts
+++ b/scalability/measurement.ts
@@ -1,5 +1,5 @@
 /**
- * Measures one size of the control plane: real controllers, a process each, before light nodes and
+ * Measures the control plane at one size: real controllers, one process each, with light nodes and
  * workers that share a few processes, all over loopback.
  */
 import { mkdtemp, rm } from "node:fs/promises";
@@ -16,7 +16,8 @@
 const ZONES = 7;
 const WORKERS_PER_HOST = 2_000;
 const HEAP_MB = { controller: 700, nodes: 1_800, workers: 500 };
-const RESTARTED_SHARE = 7;
+/** One of this many nodes is restarted. */
+const RESTART_EVERY_NTH = 7;
 
 const clock = new SteadyClock();
 
@@ -51,19 +52,19 @@
     remove: { routes: [] },
   });
 
-/** How many nodes hold what, summed over their processes. */
+/** Numbers of nodes in each state, summed over the processes. */
 interface NodeStatus {
-  /** Those that hold all items and workers. */
-  readonly full: number;
-  /** Those that hold the marked route at the version asked for, or a later one. */
+  /** Nodes that have all items and workers. */
+  readonly upToDate: number;
+  /** Nodes that have the route `mark` at the requested version or a later one. */
   readonly marked: number;
-  /** Those with a session. */
+  /** Nodes with a session. */
   readonly connected: number;
-  /** When the last node got the marked route; microseconds of the machine's steady clock. */
+  /** When the last node received the route `mark`, by {@link steadyUs}. */
   readonly lastMarkUs: number;
 }
 
-/** What the processes of each role report about themselves. */
+/** Resource usage reported by the processes of each role. */
 interface Snapshot {
   readonly controllers: readonly UnknownRecord[];
   readonly nodes: readonly UnknownRecord[];
@@ -94,7 +95,7 @@
     const { size } = this;
     await this.startControllers();
     await this.startWorkersAndNodes();
-    const joinedUs = await this.waitUntilAllFull("every node has all updates", 180);
+    const joinedUs = await this.waitUntilAllUpToDate("every node has all updates", 180);
     await sleep(clock, size.settleSeconds * SECOND_US);
     const joined = await this.snapshot();
     await sleep(clock, size.seconds * SECOND_US);
@@ -140,16 +141,16 @@
 
   private readonly startWorkersAndNodes = async (): Promise<void> => {
     const { size, workerHosts, nodeHosts } = this;
-    const place = {
+    const topology = {
       cells: Math.min(ZONES, size.controllers),
       boxes: size.controllers,
       services: size.services,
     };
-    const each = Math.ceil(size.workers / Math.max(1, workerHosts.length));
+    const workersPerHost = Math.ceil(size.workers / Math.max(1, workerHosts.length));
     await Promise.all(
       workerHosts.map((host, at) => {
-        const count = Math.min(each, size.workers - at * each);
-        return host.request({ what: "workers", from: at * each, count, ...place });
+        const count = Math.min(workersPerHost, size.workers - at * workersPerHost);
+        return host.request({ what: "workers", from: at * workersPerHost, count, ...topology });
       }),
     );
     const numbers = Array.from({ length: size.nodes }, (_none, at) => at);
@@ -158,7 +159,7 @@
         host.request({
           what: "nodes",
           numbers: numbers.filter((number) => number % size.hosts === at),
-          ...place,
+          ...topology,
         }),
       ),
     );
@@ -173,22 +174,22 @@
     const sum = (field: string) =>
       replies.reduce((total, reply) => total + readNumber(reply, field), 0);
     return {
-      full: sum("full"),
+      upToDate: sum("full"),
       marked: sum("marked"),
       connected: sum("standing"),
       lastMarkUs: Math.max(...replies.map((reply) => readNumber(reply, "lastMarkUs"))),
     };
   };
 
-  private readonly waitUntilAllFull = (what: string, seconds: number): Promise<number> =>
-    waitUntil(what, async () => (await this.status(0)).full === this.size.nodes, seconds);
+  private readonly waitUntilAllUpToDate = (what: string, seconds: number): Promise<number> =>
+    waitUntil(what, async () => (await this.status(0)).upToDate === this.size.nodes, seconds);
 
   private readonly snapshot = async (): Promise<Snapshot> => ({
     controllers: await measureAll(this.controllers),
     nodes: await measureAll(this.nodeHosts),
   });
 
-  /** One change of one route: to its acknowledgement, and from there to the last node. */
+  /** Changes one route; times the acknowledgement, and from there the arrival at the last node. */
   private readonly timeChange = async (): Promise<UnknownRecord> => {
     const { size } = this;
     const startUs = steadyUs();
@@ -211,18 +212,18 @@
     };
   };
 
-  /** A seventh of the nodes restarts at once, until all have all updates again. */
+  /** Restarts a seventh of the nodes at once; times until all nodes have all updates again. */
   private readonly timeRestart = async (): Promise<UnknownRecord> => {
     const startUs = steadyUs();
     const replies = await Promise.all(
-      this.nodeHosts.map((host) => host.request({ what: "restart", every: RESTARTED_SHARE })),
+      this.nodeHosts.map((host) => host.request({ what: "restart", every: RESTART_EVERY_NTH })),
     );
     const nodes = replies.reduce((sum, reply) => sum + readNumber(reply, "restarted"), 0);
-    await this.waitUntilAllFull("every restarted node has all updates", 120);
+    await this.waitUntilAllUpToDate("every restarted node has all updates", 120);
     return { nodes, tookUs: steadyUs() - startUs };
   };
 
-  /** The last controller is killed; microseconds until every node has a session again. */
+  /** Kills the last controller; resolves to the time until every node has a session again. */
   private readonly timeControllerLoss = async (): Promise<number> => {
     const startUs = steadyUs();
     this.controllers[this.controllers.length - 1]?.kill();
@@ -236,15 +237,16 @@
   };
 }
 
-/** The field names are those of committed results. */
+/** Usage between two snapshots, with the field names of committed results. */
 const usageOf = (before: Snapshot, after: Snapshot): UnknownRecord => ({
   boxes: usageBetween(before.controllers, after.controllers),
   nodes: usageBetween(before.nodes, after.nodes),
 });
 
 /**
- * One size: start, settle, measure at rest, time one change, restart a seventh of the nodes, kill a
- * controller. Gives one entry of a result file; rejects if a step does not come to its end in time.
+ * Measures one size: starts the processes, lets them settle, measures them idle, times one change,
+ * restarts a seventh of the nodes and kills a controller. Resolves to one entry of a result file;
+ * rejects if a step times out.
  */
 export const measureSize = async (size: Size): Promise<UnknownRecord> => {
   const folder = await mkdtemp(join(tmpdir(), "scalability-"));
--- a/scalability/node.ts
+++ b/scalability/node.ts
@@ -13,23 +13,23 @@
 import { Host, post, makeRule, waitUntil } from "./host.js";
 import { controllerAddress, FRONT_PORT, steadyUs, nodeIp, READY_PORT } from "./loopback.js";
 
-/** One node: what it keeps for so many workers and routes, and what a request costs it. */
+/** Measures one node: the memory it needs per worker and route, and the cost of a request. */
 const clock = new SteadyClock();
 const ZONES = 7;
 const WORKERS_PER_SERVICE = 50;
 
-/** Run in a process of its own, so that nothing else counts. */
-const measureHeldState = async (workers: number, routes: number): Promise<void> => {
-  const collect = globalThis.gc ?? (() => undefined);
-  collect();
+/** Runs in a separate process, so that the measured memory and time contain nothing else. */
+const measureStateInProcess = async (workers: number, routes: number): Promise<void> => {
+  const collectGarbage = globalThis.gc ?? (() => undefined);
+  collectGarbage();
   const before = process.memoryUsage();
   const updates = new UpdateStore(clock);
   const table = new RouteTable();
-  const pool = new WorkerDirectory(clock, "node", "c0");
-  pool.setNodeCount({ inZone: 430, total: 3_000 });
-  updates.events.on("changed", (facts) => {
-    table.applyUpdates(facts);
-    pool.applyUpdates(facts);
+  const directory = new WorkerDirectory(clock, "node", "c0");
+  directory.setNodeCount({ inZone: 430, total: 3_000 });
+  updates.events.on("changed", (changes) => {
+    table.applyUpdates(changes);
+    directory.applyUpdates(changes);
   });
   const cpuBefore = process.cpuUsage();
   updates.post(
@@ -64,9 +64,9 @@
   );
   await sleep(clock, 200 * MILLISECOND_US);
   const services = Math.max(1, Math.floor(workers / WORKERS_PER_SERVICE));
-  for (let service = 0; service < services; service += 1) pool.subsetFor(`s${service}`);
+  for (let service = 0; service < services; service += 1) directory.subsetFor(`s${service}`);
   const { user, system } = process.cpuUsage(cpuBefore);
-  collect();
+  collectGarbage();
   const after = process.memoryUsage();
   process.send?.({
     workers,
@@ -75,7 +75,7 @@
     rssMb: after.rss / 2 ** 20,
     cpuMs: (user + system) / 1_000,
     held: updates.all().length,
-    pool: pool.size,
+    pool: directory.size,
   });
   process.disconnect();
 };
@@ -86,12 +86,14 @@
       execArgv: ["--expose-gc", "--max-semi-space-size=1"],
     });
     child.on("message", (value: unknown) => resolve(asRecord(value)));
-    child.on("exit", (code) => reject(new Error(`it ended with ${String(code)}`)));
+    child.on("exit", (code) =>
+      reject(new Error(`measurement process exited with code ${String(code)}`)),
+    );
   });
 
 /**
- * A real gateway before stand-in workers, at several rates; the same load straight to a worker
- * beside it.
+ * Measures a real gateway with stand-in workers at several request rates and, for comparison, the
+ * same load sent directly to the workers.
  */
 const measureLoad = async (
   rates: readonly number[],
@@ -108,7 +110,7 @@
       boxes: 1,
       folder: `${tmpdir()}/scalability-node-${process.pid}`,
     });
-    const plan = {
+    const configuration = {
       limits: {
         maxHeaderBytes: 16_384,
         maxBodyBytes: 1_048_576,
@@ -125,7 +127,7 @@
         (await post(
           controllerAddress(0),
           "/plan/change",
-          JSON.stringify({ putItems: plan, remove: { routes: [] } }),
+          JSON.stringify({ putItems: configuration, remove: { routes: [] } }),
         )) === 200,
     );
     let callCount = 0;
@@ -200,11 +202,13 @@
 const cli = new Command("scalability-node");
 cli
   .command("hold <workers> <routes>")
-  .action((workers: string, routes: string) => measureHeldState(Number(workers), Number(routes)));
+  .action((workers: string, routes: string) =>
+    measureStateInProcess(Number(workers), Number(routes)),
+  );
 cli
   .command("measure")
   .requiredOption("--out <file>")
-  .option("--commit <id>", "the commit that is measured", "")
+  .option("--commit <id>", "commit under test", "")
   .action(async ({ out, commit }: { readonly out: string; readonly commit: string }) => {
     const state: UnknownRecord[] = [];
     for (const workers of [250, 2_500, 10_000, 25_000]) state.push(await measureState(workers, 0));
--- a/soak/checks.ts
+++ b/soak/checks.ts
@@ -1,29 +1,30 @@
 /**
- * The checks of a soak. Each reads a history and gives a sentence for each violation; some leave out
- * what the machine's own delays may have brought about, and count it.
+ * Invariant checks of a soak run. Each check reads a history and reports one message per violation.
+ * Some skip observations that may have been caused by delays of the host machine, and count them.
  */
 import { BOUNDS } from "./bounds.js";
-import type { Disturbance, History, RequestRecord, RunRecord } from "./history.js";
+import type { FaultRecord, History, RequestRecord, RunRecord } from "./history.js";
 
-/** What a check found. */
+/** Result of one {@link Check}. */
 export interface CheckResult {
   readonly violations: readonly string[];
-  /** How many observations were judged, and how many left out for the machine's delays. */
+  /** Number of observations that were evaluated. */
   readonly judged: number;
+  /** Number of observations left out because the host machine was delayed at that time. */
   readonly skipped: number;
 }
 
-/** One check. */
+/** Evaluates one invariant over a recorded history. */
 export type Check = (history: History) => CheckResult;
 
-/** Statuses that promise that a request has not run and never will. */
-const PROMISES = new Set([408, 421, 429, 503]);
-/** How long a process may take beyond its grace period to be gone. */
+/** Response statuses which guarantee that the request was not and will not be executed. */
+const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
+/** How long a process may take to exit beyond its grace period. */
 const EXIT_SLACK_US = 1_000_000;
 
-const seconds = (us: number): string => `${(us / 1_000_000).toFixed(3)} s`;
+const formatSeconds = (us: number): string => `${(us / 1_000_000).toFixed(3)} s`;
 
-const judgeAll = <T>(
+const checkEach = <T>(
   items: readonly T[],
   findProblem: (item: T) => string | undefined,
 ): CheckResult => ({
@@ -32,7 +33,7 @@
   skipped: 0,
 });
 
-const runsByAttempt = (runs: readonly RunRecord[]): ReadonlyMap<string, readonly RunRecord[]> => {
+const groupByAttempt = (runs: readonly RunRecord[]): ReadonlyMap<string, readonly RunRecord[]> => {
   const byAttempt = new Map<string, RunRecord[]>();
   runs.forEach((run) =>
     byAttempt.set(run.attemptId, [...(byAttempt.get(run.attemptId) ?? []), run]),
@@ -40,27 +41,30 @@
   return byAttempt;
 };
 
-/** No unsafe request runs twice, and none whose response promised that it had not run. */
+/**
+ * An unsafe request is executed at most once, and never if its response status guarantees that it
+ * was not executed.
+ */
 export const runsAtMostOnce: Check = ({ requests, runs }) => {
-  const byAttempt = runsByAttempt(runs);
+  const byAttempt = groupByAttempt(runs);
   const unsafe = requests.filter(({ isSafe }) => !isSafe);
-  return judgeAll(unsafe, ({ attemptId, gateway, status, sentUs }) => {
+  return checkEach(unsafe, ({ attemptId, gateway, status, sentUs }) => {
     const count = byAttempt.get(attemptId)?.length ?? 0;
-    if (count > 1) return `${attemptId} ran ${count} times (${gateway}, ${seconds(sentUs)})`;
-    return count === 1 && status !== undefined && PROMISES.has(status)
-      ? `${attemptId} ran, and its client got ${status} from ${gateway} (${seconds(sentUs)})`
+    if (count > 1) return `${attemptId} ran ${count} times (${gateway}, ${formatSeconds(sentUs)})`;
+    return count === 1 && status !== undefined && NOT_RUN_STATUSES.has(status)
+      ? `${attemptId} ran, but its client got ${status} from ${gateway} (${formatSeconds(sentUs)})`
       : undefined;
   });
 };
 
-/** Every success has the worker's seal and the complete body of its own attempt. */
+/** Every 200 response carries the worker's seal and the complete body for its own attempt. */
 export const answersBelong: Check = ({ requests }) =>
-  judgeAll(
+  checkEach(
     requests.filter(({ status }) => status === 200),
     ({ attemptId, hasSeal, body, gateway, sentUs }) =>
       hasSeal && body === `answer to ${attemptId}`
         ? undefined
-        : `${attemptId} got "${body}" from ${gateway} (${seconds(sentUs)})`,
+        : `${attemptId} got "${body}" from ${gateway} (${formatSeconds(sentUs)})`,
   );
 
 const overlaps = (
@@ -69,20 +73,26 @@
   toUs: number,
 ): boolean => span.fromUs <= toUs && span.toUs >= fromUs;
 
-/** A gateway is in touch if nothing was done to it, or to a controller, in the contact time before. */
-const wasInTouch = (
-  disturbances: readonly Disturbance[],
+/**
+ * Whether the gateway is expected to have been in contact with the controllers during the request:
+ * no fault affected it or any controller from `contactUs` before the request until its end.
+ */
+const hadControllerContact = (
+  faults: readonly FaultRecord[],
   gateway: string,
   { sentUs, endedUs }: RequestRecord,
 ): boolean =>
-  !disturbances.some(
-    (disturbance) =>
-      (disturbance.process === gateway || disturbance.process.startsWith("controller")) &&
-      overlaps(disturbance, sentUs - BOUNDS.contactUs, endedUs),
+  !faults.some(
+    (fault) =>
+      (fault.process === gateway || fault.process.startsWith("controller")) &&
+      overlaps(fault, sentUs - BOUNDS.contactUs, endedUs),
   );
 
-/** The versions that may be in force for a request: none older than what must be, none never sent. */
-const servicesAllowed = (
+/**
+ * Services that may handle a probe request. Excluded are versions older than the newest one
+ * acknowledged more than `applyUs` before the request, and versions sent only after its end.
+ */
+const allowedServices = (
   { changes }: History,
   { sentUs, endedUs }: RequestRecord,
 ): ReadonlySet<string> => {
@@ -99,86 +109,94 @@
   );
 };
 
-/** After `apply` past an acknowledgement no gateway in touch handles a request by an older version. */
+/**
+ * Once `applyUs` has passed since a change was acknowledged, no gateway in contact with the
+ * controllers handles a request by an older version.
+ */
 export const configurationInForce: Check = (history) => {
-  const { requests, runs, disturbances, machineDelays } = history;
-  const byAttempt = runsByAttempt(runs);
+  const { requests, runs, faults, machineDelays } = history;
+  const byAttempt = groupByAttempt(runs);
   const probes = requests.filter(
-    (request) => request.isProbe && wasInTouch(disturbances, request.gateway, request),
+    (request) => request.isProbe && hadControllerContact(faults, request.gateway, request),
   );
   const judged = probes.filter(
     ({ sentUs, endedUs }) =>
       !machineDelays.some((delay) => overlaps(delay, sentUs - BOUNDS.applyUs, endedUs)),
   );
-  const result = judgeAll(judged, (request) => {
-    const allowed = servicesAllowed(history, request);
-    const wrong = (byAttempt.get(request.attemptId) ?? []).find(
+  const result = checkEach(judged, (request) => {
+    const allowed = allowedServices(history, request);
+    const staleRun = (byAttempt.get(request.attemptId) ?? []).find(
       ({ service }) => !allowed.has(service),
     );
-    return wrong
-      ? `${request.attemptId} was run by ${wrong.service}, which only an older version allows (${request.gateway}, ${seconds(request.sentUs)})`
+    return staleRun
+      ? `${request.attemptId} was handled by ${staleRun.service}, which is valid only in an older version (${request.gateway}, ${formatSeconds(request.sentUs)})`
       : undefined;
   });
   return { ...result, skipped: probes.length - judged.length };
 };
 
-/** A reading of the configuration holds all that was acknowledged before it began. */
+/** A configuration read includes every change that was acknowledged before the read began. */
 export const readsAreCurrent: Check = ({ reads, changes, largeChanges }) =>
-  judgeAll(reads, ({ controller, startUs, probeVersion, routes }) => {
+  checkEach(reads, ({ controller, startUs, probeVersion, routes }) => {
     const isBefore = (acknowledgedUs: number | undefined): boolean =>
       acknowledgedUs !== undefined && acknowledgedUs < startUs;
     const required = changes
       .filter(({ acknowledgedUs }) => isBefore(acknowledgedUs))
       .reduce((highest, { version }) => Math.max(highest, version), 0);
     if (probeVersion < required)
-      return `${controller} showed version ${probeVersion} after ${required} was acknowledged (${seconds(startUs)})`;
+      return `${controller} returned version ${probeVersion} after ${required} was acknowledged (${formatSeconds(startUs)})`;
     const missing = largeChanges
       .filter(({ acknowledgedUs }) => isBefore(acknowledgedUs))
       .flatMap((change) => change.routes)
       .find((route) => !routes.has(route));
     return missing === undefined
       ? undefined
-      : `${controller} lacked the acknowledged route ${missing} (${seconds(startUs)})`;
+      : `${controller} is missing the acknowledged route ${missing} (${formatSeconds(startUs)})`;
   });
 
-/** A gateway that was only told to end cuts off no request that a worker has begun. */
-export const drainsCutNothing: Check = ({ requests, runs, disturbances }) => {
-  const byAttempt = runsByAttempt(runs);
-  const during = requests.filter(
+/**
+ * A gateway that drains after SIGTERM, and was not also killed or frozen, aborts no request that a
+ * worker has begun to execute.
+ */
+export const drainsCutNothing: Check = ({ requests, runs, faults }) => {
+  const byAttempt = groupByAttempt(runs);
+  const requestsDuringDrain = requests.filter(
     ({ gateway, sentUs, endedUs }) =>
-      disturbances.some(
+      faults.some(
         ({ process, kind, fromUs }) =>
           process === gateway &&
           kind === "term" &&
           fromUs <= endedUs &&
           sentUs <= fromUs + 3_000_000,
       ) &&
-      !disturbances.some(
+      !faults.some(
         (other) =>
           other.process === gateway &&
           (other.kind === "kill" || other.kind === "stop") &&
           overlaps(other, sentUs - BOUNDS.contactUs, endedUs),
       ),
   );
-  return judgeAll(during, ({ attemptId, status, gateway, sentUs }) =>
+  return checkEach(requestsDuringDrain, ({ attemptId, status, gateway, sentUs }) =>
     status === undefined && byAttempt.has(attemptId)
-      ? `${attemptId} was cut off by ${gateway}, which was told to end (${seconds(sentUs)})`
+      ? `${attemptId} was aborted by ${gateway} while it was draining (${formatSeconds(sentUs)})`
       : undefined,
   );
 };
 
-/** Processes end when they are told to, within their grace period, and not by themselves. */
+/** A process exits only on SIGTERM or SIGKILL; on SIGTERM with code 0 within its grace period. */
 export const exitsAreAsked: Check = ({ exits }) =>
-  judgeAll(exits, ({ process, atUs, code, termUs, wasKilled }) => {
+  checkEach(exits, ({ process, atUs, code, termUs, wasKilled }) => {
     if (wasKilled) return undefined;
-    if (termUs === undefined) return `${process} ended by itself with ${code} (${seconds(atUs)})`;
-    if (code !== 0) return `${process} ended with ${code} after SIGTERM (${seconds(atUs)})`;
+    if (termUs === undefined)
+      return `${process} exited unexpectedly with code ${code} (${formatSeconds(atUs)})`;
+    if (code !== 0)
+      return `${process} exited with code ${code} after SIGTERM (${formatSeconds(atUs)})`;
     return atUs - termUs > BOUNDS.graceUs + EXIT_SLACK_US
-      ? `${process} took ${seconds(atUs - termUs)} to end`
+      ? `${process} took ${formatSeconds(atUs - termUs)} to exit after SIGTERM`
       : undefined;
   });
 
-/** All checks by name. */
+/** All checks, by the name under which results report them. */
 export const CHECKS: Readonly<Record<string, Check>> = {
   "runs-at-most-once": runsAtMostOnce,
   "answers-belong": answersBelong,
--- a/soak/client.ts
+++ b/soak/client.ts
@@ -1,28 +1,28 @@
-/** Clients that keep using their open connections until the gateway closes them. */
+/** Load clients that reuse their keep-alive connections until the gateway closes them. */
 import { Agent, request, type IncomingMessage } from "node:http";
 import type { HistoryRecorder } from "./history.js";
 import type { Program } from "./program.js";
 import type { SeededRandom } from "../simulator/seeded-random.js";
 
-const TIME_LEFT_MS = 2_000;
+const BUDGET_MS = 2_000;
 const CONNECTIONS = 3;
 const HOST = "soak.example";
 
-/** Where a request goes. */
+/** A route of the configuration, and the kind of requests it takes. */
 export interface ClientRoute {
   readonly path: string;
   readonly isProbe: boolean;
   readonly isSafe: boolean;
 }
 
-/** The routes that clients call. */
+/** The routes that clients send requests to. */
 export const CLIENT_ROUTES: readonly ClientRoute[] = [
   { path: "/safe/", isProbe: false, isSafe: true },
   { path: "/unsafe/", isProbe: false, isSafe: false },
   { path: "/probe/", isProbe: true, isSafe: true },
 ];
 
-/** What the clients of one gateway are made with. */
+/** Options of a {@link Client}. */
 export interface ClientOptions {
   readonly gateway: Program;
   readonly history: HistoryRecorder;
@@ -30,10 +30,10 @@
   readonly random: SeededRandom;
   readonly seed: number;
   /** Milliseconds between requests. */
-  readonly gapMs: number;
+  readonly intervalMs: number;
 }
 
-/** Sends requests to one gateway at a bounded rate. */
+/** Sends requests to one gateway at a fixed rate. */
 export class Client {
   private readonly agent = new Agent({ keepAlive: true, maxSockets: CONNECTIONS });
   private timer: NodeJS.Timeout | undefined;
@@ -42,7 +42,7 @@
   constructor(private readonly options: ClientOptions) {}
 
   readonly start = (): void => {
-    this.timer = setInterval(this.send, this.options.gapMs);
+    this.timer = setInterval(this.send, this.options.intervalMs);
   };
 
   readonly stop = (): void => {
@@ -57,10 +57,10 @@
     const attemptId = `${seed}-${gateway.name}-${this.count}`;
     const sentUs = nowUs();
     let hasResponse = false;
-    let hasEnded = false;
-    const end = (response?: IncomingMessage, body = ""): void => {
-      if (hasEnded) return;
-      hasEnded = true;
+    let isRecorded = false;
+    const recordOutcome = (response?: IncomingMessage, body = ""): void => {
+      if (isRecorded) return;
+      isRecorded = true;
       this.options.history.requests.push({
         attemptId,
         gateway: gateway.name,
@@ -73,7 +73,7 @@
         body,
       });
     };
-    const call = request(
+    const clientRequest = request(
       `http://${gateway.front}${route.path}x`,
       {
         method: route.isSafe ? "GET" : "POST",
@@ -81,7 +81,7 @@
         headers: {
           Host: HOST,
           "Yewreel-Try-Id": attemptId,
-          "Yewreel-Time-Left-Ms": String(TIME_LEFT_MS),
+          "Yewreel-Time-Left-Ms": String(BUDGET_MS),
         },
       },
       (response) => {
@@ -89,15 +89,15 @@
         const chunks: Buffer[] = [];
         response.on("data", (chunk: Buffer) => chunks.push(chunk));
         response.on("error", () => undefined);
-        response.on("close", () => end(response, Buffer.concat(chunks).toString()));
+        response.on("close", () => recordOutcome(response, Buffer.concat(chunks).toString()));
       },
     );
-    const endWithoutResponse = (): void => {
-      if (!hasResponse) end();
+    const recordNoResponse = (): void => {
+      if (!hasResponse) recordOutcome();
     };
-    call.setTimeout(TIME_LEFT_MS * 2, () => call.destroy());
-    call.on("error", endWithoutResponse);
-    call.on("close", endWithoutResponse);
-    call.end();
+    clientRequest.setTimeout(BUDGET_MS * 2, () => clientRequest.destroy());
+    clientRequest.on("error", recordNoResponse);
+    clientRequest.on("close", recordNoResponse);
+    clientRequest.end();
   };
 }
--- a/soak/operator.ts
+++ b/soak/operator.ts
@@ -1,4 +1,4 @@
-/** The operator: changes the configuration in series, and reads it back. */
+/** Simulates an operator who changes the configuration and reads it back. */
 import { asRecord, parseJson, readList, readNumber, readString } from "../src/common/decode.js";
 import { CLIENT_ROUTES } from "./client.js";
 import type { HistoryRecorder } from "./history.js";
@@ -11,10 +11,10 @@
 const CALL_TIMEOUT_MS = 1_500;
 const MAX_CALLS = 8;
 const RETRY_PAUSE_MS = 200;
-/** Statuses that end a change at once: it is not and will not be in force. */
-const REFUSALS = new Set([400, 409, 412, 413, 422]);
+/** Statuses of a final rejection: the change is not and will not be in force; it is not retried. */
+const REJECTED_STATUSES = new Set([400, 409, 412, 413, 422]);
 
-/** What the operator works with. */
+/** Options of an {@link Operator}. */
 export interface OperatorOptions {
   readonly controllers: readonly Program[];
   readonly services: readonly string[];
@@ -23,7 +23,7 @@
   readonly random: SeededRandom;
 }
 
-const ruleOf = (
+const makeRule = (
   name: string,
   version: number,
   service: string,
@@ -41,20 +41,20 @@
 const pause = (waitMs: number): Promise<void> =>
   new Promise((resolve) => setTimeout(resolve, waitMs));
 
-/** Sends changes one after the other; one without a clear answer goes to the next controller. */
+/** Sends changes; one without a definite response is retried on a randomly chosen controller. */
 export class Operator {
   private version = 1;
-  private readonly names = CLIENT_ROUTES.map(({ path }) => `r-${path.replaceAll("/", "")}`);
+  private readonly routeNames = CLIENT_ROUTES.map(({ path }) => `r-${path.replaceAll("/", "")}`);
 
   constructor(private readonly options: OperatorOptions) {}
 
-  /** The first configuration; throws where no controller takes it. */
-  readonly applyFirst = async (): Promise<void> => {
+  /** Sends the initial configuration. Throws if no controller acknowledges it. */
+  readonly applyInitial = async (): Promise<void> => {
     const { services, history, nowUs } = this.options;
     const [service = ""] = services;
     const sentUs = nowUs();
     const rules = CLIENT_ROUTES.map((route, at) =>
-      ruleOf(this.names[at] ?? "", this.version, service, route),
+      makeRule(this.routeNames[at] ?? "", this.version, service, route),
     );
     const groups = services.map((name) => ({
       name,
@@ -76,10 +76,10 @@
       history.changes.push({ version: this.version, service, sentUs, acknowledgedUs });
       return;
     }
-    throw new Error("no controller took the first configuration");
+    throw new Error("no controller acknowledged the initial configuration");
   };
 
-  /** Moves the probe's route to another service. Resolves to whether it was acknowledged. */
+  /** Moves the probe route to another service. Resolves to whether the change was acknowledged. */
   readonly moveProbe = async (): Promise<boolean> => {
     const { services, history, nowUs } = this.options;
     this.version += 1;
@@ -89,28 +89,28 @@
     const probe = CLIENT_ROUTES.findIndex(({ isProbe }) => isProbe);
     const route = CLIENT_ROUTES[probe];
     if (!route) return false;
-    const rules = [ruleOf(PROBE_ROUTE, version, service, route)];
+    const rules = [makeRule(PROBE_ROUTE, version, service, route)];
     const acknowledgedUs = await this.send({ putItems: { listeners: [{ host: HOST, rules }] } });
     history.changes.push({ version, service, sentUs, acknowledgedUs });
     return acknowledgedUs !== undefined;
   };
 
-  /** Adds many routes at once. */
+  /** Adds `count` routes in one change. */
   readonly addRoutes = async (count: number): Promise<void> => {
     const { services, history } = this.options;
     this.version += 1;
     const { version } = this;
     const names = Array.from({ length: count }, (_, at) => `r-large-${version}-${at}`);
     const rules = names.map((name) =>
-      ruleOf(name, version, services[0] ?? "", { path: `/${name}/`, isSafe: true }),
+      makeRule(name, version, services[0] ?? "", { path: `/${name}/`, isSafe: true }),
     );
     const acknowledgedUs = await this.send({ putItems: { listeners: [{ host: HOST, rules }] } });
     history.largeChanges.push({ routes: names, acknowledgedUs });
   };
 
-  /** Sends a change that is invalid. Resolves to whether it was refused, or not answered at all. */
+  /** Sends an invalid change. Resolves to true if it was rejected or never answered. */
   readonly sendInvalid = async (): Promise<boolean> => {
-    const rules = [ruleOf("r-wrong", 1, "no-such-service", { path: "/wrong/", isSafe: true })];
+    const rules = [makeRule("r-wrong", 1, "no-such-service", { path: "/wrong/", isSafe: true })];
     return (await this.send({ putItems: { listeners: [{ host: HOST, rules }] } })) === undefined;
   };
 
@@ -132,7 +132,7 @@
     });
   };
 
-  /** When the change was acknowledged; undefined where it was refused or never answered clearly. */
+  /** Resolves to the time of the acknowledgement; undefined if rejected or if all calls failed. */
   private readonly send = async (change: unknown): Promise<number | undefined> => {
     const { controllers, nowUs, random } = this.options;
     const body = JSON.stringify(change);
@@ -146,7 +146,7 @@
         CALL_TIMEOUT_MS,
       );
       if (reply?.status === 200) return nowUs();
-      if (reply && REFUSALS.has(reply.status)) return undefined;
+      if (reply && REJECTED_STATUSES.has(reply.status)) return undefined;
       await pause(RETRY_PAUSE_MS);
     }
     return undefined;
--- a/soak/run.ts
+++ b/soak/run.ts
@@ -1,22 +1,23 @@
 /**
- * `npm run soak`: plays seeds on real programs over loopback and ends with code 1 if a check finds
- * something, 3 if too much had to be left out for the machine's own delays, 2 for wrong options.
+ * `npm run soak`: runs seeded schedules against real programs over loopback. Exits with code 1 if a
+ * check finds a violation, 2 for invalid options, and 3 if too many observations were skipped
+ * because of delays of the host machine.
  */
 import { writeFile } from "node:fs/promises";
 import { Command } from "commander";
 import { CHECKS } from "./checks.js";
 import { drawSchedule } from "./schedule.js";
-import { playSoak } from "./soak-run.js";
+import { runSoak } from "./soak-run.js";
 
-const FOUND = 1;
-const WRONG_OPTIONS = 2;
-const INCONCLUSIVE = 3;
-const INTERRUPTED = 130;
-/** With more than this part of the observations left out a run tells nothing. */
+const EXIT_VIOLATIONS = 1;
+const EXIT_INVALID_OPTIONS = 2;
+const EXIT_INCONCLUSIVE = 3;
+const EXIT_INTERRUPTED = 130;
+/** A run with a larger fraction of skipped observations is inconclusive. */
 const MAX_SKIPPED_FRACTION = 0.05;
 const MAX_GATEWAYS = 200;
 
-/** What is told of one seed. */
+/** Result of one seed, as the `--json` file contains it. */
 interface SeedReport {
   readonly seed: number;
   readonly requests: number;
@@ -25,13 +26,13 @@
   readonly judged: number;
   readonly skipped: number;
   readonly violations: readonly string[];
-  /** Where the programs' output is; empty where nothing was found. */
+  /** Folder with the settings, data and output of the programs. */
   readonly folder: string;
 }
 
 const runSeed = async (seed: number, durationMs: number, gateways: number): Promise<SeedReport> => {
   const schedule = drawSchedule(seed, durationMs);
-  const { history, failures, folder } = await playSoak({ schedule, gateways, keepsFiles: true });
+  const { history, failures, folder } = await runSoak({ schedule, gateways, keepsFiles: true });
   const results = Object.entries(CHECKS).map(([name, check]) => ({ name, ...check(history) }));
   const found = results.flatMap(({ name, violations }) =>
     violations.map((violation) => `${name}: ${violation}`),
@@ -40,7 +41,7 @@
     seed,
     requests: history.requests.length,
     changes: history.changes.length + history.largeChanges.length,
-    signals: history.disturbances.length,
+    signals: history.faults.length,
     judged: results.reduce((sum, { judged }) => sum + judged, 0),
     skipped: results.reduce((sum, { skipped }) => sum + skipped, 0),
     violations: [...failures.map((failure) => `failure: ${failure}`), ...found],
@@ -48,40 +49,40 @@
   };
 };
 
-const lineOf = (report: SeedReport): string => {
+const formatReport = (report: SeedReport): string => {
   const { seed, requests, changes, signals, judged, skipped, violations, folder } = report;
   const counts = `${requests} requests, ${changes} changes, ${signals} signals, ${judged} judged, ${skipped} skipped`;
   const found = violations.slice(0, 10).map((violation) => `\n  ${violation}`);
   const where = violations.length > 0 ? `\n  output: ${folder}` : "";
-  return `seed ${seed}: ${counts}, ${violations.length} found${found.join("")}${where}\n`;
+  return `seed ${seed}: ${counts}, ${violations.length} violations${found.join("")}${where}\n`;
 };
 
 const exitCodeOf = (reports: readonly SeedReport[]): number => {
-  if (reports.some(({ violations }) => violations.length > 0)) return FOUND;
+  if (reports.some(({ violations }) => violations.length > 0)) return EXIT_VIOLATIONS;
   const judged = reports.reduce((sum, report) => sum + report.judged, 0);
   const skipped = reports.reduce((sum, report) => sum + report.skipped, 0);
-  return skipped > (judged + skipped) * MAX_SKIPPED_FRACTION ? INCONCLUSIVE : 0;
+  return skipped > (judged + skipped) * MAX_SKIPPED_FRACTION ? EXIT_INCONCLUSIVE : 0;
 };
 
 const run = async (options: Readonly<Record<string, string>>): Promise<void> => {
   const [seeds, from, seconds, gateways] = ["seeds", "from", "seconds", "gateways"].map((name) =>
     Number(options[name]),
   );
-  const areWhole = [seeds, from, seconds, gateways].every(
+  const areValid = [seeds, from, seconds, gateways].every(
     (value): value is number => value !== undefined && Number.isSafeInteger(value) && value > 0,
   );
-  if (!areWhole || !seeds || !from || !seconds || !gateways || gateways > MAX_GATEWAYS) {
+  if (!areValid || !seeds || !from || !seconds || !gateways || gateways > MAX_GATEWAYS) {
     process.stderr.write(
-      `soak: seeds, from, seconds and gateways are whole numbers from 1 on, gateways up to ${MAX_GATEWAYS}\n`,
+      `soak: --seeds, --from, --seconds and --gateways must be positive integers, --gateways at most ${MAX_GATEWAYS}\n`,
     );
-    process.exitCode = WRONG_OPTIONS;
+    process.exitCode = EXIT_INVALID_OPTIONS;
     return;
   }
   const reports: SeedReport[] = [];
   for (let seed = from; seed < from + seeds; seed += 1) {
     const report = await runSeed(seed, seconds * 1_000, gateways);
     reports.push(report);
-    process.stdout.write(lineOf(report));
+    process.stdout.write(formatReport(report));
   }
   const { json } = options;
   if (json !== undefined)
@@ -92,15 +93,20 @@
   process.exitCode = exitCodeOf(reports);
 };
 
-process.on("SIGINT", () => process.exit(INTERRUPTED));
-process.on("SIGTERM", () => process.exit(INTERRUPTED));
+process.on("SIGINT", () => process.exit(EXIT_INTERRUPTED));
+process.on("SIGTERM", () => process.exit(EXIT_INTERRUPTED));
 await new Command("soak")
-  .description("plays seeded schedules on real programs over loopback and checks what was seen")
-  .option("--seeds <n>", "how many seeds are played, one after the other", "3")
-  .option("--from <seed>", "the first of them; --seeds 1 plays one again", "1")
-  .option("--seconds <n>", "how long each is", "20")
-  .option("--gateways <n>", "how many gateways there are, beside three controllers", "4")
-  .option("--json <file>", "writes the reports there")
-  .addHelpText("after", "\nExit codes: 0 nothing found, 1 found, 2 wrong options, 3 inconclusive.")
+  .description(
+    "runs seeded schedules against real programs over loopback and checks the recorded history",
+  )
+  .option("--seeds <n>", "number of seeds to run, one after another", "3")
+  .option("--from <seed>", "first seed; with --seeds 1, repeats that seed", "1")
+  .option("--seconds <n>", "duration of each run", "20")
+  .option("--gateways <n>", "number of gateways, in addition to three controllers", "4")
+  .option("--json <file>", "write the reports to this file")
+  .addHelpText(
+    "after",
+    "\nExit codes: 0 no violations, 1 violations, 2 invalid options, 3 inconclusive.",
+  )
   .action(run)
   .parseAsync();
--- a/soak/schedule.ts
+++ b/soak/schedule.ts
@@ -1,7 +1,7 @@
-/** What a run does to its processes and its configuration, drawn from a seed. */
+/** Schedules of faults and configuration changes, drawn from a seed. */
 import { SeededRandom } from "../simulator/seeded-random.js";
 
-/** One thing that is done, and when, in milliseconds from the start. */
+/** An action and its time in milliseconds from the start of the run. */
 export type Action =
   | { readonly kind: "move-probe" | "add-routes" | "send-invalid" | "read"; readonly atMs: number }
   | { readonly kind: "kill-all-controllers"; readonly atMs: number }
@@ -12,34 +12,34 @@
       readonly slot: number;
     };
 
-/** A run's actions, in order. */
+/** The actions of a run, in order of time. */
 export interface SoakSchedule {
   readonly seed: number;
   readonly durationMs: number;
   readonly actions: readonly Action[];
 }
 
-const CHANGE_GAP_MS = 900;
-const READ_GAP_MS = 400;
-const FAULT_GAP_MS = 2_500;
-/** No fault begins so near to the end, so that all are up again when everything is read back. */
-const QUIET_END_MS = 6_000;
+const MEAN_CHANGE_INTERVAL_MS = 900;
+const MEAN_READ_INTERVAL_MS = 400;
+const MEAN_FAULT_INTERVAL_MS = 2_500;
+/** No fault begins this close to the end, so that all programs are up again for the final reads. */
+const FAULT_FREE_END_MS = 6_000;
 const FAULTS = ["terminate", "kill", "freeze"] as const;
 const ALL_CONTROLLERS_PROBABILITY = 0.1;
-/** Of the other faults, those that hit a gateway. */
+/** Probability that a fault of a single program hits a gateway, not a controller. */
 const GATEWAY_PROBABILITY = 0.65;
 const LARGE_CHANGE_PROBABILITY = 0.1;
 const INVALID_PROBABILITY = 0.1;
-/** Slots are taken modulo the number of programs of the role. */
+/** Upper bound of slots, which are taken modulo the number of programs of the role. */
 const MAX_SLOT = 10_000;
 
-/** Half to one and a half of the mean gap. */
-const nextGapMs = (gapMs: number, random: SeededRandom): number =>
-  gapMs / 2 + random.integer(0, gapMs);
+/** Draws an interval between 0.5 and 1.5 times the mean. */
+const drawIntervalMs = (meanMs: number, random: SeededRandom): number =>
+  meanMs / 2 + random.integer(0, meanMs);
 
-const everyMs = (gapMs: number, untilMs: number, random: SeededRandom): readonly number[] => {
+const drawTimesMs = (meanMs: number, untilMs: number, random: SeededRandom): readonly number[] => {
   const times: number[] = [];
-  for (let atMs = random.integer(0, gapMs); atMs < untilMs; atMs += nextGapMs(gapMs, random))
+  for (let atMs = random.integer(0, meanMs); atMs < untilMs; atMs += drawIntervalMs(meanMs, random))
     times.push(atMs);
   return times;
 };
@@ -55,13 +55,18 @@
   return { kind: random.occurs(INVALID_PROBABILITY) ? "send-invalid" : "move-probe", atMs };
 };
 
-/** Draws the schedule of a seed. */
+/** Draws a schedule; the same seed and duration give the same schedule. */
 export const drawSchedule = (seed: number, durationMs: number): SoakSchedule => {
   const random = new SeededRandom(seed);
   const actions: Action[] = [
-    ...everyMs(CHANGE_GAP_MS, durationMs - 2_000, random).map((atMs) => drawChange(atMs, random)),
-    ...everyMs(READ_GAP_MS, durationMs, random).map((atMs): Action => ({ kind: "read", atMs })),
-    ...everyMs(FAULT_GAP_MS, durationMs - QUIET_END_MS, random).map((atMs) =>
+    ...drawTimesMs(MEAN_CHANGE_INTERVAL_MS, durationMs - 2_000, random).map((atMs) =>
+      drawChange(atMs, random),
+    ),
+    ...drawTimesMs(MEAN_READ_INTERVAL_MS, durationMs, random).map((atMs): Action => ({
+      kind: "read",
+      atMs,
+    })),
+    ...drawTimesMs(MEAN_FAULT_INTERVAL_MS, durationMs - FAULT_FREE_END_MS, random).map((atMs) =>
       drawFault(atMs, random),
     ),
   ];
--- a/soak/soak-run.ts
+++ b/soak/soak-run.ts
@@ -1,11 +1,11 @@
-/** Plays one schedule on real programs over loopback, and gives what was recorded. */
+/** Runs one schedule against real programs over loopback and records the history. */
 import { mkdtemp, rm } from "node:fs/promises";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import { messageOf } from "../src/common/errors.js";
 import { BOUNDS } from "./bounds.js";
 import { Client } from "./client.js";
-import { HistoryRecorder, type Disturbance, type History } from "./history.js";
+import { HistoryRecorder, type FaultRecord, type History } from "./history.js";
 import { callApi } from "./http-call.js";
 import { Operator } from "./operator.js";
 import { Program } from "./program.js";
@@ -15,32 +15,32 @@
 
 const CONTROLLERS = 3;
 const SERVICES = ["s0", "s1", "s2", "s3"] as const;
-const WORKERS_A_SERVICE = 2;
-const CLIENT_GAP_MS = 40;
+const WORKERS_PER_SERVICE = 2;
+const CLIENT_INTERVAL_MS = 40;
 const LARGE_CHANGE_ROUTES = 1_200;
 const FREEZE_MS = 1_200;
 const RESTART_MS = 300;
 const START_TIMEOUT_MS = 20_000;
 const POLL_MS = 100;
 const DELAY_CHECK_MS = 50;
-/** A plain timer that is so late shows that the machine, not a program, was slow. */
+/** A timer of the test process that fires this late shows that the host machine was delayed. */
 const MACHINE_DELAY_US = 250_000;
 
-/** What a run is made with. */
+/** Options of {@link runSoak}. */
 export interface SoakRunOptions {
   readonly schedule: SoakSchedule;
-  /** How many gateways there are. */
+  /** Number of gateways. */
   readonly gateways: number;
-  /** Whether the programs' files are kept afterwards. */
+  /** Whether the files of the programs are kept after the run. */
   readonly keepsFiles: boolean;
 }
 
-/** What a run gives. */
+/** Result of {@link runSoak}. */
 export interface SoakRunResult {
   readonly history: History;
-  /** What did not come about in time, such as a gateway that never became ready again. */
+  /** Errors of actions, such as a gateway that did not become ready again in time. */
   readonly failures: readonly string[];
-  /** Where settings, data and output of the programs are, if they were kept. */
+  /** Folder with the settings, data and output of the programs, if they were kept. */
   readonly folder: string;
 }
 
@@ -48,7 +48,7 @@
   new Promise((resolve) => setTimeout(resolve, waitMs));
 const nowUs = (): number => Math.round(performance.now() * 1_000);
 
-/** The programs, workers, clients and the operator of one run. */
+/** The programs, workers, clients and operator of one run. */
 class SoakFleet {
   readonly history = new HistoryRecorder();
   readonly failures: string[] = [];
@@ -58,7 +58,7 @@
   private readonly workers: readonly Worker[];
   private readonly clients: readonly Client[];
   private readonly random: SeededRandom;
-  private readonly disturbed = new Set<Program>();
+  private readonly faultyPrograms = new Set<Program>();
   private delayTimer: NodeJS.Timeout | undefined;
 
   constructor(folder: string, { schedule, gateways }: SoakRunOptions) {
@@ -71,7 +71,7 @@
       { length: CONTROLLERS },
       (_, at) => `127.${subnet}.0.${at + 1}`,
     );
-    const program = (role: "gateway" | "controller", at: number): Program =>
+    const makeProgram = (role: "gateway" | "controller", at: number): Program =>
       new Program({
         name: `${role}-${at + 1}`,
         role,
@@ -83,19 +83,19 @@
         history,
         nowUs,
       });
-    this.controllers = controllerIps.map((_, at) => program("controller", at));
-    this.gateways = Array.from({ length: gateways }, (_, at) => program("gateway", at));
+    this.controllers = controllerIps.map((_, at) => makeProgram("controller", at));
+    this.gateways = Array.from({ length: gateways }, (_, at) => makeProgram("gateway", at));
     const { random, controllers } = this;
     this.operator = new Operator({ controllers, services: SERVICES, history, nowUs, random });
     this.workers = SERVICES.flatMap((service, serviceAt) =>
       Array.from(
-        { length: WORKERS_A_SERVICE },
+        { length: WORKERS_PER_SERVICE },
         (_, at) =>
           new Worker({
             id: `${service}-${at}`,
             service,
             zone: zones[at % zones.length] ?? "",
-            ip: `127.${subnet}.2.${serviceAt * WORKERS_A_SERVICE + at + 1}`,
+            ip: `127.${subnet}.2.${serviceAt * WORKERS_PER_SERVICE + at + 1}`,
             controllers: controllers.map(({ control }) => control),
             history,
             nowUs,
@@ -104,30 +104,31 @@
       ),
     );
     this.clients = this.gateways.map(
-      (gateway) => new Client({ gateway, history, nowUs, random, seed, gapMs: CLIENT_GAP_MS }),
+      (gateway) =>
+        new Client({ gateway, history, nowUs, random, seed, intervalMs: CLIENT_INTERVAL_MS }),
     );
   }
 
-  /** Starts everything; throws where the gateways aren't ready in time. */
+  /** Starts everything. Throws if a gateway is not ready in time. */
   readonly start = async (): Promise<void> => {
     await Promise.all(
       [...this.controllers, ...this.gateways].map((program) => program.start(true)),
     );
-    await this.operator.applyFirst();
+    await this.operator.applyInitial();
     await Promise.all(this.workers.map((worker) => worker.start(BOUNDS.heartbeatUs / 1_000)));
-    await Promise.all(this.gateways.map(this.untilReady));
-    this.watchMachine();
+    await Promise.all(this.gateways.map(this.waitUntilReady));
+    this.monitorMachine();
     this.clients.forEach((client) => client.start());
   };
 
-  /** Plays the actions, each at its time, whether or not earlier ones have ended. */
-  readonly play = async ({ actions, durationMs }: SoakSchedule): Promise<void> => {
+  /** Starts each action at its time, whether or not earlier actions have finished. */
+  readonly run = async ({ actions, durationMs }: SoakSchedule): Promise<void> => {
     const startMs = nowUs() / 1_000;
     const running: Promise<void>[] = [];
     for (const action of actions) {
       await pause(Math.max(0, startMs + action.atMs - nowUs() / 1_000));
       running.push(
-        this.act(action).catch((error: unknown) => void this.failures.push(messageOf(error))),
+        this.execute(action).catch((error: unknown) => void this.failures.push(messageOf(error))),
       );
     }
     await pause(Math.max(0, startMs + durationMs - nowUs() / 1_000));
@@ -143,7 +144,7 @@
     await Promise.all([...this.controllers, ...this.gateways].map((program) => program.close()));
   };
 
-  private readonly act = async (action: Action): Promise<void> => {
+  private readonly execute = async (action: Action): Promise<void> => {
     const { operator, controllers, random } = this;
     switch (action.kind) {
       case "move-probe":
@@ -158,29 +159,32 @@
       case "read":
         return operator.read(random.pick(controllers));
       case "kill-all-controllers":
-        // The worst moment is right after an acknowledgement.
+        // Right after an acknowledgement, a change that is not yet durable would be lost.
         await operator.moveProbe();
-        await Promise.all(controllers.map((controller) => this.disturb(controller, "kill")));
+        await Promise.all(controllers.map((controller) => this.injectFault(controller, "kill")));
         return;
       default: {
         const programs = action.role === "gateway" ? this.gateways : controllers;
         const program = programs[action.slot % programs.length];
-        if (program) await this.disturb(program, action.kind);
+        if (program) await this.injectFault(program, action.kind);
       }
     }
   };
 
-  /** Does something to a program that nothing is being done to, until it is up again. */
-  private readonly disturb = async (
+  /**
+   * Injects a fault and waits until the program is up again. Does nothing while another fault of
+   * this program is in progress.
+   */
+  private readonly injectFault = async (
     program: Program,
     action: "terminate" | "kill" | "freeze",
   ): Promise<void> => {
-    if (this.disturbed.has(program)) return;
-    this.disturbed.add(program);
+    if (this.faultyPrograms.has(program)) return;
+    this.faultyPrograms.add(program);
     const kinds = { terminate: "term", kill: "kill", freeze: "stop" } as const;
-    const disturbance = { process: program.name, kind: kinds[action], fromUs: nowUs() };
-    const open: Disturbance = { ...disturbance, toUs: Number.POSITIVE_INFINITY };
-    this.history.disturbances.push(open);
+    const fault = { process: program.name, kind: kinds[action], fromUs: nowUs() };
+    const ongoing: FaultRecord = { ...fault, toUs: Number.POSITIVE_INFINITY };
+    this.history.faults.push(ongoing);
     if (action === "freeze") {
       program.freeze();
       await pause(FREEZE_MS);
@@ -189,23 +193,25 @@
       await (action === "kill" ? program.kill() : program.terminate());
       await pause(RESTART_MS);
       await program.start(false);
-      await this.untilUp(program);
+      await this.waitUntilUp(program);
     }
-    const { disturbances } = this.history;
-    disturbances[disturbances.indexOf(open)] = { ...disturbance, toUs: nowUs() };
-    this.disturbed.delete(program);
+    const { faults } = this.history;
+    faults[faults.indexOf(ongoing)] = { ...fault, toUs: nowUs() };
+    this.faultyPrograms.delete(program);
   };
 
-  private readonly untilUp = (program: Program): Promise<void> =>
-    program.options.role === "gateway" ? this.untilReady(program) : this.untilAnswering(program);
+  private readonly waitUntilUp = (program: Program): Promise<void> =>
+    program.options.role === "gateway"
+      ? this.waitUntilReady(program)
+      : this.waitUntilAnswering(program);
 
-  private readonly untilReady = (gateway: Program): Promise<void> =>
-    this.until(gateway.ready, "/ready", [200], `${gateway.name} is ready`);
+  private readonly waitUntilReady = (gateway: Program): Promise<void> =>
+    this.waitForStatus(gateway.ready, "/ready", [200], `${gateway.name} is ready`);
 
-  private readonly untilAnswering = (controller: Program): Promise<void> =>
-    this.until(controller.control, "/tell/copy", [200], `${controller.name} answers`);
+  private readonly waitUntilAnswering = (controller: Program): Promise<void> =>
+    this.waitForStatus(controller.control, "/tell/copy", [200], `${controller.name} answers`);
 
-  private readonly until = async (
+  private readonly waitForStatus = async (
     address: string,
     path: string,
     statuses: readonly number[],
@@ -217,11 +223,11 @@
       if (reply && statuses.includes(reply.status)) return;
       await pause(POLL_MS);
     }
-    throw new Error(`within ${START_TIMEOUT_MS} ms it never came to be that ${what}`);
+    throw new Error(`timed out after ${START_TIMEOUT_MS} ms waiting until ${what}`);
   };
 
-  /** A plain timer beside the run tells when the machine itself is late. */
-  private readonly watchMachine = (): void => {
+  /** Records when the host machine is delayed, by how late a timer of the test process fires. */
+  private readonly monitorMachine = (): void => {
     let dueUs = nowUs() + DELAY_CHECK_MS * 1_000;
     this.delayTimer = setInterval(() => {
       const atUs = nowUs();
@@ -232,13 +238,13 @@
   };
 }
 
-/** Plays a schedule from the start of all programs to their end. */
-export const playSoak = async (options: SoakRunOptions): Promise<SoakRunResult> => {
+/** Starts all programs, runs a schedule and stops the programs. */
+export const runSoak = async (options: SoakRunOptions): Promise<SoakRunResult> => {
   const folder = await mkdtemp(join(tmpdir(), "yewreel-soak-"));
   const fleet = new SoakFleet(folder, options);
   try {
     await fleet.start();
-    await fleet.play(options.schedule);
+    await fleet.run(options.schedule);
   } finally {
     await fleet.close();
     if (!options.keepsFiles) await rm(folder, { recursive: true, force: true });
