--- a/features/steps/forecast.ts
+++ b/features/steps/forecast.ts
@@ -22,251 +22,276 @@
 const ZONES = ["c1", "c2", "c3", "c4"];
 
 interface Run {
-  /** Seconds into the run at which each verdict was entered. */
-  readonly entered: readonly { readonly atS: number; readonly verdict: CapacityState }[];
-  /** When the slots were first all wanted. */
-  readonly fullS: number;
+  /** Each change of the capacity state, with the time in seconds since the start of the run. */
+  readonly transitions: readonly { readonly atS: number; readonly state: CapacityState }[];
+  /** When the demand first reached all slots, in seconds; infinite if it never did. */
+  readonly saturatedS: number;
 }
 
-interface Moment {
-  readonly part: number;
+/** The conditions during one reporting interval. */
+interface LoadPhase {
+  /** Demand as a fraction of all initial slots, at the normal call duration. */
+  readonly load: number;
   readonly slots: number;
-  readonly slower: number;
+  /** Factor on the normal call duration. */
+  readonly slowdown: number;
 }
 
+/** Nodes that send calls to one service and report their load to a capacity forecaster. */
 class Simulation {
   readonly clock = new ManualClock();
-  readonly counts = Array.from({ length: NODES }, (_, at) => new LoadCounters(`life-${at}`));
+  readonly counters = Array.from(
+    { length: NODES },
+    (_, index) => new LoadCounters(`life-${index}`),
+  );
   slots = SLOTS;
-  holds = true;
-  published: Readonly<Record<string, CapacityState>> = {};
-  publishes = 0;
+  isLeader = true;
+  publishedStates: Readonly<Record<string, CapacityState>> = {};
+  publishCount = 0;
   readonly forecaster = new CapacityForecaster({
     clock: this.clock,
     log: silentLogger,
     settings: FORECAST_SETTINGS,
-    isLeader: () => this.holds,
+    isLeader: () => this.isLeader,
     nodes: () => NODES,
     workers: () =>
-      Array.from({ length: this.slots / 2 }, (_, at) => ({
-        id: `w${at}`,
+      Array.from({ length: this.slots / 2 }, (_, index) => ({
+        id: `w${index}`,
         service: "s",
-        zone: ZONES[at % 4] ?? "",
+        zone: ZONES[index % 4] ?? "",
         capacity: 2,
         isRoutable: true,
       })),
-    published: () => this.published,
-    publish: async (verdicts) => {
-      this.published = verdicts;
-      this.publishes += 1;
+    published: () => this.publishedStates,
+    publish: async (states) => {
+      this.publishedStates = states;
+      this.publishCount += 1;
       return true;
     },
   });
 
-  readonly verdict = (): CapacityState => this.forecaster.states()["s|"] ?? "unknown";
+  readonly capacityState = (): CapacityState => this.forecaster.states()["s|"] ?? "unknown";
 
-  /** Two seconds: a number of calls that scatters as independent arrivals do, over all nodes. */
-  readonly tick = async (random: () => number, { part, slots, slower }: Moment): Promise<void> => {
+  /**
+   * Simulates two seconds. The number of calls varies about as much as that of independent arrivals;
+   * the calls are spread randomly over all nodes.
+   */
+  readonly tick = async (
+    random: () => number,
+    { load, slots, slowdown }: LoadPhase,
+  ): Promise<void> => {
     this.slots = slots;
-    const perTick = (part * SLOTS * 2_000_000) / CALL_US;
-    const count = Math.max(
+    const meanCalls = (load * SLOTS * 2_000_000) / CALL_US;
+    const callCount = Math.max(
       0,
-      Math.round(perTick + Math.sqrt(perTick) * (random() + random() + random() - 1.5) * 2),
+      Math.round(meanCalls + Math.sqrt(meanCalls) * (random() + random() + random() - 1.5) * 2),
     );
-    for (let at = 0; at < count; at += 1) {
-      const counts = this.counts[Math.floor(random() * NODES)];
-      counts?.arrived("s");
-      counts?.answered(
+    for (let index = 0; index < callCount; index += 1) {
+      const nodeCounters = this.counters[Math.floor(random() * NODES)];
+      nodeCounters?.arrived("s");
+      nodeCounters?.answered(
         "s",
         ZONES[Math.floor(random() * 4)] ?? "",
-        CALL_US * slower * (0.5 + random()),
+        CALL_US * slowdown * (0.5 + random()),
       );
     }
-    this.reports().forEach(this.forecaster.receive);
-    await this.pass();
+    this.takeReports().forEach(this.forecaster.receive);
+    await this.advance();
   };
 
-  readonly reports = (): readonly Message[] =>
-    this.counts.flatMap((counts, at) => {
-      const report = counts.takeReport();
-      return report ? [{ ...report, node: `n${at}` }] : [];
+  readonly takeReports = (): readonly Message[] =>
+    this.counters.flatMap((nodeCounters, index) => {
+      const report = nodeCounters.takeReport();
+      return report ? [{ ...report, node: `n${index}` }] : [];
     });
 
-  readonly pass = async (): Promise<void> => {
+  readonly advance = async (): Promise<void> => {
     await this.clock.pass(2_000_000);
     await this.forecaster.tick();
   };
 }
 
-const play = async (
+const simulateRun = async (
   seed: number,
   seconds: number,
-  momentAt: (atS: number) => Moment,
+  loadAt: (atS: number) => LoadPhase,
 ): Promise<Run> => {
   const simulation = new Simulation();
   const random = seeded(seed * 7_919 + 13);
-  const entered: { atS: number; verdict: CapacityState }[] = [];
-  let fullS = Number.POSITIVE_INFINITY;
+  const transitions: { atS: number; state: CapacityState }[] = [];
+  let saturatedS = Number.POSITIVE_INFINITY;
   for (let atS = 0; atS < seconds; atS += 2) {
-    const moment = momentAt(atS);
-    if (moment.part * moment.slower * SLOTS >= moment.slots) fullS = Math.min(fullS, atS);
-    await simulation.tick(random, moment);
-    const result = simulation.verdict();
-    if (result !== (entered[entered.length - 1]?.verdict ?? "unknown"))
-      entered.push({ atS: atS + 2, verdict: result });
+    const phase = loadAt(atS);
+    if (phase.load * phase.slowdown * SLOTS >= phase.slots) saturatedS = Math.min(saturatedS, atS);
+    await simulation.tick(random, phase);
+    const current = simulation.capacityState();
+    if (current !== (transitions[transitions.length - 1]?.state ?? "unknown"))
+      transitions.push({ atS: atS + 2, state: current });
   }
-  return { entered, fullS };
+  return { transitions, saturatedS };
 };
 
 let runs: readonly Run[] = [];
 let simulation = new Simulation();
 
-const playAll = async (
+const simulateRuns = async (
   count: number,
   seconds: number,
-  momentAt: (atS: number) => Moment,
+  loadAt: (atS: number) => LoadPhase,
 ): Promise<void> => {
-  const played: Run[] = [];
-  for (let seed = 1; seed <= count; seed += 1) played.push(await play(seed, seconds, momentAt));
-  runs = played;
+  const finished: Run[] = [];
+  for (let seed = 1; seed <= count; seed += 1)
+    finished.push(await simulateRun(seed, seconds, loadAt));
+  runs = finished;
 };
 
-const warnedS = (run: Run): number =>
-  run.entered.find(({ verdict: result }) => result === "nearing" || result === "overrun")?.atS ??
-  Number.POSITIVE_INFINITY;
+const firstWarningS = (run: Run): number =>
+  run.transitions.find(({ state: current }) => current === "nearing" || current === "overrun")
+    ?.atS ?? Number.POSITIVE_INFINITY;
 
 When(
-  "{int} runs of a ramp from {int}% to {int}% over {int} s are played",
-  (count: number, from: number, to: number, seconds: number) =>
-    playAll(count, seconds + 40, (atS) => ({
-      part: (from + (to - from) * Math.min(1, Math.max(0, atS - 40) / seconds)) / 100,
+  "{int} runs with a load ramp from {int}% to {int}% over {int} s are simulated",
+  (count: number, fromPercent: number, toPercent: number, seconds: number) =>
+    simulateRuns(count, seconds + 40, (atS) => ({
+      load:
+        (fromPercent + (toPercent - fromPercent) * Math.min(1, Math.max(0, atS - 40) / seconds)) /
+        100,
       slots: SLOTS,
-      slower: 1,
+      slowdown: 1,
     })),
 );
 When(
-  "{int} runs of a level of {int}% are played while a worker is lost every {int} s from {int} s on",
-  (count: number, level: number, gap: number, from: number) =>
-    playAll(count, 200, (atS) => ({
-      part: level / 100,
-      slots: Math.max(2, SLOTS - 2 * Math.floor(Math.max(0, atS - from) / gap)),
-      slower: 1,
+  "{int} runs with a load of {int}% are simulated while a worker is lost every {int} s from {int} s on",
+  (count: number, loadPercent: number, intervalS: number, startS: number) =>
+    simulateRuns(count, 200, (atS) => ({
+      load: loadPercent / 100,
+      slots: Math.max(2, SLOTS - 2 * Math.floor(Math.max(0, atS - startS) / intervalS)),
+      slowdown: 1,
     })),
 );
 When(
-  "{int} runs of a level of {int}% are played while calls take longer by {int}% a second from {int} s on",
-  (count: number, level: number, percent: number, from: number) =>
-    playAll(count, 200, (atS) => ({
-      part: level / 100,
+  "{int} runs with a load of {int}% are simulated while calls slow down by {int}% per second from {int} s on",
+  (count: number, loadPercent: number, percentPerS: number, startS: number) =>
+    simulateRuns(count, 200, (atS) => ({
+      load: loadPercent / 100,
       slots: SLOTS,
-      slower: 1 + (Math.max(0, atS - from) * percent) / 100,
+      slowdown: 1 + (Math.max(0, atS - startS) * percentPerS) / 100,
     })),
 );
 When(
-  "{int} runs of a level of {int}% with waves of {int}% every {int} s are played",
-  (count: number, level: number, swing: number, period: number) =>
-    playAll(count, 120, (atS) => ({
-      part: (level / 100) * (1 + (swing / 100) * Math.sin((2 * Math.PI * atS) / period)),
+  "{int} runs with a load of {int}% that oscillates by {int}% every {int} s are simulated",
+  (count: number, loadPercent: number, amplitude: number, period: number) =>
+    simulateRuns(count, 120, (atS) => ({
+      load: (loadPercent / 100) * (1 + (amplitude / 100) * Math.sin((2 * Math.PI * atS) / period)),
       slots: SLOTS,
-      slower: 1,
+      slowdown: 1,
     })),
 );
-When("{int} runs of a level of {int}% are played", (count: number, level: number) =>
-  playAll(count, 120, () => ({ part: level / 100, slots: SLOTS, slower: 1 })),
+When("{int} runs with a load of {int}% are simulated", (count: number, loadPercent: number) =>
+  simulateRuns(count, 120, () => ({ load: loadPercent / 100, slots: SLOTS, slowdown: 1 })),
 );
 When(
-  "a step from {int}% to {int}% and back after {int} s is played",
-  (from: number, to: number, lasts: number) =>
-    playAll(1, 160, (atS) => ({
-      part: (atS >= 60 && atS < 60 + lasts ? to : from) / 100,
+  "a load step from {int}% to {int}% and back after {int} s is simulated",
+  (fromPercent: number, toPercent: number, durationS: number) =>
+    simulateRuns(1, 160, (atS) => ({
+      load: (atS >= 60 && atS < 60 + durationS ? toPercent : fromPercent) / 100,
       slots: SLOTS,
-      slower: 1,
+      slowdown: 1,
     })),
 );
 
-Then("each warned before 100% was in use, the median at least {int} s ahead", (least: number) => {
-  const leads = runs.map((run) => run.fullS - warnedS(run)).sort((a, b) => a - b);
-  assert.ok((leads[0] ?? -1) > 0, `the worst lead was ${leads[0]}`);
-  assert.ok(
-    (leads[Math.floor(leads.length / 2)] ?? 0) >= least,
-    `the median lead was ${leads[Math.floor(leads.length / 2)]}`,
-  );
-});
-Then("none warned in the first {int} s", (seconds: number) =>
-  assert.ok(runs.every((run) => warnedS(run) > seconds)),
+Then(
+  "each run warned before 100% utilization, with a median lead time of at least {int} s",
+  (min: number) => {
+    const leadTimes = runs.map((run) => run.saturatedS - firstWarningS(run)).sort((a, b) => a - b);
+    assert.ok((leadTimes[0] ?? -1) > 0, `the shortest lead time in seconds was ${leadTimes[0]}`);
+    assert.ok(
+      (leadTimes[Math.floor(leadTimes.length / 2)] ?? 0) >= min,
+      `the median lead time in seconds was ${leadTimes[Math.floor(leadTimes.length / 2)]}`,
+    );
+  },
 );
-Then("at most {int} of them warned", (most: number) => {
-  const warned = runs.filter((run) => Number.isFinite(warnedS(run))).length;
-  assert.ok(warned <= most, `${warned} warned`);
+Then("no run warned in the first {int} s", (seconds: number) =>
+  assert.ok(runs.every((run) => firstWarningS(run) > seconds)),
+);
+Then("at most {int} runs warned", (max: number) => {
+  const warned = runs.filter((run) => Number.isFinite(firstWarningS(run))).length;
+  assert.ok(warned <= max, `${warned} runs warned`);
 });
-Then("it is overrun within {int} s, then nearing, then steady", (seconds: number) => {
+Then("the state becomes overrun within {int} s, then nearing, then steady", (seconds: number) => {
   const [run] = runs;
   assert.ok(run);
-  const after = run.entered.filter(({ atS }) => atS > 60);
-  const overrun = after.find(({ verdict: result }) => result === "overrun");
-  assert.ok(overrun && overrun.atS - 60 <= seconds, JSON.stringify(run.entered));
+  const after = run.transitions.filter(({ atS }) => atS > 60);
+  const overrun = after.find(({ state: current }) => current === "overrun");
+  assert.ok(overrun && overrun.atS - 60 <= seconds, JSON.stringify(run.transitions));
   assert.deepEqual(
-    after.filter(({ atS }) => atS >= overrun.atS).map(({ verdict: result }) => result),
+    after.filter(({ atS }) => atS >= overrun.atS).map(({ state: current }) => current),
     ["overrun", "nearing", "steady"],
   );
 });
 
-const level = (part: number, nodes: number, repeats: number): void => {
-  for (let at = 0; at < nodes; at += 1) {
-    const counts = simulation.counts[at];
-    for (let call = 0; call < Math.round((part * SLOTS * 10) / nodes); call += 1) {
-      counts?.arrived("s");
-      counts?.answered("s", "c1", CALL_US);
+/** Reports one interval of calls at the given load, spread evenly over the nodes. */
+const reportLoad = (load: number, nodes: number, repeats: number): void => {
+  for (let index = 0; index < nodes; index += 1) {
+    const nodeCounters = simulation.counters[index];
+    for (let call = 0; call < Math.round((load * SLOTS * 10) / nodes); call += 1) {
+      nodeCounters?.arrived("s");
+      nodeCounters?.answered("s", "c1", CALL_US);
     }
-    const report = counts?.takeReport();
+    const report = nodeCounters?.takeReport();
     if (!report) continue;
-    for (let time = 0; time < repeats; time += 1)
-      simulation.forecaster.receive({ ...report, node: `n${at}` });
+    for (let repeat = 0; repeat < repeats; repeat += 1)
+      simulation.forecaster.receive({ ...report, node: `n${index}` });
   }
 };
 
-Given("a forecaster that hears {int} of 20 nodes", async (nodes: number) => {
+Given("a forecaster that receives reports from {int} of 20 nodes", async (nodes: number) => {
   simulation = new Simulation();
-  for (let time = 0; time < 6; time += 1) {
-    level(0.5, nodes, 1);
-    await simulation.pass();
+  for (let tick = 0; tick < 6; tick += 1) {
+    reportLoad(0.5, nodes, 1);
+    await simulation.advance();
   }
 });
 When(
-  "20 nodes report a level of {int}%, each report twice and out of order",
+  "20 nodes report a load of {int}%, each report twice and out of order",
   async (percent: number) => {
-    let before: readonly Message[] = [];
-    for (let time = 0; time < 8; time += 1) {
-      level(percent / 100, NODES, 2);
-      before.forEach(simulation.forecaster.receive);
-      before = simulation.reports();
-      await simulation.pass();
+    let previousReports: readonly Message[] = [];
+    for (let tick = 0; tick < 8; tick += 1) {
+      reportLoad(percent / 100, NODES, 2);
+      previousReports.forEach(simulation.forecaster.receive);
+      previousReports = simulation.takeReports();
+      await simulation.advance();
     }
   },
 );
-Then("its verdict is {string}", (result: string) => assert.equal(simulation.verdict(), result));
-Then("its verdict is {string} with {int}% in use", (result: string, percent: number) => {
-  assert.equal(simulation.verdict(), result);
-  const row = asList(simulation.forecaster.explain()["services"])
-    .map((value) => asRecord(value))
-    .find((told) => told["cell"] === "all");
-  assert.equal(Math.round(Number(row?.["usedPart"]) * 100), percent);
-});
-Given("a forecaster without the duty", () => {
+Then("the capacity state is {string}", (expected: string) =>
+  assert.equal(simulation.capacityState(), expected),
+);
+Then(
+  "the capacity state is {string} at a utilization of {int}%",
+  (expected: string, percent: number) => {
+    assert.equal(simulation.capacityState(), expected);
+    const row = asList(simulation.forecaster.explain()["services"])
+      .map((value) => asRecord(value))
+      .find((entry) => entry["cell"] === "all");
+    assert.equal(Math.round(Number(row?.["usedPart"]) * 100), percent);
+  },
+);
+Given("a forecaster without the leader lease", () => {
   simulation = new Simulation();
-  simulation.holds = false;
+  simulation.isLeader = false;
 });
-Then("it publishes nothing under any load", async () => {
-  for (let time = 0; time < 8; time += 1) {
-    level(1.5, NODES, 1);
-    await simulation.pass();
+Then("it publishes nothing under overload until it acquires the leader lease", async () => {
+  for (let tick = 0; tick < 8; tick += 1) {
+    reportLoad(1.5, NODES, 1);
+    await simulation.advance();
   }
-  assert.equal(simulation.publishes, 0);
-  simulation.holds = true;
-  for (let time = 0; time < 8; time += 1) {
-    level(1.5, NODES, 1);
-    await simulation.pass();
+  assert.equal(simulation.publishCount, 0);
+  simulation.isLeader = true;
+  for (let tick = 0; tick < 8; tick += 1) {
+    reportLoad(1.5, NODES, 1);
+    await simulation.advance();
   }
-  // eslint-disable-next-line @typescript-eslint/no-unnecessary-condition -- it changes with each pass
-  assert.ok(simulation.publishes > 0);
+  // eslint-disable-next-line @typescript-eslint/no-unnecessary-condition -- changes in each tick of the forecaster
+  assert.ok(simulation.publishCount > 0);
 });
--- a/features/steps/health-golden.ts
+++ b/features/steps/health-golden.ts
@@ -10,7 +10,7 @@
   type Transcript,
 } from "../support/health-run.js";
 
-const GOLDEN = "features/data/before-2026-12/health.json";
+const GOLDEN_FILE = "features/data/before-2026-12/health.json";
 
 const RUNS: Readonly<Record<string, () => Promise<Transcript>>> = {
   "outlier detector": runOutlierDetector,
@@ -22,11 +22,11 @@
 Then(
   "the reports, registers and answers of the {string} are word for word those of before",
   async (name: string) => {
-    const before = asRecord(parseJson(await readFile(GOLDEN, "utf8")))[name];
+    const golden = asRecord(parseJson(await readFile(GOLDEN_FILE, "utf8")))[name];
     const run = RUNS[name];
-    assert.ok(run && Array.isArray(before) && before.length > 0, name);
-    const now = await run();
-    now.forEach((row, at) => assert.deepEqual(row, before[at], `${name}, row ${at}`));
-    assert.equal(now.length, before.length);
+    assert.ok(run && Array.isArray(golden) && golden.length > 0, name);
+    const current = await run();
+    current.forEach((row, index) => assert.deepEqual(row, golden[index], `${name}, row ${index}`));
+    assert.equal(current.length, golden.length);
   },
 );
--- a/features/steps/inspection.ts
+++ b/features/steps/inspection.ts
@@ -17,226 +17,249 @@
 import { seeded } from "../support/fleet.js";
 import { ManualClock } from "../support/manual-clock.js";
 
-// --- the simulation
+// --- Simulation of canary tests
 
-interface Rates {
+/** Probability of each outcome per request; the remaining requests are in time. */
+interface OutcomeRates {
   readonly late: number;
   readonly lost: number;
   readonly doubled: number;
 }
 
-const draw = (rates: Rates, random: () => number): OutcomeKind => {
-  const at = random();
-  if (at < rates.doubled) return "doubled";
-  if (at < rates.doubled + rates.lost) return "lost";
-  return at < rates.doubled + rates.lost + rates.late ? "late" : "inTime";
+const drawOutcome = (rates: OutcomeRates, random: () => number): OutcomeKind => {
+  const sample = random();
+  if (sample < rates.doubled) return "doubled";
+  if (sample < rates.doubled + rates.lost) return "lost";
+  return sample < rates.doubled + rates.lost + rates.late ? "late" : "inTime";
 };
 
-const ratesOf = (late: number, lost: number, doubled: number): Rates => ({ late, lost, doubled });
+const ratesOf = (late: number, lost: number, doubled: number): OutcomeRates => ({
+  late,
+  lost,
+  doubled,
+});
 
-const SECONDS = 900;
+/** Simulated seconds after which a run ends without a decision. */
+const MAX_SECONDS = 900;
 
 /**
- * One run: 27 baseline and 3 candidate requests a second over four cells, looked at every second.
+ * Simulates one run: on average 27 baseline and 3 candidate requests per second over four zones,
+ * evaluated every second.
  */
-const playRun = (isSafe: boolean, baseline: Rates, candidate: Rates, seed: number): TestResult => {
+const simulateRun = (
+  isSafe: boolean,
+  baseline: OutcomeRates,
+  candidate: OutcomeRates,
+  seed: number,
+): TestResult => {
   const random = seeded(seed);
-  const trial = new SequentialTest(isSafe, SEQUENTIAL_TEST_SETTINGS, random);
-  for (let second = 0; second < SECONDS; second += 1) {
+  const test = new SequentialTest(isSafe, SEQUENTIAL_TEST_SETTINGS, random);
+  for (let second = 0; second < MAX_SECONDS; second += 1) {
     for (let request = 0; request < 30; request += 1) {
       const stratum = `c${Math.floor(random() * 4)}|near|warm`;
       const isCandidate = random() < 0.1;
-      const rise: OutcomeCounts = {
+      const counts: OutcomeCounts = {
         ...NO_OUTCOMES,
-        [draw(isCandidate ? candidate : baseline, random)]: 1,
+        [drawOutcome(isCandidate ? candidate : baseline, random)]: 1,
       };
-      if (isCandidate) trial.addCandidate(stratum, rise);
-      else trial.addBaseline(stratum, rise);
+      if (isCandidate) test.addCandidate(stratum, counts);
+      else test.addBaseline(stratum, counts);
     }
-    const result = trial.evaluate();
+    const result = test.evaluate();
     if (result.decision !== "observing") return result;
   }
-  return trial.evaluate();
+  return test.evaluate();
 };
 
 let isSafe = true;
 let baselineRates = ratesOf(0, 0, 0);
-let verdicts: readonly TestResult[] = [];
-const sizeOf = (tally: OutcomeCounts): number =>
-  tally.inTime + tally.late + tally.lost + tally.doubled;
+let results: readonly TestResult[] = [];
+const totalRequests = (counts: OutcomeCounts): number =>
+  counts.inTime + counts.late + counts.lost + counts.doubled;
 const median = (numbers: readonly number[]): number =>
   [...numbers].sort((a, b) => a - b)[Math.floor(numbers.length / 2)] ?? Number.NaN;
-const having = (name: string): readonly TestResult[] =>
-  verdicts.filter(({ decision: result }) => result === name);
+const resultsWith = (decision: string): readonly TestResult[] =>
+  results.filter(({ decision: actual }) => actual === decision);
 
 Given(
-  "runs of a {word} route whose baseline is late {float} and lost {float} and doubled {float}",
+  "a baseline for {word} requests with rates {float} late, {float} lost and {float} duplicated",
   (kind: string, late: number, lost: number, doubled: number) => {
     isSafe = kind === "safe";
     baselineRates = ratesOf(late, lost, doubled);
   },
 );
 When(
-  "{int} runs of a candidate that is late {float} and lost {float} and doubled {float} are played",
+  "{int} runs of a candidate with rates {float} late, {float} lost and {float} duplicated are simulated",
   (runs: number, late: number, lost: number, doubled: number) => {
-    verdicts = Array.from({ length: runs }, (_, run) =>
-      playRun(isSafe, baselineRates, ratesOf(late, lost, doubled), 1_000 + run),
+    results = Array.from({ length: runs }, (_, run) =>
+      simulateRun(isSafe, baselineRates, ratesOf(late, lost, doubled), 1_000 + run),
     );
   },
 );
-Then("at most {int} of them stop and at least {int} of them do", (most: number, least: number) => {
-  const stopped = having("stop").length;
-  assert.ok(stopped <= most && stopped >= least, `${stopped} stopped`);
+Then("at most {int} runs stop the candidate, and at least {int} do", (max: number, min: number) => {
+  const stopped = resultsWith("stop").length;
+  assert.ok(stopped <= max && stopped >= min, `${stopped} runs stopped the candidate`);
 });
 Then(
-  "the median run stops after at most {int} possibly doubled requests and {int} requests",
+  "the median run stops after at most {int} possibly duplicated requests and {int} requests",
   (doubled: number, requests: number) => {
-    const stopped = having("stop");
-    const [seenDoubled, seen] = [
+    const stopped = resultsWith("stop");
+    const [medianDuplicates, medianRequests] = [
       median(stopped.map(({ candidate }) => candidate.doubled)),
-      median(stopped.map(({ candidate }) => sizeOf(candidate))),
+      median(stopped.map(({ candidate }) => totalRequests(candidate))),
     ];
     assert.ok(
-      seenDoubled <= doubled && seen <= requests,
-      `${seenDoubled} doubled, ${seen} requests`,
+      medianDuplicates <= doubled && medianRequests <= requests,
+      `median of ${medianDuplicates} duplicated requests, ${medianRequests} requests`,
     );
   },
 );
 Then(
-  "at least {int} of them pass, the median after at most {int} requests",
-  (least: number, requests: number) => {
-    const passed = having("pass");
-    const seen = median(passed.map(({ candidate }) => sizeOf(candidate)));
+  "at least {int} runs pass the candidate, the median after at most {int} requests",
+  (min: number, requests: number) => {
+    const passed = resultsWith("pass");
+    const medianRequests = median(passed.map(({ candidate }) => totalRequests(candidate)));
     assert.ok(
-      passed.length >= least && seen <= requests,
-      `${passed.length} passed, ${seen} requests`,
+      passed.length >= min && medianRequests <= requests,
+      `${passed.length} runs passed, median of ${medianRequests} requests`,
     );
   },
 );
-Then("at most {int} of them pass", (most: number) =>
-  assert.ok(having("pass").length <= most, `${having("pass").length} passed`),
+Then("at most {int} runs pass the candidate", (max: number) =>
+  assert.ok(resultsWith("pass").length <= max, `${resultsWith("pass").length} runs passed`),
 );
 
-// --- the rollout inspector
+// --- Canary analyzer
 
 let clock = new ManualClock();
 let state: CanaryState = NO_CANARIES;
 let route: SplitRoute = { name: "", version: 0, isSafe: false, shares: [] };
-let rollouts: CanaryAnalyzer;
-let holds = true;
+let analyzer: CanaryAnalyzer;
+let isLeader = true;
 
-const newRollouts = (): CanaryAnalyzer =>
+const newAnalyzer = (): CanaryAnalyzer =>
   new CanaryAnalyzer({
     clock,
     log: silentLogger,
     settings: SEQUENTIAL_TEST_SETTINGS,
     random: seeded(5),
-    isLeader: () => holds,
+    isLeader: () => isLeader,
     term: () => 256,
     splitRoutes: () => [route],
     previousPrimary: () => "old",
     state: () => state,
-    publish: async (wanted) => {
-      state = wanted;
+    publish: async (next) => {
+      state = next;
       return true;
     },
   });
 
+/** A node's canary report with one row for the service. */
 const report = (
   service: string,
-  tally: Partial<OutcomeCounts>,
+  outcomes: Partial<OutcomeCounts>,
   stratum = "c1|near|warm",
   version = 7,
-  name = "r1",
+  routeName = "r1",
   life = "a",
 ) => {
-  const { inTime, late, lost, doubled } = { ...NO_OUTCOMES, ...tally };
+  const { inTime, late, lost, doubled } = { ...NO_OUTCOMES, ...outcomes };
   return {
     kind: "rollout",
     node: "n1",
     life,
-    rows: [[name, version, service, stratum, inTime, late, lost, doubled, 0]],
+    rows: [[routeName, version, service, stratum, inTime, late, lost, doubled, 0]],
   };
 };
 
 Given(
   /^a rollout inspector (that holds|without) the duty, for an unsafe route "(\w+)" of "(\w+)" (\d+) and "(\w+)" (\d+)$/,
   async (
-    holding: string,
+    leadership: string,
     name: string,
-    old: string,
-    oldShare: string,
-    fresh: string,
-    freshShare: string,
+    baseline: string,
+    baselineShare: string,
+    candidate: string,
+    candidateShare: string,
   ) => {
     clock = new ManualClock();
     state = NO_CANARIES;
-    holds = holding === "that holds";
+    isLeader = leadership === "that holds";
     route = {
       name,
       version: 7,
       isSafe: false,
       shares: [
-        { service: old, share: Number(oldShare) },
-        { service: fresh, share: Number(freshShare) },
+        { service: baseline, share: Number(baselineShare) },
+        { service: candidate, share: Number(candidateShare) },
       ],
     };
-    rollouts = newRollouts();
-    await rollouts.tick();
+    analyzer = newAnalyzer();
+    await analyzer.tick();
   },
 );
 When(
   "{string} answers {int} requests late on cold workers while {string} answers {int} in time on warm ones",
-  async (fresh: string, late: number, old: string, inTime: number) => {
-    rollouts.receive(report(old, { inTime }));
-    rollouts.receive(report(fresh, { late }, "c1|near|cold"));
-    await rollouts.tick();
+  async (candidate: string, late: number, baseline: string, inTime: number) => {
+    analyzer.receive(report(baseline, { inTime }));
+    analyzer.receive(report(candidate, { late }, "c1|near|cold"));
+    await analyzer.tick();
   },
 );
 When(
-  "{string} possibly doubles {int} of {int} requests and {string} none of {int}",
-  async (fresh: string, doubled: number, requests: number, old: string, size: number) => {
-    rollouts.receive(report(old, { inTime: size }));
-    rollouts.receive(report(fresh, { inTime: requests - doubled, doubled }));
-    await rollouts.tick();
+  "{string} possibly duplicates {int} of {int} requests and {string} none of {int}",
+  async (
+    candidate: string,
+    doubled: number,
+    requests: number,
+    baseline: string,
+    baselineRequests: number,
+  ) => {
+    analyzer.receive(report(baseline, { inTime: baselineRequests }));
+    analyzer.receive(report(candidate, { inTime: requests - doubled, doubled }));
+    await analyzer.tick();
   },
 );
 When(
-  "the same report of {int} requests of {string} comes {int} times, and then an older one",
-  async (size: number, fresh: string, times: number) => {
-    for (let time = 0; time < times; time += 1) rollouts.receive(report(fresh, { inTime: size }));
-    rollouts.receive(report(fresh, { inTime: size - 10 }));
-    await rollouts.tick();
+  "the same report of {int} requests to {string} arrives {int} times, followed by an older one",
+  async (requests: number, candidate: string, times: number) => {
+    for (let repeat = 0; repeat < times; repeat += 1)
+      analyzer.receive(report(candidate, { inTime: requests }));
+    analyzer.receive(report(candidate, { inTime: requests - 10 }));
+    await analyzer.tick();
   },
 );
-When("a malformed report, one of an unknown route and one of a stale version come", async () => {
-  rollouts.receive({
-    kind: "rollout",
-    node: "n1",
-    life: "a",
-    rows: [["r1", 7, "new", "c1|near|warm", -4, 0, 0, 0, 0]],
-  });
-  rollouts.receive(report("new", { inTime: 5 }, "c1|near|warm", 7, "nowhere"));
-  rollouts.receive(report("new", { inTime: 5 }, "c1|near|warm", 6));
-  await rollouts.tick();
-});
-When("another inspector takes over", async () => {
-  rollouts = newRollouts();
-  await rollouts.tick();
+When(
+  "a malformed report, one for an unknown route and one for a stale version arrive",
+  async () => {
+    analyzer.receive({
+      kind: "rollout",
+      node: "n1",
+      life: "a",
+      rows: [["r1", 7, "new", "c1|near|warm", -4, 0, 0, 0, 0]],
+    });
+    analyzer.receive(report("new", { inTime: 5 }, "c1|near|warm", 7, "nowhere"));
+    analyzer.receive(report("new", { inTime: 5 }, "c1|near|warm", 6));
+    await analyzer.tick();
+  },
+);
+When("another controller becomes the leader", async () => {
+  analyzer = newAnalyzer();
+  await analyzer.tick();
 });
-When("the operator clears {string}", async (name: string) => {
-  assert.equal(await rollouts.clearStop(name, 7), undefined);
+When("the operator clears the stop on {string}", async (name: string) => {
+  assert.equal(await analyzer.clearStop(name, 7), undefined);
 });
 
-Then("nothing is stopped", () => assert.deepEqual(state.stops, []));
+Then("no candidate is stopped", () => assert.deepEqual(state.stops, []));
 Then(
-  "{string} is stopped on {string} in favour of {string}, with counts and a reason",
-  (fresh: string, name: string, old: string) => {
+  "{string} is stopped on {string} in favour of {string}, with a reason and evidence",
+  (candidate: string, routeName: string, baseline: string) => {
     assert.equal(state.stops.length, 1);
     const [stop] = state.stops;
     assert.deepEqual(
       [stop?.candidate, stop?.route, stop?.baseline, stop?.version],
-      [fresh, name, old, 7],
+      [candidate, routeName, baseline, 7],
     );
     assert.match(
       stop?.reason ?? "",
@@ -245,36 +268,39 @@
     assert.ok(stop?.evidence["candidate"] && stop.evidence["term"] === 256);
   },
 );
-Then("{int} requests of {string} are counted", (count: number, fresh: string) => {
-  const row = rollouts.list().find((one) => one["candidate"] === fresh);
+Then("{int} requests to {string} are counted", (count: number, candidate: string) => {
+  const row = analyzer.list().find((entry) => entry["candidate"] === candidate);
   assert.match(JSON.stringify(row?.["seen"]), new RegExp(`"candidate":{"inTime":${count},`));
 });
-Then("{int} reports are counted as dropped and nothing else", (count: number) => {
-  assert.equal(rollouts.explain()["droppedReports"], count);
-  assert.match(JSON.stringify(rollouts.list()[0]?.["seen"]), /"candidate":{"inTime":0,/);
-});
-Then("clearing an unknown route or a stale version says so", async () => {
-  assert.equal((await rollouts.clearStop("nowhere", undefined))?.code, "ROUTE_NOT_SPLIT");
-  assert.equal((await rollouts.clearStop("r1", 6))?.code, "STALE_ROUTE_VERSION");
+Then(
+  "{int} reports are counted as dropped, and no request to the candidate is counted",
+  (count: number) => {
+    assert.equal(analyzer.explain()["droppedReports"], count);
+    assert.match(JSON.stringify(analyzer.list()[0]?.["seen"]), /"candidate":{"inTime":0,/);
+  },
+);
+Then("clearing a stop fails for an unknown route and for a stale version", async () => {
+  assert.equal((await analyzer.clearStop("nowhere", undefined))?.code, "ROUTE_NOT_SPLIT");
+  assert.equal((await analyzer.clearStop("r1", 6))?.code, "STALE_ROUTE_VERSION");
 });
 
-// --- the inspector
+// --- Outlier detector
 
-interface OneWorker {
+interface WorkerInfo {
   readonly id: string;
   readonly service: string;
   readonly zone: string;
   readonly isMissing: boolean;
 }
 
-let workers: readonly OneWorker[] = [];
+let workers: readonly WorkerInfo[] = [];
 let decisions: HealthDecisions = NO_DECISIONS;
-let inspector: OutlierDetector;
+let detector: OutlierDetector;
 let isFenced = false;
-let practices = 0;
-const told = new Map<string, number>();
+let practiceRuns = 0;
+const faultTotals = new Map<string, number>();
 
-const newInspector = (): OutlierDetector =>
+const newDetector = (): OutlierDetector =>
   new OutlierDetector({
     clock,
     log: silentLogger,
@@ -283,19 +309,22 @@
     term: () => 256,
     workers: () => workers,
     decisions: () => decisions,
-    publish: async (wanted) => {
+    publish: async (next) => {
       if (isFenced) return false;
-      if (wanted.shift?.cause === "practice") practices += 1;
-      decisions = wanted;
+      if (next.shift?.cause === "practice") practiceRuns += 1;
+      decisions = next;
       return true;
     },
   });
 
-const tell = async (faultsOf: (id: string, zone: string) => number): Promise<void> => {
-  workers.forEach(({ id, zone }) => told.set(id, (told.get(id) ?? 0) + faultsOf(id, zone)));
-  inspector.receive({ kind: "faults", node: "n1", life: "a", workers: [...told] });
-  for (let look = 0; look < 3; look += 1) {
-    await inspector.tick();
+/** Reports further faults of each worker, then lets the detector evaluate three times. */
+const reportFaults = async (faultsOf: (id: string, zone: string) => number): Promise<void> => {
+  workers.forEach(({ id, zone }) =>
+    faultTotals.set(id, (faultTotals.get(id) ?? 0) + faultsOf(id, zone)),
+  );
+  detector.receive({ kind: "faults", node: "n1", life: "a", workers: [...faultTotals] });
+  for (let tick = 0; tick < 3; tick += 1) {
+    await detector.tick();
     await clock.pass(5_000_000);
   }
 };
@@ -303,86 +332,91 @@
 const passMinutes = async (minutes: number): Promise<void> => {
   for (let step = 0; step < minutes * 2; step += 1) {
     await clock.pass(30_000_000);
-    await inspector.tick();
+    await detector.tick();
   }
 };
 
 Given(
-  "{int} workers of one service in {int} cells and an inspector that holds the duty",
+  "{int} workers of one service in {int} zones and an outlier detector on the leader",
   async (count: number, zones: number) => {
     clock = new ManualClock();
     decisions = NO_DECISIONS;
     isFenced = false;
-    practices = 0;
-    told.clear();
-    workers = Array.from({ length: count }, (_, at) => ({
-      id: `w${at + 1}`,
+    practiceRuns = 0;
+    faultTotals.clear();
+    workers = Array.from({ length: count }, (_, index) => ({
+      id: `w${index + 1}`,
       service: "s1",
-      zone: `c${(at % zones) + 1}`,
+      zone: `c${(index % zones) + 1}`,
       isMissing: false,
     }));
-    inspector = newInspector();
-    await inspector.tick();
+    detector = newDetector();
+    await detector.tick();
   },
 );
-Given("a newer term refuses what the inspector publishes", () => {
+Given("the detector's decisions are rejected because of a newer term", () => {
   isFenced = true;
 });
-Given("only {int} workers of the service are left", (count: number) => {
+Given("only {int} workers of the service remain", (count: number) => {
   workers = workers.slice(0, count);
 });
 When(
-  "worker {int} has {int} faults and every other one {int}",
-  async (bad: number, faults: number, others: number) =>
-    tell((id) => (id === `w${bad}` ? faults : others)),
+  "worker {int} has {int} faults and each other worker has {int}",
+  async (faultyWorker: number, faults: number, others: number) =>
+    reportFaults((id) => (id === `w${faultyWorker}` ? faults : others)),
 );
-When("every worker has {int} faults", async (faults: number) => tell(() => faults));
+When("each worker has {int} faults", async (faults: number) => reportFaults(() => faults));
 When(
-  "every worker of cell {int} has {int} faults and every other one {int}",
+  "each worker of zone {int} has {int} faults and each other worker has {int}",
   async (zone: number, faults: number, others: number) =>
-    tell((_, where) => (where === `c${zone}` ? faults : others)),
+    reportFaults((_, workerZone) => (workerZone === `c${zone}` ? faults : others)),
 );
 When(
-  "{int} minutes pass, in which worker {int} has {int} more faults",
-  async (minutes: number, bad: number, faults: number) => {
+  "{int} minutes pass, then worker {int} has {int} more faults",
+  async (minutes: number, faultyWorker: number, faults: number) => {
     await passMinutes(minutes);
-    await tell((id) => (id === `w${bad}` ? faults : 0));
+    await reportFaults((id) => (id === `w${faultyWorker}` ? faults : 0));
   },
 );
 When("{int} minutes pass", async (minutes: number) => passMinutes(minutes));
 When(
-  "another inspector takes the duty over and worker {int} has {int} faults",
-  async (bad: number, faults: number) => {
-    inspector = newInspector();
-    await tell((id) => (id === `w${bad}` ? faults : 0));
+  "another controller becomes the leader and worker {int} has {int} faults",
+  async (faultyWorker: number, faults: number) => {
+    detector = newDetector();
+    await reportFaults((id) => (id === `w${faultyWorker}` ? faults : 0));
   },
 );
 When(
-  "the report of {int} faults of worker {int} comes twice",
-  async (faults: number, bad: number) => {
-    for (let time = 0; time < 2; time += 1)
-      inspector.receive({ kind: "faults", node: "n1", life: "a", workers: [[`w${bad}`, faults]] });
-    await inspector.tick();
+  "the report of {int} faults of worker {int} arrives twice",
+  async (faults: number, faultyWorker: number) => {
+    for (let repeat = 0; repeat < 2; repeat += 1)
+      detector.receive({
+        kind: "faults",
+        node: "n1",
+        life: "a",
+        workers: [[`w${faultyWorker}`, faults]],
+      });
+    await detector.tick();
   },
 );
 When("{int} days pass", async (days: number) => {
   for (let hour = 0; hour < days * 24; hour += 1) {
     await clock.pass(3_600_000_000);
-    await inspector.tick();
+    await detector.tick();
   }
 });
 
-Then("only worker {int} is ejected", (bad: number) =>
+Then("only worker {int} is ejected", (faultyWorker: number) =>
   assert.deepEqual(
     decisions.ejections.map(({ worker }) => worker),
-    [`w${bad}`],
+    [`w${faultyWorker}`],
   ),
 );
-Then("worker {int} is ejected", (bad: number) =>
-  assert.ok(decisions.ejections.some(({ worker }) => worker === `w${bad}`)),
+Then("worker {int} is ejected", (faultyWorker: number) =>
+  assert.ok(decisions.ejections.some(({ worker }) => worker === `w${faultyWorker}`)),
 );
-Then("nobody is ejected", () => assert.deepEqual(decisions.ejections, []));
-Then("the ejection names the counts, the share, the token and the term", () => {
+Then("no worker is ejected", () => assert.deepEqual(decisions.ejections, []));
+Then("the ejection states the counts, the share, the token and the term", () => {
   const [ejection] = decisions.ejections;
   assert.match(ejection?.reason ?? "", /w3 holds 40 of 51 faults \(78%\)/);
   assert.deepEqual(ejection?.evidence, {
@@ -393,32 +427,35 @@
     term: 256,
   });
 });
-Then("traffic is shifted away from cell {int}", (zone: number) =>
+Then("traffic is shifted away from zone {int}", (zone: number) =>
   assert.equal(decisions.shift?.zone, `c${zone}`),
 );
-Then("a practice shift has been made and is over", () => {
-  assert.equal(practices, 1);
+Then("one practice run has been made and has ended", () => {
+  assert.equal(practiceRuns, 1);
   assert.equal(decisions.shift, undefined);
 });
 
 When(
   "{string} answers {int} requests in time and {string} {int}",
-  async (fresh: string, size: number, old: string, oldSize: number) => {
-    rollouts.receive(report(old, { inTime: oldSize }));
-    rollouts.receive(report(fresh, { inTime: size }));
-    await rollouts.tick();
+  async (candidate: string, requests: number, baseline: string, baselineRequests: number) => {
+    analyzer.receive(report(baseline, { inTime: baselineRequests }));
+    analyzer.receive(report(candidate, { inTime: requests }));
+    await analyzer.tick();
   },
 );
-Then("{string} has passed on {string}", (fresh: string, name: string) => {
+Then("{string} has passed on {string}", (candidate: string, routeName: string) => {
   assert.ok(
-    rollouts
+    analyzer
       .list()
       .some(
-        (row) => row["candidate"] === fresh && row["route"] === name && row["verdict"] === "pass",
+        (row) =>
+          row["candidate"] === candidate && row["route"] === routeName && row["verdict"] === "pass",
       ),
   );
 });
-Then("the verdict on {string} is a stop", (fresh: string) => {
-  assert.ok(rollouts.list().some((row) => row["candidate"] === fresh && row["verdict"] === "stop"));
+Then("the verdict on {string} is to stop it", (candidate: string) => {
+  assert.ok(
+    analyzer.list().some((row) => row["candidate"] === candidate && row["verdict"] === "stop"),
+  );
   assert.equal(state.stops.length, 1);
 });
--- a/features/steps/windows.ts
+++ b/features/steps/windows.ts
@@ -12,7 +12,9 @@
 import { SECOND_US } from "../../src/common/duration.js";
 import { ManualClock } from "../support/manual-clock.js";
 
-interface Moment {
+/** The latest window and the zonal shift, sampled after each tick of the leader. */
+interface Sample {
+  /** Seconds since the window was requested. */
   readonly atS: number;
   readonly stage: WindowStage;
   readonly safe: number;
@@ -22,62 +24,69 @@
 
 let clock = new ManualClock();
 let state: WindowState = [];
-let stateSinceUs = 0;
+let stateWrittenUs = 0;
 let shift: ZonalShift | undefined;
 let zones: readonly string[] = [];
-let dark = new Set<string>();
+let downZones = new Set<string>();
 let inFlight = new Map<string, number>();
-let deadlineUs = 0;
+let longestDeadlineUs = 0;
 let windows: MaintenanceWindows;
-let history: Moment[] = [];
+let samples: Sample[] = [];
 let addedUs = 0;
-let added: Awaited<ReturnType<MaintenanceWindows["add"]>> | undefined;
-let number = 0;
+let addResult: Awaited<ReturnType<MaintenanceWindows["add"]>> | undefined;
+let windowCount = 0;
 
 const workers = (): readonly ZoneWorker[] =>
   zones.flatMap((zone) =>
-    [1, 2].map(() => ({ zone, service: "s", capacity: 2, isReady: !dark.has(zone) })),
+    [1, 2].map(() => ({ zone, service: "s", capacity: 2, isReady: !downZones.has(zone) })),
   );
 
-/** A holder; `knows` says whether its process has been up since the state was written. */
-const hold = (knows: boolean): void => {
+/**
+ * Starts a leader. `wasRunning` is whether its process has been up since the state was written, and
+ * therefore knows the age of the state.
+ */
+const startLeader = (wasRunning: boolean): void => {
   windows = new MaintenanceWindows({
     clock,
-    log: { info: () => undefined, debug: () => undefined, warn: (sentence) => said.push(sentence) },
+    log: {
+      info: () => undefined,
+      debug: () => undefined,
+      warn: (message) => warnings.push(message),
+    },
     settings: WINDOW_SETTINGS,
     isLeader: () => true,
     state: () => state,
-    stateAgeUs: () => (knows ? clock.nowUs() - stateSinceUs : undefined),
-    publish: async (wanted) => {
-      state = wanted;
-      stateSinceUs = clock.nowUs();
+    stateAgeUs: () => (wasRunning ? clock.nowUs() - stateWrittenUs : undefined),
+    publish: async (next) => {
+      state = next;
+      stateWrittenUs = clock.nowUs();
       return true;
     },
     shift: () => shift,
-    setShift: async (wanted) => {
-      shift = wanted;
+    setShift: async (next) => {
+      shift = next;
       return true;
     },
     zones: () => zones,
     workers,
-    longestDeadlineUs: () => deadlineUs,
+    longestDeadlineUs: () => longestDeadlineUs,
     hasQuorumWithout: (zone) => zone !== "c1",
     inFlight: () => inFlight,
     moveLeadershipOutOf: async () => undefined,
   });
 };
-let said: string[] = [];
+let warnings: string[] = [];
 
 const nowS = (): number => (clock.nowUs() - addedUs) / SECOND_US;
-const windowOf = () => state[state.length - 1];
+const latestWindow = () => state[state.length - 1];
 
-/** Half a second: the holder looks, and what it has come to is noted. */
+/** Advances by half a second: one tick of the leader, then a sample. */
 const step = async (): Promise<void> => {
   await clock.pass(SECOND_US / 2);
   await windows.tick();
-  const window = windowOf();
+  const window = latestWindow();
   if (window)
-    history.push({
+    samples.push({
       atS: nowS(),
       stage: window.stage,
       safe: window.safeShare,
@@ -86,182 +95,188 @@
     });
 };
 const passS = async (seconds: number): Promise<void> => {
-  for (let at = 0; at < seconds * 2; at += 1) await step();
+  for (let tick = 0; tick < seconds * 2; tick += 1) await step();
 };
-const until = async (stage: WindowStage): Promise<void> => {
-  for (let at = 0; at < 600 && windowOf()?.stage !== stage; at += 1) await step();
-  assert.equal(windowOf()?.stage, stage);
+const runUntilStage = async (stage: WindowStage): Promise<void> => {
+  for (let tick = 0; tick < 600 && latestWindow()?.stage !== stage; tick += 1) await step();
+  assert.equal(latestWindow()?.stage, stage);
 };
-const firstOf = (stage: WindowStage): Moment => {
-  const found = history.find((moment) => moment.stage === stage);
-  assert.ok(found, `it never was ${stage}`);
-  return found;
+const firstSampleAt = (stage: WindowStage): Sample => {
+  const first = samples.find((sample) => sample.stage === stage);
+  assert.ok(first, `the window was never sampled at stage ${stage}`);
+  return first;
 };
-const openS = (): number => history.filter(({ stage }) => stage === "open").length / 2;
+const openSeconds = (): number => samples.filter(({ stage }) => stage === "open").length / 2;
 
-const add = async (zone: string, opensS: number, lastsS: number): Promise<void> => {
-  number += 1;
+const requestWindow = async (zone: string, opensS: number, lastsS: number): Promise<void> => {
+  windowCount += 1;
   addedUs = clock.nowUs();
-  history = [];
-  added = await windows.add(
+  samples = [];
+  addResult = await windows.add(
     { zone, opensInUs: opensS * SECOND_US, durationUs: lastsS * SECOND_US },
-    `w${number}`,
+    `w${windowCount}`,
   );
 };
 
 Given(
-  "cells {string} whose longest budget is {int} s, and a holder of the duty",
-  async (names: string, seconds: number) => {
+  "zones {string} with a longest deadline of {int} s, and a leader",
+  async (zoneNames: string, seconds: number) => {
     clock = new ManualClock();
-    zones = names.split(", ");
-    deadlineUs = seconds * SECOND_US;
+    zones = zoneNames.split(", ");
+    longestDeadlineUs = seconds * SECOND_US;
     state = [];
     shift = undefined;
-    dark = new Set();
+    downZones = new Set();
     inFlight = new Map();
-    said = [];
-    hold(true);
+    warnings = [];
+    startLeader(true);
     await windows.tick();
   },
 );
-Given("a practice shift of {string} stands", (zone: string) => {
+Given("a practice run shifts traffic away from {string}", (zone: string) => {
   shift = { zone, cause: "practice", reason: "" };
 });
-Given("a shift of {string} by hand stands", async (zone: string) => {
+Given("a manual shift of {string} is active", async (zone: string) => {
   await passS(200);
   shift = { zone, cause: "by hand", reason: "" };
 });
-Given("service {string} has {int} calls in flight", (service: string, count: number) => {
+Given("service {string} has {int} requests in flight", (service: string, count: number) => {
   inFlight = new Map([[service, count]]);
 });
 When(
   "a window of {string} that opens in {int} s and lasts {int} s is added",
   async (zone: string, opens: number, lasts: number) => {
-    await add(zone, opens, lasts);
-    assert.ok(added?.isOk);
+    await requestWindow(zone, opens, lasts);
+    assert.ok(addResult?.isOk);
   },
 );
-When("a window of {string} that opens in {int} s and lasts {int} s is asked for", add);
+When("a window of {string} that opens in {int} s and lasts {int} s is requested", requestWindow);
 When(
-  "it is {string} and the holder dies, the next one having known the state",
+  "the leader fails at stage {string} and a running controller that holds the state takes over",
   async (stage: string) => {
-    await until(WINDOW_STAGE(stage));
+    await runUntilStage(parseStage(stage));
     await clock.pass(2 * SECOND_US);
-    hold(true);
+    startLeader(true);
   },
 );
-When("{int} seconds later every process is killed and starts again", async (seconds: number) => {
+When("{int} seconds later all processes are killed and restarted", async (seconds: number) => {
   await passS(seconds);
   await clock.pass(5 * SECOND_US);
-  hold(false);
+  startLeader(false);
 });
-When("it is {string} and is cancelled", async (stage: string) => {
-  await until(WINDOW_STAGE(stage));
+When("the window is cancelled at stage {string}", async (stage: string) => {
+  await runUntilStage(parseStage(stage));
   await passS(4);
-  assert.equal(await windows.cancel(windowOf()?.id ?? ""), undefined);
-});
-When("it is {string} and is extended by {int} s", async (stage: string, seconds: number) => {
-  await until(WINDOW_STAGE(stage));
-  assert.equal(await windows.extend(windowOf()?.id ?? "", seconds * SECOND_US), undefined);
+  assert.equal(await windows.cancel(latestWindow()?.id ?? ""), undefined);
 });
-When("its workers go dark once it is open, and stay so", async () => {
-  await until("open");
-  dark.add("c2");
+When(
+  "at stage {string} the window is extended by {int} s",
+  async (stage: string, seconds: number) => {
+    await runUntilStage(parseStage(stage));
+    assert.equal(await windows.extend(latestWindow()?.id ?? "", seconds * SECOND_US), undefined);
+  },
+);
+When("the zone's workers go down once the window is open", async () => {
+  await runUntilStage("open");
+  downZones.add("c2");
 });
 
-const WINDOW_STAGE = (name: string): WindowStage => {
+const parseStage = (name: string): WindowStage => {
   const stage = (["announced", "moving", "clear", "open", "returning", "ended"] as const).find(
-    (other) => other === name,
+    (known) => known === name,
   );
   assert.ok(stage);
   return stage;
 };
 
 Then(
-  "safe requests leave in steps before unsafe ones, and all are gone {int} s or more before it opens",
+  "safe requests are shifted in steps before unsafe ones, and all of them {int} s or more before it opens",
   async (seconds: number) => {
-    await until("open");
-    const opened = firstOf("open").atS;
-    const safeGone = history.find(({ safe }) => safe === 1)?.atS ?? Number.NaN;
-    const unsafeGone = history.find(({ unsafe }) => unsafe === 1)?.atS ?? Number.NaN;
-    assert.deepEqual([...new Set(history.map(({ safe }) => safe))], [0, 0.25, 0.5, 0.75, 1]);
+    await runUntilStage("open");
+    const openedS = firstSampleAt("open").atS;
+    const safeMovedS = samples.find(({ safe }) => safe === 1)?.atS ?? Number.NaN;
+    const unsafeMovedS = samples.find(({ unsafe }) => unsafe === 1)?.atS ?? Number.NaN;
+    assert.deepEqual([...new Set(samples.map(({ safe }) => safe))], [0, 0.25, 0.5, 0.75, 1]);
     assert.ok(
-      safeGone < unsafeGone && unsafeGone + seconds <= opened,
-      `${safeGone} ${unsafeGone} ${opened}`,
+      safeMovedS < unsafeMovedS && unsafeMovedS + seconds <= openedS,
+      `${safeMovedS} ${unsafeMovedS} ${openedS}`,
     );
     assert.ok(
-      history.every(
-        (moment) =>
-          moment.stage === "announced" ||
-          (moment.shift?.zone === "c2" && moment.shift.unsafeShare === moment.unsafe),
+      samples.every(
+        (sample) =>
+          sample.stage === "announced" ||
+          (sample.shift?.zone === "c2" && sample.shift.unsafeShare === sample.unsafe),
       ),
     );
   },
 );
-Then("it is clear before it opens, and open for {int} s", async (seconds: number) => {
-  await until("returning");
-  assert.ok(firstOf("clear").atS < firstOf("open").atS);
-  assert.ok(Math.abs(openS() - seconds) <= 1, `${openS()}`);
-});
-Then("requests come back in steps, and no shift is left", async () => {
-  await until("ended");
+Then(
+  "the zone is clear before the window opens, and the window is open for {int} s",
+  async (seconds: number) => {
+    await runUntilStage("returning");
+    assert.ok(firstSampleAt("clear").atS < firstSampleAt("open").atS);
+    assert.ok(Math.abs(openSeconds() - seconds) <= 1, `${openSeconds()}`);
+  },
+);
+Then("requests return in steps, and no zonal shift remains", async () => {
+  await runUntilStage("ended");
   assert.equal(shift, undefined);
   assert.deepEqual(
-    [...new Set(history.filter(({ stage }) => stage === "returning").map(({ safe }) => safe))],
+    [...new Set(samples.filter(({ stage }) => stage === "returning").map(({ safe }) => safe))],
     [1, 0.75, 0.5, 0.25],
   );
 });
-Then("the window is refused with code {string}", (code: string) => {
-  const error: WindowError | undefined = added?.isErr ? added.error : undefined;
+Then("the window is rejected with code {string}", (code: string) => {
+  const error: WindowError | undefined = addResult?.isErr ? addResult.error : undefined;
   assert.equal(error?.code, code);
 });
 Then(
-  "the window still opens at its time, give or take {int} s, with the cell clear, and ends",
+  "the window still opens within {int} s of its time, with the zone clear, and ends",
   async (seconds: number) => {
-    await until("ended");
-    assert.ok(Math.abs(firstOf("open").atS - 60) <= seconds, `${firstOf("open").atS}`);
-    assert.ok(firstOf("clear").atS < firstOf("open").atS);
+    await runUntilStage("ended");
+    assert.ok(Math.abs(firstSampleAt("open").atS - 60) <= seconds, `${firstSampleAt("open").atS}`);
+    assert.ok(firstSampleAt("clear").atS < firstSampleAt("open").atS);
   },
 );
 Then(
-  "the window opens early by {int} to {int} s, with the cell clear",
-  async (least: number, most: number) => {
-    await until("open");
-    const earlyS = 90 - firstOf("open").atS;
-    assert.ok(earlyS >= least && earlyS <= most, `${earlyS}`);
-    assert.ok(firstOf("clear").atS < firstOf("open").atS);
+  "the window opens early by {int} to {int} s, with the zone clear",
+  async (min: number, max: number) => {
+    await runUntilStage("open");
+    const earlyS = 90 - firstSampleAt("open").atS;
+    assert.ok(earlyS >= min && earlyS <= max, `${earlyS}`);
+    assert.ok(firstSampleAt("clear").atS < firstSampleAt("open").atS);
   },
 );
-Then("it ends without ever having been open, and no shift is left", async () => {
-  await until("ended");
-  assert.ok(history.every(({ stage }) => stage !== "open"));
+Then("the window ends without having opened, and no zonal shift remains", async () => {
+  await runUntilStage("ended");
+  assert.ok(samples.every(({ stage }) => stage !== "open"));
   assert.equal(shift, undefined);
 });
-Then("it was open for {int} s", async (seconds: number) => {
-  await until("ended");
-  assert.ok(Math.abs(openS() - seconds) <= 1, `${openS()}`);
+Then("the window was open for {int} s", async (seconds: number) => {
+  await runUntilStage("ended");
+  assert.ok(Math.abs(openSeconds() - seconds) <= 1, `${openSeconds()}`);
 });
-Then("it moves at its time all the same", async () => {
-  await until("moving");
+Then("traffic is shifted for the window despite the practice run", async () => {
+  await runUntilStage("moving");
   assert.equal(shift?.zone, "c2");
 });
-Then("it doesn't move as long as that shift stands", async () => {
+Then("no traffic is shifted for the window until the manual shift ends", async () => {
   await passS(70);
-  assert.equal(windowOf()?.stage, "announced");
-  assert.ok(said.some((sentence) => sentence.includes("waits")));
+  assert.equal(latestWindow()?.stage, "announced");
+  assert.ok(warnings.some((message) => message.includes("waits")));
   shift = undefined;
-  await until("moving");
+  await runUntilStage("moving");
 });
 Then(
-  "{int} s past its end it is still open, and returns once they are back",
+  "the window is still open {int} s past its end, and ends once the workers are back",
   async (seconds: number) => {
     await passS(30 + seconds);
-    assert.equal(windowOf()?.stage, "open");
-    assert.ok(said.some((sentence) => sentence.includes("still dark")));
-    dark.clear();
-    await until("ended");
+    assert.equal(latestWindow()?.stage, "open");
+    assert.ok(warnings.some((message) => message.includes("still dark")));
+    downZones.clear();
+    await runUntilStage("ended");
   },
 );
-Then("it is taken with a warning that names {string}", (service: string) => {
-  assert.ok(added?.isOk && added.value.some((warning) => warning.startsWith(service)));
+Then("the window is accepted with a warning about {string}", (service: string) => {
+  assert.ok(addResult?.isOk && addResult.value.some((warning) => warning.startsWith(service)));
 });
--- a/features/support/fleet.ts
+++ b/features/support/fleet.ts
@@ -4,6 +4,7 @@
 import { WORKER_PREFIX, type Update } from "../../src/membership/update-store.js";
 import type { Clock } from "../../src/common/clock.js";
 
+/** Returns a deterministic pseudo-random generator (mulberry32) of numbers in [0, 1). */
 export const seeded = (seed: number): (() => number) => {
   let state = seed >>> 0;
   return () => {
@@ -15,52 +16,53 @@
 };
 
 /**
- * Events in the order of their time, in a binary heap, with a clock that jumps from one to the
- * next.
+ * Clock of a discrete-event simulation. Runs events in order of time, and of insertion at equal
+ * times, from a binary heap; time jumps from one event to the next.
  */
 export class Timeline implements Clock {
-  private timeUs = 1_000_000;
-  private order = 0;
+  private currentUs = 1_000_000;
+  private lastOrder = 0;
   private readonly heap: {
     readonly atUs: number;
     readonly order: number;
     readonly act: () => void;
   }[] = [];
 
-  readonly nowUs = (): number => this.timeUs;
+  readonly nowUs = (): number => this.currentUs;
 
-  readonly after = (waitUs: number, act: () => void): { readonly stop: () => void } => {
+  readonly after = (delayUs: number, callback: () => void): { readonly stop: () => void } => {
     let stopped = false;
-    this.order += 1;
+    this.lastOrder += 1;
     this.push({
-      atUs: this.timeUs + Math.max(0, waitUs),
-      order: this.order,
-      act: () => (stopped ? undefined : act()),
+      atUs: this.currentUs + Math.max(0, delayUs),
+      order: this.lastOrder,
+      act: () => (stopped ? undefined : callback()),
     });
     return { stop: () => void (stopped = true) };
   };
 
-  readonly every = (gapUs: number, act: () => void): { readonly stop: () => void } => {
+  readonly every = (intervalUs: number, callback: () => void): { readonly stop: () => void } => {
     let stopped = false;
-    const again = () => {
+    const fire = () => {
       if (stopped) return;
-      this.after(gapUs, again);
-      act();
+      this.after(intervalUs, fire);
+      callback();
     };
-    this.after(gapUs, again);
+    this.after(intervalUs, fire);
     return { stop: () => void (stopped = true) };
   };
 
+  /** Runs all events up to and including the given time. */
   readonly runUntil = (untilUs: number): void => {
     for (let next = this.heap[0]; next !== undefined && next.atUs <= untilUs; next = this.heap[0]) {
       this.pop();
-      this.timeUs = Math.max(this.timeUs, next.atUs);
+      this.currentUs = Math.max(this.currentUs, next.atUs);
       next.act();
     }
-    this.timeUs = Math.max(this.timeUs, untilUs);
+    this.currentUs = Math.max(this.currentUs, untilUs);
   };
 
-  private readonly isBefore = (one: number, other: number): boolean => {
+  private readonly isEarlier = (one: number, other: number): boolean => {
     const [a, b] = [this.heap[one], this.heap[other]];
     return (
       a !== undefined &&
@@ -83,59 +85,67 @@
   }): void => {
     this.heap.push(event);
     for (
-      let at = this.heap.length - 1;
-      at > 0 && this.isBefore(at, (at - 1) >> 1);
-      at = (at - 1) >> 1
+      let index = this.heap.length - 1;
+      index > 0 && this.isEarlier(index, (index - 1) >> 1);
+      index = (index - 1) >> 1
     )
-      this.swap(at, (at - 1) >> 1);
+      this.swap(index, (index - 1) >> 1);
   };
 
   private readonly pop = (): void => {
     const last = this.heap.pop();
     if (last === undefined || this.heap.length === 0) return;
     this.heap[0] = last;
-    for (let at = 0; ;) {
-      const child = this.isBefore(2 * at + 2, 2 * at + 1) ? 2 * at + 2 : 2 * at + 1;
-      if (!this.isBefore(child, at)) return;
-      this.swap(child, at);
-      at = child;
+    for (let index = 0; ;) {
+      const child = this.isEarlier(2 * index + 2, 2 * index + 1) ? 2 * index + 2 : 2 * index + 1;
+      if (!this.isEarlier(child, index)) return;
+      this.swap(child, index);
+      index = child;
     }
   };
 }
 
+/** Size, capacity and load of a {@link SimFleet}. */
 export interface FleetTerms {
   readonly seed: number;
   readonly cells: number;
   readonly nodesACell: number;
   readonly workersACell: number;
+  /** Calls that a worker runs at the same time. */
   readonly slots: number;
-  readonly queue: number;
+  /** Calls that a worker queues when all its slots are in use. */
+  readonly queueLimit: number;
+  /** Mean duration of a call on a worker with factor 1. */
   readonly meanUs: number;
-  readonly spread: number;
+  /** Standard deviation of the logarithm of the call duration. */
+  readonly logStdDev: number;
+  /** Factors on the call duration, assigned to the workers in turn. */
   readonly speeds: readonly number[];
-  /** The part of all slots in use, were every call of the mean length. */
+  /** Fraction of all slots in use if each call took the mean duration of its worker. */
   readonly usedPart: number;
-  /** How uneven the nodes' traffic is: the busiest has this many times the least busy one's. */
+  /** Ratio of the traffic of the busiest node to that of the least busy one. Not read so far. */
   readonly unevenness: number;
-  readonly aimUs: number;
+  readonly latencyTargetUs: number;
 }
 
+/** A fleet of 7 zones with 28 nodes and 21 workers each, at 60% utilization. */
 export const FLEET_TERMS: FleetTerms = {
   seed: 1,
   cells: 7,
   nodesACell: 28,
   workersACell: 21,
   slots: 2,
-  queue: 8,
+  queueLimit: 8,
   meanUs: 180_000,
-  spread: 0.8,
+  logStdDev: 0.8,
   speeds: [0.6, 1, 1.4],
   usedPart: 0.6,
   unevenness: 2,
-  aimUs: 600_000,
+  latencyTargetUs: 600_000,
 };
 
-interface Job {
+/** A call that a node sent to a worker. */
+interface SimCall {
   readonly node: SimNode;
   readonly worker: Worker;
   readonly sentUs: number;
@@ -143,47 +153,48 @@
 }
 
 /**
- * A worker of the simulation: slots, a queue, a speed, and a reset for what comes when both are
- * full.
+ * Simulated worker with a number of slots, a bounded queue and its own call duration. Resets calls
+ * that arrive when slots and queue are full.
  */
 export class SimWorker {
   running = 0;
   served = 0;
   slowness = 1;
-  readonly queued: Job[] = [];
+  readonly queued: SimCall[] = [];
 
   constructor(
     readonly id: string,
     readonly zone: string,
     private readonly fleet: SimFleet,
-    readonly speed: number,
+    readonly durationFactor: number,
   ) {}
 
-  readonly offer = (job: Job): void => {
+  readonly offer = (call: SimCall): void => {
     const { terms } = this.fleet;
-    if (this.running < terms.slots) this.start(job);
-    else if (this.queued.length < terms.queue) this.queued.push(job);
-    else job.done(0, "reset");
+    if (this.running < terms.slots) this.start(call);
+    else if (this.queued.length < terms.queueLimit) this.queued.push(call);
+    else call.done(0, "reset");
   };
 
-  private readonly start = (job: Job): void => {
+  private readonly start = (call: SimCall): void => {
     const { timeline, terms } = this.fleet;
     this.running += 1;
-    timeline.after(this.fleet.drawUs() * this.speed * this.slowness, () => {
+    timeline.after(this.fleet.sampleDurationUs() * this.durationFactor * this.slowness, () => {
       this.running -= 1;
       this.served += 1;
       const next = this.queued.shift();
       if (next) this.start(next);
-      job.worker.reportLoad(this.running, this.queued.length, terms.slots);
-      job.done(timeline.nowUs() - job.sentUs, "answered");
+      call.worker.reportLoad(this.running, this.queued.length, terms.slots);
+      call.done(timeline.nowUs() - call.sentUs, "answered");
     });
   };
 }
 
+/** Simulated node with the real worker directory and load balancer. */
 export class SimNode {
   readonly pool: WorkerDirectory;
-  readonly chooser: LoadBalancer;
-  /** Every choice, in order, so that two runs can be compared. */
+  readonly loadBalancer: LoadBalancer;
+  /** The ids of the chosen workers in order, so that two runs can be compared. */
   readonly chosen: string[] = [];
 
   constructor(
@@ -196,7 +207,7 @@
     const { terms } = fleet;
     this.pool = new WorkerDirectory(fleet.timeline, name, zone);
     this.pool.setNodeCount({ inZone: terms.nodesACell, total: terms.nodesACell * terms.cells });
-    this.chooser = new LoadBalancer({
+    this.loadBalancer = new LoadBalancer({
       workers: this.pool,
       zone,
       random,
@@ -205,6 +216,7 @@
   }
 }
 
+/** Record of a call: when and by which node it was sent, to which worker, and its result. */
 export interface Sent {
   readonly atUs: number;
   readonly node: string;
@@ -214,14 +226,15 @@
 }
 
 /**
- * Nodes that choose with the real yard and chooser among workers of one service, without sockets.
+ * Simulation, without sockets, of nodes that distribute calls to the workers of one service. Uses the
+ * real worker directory and load balancer.
  */
 export class SimFleet {
   readonly timeline = new Timeline();
   readonly workers = new Map<string, SimWorker>();
   readonly nodes: SimNode[] = [];
   readonly sent: Sent[] = [];
-  /** Hears of each call as it is sent. */
+  /** Called for each call when it is sent. */
   onSent: (node: string, worker: string) => void = () => undefined;
   private readonly random: () => number;
   private version = 0;
@@ -247,35 +260,39 @@
         );
       }
     }
-    for (let cell = 0; cell < terms.cells; cell += 1)
+    for (let zone = 0; zone < terms.cells; zone += 1)
       for (let worker = 0; worker < terms.workersACell; worker += 1)
-        this.add(`w-${cell}-${worker}`, `c${cell}`);
+        this.add(`w-${zone}-${worker}`, `c${zone}`);
   }
 
-  /** A log-normal time with the wanted mean. */
-  readonly drawUs = (): number => {
-    const { meanUs, spread } = this.terms;
+  /** Samples a call duration from a log-normal distribution with mean `meanUs`. */
+  readonly sampleDurationUs = (): number => {
+    const { meanUs, logStdDev } = this.terms;
     const normal =
       Math.sqrt(-2 * Math.log(1 - this.random())) * Math.cos(2 * Math.PI * this.random());
-    return meanUs * Math.exp(spread * normal - (spread * spread) / 2);
+    return meanUs * Math.exp(logStdDev * normal - (logStdDev * logStdDev) / 2);
   };
 
+  /** Adds a worker and announces it to all nodes as ready. */
   readonly add = (id: string, zone: string): void => {
     const { speeds } = this.terms;
     this.workers.set(
       id,
       new SimWorker(id, zone, this, speeds[this.workers.size % speeds.length] ?? 1),
     );
-    this.tell(id, zone, "ready");
+    this.publishWorker(id, zone, "ready");
   };
 
-  readonly retire = (id: string): void => this.tell(id, this.workers.get(id)?.zone ?? "", "gone");
+  /** Announces to all nodes that the worker is gone. Calls that it holds still complete. */
+  readonly retire = (id: string): void =>
+    this.publishWorker(id, this.workers.get(id)?.zone ?? "", "gone");
 
-  readonly start = (): void => this.nodes.forEach((node) => this.arrive(node));
+  /** Starts the arrivals at all nodes. */
+  readonly start = (): void => this.nodes.forEach((node) => this.scheduleArrival(node));
 
-  private readonly tell = (id: string, zone: string, state: string): void => {
+  private readonly publishWorker = (id: string, zone: string, state: string): void => {
     this.version += 1;
-    const fact: Update = {
+    const update: Update = {
       key: WORKER_PREFIX + id,
       version: this.version,
       tie: "",
@@ -289,24 +306,26 @@
         warmUs: 0,
       },
     };
-    this.nodes.forEach((node) => node.pool.applyUpdates([fact]));
+    this.nodes.forEach((node) => node.pool.applyUpdates([update]));
   };
 
-  private readonly arrive = (node: SimNode): void => {
+  /** Schedules the node's arrivals as a Poisson process with a rate in proportion to its weight. */
+  private readonly scheduleArrival = (node: SimNode): void => {
     const { usedPart, slots, meanUs, speeds } = this.terms;
-    const total = this.nodes.reduce((sum, { weight }) => sum + weight, 0);
+    const totalWeight = this.nodes.reduce((sum, { weight }) => sum + weight, 0);
     const workers = this.terms.cells * this.terms.workersACell;
-    const speed = speeds.reduce((sum, one) => sum + 1 / one, 0) / speeds.length;
-    const perUs = (((usedPart * workers * slots) / meanUs) * speed * node.weight) / total;
-    this.timeline.after(-Math.log(1 - this.random()) / perUs, () => {
+    const meanSpeed = speeds.reduce((sum, factor) => sum + 1 / factor, 0) / speeds.length;
+    const arrivalsPerUs =
+      (((usedPart * workers * slots) / meanUs) * meanSpeed * node.weight) / totalWeight;
+    this.timeline.after(-Math.log(1 - this.random()) / arrivalsPerUs, () => {
       this.send(node);
-      this.arrive(node);
+      this.scheduleArrival(node);
     });
   };
 
   private readonly send = (node: SimNode): void => {
     const sentUs = this.timeline.nowUs();
-    const worker = node.chooser.choose("s", new Set(), this.terms.aimUs);
+    const worker = node.loadBalancer.choose("s", new Set(), this.terms.latencyTargetUs);
     if (!worker)
       return void this.sent.push({
         atUs: sentUs,
--- a/features/support/health-run.ts
+++ b/features/support/health-run.ts
@@ -1,7 +1,7 @@
 /**
- * One fixed run of each part of src/health: what the nodes report, what the leader stores in its
- * registers and what the operators are answered, in order. Compared word for word with what the
- * code before the renames gave (features/data/before-2026-12/health.json).
+ * Deterministic runs of each component of src/health. Each records, in order, the nodes' reports, the
+ * leader's register contents and the answers to operators. The transcripts are compared verbatim with
+ * those of an earlier version (features/data/before-2026-12/health.json).
  */
 import { asRecord, parseJson } from "../../src/common/decode.js";
 import { SECOND_US } from "../../src/common/duration.js";
@@ -35,8 +35,8 @@
 import { seeded } from "./fleet.js";
 import { ManualClock } from "./manual-clock.js";
 
-/** What came out, in order: what it is, and its JSON. */
-export type Transcript = [what: string, json: string][];
+/** The recorded outputs in order, each as its kind and its JSON. */
+export type Transcript = [kind: string, json: string][];
 
 const ZONES = ["c1", "c2", "c3", "c4"];
 
@@ -46,20 +46,20 @@
   text === "" ? undefined : readHealthDecisions(parseJson(text)).shift;
 
 /**
- * Ejection, a spent token, a return, a zonal shift and its end, manual shifts, practice, malformed
- * reports.
+ * Covers an ejection, a spent removal token, the expiry of an ejection, zonal shifts and their end,
+ * manual shifts, practice runs and a malformed report.
  */
 export const runOutlierDetector = async (): Promise<Transcript> => {
   const clock = new ManualClock();
-  const out: Transcript = [];
-  let text = "";
-  const workers = Array.from({ length: 12 }, (_, at) => ({
-    id: `w${at + 1}`,
-    service: at < 6 ? "pay" : "menu",
-    zone: ZONES[at % 3] ?? "",
-    isMissing: at === 11,
+  const transcript: Transcript = [];
+  let json = "";
+  const workers = Array.from({ length: 12 }, (_, index) => ({
+    id: `w${index + 1}`,
+    service: index < 6 ? "pay" : "menu",
+    zone: ZONES[index % 3] ?? "",
+    isMissing: index === 11,
   }));
-  const decisions = () => (text === "" ? NO_DECISIONS : readHealthDecisions(parseJson(text)));
+  const decisions = () => (json === "" ? NO_DECISIONS : readHealthDecisions(parseJson(json)));
   const detector = new OutlierDetector({
     clock,
     log: silentLogger,
@@ -68,21 +68,21 @@
     term: () => 256,
     workers: () => workers,
     decisions,
-    publish: async (wanted) => {
-      text = decisionsText(wanted);
-      out.push(["register", text]);
+    publish: async (next) => {
+      json = decisionsText(next);
+      transcript.push(["register", json]);
       return true;
     },
   });
   const counters = new FaultCounters("life-1");
-  const explain = () => out.push(["answer", JSON.stringify(detector.explain())]);
+  const explain = () => transcript.push(["answer", JSON.stringify(detector.explain())]);
   const faults = async (faultsOf: (id: string, zone: string) => number): Promise<void> => {
     workers.forEach(({ id, zone }) => {
       counters.count(id, false);
       for (let fault = 0; fault < faultsOf(id, zone); fault += 1) counters.count(id, true);
     });
     const report = counters.takeReport();
-    out.push(["report", JSON.stringify(report ?? null)]);
+    transcript.push(["report", JSON.stringify(report ?? null)]);
     if (report) detector.receive({ ...report, node: "n1" });
     for (let tick = 0; tick < 3; tick += 1) {
       await detector.tick();
@@ -99,25 +99,25 @@
   await faults((_, zone) => (zone === "c3" ? 900 : 0));
   await clock.pass(601 * SECOND_US);
   await faults(() => 0);
-  out.push(["manual", JSON.stringify(await detector.zonalShift.shiftManually("c1"))]);
-  out.push(["practice", JSON.stringify(await detector.zonalShift.startPractice("c3"))]);
+  transcript.push(["manual", JSON.stringify(await detector.zonalShift.shiftManually("c1"))]);
+  transcript.push(["practice", JSON.stringify(await detector.zonalShift.startPractice("c3"))]);
   await clock.pass(61 * SECOND_US);
   await faults(() => 0);
   const shift = { cell: "c2", why: "window", reason: "A planned window.", safe: 0.25, unsafe: 0 };
   const windowShift = shiftOf(JSON.stringify({ removals: 0, ejections: [], shift }));
-  out.push(["window", JSON.stringify(await detector.zonalShift.setShift(windowShift))]);
-  out.push(["manual", JSON.stringify(await detector.zonalShift.shiftManually("c1"))]);
-  out.push(["practice", JSON.stringify(await detector.zonalShift.startPractice("c3"))]);
-  out.push(["window", JSON.stringify(await detector.zonalShift.setShift(undefined))]);
-  out.push(["manual", JSON.stringify(await detector.zonalShift.shiftManually(""))]);
+  transcript.push(["window", JSON.stringify(await detector.zonalShift.setShift(windowShift))]);
+  transcript.push(["manual", JSON.stringify(await detector.zonalShift.shiftManually("c1"))]);
+  transcript.push(["practice", JSON.stringify(await detector.zonalShift.startPractice("c3"))]);
+  transcript.push(["window", JSON.stringify(await detector.zonalShift.setShift(undefined))]);
+  transcript.push(["manual", JSON.stringify(await detector.zonalShift.shiftManually(""))]);
   detector.receive({ kind: "faults", node: "n1", life: "life-1", workers: [["w1"]] });
   await clock.pass(7 * 24 * 3600 * SECOND_US);
   await faults(() => 0);
-  return out;
+  return transcript;
 };
 
 /**
- * The names that the errors of clearing had in memory when the golden data was made; they were
+ * The in-memory names of the errors of clearing a stop when the golden data was recorded. They were
  * never sent.
  */
 const FORMER_CLEAR_NAMES: Readonly<Record<string, string>> = {
@@ -130,13 +130,14 @@
   error === undefined ? "cleared" : FORMER_CLEAR_NAMES[error.code];
 
 /**
- * Reports, a pass, a stop for possibly doubled requests, every outcome of a clearing, a takeover.
+ * Covers reports, a pass, a stop for possibly duplicated requests, each result of clearing a stop and
+ * a leader change.
  */
 export const runCanaryAnalyzer = async (): Promise<Transcript> => {
   const clock = new ManualClock();
-  const out: Transcript = [];
-  let text = "";
-  const state = (): CanaryState => (text === "" ? NO_CANARIES : readCanaryState(parseJson(text)));
+  const transcript: Transcript = [];
+  let json = "";
+  const state = (): CanaryState => (json === "" ? NO_CANARIES : readCanaryState(parseJson(json)));
   const shares = [
     { service: "old", share: 9 },
     { service: "new", share: 1 },
@@ -146,7 +147,7 @@
     { name: "r2", version: 8, isSafe: true, shares },
   ];
   let isPublishing = true;
-  const open = () =>
+  const createAnalyzer = () =>
     new CanaryAnalyzer({
       clock,
       log: silentLogger,
@@ -157,33 +158,42 @@
       splitRoutes: () => routes,
       previousPrimary: (route) => (route === "r1" ? "old" : undefined),
       state,
-      publish: async (wanted) => {
+      publish: async (next) => {
         if (!isPublishing) return false;
-        text = JSON.stringify(wanted);
-        out.push(["register", text]);
+        json = JSON.stringify(next);
+        transcript.push(["register", json]);
         return true;
       },
     });
-  let analyzer = open();
+  let analyzer = createAnalyzer();
   const counters = new CanaryCounters("life-1");
   const report = async (): Promise<void> => {
     const message = counters.takeReport();
-    out.push(["report", JSON.stringify(message ?? null)]);
+    transcript.push(["report", JSON.stringify(message ?? null)]);
     if (message) analyzer.receive({ ...message, node: "n1" });
     await clock.pass(SECOND_US);
     await analyzer.tick();
-    out.push(["answer", JSON.stringify(analyzer.explain())]);
+    transcript.push(["answer", JSON.stringify(analyzer.explain())]);
   };
-  const count = (route: string, version: number, doubledOf: number): void => {
-    for (let at = 0; at < 90; at += 1)
-      counters.count(route, version, "old", "c1|near|warm", at % 30 === 0 ? "late" : "inTime");
-    for (let at = 0; at < 30; at += 1)
-      counters.count(route, version, "new", "c1|near|warm", at < doubledOf ? "doubled" : "inTime");
+  const count = (route: string, version: number, duplicates: number): void => {
+    for (let index = 0; index < 90; index += 1)
+      counters.count(route, version, "old", "c1|near|warm", index % 30 === 0 ? "late" : "inTime");
+    for (let index = 0; index < 30; index += 1)
+      counters.count(
+        route,
+        version,
+        "new",
+        "c1|near|warm",
+        index < duplicates ? "doubled" : "inTime",
+      );
     counters.count(route, version, "new", "c2|far|cold", "lost");
     counters.count(route, version, "new", "c2|far|cold", "own");
   };
   const clear = async (route: string, version: number | undefined): Promise<void> => {
-    out.push(["clear", JSON.stringify(formerClearName(await analyzer.clearStop(route, version)))]);
+    transcript.push([
+      "clear",
+      JSON.stringify(formerClearName(await analyzer.clearStop(route, version))),
+    ]);
   };
   await analyzer.tick();
   for (let round = 0; round < 20; round += 1) {
@@ -199,18 +209,18 @@
   isPublishing = false;
   await clear("r1", 7);
   isPublishing = true;
-  analyzer = open();
+  analyzer = createAnalyzer();
   await report();
   await clear("r1", 7);
   await report();
-  return out;
+  return transcript;
 };
 
-/** A rising load until it overruns the service, too few nodes, and the way back. */
+/** Covers a load that rises until the service is overrun, the recovery, and too few reporting nodes. */
 export const runCapacityForecaster = async (): Promise<Transcript> => {
   const clock = new ManualClock();
-  const out: Transcript = [];
-  let text = "{}";
+  const transcript: Transcript = [];
+  let json = "{}";
   let nodes = 3;
   const forecaster = new CapacityForecaster({
     clock,
@@ -219,51 +229,52 @@
     isLeader: () => true,
     nodes: () => nodes,
     workers: () =>
-      Array.from({ length: 10 }, (_, at) => ({
-        id: `w${at}`,
+      Array.from({ length: 10 }, (_, index) => ({
+        id: `w${index}`,
         service: "pay",
-        zone: ZONES[at % 2] ?? "",
+        zone: ZONES[index % 2] ?? "",
         capacity: 2,
-        isRoutable: at !== 9,
+        isRoutable: index !== 9,
       })),
-    published: () => readCapacityStates(parseJson(text)),
-    publish: async (wanted) => {
-      text = JSON.stringify(wanted);
-      out.push(["register", text]);
+    published: () => readCapacityStates(parseJson(json)),
+    publish: async (next) => {
+      json = JSON.stringify(next);
+      transcript.push(["register", json]);
       return true;
     },
   });
   const counters = [1, 2, 3].map((node) => new LoadCounters(`life-${node}`));
   const tick = async (callsPerNode: number, rejected: number): Promise<void> => {
-    counters.forEach((counter, at) => {
+    counters.forEach((counter, index) => {
       for (let call = 0; call < callsPerNode; call += 1) {
         counter.arrived("pay");
         counter.answered("pay", ZONES[call % 2] ?? "", 200_000 + (call % 7) * 10_000);
       }
       for (let call = 0; call < rejected; call += 1) counter.refused("pay");
       const report: Message | undefined = counter.takeReport();
-      if (isWanted(out)) out.push(["report", JSON.stringify(report ?? null)]);
-      if (report) forecaster.receive({ ...report, node: `n${at}` });
+      if (needsMoreReports(transcript)) transcript.push(["report", JSON.stringify(report ?? null)]);
+      if (report) forecaster.receive({ ...report, node: `n${index}` });
     });
     await clock.pass(2 * SECOND_US);
     await forecaster.tick();
-    out.push(["answer", JSON.stringify(forecaster.explain())]);
+    transcript.push(["answer", JSON.stringify(forecaster.explain())]);
   };
   forecaster.receive({ kind: "usage", node: "n1", life: "life-1", rows: "none" });
-  for (let at = 0; at < 30; at += 1) await tick(10 + 2 * at, at > 26 ? 5 : 0);
-  out.push(["inFlight", JSON.stringify([...forecaster.inFlight()])]);
-  for (let at = 0; at < 10; at += 1) await tick(20, 0);
+  for (let index = 0; index < 30; index += 1) await tick(10 + 2 * index, index > 26 ? 5 : 0);
+  transcript.push(["inFlight", JSON.stringify([...forecaster.inFlight()])]);
+  for (let index = 0; index < 10; index += 1) await tick(20, 0);
   nodes = 9;
-  for (let at = 0; at < 4; at += 1) await tick(20, 0);
-  return out;
+  for (let index = 0; index < 4; index += 1) await tick(20, 0);
+  return transcript;
 };
 
-/** Enough reports to see their form without all of them. */
-const isWanted = (out: Transcript): boolean => out.filter(([what]) => what === "report").length < 9;
+/** Whether to record another report; the first nine suffice to compare the format. */
+const needsMoreReports = (transcript: Transcript): boolean =>
+  transcript.filter(([kind]) => kind === "report").length < 9;
 
 /**
- * The names that the errors of windows had in memory when the golden data was made; they were never
- * sent.
+ * The in-memory names of the errors of maintenance windows when the golden data was recorded. They
+ * were never sent.
  */
 const FORMER_NAMES: Readonly<Record<string, string>> = {
   UNKNOWN_ZONE: "unknownCell",
@@ -278,30 +289,30 @@
 const formerName = (error: WindowError | undefined): string | undefined =>
   error === undefined ? "done" : FORMER_NAMES[error.code];
 
-/** Every refusal, one window from its announcement to its end, one cancelled, one extended. */
+/** Covers every error, a window that is extended and runs to its end, and a cancelled one. */
 export const runMaintenanceWindows = async (): Promise<Transcript> => {
   const clock = new ManualClock();
-  const out: Transcript = [];
-  let text = "";
+  const transcript: Transcript = [];
+  let json = "";
   let shift: ZonalShift | undefined;
-  let leads = true;
-  const state = (): WindowState => (text === "" ? [] : readWindows(parseJson(text)));
+  let isLeader = true;
+  const state = (): WindowState => (json === "" ? [] : readWindows(parseJson(json)));
   const windows = new MaintenanceWindows({
     clock,
     log: silentLogger,
     settings: WINDOW_SETTINGS,
-    isLeader: () => leads,
+    isLeader: () => isLeader,
     state,
     stateAgeUs: () => 0,
-    publish: async (wanted) => {
-      text = JSON.stringify(packWindows(wanted));
-      out.push(["register", text]);
+    publish: async (next) => {
+      json = JSON.stringify(packWindows(next));
+      transcript.push(["register", json]);
       return true;
     },
     shift: () => shift,
-    setShift: async (wanted) => {
-      shift = wanted;
-      out.push(["shift", decisionsText({ ...NO_DECISIONS, shift: wanted })]);
+    setShift: async (next) => {
+      shift = next;
+      transcript.push(["shift", decisionsText({ ...NO_DECISIONS, shift: next })]);
       return true;
     },
     zones: () => ZONES,
@@ -311,20 +322,20 @@
     hasQuorumWithout: (zone) => zone !== "c1",
     inFlight: () => new Map([["pay", 7.5]]),
     moveLeadershipOutOf: async (zone) => {
-      out.push(["leadership", zone]);
+      transcript.push(["leadership", zone]);
     },
   });
-  const explain = () => out.push(["answer", JSON.stringify(windows.explain())]);
+  const explain = () => transcript.push(["answer", JSON.stringify(windows.explain())]);
   const add = async (id: string, zone: string, opensS: number, lastsS: number): Promise<void> => {
     const request = { zone, opensInUs: opensS * SECOND_US, durationUs: lastsS * SECOND_US };
     const added = await windows.add(request, id);
-    out.push(["add", JSON.stringify(added.isOk ? added.value : formerName(added.error))]);
+    transcript.push(["add", JSON.stringify(added.isOk ? added.value : formerName(added.error))]);
   };
   const passS = async (seconds: number): Promise<void> => {
-    for (let at = 0; at < seconds * 2; at += 1) {
+    for (let index = 0; index < seconds * 2; index += 1) {
       await clock.pass(SECOND_US / 2);
       await windows.tick();
-      if (at % 10 === 0) explain();
+      if (index % 10 === 0) explain();
     }
   };
   await windows.tick();
@@ -332,22 +343,25 @@
   await add("a", "c2", 60, 1);
   await add("a", "c2", 5, 30);
   await add("a", "c1", 60, 30);
-  leads = false;
+  isLeader = false;
   await add("a", "c2", 60, 30);
-  leads = true;
+  isLeader = true;
   await add("a", "c2", 60, 30);
   await add("b", "c3", 70, 30);
   await add("b", "c3", 400, 30);
   await passS(50);
-  out.push(["extend", JSON.stringify(formerName(await windows.extend("a", 5 * SECOND_US)))]);
-  out.push(["extend", JSON.stringify(formerName(await windows.extend("a", 600 * SECOND_US)))]);
-  out.push(["extend", JSON.stringify(formerName(await windows.extend("a", 0)))]);
+  transcript.push(["extend", JSON.stringify(formerName(await windows.extend("a", 5 * SECOND_US)))]);
+  transcript.push([
+    "extend",
+    JSON.stringify(formerName(await windows.extend("a", 600 * SECOND_US))),
+  ]);
+  transcript.push(["extend", JSON.stringify(formerName(await windows.extend("a", 0)))]);
   await passS(100);
-  out.push(["cancel", JSON.stringify(formerName(await windows.cancel("a")))]);
-  out.push(["cancel", JSON.stringify(formerName(await windows.cancel("x")))]);
+  transcript.push(["cancel", JSON.stringify(formerName(await windows.cancel("a")))]);
+  transcript.push(["cancel", JSON.stringify(formerName(await windows.cancel("x")))]);
   await passS(220);
-  out.push(["cancel", JSON.stringify(formerName(await windows.cancel("b")))]);
+  transcript.push(["cancel", JSON.stringify(formerName(await windows.cancel("b")))]);
   await passS(30);
-  asRecord(parseJson(text), "the stored windows");
-  return out;
+  asRecord(parseJson(json), "the stored windows");
+  return transcript;
 };
--- a/features/windows.feature
+++ b/features/windows.feature
@@ -1,19 +1,19 @@
-Feature: Planned maintenance windows of a cell
-  A cell's requests are elsewhere before its window opens; what is in flight finishes where it is.
+Feature: Planned maintenance windows of a zone
+  Traffic is shifted to other zones before the window opens. Requests in flight complete in the zone.
 
   Background:
-    Given cells "c1, c2, c3" whose longest budget is 4 s, and a holder of the duty
+    Given zones "c1, c2, c3" with a longest deadline of 4 s, and a leader
 
-  Scenario: The stages of a window, each in its time
+  Scenario: A window goes through its stages in time
     When a window of "c2" that opens in 60 s and lasts 30 s is added
-    Then safe requests leave in steps before unsafe ones, and all are gone 4 s or more before it opens
-    And it is clear before it opens, and open for 30 s
-    And requests come back in steps, and no shift is left
+    Then safe requests are shifted in steps before unsafe ones, and all of them 4 s or more before it opens
+    And the zone is clear before the window opens, and the window is open for 30 s
+    And requests return in steps, and no zonal shift remains
 
-  Scenario Outline: What can't be done is refused
+  Scenario Outline: A window that is not possible is rejected
     Given a window of "c2" that opens in 100 s and lasts 30 s is added
-    When a window of "<zone>" that opens in <opens> s and lasts <lasts> s is asked for
-    Then the window is refused with code "<code>"
+    When a window of "<zone>" that opens in <opens> s and lasts <lasts> s is requested
+    Then the window is rejected with code "<code>"
 
     Examples:
       | zone | opens | lasts | code                   |
@@ -23,10 +23,10 @@
       | c3   | 300   | 1     | WINDOW_OUT_OF_RANGE    |
       | c1   | 300   | 30    | ZONE_NEEDED_FOR_QUORUM |
 
-  Scenario Outline: The holder dies in each stage, and the next one goes on
+  Scenario Outline: The leader fails at any stage before the opening, and its successor continues
     When a window of "c2" that opens in 60 s and lasts 30 s is added
-    And it is "<stage>" and the holder dies, the next one having known the state
-    Then the window still opens at its time, give or take 2 s, with the cell clear, and ends
+    And the leader fails at stage "<stage>" and a running controller that holds the state takes over
+    Then the window still opens within 2 s of its time, with the zone clear, and ends
 
     Examples:
       | stage     |
@@ -34,35 +34,35 @@
       | moving    |
       | clear     |
 
-  Scenario: Every process is killed meanwhile: the window errs to the early side
+  Scenario: After a restart of all processes the window opens early rather than late
     When a window of "c2" that opens in 90 s and lasts 30 s is added
-    And 20 seconds later every process is killed and starts again
-    Then the window opens early by 1 to 40 s, with the cell clear
+    And 20 seconds later all processes are killed and restarted
+    Then the window opens early by 1 to 40 s, with the zone clear
 
-  Scenario: Cancelled while moving, what has left comes back
+  Scenario: Cancelling a window while traffic is moving returns the shifted traffic
     When a window of "c2" that opens in 60 s and lasts 30 s is added
-    And it is "moving" and is cancelled
-    Then it ends without ever having been open, and no shift is left
+    And the window is cancelled at stage "moving"
+    Then the window ends without having opened, and no zonal shift remains
 
-  Scenario: Extended while open
+  Scenario: An open window is extended
     When a window of "c2" that opens in 60 s and lasts 30 s is added
-    And it is "open" and is extended by 20 s
-    Then it was open for 50 s
+    And at stage "open" the window is extended by 20 s
+    Then the window was open for 50 s
 
-  Scenario: A window goes before a practice, and waits for another cell's shift
-    Given a practice shift of "c3" stands
+  Scenario: A window overrides a practice run, but waits for the manual shift of another zone
+    Given a practice run shifts traffic away from "c3"
     When a window of "c2" that opens in 60 s and lasts 30 s is added
-    Then it moves at its time all the same
-    Given a shift of "c3" by hand stands
+    Then traffic is shifted for the window despite the practice run
+    Given a manual shift of "c3" is active
     When a window of "c2" that opens in 60 s and lasts 30 s is added
-    Then it doesn't move as long as that shift stands
+    Then no traffic is shifted for the window until the manual shift ends
 
-  Scenario: A cell that stays dark past its end stays left alone
+  Scenario: A zone that is still down when its window should end receives no traffic
     When a window of "c2" that opens in 60 s and lasts 30 s is added
-    And its workers go dark once it is open, and stay so
-    Then 20 s past its end it is still open, and returns once they are back
+    And the zone's workers go down once the window is open
+    Then the window is still open 20 s past its end, and ends once the workers are back
 
-  Scenario: The operator is warned when the other cells can't carry it
-    Given service "s" has 9 calls in flight
+  Scenario: The operator is warned if the other zones lack the capacity for the traffic
+    Given service "s" has 9 requests in flight
     When a window of "c2" that opens in 60 s and lasts 30 s is added
-    Then it is taken with a warning that names "s"
+    Then the window is accepted with a warning about "s"
