--- a/features/rollout.feature
+++ b/features/rollout.feature
@@ -40,14 +40,14 @@
     Then at least 180 runs pass the candidate, the median after at most 400 requests
 
   Scenario: A candidate that degrades after it has passed is stopped
-    Given a rollout inspector that holds the duty, for an unsafe route "r1" of "old" 90 and "new" 10
+    Given a canary analyzer that holds the leader lease, for an unsafe route "r1" of "old" 90 and "new" 10
     When "new" answers 1000 requests in time and "old" 9000
     Then "new" has passed on "r1"
     When "new" possibly duplicates 8 of 1100 requests and "old" none of 9900
     Then the verdict on "new" is to stop it
 
   Scenario: A candidate with the larger share is stopped too
-    Given a rollout inspector that holds the duty, for an unsafe route "r1" of "old" 40 and "new" 60
+    Given a canary analyzer that holds the leader lease, for an unsafe route "r1" of "old" 40 and "new" 60
     When "new" possibly duplicates 14 of 336 requests and "old" none of 232
     Then "new" is stopped on "r1" in favour of "old", with a reason and evidence
 
@@ -57,32 +57,32 @@
     Then at most 6 runs stop the candidate, and at least 0 do
 
   Scenario: A candidate is not stopped for late responses of cold workers
-    Given a rollout inspector that holds the duty, for an unsafe route "r1" of "old" 90 and "new" 10
+    Given a canary analyzer that holds the leader lease, for an unsafe route "r1" of "old" 90 and "new" 10
     When "new" answers 300 requests late on cold workers while "old" answers 3000 in time on warm ones
     Then no candidate is stopped
 
   Scenario: The leader stops a bad candidate and stores the stop with its reason
-    Given a rollout inspector that holds the duty, for an unsafe route "r1" of "old" 90 and "new" 10
+    Given a canary analyzer that holds the leader lease, for an unsafe route "r1" of "old" 90 and "new" 10
     When "new" possibly duplicates 8 of 100 requests and "old" none of 900
     Then "new" is stopped on "r1" in favour of "old", with a reason and evidence
 
   Scenario: Duplicate and reordered reports are counted once
-    Given a rollout inspector that holds the duty, for an unsafe route "r1" of "old" 90 and "new" 10
+    Given a canary analyzer that holds the leader lease, for an unsafe route "r1" of "old" 90 and "new" 10
     When the same report of 50 requests to "new" arrives 3 times, followed by an older one
     Then 50 requests to "new" are counted
 
   Scenario: Malformed reports and reports about unknown routes or versions are dropped and counted
-    Given a rollout inspector that holds the duty, for an unsafe route "r1" of "old" 90 and "new" 10
+    Given a canary analyzer that holds the leader lease, for an unsafe route "r1" of "old" 90 and "new" 10
     When a malformed report, one for an unknown route and one for a stale version arrive
     Then 3 reports are counted as dropped, and no request to the candidate is counted
 
   Scenario: A controller that is not the leader stops nothing
-    Given a rollout inspector without the duty, for an unsafe route "r1" of "old" 90 and "new" 10
+    Given a canary analyzer without the leader lease, for an unsafe route "r1" of "old" 90 and "new" 10
     When "new" possibly duplicates 8 of 100 requests and "old" none of 900
     Then no candidate is stopped
 
   Scenario: A stop survives a leader change, until it is cleared or a newer version is published
-    Given a rollout inspector that holds the duty, for an unsafe route "r1" of "old" 90 and "new" 10
+    Given a canary analyzer that holds the leader lease, for an unsafe route "r1" of "old" 90 and "new" 10
     When "new" possibly duplicates 8 of 100 requests and "old" none of 900
     And another controller becomes the leader
     Then "new" is stopped on "r1" in favour of "old", with a reason and evidence
@@ -91,6 +91,6 @@
     Then no candidate is stopped
 
   Scenario: The primary service of the previous version is the baseline, even if its share is now smaller
-    Given a rollout inspector that holds the duty, for an unsafe route "r1" of "old" 10 and "new" 90
+    Given a canary analyzer that holds the leader lease, for an unsafe route "r1" of "old" 10 and "new" 90
     When "new" possibly duplicates 8 of 100 requests and "old" none of 900
     Then "new" is stopped on "r1" in favour of "old", with a reason and evidence
--- a/features/steps/inspection.ts
+++ b/features/steps/inspection.ts
@@ -173,7 +173,7 @@
 };
 
 Given(
-  /^a rollout inspector (that holds|without) the duty, for an unsafe route "(\w+)" of "(\w+)" (\d+) and "(\w+)" (\d+)$/,
+  /^a canary analyzer (that holds|without) the leader lease, for an unsafe route "(\w+)" of "(\w+)" (\d+) and "(\w+)" (\d+)$/,
   async (
     leadership: string,
     name: string,
