--- a/features/steps/answers.ts
+++ b/features/steps/answers.ts
@@ -21,15 +21,15 @@
 import { WORKER_PREFIX } from "../../src/membership/update-store.js";
 import { settle } from "../support/manual-clock.js";
 
-const LEFT = { "Yewreel-Time-Left-Ms": "2500" };
-const PROMISES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+const TIME_LEFT = { "Yewreel-Time-Left-Ms": "2500" };
+const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
 let harness: ProxyHarness;
 let workers: ScriptedWorker[] = [];
-let tries = 0;
+let attemptCount = 0;
 let response: ClientResponse | undefined;
 
-const own = (request: WorkerRequest, body = `ran ${request.attemptId}`): string =>
+const validResponse = (request: WorkerRequest, body = `ran ${request.attemptId}`): string =>
   responseBytes(
     200,
     {
@@ -39,35 +39,38 @@
     body,
   );
 
-const newRig = async (plan = configurationOf()): Promise<void> => {
+const startHarness = async (plan = configurationOf()): Promise<void> => {
   harness = new ProxyHarness({ configuration: plan });
   workers = [];
   await harness.start();
 };
-const join = async (worker: ScriptedWorker): Promise<ScriptedWorker> => {
+const addWorker = async (worker: ScriptedWorker): Promise<ScriptedWorker> => {
   workers.push(worker);
   await harness.join(worker);
   return worker;
 };
-const first = (): ScriptedWorker => {
+const firstWorker = (): ScriptedWorker => {
   const [worker] = workers;
   assert.ok(worker);
   return worker;
 };
-const arrivalsOf = (attemptId: string): readonly WorkerRequest[] =>
-  workers
-    .flatMap(({ requests: arrivals }) => arrivals)
-    .filter((request) => request.attemptId === attemptId);
+const requestsOf = (attemptId: string): readonly WorkerRequest[] =>
+  workers.flatMap(({ requests }) => requests).filter((request) => request.attemptId === attemptId);
 
-const ask = async (
+const sendRequest = async (
   method: string,
   path: string,
   body = "",
   headers: Readonly<Record<string, string>> = {},
 ): Promise<ClientResponse | undefined> => {
-  tries += 1;
+  attemptCount += 1;
   const client = new RawClient(harness.host, harness.port);
-  client.send(method, path, { "Yewreel-Try-Id": `t-${tries}`, ...LEFT, ...headers }, body);
+  client.send(
+    method,
+    path,
+    { "Yewreel-Try-Id": `t-${attemptCount}`, ...TIME_LEFT, ...headers },
+    body,
+  );
   await harness.until(() => client.responses.length > 0 || client.isClosed);
   client.socket.destroy();
   return client.responses[0];
@@ -81,307 +84,349 @@
   await settle();
 });
 
-Given("a gateway and a worker that keeps its connections", async () => {
-  await newRig();
-  await join(
-    new ScriptedWorker("w1", { onRequest: (request, socket) => void socket.write(own(request)) }),
+Given("a gateway and a worker with persistent connections", async () => {
+  await startHarness();
+  await addWorker(
+    new ScriptedWorker("w1", {
+      onRequest: (request, socket) => void socket.write(validResponse(request)),
+    }),
   );
 });
-Given("another worker that answers well", async () => {
-  await join(
-    new ScriptedWorker("w2", { onRequest: (request, socket) => void socket.write(own(request)) }),
+Given("a second worker that responds correctly", async () => {
+  await addWorker(
+    new ScriptedWorker("w2", {
+      onRequest: (request, socket) => void socket.write(validResponse(request)),
+    }),
   );
 });
 
 When(
-  /^on a kept connection the worker runs an order and a late (\d+)( with Not-Run)? (?:and|with) (another try's|no) id comes first$/,
-  async (status: string, notRun: string | null, whose: string) => {
-    for (let at = 0; at < 40 && first().requests.length === 0; at += 1) await ask("GET", "/safe/x");
-    assert.equal(first().bytes.length, 1);
-    const late = responseBytes(Number(status), {
-      ...(whose === "no" ? {} : { "Yewreel-Try-Id": "somebody-else" }),
+  /^on a reused connection the worker runs a POST but first sends a stale (\d+)( with Not-Run)? (?:and|with) (another attempt's|no) id$/,
+  async (status: string, notRun: string | null, idOwner: string) => {
+    for (let at = 0; at < 40 && firstWorker().requests.length === 0; at += 1)
+      await sendRequest("GET", "/safe/x");
+    assert.equal(firstWorker().bytes.length, 1);
+    const staleResponse = responseBytes(Number(status), {
+      ...(idOwner === "no" ? {} : { "Yewreel-Try-Id": "somebody-else" }),
       ...(notRun === null ? {} : { "Yewreel-Not-Run": "1" }),
     });
-    first().script = {
+    firstWorker().script = {
       onRequest: (request, socket) =>
-        void socket.write(request.method === "POST" ? late + own(request) : own(request)),
+        void socket.write(
+          request.method === "POST"
+            ? staleResponse + validResponse(request)
+            : validResponse(request),
+        ),
     };
-    for (let at = 0; at < 40 && !first().requests.some(({ method }) => method === "POST"); at += 1)
-      response = await ask("POST", "/unsafe/x", "an order");
-    const [order] = first().requests.filter(({ method }) => method === "POST");
-    assert.deepEqual([order?.attemptId, order?.connection], [`t-${tries}`, 1]);
+    for (
+      let at = 0;
+      at < 40 && !firstWorker().requests.some(({ method }) => method === "POST");
+      at += 1
+    )
+      response = await sendRequest("POST", "/unsafe/x", "an order");
+    const [order] = firstWorker().requests.filter(({ method }) => method === "POST");
+    assert.deepEqual([order?.attemptId, order?.connection], [`t-${attemptCount}`, 1]);
   },
 );
-Then("the order's client is told {int}", (status: number) =>
-  assert.equal(response?.status, status),
-);
-Then("the order ran once, and no promise was given for it", () => {
-  assert.equal(arrivalsOf(`t-${tries}`).length, 1);
-  assert.ok(response && !PROMISES.has(response.status));
+Then("the client receives {int}", (status: number) => assert.equal(response?.status, status));
+Then("the POST ran once, and the response doesn't guarantee that it did not run", () => {
+  assert.equal(requestsOf(`t-${attemptCount}`).length, 1);
+  assert.ok(response && !NOT_RUN_STATUSES.has(response.status));
 });
-Then("the worker is still known", () =>
+Then("the worker is still in the directory", () =>
   assert.ok(harness.pool.all().some(({ id }) => id === "w1")),
 );
 
-const ID = (request: WorkerRequest): Readonly<Record<string, string>> => ({
+const attemptIdHeader = (request: WorkerRequest): Readonly<Record<string, string>> => ({
   "Yewreel-Try-Id": request.attemptId,
 });
-const SEALED = (request: WorkerRequest): Readonly<Record<string, string>> => ({
-  ...ID(request),
+const sealedHeaders = (request: WorkerRequest): Readonly<Record<string, string>> => ({
+  ...attemptIdHeader(request),
   "Yewreel-Server-Seal": `s.${request.worker}.${request.attemptId}`,
 });
-const NOT_RUN = { "Yewreel-Not-Run": "1" };
+const NOT_RUN_HEADER = { "Yewreel-Not-Run": "1" };
 
-/** How a worker's socket is to act on an order, by the words of the feature. */
-const ODD: Readonly<Record<string, (arrival: WorkerRequest, socket: Socket) => void>> = {
+/** How a worker responds to a POST, by the text in the feature. */
+const POST_RESPONSES: Readonly<Record<string, (request: WorkerRequest, socket: Socket) => void>> = {
   "a 500 with a seal": (request, socket) =>
-    void socket.write(responseBytes(500, SEALED(request), "it failed")),
+    void socket.write(responseBytes(500, sealedHeaders(request), "it failed")),
   "a 404 with a seal": (request, socket) =>
-    void socket.write(responseBytes(404, SEALED(request), "not here")),
+    void socket.write(responseBytes(404, sealedHeaders(request), "not here")),
   "a 204": (request, socket) =>
-    void socket.write(responseBytes(204, { ...SEALED(request), "Content-Length": undefined })),
-  "a whole answer that closes": (request, socket) =>
-    void socket.end(own(request).replace("Content-Length", "Connection: close\r\nContent-Length")),
-  "a whole answer that closes, and more bytes": (request, socket) =>
     void socket.write(
-      own(request).replace("Content-Length", "Connection: close\r\nContent-Length") +
-        own(request, "MORE"),
+      responseBytes(204, { ...sealedHeaders(request), "Content-Length": undefined }),
+    ),
+  "a complete response with Connection: close": (request, socket) =>
+    void socket.end(
+      validResponse(request).replace("Content-Length", "Connection: close\r\nContent-Length"),
+    ),
+  "a complete response with Connection: close, then bytes": (request, socket) =>
+    void socket.write(
+      validResponse(request).replace("Content-Length", "Connection: close\r\nContent-Length") +
+        validResponse(request, "MORE"),
+    ),
+  "a complete response and an extra one right after it": (request, socket) =>
+    void socket.write(
+      validResponse(request) + validResponse({ ...request, attemptId: "extra" }, "EXTRA"),
     ),
-  "a whole answer, and an extra one right behind it": (request, socket) =>
-    void socket.write(own(request) + own({ ...request, attemptId: "extra" }, "EXTRA")),
-  "a whole answer, and an extra one a moment later": (request, socket) => {
-    socket.write(own(request));
-    void settle(4).then(() => socket.write(own({ ...request, attemptId: "extra" }, "EXTRA")));
+  "a complete response and an extra one a moment later": (request, socket) => {
+    socket.write(validResponse(request));
+    void settle(4).then(() =>
+      socket.write(validResponse({ ...request, attemptId: "extra" }, "EXTRA")),
+    );
   },
-  "a whole answer, and bytes of no protocol later": (request, socket) => {
-    socket.write(own(request));
+  "a complete response and non-HTTP bytes a moment later": (request, socket) => {
+    socket.write(validResponse(request));
     void settle(4).then(() => socket.write("\u0001\u0002\r\n\r\n"));
   },
-  "a 103 and then a whole answer": (request, socket) =>
-    void socket.write(`HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n${own(request)}`),
-  "a whole answer in small pieces": (request, socket) => {
-    const bytes = own(request);
+  "a 103 and then a complete response": (request, socket) =>
+    void socket.write(`HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n${validResponse(request)}`),
+  "a complete response in small pieces": (request, socket) => {
+    const bytes = validResponse(request);
     for (let at = 0; at < bytes.length; at += 7)
       setImmediate(() => socket.write(bytes.slice(at, at + 7)));
   },
-  "a whole answer in chunks": (request, socket) =>
+  "a complete response in chunks": (request, socket) =>
     void socket.write(
-      `${responseBytes(200, { ...SEALED(request), "Content-Length": undefined, "Transfer-Encoding": "chunked" })}4\r\nran \r\n${request.attemptId.length.toString(16)}\r\n${request.attemptId}\r\n0\r\n\r\n`,
+      `${responseBytes(200, { ...sealedHeaders(request), "Content-Length": undefined, "Transfer-Encoding": "chunked" })}4\r\nran \r\n${request.attemptId.length.toString(16)}\r\n${request.attemptId}\r\n0\r\n\r\n`,
     ),
   "a 503 with Not-Run": (request, socket) =>
-    void socket.write(responseBytes(503, { ...ID(request), ...NOT_RUN })),
+    void socket.write(responseBytes(503, { ...attemptIdHeader(request), ...NOT_RUN_HEADER })),
   "a 400 with Not-Run": (request, socket) =>
-    void socket.write(responseBytes(400, { ...ID(request), ...NOT_RUN })),
-  "a 429 with Not-Run and no length, closed": (request, socket) =>
+    void socket.write(responseBytes(400, { ...attemptIdHeader(request), ...NOT_RUN_HEADER })),
+  "a 429 with Not-Run and no Content-Length, closed": (request, socket) =>
     void socket.end(
-      responseBytes(429, { ...ID(request), ...NOT_RUN, "Content-Length": undefined }),
+      responseBytes(429, {
+        ...attemptIdHeader(request),
+        ...NOT_RUN_HEADER,
+        "Content-Length": undefined,
+      }),
     ),
-  "a 421": (request, socket) => void socket.write(responseBytes(421, ID(request))),
+  "a 421": (request, socket) => void socket.write(responseBytes(421, attemptIdHeader(request))),
   "a 503 with a seal": (request, socket) =>
-    void socket.write(responseBytes(503, SEALED(request), "it ran, and failed")),
-  "a 429 without Not-Run": (request, socket) => void socket.write(responseBytes(429, ID(request))),
-  "a 408 with a seal": (request, socket) => void socket.write(responseBytes(408, SEALED(request))),
+    void socket.write(responseBytes(503, sealedHeaders(request), "it ran, and failed")),
+  "a 429 without Not-Run": (request, socket) =>
+    void socket.write(responseBytes(429, attemptIdHeader(request))),
+  "a 408 with a seal": (request, socket) =>
+    void socket.write(responseBytes(408, sealedHeaders(request))),
   "a 200 with Not-Run": (request, socket) =>
-    void socket.write(responseBytes(200, { ...SEALED(request), ...NOT_RUN }, "what now")),
+    void socket.write(
+      responseBytes(200, { ...sealedHeaders(request), ...NOT_RUN_HEADER }, "what now"),
+    ),
   "a 200 without a seal": (request, socket) =>
-    void socket.write(responseBytes(200, ID(request), "whose")),
-  "a 200 with two ids": (request, socket) =>
+    void socket.write(responseBytes(200, attemptIdHeader(request), "whose")),
+  "a 200 with two attempt ids": (request, socket) =>
     void socket.write(
-      own(request).replace(
+      validResponse(request).replace(
         "Yewreel-Server-Seal",
         "yewreel-try-id: somebody-else\r\nYewreel-Server-Seal",
       ),
     ),
-  "a 200 with an encoding": (request, socket) =>
-    void socket.write(responseBytes(200, { ...SEALED(request), "Content-Encoding": "gzip" }, "x")),
-  "a 500 with another id": (request, socket) =>
-    void socket.write(responseBytes(500, SEALED({ ...request, attemptId: "somebody-else" }))),
-  "a 500 cut short": (request, socket) =>
-    void socket.end(responseBytes(500, SEALED(request), "it failed").slice(0, -3)),
-  "a 200 cut short": (request, socket) => void socket.end(own(request).slice(0, -3)),
-  "a 503 with Not-Run cut short": (request, socket) =>
-    void socket.end(responseBytes(503, { ...ID(request), ...NOT_RUN }, "turned away").slice(0, -3)),
-  "chunks cut short": (request, socket) =>
+  "a 200 with a Content-Encoding": (request, socket) =>
+    void socket.write(
+      responseBytes(200, { ...sealedHeaders(request), "Content-Encoding": "gzip" }, "x"),
+    ),
+  "a 500 with another attempt's id": (request, socket) =>
+    void socket.write(
+      responseBytes(500, sealedHeaders({ ...request, attemptId: "somebody-else" })),
+    ),
+  "a truncated 500": (request, socket) =>
+    void socket.end(responseBytes(500, sealedHeaders(request), "it failed").slice(0, -3)),
+  "a truncated 200": (request, socket) => void socket.end(validResponse(request).slice(0, -3)),
+  "a truncated 503 with Not-Run": (request, socket) =>
+    void socket.end(
+      responseBytes(503, { ...attemptIdHeader(request), ...NOT_RUN_HEADER }, "turned away").slice(
+        0,
+        -3,
+      ),
+    ),
+  "a truncated chunked body": (request, socket) =>
     void socket.end(
-      `${responseBytes(200, { ...SEALED(request), "Content-Length": undefined, "Transfer-Encoding": "chunked" })}4\r\nran \r\n`,
+      `${responseBytes(200, { ...sealedHeaders(request), "Content-Length": undefined, "Transfer-Encoding": "chunked" })}4\r\nran \r\n`,
     ),
-  "a body that ends with the connection": (request, socket) =>
+  "a body delimited by the connection's end": (request, socket) =>
     void socket.end(
       responseBytes(
         200,
-        { ...SEALED(request), "Content-Length": undefined, Connection: "close" },
+        { ...sealedHeaders(request), "Content-Length": undefined, Connection: "close" },
         "all of it?",
       ),
     ),
-  "an unknown transfer coding": (request, socket) =>
+  "an unknown Transfer-Encoding": (request, socket) =>
     void socket.end(
       responseBytes(
         200,
-        { ...SEALED(request), "Content-Length": undefined, "Transfer-Encoding": "gzip" },
+        { ...sealedHeaders(request), "Content-Length": undefined, "Transfer-Encoding": "gzip" },
         "all of it?",
       ),
     ),
-  "two lengths": (request, socket) =>
+  "two Content-Length headers": (request, socket) =>
     void socket.write(
-      own(request).replace("Content-Length", "Content-Length: 3\r\nContent-Length"),
+      validResponse(request).replace("Content-Length", "Content-Length: 3\r\nContent-Length"),
     ),
-  "a 204 with a length and a body": (request, socket) =>
-    void socket.write(responseBytes(204, SEALED(request), "a body")),
-  "a 304 with a length": (request, socket) =>
-    void socket.write(responseBytes(304, { ...SEALED(request), "Content-Length": "9" })),
-  "a 100 that nobody asked for": (request, socket) =>
-    void socket.write(`HTTP/1.1 100 Continue\r\n\r\n${own(request)}`),
+  "a 204 with a Content-Length and a body": (request, socket) =>
+    void socket.write(responseBytes(204, sealedHeaders(request), "a body")),
+  "a 304 with a Content-Length": (request, socket) =>
+    void socket.write(responseBytes(304, { ...sealedHeaders(request), "Content-Length": "9" })),
+  "an unsolicited 100": (request, socket) =>
+    void socket.write(`HTTP/1.1 100 Continue\r\n\r\n${validResponse(request)}`),
   "a 101": (request, socket) =>
     void socket.write(
-      `HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n${own(request)}`,
+      `HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n${validResponse(request)}`,
     ),
-  "a head that is too large": (request, socket) =>
+  "an oversized head": (request, socket) =>
     void socket.write(
-      own(request).replace("Content-Length", `X-Large: ${"x".repeat(70_000)}\r\nContent-Length`),
+      validResponse(request).replace(
+        "Content-Length",
+        `X-Large: ${"x".repeat(70_000)}\r\nContent-Length`,
+      ),
     ),
 };
 
 /**
- * Requests are sent until the first worker gets one of the method; which worker is chosen is not
- * the test's business.
+ * Sends requests until the first worker receives one with the method, because load balancing
+ * decides which worker gets a request.
  */
-const untilFirstSees = async (method: string, path: string, body: string): Promise<void> => {
-  const before = first().requests.length;
+const sendUntilFirstReceives = async (
+  method: string,
+  path: string,
+  body: string,
+): Promise<void> => {
+  const before = firstWorker().requests.length;
   for (
     let at = 0;
     at < 60 &&
-    !first()
+    !firstWorker()
       .requests.slice(before)
       .some((request) => request.method === method);
     at += 1
   )
-    response = await ask(method, path, body);
+    response = await sendRequest(method, path, body);
   assert.ok(
-    first()
+    firstWorker()
       .requests.slice(before)
       .some((request) => request.method === method),
-    "the first worker was never asked",
+    "the first worker received no request",
   );
 };
-const whose = (): string => {
-  const byWorker =
+const responseSource = (): string => {
+  const sender =
     response?.seal === ""
-      ? arrivalsOf(response.attemptId).some(({ worker }) => worker === "w1") &&
+      ? requestsOf(response.attemptId).some(({ worker }) => worker === "w1") &&
         response.attemptId !== ""
         ? "w1"
         : "gateway"
       : (response?.seal.split(".")[1] ?? "");
   return (
-    { w1: "by the first worker", w2: "by the second worker", gateway: "by the gateway" }[
-      byWorker
-    ] ?? byWorker
+    { w1: "from the first worker", w2: "from the second worker", gateway: "from the gateway" }[
+      sender
+    ] ?? sender
   );
 };
-const sawOf = (worker: ScriptedWorker, attemptId: string): boolean =>
+const hasReceived = (worker: ScriptedWorker, attemptId: string): boolean =>
   worker.bytes.some((bytes) => bytes.includes(`${attemptId}\r\n`));
-const checkTold = (): void => {
-  const attemptId = `t-${tries}`;
-  const sawIt = workers.filter((worker) => sawOf(worker, attemptId));
-  const ranIt = sawIt.filter((worker) => !turnedAway.has(`${worker.id} ${attemptId}`));
-  assert.ok(ranIt.length <= 1, `${ranIt.length} workers may have run it`);
-  if (response && PROMISES.has(response.status)) assert.deepEqual(ranIt, []);
+const checkResponseIsConsistent = (): void => {
+  const attemptId = `t-${attemptCount}`;
+  const receivers = workers.filter((worker) => hasReceived(worker, attemptId));
+  const mayHaveRun = receivers.filter((worker) => !rejections.has(`${worker.id} ${attemptId}`));
+  assert.ok(mayHaveRun.length <= 1, `${mayHaveRun.length} workers may have run it`);
+  if (response && NOT_RUN_STATUSES.has(response.status)) assert.deepEqual(mayHaveRun, []);
 };
-/** Which worker has truly turned which try away. */
-const turnedAway = new Set<string>();
+/** The requests that a worker has rejected, as "WORKER ATTEMPT_ID". */
+const rejections = new Set<string>();
 
-When(/^the first worker answers an order with (.*)$/, async (odd: string) => {
-  const act = ODD[odd];
-  assert.ok(act, `no such answer: ${odd}`);
-  const isAway = /Not-Run|421/.test(odd) && !/200 with|without/.test(odd);
-  first().script = {
+When(/^the first worker responds to a POST with (.*)$/, async (kind: string) => {
+  const respond = POST_RESPONSES[kind];
+  assert.ok(respond, `no such response: ${kind}`);
+  const isRejection = /Not-Run|421/.test(kind) && !/200 with|without/.test(kind);
+  firstWorker().script = {
     onRequest: (request, socket) => {
-      if (request.method !== "POST") return void socket.write(own(request));
-      if (isAway) turnedAway.add(`w1 ${request.attemptId}`);
-      act(request, socket);
+      if (request.method !== "POST") return void socket.write(validResponse(request));
+      if (isRejection) rejections.add(`w1 ${request.attemptId}`);
+      respond(request, socket);
     },
   };
-  await untilFirstSees("POST", "/unsafe/x", "an order");
+  await sendUntilFirstReceives("POST", "/unsafe/x", "an order");
 });
 Then(
-  /^the order's client is told (\d+) (by the [a-z]+(?: worker)?)$/,
-  (status: string, who: string) =>
-    assert.deepEqual([response?.status, whose()], [Number(status), who]),
+  /^the client receives (\d+) (from the [a-z]+(?: worker)?)$/,
+  (status: string, source: string) =>
+    assert.deepEqual([response?.status, responseSource()], [Number(status), source]),
 );
-/**
- * A reset may or may not come before the first byte leaves; either way what is told must be true.
- */
-Then("the order's client is told 502 or 200 by the gateway or the second worker", () =>
-  assert.ok(whose() === (response?.status === 502 ? "by the gateway" : "by the second worker")),
+/** The reset may precede or follow the first byte sent; the status must fit in both cases. */
+Then("the client receives 502 or 200 from the gateway or the second worker", () =>
+  assert.ok(
+    responseSource() === (response?.status === 502 ? "from the gateway" : "from the second worker"),
+  ),
 );
 Then(
-  /^the order was sent (once|to both), and what is told is true of what the workers saw$/,
+  /^the POST was sent (once|to both workers), and the response is consistent with what the workers received$/,
   (sent: string) => {
-    assert.equal(arrivalsOf(`t-${tries}`).length, sent === "once" ? 1 : 2);
-    checkTold();
+    assert.equal(requestsOf(`t-${attemptCount}`).length, sent === "once" ? 1 : 2);
+    checkResponseIsConsistent();
   },
 );
-Then("what is told is true of what the workers saw", checkTold);
-Then("the next requests get their own answers, whole", async () => {
+Then("the response is consistent with what the workers received", checkResponseIsConsistent);
+Then("subsequent requests get their own complete responses", async () => {
   for (let at = 0; at < 6; at += 1) {
-    response = await ask("GET", "/safe/x");
+    response = await sendRequest("GET", "/safe/x");
     assert.deepEqual(
       [response?.status, response?.attemptId, response?.body],
-      [200, `t-${tries}`, `ran t-${tries}`],
+      [200, `t-${attemptCount}`, `ran t-${attemptCount}`],
     );
   }
 });
 
-When("the worker answers a HEAD with a body", async () => {
-  first().script = { onRequest: (request, socket) => void socket.write(own(request)) };
-  response = await ask("HEAD", "/safe/x");
+When("the worker responds to a HEAD with a body", async () => {
+  firstWorker().script = {
+    onRequest: (request, socket) => void socket.write(validResponse(request)),
+  };
+  response = await sendRequest("HEAD", "/safe/x");
 });
-Then("the HEAD is told 200 and no body", () =>
+Then("the HEAD response is 200 without a body", () =>
   assert.deepEqual(
-    [response?.status, response?.body, first().requests[0]?.method],
+    [response?.status, response?.body, firstWorker().requests[0]?.method],
     [200, "", "HEAD"],
   ),
 );
 
-const LONG = "x".repeat(400_000);
-/**
- * Whole requests seen once the first worker's sockets have seen this try: what "amid" and "as soon
- * as" act on.
- */
-const MOMENTS: Readonly<Record<string, Script>> = {
-  "as soon as it is up": { onConnect: (socket) => void socket.resetAndDestroy() },
+const LONG_BODY = "x".repeat(400_000);
+/** Scripts that reset the worker's connection, by the moment named in the feature. */
+const RESET_SCRIPTS: Readonly<Record<string, Script>> = {
+  "as soon as it is established": { onConnect: (socket) => void socket.resetAndDestroy() },
   "at the first byte": {
     onConnect: (socket) => void socket.once("data", () => socket.resetAndDestroy()),
   },
-  "amid a long body": { onHead: (_head, socket) => void socket.resetAndDestroy() },
-  "after the body": { onRequest: (_arrival, socket) => void socket.resetAndDestroy() },
-  "amid the answer's head": {
+  "during a long request body": { onHead: (_head, socket) => void socket.resetAndDestroy() },
+  "after the request body": { onRequest: (_request, socket) => void socket.resetAndDestroy() },
+  "during the response head": {
     onRequest: (request, socket) => {
-      socket.write(own(request).slice(0, 60));
+      socket.write(validResponse(request).slice(0, 60));
       void settle(4).then(() => socket.resetAndDestroy());
     },
   },
-  "amid the answer's body": {
+  "during the response body": {
     onRequest: (request, socket) => {
-      socket.write(own(request).slice(0, -2));
+      socket.write(validResponse(request).slice(0, -2));
       void settle(4).then(() => socket.resetAndDestroy());
     },
   },
 };
 When(/^the first worker's connection is reset (.*)$/, async (moment: string) => {
-  const body = moment === "amid a long body" ? LONG : "an order";
-  if (moment === "before it is up") {
-    first().stop();
+  const body = moment === "during a long request body" ? LONG_BODY : "an order";
+  if (moment === "before it is established") {
+    firstWorker().stop();
     for (let at = 0; at < 20; at += 1) {
-      response = await ask("POST", "/unsafe/x", body);
-      checkTold();
+      response = await sendRequest("POST", "/unsafe/x", body);
+      checkResponseIsConsistent();
     }
     return;
   }
-  if (moment === "while it rests") {
-    await untilFirstSees("GET", "/safe/x", "");
-    first().stop();
+  if (moment === "while it is idle") {
+    await sendUntilFirstReceives("GET", "/safe/x", "");
+    firstWorker().stop();
     await settle();
-    await first().start();
+    await firstWorker().start();
     harness.updates.post([
       {
         key: `${WORKER_PREFIX}w1`,
@@ -389,7 +434,7 @@
         tie: "",
         body: {
           service: "s1",
-          address: first().address,
+          address: firstWorker().address,
           cell: "c1",
           capacity: 3,
           state: "ready",
@@ -398,12 +443,12 @@
       },
     ]);
     await settle();
-    return untilFirstSees("POST", "/unsafe/x", body);
+    return sendUntilFirstReceives("POST", "/unsafe/x", body);
   }
-  const script = MOMENTS[moment];
+  const script = RESET_SCRIPTS[moment];
   assert.ok(script, `no such moment: ${moment}`);
   let connections = 0;
-  first().script = {
+  firstWorker().script = {
     ...script,
     onConnect: (socket, connection) => {
       connections += 1;
@@ -411,68 +456,73 @@
     },
   };
   for (let at = 0; at < 60 && connections === 0; at += 1)
-    response = await ask("POST", "/unsafe/x", body);
-  assert.ok(connections > 0, "the first worker was never asked");
+    response = await sendRequest("POST", "/unsafe/x", body);
+  assert.ok(connections > 0, "the first worker received no request");
 });
 
 When(
-  /^the worker answers (a 413 with a seal|a 503 with Not-Run) after the head of a long order$/,
-  async (early: string) => {
-    first().script = {
+  /^the worker responds with (a 413 with a seal|a 503 with Not-Run) after the head of a long POST$/,
+  async (earlyResponse: string) => {
+    firstWorker().script = {
       onHead: (head, socket) =>
         void socket.write(
           head.method === "GET"
             ? ""
-            : early === "a 503 with Not-Run"
-              ? responseBytes(503, { ...ID({ ...head, body: "" }), ...NOT_RUN })
-              : responseBytes(413, SEALED({ ...head, body: "" }), "too large"),
+            : earlyResponse === "a 503 with Not-Run"
+              ? responseBytes(503, { ...attemptIdHeader({ ...head, body: "" }), ...NOT_RUN_HEADER })
+              : responseBytes(413, sealedHeaders({ ...head, body: "" }), "too large"),
         ),
       onRequest: (request, socket) => {
-        if (request.method === "GET") socket.write(own(request));
+        if (request.method === "GET") socket.write(validResponse(request));
       },
     };
-    tries += 1;
+    attemptCount += 1;
     client = new RawClient(harness.host, harness.port);
-    client.send("POST", "/unsafe/x", { "Yewreel-Try-Id": `t-${tries}`, ...LEFT }, LONG);
+    client.send(
+      "POST",
+      "/unsafe/x",
+      { "Yewreel-Try-Id": `t-${attemptCount}`, ...TIME_LEFT },
+      LONG_BODY,
+    );
     await harness.until(() => client?.responses.length === 1 || client?.isClosed === true);
     response = client.responses[0];
   },
 );
 let client: RawClient | undefined;
 Then("the client's connection serves another request", async () => {
-  tries += 1;
-  client?.send("GET", "/safe/x", { "Yewreel-Try-Id": `t-${tries}`, ...LEFT });
+  attemptCount += 1;
+  client?.send("GET", "/safe/x", { "Yewreel-Try-Id": `t-${attemptCount}`, ...TIME_LEFT });
   await harness.until(() => client?.responses.length === 2 || client?.isClosed === true);
   assert.deepEqual(
     [client?.responses[1]?.status, client?.responses[1]?.body],
-    [200, `ran t-${tries}`],
+    [200, `ran t-${attemptCount}`],
   );
   client?.socket.destroy();
 });
 
-When("an order comes without an id", async () => {
+When("a client sends a POST without an attempt id", async () => {
   client = new RawClient(harness.host, harness.port);
-  client.send("POST", "/unsafe/x", LEFT, "an order");
+  client.send("POST", "/unsafe/x", TIME_LEFT, "an order");
   await harness.until(() => client?.responses.length === 1 || client?.isClosed === true);
   response = client.responses[0];
   client.socket.destroy();
 });
-Then("no worker saw an order", () =>
+Then("no worker received a POST", () =>
   assert.deepEqual(
     workers.flatMap(({ bytes }) => bytes).filter((bytes) => bytes.includes("POST ")),
     [],
   ),
 );
-When("a client sends a request of the method {string}", async (method: string) => {
-  response = await ask(method, "/safe/x");
+When("a client sends a request with the method {string}", async (method: string) => {
+  response = await sendRequest(method, "/safe/x");
 });
-Then("the worker saw the method {string}", (method: string) =>
+Then("the worker received the method {string}", (method: string) =>
   assert.deepEqual(
-    first().requests.map((request) => request.method),
+    firstWorker().requests.map((request) => request.method),
     [method],
   ),
 );
-When("a client sends a request with two hosts", async () => {
+When("a client sends a request with two Host headers", async () => {
   client = new RawClient(harness.host, harness.port);
   client.expect("GET");
   client.write(
@@ -482,130 +532,146 @@
   response = client.responses[0];
   client.socket.destroy();
 });
-Then("no worker is shunned", () =>
+Then("no worker is avoided", () =>
   assert.deepEqual(
     harness.pool.all().filter((worker) => worker.isAvoided()),
     [],
   ),
 );
 
-Given("the first worker is silent", () => {
-  first().script = {};
+Given("the first worker doesn't respond", () => {
+  firstWorker().script = {};
 });
-When("a client sends a read and an order behind it, and resets the connection", async () => {
-  const leaver = new RawClient(harness.host, harness.port);
-  leaver.send("GET", "/safe/x", { "Yewreel-Try-Id": "t-read", ...LEFT });
-  leaver.send("POST", "/unsafe/x", { "Yewreel-Try-Id": "t-order", ...LEFT }, "an order");
-  await harness.until(() => first().requests.length > 0);
-  leaver.socket.resetAndDestroy();
+When("a client pipelines a GET and a POST, and resets the connection", async () => {
+  const disconnecting = new RawClient(harness.host, harness.port);
+  disconnecting.send("GET", "/safe/x", { "Yewreel-Try-Id": "t-read", ...TIME_LEFT });
+  disconnecting.send(
+    "POST",
+    "/unsafe/x",
+    { "Yewreel-Try-Id": "t-order", ...TIME_LEFT },
+    "an order",
+  );
+  await harness.until(() => firstWorker().requests.length > 0);
+  disconnecting.socket.resetAndDestroy();
   await settle();
   await harness.clock.pass(100_000);
 });
-Then("nothing is open any more", async () => {
+Then("no request is open or in flight", async () => {
   await settle();
   assert.deepEqual(
-    [harness.proxy.openRequests, ...harness.pool.all().map(({ inFlight: calls }) => calls)],
+    [harness.proxy.openRequests, ...harness.pool.all().map(({ inFlight }) => inFlight)],
     [0, ...harness.pool.all().map(() => 0)],
   );
 });
-When("a client leaves amid a large answer", async () => {
+When("a client disconnects during a large response", async () => {
   const body = "y".repeat(8_000_000);
-  first().script = { onRequest: (request, socket) => void socket.write(own(request, body)) };
-  const leaver = new RawClient(harness.host, harness.port);
-  leaver.send("GET", "/safe/x", { "Yewreel-Try-Id": "t-leaver", ...LEFT });
-  await harness.until(() => leaver.unread.length > 0);
-  leaver.socket.pause();
+  firstWorker().script = {
+    onRequest: (request, socket) => void socket.write(validResponse(request, body)),
+  };
+  const disconnecting = new RawClient(harness.host, harness.port);
+  disconnecting.send("GET", "/safe/x", { "Yewreel-Try-Id": "t-leaver", ...TIME_LEFT });
+  await harness.until(() => disconnecting.unread.length > 0);
+  disconnecting.socket.pause();
   await settle();
-  leaver.socket.destroy();
+  disconnecting.socket.destroy();
   await settle(30);
 });
-Then("the worker's connection is closed", () => assert.equal(first().openConnections, 0));
+Then("the worker's connection is closed", () => assert.equal(firstWorker().openConnections, 0));
 
-let sentBefore = 0;
-const bytesSeen = (): number =>
+let receivedBefore = 0;
+const bytesReceived = (): number =>
   workers.flatMap(({ bytes }) => bytes).reduce((sum, bytes) => sum + bytes.length, 0);
-When(/^the gateway stands still beyond the deadline (.*)$/, async (moment: string) => {
-  tries += 1;
+When(/^the gateway stalls past the deadline (.*)$/, async (moment: string) => {
+  attemptCount += 1;
   client = new RawClient(harness.host, harness.port);
-  const order = () =>
-    client?.send("POST", "/unsafe/x", { "Yewreel-Try-Id": `t-${tries}`, ...LEFT }, "an order");
-  if (moment.includes("lies unread")) {
-    await ask("GET", "/safe/x");
+  const sendPost = () =>
+    client?.send(
+      "POST",
+      "/unsafe/x",
+      { "Yewreel-Try-Id": `t-${attemptCount}`, ...TIME_LEFT },
+      "an order",
+    );
+  if (moment.includes("is unread")) {
+    await sendRequest("GET", "/safe/x");
     await settle();
-    sentBefore = bytesSeen();
-    order();
+    receivedBefore = bytesReceived();
+    sendPost();
     client.socket.end();
     harness.skippingClock.skip(9_000_000);
-  } else if (moment.includes("a connection comes up")) {
-    sentBefore = bytesSeen();
-    let isBegun = false;
+  } else if (moment.includes("a connection is being established")) {
+    receivedBefore = bytesReceived();
+    let hasConnected = false;
     harness.onAttempt = () => {
-      isBegun = true;
+      hasConnected = true;
       harness.skippingClock.skip(9_000_000);
     };
-    order();
-    await untilTurn(() => isBegun);
+    sendPost();
+    await settleUntil(() => hasConnected);
   } else {
-    let answer: (() => void) | undefined;
+    let sendRejection: (() => void) | undefined;
     workers.forEach((worker) => {
       worker.script = {
         onRequest: (request, socket) => {
-          answer = () => void socket.write(responseBytes(503, { ...ID(request), ...NOT_RUN }));
+          sendRejection = () =>
+            void socket.write(
+              responseBytes(503, { ...attemptIdHeader(request), ...NOT_RUN_HEADER }),
+            );
         },
       };
     });
-    order();
-    await untilTurn(() => answer !== undefined);
-    sentBefore = bytesSeen();
+    sendPost();
+    await settleUntil(() => sendRejection !== undefined);
+    receivedBefore = bytesReceived();
     harness.skippingClock.skip(9_000_000);
-    answer?.();
+    sendRejection?.();
   }
   await settle(40);
 });
-/** Single turns of the loop, no time passing. */
-const untilTurn = async (isSo: () => boolean): Promise<void> => {
-  for (let turn = 0; turn < 2_000 && !isSo(); turn += 1) await settle(1);
-  assert.ok(isSo());
+/** Runs turns of the event loop, without advancing the clock, until the condition holds. */
+const settleUntil = async (condition: () => boolean): Promise<void> => {
+  for (let turn = 0; turn < 2_000 && !condition(); turn += 1) await settle(1);
+  assert.ok(condition());
 };
-Then("nothing is sent for the order after that", async () => {
-  assert.equal(bytesSeen(), sentBefore);
+Then("nothing more is sent for the POST", async () => {
+  assert.equal(bytesReceived(), receivedBefore);
   await harness.clock.pass(5_000_000);
-  assert.equal(bytesSeen(), sentBefore);
+  assert.equal(bytesReceived(), receivedBefore);
 });
-Then("the order's client is told {int}, or has left", (status: number) => {
+Then("the client receives {int}, or has disconnected", (status: number) => {
   assert.ok(client);
   if (!client.socket.writableEnded) assert.equal(client.responses[0]?.status, status);
   client.socket.destroy();
 });
 
 Given(
-  "a gateway with workers that refuse, reset, are full, fail and are silent, two of each",
+  "a gateway with workers that refuse, reset, are full, fail and don't respond, two of each",
   async () => {
-    await newRig();
+    await startHarness();
     const scripts: Readonly<Record<string, Script>> = {
       refuses: {},
-      resets: { onRequest: (_arrival, socket) => void socket.resetAndDestroy() },
+      resets: { onRequest: (_request, socket) => void socket.resetAndDestroy() },
       full: {
         onRequest: (request, socket) =>
-          void socket.write(responseBytes(503, { ...ID(request), ...NOT_RUN })),
+          void socket.write(responseBytes(503, { ...attemptIdHeader(request), ...NOT_RUN_HEADER })),
       },
       fails: {
-        onRequest: (request, socket) => void socket.write(responseBytes(500, SEALED(request))),
+        onRequest: (request, socket) =>
+          void socket.write(responseBytes(500, sealedHeaders(request))),
       },
       silent: {},
     };
     for (const [name, script] of Object.entries(scripts)) {
       for (const number of [1, 2]) {
-        const worker = await join(new ScriptedWorker(`${name}-${number}`, script));
+        const worker = await addWorker(new ScriptedWorker(`${name}-${number}`, script));
         if (name === "refuses") worker.stop();
       }
     }
   },
 );
-When("{int} reads are sent, one after the other", { timeout: 60_000 }, async (count: number) => {
-  for (let at = 0; at < count; at += 1) await ask("GET", "/safe/x");
+When("{int} GETs are sent, one after the other", { timeout: 60_000 }, async (count: number) => {
+  for (let at = 0; at < count; at += 1) await sendRequest("GET", "/safe/x");
 });
-Then("no try was seen by more than {int} workers", (most: number) => {
+Then("each GET reached at most {int} workers, and some reached that many", (most: number) => {
   const seen = new Map<string, Set<string>>();
   workers.forEach((worker) =>
     worker.requests.forEach(({ attemptId }) =>
@@ -617,82 +683,83 @@
 });
 
 When(
-  /^a keyed order's client leaves, and then the worker('s connection is reset| turns it away)$/,
+  /^the client of a keyed POST disconnects, and then the worker('s connection is reset| rejects it)$/,
   async (what: string) => {
-    let act: (() => void) | undefined;
-    first().script = {
+    let finish: (() => void) | undefined;
+    firstWorker().script = {
       onRequest: (request, socket) => {
-        act = () => {
-          if (what === " turns it away")
-            socket.write(responseBytes(503, { ...ID(request), ...NOT_RUN }));
+        finish = () => {
+          if (what === " rejects it")
+            socket.write(responseBytes(503, { ...attemptIdHeader(request), ...NOT_RUN_HEADER }));
           else socket.resetAndDestroy();
         };
       },
     };
-    const leaver = new RawClient(harness.host, harness.port);
-    tries += 1;
-    leaver.send(
+    const disconnecting = new RawClient(harness.host, harness.port);
+    attemptCount += 1;
+    disconnecting.send(
       "POST",
       "/keyed/x",
-      { "Yewreel-Try-Id": `t-${tries}`, "Yewreel-Operation-Key": "k", ...LEFT },
+      { "Yewreel-Try-Id": `t-${attemptCount}`, "Yewreel-Operation-Key": "k", ...TIME_LEFT },
       "an order",
     );
-    await harness.until(() => act !== undefined);
-    leaver.socket.destroy();
+    await harness.until(() => finish !== undefined);
+    disconnecting.socket.destroy();
     await harness.clock.pass(10_000);
-    act?.();
+    finish?.();
     await harness.clock.pass(10_000);
   },
 );
-Then("the key is free", () => assert.equal(harness.keyService.claims.size, 0));
-Then("the key is not free", () => assert.equal(harness.keyService.claims.size, 1));
+Then("the key is released", () => assert.equal(harness.keyService.claims.size, 0));
+Then("the key is still claimed", () => assert.equal(harness.keyService.claims.size, 1));
 
-When("a keyed order is turned away {int} s after its key was claimed", async (seconds: number) => {
-  await newRig(configurationOf(MAX_TRIES, (kind) => kind, 20_000_000));
+When("a keyed POST is rejected {int} s after its key was claimed", async (seconds: number) => {
+  await startHarness(configurationOf(MAX_TRIES, (kind) => kind, 20_000_000));
   const script: Script = {
     onRequest: (request, socket) =>
       void harness.clock.after(seconds * 1_000_000, () =>
-        socket.write(responseBytes(503, { ...ID(request), ...NOT_RUN })),
+        socket.write(responseBytes(503, { ...attemptIdHeader(request), ...NOT_RUN_HEADER })),
       ),
   };
-  for (const id of ["w1", "w2"]) await join(new ScriptedWorker(id, script));
-  response = await ask("POST", "/keyed/x", "an order", {
+  for (const id of ["w1", "w2"]) await addWorker(new ScriptedWorker(id, script));
+  response = await sendRequest("POST", "/keyed/x", "an order", {
     "Yewreel-Operation-Key": "k",
     "Yewreel-Time-Left-Ms": "20000",
   });
 });
-Then("{int} worker(s) saw it, and it is told 503", (count: number) =>
-  assert.deepEqual([arrivalsOf(`t-${tries}`).length, response?.status], [count, 503]),
+Then("{int} worker(s) received it, and its client receives 503", (count: number) =>
+  assert.deepEqual([requestsOf(`t-${attemptCount}`).length, response?.status], [count, 503]),
 );
 
 const OBJECT = "o".repeat(300_000);
-const ODD_READS: Readonly<Record<string, (arrival: WorkerRequest, socket: Socket) => void>> = {
-  "a 503 with Not-Run and another's id": (_arrival, socket) =>
-    void socket.write(responseBytes(503, { "Yewreel-Try-Id": "somebody-else", ...NOT_RUN })),
-  "a 421 with another's id": (_arrival, socket) =>
+const READ_RESPONSES: Readonly<Record<string, (request: WorkerRequest, socket: Socket) => void>> = {
+  "a 503 with Not-Run and another attempt's id": (_request, socket) =>
+    void socket.write(responseBytes(503, { "Yewreel-Try-Id": "somebody-else", ...NOT_RUN_HEADER })),
+  "a 421 with another attempt's id": (_request, socket) =>
     void socket.write(responseBytes(421, { "Yewreel-Try-Id": "somebody-else" })),
-  "a 200 with another's id": (request, socket) =>
-    void socket.write(own({ ...request, attemptId: "somebody-else" })),
-  "a 503 with Not-Run and no id": (_arrival, socket) =>
-    void socket.write(responseBytes(503, NOT_RUN)),
-  "a 421 and no id": (_arrival, socket) => void socket.write(responseBytes(421, {})),
+  "a 200 with another attempt's id": (request, socket) =>
+    void socket.write(validResponse({ ...request, attemptId: "somebody-else" })),
+  "a 503 with Not-Run and no id": (_request, socket) =>
+    void socket.write(responseBytes(503, NOT_RUN_HEADER)),
+  "a 421 with no id": (_request, socket) => void socket.write(responseBytes(421, {})),
   "a large body that stalls": (request, socket) =>
-    void socket.write(own(request, OBJECT).slice(0, -5)),
-  "a large body cut short": (request, socket) => void socket.end(own(request, OBJECT).slice(0, -5)),
+    void socket.write(validResponse(request, OBJECT).slice(0, -5)),
+  "a truncated large body": (request, socket) =>
+    void socket.end(validResponse(request, OBJECT).slice(0, -5)),
 };
-let goods: ObjectClient;
-let read: ObjectResult | undefined;
+let objectClient: ObjectClient;
+let readResult: ObjectResult | undefined;
 
-const newReader = async (script: Script): Promise<void> => {
-  await newRig();
+const startObjectClient = async (script: Script): Promise<void> => {
+  await startHarness();
   const { skippingClock: clock, pool } = harness;
-  const chooser = new LoadBalancer({
+  const loadBalancer = new LoadBalancer({
     workers: pool,
     zone: "c1",
     random: Math.random,
     connectionShare: () => 10,
   });
-  const rate = new RateLimiter(clock, () => 0);
+  const rateLimiter = new RateLimiter(clock, () => 0);
   const budgets = new RetryBudgets({
     clock,
     log: silentLogger,
@@ -702,33 +769,33 @@
   const origin = new OriginFetcher({
     clock,
     workers: pool,
-    loadBalancer: chooser,
-    rateLimiter: rate,
+    loadBalancer,
+    rateLimiter,
     retryBudgets: budgets,
     countFault: () => undefined,
     maxObjectBytes: 1_000_000,
   });
-  goods = new ObjectClient({
+  objectClient = new ObjectClient({
     clock,
     maxBytes: 0,
     sharedCaches: new PeerCaches(clock),
     zoneCaches: new PeerCaches(clock),
     origin,
-    rateLimiter: rate,
+    rateLimiter,
     isFresh: () => true,
     staleIfErrorUs: 0,
   });
-  await join(new ScriptedWorker("w1", script));
+  await addWorker(new ScriptedWorker("w1", script));
 };
-const readOnce = async (range?: string): Promise<ObjectResult> => {
-  let found: ObjectResult | undefined;
+const readObject = async (range?: string): Promise<ObjectResult> => {
+  let loaded: ObjectResult | undefined;
   const nowUs = harness.skippingClock.nowUs();
-  void goods
+  void objectClient
     .fetch(
       {
         service: "s1",
         host: "a.example",
-        url: `/safe/${tries}`,
+        url: `/safe/${attemptCount}`,
         cacheForUs: 40_000_000,
         maxAgeUs: 40_000_000,
         latencyTargetUs: 500_000,
@@ -737,59 +804,65 @@
       range,
     )
     .then((result) => {
-      found = result;
+      loaded = result;
     });
-  await harness.until(() => found !== undefined);
-  assert.ok(found);
-  return found;
+  await harness.until(() => loaded !== undefined);
+  assert.ok(loaded);
+  return loaded;
 };
 
-Given(/^a reader of objects and a worker that answers a read with (.*)$/, async (odd: string) => {
-  const act = ODD_READS[odd];
-  assert.ok(act, `no such answer: ${odd}`);
-  await newReader({ onRequest: act });
+Given(/^an object client and a worker that responds to a read with (.*)$/, async (kind: string) => {
+  const respond = READ_RESPONSES[kind];
+  assert.ok(respond, `no such response: ${kind}`);
+  await startObjectClient({ onRequest: respond });
 });
 Given(
-  /^(a reader of objects and a worker|another worker) that has the object$/,
-  async (who: string) => {
+  /^(an object client and a worker|another worker) that has the object$/,
+  async (holder: string) => {
     const script: Script = {
-      onRequest: (request, socket) => void socket.write(own(request, OBJECT)),
+      onRequest: (request, socket) => void socket.write(validResponse(request, OBJECT)),
     };
-    if (who === "another worker") await join(new ScriptedWorker("w2", script));
-    else await newReader(script);
+    if (holder === "another worker") await addWorker(new ScriptedWorker("w2", script));
+    else await startObjectClient(script);
   },
 );
-When("the object is read until the first worker was asked", async () => {
-  for (let at = 0; at < 40 && first().requests.length === 0; at += 1) {
-    tries += 1;
-    read = await readOnce();
+When("the object is read until the first worker has received a read", async () => {
+  for (let at = 0; at < 40 && firstWorker().requests.length === 0; at += 1) {
+    attemptCount += 1;
+    readResult = await readObject();
   }
-  assert.ok(first().requests.length > 0, "the first worker was never asked");
-  // The same object once more: whoever comes later doesn't wait on a read that came to nothing.
-  read = await readOnce();
-});
-Then(/^the reader has the object, and the first worker is (still|not) known$/, (known: string) => {
-  assert.ok(
-    read?.kind === "served" && read.body.toString() === OBJECT,
-    JSON.stringify(read).slice(0, 100),
-  );
-  assert.equal(
-    harness.pool.all().some(({ id }) => id === "w1"),
-    known === "still",
-  );
+  assert.ok(firstWorker().requests.length > 0, "the first worker received no request");
+  // The same object again: a later read must not wait for one that failed.
+  readResult = await readObject();
 });
-Then("no connection of a worker brought two reads", () =>
+Then(
+  /^the client has the object, and the first worker is (still|not) in the directory$/,
+  (known: string) => {
+    assert.ok(
+      readResult?.kind === "served" && readResult.body.toString() === OBJECT,
+      JSON.stringify(readResult).slice(0, 100),
+    );
+    assert.equal(
+      harness.pool.all().some(({ id }) => id === "w1"),
+      known === "still",
+    );
+  },
+);
+Then("no worker connection received two reads", () =>
   workers
     .flatMap(({ bytes }) => bytes)
     .forEach((bytes) => assert.ok(bytes.split("GET ").length <= 2)),
 );
-When("a range past its end is read", async () => {
-  read = await readOnce("bytes=300000-");
+When("a range past the end of the object is read", async () => {
+  readResult = await readObject("bytes=300000-");
 });
-Then("the reader is told 416 without a seal", () => {
-  assert.ok(read?.kind === "served");
+Then("the read yields 416 without a seal", () => {
+  assert.ok(readResult?.kind === "served");
   assert.deepEqual(
-    [read.status, read.headers.some((head) => head.toLowerCase() === "yewreel-server-seal")],
+    [
+      readResult.status,
+      readResult.headers.some((head) => head.toLowerCase() === "yewreel-server-seal"),
+    ],
     [416, false],
   );
 });
--- a/features/steps/moves.ts
+++ b/features/steps/moves.ts
@@ -13,7 +13,7 @@
 import { isRecord } from "../../src/common/decode.js";
 import { FLEET_TERMS, SimFleet, type FleetTerms, type SimNode } from "../support/fleet.js";
 
-interface Seen {
+interface ShareObservation {
   readonly share: number;
   readonly low: number;
   readonly high: number;
@@ -23,32 +23,32 @@
 const WINDOW_US = 60_000_000;
 
 let terms: FleetTerms = FLEET_TERMS;
-let nodesSeen: Seen[] = [];
-let fleetsSeen: Seen[] = [];
+let nodeObservations: ShareObservation[] = [];
+let fleetObservations: ShareObservation[] = [];
 
 Given(
-  "fleets of {int} cells with {int} nodes and {int} workers each, {int}% of all slots in use",
+  "fleets of {int} zones with {int} nodes and {int} workers each, {int}% of all slots in use",
   (zones: number, nodesACell: number, workersACell: number, percent: number) => {
     terms = { ...FLEET_TERMS, cells: zones, nodesACell, workersACell, usedPart: percent / 100 };
   },
 );
 
-const changeOf = (what: string, fleet: SimFleet): BackendChange => {
+const changeOf = (changeName: string, fleet: SimFleet): BackendChange => {
   const ids = [...fleet.workers.keys()];
   const retire =
-    what === "one worker retired"
+    changeName === "one worker retired"
       ? ids.slice(0, 1)
-      : what === "three workers retired"
+      : changeName === "three workers retired"
         ? ids.slice(0, 3)
-        : what === "a cell's retired"
+        : changeName === "all workers of one zone retired"
           ? ids.filter((id) => id.startsWith("w-0-"))
           : [];
-  const count = what === "one worker added" ? 1 : what === "four workers added" ? 4 : 0;
+  const count = changeName === "one worker added" ? 1 : changeName === "four workers added" ? 4 : 0;
   return { add: count > 0 ? [{ service: "s", cell: "c0", count }] : [], retire, byRoute: false };
 };
 
-/** A fleet that has run until the moment of the forecast, its nodes counting what they send. */
-const grow = (
+/** Runs a fleet until the time of the forecast, with each node counting the calls it sends. */
+const startFleet = (
   seed: number,
 ): { readonly fleet: SimFleet; readonly counts: ReadonlyMap<string, RequestCounters> } => {
   const fleet = new SimFleet({ ...terms, seed });
@@ -83,8 +83,8 @@
   }).rows[0];
 };
 
-/** What each node sent to whom in the window after the moment of the forecast. */
-const after = (fleet: SimFleet): ReadonlyMap<string, readonly string[]> => {
+/** The worker of each call that each node sent in the window after the forecast. */
+const callsAfterForecast = (fleet: SimFleet): ReadonlyMap<string, readonly string[]> => {
   const fromUs = fleet.timeline.nowUs();
   fleet.timeline.runUntil(fromUs + WINDOW_US);
   const sent = new Map<string, string[]>(fleet.nodes.map(({ name }) => [name, []]));
@@ -94,9 +94,9 @@
   return sent;
 };
 
-const play = (seed: number, what: string): void => {
-  const { fleet, counts } = grow(seed);
-  const change = changeOf(what, fleet);
+const simulateRun = (seed: number, changeName: string): void => {
+  const { fleet, counts } = startFleet(seed);
+  const change = changeOf(changeName, fleet);
   const rows = new Map(fleet.nodes.map((node) => [node.name, forecastOf(node, counts, change)]));
   const subsets = new Map(
     fleet.nodes.map(({ name, pool }) => [
@@ -104,13 +104,14 @@
       new Set([...pool.subsetFor("s").local, ...pool.subsetFor("s").remote].map(({ id }) => id)),
     ]),
   );
-  // Retired: the calls that would have gone to them, had they stayed. Added: the calls that the
-  // newcomers and their likes got.
+  // A retirement is not carried out: the share is that of the calls which still went to the workers
+  // named in it. An addition is carried out: the share is that of the calls to workers which were
+  // not in the node's subset before.
   const isAdding = change.add.length > 0;
   if (isAdding)
     for (let at = 0; at < (change.add[0]?.count ?? 0); at += 1)
       fleet.add(`fresh-${seed}-${at}`, "c0");
-  const sent = after(fleet);
+  const sent = callsAfterForecast(fleet);
   let [moved, total, forecast] = [0, 0, 0];
   let draws: number[] = [];
   fleet.nodes.forEach(({ name }) => {
@@ -121,7 +122,7 @@
     const count = calls.filter((id) =>
       isAdding ? subsets.get(name)?.has(id) === false : leavers.has(id),
     ).length;
-    nodesSeen.push({
+    nodeObservations.push({
       share: count / calls.length,
       low: isAdding ? row.joinLow : row.low,
       high: isAdding ? row.joinHigh : row.high,
@@ -131,71 +132,75 @@
     forecast += (isAdding ? row.join : row.moved) * row.calls;
     draws = row.draws.map((share, at) => (draws[at] ?? 0) + share * row.calls);
   });
-  const known = [...rows.values()].reduce(
+  const knownCalls = [...rows.values()].reduce(
     (sum, row) => sum + (row && row.calls >= 30 ? row.calls : 0),
     0,
   );
-  const perWorker = new Map(
+  const callsPerWorker = new Map(
     [...fleet.workers.keys()].filter((id) => !id.startsWith("fresh")).map((id) => [id, 0]),
   );
-  counts.forEach((counted) =>
-    counted
+  counts.forEach((counters) =>
+    counters
       .countsFor("s")
       .counts.forEach(
         ({ worker, count }) =>
-          perWorker.has(worker) && perWorker.set(worker, (perWorker.get(worker) ?? 0) + count),
+          callsPerWorker.has(worker) &&
+          callsPerWorker.set(worker, (callsPerWorker.get(worker) ?? 0) + count),
       ),
   );
   const band = isAdding
     ? joinConfidenceHalfWidth(
-        forecast / known,
-        known,
-        coefficientOfVariation([...perWorker.values()]),
+        forecast / knownCalls,
+        knownCalls,
+        coefficientOfVariation([...callsPerWorker.values()]),
       )
-    : confidenceHalfWidth(forecast / known, known);
-  const spread = isAdding ? (Math.max(...draws) - Math.min(...draws)) / known / 2 : 0;
-  fleetsSeen.push({
+    : confidenceHalfWidth(forecast / knownCalls, knownCalls);
+  const spread = isAdding ? (Math.max(...draws) - Math.min(...draws)) / knownCalls / 2 : 0;
+  fleetObservations.push({
     share: moved / total,
-    low: forecast / known - band - spread,
-    high: forecast / known + band + spread,
+    low: forecast / knownCalls - band - spread,
+    high: forecast / knownCalls + band + spread,
   });
 };
 
 When(
-  /^(\d+) histories are played, each with a forecast of (.+), and the change made or not$/,
+  /^(\d+) runs are simulated, each with a forecast of (.+), where only added workers are actually added$/,
   { timeout: 120_000 },
-  (histories: string, what: string) => {
-    [nodesSeen, fleetsSeen] = [[], []];
-    for (let seed = 1; seed <= Number(histories); seed += 1) play(seed, what);
+  (runCount: string, changeName: string) => {
+    [nodeObservations, fleetObservations] = [[], []];
+    for (let seed = 1; seed <= Number(runCount); seed += 1) simulateRun(seed, changeName);
   },
 );
-const within = (seen: readonly Seen[]): number =>
+const shareWithinBand = (seen: readonly ShareObservation[]): number =>
   seen.filter(({ share, low, high }) => share >= low && share <= high).length / seen.length;
 Then(
-  "at least {int}% of the nodes' shares seen lie within their bands, and so do at least {int}% of the fleets'",
+  "at least {int}% of the nodes' observed shares lie within their bands, and at least {int}% of the fleets'",
   (nodes: number, fleets: number) => {
-    assert.ok(nodesSeen.length >= 50, `${nodesSeen.length} nodes`);
+    assert.ok(nodeObservations.length >= 50, `${nodeObservations.length} nodes`);
     assert.ok(
-      within(nodesSeen) >= nodes / 100 && within(fleetsSeen) >= fleets / 100,
-      `${within(nodesSeen)} of the nodes, ${within(fleetsSeen)} of the fleets`,
+      shareWithinBand(nodeObservations) >= nodes / 100 &&
+        shareWithinBand(fleetObservations) >= fleets / 100,
+      `${shareWithinBand(nodeObservations)} of the nodes, ${shareWithinBand(fleetObservations)} of the fleets`,
     );
   },
 );
 Then("the fleets' bands are at most {float} wide on average", (width: number) => {
-  const mean = fleetsSeen.reduce((sum, { low, high }) => sum + high - low, 0) / fleetsSeen.length;
+  const mean =
+    fleetObservations.reduce((sum, { low, high }) => sum + high - low, 0) /
+    fleetObservations.length;
   assert.ok(mean <= width, String(mean));
 });
 
 let chosen: (readonly string[])[][] = [];
-When("one history is played with a forecast every second, and once more with none", () => {
-  chosen = [true, false].map((asks) => {
+When("one run is simulated with a forecast every second and once more without forecasts", () => {
+  chosen = [true, false].map((isForecasting) => {
     const fleet = new SimFleet({ ...terms, seed: 5 });
     const counts = new Map(
       fleet.nodes.map(({ name }) => [name, new RequestCounters(fleet.timeline)]),
     );
     fleet.onSent = (node, worker) => counts.get(node)?.record("s", "safe", "r", worker);
     fleet.start();
-    if (asks)
+    if (isForecasting)
       fleet.timeline.every(1_000_000, () =>
         fleet.nodes.forEach((node) =>
           forecastOf(node, counts, changeOf("three workers retired", fleet)),
@@ -206,18 +211,18 @@
   });
 });
 Then("every node chose the same workers in the same order", () => {
-  const [asking, silent] = chosen;
-  // eslint-disable-next-line @typescript-eslint/prefer-optional-chain -- the assertion also tells that there is a first
-  assert.ok(asking && asking.every((node) => node.length > 50));
-  assert.deepEqual(asking, silent);
+  const [withForecasts, withoutForecasts] = chosen;
+  // eslint-disable-next-line @typescript-eslint/prefer-optional-chain -- the assertion also narrows the type
+  assert.ok(withForecasts && withForecasts.every((node) => node.length > 50));
+  assert.deepEqual(withForecasts, withoutForecasts);
 });
 
 let verdictOf: (node: string) => string = () => "";
-let kept = {};
+let savedForecast = {};
 Given(
-  "a kept forecast that {int}% of the calls of node {string} would go to new workers, between {int}% and {int}%",
+  "a saved forecast that {int}% of the calls of node {string} would go to new workers, between {int}% and {int}%",
   (join: number, node: string, low: number, high: number) => {
-    kept = {
+    savedForecast = {
       nodes: [
         {
           node,
@@ -234,18 +239,18 @@
   },
 );
 When(
-  "the nodes have seen {int} calls to workers new to {string} and {int} to those of before",
-  (fresh: number, node: string, old: number) => {
-    const read = readKept(kept);
+  "the nodes have sent {int} calls to workers new to {string} and {int} to workers it already had",
+  (newCount: number, node: string, knownCount: number) => {
+    const read = readKept(savedForecast);
     assert.ok(isRecord(read));
     const calls = [
-      { kind: "safe", worker: "w-new", count: fresh },
-      { kind: "safe", worker: "w1", count: old },
+      { kind: "safe", worker: "w-new", count: newCount },
+      { kind: "safe", worker: "w1", count: knownCount },
     ];
     const rows = checkForecast(read, [{ node, heard: true, services: [{ service: "s", calls }] }]);
     verdictOf = (name) => rows.find((row) => row.node === name)?.verdict ?? "";
   },
 );
-Then("the check of {string} says {string}", (node: string, result: string) =>
+Then("the check of {string} reports {string}", (node: string, result: string) =>
   assert.equal(verdictOf(node), result),
 );
--- a/features/steps/traffic.ts
+++ b/features/steps/traffic.ts
@@ -14,29 +14,29 @@
 import { InMemoryKeyService } from "../../fuzz/proxy-harness.js";
 import { ManualClock, settle } from "../support/manual-clock.js";
 import { configurationUpdates, workerUpdate } from "../support/proxy-updates.js";
-import { StandIn, type Manner } from "../support/stand-in.js";
+import { StandIn, type WorkerBehavior } from "../support/stand-in.js";
 
-interface Got {
+interface HttpResponse {
   readonly status: number;
-  readonly heads: IncomingHttpHeaders;
+  readonly headers: IncomingHttpHeaders;
   readonly body: string;
 }
 
-const MANNERS: Readonly<Record<string, Manner>> = {
-  "answers well": "well",
-  "answers with a wrong id": "wrong id",
-  "answers without a seal": "no seal",
-  "answers and breaks off": "breaks off",
-  "answers with no bytes of the protocol": "no bytes of the protocol",
-  "answers with a reset": "resets",
-  "answers that it failed": "fails",
-  "answers that it is full": "full",
-  "answers that it is another": "other",
-  "answers well and sends an extra answer": "an extra answer",
-  "stays silent": "silent",
+const BEHAVIORS: Readonly<Record<string, WorkerBehavior>> = {
+  "responds correctly": "well",
+  "responds with a wrong id": "wrong id",
+  "responds without a seal": "no seal",
+  "responds with a truncated body": "truncated",
+  "responds with non-HTTP bytes": "not HTTP",
+  "resets the connection": "resets",
+  "responds that it failed": "fails",
+  "responds that it is full": "full",
+  "responds that it is another worker": "other worker",
+  "responds correctly and sends an extra response": "extra response",
+  "doesn't respond": "silent",
 };
 
-const PLAN = JSON.stringify({
+const CONFIGURATION = JSON.stringify({
   putItems: {
     listeners: [
       {
@@ -62,29 +62,29 @@
 let pool = new WorkerDirectory(clock, "n1", "c1");
 let gateway: ProxyServer;
 let port = 0;
-/** Every gateway gets an address of its own, so that no two scenarios share a port. */
-let gateways = 0;
+/** Number of gateways so far. Each gets its own address, so that no two scenarios share one. */
+let gatewayCount = 0;
 let host = "";
-let rolloutCounts: string[] = [];
+let canaryOutcomes: string[] = [];
 let isBudgetEmpty = false;
-let retriesOf: (kind: RouteKind) => number = () => 0;
+let retriesFor: (kind: RouteKind) => number = () => 0;
 let workers = new Map<string, StandIn>();
-let got: Got[] = [];
-let raw = "";
-let lastTry = 0;
+let responses: HttpResponse[] = [];
+let rawResponse = "";
+let attemptCount = 0;
 
 let keyService = new InMemoryKeyService();
-let freed: string[] = [];
-let wants: string[] = [];
-let isRateSpent = false;
+let releasedTokens: string[] = [];
+let objectRequests: string[] = [];
+let isRateLimitReached = false;
 let isKeyServiceSilent = false;
 let isBehind = false;
 
-const build = async (withPlan: boolean): Promise<void> => {
+const startGateway = async (isConfigured: boolean): Promise<void> => {
   keyService = new InMemoryKeyService();
-  freed = [];
-  wants = [];
-  isRateSpent = false;
+  releasedTokens = [];
+  objectRequests = [];
+  isRateLimitReached = false;
   isKeyServiceSilent = false;
   isBehind = false;
   clock = new ManualClock();
@@ -97,7 +97,7 @@
     windowUs: 10_000_000,
     limits: () => defaultLimits({ ratio: isBudgetEmpty ? 0 : 100, slack: 0, windowUs: 10_000_000 }),
   });
-  retriesOf = (kind) => budgets.of("s1", kind).snapshot().retries;
+  retriesFor = (kind) => budgets.of("s1", kind).snapshot().retries;
   gateway = new ProxyServer({
     clock,
     log: silentLogger,
@@ -110,21 +110,21 @@
     connectionShare: () => 10,
     countFault: () => undefined,
     countOutcome: () => undefined,
-    countCanaryOutcome: (...counted) => rolloutCounts.push(counted[3]),
+    countCanaryOutcome: (...outcomeFields) => canaryOutcomes.push(outcomeFields[3]),
     random: Math.random,
     idempotency: new IdempotencyClient(
       clock,
       async (message) => (isKeyServiceSilent ? undefined : keyService.ask(message)),
       (message) => {
-        if (message.kind === "key-free") freed.push(String(message["token"]));
+        if (message.kind === "key-free") releasedTokens.push(String(message["token"]));
         keyService.notify(message);
       },
     ),
     objects: {
       permit: async () => true,
-      fetch: async (want, range) => {
-        wants.push(`${want.url} ${range ?? ""}`.trim());
-        return isRateSpent
+      fetch: async (objectRequest, range) => {
+        objectRequests.push(`${objectRequest.url} ${range ?? ""}`.trim());
+        return isRateLimitReached
           ? { kind: "none", reason: "rate", retryAfterUs: 400_000 }
           : {
               kind: "served",
@@ -135,22 +135,22 @@
       },
     },
   });
-  updates.events.on("changed", (facts) => {
-    table.applyUpdates(facts);
-    pool.applyUpdates(facts);
+  updates.events.on("changed", (changes) => {
+    table.applyUpdates(changes);
+    pool.applyUpdates(changes);
     gateway.wake();
   });
-  if (withPlan) {
-    updates.post(configurationUpdates(PLAN));
+  if (isConfigured) {
+    updates.post(configurationUpdates(CONFIGURATION));
   }
-  gateways += 1;
-  host = `127.4.${Math.floor(gateways / 200)}.${(gateways % 200) + 1}`;
+  gatewayCount += 1;
+  host = `127.4.${Math.floor(gatewayCount / 200)}.${(gatewayCount % 200) + 1}`;
   port = 12_000;
   await gateway.listen(`${host}:${port}`);
   await settle();
 };
 
-const join = async (id: string, manner: Manner): Promise<StandIn> => {
+const addWorker = async (id: string, manner: WorkerBehavior): Promise<StandIn> => {
   const worker = new StandIn(id, manner);
   await worker.start();
   workers.set(id, worker);
@@ -159,14 +159,14 @@
   return worker;
 };
 
-const send = (
+const sendRequest = (
   method: string,
   path: string,
   body = "",
-  more: Readonly<Record<string, string>> = {},
-): Promise<Got> =>
+  extraHeaders: Readonly<Record<string, string>> = {},
+): Promise<HttpResponse> =>
   new Promise((resolve, reject) => {
-    lastTry += 1;
+    attemptCount += 1;
     const request = httpRequest(
       {
         host,
@@ -176,10 +176,10 @@
         agent: false,
         headers: {
           Host: "a.example",
-          "Yewreel-Try-Id": `try-${lastTry}`,
+          "Yewreel-Try-Id": `try-${attemptCount}`,
           "Yewreel-Time-Left-Ms": "2500",
           ...(body === "" ? {} : { "Content-Length": body.length }),
-          ...more,
+          ...extraHeaders,
         },
       },
       (response) => {
@@ -188,7 +188,7 @@
         response.on("end", () =>
           resolve({
             status: response.statusCode ?? 0,
-            heads: response.headers,
+            headers: response.headers,
             body: Buffer.concat(chunks).toString(),
           }),
         );
@@ -199,11 +199,14 @@
     request.end(body);
   });
 
-/** Moves the clock on until the answer is there; what is under test never waits for real time. */
-const during = async (work: Promise<Got>, stepUs = 20_000): Promise<Got> => {
-  let done: Got | undefined;
-  const finished = work.then((answer) => {
-    done = answer;
+/** Advances the clock until the response has arrived; the code under test uses no real time. */
+const advanceUntilDone = async (
+  work: Promise<HttpResponse>,
+  stepUs = 20_000,
+): Promise<HttpResponse> => {
+  let done: HttpResponse | undefined;
+  const finished = work.then((response) => {
+    done = response;
   });
   for (let step = 0; step < 2_000 && done === undefined; step += 1) await clock.pass(stepUs);
   await finished;
@@ -211,41 +214,41 @@
   return done;
 };
 
-const converse = (bytes: string, enough: (answer: string) => boolean): Promise<string> =>
+const exchangeRaw = (bytes: string, isComplete: (response: string) => boolean): Promise<string> =>
   new Promise((resolve) => {
     const socket = connect(port, host, () => socket.write(bytes));
-    let answer = "";
+    let response = "";
     socket.on("data", (chunk) => {
-      answer += chunk.toString();
-      if (enough(answer)) socket.destroy();
+      response += chunk.toString();
+      if (isComplete(response)) socket.destroy();
     });
     socket.on("error", () => undefined);
-    socket.on("close", () => resolve(answer));
+    socket.on("close", () => resolve(response));
   });
 
-const last = (): Got => {
-  const answer = got[got.length - 1];
-  assert.ok(answer, "no answer came");
-  return answer;
+const lastResponse = (): HttpResponse => {
+  const response = responses[responses.length - 1];
+  assert.ok(response, "no response arrived");
+  return response;
 };
-const worker = (id: string): StandIn => {
+const workerById = (id: string): StandIn => {
   const found = workers.get(id);
   assert.ok(found);
   return found;
 };
 
-Given("the gateway lacks a configuration that it was told of", () => {
+Given("the gateway lacks a configuration that was announced to it", () => {
   isBehind = true;
 });
-When("the gateway gets that configuration", () => {
+When("the gateway receives that configuration", () => {
   isBehind = false;
 });
 
 Before(() => {
   workers = new Map();
-  got = [];
-  raw = "";
-  rolloutCounts = [];
+  responses = [];
+  rawResponse = "";
+  canaryOutcomes = [];
   isBudgetEmpty = false;
 });
 
@@ -257,163 +260,175 @@
 });
 
 Given(
-  "a gateway with the plan's routes {string} and {string}",
+  "a gateway with the configured routes {string} and {string}",
   async (one: string, other: string) => {
     assert.notEqual(one, other);
-    await build(true);
+    await startGateway(true);
   },
 );
-Given("a gateway without a plan", async () => {
+Given("a gateway without a configuration", async () => {
   gateway.stopListening();
-  await build(false);
-});
-Given(/^a worker "(\w+)" that (answers .*|stays silent)$/, async (id: string, manner: string) => {
-  const known = MANNERS[manner];
-  assert.ok(known, `no such manner: ${manner}`);
-  await join(id, known);
+  await startGateway(false);
 });
+Given(
+  /^a worker "(\w+)" that (responds .*|resets the connection|doesn't respond)$/,
+  async (id: string, manner: string) => {
+    const behavior = BEHAVIORS[manner];
+    assert.ok(behavior, `no such behavior: ${manner}`);
+    await addWorker(id, behavior);
+  },
+);
 Given("the retry budget is empty", () => {
   isBudgetEmpty = true;
 });
 
 When("a client posts {string} to {string}", async (body: string, path: string) => {
-  got.push(await during(send("POST", path, body), 2_000));
+  responses.push(await advanceUntilDone(sendRequest("POST", path, body), 2_000));
 });
 When("a client gets {string}", async (path: string) => {
-  got.push(await during(send("GET", path), 2_000));
-});
-When("a client gets {string} until {string} has been asked", async (path: string, id: string) => {
-  for (let time = 0; time < 60 && worker(id).seen.length === 0; time += 1)
-    got.push(await during(send("GET", path), 1_000));
-  assert.ok(worker(id).seen.length > 0, `${id} was never asked`);
+  responses.push(await advanceUntilDone(sendRequest("GET", path), 2_000));
 });
 When(
-  "a client posts {string} to {string} until {string} has been asked",
+  "a client gets {string} until {string} has received a request",
+  async (path: string, id: string) => {
+    for (let time = 0; time < 60 && workerById(id).seen.length === 0; time += 1)
+      responses.push(await advanceUntilDone(sendRequest("GET", path), 1_000));
+    assert.ok(workerById(id).seen.length > 0, `${id} received no request`);
+  },
+);
+When(
+  "a client posts {string} to {string} until {string} has received a request",
   async (body: string, path: string, id: string) => {
-    for (let time = 0; time < 60 && worker(id).seen.length === 0; time += 1)
-      got.push(await during(send("POST", path, body), 1_000));
-    assert.ok(worker(id).seen.length > 0, `${id} was never asked`);
+    for (let time = 0; time < 60 && workerById(id).seen.length === 0; time += 1)
+      responses.push(await advanceUntilDone(sendRequest("POST", path, body), 1_000));
+    assert.ok(workerById(id).seen.length > 0, `${id} received no request`);
   },
 );
 When("a client gets {string} {int} times in a row", async (path: string, times: number) => {
-  for (let time = 0; time < times; time += 1) got.push(await during(send("GET", path), 1_000));
+  for (let time = 0; time < times; time += 1)
+    responses.push(await advanceUntilDone(sendRequest("GET", path), 1_000));
 });
 When(
-  "a client posts {string} to {string} and its time runs out",
+  "a client posts {string} to {string} and its deadline passes",
   async (body: string, path: string) => {
-    got.push(await during(send("POST", path, body), 200_000));
+    responses.push(await advanceUntilDone(sendRequest("POST", path, body), 200_000));
   },
 );
 When(
-  "a client gets {string} while {string} joins and a second passes",
+  "a client gets {string} and {string} joins before the response",
   async (path: string, id: string) => {
-    const answer = send("GET", path);
-    for (let turn = 0; turn < 500 && worker("w1").seen.length === 0; turn += 1)
+    const response = sendRequest("GET", path);
+    for (let turn = 0; turn < 500 && workerById("w1").seen.length === 0; turn += 1)
       await clock.pass(1_000);
-    await join(id, "well");
-    got.push(await during(answer, 100_000));
+    await addWorker(id, "well");
+    responses.push(await advanceUntilDone(response, 100_000));
   },
 );
 When(
-  "a client sends {int} requests to {string} at once on one connection",
+  "a client pipelines {int} requests to {string} on one connection",
   async (count: number, path: string) => {
     const bytes = Array.from(
       { length: count },
       (_, at) =>
         `GET ${path} HTTP/1.1\r\nHost: a.example\r\nYewreel-Try-Id: p-${at}\r\nYewreel-Time-Left-Ms: 2000\r\n\r\n`,
     ).join("");
-    raw = await converse(bytes, (answer) => answer.split("the bytes of the worker").length > count);
+    rawResponse = await exchangeRaw(
+      bytes,
+      (response) => response.split("the bytes of the worker").length > count,
+    );
   },
 );
-When("the gateway begins to leave and a client gets {string}", async (path: string) => {
+When("the gateway starts draining and a client gets {string}", async (path: string) => {
   gateway.startDraining();
-  got.push(await during(send("GET", path), 1_000));
+  responses.push(await advanceUntilDone(sendRequest("GET", path), 1_000));
 });
-When("a client sends a head that is too large", async () => {
-  raw = await converse(
+When("a client sends an oversized request head", async () => {
+  rawResponse = await exchangeRaw(
     `GET /safe/x HTTP/1.1\r\nHost: a.example\r\nX-Large: ${"x".repeat(40_000)}\r\n\r\n`,
-    (answer) => answer.includes("\r\n\r\n"),
+    (response) => response.includes("\r\n\r\n"),
   );
 });
-When("a client sends what is no request", async () => {
-  raw = await converse("this is no request\r\n\r\n", (answer) => answer.includes("\r\n\r\n"));
+When("a client sends a malformed request", async () => {
+  rawResponse = await exchangeRaw("this is no request\r\n\r\n", (response) =>
+    response.includes("\r\n\r\n"),
+  );
 });
 
 When(
-  "{string} is gone without a word and a client posts {int} orders to {string}",
+  "{string} stops without notice and a client posts {int} requests to {string}",
   async (id: string, count: number, path: string) => {
-    worker(id).stop();
+    workerById(id).stop();
     for (let at = 0; at < count; at += 1) {
-      got.push(await during(send("POST", path, "an order"), 2_000));
+      responses.push(await advanceUntilDone(sendRequest("POST", path, "an order"), 2_000));
       await clock.pass(1_100_000);
     }
   },
 );
 Then("no retry was counted", () =>
-  assert.deepEqual([retriesOf("safe"), retriesOf("unsafe")], [0, 0]),
+  assert.deepEqual([retriesFor("safe"), retriesFor("unsafe")], [0, 0]),
 );
 
-Then("the answer is {int}", (status: number) => assert.equal(last().status, status));
-Then("the answer is {int} with Retry-After", (status: number) => {
-  assert.equal(last().status, status);
-  assert.ok(Number(last().heads["retry-after"]) > 0);
+Then("the response is {int}", (status: number) => assert.equal(lastResponse().status, status));
+Then("the response is {int} with Retry-After", (status: number) => {
+  assert.equal(lastResponse().status, status);
+  assert.ok(Number(lastResponse().headers["retry-after"]) > 0);
 });
-Then("the answer is {int} with the worker's body, seal and mark", (status: number) => {
-  assert.equal(last().status, status);
-  assert.equal(last().body, "the bytes of the worker");
-  assert.ok(last().heads["yewreel-server-seal"]);
-  assert.equal(last().heads["x-mark"], "kept");
+Then("the response is {int} with the worker's body, seal and X-Mark header", (status: number) => {
+  assert.equal(lastResponse().status, status);
+  assert.equal(lastResponse().body, "the bytes of the worker");
+  assert.ok(lastResponse().headers["yewreel-server-seal"]);
+  assert.equal(lastResponse().headers["x-mark"], "kept");
 });
-Then("the answer is {int} and says that the connection closes", (status: number) => {
-  assert.equal(last().status, status);
-  assert.equal(last().heads.connection, "close");
+Then("the response is {int} with Connection: close", (status: number) => {
+  assert.equal(lastResponse().status, status);
+  assert.equal(lastResponse().headers.connection, "close");
 });
-Then("the raw answer is {int}", (status: number) =>
-  assert.match(raw, new RegExp(`^HTTP/1.1 ${status} `)),
+Then("the raw response is {int}", (status: number) =>
+  assert.match(rawResponse, new RegExp(`^HTTP/1.1 ${status} `)),
 );
-Then("every answer was {int}", (status: number) => {
-  assert.ok(got.length > 0);
-  got.forEach((answer) => assert.equal(answer.status, status));
+Then("every response was {int}", (status: number) => {
+  assert.ok(responses.length > 0);
+  responses.forEach((response) => assert.equal(response.status, status));
 });
-Then("no answer holds the extra bytes", () =>
-  got.forEach((answer) => assert.equal(answer.body, "the bytes of the worker")),
+Then("no response contains the extra bytes", () =>
+  responses.forEach((response) => assert.equal(response.body, "the bytes of the worker")),
 );
 Then(
-  "{string} saw the same method, path, query and body, its own id expected, and less time left",
+  "{string} received the same method, path, query and body, its own id as the expected worker, and no more time than the client had left",
   (id: string) => {
-    const [seen] = worker(id).seen;
+    const [seen] = workerById(id).seen;
     assert.ok(seen);
     assert.match(seen.head, /^POST \/unsafe\/x\?y=1 HTTP\/1\.1/);
     assert.equal(seen.body, "an order");
-    assert.equal(seen.expected, id);
+    assert.equal(seen.expectedWorker, id);
     const left = Number(/yewreel-time-left-ms: (\d+)/i.exec(seen.head)?.[1]);
     assert.ok(left > 0 && left <= 2_500);
   },
 );
-Then("{string} saw {int} request(s)", (id: string, count: number) =>
-  assert.equal(worker(id).seen.length, count),
+Then("{string} received {int} request(s)", (id: string, count: number) =>
+  assert.equal(workerById(id).seen.length, count),
 );
-Then("the workers saw {int} request(s) in all", (count: number) => {
+Then("the workers received {int} request(s) in total", (count: number) => {
   assert.equal(
     [...workers.values()].reduce((sum, one) => sum + one.seen.length, 0),
     count,
   );
 });
-Then("{string} is no longer known", (id: string) =>
+Then("{string} is no longer in the directory", (id: string) =>
   assert.ok(!pool.all().some((one) => one.id === id)),
 );
-Then("{int} answers come back in the order of their ids", (count: number) => {
-  const ids = [...raw.matchAll(/Yewreel-Try-Id: (p-\d+)/gi)].map((match) => match[1]);
+Then("{int} responses arrive in the order of their ids", (count: number) => {
+  const ids = [...rawResponse.matchAll(/Yewreel-Try-Id: (p-\d+)/gi)].map((match) => match[1]);
   assert.deepEqual(
     ids,
     Array.from({ length: count }, (_, at) => `p-${at}`),
   );
 });
 
-let shuntReport: LoadReport | undefined;
+let loadReport: LoadReport | undefined;
 
 When(
-  "the load generator sends {int} requests a second for {int} seconds to {string}",
+  "the load generator sends {int} requests per second for {int} seconds to {string}",
   async (ratePerS: number, seconds: number, path: string) => {
     const load = {
       targets: [`${host}:${port}`],
@@ -425,24 +440,24 @@
       seconds,
       budgetMs: 1_500,
     };
-    const work = generateLoad(load, clock).then((shunted) => {
-      shuntReport = summarize(shunted);
-      return { status: 0, heads: {}, body: "" };
+    const work = generateLoad(load, clock).then((outcomes) => {
+      loadReport = summarize(outcomes);
+      return { status: 0, headers: {}, body: "" };
     });
-    await during(work, 20_000);
+    await advanceUntilDone(work, 20_000);
   },
 );
 Then("{int} outcomes of {int} are reported", (count: number, status: number) =>
-  assert.deepEqual(shuntReport?.outcomes, { [status]: count }),
+  assert.deepEqual(loadReport?.outcomes, { [status]: count }),
 );
-Then("{int} outcomes are reported, the slowest after its whole budget", (count: number) => {
-  assert.equal(shuntReport?.sent, count);
-  assert.ok(shuntReport.mostMs >= 1_400, `${shuntReport.mostMs} ms`);
+Then("{int} outcomes are reported, the slowest after its whole time budget", (count: number) => {
+  assert.equal(loadReport?.sent, count);
+  assert.ok(loadReport.mostMs >= 1_400, `${loadReport.mostMs} ms`);
 });
 
-Given("the plan splits {string} over two services", async (path: string) => {
+Given("the configuration splits {string} between two services", async (path: string) => {
   assert.equal(path, "/unsafe/");
-  const weighted = PLAN.replaceAll('"version":1', '"version":2').replaceAll(
+  const weighted = CONFIGURATION.replaceAll('"version":1', '"version":2').replaceAll(
     '"service":"s1"',
     '"shares":[{"service":"s1","share":1},{"service":"s0","share":0}]',
   );
@@ -450,41 +465,42 @@
   await settle();
 });
 When(
-  "a client posts {string} to {string} and leaves after {int} ms",
-  async (body: string, path: string, leavesAfterMs: number) => {
+  "a client posts {string} to {string} and disconnects after {int} ms",
+  async (body: string, path: string, disconnectsAfterMs: number) => {
     const socket = connect(port, host);
     socket.on("error", () => undefined);
     socket.write(
       `POST ${path} HTTP/1.1\r\nHost: a.example\r\nYewreel-Try-Id: leaver\r\nYewreel-Time-Left-Ms: 2500\r\nContent-Length: ${body.length}\r\n\r\n${body}`,
     );
-    for (let turn = 0; turn < 2_000 && worker("w1").seen.length === 0; turn += 1) await settle();
-    await clock.pass(leavesAfterMs * 1_000);
+    for (let turn = 0; turn < 2_000 && workerById("w1").seen.length === 0; turn += 1)
+      await settle();
+    await clock.pass(disconnectsAfterMs * 1_000);
     socket.destroy();
     for (let turn = 0; turn < 200 && gateway.openRequests > 0; turn += 1) await settle();
   },
 );
-Then(/^the rollout counts (doubled|nothing)$/, (counted: string) =>
-  assert.deepEqual(rolloutCounts, counted === "nothing" ? [] : [counted]),
+Then(/^the canary counts (doubled|nothing)$/, (counted: string) =>
+  assert.deepEqual(canaryOutcomes, counted === "nothing" ? [] : [counted]),
 );
 
 When("a client posts {int} bytes to {string}", async (size: number, path: string) => {
-  got.push(await during(send("POST", path, "x".repeat(size)), 2_000));
+  responses.push(await advanceUntilDone(sendRequest("POST", path, "x".repeat(size)), 2_000));
 });
-Given("worker {string} has {int} bytes to answer with", (id: string, size: number) => {
-  worker(id).body = "y".repeat(size);
+Given("worker {string} has a response body of {int} bytes", (id: string, size: number) => {
+  workerById(id).body = "y".repeat(size);
 });
-Then("the answer is {int} with all {int} bytes", (status: number, size: number) => {
-  assert.deepEqual([last().status, last().body.length], [status, size]);
+Then("the response is {int} with all {int} bytes", (status: number, size: number) => {
+  assert.deepEqual([lastResponse().status, lastResponse().body.length], [status, size]);
 });
 
-const redeem = (key: string): Promise<Got> =>
-  send("POST", "/keyed/x", "a voucher", key === "" ? {} : { "Yewreel-Operation-Key": key });
+const postWithKey = (key: string): Promise<HttpResponse> =>
+  sendRequest("POST", "/keyed/x", "a voucher", key === "" ? {} : { "Yewreel-Operation-Key": key });
 
-When("key {string} is redeemed", async (key: string) => {
-  got.push(await during(redeem(key)));
+When("a client posts with the key {string}", async (key: string) => {
+  responses.push(await advanceUntilDone(postWithKey(key)));
 });
 When(
-  "key {string} is redeemed and its client leaves while the worker is silent",
+  "a client posts with the key {string} and disconnects before the worker responds",
   async (key: string) => {
     const client = connect(port, host);
     client.write(
@@ -500,34 +516,37 @@
     await clock.pass(50_000);
   },
 );
-When("nobody answers at the desk", () => {
+When("the key service doesn't respond", () => {
   isKeyServiceSilent = true;
 });
-When("the origin's rate is spent", () => {
-  isRateSpent = true;
+When("the origin's rate limit is reached", () => {
+  isRateLimitReached = true;
 });
 When("a client gets {string} with the range {string}", async (path: string, range: string) => {
-  got.push(await during(send("GET", path, "", { Range: range })));
-});
-Then("the answer is {int} with the try's own id and {string}", (status: number, body: string) => {
-  assert.deepEqual(
-    [last().status, last().body, last().heads["yewreel-try-id"]],
-    [status, body, `try-${lastTry}`],
-  );
-  assert.ok(last().heads["yewreel-server-seal"]);
+  responses.push(await advanceUntilDone(sendRequest("GET", path, "", { Range: range })));
 });
-Then("all workers together saw {int} request(s)", (count: number) =>
+Then(
+  "the response is {int} with the attempt's own id and {string}",
+  (status: number, body: string) => {
+    assert.deepEqual(
+      [lastResponse().status, lastResponse().body, lastResponse().headers["yewreel-try-id"]],
+      [status, body, `try-${attemptCount}`],
+    );
+    assert.ok(lastResponse().headers["yewreel-server-seal"]);
+  },
+);
+Then("all workers together received {int} request(s)", (count: number) =>
   assert.equal(
     [...workers.values()].reduce((sum, worker) => sum + worker.seen.length, 0),
     count,
   ),
 );
-Then("its token was taken back", () =>
-  assert.equal(freed.length > 0 && keyService.claims.size === 0, true),
+Then("the claim was released", () =>
+  assert.equal(releasedTokens.length > 0 && keyService.claims.size === 0, true),
 );
-Then("its token was not taken back", () =>
-  assert.deepEqual([freed, keyService.claims.size], [[], 1]),
+Then("the claim was not released", () =>
+  assert.deepEqual([releasedTokens, keyService.claims.size], [[], 1]),
 );
-Then("{string} was asked for with the range {string}", (path: string, range: string) =>
-  assert.deepEqual(wants, [`${path} ${range}`]),
+Then("{string} was requested with the range {string}", (path: string, range: string) =>
+  assert.deepEqual(objectRequests, [`${path} ${range}`]),
 );
--- a/features/support/proxy-updates.ts
+++ b/features/support/proxy-updates.ts
@@ -1,9 +1,9 @@
-/** Updates as a proxy server gets them from the control plane. */
+/** Updates as a proxy server receives them from the control plane. */
 import assert from "node:assert/strict";
 import { parseChange } from "../../src/config/change-request.js";
 import { CONFIG_PREFIX, WORKER_PREFIX, type NewUpdate } from "../../src/membership/update-store.js";
 
-/** The updates of a valid change of the configuration, given as JSON. */
+/** Returns the updates of a valid configuration change, given as JSON. */
 export const configurationUpdates = (change: string): NewUpdate[] => {
   const parsed = parseChange(change);
   assert.ok(parsed.isOk);
@@ -15,7 +15,7 @@
   }));
 };
 
-/** The update of a worker of service "s1" in zone "c1" that is ready. */
+/** Returns the update of a ready worker of service "s1" in zone "c1". */
 export const workerUpdate = (
   { id, address }: { readonly id: string; readonly address: string },
   capacity = 3,
--- a/features/support/run-stand-in.ts
+++ b/features/support/run-stand-in.ts
@@ -1,10 +1,15 @@
 import { request } from "node:http";
 import { StandIn } from "./stand-in.js";
 
-/** Runs one stand-in worker that beats: run-stand-in.js SERVICE CELL BOX [BOX...] */
-const [service = "", zone = "", ...boxes] = process.argv.slice(2);
-if (service === "" || zone === "" || boxes.length === 0) {
-  process.stderr.write("run-stand-in: give SERVICE CELL BOX [BOX...], a box as ip:port.\n");
+/**
+ * Runs a stub worker that sends heartbeats to the first controller that accepts them:
+ * run-stand-in.js SERVICE ZONE CONTROLLER [CONTROLLER...]
+ */
+const [service = "", zone = "", ...controllers] = process.argv.slice(2);
+if (service === "" || zone === "" || controllers.length === 0) {
+  process.stderr.write(
+    "usage: run-stand-in.js SERVICE ZONE CONTROLLER [CONTROLLER...] (CONTROLLER: ip:port)\n",
+  );
   process.exit(2);
 }
 
@@ -13,8 +18,8 @@
 let callCount = 0;
 
 const heartbeat = (at: number): void => {
-  const box = boxes[at];
-  if (box === undefined) return;
+  const controller = controllers[at];
+  if (controller === undefined) return;
   const body = JSON.stringify({
     service,
     address: worker.address,
@@ -26,7 +31,7 @@
     callCount,
   });
   const call = request(
-    `http://${box}/workers/${worker.id}/heartbeat`,
+    `http://${controller}/workers/${worker.id}/heartbeat`,
     { method: "POST", timeout: 1_000, headers: { "Content-Length": Buffer.byteLength(body) } },
     (response) => {
       response.resume();
@@ -37,10 +42,10 @@
   call.on("error", () => heartbeat(at + 1));
   call.end(body);
 };
-const next = (): void => {
+const sendNextHeartbeat = (): void => {
   callCount += 1;
   heartbeat(0);
 };
-next();
-setInterval(next, 1_500);
-process.stdout.write(`${worker.id} serves ${service} at ${worker.address}.\n`);
+sendNextHeartbeat();
+setInterval(sendNextHeartbeat, 1_500);
+process.stdout.write(`${worker.id}serves ${service} at ${worker.address}.\n`);
--- a/features/support/stand-in.ts
+++ b/features/support/stand-in.ts
@@ -1,46 +1,46 @@
 import { createServer, type Server, type Socket } from "node:net";
 import type { AddressInfo } from "node:net";
 
-export interface Seen {
+export interface ReceivedRequest {
   readonly head: string;
   readonly body: string;
   readonly tryId: string;
-  readonly expected: string;
+  readonly expectedWorker: string;
 }
 
-export type Manner =
+export type WorkerBehavior =
   | "well"
   | "silent"
   | "resets"
   | "full"
-  | "other"
+  | "other worker"
   | "wrong id"
   | "no seal"
-  | "breaks off"
-  | "no bytes of the protocol"
-  | "an extra answer"
+  | "truncated"
+  | "not HTTP"
+  | "extra response"
   | "fails"
-  | "says close";
+  | "closes";
 
-const headValue = (head: string, name: string): string =>
+const headerValue = (head: string, name: string): string =>
   new RegExp(`^${name}: (.*)$`, "im").exec(head)?.[1]?.trim() ?? "";
 
-/** A worker that behaves as told, over a bare socket so that it can misbehave in every way. */
+/** A stub worker with a configurable behavior. Uses raw sockets, so that it can violate HTTP. */
 export class StandIn {
-  readonly seen: Seen[] = [];
+  readonly seen: ReceivedRequest[] = [];
   connections = 0;
   private server: Server | undefined;
   private readonly sockets = new Set<Socket>();
 
   constructor(
     readonly id: string,
-    public manner: Manner = "well",
+    public manner: WorkerBehavior = "well",
     public body = "the bytes of the worker",
   ) {}
 
   get address(): string {
     const address = this.server?.address();
-    return `127.0.0.1:${isPort(address) ? address.port : 0}`;
+    return `127.0.0.1:${isAddressInfo(address) ? address.port : 0}`;
   }
 
   readonly start = (): Promise<void> =>
@@ -54,7 +54,7 @@
     this.server?.close();
   };
 
-  readonly answerOf = (tryId: string, body = this.body): string =>
+  readonly responseFor = (tryId: string, body = this.body): string =>
     `HTTP/1.1 200 OK\r\nYewreel-Try-Id: ${tryId}\r\nYewreel-Server-Seal: s.${body.length}\r\nYewreel-Worker-Load: 1,0,3\r\nX-Mark: kept\r\nContent-Length: ${body.length}\r\n\r\n${body}`;
 
   private readonly serve = (socket: Socket): void => {
@@ -62,29 +62,34 @@
     this.sockets.add(socket);
     socket.on("error", () => undefined);
     socket.on("close", () => this.sockets.delete(socket));
-    let held = "";
+    let unread = "";
     socket.on("data", (chunk) => {
-      held += chunk.toString("latin1");
+      unread += chunk.toString("latin1");
       for (;;) {
-        const end = held.indexOf("\r\n\r\n");
+        const end = unread.indexOf("\r\n\r\n");
         if (end < 0) return;
-        const head = held.slice(0, end);
-        const length = Number(headValue(head, "content-length") || 0);
-        if (held.length < end + 4 + length) return;
-        const body = held.slice(end + 4, end + 4 + length);
-        held = held.slice(end + 4 + length);
-        const tryId = headValue(head, "yewreel-try-id");
-        this.seen.push({ head, body, tryId, expected: headValue(head, "yewreel-expect-worker") });
-        this.reply(socket, tryId);
+        const head = unread.slice(0, end);
+        const length = Number(headerValue(head, "content-length") || 0);
+        if (unread.length < end + 4 + length) return;
+        const body = unread.slice(end + 4, end + 4 + length);
+        unread = unread.slice(end + 4 + length);
+        const tryId = headerValue(head, "yewreel-try-id");
+        this.seen.push({
+          head,
+          body,
+          tryId,
+          expectedWorker: headerValue(head, "yewreel-expect-worker"),
+        });
+        this.respond(socket, tryId);
       }
     });
   };
 
-  private readonly reply = (socket: Socket, tryId: string): void => {
-    const whole = this.answerOf(tryId);
+  private readonly respond = (socket: Socket, tryId: string): void => {
+    const response = this.responseFor(tryId);
     switch (this.manner) {
       case "well":
-        return void socket.write(whole);
+        return void socket.write(response);
       case "silent":
         return undefined;
       case "resets":
@@ -93,31 +98,31 @@
         return void socket.write(
           `HTTP/1.1 503 Service Unavailable\r\nYewreel-Try-Id: ${tryId}\r\nYewreel-Not-Run: 1\r\nContent-Length: 0\r\n\r\n`,
         );
-      case "other":
+      case "other worker":
         return void socket.write(
           `HTTP/1.1 421 Misdirected Request\r\nYewreel-Try-Id: ${tryId}\r\nYewreel-Worker-Id: i-other\r\nContent-Length: 0\r\n\r\n`,
         );
       case "wrong id":
-        return void socket.write(this.answerOf("somebody-else"));
+        return void socket.write(this.responseFor("somebody-else"));
       case "no seal":
-        return void socket.write(whole.replace(/Yewreel-Server-Seal: [^\r]*\r\n/, ""));
-      case "breaks off":
-        socket.write(whole.slice(0, -5));
+        return void socket.write(response.replace(/Yewreel-Server-Seal: [^\r]*\r\n/, ""));
+      case "truncated":
+        socket.write(response.slice(0, -5));
         return void setImmediate(() => socket.destroy());
-      case "no bytes of the protocol":
+      case "not HTTP":
         return void socket.write("\u0001\u0002 this is no answer\r\n\r\n");
-      case "an extra answer":
-        return void socket.write(whole + this.answerOf("late-extra", "EXTRA"));
+      case "extra response":
+        return void socket.write(response + this.responseFor("late-extra", "EXTRA"));
       case "fails":
         return void socket.write(
           `HTTP/1.1 500 Internal Server Error\r\nYewreel-Try-Id: ${tryId}\r\nContent-Length: 4\r\n\r\noops`,
         );
-      case "says close":
-        socket.end(whole.replace("X-Mark", "Connection: close\r\nX-Mark"));
+      case "closes":
+        socket.end(response.replace("X-Mark", "Connection: close\r\nX-Mark"));
         return undefined;
     }
   };
 }
 
-const isPort = (address: AddressInfo | string | null | undefined): address is AddressInfo =>
+const isAddressInfo = (address: AddressInfo | string | null | undefined): address is AddressInfo =>
   typeof address === "object" && address !== null;
