--- a/features/data-folder.feature
+++ b/features/data-folder.feature
@@ -1,21 +1,21 @@
-Feature: Taking over the data folder of a role's earlier name
+Feature: Migrating the data folder of a role's former name
 
-  Scenario Outline: The state under the earlier name is taken over whole
-    Given a controller's state lies in the folder "signalbox", with its workers and keys
-    And the folder "controller" is <own>
-    When the controller looks for the folder of its earlier name
-    Then the whole state lies in "controller", and "signalbox" is gone
-    And the log says that the folder was taken over
+  Scenario Outline: The folder of the former name is migrated as a whole
+    Given a controller's state is in the folder "signalbox", with its workers and keys
+    And the folder "controller" is <state>
+    When the controller migrates the folder of its former name
+    Then the whole state is in "controller", and "signalbox" no longer exists
+    And the log reports that the folder was migrated
 
     Examples:
-      | own     |
+      | state   |
       | missing |
       | empty   |
 
-  Scenario Outline: Each role knows its earlier name
-    Given a file lies in the folder "<former>"
-    When the <role> of the folder "<folder>" looks for the folder of its earlier name
-    Then that file lies in the folder "<folder>", and "<former>" is gone
+  Scenario Outline: Each role has a former name
+    Given a file is in the folder "<former>"
+    When the <role> with the folder "<folder>" migrates the folder of its former name
+    Then that file is in the folder "<folder>", and "<former>" no longer exists
 
     Examples:
       | role       | former           | folder            |
@@ -23,48 +23,48 @@
       | cache      | depot            | cache             |
       | controller | signalbox-1.data | controller-1.data |
 
-  Scenario Outline: Nothing is taken over
-    Given a file lies in the folder "<other>"
-    And the folder "<folder>" is <own>
-    When the controller of the folder "<folder>" looks for the folder of its earlier name
-    Then that file still lies in the folder "<other>"
-    And the log says nothing
+  Scenario Outline: Nothing is migrated
+    Given a file is in the folder "<other>"
+    And the folder "<folder>" is <state>
+    When the controller with the folder "<folder>" migrates the folder of its former name
+    Then that file is still in the folder "<other>"
+    And the log is empty
 
     Examples:
-      | other       | folder       | own         |
-      | signalbox   | controller   | not empty   |
-      | depot       | controller   | empty       |
-      | signalbox-2 | controller-1 | missing     |
-      | signalbox   | box-1        | missing     |
+      | other       | folder       | state     |
+      | signalbox   | controller   | not empty |
+      | depot       | controller   | empty     |
+      | signalbox-2 | controller-1 | missing   |
+      | signalbox   | box-1        | missing   |
 
-  Scenario: An empty folder of the earlier name is left alone
+  Scenario: An empty folder of the former name is left alone
     Given the folder "signalbox" is empty
-    When the controller looks for the folder of its earlier name
+    When the controller migrates the folder of its former name
     Then the folder "controller" is still missing
-    And the log says nothing
+    And the log is empty
 
   Scenario: A machine without a disk
-    When a controller without a data folder looks for the folder of its earlier name
-    Then the disk is asked nothing
-    And the log says nothing
+    When a controller without a data folder migrates the folder of its former name
+    Then the file system is not accessed
+    And the log is empty
 
-  Scenario: A crash or a loss of power at any step of the take-over
-    When a take-over is cut off at each of its steps, by a kill and by a loss of power, in 40 histories
-    Then each next start reads the whole state, under the own name alone
-    And some of them read it after another take-over
+  Scenario: A crash or a power loss at any step of the migration
+    When a migration is interrupted at each of its steps, by a kill and by a power loss, in 40 histories
+    Then each next start reads the whole state, from the folder of the current name only
+    And some of them read it after repeating the migration
 
-  Scenario: The check of take-overs catches a disk that forgets to sync the parent folder
-    When power is lost just after a take-over, in 40 histories with a disk that forgets to sync folders
-    Then some of them find the state under the earlier name again
+  Scenario: The simulated histories detect a disk that doesn't sync the parent folder
+    When power is lost right after a migration, in 40 histories with a disk that doesn't sync folders
+    Then some of them find the state under the former name again
 
-  Scenario Outline: A file system that refuses
-    Given a controller's state lies in the folder "signalbox", with its workers and keys
-    When the controller looks for the folder of its earlier name, and the file system refuses to <call>
-    Then the log says that the folder was not taken over, with the cause
-    And the controller starts with a folder of its own
+  Scenario Outline: A file system error during the migration
+    Given a controller's state is in the folder "signalbox", with its workers and keys
+    When the controller migrates the folder of its former name, and the file system fails to <operation>
+    Then the log reports that the folder was not migrated, with the cause
+    And the controller starts with a new folder
 
     Examples:
-      | call                |
-      | list the own folder |
-      | list the other one  |
-      | rename              |
+      | operation               |
+      | list the current folder |
+      | list the former folder  |
+      | rename                  |
--- a/features/steps/data-folder.ts
+++ b/features/steps/data-folder.ts
@@ -12,41 +12,42 @@
 } from "../../src/storage/file-system.js";
 import type { Recovery } from "../../src/storage/recovery.js";
 import { WriteAheadLog } from "../../src/storage/write-ahead-log.js";
-import { FaultyDisk, randomOf } from "../support/faulty-disk.js";
+import { FaultyDisk, seededRandom } from "../support/faulty-disk.js";
 
 const RECORDS = [
   { key: "route/a", version: 3 },
   { key: "route/b", version: 1 },
 ];
-const STEPS_AT_MOST = 40;
+const MAX_STEPS = 40;
 
 let parent = "";
-let logged: { readonly level: string; readonly message: string; readonly fields: LogFields }[] = [];
-let calls = 0;
+let logEntries: { readonly level: string; readonly message: string; readonly fields: LogFields }[] =
+  [];
+let callCount = 0;
 let recoveries: Recovery[] = [];
-let leftBehind: (readonly string[])[] = [];
-let takeOversAgain = 0;
+let formerFolderEntries: (readonly string[])[] = [];
+let repeatedMigrations = 0;
 
 const disk = new NodeFileSystem();
-const counted = <T>(call: (path: string) => Promise<T>) => {
+const countCalls = <T>(call: (path: string) => Promise<T>) => {
   return (path: string): Promise<T> => {
-    calls += 1;
+    callCount += 1;
     return call(path);
   };
 };
 const files: FolderFileSystem = {
-  list: counted(disk.list),
-  syncFolder: counted(disk.syncFolder),
+  list: countCalls(disk.list),
+  syncFolder: countCalls(disk.syncFolder),
   renameFolder: disk.renameFolder,
 };
-const note =
+const logAt =
   (level: string) =>
   (message: string, fields: LogFields = {}): void => {
-    logged.push({ level, message, fields });
+    logEntries.push({ level, message, fields });
   };
-const logger: Logger = { info: note("info"), warn: note("warn"), debug: note("debug") };
+const logger: Logger = { info: logAt("info"), warn: logAt("warn"), debug: logAt("debug") };
 
-const takeOver = (role: Role, name: string, fileSystem = files): Promise<boolean> =>
+const migrate = (role: Role, name: string, fileSystem = files): Promise<boolean> =>
   takeOverFormerFolder({
     role,
     folder: name === "" ? "" : join(parent, name),
@@ -54,7 +55,7 @@
     logger,
   });
 
-/** Writes a verified state into a folder, on a disk of the test's own or a real one. */
+/** Writes a verified state into a folder, by default on the real disk. */
 const writeState = async (folder: string, fileSystem: FileSystem = disk): Promise<void> => {
   const log = new WriteAheadLog({ folder, fileSystem, snapshot: () => RECORDS.slice(0, 1) });
   assert.ok((await log.writeVerifiedSnapshot()).isOk);
@@ -69,16 +70,16 @@
 
 Before(async () => {
   parent = await mkdtemp(join(tmpdir(), "yewreel-"));
-  logged = [];
-  calls = 0;
+  logEntries = [];
+  callCount = 0;
   recoveries = [];
-  leftBehind = [];
-  takeOversAgain = 0;
+  formerFolderEntries = [];
+  repeatedMigrations = 0;
 });
 After(() => rm(parent, { recursive: true, force: true }));
 
 Given(
-  "a controller's state lies in the folder {string}, with its workers and keys",
+  "a controller's state is in the folder {string}, with its workers and keys",
   async (name: string) => {
     await writeState(join(parent, name));
     await writeState(join(parent, name, "workers"));
@@ -94,40 +95,43 @@
   await mkdir(join(parent, name));
   await writeFile(join(parent, name, "own"), "own");
 });
-Given("a file lies in the folder {string}", async (name: string) => {
+Given("a file is in the folder {string}", async (name: string) => {
   await mkdir(join(parent, name));
   await writeFile(join(parent, name, "file"), "former");
 });
 
-When("the controller looks for the folder of its earlier name", async () => {
-  await takeOver("controller", "controller");
+When("the controller migrates the folder of its former name", async () => {
+  await migrate("controller", "controller");
 });
 When(
-  /^the (gateway|controller|cache) of the folder "(.*)" looks for the folder of its earlier name$/,
+  /^the (gateway|controller|cache) with the folder "(.*)" migrates the folder of its former name$/,
   async (role: Role, name: string) => {
-    await takeOver(role, name);
+    await migrate(role, name);
   },
 );
-When("a controller without a data folder looks for the folder of its earlier name", async () => {
-  assert.equal(await takeOver("controller", ""), false);
+When("a controller without a data folder migrates the folder of its former name", async () => {
+  assert.equal(await migrate("controller", ""), false);
 });
 
-const refuse = (): Promise<never> => Promise.reject(new Error("EBUSY: a mount point"));
-const refusing = (call: string): FolderFileSystem => {
-  const refused = call === "list the own folder" ? "controller" : "signalbox";
+const reject = (): Promise<never> => Promise.reject(new Error("EBUSY: a mount point"));
+const failingFileSystem = (call: string): FolderFileSystem => {
+  const failingFolder = call === "list the current folder" ? "controller" : "signalbox";
   return call === "rename"
-    ? { ...files, renameFolder: refuse }
-    : { ...files, list: (path) => (basename(path) === refused ? refuse() : files.list(path)) };
+    ? { ...files, renameFolder: reject }
+    : {
+        ...files,
+        list: (path) => (basename(path) === failingFolder ? reject() : files.list(path)),
+      };
 };
 When(
-  /^the controller looks for the folder of its earlier name, and the file system refuses to (.*)$/,
+  /^the controller migrates the folder of its former name, and the file system fails to (.*)$/,
   async (call: string) => {
-    assert.equal(await takeOver("controller", "controller", refusing(call)), false);
+    assert.equal(await migrate("controller", "controller", failingFileSystem(call)), false);
   },
 );
 
 Then(
-  "the whole state lies in {string}, and {string} is gone",
+  "the whole state is in {string}, and {string} no longer exists",
   async (own: string, former: string) => {
     for (const folder of [join(parent, own), join(parent, own, "workers")]) {
       const log = new WriteAheadLog({ folder, fileSystem: disk, snapshot: () => [] });
@@ -138,37 +142,37 @@
   },
 );
 Then(
-  "that file lies in the folder {string}, and {string} is gone",
+  "that file is in the folder {string}, and {string} no longer exists",
   async (own: string, former: string) => {
     assert.equal(await readFile(join(parent, own, "file"), "utf8"), "former");
     assert.ok(await isMissing(former));
   },
 );
-Then("that file still lies in the folder {string}", async (name: string) => {
+Then("that file is still in the folder {string}", async (name: string) => {
   assert.equal(await readFile(join(parent, name, "file"), "utf8"), "former");
 });
 Then("the folder {string} is still missing", async (name: string) => {
   assert.ok(await isMissing(name));
 });
-Then("the disk is asked nothing", () => {
-  assert.equal(calls, 0);
+Then("the file system is not accessed", () => {
+  assert.equal(callCount, 0);
 });
-Then("the log says nothing", () => {
-  assert.deepEqual(logged, []);
+Then("the log is empty", () => {
+  assert.deepEqual(logEntries, []);
 });
-Then("the log says that the folder was taken over", () => {
+Then("the log reports that the folder was migrated", () => {
   assert.deepEqual(
-    logged.map(({ level, message }) => [level, message]),
+    logEntries.map(({ level, message }) => [level, message]),
     [["info", "data folder of the earlier role name taken over"]],
   );
 });
-Then("the log says that the folder was not taken over, with the cause", () => {
+Then("the log reports that the folder was not migrated, with the cause", () => {
   assert.deepEqual(
-    logged.map(({ level, message, fields }) => [level, message, fields["error"]]),
+    logEntries.map(({ level, message, fields }) => [level, message, fields["error"]]),
     [["warn", "data folder of the earlier role name not taken over", "EBUSY: a mount point"]],
   );
 });
-Then("the controller starts with a folder of its own", async () => {
+Then("the controller starts with a new folder", async () => {
   const folder = join(parent, "controller");
   const log = new WriteAheadLog({ folder, fileSystem: disk, snapshot: () => RECORDS });
   assert.deepEqual(await log.load(), { kind: "empty" });
@@ -176,67 +180,67 @@
   assert.ok((await readdir(join(parent, "signalbox"))).length > 0);
 });
 
-const OWN = "/data/controller";
+const CURRENT = "/data/controller";
 const FORMER = "/data/signalbox";
-const takeOverOn = (fileSystem: FolderFileSystem): Promise<boolean> =>
-  takeOverFormerFolder({ role: "controller", folder: OWN, fileSystem, logger });
-const withState = async (seed: number): Promise<FaultyDisk> => {
-  const faulty = new FaultyDisk(randomOf(seed));
+const migrateOn = (fileSystem: FolderFileSystem): Promise<boolean> =>
+  takeOverFormerFolder({ role: "controller", folder: CURRENT, fileSystem, logger });
+const diskWithState = async (seed: number): Promise<FaultyDisk> => {
+  const faulty = new FaultyDisk(seededRandom(seed));
   await writeState(FORMER, faulty.open());
   await writeState(`${FORMER}/workers`, faulty.open());
   return faulty;
 };
-const startAgain = async (faulty: FaultyDisk): Promise<void> => {
+const restart = async (faulty: FaultyDisk): Promise<void> => {
   const opened = faulty.open();
-  if (await takeOverOn(opened)) takeOversAgain += 1;
-  for (const folder of [OWN, `${OWN}/workers`])
+  if (await migrateOn(opened)) repeatedMigrations += 1;
+  for (const folder of [CURRENT, `${CURRENT}/workers`])
     recoveries.push(
       await new WriteAheadLog({ folder, fileSystem: opened, snapshot: () => [] }).load(),
     );
-  leftBehind.push(await opened.list(FORMER));
+  formerFolderEntries.push(await opened.list(FORMER));
 };
 
 When(
-  "a take-over is cut off at each of its steps, by a kill and by a loss of power, in {int} histories",
+  "a migration is interrupted at each of its steps, by a kill and by a power loss, in {int} histories",
   async (histories: number) => {
     for (let seed = 1; seed <= histories; seed += 1)
       for (const end of ["kill", "losePower"] as const)
-        for (let steps = 1, isDone = false; !isDone && steps <= STEPS_AT_MOST; steps += 1) {
-          const faulty = await withState(seed);
+        for (let steps = 1, isDone = false; !isDone && steps <= MAX_STEPS; steps += 1) {
+          const faulty = await diskWithState(seed);
           faulty.stepsLeft = steps;
-          isDone = await takeOverOn(faulty.open());
+          isDone = await migrateOn(faulty.open());
           faulty[end]();
-          const before = takeOversAgain;
-          await startAgain(faulty);
-          if (isDone) assert.equal(takeOversAgain, before, "a take-over that was done was lost");
+          const before = repeatedMigrations;
+          await restart(faulty);
+          if (isDone) assert.equal(repeatedMigrations, before, "a completed migration was lost");
         }
   },
 );
 When(
-  "power is lost just after a take-over, in {int} histories with a disk that forgets to sync folders",
+  "power is lost right after a migration, in {int} histories with a disk that doesn't sync folders",
   async (histories: number) => {
     for (let seed = 1; seed <= histories; seed += 1) {
-      const faulty = await withState(seed);
+      const faulty = await diskWithState(seed);
       faulty.syncsFolders = false;
-      assert.ok(await takeOverOn(faulty.open()));
+      assert.ok(await migrateOn(faulty.open()));
       faulty.losePower();
-      leftBehind.push(await faulty.open().list(FORMER));
+      formerFolderEntries.push(await faulty.open().list(FORMER));
     }
   },
 );
-Then("each next start reads the whole state, under the own name alone", () => {
+Then("each next start reads the whole state, from the folder of the current name only", () => {
   assert.ok(recoveries.length > 0);
   recoveries.forEach((found) => {
     assert.deepEqual(found, { kind: "verified", records: RECORDS });
   });
-  leftBehind.forEach((names) => {
+  formerFolderEntries.forEach((names) => {
     assert.deepEqual(names, []);
   });
 });
-Then("some of them read it after another take-over", () => {
-  assert.ok(takeOversAgain > 0);
-  assert.ok(takeOversAgain < leftBehind.length);
+Then("some of them read it after repeating the migration", () => {
+  assert.ok(repeatedMigrations > 0);
+  assert.ok(repeatedMigrations < formerFolderEntries.length);
 });
-Then("some of them find the state under the earlier name again", () => {
-  assert.ok(leftBehind.some((names) => names.length > 0));
+Then("some of them find the state under the former name again", () => {
+  assert.ok(formerFolderEntries.some((names) => names.length > 0));
 });
--- a/features/support/faulty-disk.ts
+++ b/features/support/faulty-disk.ts
@@ -2,10 +2,10 @@
 import type { FileSystem, FolderFileSystem } from "../../src/storage/file-system.js";
 
 /**
- * What a name stands for. Invariant: `written` is what a reader sees; `synced` is what a loss of
- * power leaves for sure.
+ * Contents of a file. Invariant: `written` is what a reader sees; `synced` is what is certain to
+ * survive a power loss.
  */
-interface Node {
+interface Inode {
   synced: Uint8Array;
   written: Uint8Array;
 }
@@ -15,19 +15,23 @@
   readonly to: string;
 }
 
-/** The names with those below one folder moved below another. */
-const moved = (names: ReadonlyMap<string, Node>, from: string, to: string): Map<string, Node> =>
+/** Returns the directory entries with those below one folder moved below another. */
+const moveFolder = (
+  entries: ReadonlyMap<string, Inode>,
+  from: string,
+  to: string,
+): Map<string, Inode> =>
   new Map(
-    [...names].map(([path, node]) => [
+    [...entries].map(([path, node]) => [
       path.startsWith(`${from}/`) ? to + path.slice(from.length) : path,
       node,
     ]),
   );
 
-/** A seeded number from 0 up to 1. */
+/** Returns the next pseudorandom number, from 0 up to but not including 1. */
 export type Random = () => number;
 
-export const randomOf = (seed: number): Random => {
+export const seededRandom = (seed: number): Random => {
   let state = seed * 2_654_435_761;
   return () => {
     state = (state + 0x6d2b79f5) | 0;
@@ -38,24 +42,26 @@
 };
 
 /**
- * A disk in memory that is full, slow, refuses, or loses power. A loss of power leaves of a name
- * made, renamed or removed since the last sync of its folder the old or the new, each by itself
- * (also both names of one renamed file), and of bytes written since their sync none, all or a torn
- * part. A renamed folder comes back under its old or its new name, as a whole, unless the folder
- * that holds the two was synced since.
+ * An in-memory disk that can be full, be slow, fail and lose power.
+ *
+ * - A name created, renamed or removed since the last sync of its folder has its old or its new
+ *   state after a power loss, independently of other names; a renamed file may have both names.
+ * - Of bytes written since the last sync of their file, none, all or a torn part remains.
+ * - A renamed folder has its old or its new name, as a whole, unless its parent folder was synced
+ *   after the renaming.
  */
 export class FaultyDisk {
   capacityBytes = Number.POSITIVE_INFINITY;
-  /** How likely it is that a step of a call is refused. */
-  refusing = 0;
-  /** How many steps are left until power is lost. */
+  /** Probability that a step of a call fails. */
+  failureProbability = 0;
+  /** Number of steps left until every call fails, as in a crash. */
   stepsLeft = Number.POSITIVE_INFINITY;
-  /** A disk that forgets to sync folders, for a test of the tests. */
+  /** If false, syncing a folder has no effect. Used to check that the tests detect this fault. */
   syncsFolders = true;
-  private names = new Map<string, Node>();
-  private lasting = new Map<string, Node>();
+  private entries = new Map<string, Inode>();
+  private syncedEntries = new Map<string, Inode>();
   private folderRenames: readonly FolderRename[] = [];
-  private life = 0;
+  private processNumber = 0;
 
   constructor(private readonly random: Random) {}
 
@@ -63,41 +69,44 @@
     return this.stepsLeft > 0;
   }
 
-  get heldBytes(): number {
-    return [...new Set(this.names.values())].reduce((sum, { written }) => sum + written.length, 0);
+  get usedBytes(): number {
+    return [...new Set(this.entries.values())].reduce(
+      (sum, { written }) => sum + written.length,
+      0,
+    );
   }
 
-  /** The disk as one process sees it, which ends with the process. */
+  /** Opens the disk for one process. After the process has ended, every call fails. */
   readonly open = (): FileSystem & FolderFileSystem => {
-    const life = this.life;
-    const step = async (refuses = true): Promise<void> => {
+    const ownNumber = this.processNumber;
+    const step = async (canFail = true): Promise<void> => {
       const waits = Math.floor(this.random() * 4);
       for (let at = 0; at <= waits; at += 1) await Promise.resolve();
-      if (life === this.life && this.isUp) this.stepsLeft -= 1;
-      if (life !== this.life || !this.isUp) throw new Error("the process is dead");
-      if (refuses && this.random() < this.refusing) throw new Error("the disk refused");
+      if (ownNumber === this.processNumber && this.isUp) this.stepsLeft -= 1;
+      if (ownNumber !== this.processNumber || !this.isUp) throw new Error("the process has ended");
+      if (canFail && this.random() < this.failureProbability) throw new Error("disk error");
     };
     return {
       list: async (folder) => {
         await step();
-        const below = [...this.names.keys()]
+        const below = [...this.entries.keys()]
           .filter((path) => path.startsWith(`${folder}/`))
           .map((path) => path.slice(folder.length + 1).split("/")[0] ?? "");
         return [...new Set(below)];
       },
       read: async (path) => {
         await step();
-        return this.names.get(path)?.written;
+        return this.entries.get(path)?.written;
       },
       write: async (path, bytes) => {
         await step();
-        const node = this.names.get(path) ?? {
+        const node = this.entries.get(path) ?? {
           synced: new Uint8Array(),
           written: new Uint8Array(),
         };
-        this.names.set(path, node);
+        this.entries.set(path, node);
         node.written = new Uint8Array();
-        const room = Math.max(0, this.capacityBytes - this.heldBytes);
+        const room = Math.max(0, this.capacityBytes - this.usedBytes);
         node.written = bytes.slice(0, Math.min(room, Math.floor(this.random() * bytes.length)));
         await step();
         if (room < bytes.length) throw new Error("the disk is full");
@@ -108,34 +117,33 @@
       },
       rename: async (from, to) => {
         await step();
-        const node = this.names.get(from);
-        if (!node) throw new Error("there is no such file");
-        this.names.delete(from);
-        this.names.set(to, node);
+        const node = this.entries.get(from);
+        if (!node) throw new Error("no such file");
+        this.entries.delete(from);
+        this.entries.set(to, node);
         await step();
       },
       renameFolder: async (from, to) => {
         await step();
-        const paths = [...this.names.keys()];
-        if (!paths.some((path) => path.startsWith(`${from}/`)))
-          throw new Error("there is no such folder");
+        const paths = [...this.entries.keys()];
+        if (!paths.some((path) => path.startsWith(`${from}/`))) throw new Error("no such folder");
         if (paths.some((path) => path.startsWith(`${to}/`)))
           throw new Error("the folder is not empty");
         this.folderRenames = [...this.folderRenames, { from, to }];
-        this.names = moved(this.names, from, to);
-        this.lasting = moved(this.lasting, from, to);
+        this.entries = moveFolder(this.entries, from, to);
+        this.syncedEntries = moveFolder(this.syncedEntries, from, to);
         await step();
       },
       remove: async (path) => {
         await step();
-        this.names.delete(path);
+        this.entries.delete(path);
         await step();
       },
       makeFolder: () => step(),
       syncFolder: async (folder) => {
         await step();
         if (this.syncsFolders) {
-          this.lasting = new Map(this.names);
+          this.syncedEntries = new Map(this.entries);
           this.folderRenames = this.folderRenames.filter(({ to }) => dirname(to) !== folder);
         }
         await step();
@@ -143,49 +151,51 @@
     };
   };
 
-  /** The process ends; what it has written stays in the machine. */
+  /** Ends the process. What it has written remains, synced or not. */
   readonly kill = (): void => {
-    this.life += 1;
+    this.processNumber += 1;
     this.stepsLeft = Number.POSITIVE_INFINITY;
   };
 
   readonly losePower = (): void => {
     this.kill();
-    const keeping = [0, 0.5, 1][Math.floor(this.random() * 3)] ?? 0;
+    const survivalProbability = [0, 0.5, 1][Math.floor(this.random() * 3)] ?? 0;
     for (const { from, to } of [...this.folderRenames].reverse())
-      if (this.random() >= keeping) {
-        this.names = moved(this.names, to, from);
-        this.lasting = moved(this.lasting, to, from);
+      if (this.random() >= survivalProbability) {
+        this.entries = moveFolder(this.entries, to, from);
+        this.syncedEntries = moveFolder(this.syncedEntries, to, from);
       }
     this.folderRenames = [];
-    const left = new Map<string, Node>();
-    for (const path of new Set([...this.names.keys(), ...this.lasting.keys()])) {
-      const node = (this.random() < keeping ? this.names : this.lasting).get(path);
+    const left = new Map<string, Inode>();
+    for (const path of new Set([...this.entries.keys(), ...this.syncedEntries.keys()])) {
+      const node = (this.random() < survivalProbability ? this.entries : this.syncedEntries).get(
+        path,
+      );
       if (node) left.set(path, node);
     }
     for (const node of new Set(left.values())) {
       const torn = node.written.slice(0, Math.floor(this.random() * node.written.length));
       node.written = node.synced =
-        node.written === node.synced || this.random() >= keeping
+        node.written === node.synced || this.random() >= survivalProbability
           ? node.synced
           : this.random() < 0.5
             ? node.written
             : torn;
     }
-    this.names = left;
-    this.lasting = new Map(left);
+    this.entries = left;
+    this.syncedEntries = new Map(left);
   };
 
   readonly wipe = (): void => {
     this.kill();
-    this.names.clear();
-    this.lasting.clear();
+    this.entries.clear();
+    this.syncedEntries.clear();
     this.folderRenames = [];
   };
 
-  /** Changes one byte of one file; false if there is none. */
-  readonly spoil = (): boolean => {
-    const nodes = [...this.names.values()].filter(({ written }) => written.length > 0);
+  /** Changes one byte of one file; returns false if there is no file with contents. */
+  readonly corruptByte = (): boolean => {
+    const nodes = [...this.entries.values()].filter(({ written }) => written.length > 0);
     const node = nodes[Math.floor(this.random() * nodes.length)];
     if (!node) return false;
     const bytes = node.written.slice();
--- a/features/support/manual-clock.ts
+++ b/features/support/manual-clock.ts
@@ -1,34 +1,34 @@
 import type { Clock, Timer } from "../../src/common/clock.js";
 
-interface Due {
+interface ScheduledCall {
   readonly atUs: number;
   readonly order: number;
   readonly act: () => void;
 }
 
 /**
- * Lets everything that is ready to run, run: promises, and the event loop's turn for sockets and
- * files.
+ * Waits for a number of event loop turns, so that pending promises and socket and file events are
+ * processed.
  */
 export const settle = async (turns = 12): Promise<void> => {
   for (let turn = 0; turn < turns; turn += 1) await new Promise((resolve) => setImmediate(resolve));
 };
 
-/** A clock that stands still until it is moved on. */
+/** A clock that advances only when told to. */
 export class ManualClock implements Clock {
   private time = 1_000_000;
   private order = 0;
-  private due: Due[] = [];
+  private pending: ScheduledCall[] = [];
 
   readonly nowUs = (): number => this.time;
 
   readonly after = (waitUs: number, act: () => void): Timer => {
     this.order += 1;
-    const due: Due = { atUs: this.time + Math.max(0, waitUs), order: this.order, act };
-    this.due.push(due);
+    const due: ScheduledCall = { atUs: this.time + Math.max(0, waitUs), order: this.order, act };
+    this.pending.push(due);
     return {
       stop: () => {
-        this.due = this.due.filter((other) => other !== due);
+        this.pending = this.pending.filter((other) => other !== due);
       },
     };
   };
@@ -36,12 +36,12 @@
   readonly every = (gapUs: number, act: () => void): Timer => {
     let timer: Timer = { stop: () => undefined };
     let stopped = false;
-    const again = () => {
+    const tick = () => {
       if (stopped) return;
-      timer = this.after(gapUs, again);
+      timer = this.after(gapUs, tick);
       act();
     };
-    timer = this.after(gapUs, again);
+    timer = this.after(gapUs, tick);
     return {
       stop: () => {
         stopped = true;
@@ -50,22 +50,20 @@
     };
   };
 
-  /**
-   * As a process sees it that was frozen: time has passed, and nothing that fell due has run yet.
-   */
+  /** Advances the time without running due timers, as after a stall of the process. */
   readonly jump = (spanUs: number): void => {
     this.time += spanUs;
   };
 
-  /** Moves on, running what falls due in its order, and lets each settle before the next. */
+  /** Advances the time, running due timers in order and letting each one settle before the next. */
   readonly pass = async (spanUs: number): Promise<void> => {
     const endUs = this.time + spanUs;
     for (;;) {
-      const next = this.due
+      const next = this.pending
         .filter((due) => due.atUs <= endUs)
         .sort((a, b) => a.atUs - b.atUs || a.order - b.order)[0];
       if (!next) break;
-      this.due = this.due.filter((due) => due !== next);
+      this.pending = this.pending.filter((due) => due !== next);
       this.time = Math.max(this.time, next.atUs);
       next.act();
       await settle(2);
--- a/features/support/memory-disk.ts
+++ b/features/support/memory-disk.ts
@@ -1,8 +1,8 @@
 import type { FileSystem } from "../../src/storage/file-system.js";
 
 /**
- * Files in memory, safe at once: for tests that move the clock on by hand, beside which a real disk
- * would seem slow.
+ * An in-memory file system whose writes are durable at once. For tests with a manual clock, next to
+ * which a real disk would appear slow.
  */
 export class MemoryDisk implements FileSystem {
   readonly files = new Map<string, Uint8Array>();
@@ -20,7 +20,7 @@
 
   readonly rename = async (from: string, to: string): Promise<void> => {
     const bytes = this.files.get(from);
-    if (!bytes) throw new Error(`there is no ${from}`);
+    if (!bytes) throw new Error(`no such file: ${from}`);
     this.files.set(to, bytes);
     this.files.delete(from);
   };
