--- a/features/answers.feature
+++ b/features/answers.feature
@@ -7,7 +7,7 @@
     When on a reused connection the worker runs a POST but first sends a stale <stale>
     Then the client receives 502
     And the POST ran once, and the response doesn't guarantee that it did not run
-    And the worker is still in the directory
+    And the worker is still in the worker directory
 
     Examples:
       | stale                                     |
@@ -171,7 +171,7 @@
     Given an object client and a worker that responds to a read with <response>
     And another worker that has the object
     When the object is read until the first worker has received a read
-    Then the client has the object, and the first worker is <still> in the directory
+    Then the client has the object, and the first worker is <still> in the worker directory
     And no worker connection received two reads
 
     Examples:
--- a/features/archive.feature
+++ b/features/archive.feature
@@ -48,16 +48,16 @@
     And once there is room again the next increment is written, and a start recovers exactly the state
 
   Scenario: Full, failing and slow disks, process kills and power losses, without corrupted files
-    When 200 histories are simulated with seeds from 1
+    When 200 runs are simulated with seeds from 1
     Then every verified start had all acknowledged records
     And no start after a verified snapshot was unverified, unless reads failed or the disk was wiped, and no append failed on a recovered disk
 
   Scenario: Full, failing and slow disks, process kills and power losses, with corrupted files
-    When 100 histories with corrupted files are simulated with seeds from 1
+    When 100 runs with corrupted files are simulated with seeds from 1
     Then every verified start had all acknowledged records
 
-  Scenario Outline: The simulated histories detect a faulty log or disk
-    When 50 histories with corrupted files are simulated with seeds from 1, with <fault>
+  Scenario Outline: The simulated runs detect a faulty log or disk
+    When 50 runs with corrupted files are simulated with seeds from 1, with <fault>
     Then some verified start lacked an acknowledged record
 
     Examples:
--- a/features/data-folder.feature
+++ b/features/data-folder.feature
@@ -49,12 +49,12 @@
     And the log is empty
 
   Scenario: A crash or a power loss at any step of the migration
-    When a migration is interrupted at each of its steps, by a kill and by a power loss, in 40 histories
+    When a migration is interrupted at each of its steps, by a kill and by a power loss, in 40 simulated runs
     Then each next start reads the whole state, from the folder of the current name only
     And some of them read it after repeating the migration
 
-  Scenario: The simulated histories detect a disk that doesn't sync the parent folder
-    When power is lost right after a migration, in 40 histories with a disk that doesn't sync folders
+  Scenario: The simulated runs detect a disk that doesn't sync the parent folder
+    When power is lost right after a migration, in 40 simulated runs with a disk that doesn't sync folders
     Then some of them find the state under the former name again
 
   Scenario Outline: A file system error during the migration
--- a/features/steps/answers.ts
+++ b/features/steps/answers.ts
@@ -133,7 +133,7 @@
   assert.equal(requestsOf(`t-${attemptCount}`).length, 1);
   assert.ok(response && !NOT_RUN_STATUSES.has(response.status));
 });
-Then("the worker is still in the directory", () =>
+Then("the worker is still in the worker directory", () =>
   assert.ok(harness.pool.all().some(({ id }) => id === "w1")),
 );
 
@@ -836,7 +836,7 @@
   readResult = await readObject();
 });
 Then(
-  /^the client has the object, and the first worker is (still|not) in the directory$/,
+  /^the client has the object, and the first worker is (still|not) in the worker directory$/,
   (known: string) => {
     assert.ok(
       readResult?.kind === "served" && readResult.body.toString() === OBJECT,
--- a/features/steps/archive.ts
+++ b/features/steps/archive.ts
@@ -252,7 +252,7 @@
   | "a load that reports unverified records as verified"
   | "a disk that doesn't sync folders";
 
-interface HistoryResult {
+interface RunResult {
   readonly verifiedStarts: number;
   /** Verified starts that lacked an acknowledged record. */
   readonly missing: readonly string[];
@@ -268,11 +268,11 @@
  * Simulates several process lifetimes of one replica on one disk. The test knows the acknowledged
  * records and, in place of a quorum, supplies them to a replica that catches up.
  */
-const simulateHistory = async (
+const simulateRun = async (
   seed: number,
   corruptsFiles: boolean,
   fault: Fault,
-): Promise<HistoryResult> => {
+): Promise<RunResult> => {
   const random = seededRandom(seed);
   const faultyDisk = new FaultyDisk(random);
   faultyDisk.syncsFolders = fault !== "a disk that doesn't sync folders";
@@ -371,8 +371,8 @@
   return { verifiedStarts, missing, unexpectedFailures };
 };
 
-let results: HistoryResult[] = [];
-const simulateHistories = async (
+let results: RunResult[] = [];
+const simulateRuns = async (
   count: number,
   from: number,
   corruptsFiles: boolean,
@@ -380,33 +380,33 @@
 ): Promise<void> => {
   results = [];
   for (let seed = from; seed < from + count; seed += 1)
-    results.push(await simulateHistory(seed, corruptsFiles, fault));
+    results.push(await simulateRun(seed, corruptsFiles, fault));
 };
 When(
-  "{int} histories are simulated with seeds from {int}",
+  "{int} runs are simulated with seeds from {int}",
   { timeout: TIMEOUT_MS },
-  (count: number, from: number) => simulateHistories(count, from, false, "none"),
+  (count: number, from: number) => simulateRuns(count, from, false, "none"),
 );
 When(
-  "{int} histories with corrupted files are simulated with seeds from {int}",
+  "{int} runs with corrupted files are simulated with seeds from {int}",
   { timeout: TIMEOUT_MS },
-  (count: number, from: number) => simulateHistories(count, from, true, "none"),
+  (count: number, from: number) => simulateRuns(count, from, true, "none"),
 );
 When(
-  "{int} histories with corrupted files are simulated with seeds from {int}, with a load that reports unverified records as verified",
+  "{int} runs with corrupted files are simulated with seeds from {int}, with a load that reports unverified records as verified",
   { timeout: TIMEOUT_MS },
   (count: number, from: number) =>
-    simulateHistories(count, from, true, "a load that reports unverified records as verified"),
+    simulateRuns(count, from, true, "a load that reports unverified records as verified"),
 );
 When(
-  "{int} histories with corrupted files are simulated with seeds from {int}, with a disk that doesn't sync folders",
+  "{int} runs with corrupted files are simulated with seeds from {int}, with a disk that doesn't sync folders",
   { timeout: TIMEOUT_MS },
   (count: number, from: number) =>
-    simulateHistories(count, from, true, "a disk that doesn't sync folders"),
+    simulateRuns(count, from, true, "a disk that doesn't sync folders"),
 );
 Then("every verified start had all acknowledged records", () => {
   assert.ok(
-    results.reduce((sum, { verifiedStarts: wholeStarts }) => sum + wholeStarts, 0) > results.length,
+    results.reduce((sum, { verifiedStarts }) => sum + verifiedStarts, 0) > results.length,
     "too few verified starts",
   );
   assert.deepEqual(
@@ -418,7 +418,7 @@
   "no start after a verified snapshot was unverified, unless reads failed or the disk was wiped, and no append failed on a recovered disk",
   () => {
     assert.deepEqual(
-      results.flatMap(({ unexpectedFailures: needless }) => needless),
+      results.flatMap(({ unexpectedFailures }) => unexpectedFailures),
       [],
     );
   },
--- a/features/steps/data-folder.ts
+++ b/features/steps/data-folder.ts
@@ -201,9 +201,9 @@
 };
 
 When(
-  "a migration is interrupted at each of its steps, by a kill and by a power loss, in {int} histories",
-  async (histories: number) => {
-    for (let seed = 1; seed <= histories; seed += 1)
+  "a migration is interrupted at each of its steps, by a kill and by a power loss, in {int} simulated runs",
+  async (runs: number) => {
+    for (let seed = 1; seed <= runs; seed += 1)
       for (const end of ["kill", "losePower"] as const)
         for (let steps = 1, isDone = false; !isDone && steps <= MAX_STEPS; steps += 1) {
           const faulty = await diskWithState(seed);
@@ -217,9 +217,9 @@
   },
 );
 When(
-  "power is lost right after a migration, in {int} histories with a disk that doesn't sync folders",
-  async (histories: number) => {
-    for (let seed = 1; seed <= histories; seed += 1) {
+  "power is lost right after a migration, in {int} simulated runs with a disk that doesn't sync folders",
+  async (runs: number) => {
+    for (let seed = 1; seed <= runs; seed += 1) {
       const faulty = await diskWithState(seed);
       faulty.syncsFolders = false;
       assert.ok(await migrateOn(faulty.open()));
--- a/features/steps/subset.ts
+++ b/features/steps/subset.ts
@@ -49,7 +49,7 @@
 const countReplaced = (
   before: readonly SubsetCandidate[],
   after: readonly SubsetCandidate[],
-): number => before.filter((one) => !after.includes(one)).length;
+): number => before.filter((candidate) => !after.includes(candidate)).length;
 
 Given(
   "{int} nodes and {int} workers over {int} zones",
@@ -260,13 +260,13 @@
 });
 When("a sixth of the workers become {int} times slower", (times: number) => {
   slowWorkers = [...fleet.workers.values()].filter((_worker, at) => at % 6 === 0);
-  slowWorkers.forEach((one) => {
-    one.slowness = times;
+  slowWorkers.forEach((slowWorker) => {
+    slowWorker.slowness = times;
   });
 });
 When("the slow workers recover", () => {
-  slowWorkers.forEach((one) => {
-    one.slowness = 1;
+  slowWorkers.forEach((slowWorker) => {
+    slowWorker.slowness = 1;
   });
 });
 const slowShare = (): number => {
--- a/features/steps/traffic.ts
+++ b/features/steps/traffic.ts
@@ -253,16 +253,16 @@
 });
 
 After({ tags: "not @none" }, () => {
-  workers.forEach((one) => one.stop());
-  pool.all().forEach((one) => one.connections.closeIdle());
+  workers.forEach((worker) => worker.stop());
+  pool.all().forEach((worker) => worker.connections.closeIdle());
   if (port !== 0) gateway.stopListening();
   port = 0;
 });
 
 Given(
   "a gateway with the configured routes {string} and {string}",
-  async (one: string, other: string) => {
-    assert.notEqual(one, other);
+  async (firstRoute: string, secondRoute: string) => {
+    assert.notEqual(firstRoute, secondRoute);
     await startGateway(true);
   },
 );
@@ -410,12 +410,12 @@
 );
 Then("the workers received {int} request(s) in total", (count: number) => {
   assert.equal(
-    [...workers.values()].reduce((sum, one) => sum + one.seen.length, 0),
+    [...workers.values()].reduce((sum, worker) => sum + worker.seen.length, 0),
     count,
   );
 });
-Then("{string} is no longer in the directory", (id: string) =>
-  assert.ok(!pool.all().some((one) => one.id === id)),
+Then("{string} is no longer in the worker directory", (id: string) =>
+  assert.ok(!pool.all().some((worker) => worker.id === id)),
 );
 Then("{int} responses arrive in the order of their ids", (count: number) => {
   const ids = [...rawResponse.matchAll(/Yewreel-Try-Id: (p-\d+)/gi)].map((match) => match[1]);
--- a/features/support/run-stand-in.ts
+++ b/features/support/run-stand-in.ts
@@ -48,4 +48,4 @@
 };
 sendNextHeartbeat();
 setInterval(sendNextHeartbeat, 1_500);
-process.stdout.write(`${worker.id}serves ${service} at ${worker.address}.\n`);
+process.stdout.write(`${worker.id} serves ${service} at ${worker.address}.\n`);
--- a/features/traffic.feature
+++ b/features/traffic.feature
@@ -70,7 +70,7 @@
     And a worker "w2" that responds correctly
     When a client posts "an order" to "/unsafe/x" until "w1" has received a request
     Then every response was 200
-    And "w1" is no longer in the directory
+    And "w1" is no longer in the worker directory
 
   Scenario: If all workers are full, the response is 503 with Retry-After, which guarantees that the request did not run
     Given a worker "w1" that responds that it is full
