--- a/features/calls.feature
+++ b/features/calls.feature
@@ -1,28 +1,28 @@
-Feature: The operator's calls are checked whole before anything of them holds
+Feature: An operator's API call is validated as a whole before any part of it takes effect
 
-  Scenario Outline: A wrong call is refused with a short reason
+  Scenario Outline: An invalid call is rejected with a short reason
     When a call is read that <flaw>
-    Then it is refused as "<kind>"
+    Then it is rejected as "<kind>"
 
     Examples:
-      | flaw                               | kind       |
-      | is cut short                       | unreadable |
-      | is a list                          | unreadable |
-      | has a route with an empty host     | wrong      |
-      | has a path without a leading slash | wrong      |
-      | gives up after eleven minutes      | wrong      |
-      | has a route without a version      | wrong      |
-      | has shares of 0                    | wrong      |
-      | has a route of an unknown kind     | wrong      |
+      | flaw                               | kind      |
+      | is truncated                       | malformed |
+      | is a list                          | malformed |
+      | has a route with an empty host     | invalid   |
+      | has a path without a leading slash | invalid   |
+      | has a timeout of eleven minutes    | invalid   |
+      | has a route without a version      | invalid   |
+      | has shares of 0                    | invalid   |
+      | has a route of an unknown kind     | invalid   |
 
-  Scenario: A route that names an unknown service is found
-    When a call is read that names a service nobody knows
+  Scenario: A route that refers to an unknown service is reported
+    When a call is read that refers to an unknown service
     Then the unknown service is "nobody"
 
-  Scenario: A route may name a service of the same call
-    When a call is read that is right
+  Scenario: A route may refer to a service of the same call
+    When a call is read that is valid
     Then no service is unknown
 
-  Scenario: What is read back is laid out as it was sent
-    When a call is read that is right
-    Then laying its items out gives the call's items again
+  Scenario: The items of a call are formatted as they were sent
+    When a call is read that is valid
+    Then formatting its items returns the items that were sent
--- a/features/steps/plan.ts
+++ b/features/steps/plan.ts
@@ -11,7 +11,7 @@
 import { settle } from "../support/manual-clock.js";
 
 const CONTROLLERS = ["10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80", "10.0.0.4:80"];
-/** Those that come later, in place of others. */
+/** Controllers that are started later, as replacements for others. */
 const SPARE_CONTROLLERS = ["10.0.0.5:80", "10.0.0.6:80", "10.0.0.7:80"];
 const controllerId = (number: number): string =>
   [...CONTROLLERS, ...SPARE_CONTROLLERS][number - 1] ?? "";
@@ -19,9 +19,9 @@
 
 let cluster = new ReplicaCluster([]);
 let acknowledged = false;
-let first = "";
-const acks = new Map<string, number>();
-/** What became of each write, in the order in which they were sent. */
+let originalBody = "";
+const acknowledgedVersions = new Map<string, number>();
+/** Outcome of each write, in the order in which the writes were sent. */
 const outcomes: { readonly body: string; readonly outcome: Outcome }[] = [];
 
 type Outcome = "confirmed" | ReplicatedStoreError["code"];
@@ -33,12 +33,12 @@
   body = `{"v":${version},"name":"${name}"}`,
   dropped = false,
 ): Promise<Outcome> => {
-  const done = await cluster.withClock(
+  const result = await cluster.withClock(
     cluster
       .member(through)
       .store.propose([makeRegister(key(name), version, dropped ? "" : body, dropped)]),
   );
-  return done.isOk ? "confirmed" : done.error.code;
+  return result.isOk ? "confirmed" : result.error.code;
 };
 
 const put = async (
@@ -63,9 +63,9 @@
 
 Given("{int} controllers of which 3 are seeds", async (count: number) => {
   cluster = new ReplicaCluster([...CONTROLLERS.slice(0, count), ...SPARE_CONTROLLERS]);
-  acks.clear();
+  acknowledgedVersions.clear();
   outcomes.length = 0;
-  first = "";
+  originalBody = "";
   for (const id of CONTROLLERS.slice(0, count)) await cluster.start(id, true);
 });
 
@@ -84,13 +84,13 @@
 When(
   "the operator puts route {string} at version {int} through controller {int}",
   async (name: string, version: number, number: number) => {
-    if (first === "") first = `{"v":${version},"name":"${name}"}`;
+    if (originalBody === "") originalBody = `{"v":${version},"name":"${name}"}`;
     acknowledged = await put(name, version, controllerId(number));
   },
 );
 
 When(
-  "the operator puts another route {string} at version {int} through controller {int}",
+  "the operator puts different content for route {string} at version {int} through controller {int}",
   async (name: string, version: number, number: number) => {
     await put(name, version, controllerId(number), `{"another":"~~~${name}"}`);
   },
@@ -115,7 +115,7 @@
 );
 
 When(
-  "both send the same again through controller {int}, {int} times",
+  "both resend the same writes through controller {int}, {int} times",
   async (number: number, times: number) => {
     for (let time = 0; time < times; time += 1) {
       for (const { body } of outcomes.slice(0, 2))
@@ -124,48 +124,50 @@
   },
 );
 
-Then("exactly one of the two was ever confirmed, and never rejected", () => {
+Then("exactly one of the two writes was ever confirmed, and that one was never rejected", () => {
   const confirmed = new Set(
     outcomes.filter(({ outcome }) => outcome === "confirmed").map(({ body }) => body),
   );
-  const refused = new Set(
+  const rejected = new Set(
     outcomes.filter(({ outcome }) => outcome === "VERSION_CONFLICT").map(({ body }) => body),
   );
   assert.equal(confirmed.size, 1, JSON.stringify(outcomes));
   assert.ok(
-    [...confirmed].every((body) => !refused.has(body)),
+    [...confirmed].every((body) => !rejected.has(body)),
     JSON.stringify(outcomes),
   );
-  first = [...confirmed][0] ?? "";
+  originalBody = [...confirmed][0] ?? "";
 });
 
 When(
   "the operator puts routes {string} and {string} at version {int} through controller {int}",
   async (one: string, other: string, version: number, number: number) => {
-    const call = [one, other].map((name) =>
+    const registers = [one, other].map((name) =>
       makeRegister(key(name), version, `{"together":"${name}"}`),
     );
-    const done = await cluster.withClock(cluster.member(controllerId(number)).store.propose(call));
-    outcomes.push({ body: "", outcome: done.isOk ? "confirmed" : done.error.code });
+    const result = await cluster.withClock(
+      cluster.member(controllerId(number)).store.propose(registers),
+    );
+    outcomes.push({ body: "", outcome: result.isOk ? "confirmed" : result.error.code });
   },
 );
 
 When(
-  "the operator puts route {string} twice and route {string} at version {int} through controller {int}, and {string} is found invalid",
-  async (one: string, other: string, version: number, number: number, wrong: string) => {
-    const call = [one, one, other].map((name) =>
+  "the operator puts route {string} twice and route {string} at version {int} through controller {int}, and {string} fails validation",
+  async (one: string, other: string, version: number, number: number, invalidName: string) => {
+    const registers = [one, one, other].map((name) =>
       makeRegister(key(name), version, `{"together":"${name}"}`),
     );
-    const done = await cluster.withClock(
+    const result = await cluster.withClock(
       cluster
         .member(controllerId(number))
-        .store.propose(call, () => `${wrong} names an unknown service`),
+        .store.propose(registers, () => `${invalidName} names an unknown service`),
     );
-    outcomes.push({ body: "", outcome: done.isOk ? "confirmed" : done.error.code });
+    outcomes.push({ body: "", outcome: result.isOk ? "confirmed" : result.error.code });
   },
 );
 
-Then("the last write is {string}", (outcome: string) =>
+Then("the outcome of the last write is {string}", (outcome: string) =>
   assert.equal(outcomes.at(-1)?.outcome, outcome),
 );
 
@@ -192,19 +194,23 @@
   "only controller 1 has accepted routes {string} and {string} at version {int}",
   async (one: string, other: string, version: number) => {
     cluster.dropsMessage = (to, message) => message.kind === "accept" && to !== controllerId(1);
-    const call = [one, other].map((name) =>
+    const registers = [one, other].map((name) =>
       makeRegister(key(name), version, `{"of":"the first order"}`),
     );
-    const done = await cluster.withClock(cluster.member(controllerId(1)).store.propose(call));
+    const result = await cluster.withClock(
+      cluster.member(controllerId(1)).store.propose(registers),
+    );
     cluster.dropsMessage = () => false;
     assert.ok(
-      done.isErr && done.error.code !== "VERSION_CONFLICT" && done.error.code !== "INVALID_WRITE",
+      result.isErr &&
+        result.error.code !== "VERSION_CONFLICT" &&
+        result.error.code !== "INVALID_WRITE",
     );
   },
 );
 
 When(
-  "a rival of route {string} at version {int} is confirmed while controller 1 is partitioned",
+  "a conflicting write of route {string} at version {int} is confirmed while controller 1 is partitioned",
   async (name: string, version: number) => {
     cluster.partitioned.add(controllerId(1));
     assert.equal(await write(name, version, controllerId(2), '{"of":"the rival"}'), "confirmed");
@@ -212,13 +218,13 @@
   },
 );
 
-When("controller {int} is killed and started again from its disk", async (number: number) => {
+When("controller {int} is killed and restarted from its disk", async (number: number) => {
   await cluster.kill(controllerId(number));
   await cluster.start(controllerId(number), false);
 });
 
 Then(
-  "reading through each controller gives route {string} at version {int}",
+  "reading through each controller returns route {string} at version {int}",
   async (name: string, version: number) => {
     for (const id of cluster.running.keys())
       assert.equal((await readThrough(id, name))?.version, version, id);
@@ -226,8 +232,8 @@
 );
 
 Then(
-  "a replica loaded from the snapshot of controller {int} gives the same snapshot, with a call of {string} and {string} and the earlier {string}",
-  (number: number, one: string, other: string, before: string) => {
+  "a replica loaded from the snapshot of controller {int} produces the same snapshot, which lists {string} and {string} as proposed together and an earlier {string}",
+  (number: number, one: string, other: string, earlierName: string) => {
     const snapshot = cluster.member(controllerId(number)).replica.snapshot();
     const loaded = new Replica();
     snapshot.forEach(loaded.replay);
@@ -240,28 +246,32 @@
     const earlier = snapshot.find((record) => record["t"] === "earlier");
     assert.deepEqual(
       asList(earlier?.["rows"]).map((row) => asList(row)[0]),
-      [key(before)],
+      [key(earlierName)],
     );
   },
 );
 
-When("every controller has read", async () => {
+When("every controller has read a quorum", async () => {
   await cluster.readAll();
   await cluster.readAll();
 });
 
 Then(
-  "neither or both of routes {string} and {string} stand as that write had them",
+  "either both or neither of routes {string} and {string} have the content of that write",
   (one: string, other: string) => {
     const { store } = cluster.member(controllerId(2));
-    const stands = [one, other].map(
+    const hasContent = [one, other].map(
       (name) => store.get(key(name))?.body === '{"of":"the first order"}',
     );
-    assert.equal(stands[0], stands[1], `${one}: ${stands[0]}, ${other}: ${stands[1]}`);
+    assert.equal(
+      hasContent[0],
+      hasContent[1],
+      `${one}: ${hasContent[0]}, ${other}: ${hasContent[1]}`,
+    );
   },
 );
 
-Then("no controller has ever shown route {string}", (name: string) => {
+Then("no controller shows route {string}", (name: string) => {
   cluster.running.forEach(({ store }) => assert.equal(store.get(key(name)), undefined));
 });
 
@@ -278,18 +288,18 @@
   files.set(newest, bytes);
 });
 
-When("controller {int} is restarted without a connection to any other", async (number: number) => {
+When("controller {int} is restarted without a connection to the others", async (number: number) => {
   cluster.partitioned.add(controllerId(number));
   await cluster.start(controllerId(number), false);
 });
 
 When(
-  "controller {int} is lost for good and controller {int} replaces it",
-  async (gone: number, fresh: number) => {
-    await cluster.wipe(controllerId(gone));
-    const member = await cluster.start(controllerId(fresh), false);
+  "controller {int} is permanently lost and controller {int} replaces it",
+  async (lost: number, replacement: number) => {
+    await cluster.wipe(controllerId(lost));
+    const member = await cluster.start(controllerId(replacement), false);
     member.lease.start();
-    await pass(6);
+    await advance(6);
   },
 );
 
@@ -306,7 +316,7 @@
 When(
   "the operator puts route {string} at version {int} through a running controller",
   async (name: string, version: number) => {
-    if (first === "") first = `{"v":${version},"name":"${name}"}`;
+    if (originalBody === "") originalBody = `{"v":${version},"name":"${name}"}`;
     acknowledged = await put(
       name,
       version,
@@ -316,7 +326,7 @@
 );
 
 Then(
-  "reading through a running controller gives route {string} as it was put first",
+  "reading through a running controller returns route {string} with its original content",
   async (name: string) => {
     assert.equal(
       (
@@ -325,7 +335,7 @@
           name,
         )
       )?.body,
-      first,
+      originalBody,
     );
   },
 );
@@ -342,7 +352,7 @@
 );
 
 When(
-  "controller {int} loses its disk and restarts without a connection to any other",
+  "controller {int} loses its disk and restarts without a connection to the others",
   async (number: number) => {
     await cluster.wipe(controllerId(number));
     cluster.partitioned.add(controllerId(number));
@@ -358,7 +368,7 @@
   for (const id of CONTROLLERS) await cluster.start(id, false);
 });
 
-const nextOf = (seed: number): (() => number) => {
+const createRandom = (seed: number): (() => number) => {
   let state = seed;
   return () => {
     state = (state * 1_103_515_245 + 12_345) % 2_147_483_648;
@@ -367,38 +377,39 @@
 };
 
 When(
-  "{int} random steps of writes, partitions, kills and disk losses are played with seed {int}",
+  "{int} random steps of writes, partitions, kills and disk losses are run with seed {int}",
   async (steps: number, seed: number) => {
-    const next = nextOf(seed);
-    const pick = (): string => controllerId(1 + Math.floor(next() * CONTROLLERS.length));
-    let hurt = "";
+    const random = createRandom(seed);
+    const pick = (): string => controllerId(1 + Math.floor(random() * CONTROLLERS.length));
+    let faultyId = "";
     for (let step = 1; step <= steps; step += 1) {
-      const kind = next();
+      const kind = random();
       const id = pick();
       if (kind < 0.6) {
-        const name = `r${Math.floor(next() * 5)}`;
-        if (cluster.running.has(id) && (await put(name, step, id))) acks.set(name, step);
-      } else if (kind < 0.7 && hurt === "") {
-        hurt = id;
+        const name = `r${Math.floor(random() * 5)}`;
+        if (cluster.running.has(id) && (await put(name, step, id)))
+          acknowledgedVersions.set(name, step);
+      } else if (kind < 0.7 && faultyId === "") {
+        faultyId = id;
         cluster.partitioned.add(id);
-      } else if (kind < 0.78 && hurt === "") {
-        hurt = id;
+      } else if (kind < 0.78 && faultyId === "") {
+        faultyId = id;
         await settle(20);
         await cluster.kill(id);
-      } else if (kind < 0.84 && hurt === "") {
-        hurt = id;
+      } else if (kind < 0.84 && faultyId === "") {
+        faultyId = id;
         await settle(20);
         await cluster.wipe(id);
       } else if (kind < 0.9) {
         await settle(20);
         await cluster.killAll();
-        for (const other of CONTROLLERS) if (other !== hurt) await cluster.start(other, false);
+        for (const other of CONTROLLERS) if (other !== faultyId) await cluster.start(other, false);
         await cluster.readAll();
-      } else if (hurt !== "") {
-        cluster.partitioned.delete(hurt);
-        if (!cluster.running.has(hurt)) await cluster.start(hurt, false);
+      } else if (faultyId !== "") {
+        cluster.partitioned.delete(faultyId);
+        if (!cluster.running.has(faultyId)) await cluster.start(faultyId, false);
         await cluster.readAll();
-        hurt = "";
+        faultyId = "";
       }
     }
     cluster.partitioned.clear();
@@ -408,12 +419,15 @@
 );
 
 Then("every acknowledged version is read back, or a higher one", async () => {
-  assert.ok(acks.size >= 3, "the history acknowledged too little to tell anything");
+  assert.ok(
+    acknowledgedVersions.size >= 3,
+    "too few writes were acknowledged for a meaningful check",
+  );
   for (const id of CONTROLLERS) {
-    for (const [name, version] of acks)
+    for (const [name, version] of acknowledgedVersions)
       assert.ok(
         ((await readThrough(id, name))?.version ?? 0) >= version,
-        `${name} at ${version} was lost`,
+        `${name} at version ${version} was lost`,
       );
   }
 });
@@ -439,39 +453,39 @@
       if (found.kind !== "empty") found.records.forEach(state.replay);
       return found.kind === "verified" && state.entry(key(name)).register?.version === version;
     });
-    assert.ok(holding.length >= count, `${holding.length} replicas hold it`);
+    assert.ok(holding.length >= count, `only ${holding.length} replicas hold it`);
   },
 );
 
 Then(
-  "reading through controller {int} gives route {string} as it was put first",
+  "reading through controller {int} returns route {string} with its original content",
   async (number: number, name: string) => {
-    assert.equal((await readThrough(controllerId(number), name))?.body, first);
+    assert.equal((await readThrough(controllerId(number), name))?.body, originalBody);
   },
 );
 
 Then(
-  "reading through controller {int} gives route {string} at version {int}",
+  "reading through controller {int} returns route {string} at version {int}",
   async (number: number, name: string, version: number) => {
     assert.equal((await readThrough(controllerId(number), name))?.version, version);
   },
 );
 
 Then(
-  "reading through controller {int} gives no route {string}",
+  "reading through controller {int} shows that route {string} is removed",
   async (number: number, name: string) => {
     assert.equal((await readThrough(controllerId(number), name))?.dropped, true);
   },
 );
 
-Then("reading through each controller gives the same route {string}", async (name: string) => {
+Then("reading through each controller returns the same route {string}", async (name: string) => {
   const bodies = new Set<string>();
   for (const id of CONTROLLERS) bodies.add((await readThrough(id, name))?.body ?? "none");
   assert.equal(bodies.size, 1);
   assert.ok(!bodies.has("none"));
 });
 
-Given("controller {int} has read a quorum and has written all it knows", async (number: number) => {
+Given("controller {int} has read a quorum and has written a snapshot", async (number: number) => {
   await readThrough(controllerId(number), "r1");
   assert.ok(
     (await cluster.member(controllerId(number)).writeAheadLog.writeVerifiedSnapshot()).isOk,
@@ -491,19 +505,19 @@
   await cluster.killAll();
 });
 
-When("controller {int} comes with an empty disk", async (number: number) => {
+When("controller {int} starts with an empty disk", async (number: number) => {
   (await cluster.start(controllerId(number), false)).lease.start();
 });
 
 Then(
   "the voter set has controller {int} and not controller {int} on the connected controllers",
-  (there: number, gone: number) => {
+  (included: number, excluded: number) => {
     [...cluster.running.values()]
       .filter(({ id }) => !cluster.partitioned.has(id))
       .forEach(({ store, id }) => {
         assert.ok(
-          store.members().includes(controllerId(there)) &&
-            !store.members().includes(controllerId(gone)),
+          store.members().includes(controllerId(included)) &&
+            !store.members().includes(controllerId(excluded)),
           `${id}: ${store.members().join()}`,
         );
       });
@@ -511,7 +525,7 @@
 );
 
 Then(
-  "reading through each controller gives the same route {string}, or none",
+  "reading through each controller returns the same route {string}, or none",
   async (name: string) => {
     const bodies = new Set<string>();
     for (const id of CONTROLLERS) bodies.add((await readThrough(id, name))?.body ?? "none");
@@ -534,7 +548,7 @@
   },
 );
 
-// --- leader lease
+// --- Leader lease
 
 let oldHolder: ClusterMember | undefined;
 let oldTerm = 0;
@@ -550,7 +564,7 @@
     holdersByTerm.set(term, (holdersByTerm.get(term) ?? new Set()).add(member.id));
   });
 
-const pass = async (seconds: number): Promise<void> => {
+const advance = async (seconds: number): Promise<void> => {
   for (let step = 0; step < seconds * 4; step += 1) {
     await cluster.clock.pass(250_000);
     for (const member of cluster.running.values()) void member.store.read();
@@ -564,11 +578,11 @@
   cluster.running.forEach((member) => member.lease.start());
 });
 
-When("{int} seconds pass", async (seconds: number) => pass(seconds));
+When("{int} seconds pass", async (seconds: number) => advance(seconds));
 
 const rememberHolder = (): ClusterMember => {
   const holder = reachableHolder();
-  assert.ok(holder, "nobody holds the leader lease");
+  assert.ok(holder, "no connected controller holds the leader lease");
   oldHolder = holder;
   oldTerm = holder.lease.term();
   return holder;
@@ -580,18 +594,18 @@
 
 When("the holder steps down", async () => {
   await cluster.withClock(rememberHolder().lease.stepDown());
-  await pass(1);
+  await advance(1);
 });
 
 When("controller {int} is killed", async (number: number) => cluster.kill(controllerId(number)));
 
 When("the holder is partitioned and reconnected {int} times", async (times: number) => {
-  await pass(3);
+  await advance(3);
   for (let time = 0; time < times; time += 1) {
     cluster.partitioned.add(rememberHolder().id);
-    await pass(5);
+    await advance(5);
     cluster.partitioned.clear();
-    await pass(1);
+    await advance(1);
   }
 });
 
@@ -601,9 +615,9 @@
     const holder = rememberHolder();
     const other = CONTROLLERS.find((id) => id !== holder.id) ?? "";
     cluster.partitioned.add(other);
-    await pass(seconds);
+    await advance(seconds);
     cluster.partitioned.clear();
-    await pass(3);
+    await advance(3);
   },
 );
 Then("the same controller holds the leader lease with the same term", () => {
@@ -615,13 +629,13 @@
   assert.equal(holders().length, count),
 );
 
-Then("the voter set has {int} members everywhere", (count: number) => {
+Then("the voter set has {int} members on every running controller", (count: number) => {
   cluster.running.forEach((member) =>
     assert.equal(member.store.members().length, count, member.id),
   );
 });
 
-Then("the voter set has {int} members on the running controllers", (count: number) => {
+Then("every running controller still has {int} members in its voter set", (count: number) => {
   cluster.running.forEach((member) =>
     assert.equal(member.store.members().length, count, member.id),
   );
@@ -633,9 +647,9 @@
   assert.ok(holder.lease.term() > oldTerm);
 });
 
-Then("what the old holder writes under its term is rejected", async () => {
+Then("a write of the former holder under its old term is rejected", async () => {
   cluster.partitioned.clear();
-  const { store, id } = oldHolder ?? assert.fail("no holder is remembered");
+  const { store, id } = oldHolder ?? assert.fail("no former holder was recorded");
   const written = await cluster.withClock(
     store.decide("duty/ejections", () => "{}", {
       number: oldTerm,
@@ -651,9 +665,9 @@
   holdersByTerm.forEach((ids) => assert.equal(ids.size, 1));
 });
 
-// --- calls
+// --- API calls of operators
 
-const rule = (changes: UnknownRecord = {}, then: UnknownRecord = {}): UnknownRecord => ({
+const routeOf = (changes: UnknownRecord = {}, then: UnknownRecord = {}): UnknownRecord => ({
   name: "r1",
   routeKind: "safe",
   target_time: "200ms",
@@ -678,62 +692,64 @@
   idle: "15000ms",
   version: 1,
 };
-const callOf = (oneRule: UnknownRecord, host = "a.example"): UnknownRecord => ({
-  putItems: { limits, listeners: [{ host, rules: [oneRule] }], groups: [group] },
+const callOf = (route: UnknownRecord, host = "a.example"): UnknownRecord => ({
+  putItems: { limits, listeners: [{ host, rules: [route] }], groups: [group] },
   remove: { routes: [] },
 });
 
 const FLAWS: Readonly<Record<string, () => string>> = {
-  "is cut short": () => JSON.stringify(callOf(rule())).slice(0, -20),
+  "is truncated": () => JSON.stringify(callOf(routeOf())).slice(0, -20),
   "is a list": () => "[]",
-  "has a route with an empty host": () => JSON.stringify(callOf(rule(), "")),
+  "has a route with an empty host": () => JSON.stringify(callOf(routeOf(), "")),
   "has a path without a leading slash": () =>
-    JSON.stringify(callOf(rule({ matchOn: { pathStart: "a/" } }))),
-  "gives up after eleven minutes": () => JSON.stringify(callOf(rule({}, { giveUp: "660s" }))),
-  "has a route without a version": () => JSON.stringify(callOf(rule({ version: undefined }))),
+    JSON.stringify(callOf(routeOf({ matchOn: { pathStart: "a/" } }))),
+  "has a timeout of eleven minutes": () => JSON.stringify(callOf(routeOf({}, { giveUp: "660s" }))),
+  "has a route without a version": () => JSON.stringify(callOf(routeOf({ version: undefined }))),
   "has shares of 0": () =>
-    JSON.stringify(callOf(rule({}, { service: undefined, shares: [{ service: "s1", share: 0 }] }))),
-  "has a route of an unknown kind": () => JSON.stringify(callOf(rule({ routeKind: "maybe" }))),
-  "names a service nobody knows": () => JSON.stringify(callOf(rule({}, { service: "nobody" }))),
-  "is right": () => JSON.stringify(callOf(rule())),
+    JSON.stringify(
+      callOf(routeOf({}, { service: undefined, shares: [{ service: "s1", share: 0 }] })),
+    ),
+  "has a route of an unknown kind": () => JSON.stringify(callOf(routeOf({ routeKind: "maybe" }))),
+  "refers to an unknown service": () => JSON.stringify(callOf(routeOf({}, { service: "nobody" }))),
+  "is valid": () => JSON.stringify(callOf(routeOf())),
 };
 
-let call: ReturnType<typeof parseChange> | undefined;
+let parsed: ReturnType<typeof parseChange> | undefined;
 
 When(/^a call is read that (.*)$/, (flaw: string) => {
   const make = FLAWS[flaw];
-  assert.ok(make, `no such flaw: ${flaw}`);
-  call = parseChange(make());
+  assert.ok(make, `unknown flaw: ${flaw}`);
+  parsed = parseChange(make());
 });
 
 const ERROR_CODES: Readonly<Record<string, string>> = {
-  unreadable: "UNREADABLE_CHANGE",
-  wrong: "INVALID_CHANGE",
+  malformed: "UNREADABLE_CHANGE",
+  invalid: "INVALID_CHANGE",
 };
-Then("it is refused as {string}", (kind: string) => {
-  assert.ok(call?.isErr);
-  assert.equal(call.error.code, ERROR_CODES[kind]);
-  assert.ok(call.error.message.length > 5);
+Then("it is rejected as {string}", (kind: string) => {
+  assert.ok(parsed?.isErr);
+  assert.equal(parsed.error.code, ERROR_CODES[kind]);
+  assert.ok(parsed.error.message.length > 5);
 });
 
 Then("the unknown service is {string}", (name: string) => {
-  assert.ok(call?.isOk);
+  assert.ok(parsed?.isOk);
   assert.equal(
-    findUnknownService(call.value, () => undefined),
+    findUnknownService(parsed.value, () => undefined),
     name,
   );
 });
 
 Then("no service is unknown", () => {
-  assert.ok(call?.isOk);
+  assert.ok(parsed?.isOk);
   assert.equal(
-    findUnknownService(call.value, () => undefined),
+    findUnknownService(parsed.value, () => undefined),
     undefined,
   );
 });
 
-Then("laying its items out gives the call's items again", () => {
-  assert.ok(call?.isOk);
-  const sent = asRecord(asRecord(parseJson(FLAWS["is right"]?.() ?? ""))["putItems"]);
-  assert.deepEqual(toConfigDocument(call.value), sent);
+Then("formatting its items returns the items that were sent", () => {
+  assert.ok(parsed?.isOk);
+  const sent = asRecord(asRecord(parseJson(FLAWS["is valid"]?.() ?? ""))["putItems"]);
+  assert.deepEqual(toConfigDocument(parsed.value), sent);
 });
