--- a/features/keys.feature
+++ b/features/keys.feature
@@ -1,106 +1,106 @@
-Feature: Operation keys
-  Whatever is lost within what must be borne, no two tries of a key win within the window.
+Feature: Idempotency keys
+  As long as no more controllers are lost than must be withstood, at most one attempt per key wins within the window.
 
   Background:
-    Given 5 signalboxes that must bear the loss of 2, with a full roster
+    Given 5 controllers that must withstand the loss of 2, all of them voters
 
-  Scenario: One try wins, a later one learns that the key is at work, then gets the answer
-    When try "one" claims key "k" at box 1
-    And try "two" claims key "k" at box 4
-    Then the verdicts are "won, working"
-    When try "one" keeps the answer "served by one" at box 1
-    And try "three" claims key "k" at box 5
-    Then the last verdict is "done" with "served by one"
+  Scenario: One attempt wins; a later one is told that the key is in progress, and after that gets the stored response
+    When attempt "one" claims key "k" through controller 1
+    And attempt "two" claims key "k" through controller 4
+    Then the results are "won, working"
+    When attempt "one" stores the response "served by one" through controller 1
+    And attempt "three" claims key "k" through controller 5
+    Then the last result is "done" with "served by one"
 
-  Scenario: Two tries at the same moment at two boxes: at most one wins, and with tokens taken back one does
-    When tries "a" and "b" claim key "k" at boxes 2 and 3 at the same moment
+  Scenario: Of two concurrent attempts at most one wins, and a further attempt leaves exactly one winner once the tokens are released
+    When attempts "a" and "b" claim key "k" through controllers 2 and 3 at the same time
     Then at most one of them won
-    When both losers take their tokens back and "c" claims key "k" at box 1
-    Then exactly one try of "k" has ever won
+    When the attempts that did not win release their tokens and "c" claims key "k" through controller 1
+    Then exactly one attempt for "k" has ever won
 
-  Scenario: A token taken back leaves the key to the next try
-    When try "one" claims key "k" at box 1
-    And try "one" takes its token back at box 1
-    And try "two" claims key "k" at box 2
-    Then the verdicts are "won, won"
+  Scenario: A released token leaves the key to the next attempt
+    When attempt "one" claims key "k" through controller 1
+    And attempt "one" releases its token through controller 1
+    And attempt "two" claims key "k" through controller 2
+    Then the results are "won, won"
 
-  Scenario: The claimant dies after winning: nobody else runs it
-    When try "one" claims key "k" at box 1
-    And the claimant, box 1, dies
-    And try "two" claims key "k" at box 2
-    Then the verdicts are "won, working"
+  Scenario: When the controller that claimed a key is killed, no other attempt wins
+    When attempt "one" claims key "k" through controller 1
+    And controller 1, which claimed the key, is killed
+    And attempt "two" claims key "k" through controller 2
+    Then the results are "won, working"
 
-  Scenario: Disks wiped between the claim and the repeat
-    When try "one" claims key "k" at box 1
-    And boxes 1 and 2 lose their disks and start again
-    And try "two" claims key "k" at box 1
-    Then the last verdict is not "won"
-    When the boxes have had time to catch up
-    And try "three" claims key "k" at box 2
-    Then the last verdict is "working"
+  Scenario: A claim survives the loss of two disks between the claim and the next attempt
+    When attempt "one" claims key "k" through controller 1
+    And controllers 1 and 2 lose their disks and restart
+    And attempt "two" claims key "k" through controller 1
+    Then the last result is not "won"
+    When the controllers have had time to catch up
+    And attempt "three" claims key "k" through controller 2
+    Then the last result is "working"
 
-  Scenario: Every process is killed: the answer is still there
-    When try "one" claims key "k" at box 1
-    And try "one" keeps the answer "served by one" at box 1
-    And all are killed and start again
-    And try "two" claims key "k" at box 3
-    Then the last verdict is "done" with "served by one"
+  Scenario: A stored response survives a kill of every process
+    When attempt "one" claims key "k" through controller 1
+    And attempt "one" stores the response "served by one" through controller 1
+    And all controllers are killed and restarted
+    And attempt "two" claims key "k" through controller 3
+    Then the last result is "done" with "served by one"
 
-  Scenario: A torn end of the log costs only what was never acknowledged
-    When try "one" claims key "k" at box 1
-    And every log is torn at its end and every signalbox starts again
-    And try "two" claims key "k" at box 2
-    Then the last verdict is "working"
+  Scenario: A torn record at the end of the log loses no acknowledged claim
+    When attempt "one" claims key "k" through controller 1
+    And the log of every controller ends in a torn record and every controller restarts
+    And attempt "two" claims key "k" through controller 2
+    Then the last result is "working"
 
-  Scenario: A claim lasts for the window and no shorter, counted anew after a restart
-    When try "one" claims key "k" at box 1
-    And the clock moves on by 50 s
-    And all are killed and start again
-    And the clock moves on by 40 s
-    And try "two" claims key "k" at box 2
-    Then the last verdict is "working"
-    When the clock moves on by 60 s
-    And try "three" claims key "k" at box 2
-    Then the last verdict is "won"
+  Scenario: A claim lasts for the whole window, which starts anew after a restart
+    When attempt "one" claims key "k" through controller 1
+    And the clock advances by 50 s
+    And all controllers are killed and restarted
+    And the clock advances by 40 s
+    And attempt "two" claims key "k" through controller 2
+    Then the last result is "working"
+    When the clock advances by 60 s
+    And attempt "three" claims key "k" through controller 2
+    Then the last result is "won"
 
-  Scenario: Without a quorum nobody wins
+  Scenario: Without a quorum no attempt wins
     When boxes 3, 4 and 5 are cut off
-    And try "one" claims key "k" at box 1
-    Then the last verdict is "none"
+    And attempt "one" claims key "k" through controller 1
+    Then the last result is "none"
 
-  Scenario: A full log refuses new keys and forgets none
-    Given 3 signalboxes that must bear the loss of 1, with logs of 20000 bytes
-    When try "one" claims key "k" at box 1
-    And new keys are claimed until one is refused
-    Then try "two" of key "k" at box 2 is told "working"
+  Scenario: A full log rejects new keys and keeps all earlier ones
+    Given 3 controllers that must withstand the loss of 1, with logs of 20000 bytes
+    When attempt "one" claims key "k" through controller 1
+    And new keys are claimed until one is rejected
+    Then attempt "two" for key "k" through controller 2 gets the result "working"
 
-  Scenario: A purge acknowledged anywhere is known wherever a reading quorum was read
+  Scenario: An acknowledged purge is known to every controller that has read from a quorum
     When boxes 4 and 5 are cut off
-    And a purge of label "t1" is acknowledged at box 1
-    And box 4 is joined again and box 1 is killed
-    And box 4 reads the purges
-    Then box 4 knows the purge of label "t1"
-    When all are killed and start again
-    Then box 2 knows the purge of label "t1"
+    And a purge of label "t1" is acknowledged by controller 1
+    And controller 4 is reconnected and controller 1 is killed
+    And controller 4 reads the purges
+    Then controller 4 knows the purge of label "t1"
+    When all controllers are killed and restarted
+    Then controller 2 knows the purge of label "t1"
 
-  Scenario: What is gathered under a roster that was replaced counts for nothing
-    When the others leave boxes 1 and 5 out of the roster while box 1 is cut off
-    Then a purge at box 1 is refused, and taken when it is sent again
+  Scenario: Votes gathered under a replaced voter set do not count
+    When the others remove controllers 1 and 5 from the voter set while controller 1 is partitioned
+    Then a purge through controller 1 is rejected, and accepted when it is sent again
 
-  Scenario: Half of four copies lose their disks, and the system comes back
-    Given 4 signalboxes that must bear the loss of 2, with a full roster
-    When try "one" claims key "k" at box 1
-    And boxes 1 and 2 lose their disks and start again
-    And the boxes have had time to catch up
-    And try "two" claims key "k" at box 3
-    Then the last verdict is "working"
+  Scenario: A claim survives when half of four replicas lose their disks
+    Given 4 controllers that must withstand the loss of 2, all of them voters
+    When attempt "one" claims key "k" through controller 1
+    And controllers 1 and 2 lose their disks and restart
+    And the controllers have had time to catch up
+    And attempt "two" claims key "k" through controller 3
+    Then the last result is "working"
 
-  Scenario: A wiped copy that dies again before it has caught up still doesn't count
-    When try "one" claims key "k" at box 1
-    And boxes 1 and 2 lose their disks and start again
-    And a purge of label "t1" is acknowledged at box 3
-    And boxes 1 and 2 are killed and start again
-    Then box 1 takes no claims before it has caught up
-    When the boxes have had time to catch up
-    And try "two" claims key "k" at box 1
-    Then the last verdict is "working"
+  Scenario: A replica that lost its disk and restarts again before it has caught up still does not vote
+    When attempt "one" claims key "k" through controller 1
+    And controllers 1 and 2 lose their disks and restart
+    And a purge of label "t1" is acknowledged by controller 3
+    And controllers 1 and 2 are killed and restarted
+    Then controller 1 does not vote on claims before it has caught up
+    When the controllers have had time to catch up
+    And attempt "two" claims key "k" through controller 1
+    Then the last result is "working"
--- a/features/retries.feature
+++ b/features/retries.feature
@@ -1,15 +1,15 @@
-Feature: One written limit on retries over all nodes, by kind of call
-  In any window the retries of a kind stay within ratio x requests + slack, whatever dies; nothing that has run is sent again.
+Feature: Retries are limited by kind of route over all nodes together
+  In any window the retries of a kind stay within ratio x requests + slack, whatever fails; a request that has been executed is not sent again.
 
   Scenario: The retries of all nodes together stay within the limit in every window
-    Given 10 nodes under a ratio of 0.2 and a slack of 70 over 10 seconds
-    When each sends 5 requests a second and wants a retry for each, for 60 seconds, and node 3 restarts at 30
+    Given 10 nodes with a retry limit of ratio 0.2 and slack 70 over 10 seconds
+    When each sends 5 requests per second and attempts a retry of each, for 60 seconds, and node 3 restarts after 30
     Then in no window do the retries of a kind exceed its ratio times its requests plus its slack
     And more than 100 retries were made
 
-  Scenario Outline: While nodes restart and are cut off, replies come late, and the duty's holder dies again and again
-    Given <nodes> nodes under a ratio of 0.02 and a slack of 200 over 10 seconds
-    When a slowdown of 120 seconds makes them want a retry for most requests, with everything failing in turn, seed <seed>
+  Scenario Outline: The limit holds while nodes restart or are partitioned, responses are delayed, and the leader fails repeatedly
+    Given <nodes> nodes with a retry limit of ratio 0.02 and slack 200 over 10 seconds
+    When a slowdown of 120 seconds makes the nodes attempt a retry of most requests while all kinds of failures are injected, with seed <seed>
     Then in no window do the retries of a kind exceed its ratio times its requests plus its slack
     And at least <least> retries were made under leases
 
@@ -19,47 +19,47 @@
       | 20    | 2    | 500   |
       | 60    | 3    | 500   |
 
-  Scenario: The check finds leases that are twice as large
-    Given 20 nodes under a ratio of 0.02 and a slack of 200 over 10 seconds
-    And every lease counts twice
-    When a slowdown of 120 seconds makes them want a retry for most requests, with everything failing in turn, seed 1
+  Scenario: The check detects leases that are twice as large as they should be
+    Given 20 nodes with a retry limit of ratio 0.02 and slack 200 over 10 seconds
+    And every node uses twice the tokens of its leases
+    When a slowdown of 120 seconds makes the nodes attempt a retry of most requests while all kinds of failures are injected, with seed 1
     Then in some window the retries of a kind exceed its ratio times its requests plus its slack
 
-  Scenario: A lowered limit holds once every lease of before has ended
-    Given 20 nodes under a ratio of 0.02 and a slack of 200 over 10 seconds
+  Scenario: A lowered limit holds once all earlier leases have expired
+    Given 20 nodes with a retry limit of ratio 0.02 and slack 200 over 10 seconds
     When after 60 seconds of a slowdown the slack is lowered to 50
-    Then no window that begins 5 seconds later or more passes the lowered limit, and none before the old one
+    Then no window that starts 5 seconds later or more exceeds the lowered limit, and no earlier one the previous limit
 
-  Scenario: A node that has just started may retry nothing
-    Given 1 nodes under a ratio of 0.2 and a slack of 70 over 10 seconds
-    Then it may retry nothing
+  Scenario: A node that has just started is allowed no retries
+    Given 1 node with a retry limit of ratio 0.2 and slack 70 over 10 seconds
+    Then it is allowed no retry
 
-  Scenario: A new holder renews what nodes have, and leases nothing anew until what was given before is over
-    Given a holder that has leased 40 tokens of 200 to a node
-    When another takes the duty
-    Then the node's 40 tokens are renewed, and nobody else gets any for 13 seconds
-    And after that others get some
+  Scenario: A new leader renews the leases that nodes hold, and grants no others until the earlier leases are over
+    Given a leader that has leased 40 tokens of 200 to a node
+    When another controller becomes the leader
+    Then the node's 40 tokens are renewed, and no other node gets any for 13 seconds
+    And after that another node gets tokens
 
-  Scenario: Nothing is asked while no retry is refused
-    Given a node with a retry keeper
+  Scenario: A node requests no lease while no retry is rejected
+    Given a node with a renewer of retry leases
     When it makes 100 requests and 5 retries
-    Then nothing was asked of the holder
-    When a retry is refused
-    Then it asks the holder within a second, takes the lease, and stops asking when it needs none
+    Then no lease was requested from the leader
+    When a retry is rejected
+    Then it requests a lease from the leader within a second, uses it, and stops requesting when it needs none
 
-  Scenario Outline: A written limit is checked
-    When the limit of <kind> is set to a ratio of <ratio> and a slack of <slack>, under 0.2 and 70
+  Scenario Outline: A new limit is validated
+    When the limit of <kind> is set to a ratio of <ratio> and a slack of <slack>, with a deployment maximum of 0.2 and 70
     Then it is <verdict>
 
     Examples:
       | kind   | ratio | slack | verdict                                        |
-      | safe   | 0.15  | 30    | taken                                          |
-      | unsafe | 0.05  | 7     | taken                                          |
-      | safe   | 0.3   | 30    | refused for "above the deployment's 0.2"       |
-      | safe   | 0.2   | 60    | refused for "above the deployment's 70"        |
-      | safe   | 0.05  | 10    | refused for "above that of safe"               |
-      | unsafe | -1    | 7     | refused for "must be a number of 0 or more"    |
-      | other  | 0.1   | 7     | refused for "the kind must be one of"          |
+      | safe   | 0.15  | 30    | accepted                                       |
+      | unsafe | 0.05  | 7     | accepted                                       |
+      | safe   | 0.3   | 30    | rejected for "above the deployment's 0.2"      |
+      | safe   | 0.2   | 60    | rejected for "above the deployment's 70"       |
+      | safe   | 0.05  | 10    | rejected for "above that of safe"              |
+      | unsafe | -1    | 7     | rejected for "must be a number of 0 or more"   |
+      | other  | 0.1   | 7     | rejected for "the kind must be one of"         |
 
-  Scenario: By default what can't be repeated has the stricter limit
-    Then by default unsafe and keyed have at most half of the ratio and slack of safe, and all slacks fit under the deployment's
+  Scenario: By default, requests that are not safe to repeat have stricter limits
+    Then by default the unsafe and keyed kinds have at most half of the ratio and slack of the safe kind, and all slacks together stay within the deployment's
--- a/features/steps/keys.ts
+++ b/features/steps/keys.ts
@@ -5,188 +5,211 @@
 import type { KeyClaimResult } from "../../src/idempotency/key-replication.js";
 import { ReplicaCluster } from "../support/replica-cluster.js";
 
-interface Try {
+interface Attempt {
   readonly name: string;
   readonly key: string;
-  readonly verdict: KeyClaimResult;
+  readonly result: KeyClaimResult;
 }
 
 const IDS = ["b1", "b2", "b3", "b4", "b5"];
 
-let boxes: ReplicaCluster | undefined;
-/** The history of all claims, in the order they ended. */
-let history: Try[] = [];
+let cluster: ReplicaCluster | undefined;
+/** All claims, in the order in which they completed. */
+let history: Attempt[] = [];
 
-const net = (): ReplicaCluster => {
-  if (!boxes) throw new Error("no signalboxes yet");
-  return boxes;
+const current = (): ReplicaCluster => {
+  if (!cluster) throw new Error("no controllers were started");
+  return cluster;
 };
 
-const beside = <T>(work: Promise<T>): Promise<T> => net().withClock(work);
+const withClock = <T>(work: Promise<T>): Promise<T> => current().withClock(work);
 
-const open = async (count: number, withstand: number, diskBytes = 8_000_000): Promise<void> => {
-  await boxes?.removeAll();
+const startCluster = async (
+  count: number,
+  withstand: number,
+  diskBytes = 8_000_000,
+): Promise<void> => {
+  await cluster?.removeAll();
   history = [];
-  boxes = new ReplicaCluster(IDS.slice(0, count), withstand, diskBytes);
-  await boxes.startAll();
-  await boxes.makeVoters(boxes.ids);
+  cluster = new ReplicaCluster(IDS.slice(0, count), withstand, diskBytes);
+  await cluster.startAll();
+  await cluster.makeVoters(cluster.ids);
   await catchUp();
 };
 
 const catchUp = async (): Promise<void> => {
   for (let round = 0; round < 3; round += 1) {
-    for (const { store, keys } of net().running.values()) {
-      await beside(store.read());
-      await beside(keys.catchUp());
+    for (const { store, keys } of current().running.values()) {
+      await withClock(store.read());
+      await withClock(keys.catchUp());
     }
   }
 };
 
 const restart = async (ids: readonly string[]): Promise<void> => {
-  for (const id of ids) await net().start(id, false);
+  for (const id of ids) await current().start(id, false);
 };
 
-const claim = async (name: string, key: string, box: string): Promise<void> => {
-  const result = await beside(net().member(box).keys.claim(key, name));
-  history.push({ name, key, verdict: result });
+const claim = async (name: string, key: string, controllerId: string): Promise<void> => {
+  const result = await withClock(current().member(controllerId).keys.claim(key, name));
+  history.push({ name, key, result });
 };
 
-const last = (): KeyClaimResult => {
+const lastResult = (): KeyClaimResult => {
   const entry = history[history.length - 1];
-  if (!entry) throw new Error("nothing was claimed yet");
-  return entry.verdict;
+  if (!entry) throw new Error("no key has been claimed yet");
+  return entry.result;
 };
 
 After(async () => {
-  await boxes?.removeAll();
-  boxes = undefined;
+  await cluster?.removeAll();
+  cluster = undefined;
 });
 
 Given(
-  "{int} signalboxes that must bear the loss of {int}, with a full roster",
-  (count: number, withstand: number) => open(count, withstand),
+  "{int} controllers that must withstand the loss of {int}, all of them voters",
+  (count: number, withstand: number) => startCluster(count, withstand),
 );
 Given(
-  "{int} signalboxes that must bear the loss of {int}, with logs of {int} bytes",
-  (count: number, withstand: number, bytes: number) => open(count, withstand, bytes),
+  "{int} controllers that must withstand the loss of {int}, with logs of {int} bytes",
+  (count: number, withstand: number, bytes: number) => startCluster(count, withstand, bytes),
 );
 
-When("try {string} claims key {string} at box {int}", (name: string, key: string, box: number) =>
-  claim(name, key, `b${box}`),
+When(
+  "attempt {string} claims key {string} through controller {int}",
+  (name: string, key: string, number: number) => claim(name, key, `b${number}`),
 );
 When(
-  "tries {string} and {string} claim key {string} at boxes {int} and {int} at the same moment",
+  "attempts {string} and {string} claim key {string} through controllers {int} and {int} at the same time",
   async (one: string, two: string, key: string, first: number, second: number) => {
     await Promise.all([claim(one, key, `b${first}`), claim(two, key, `b${second}`)]);
   },
 );
-When("try {string} takes its token back at box {int}", async (name: string, box: number) => {
-  net().member(`b${box}`).keys.release("k", name);
-  await net().clock.pass(10_000);
-});
 When(
-  "both losers take their tokens back and {string} claims key {string} at box {int}",
-  async (name: string, key: string, box: number) => {
+  "attempt {string} releases its token through controller {int}",
+  async (name: string, number: number) => {
+    current().member(`b${number}`).keys.release("k", name);
+    await current().clock.pass(10_000);
+  },
+);
+When(
+  "the attempts that did not win release their tokens and {string} claims key {string} through controller {int}",
+  async (name: string, key: string, number: number) => {
     history
-      .filter(({ verdict: result }) => result.kind !== "won")
-      .forEach((entry) => net().member("b2").keys.release(key, entry.name));
-    await net().clock.pass(10_000);
-    await claim(name, key, `b${box}`);
+      .filter(({ result }) => result.kind !== "won")
+      .forEach((entry) => current().member("b2").keys.release(key, entry.name));
+    await current().clock.pass(10_000);
+    await claim(name, key, `b${number}`);
   },
 );
 When(
-  "try {string} keeps the answer {string} at box {int}",
-  async (name: string, body: string, box: number) => {
-    const kept = await beside(
-      net()
-        .member(`b${box}`)
+  "attempt {string} stores the response {string} through controller {int}",
+  async (name: string, body: string, number: number) => {
+    const isStored = await withClock(
+      current()
+        .member(`b${number}`)
         .keys.complete("k", name, {
           status: 200,
           heads: ["Yewreel-Server-Seal", "s"],
           body: Buffer.from(body),
         }),
     );
-    assert.ok(kept);
+    assert.ok(isStored);
   },
 );
-When("the claimant, box {int}, dies", (box: number) => net().kill(`b${box}`));
-When("boxes {int} and {int} lose their disks and start again", async (one: number, two: number) => {
-  const ids = [`b${one}`, `b${two}`];
-  for (const id of ids) await net().wipe(id);
-  await restart(ids);
-});
-When("the boxes have had time to catch up", catchUp);
-When("all are killed and start again", async () => {
-  await net().killAll();
-  await restart(net().ids);
-  await catchUp();
-});
-When("every log is torn at its end and every signalbox starts again", async () => {
-  await net().killAll();
-  for (const id of net().ids) {
-    const folder = join(net().folderOf(id), "keys");
-    const name = (await readdir(folder)).sort().pop() ?? "";
-    await appendFile(join(folder, name), Buffer.from([0, 0, 0, 90, 1, 2, 3, 4, 5, 6]));
-  }
-  await restart(net().ids);
+When("controller {int}, which claimed the key, is killed", (number: number) =>
+  current().kill(`b${number}`),
+);
+When(
+  "controllers {int} and {int} lose their disks and restart",
+  async (one: number, two: number) => {
+    const ids = [`b${one}`, `b${two}`];
+    for (const id of ids) await current().wipe(id);
+    await restart(ids);
+  },
+);
+When("the controllers have had time to catch up", catchUp);
+When("all controllers are killed and restarted", async () => {
+  await current().killAll();
+  await restart(current().ids);
   await catchUp();
 });
-When("the clock moves on by {int} s", (seconds: number) => net().clock.pass(seconds * 1_000_000));
-When(/^boxes (.*) are cut off$/, (told: string) =>
-  told.match(/\d/g)?.forEach((box) => net().partitioned.add(`b${box}`)),
+When(
+  "the log of every controller ends in a torn record and every controller restarts",
+  async () => {
+    await current().killAll();
+    for (const id of current().ids) {
+      const folder = join(current().folderOf(id), "keys");
+      const name = (await readdir(folder)).sort().pop() ?? "";
+      await appendFile(join(folder, name), Buffer.from([0, 0, 0, 90, 1, 2, 3, 4, 5, 6]));
+    }
+    await restart(current().ids);
+    await catchUp();
+  },
+);
+When("the clock advances by {int} s", (seconds: number) =>
+  current().clock.pass(seconds * 1_000_000),
+);
+When(/^boxes (.*) are cut off$/, (list: string) =>
+  list.match(/\d/g)?.forEach((number) => current().partitioned.add(`b${number}`)),
 );
 When(
-  "box {int} is joined again and box {int} is killed",
-  async (joined: number, killed: number) => {
-    net().partitioned.clear();
-    await net().kill(`b${killed}`);
-    assert.ok(net().running.has(`b${joined}`));
+  "controller {int} is reconnected and controller {int} is killed",
+  async (reconnected: number, killed: number) => {
+    current().partitioned.clear();
+    await current().kill(`b${killed}`);
+    assert.ok(current().running.has(`b${reconnected}`));
   },
 );
-When("new keys are claimed until one is refused", async () => {
+When("new keys are claimed until one is rejected", async () => {
   for (let at = 0; at < 2_000; at += 1) {
-    // The clock stands still: on a busy machine it would outrun the window of the key that must not
-    // be forgotten.
-    const result = await net().member("b1").keys.claim(`filler-${at}`, "t");
+    // The clock is not advanced here: on a busy machine it would pass the window of the key that
+    // must not be forgotten.
+    const result = await current().member("b1").keys.claim(`filler-${at}`, "t");
     if (result.kind === "none") return;
   }
-  assert.fail("the log never filled");
+  assert.fail("the log did not fill up");
 });
 When(
-  "a purge of label {string} is acknowledged at box {int}",
-  async (label: string, box: number) => {
-    assert.ok(await beside(net().member(`b${box}`).keys.purge({ host: "", path: "", label })));
+  "a purge of label {string} is acknowledged by controller {int}",
+  async (label: string, number: number) => {
+    assert.ok(
+      await withClock(current().member(`b${number}`).keys.purge({ host: "", path: "", label })),
+    );
   },
 );
-When("box {int} reads the purges", async (box: number) => {
-  assert.ok(await beside(net().member(`b${box}`).keys.readPurges()));
+When("controller {int} reads the purges", async (number: number) => {
+  assert.ok(await withClock(current().member(`b${number}`).keys.readPurges()));
 });
 
-When("the others leave boxes 1 and 5 out of the roster while box 1 is cut off", async () => {
-  net().partitioned.add("b1");
-  const changed = await beside(
-    net()
-      .member("b2")
-      .store.changeMembers(
-        (members) => members.filter((id) => id !== "b1" && id !== "b5"),
-        net().member("b2").keys.replicateToNewMembers,
-      ),
-  );
-  assert.ok(changed.isOk);
-  net().partitioned.delete("b1");
-});
-Then("a purge at box 1 is refused, and taken when it is sent again", async () => {
+When(
+  "the others remove controllers 1 and 5 from the voter set while controller 1 is partitioned",
+  async () => {
+    current().partitioned.add("b1");
+    const changed = await withClock(
+      current()
+        .member("b2")
+        .store.changeMembers(
+          (members) => members.filter((id) => id !== "b1" && id !== "b5"),
+          current().member("b2").keys.replicateToNewMembers,
+        ),
+    );
+    assert.ok(changed.isOk);
+    current().partitioned.delete("b1");
+  },
+);
+Then("a purge through controller 1 is rejected, and accepted when it is sent again", async () => {
   const purge = { host: "", path: "", label: "t9" };
-  assert.equal(await beside(net().member("b1").keys.purge(purge)), false);
-  assert.equal(await beside(net().member("b1").keys.purge(purge)), true);
+  assert.equal(await withClock(current().member("b1").keys.purge(purge)), false);
+  assert.equal(await withClock(current().member("b1").keys.purge(purge)), true);
 });
-Then("the verdicts are {string}", (kinds: string) =>
-  assert.equal(history.map(({ verdict: result }) => result.kind).join(", "), kinds),
+Then("the results are {string}", (kinds: string) =>
+  assert.equal(history.map(({ result }) => result.kind).join(", "), kinds),
 );
-Then("the last verdict is {string}", (kind: string) => assert.equal(last().kind, kind));
-Then("the last verdict is not {string}", (kind: string) => assert.notEqual(last().kind, kind));
-Then("the last verdict is {string} with {string}", (kind: string, body: string) => {
-  const result = last();
+Then("the last result is {string}", (kind: string) => assert.equal(lastResult().kind, kind));
+Then("the last result is not {string}", (kind: string) => assert.notEqual(lastResult().kind, kind));
+Then("the last result is {string} with {string}", (kind: string, body: string) => {
+  const result = lastResult();
   assert.equal(result.kind, kind);
   assert.equal(
     result.kind === "done" ? Buffer.from(result.answer.body ?? []).toString() : "",
@@ -194,31 +217,31 @@
   );
 });
 Then("at most one of them won", () =>
-  assert.ok(history.filter(({ verdict: result }) => result.kind === "won").length <= 1),
+  assert.ok(history.filter(({ result }) => result.kind === "won").length <= 1),
 );
-Then("exactly one try of {string} has ever won", (key: string) => {
+Then("exactly one attempt for {string} has ever won", (key: string) => {
   assert.equal(
-    history.filter((entry) => entry.key === key && entry.verdict.kind === "won").length,
+    history.filter((entry) => entry.key === key && entry.result.kind === "won").length,
     1,
   );
 });
 Then(
-  "try {string} of key {string} at box {int} is told {string}",
-  async (name: string, key: string, box: number, kind: string) => {
-    await claim(name, key, `b${box}`);
-    assert.equal(last().kind, kind);
+  "attempt {string} for key {string} through controller {int} gets the result {string}",
+  async (name: string, key: string, number: number, kind: string) => {
+    await claim(name, key, `b${number}`);
+    assert.equal(lastResult().kind, kind);
   },
 );
-Then("box {int} knows the purge of label {string}", (box: number, label: string) => {
-  const { book, learnedPurges: learned } = net().member(`b${box}`);
-  assert.ok(book.purges().some((purge) => purge.label === label));
-  assert.ok(learned.some((purge) => purge.label === label));
+Then("controller {int} knows the purge of label {string}", (number: number, label: string) => {
+  const { keyTable, learnedPurges } = current().member(`b${number}`);
+  assert.ok(keyTable.purges().some((purge) => purge.label === label));
+  assert.ok(learnedPurges.some((purge) => purge.label === label));
 });
-When("boxes {int} and {int} are killed and start again", async (one: number, two: number) => {
+When("controllers {int} and {int} are killed and restarted", async (one: number, two: number) => {
   const ids = [`b${one}`, `b${two}`];
-  for (const id of ids) await net().kill(id);
+  for (const id of ids) await current().kill(id);
   await restart(ids);
 });
-Then("box {int} takes no claims before it has caught up", (box: number) =>
-  assert.equal(net().member(`b${box}`).keys.isVoting, false),
+Then("controller {int} does not vote on claims before it has caught up", (number: number) =>
+  assert.equal(current().member(`b${number}`).keys.isVoting, false),
 );
--- a/features/steps/retries.ts
+++ b/features/steps/retries.ts
@@ -27,9 +27,9 @@
 
 interface Node {
   name: string;
-  life: string;
+  incarnation: string;
   budgets: RetryBudgets;
-  cutUntilUs: number;
+  partitionedUntilUs: number;
 }
 
 let timeline = new Timeline();
@@ -37,11 +37,11 @@
 let nodes: Node[] = [];
 let requests: Event[] = [];
 let retries: Event[] = [];
-let underLease = 0;
-let lives = 0;
-let isDoubled = false;
+let retriesUnderLease = 0;
+let incarnationCount = 0;
+let isLeaseDoubled = false;
 let random = seeded(1);
-let offices: { readonly office: RetryAllocator; isUp: boolean }[] = [];
+let allocators: { readonly allocator: RetryAllocator; isUp: boolean }[] = [];
 
 const newBudgets = (): RetryBudgets =>
   new RetryBudgets({
@@ -50,33 +50,38 @@
     windowUs: WINDOW_US,
     limits: () => limits,
   });
-const newLife = (name: string): Node => {
-  lives += 1;
-  return { name, life: `${name}-${lives}`, budgets: newBudgets(), cutUntilUs: 0 };
+const startNode = (name: string): Node => {
+  incarnationCount += 1;
+  return {
+    name,
+    incarnation: `${name}-${incarnationCount}`,
+    budgets: newBudgets(),
+    partitionedUntilUs: 0,
+  };
 };
-const newOffice = (): void => {
-  const office = new RetryAllocator({
+const startAllocator = (): void => {
+  const allocator = new RetryAllocator({
     clock: timeline,
     windowUs: WINDOW_US,
     isLeader: () => true,
     limits: () => limits,
   });
-  office.refresh();
-  offices.push({ office, isUp: true });
+  allocator.refresh();
+  allocators.push({ allocator, isUp: true });
 };
 
 Given(
-  "{int} nodes under a ratio of {float} and a slack of {int} over 10 seconds",
+  "{int} node(s) with a retry limit of ratio {float} and slack {int} over 10 seconds",
   (count: number, ratio: number, slack: number) => {
     timeline = new Timeline();
     limits = defaultLimits({ ratio, slack, windowUs: WINDOW_US });
-    nodes = Array.from({ length: count }, (_none, at) => newLife(`n${at}`));
-    [requests, retries, underLease, isDoubled, offices] = [[], [], 0, false, []];
-    newOffice();
+    nodes = Array.from({ length: count }, (_none, at) => startNode(`n${at}`));
+    [requests, retries, retriesUnderLease, isLeaseDoubled, allocators] = [[], [], 0, false, []];
+    startAllocator();
   },
 );
-Given("every lease counts twice", () => {
-  isDoubled = true;
+Given("every node uses twice the tokens of its leases", () => {
+  isLeaseDoubled = true;
 });
 
 const request = (node: Node, kind: RouteKind, wantsRetry: boolean): void => {
@@ -85,14 +90,14 @@
   requests.push({ atUs: timeline.nowUs(), kind });
   if (!wantsRetry || !budget.trySpend()) return;
   retries.push({ atUs: timeline.nowUs(), kind });
-  if (budget.leasedTokens() > 0) underLease += 1;
+  if (budget.leasedTokens() > 0) retriesUnderLease += 1;
 };
 
 When(
-  "each sends {int} requests a second and wants a retry for each, for {int} seconds, and node {int} restarts at {int}",
+  "each sends {int} requests per second and attempts a retry of each, for {int} seconds, and node {int} restarts after {int}",
   (perS: number, seconds: number, restarted: number, atS: number) => {
     for (let step = 0; step < seconds * perS; step += 1) {
-      if (step === atS * perS) nodes[restarted - 1] = newLife(`n${restarted - 1}`);
+      if (step === atS * perS) nodes[restarted - 1] = startNode(`n${restarted - 1}`);
       nodes.forEach((node) => request(node, "safe", true));
       timeline.runUntil(timeline.nowUs() + 1_000_000 / perS);
     }
@@ -100,30 +105,30 @@
 );
 
 /**
- * What the keeper does, over a net that delays and loses: asks go to whichever office the node can
- * reach.
+ * Does the work of a lease renewer on a network that delays and loses messages. A request goes to
+ * the first or the last allocator that is up.
  */
 const renew = (node: Node): void => {
-  const wants = node.budgets.takeDemands();
-  if (wants.length === 0 || timeline.nowUs() < node.cutUntilUs) return;
-  const askedUs = timeline.nowUs();
-  const reached = offices.filter(({ isUp }) => isUp)[
-    random() < 0.5 ? 0 : offices.filter(({ isUp }) => isUp).length - 1
+  const demands = node.budgets.takeDemands();
+  if (demands.length === 0 || timeline.nowUs() < node.partitionedUntilUs) return;
+  const requestedUs = timeline.nowUs();
+  const reachable = allocators.filter(({ isUp }) => isUp)[
+    random() < 0.5 ? 0 : allocators.filter(({ isUp }) => isUp).length - 1
   ];
-  const message: Message = { kind: "retry-ask", life: node.life, wants };
+  const message: Message = { kind: "retry-ask", life: node.incarnation, wants: demands };
   timeline.after(random() * 100_000, () => {
-    const reply = reached?.office.handleRequest(message);
+    const reply = reachable?.allocator.handleRequest(message);
     if (!reply || random() < 0.1) return;
     const waitUs = random() < 0.1 ? 450_000 : 50_000 * random();
     timeline.after(waitUs, () => {
-      if (timeline.nowUs() < node.cutUntilUs) return;
+      if (timeline.nowUs() < node.partitionedUntilUs) return;
       readList(reply, "rows", (value) => {
         const [service, kind, tokens] = asList(value);
         const known = KINDS.find((one) => one === asString(kind));
         assert.ok(known);
         node.budgets.of(asString(service), known).setLease({
-          tokens: asNumber(tokens) * (isDoubled ? 2 : 1),
-          expiresUs: askedUs + RETRY_LEASE_US,
+          tokens: asNumber(tokens) * (isLeaseDoubled ? 2 : 1),
+          expiresUs: requestedUs + RETRY_LEASE_US,
         });
       });
     });
@@ -133,7 +138,7 @@
 const slowdown = (seconds: number): void => {
   const untilUs = timeline.nowUs() + seconds * 1_000_000;
   for (let step = 0; timeline.nowUs() < untilUs; step += 1) {
-    // Every 0.2 s each node sends one of either kind; a keeper's gap is 0.8 s.
+    // Every 0.2 s each node sends one request of each kind, and every 0.8 s it renews its leases.
     nodes.forEach((node, at) => {
       KINDS.forEach((kind) => request(node, kind, random() < 0.8));
       if ((step + at) % 4 === 0) renew(node);
@@ -142,63 +147,63 @@
   }
 };
 
-const fail = (): void => {
+const injectFailures = (): void => {
   const pick = (): number => Math.floor(random() * nodes.length);
   timeline.every(3_000_000, () => {
     const at = pick();
-    nodes[at] = newLife(nodes[at]?.name ?? "");
+    nodes[at] = startNode(nodes[at]?.name ?? "");
   });
   timeline.every(5_000_000, () => {
     const node = nodes[pick()];
-    if (node) node.cutUntilUs = timeline.nowUs() + 6_000_000;
+    if (node) node.partitionedUntilUs = timeline.nowUs() + 6_000_000;
   });
-  // The holder is cut off and goes on giving for a second, till its links are given up; the next
-  // one takes the duty 1.5 s later.
+  // The leader is partitioned, and grants leases for one more second until its connections time
+  // out. The next leader takes over 1.5 s after the partition began.
   timeline.every(40_000_000, () => {
-    const last = offices[offices.length - 1];
+    const last = allocators[allocators.length - 1];
     timeline.after(1_000_000, () => {
       if (last) last.isUp = false;
     });
-    timeline.after(1_500_000, newOffice);
+    timeline.after(1_500_000, startAllocator);
   });
 };
 
 When(
-  "a slowdown of {int} seconds makes them want a retry for most requests, with everything failing in turn, seed {int}",
+  "a slowdown of {int} seconds makes the nodes attempt a retry of most requests while all kinds of failures are injected, with seed {int}",
   (seconds: number, seed: number) => {
     random = seeded(seed);
-    fail();
+    injectFailures();
     slowdown(seconds);
   },
 );
 let loweredUs = 0;
-let before: RetryLimits = {};
+let oldLimits: RetryLimits = {};
 When(
   "after {int} seconds of a slowdown the slack is lowered to {int}",
   (seconds: number, slack: number) => {
     slowdown(seconds);
     loweredUs = timeline.nowUs();
-    before = limits;
+    oldLimits = limits;
     limits = defaultLimits({ ratio: 0.02, slack, windowUs: WINDOW_US });
     slowdown(60);
   },
 );
 
-/** By how much the limit is passed at most, over all windows that begin with a retry. */
-const worstExcess = (by: (fromUs: number) => RetryLimits): number => {
+/** Maximum excess over the limit, in all windows that start with a retry. */
+const worstExcess = (limitsAt: (fromUs: number) => RetryLimits): number => {
   let worst = -Infinity;
   KINDS.forEach((kind) => {
-    const [asked, again] = [requests, retries].map((events) =>
+    const [requestTimes, retryTimes] = [requests, retries].map((events) =>
       events.filter((event) => event.kind === kind).map(({ atUs }) => atUs),
     );
-    if (!asked || !again) return;
-    let [askedFrom, askedTo, to] = [0, 0, 0];
-    again.forEach((fromUs, from) => {
-      while ((again[to] ?? Infinity) < fromUs + WINDOW_US) to += 1;
-      while ((asked[askedFrom] ?? Infinity) < fromUs) askedFrom += 1;
-      while ((asked[askedTo] ?? Infinity) < fromUs + WINDOW_US) askedTo += 1;
-      const { ratio, slack } = findLimit(by(fromUs), "s", kind);
-      worst = Math.max(worst, to - from - (ratio * (askedTo - askedFrom) + slack));
+    if (!requestTimes || !retryTimes) return;
+    let [requestsFrom, requestsTo, to] = [0, 0, 0];
+    retryTimes.forEach((fromUs, from) => {
+      while ((retryTimes[to] ?? Infinity) < fromUs + WINDOW_US) to += 1;
+      while ((requestTimes[requestsFrom] ?? Infinity) < fromUs) requestsFrom += 1;
+      while ((requestTimes[requestsTo] ?? Infinity) < fromUs + WINDOW_US) requestsTo += 1;
+      const { ratio, slack } = findLimit(limitsAt(fromUs), "s", kind);
+      worst = Math.max(worst, to - from - (ratio * (requestsTo - requestsFrom) + slack));
     });
   });
   return worst;
@@ -207,7 +212,7 @@
   "in no window do the retries of a kind exceed its ratio times its requests plus its slack",
   () => {
     const worst = worstExcess(() => limits);
-    assert.ok(worst <= 0, `passed by ${worst}`);
+    assert.ok(worst <= 0, `limit exceeded by ${worst}`);
   },
 );
 Then(
@@ -215,10 +220,10 @@
   () => assert.ok(worstExcess(() => limits) > 0),
 );
 Then(
-  "no window that begins {int} seconds later or more passes the lowered limit, and none before the old one",
+  "no window that starts {int} seconds later or more exceeds the lowered limit, and no earlier one the previous limit",
   (seconds: number) => {
     assert.ok(
-      worstExcess((fromUs) => (fromUs < loweredUs + seconds * 1_000_000 ? before : limits)) <= 0,
+      worstExcess((fromUs) => (fromUs < loweredUs + seconds * 1_000_000 ? oldLimits : limits)) <= 0,
     );
   },
 );
@@ -226,24 +231,24 @@
   assert.ok(retries.length > count, `${retries.length}`),
 );
 Then("at least {int} retries were made under leases", (count: number) =>
-  assert.ok(underLease >= count, `${underLease} of ${retries.length}`),
+  assert.ok(retriesUnderLease >= count, `${retriesUnderLease} of ${retries.length}`),
 );
-Then("it may retry nothing", () =>
+Then("it is allowed no retry", () =>
   assert.equal(nodes[0]?.budgets.of("s", "safe").trySpend(), false),
 );
 
-let office: RetryAllocator;
-const ask = (life: string, wanted: number, held: number): number => {
-  const reply = office.handleRequest({
+let currentAllocator: RetryAllocator;
+const requestLease = (incarnation: string, wanted: number, held: number): number => {
+  const reply = currentAllocator.handleRequest({
     kind: "retry-ask",
-    life,
+    life: incarnation,
     wants: [["s", "safe", wanted, held]],
   });
   const [row] = readList(reply, "rows", (value) => asList(value));
   return asNumber(row?.[2]);
 };
 Given(
-  "a holder that has leased {int} tokens of {int} to a node",
+  "a leader that has leased {int} tokens of {int} to a node",
   (tokens: number, slack: number) => {
     timeline = new Timeline();
     limits = {
@@ -254,39 +259,42 @@
         cached: { ratio: 0, slack: 0 },
       },
     };
-    newOffice();
-    const first = offices[offices.length - 1];
+    startAllocator();
+    const first = allocators[allocators.length - 1];
     assert.ok(first);
-    office = first.office;
+    currentAllocator = first.allocator;
     timeline.runUntil(timeline.nowUs() + 14_000_000);
-    assert.equal(ask("one", tokens, 0), tokens);
+    assert.equal(requestLease("one", tokens, 0), tokens);
   },
 );
-When("another takes the duty", () => {
-  newOffice();
-  const next = offices[offices.length - 1];
+When("another controller becomes the leader", () => {
+  startAllocator();
+  const next = allocators[allocators.length - 1];
   assert.ok(next);
-  office = next.office;
+  currentAllocator = next.allocator;
 });
 Then(
-  "the node's {int} tokens are renewed, and nobody else gets any for {int} seconds",
+  "the node's {int} tokens are renewed, and no other node gets any for {int} seconds",
   (tokens: number, seconds: number) => {
     for (let second = 0; second < seconds; second += 1) {
-      assert.deepEqual([ask("one", tokens, tokens), ask("two", 10, 0)], [tokens, 0]);
+      assert.deepEqual(
+        [requestLease("one", tokens, tokens), requestLease("two", 10, 0)],
+        [tokens, 0],
+      );
       timeline.runUntil(timeline.nowUs() + 999_000);
     }
   },
 );
-Then("after that others get some", () => {
+Then("after that another node gets tokens", () => {
   timeline.runUntil(timeline.nowUs() + 100_000);
-  assert.equal(ask("two", 10, 0), 10);
+  assert.equal(requestLease("two", 10, 0), 10);
 });
 
 const clock = new ManualClock();
-let asked = 0;
+let leaseRequestCount = 0;
 let budgets: RetryBudgets;
-Given("a node with a retry keeper", () => {
-  asked = 0;
+Given("a node with a renewer of retry leases", () => {
+  leaseRequestCount = 0;
   limits = defaultLimits({ ratio: 0.2, slack: 100, windowUs: WINDOW_US });
   budgets = new RetryBudgets({
     clock,
@@ -294,11 +302,11 @@
     windowUs: WINDOW_US,
     limits: () => limits,
   });
-  const keeper = new RetryLeaseRenewer(clock, budgets, "life", async () => {
-    asked += 1;
+  const renewer = new RetryLeaseRenewer(clock, budgets, "life", async () => {
+    leaseRequestCount += 1;
     return { kind: "retries", rows: [["s", "safe", 5]], lastsUs: RETRY_LEASE_US };
   });
-  keeper.start();
+  renewer.start();
 });
 When(
   "it makes {int} requests and {int} retries",
@@ -309,26 +317,26 @@
     await clock.pass(20_000_000);
   },
 );
-Then("nothing was asked of the holder", () => assert.equal(asked, 0));
-When("a retry is refused", () => assert.equal(budgets.of("s", "safe").trySpend(), false));
+Then("no lease was requested from the leader", () => assert.equal(leaseRequestCount, 0));
+When("a retry is rejected", () => assert.equal(budgets.of("s", "safe").trySpend(), false));
 Then(
-  "it asks the holder within a second, takes the lease, and stops asking when it needs none",
+  "it requests a lease from the leader within a second, uses it, and stops requesting when it needs none",
   async () => {
     await clock.pass(1_000_000);
     await settle();
-    assert.ok(asked > 0);
+    assert.ok(leaseRequestCount > 0);
     assert.equal(budgets.of("s", "safe").leasedTokens(), 5);
     assert.ok(budgets.of("s", "safe").trySpend());
     await clock.pass(20_000_000);
-    const askedBefore = asked;
+    const countBefore = leaseRequestCount;
     await clock.pass(20_000_000);
-    assert.equal(asked, askedBefore);
+    assert.equal(leaseRequestCount, countBefore);
   },
 );
 
 let result = "";
 When(
-  "the limit of {word} is set to a ratio of {float} and a slack of {int}, under {float} and {int}",
+  "the limit of {word} is set to a ratio of {float} and a slack of {int}, with a deployment maximum of {float} and {int}",
   (kind: string, ratio: number, slack: number, mostRatio: number, mostSlack: number) => {
     const ceiling = { ratio: mostRatio, slack: mostSlack, windowUs: WINDOW_US };
     const changed = withLimit(defaultLimits(ceiling), ceiling, EVERY_SERVICE, kind, {
@@ -338,17 +346,17 @@
     result = changed.isOk ? "" : changed.error;
   },
 );
-Then("it is taken", () => assert.equal(result, ""));
-Then("it is refused for {string}", (sentence: string) =>
-  assert.ok(result.includes(sentence), result),
+Then("it is accepted", () => assert.equal(result, ""));
+Then("it is rejected for {string}", (message: string) =>
+  assert.ok(result.includes(message), result),
 );
 Then(
-  "by default unsafe and keyed have at most half of the ratio and slack of safe, and all slacks fit under the deployment's",
+  "by default the unsafe and keyed kinds have at most half of the ratio and slack of the safe kind, and all slacks together stay within the deployment's",
   () => {
     const kinds = defaultLimits({ ratio: 0.2, slack: 70, windowUs: WINDOW_US })[EVERY_SERVICE];
     assert.ok(kinds);
-    [kinds.unsafe, kinds.keyed].forEach((strict) =>
-      assert.ok(strict.ratio <= kinds.safe.ratio / 2 && strict.slack <= kinds.safe.slack / 2),
+    [kinds.unsafe, kinds.keyed].forEach((stricter) =>
+      assert.ok(stricter.ratio <= kinds.safe.ratio / 2 && stricter.slack <= kinds.safe.slack / 2),
     );
     assert.ok(
       kinds.safe.slack + kinds.unsafe.slack + kinds.keyed.slack + kinds.cached.slack <= 70 + 1e-9,
