--- a/features/steps/looks.ts
+++ b/features/steps/looks.ts
@@ -13,39 +13,39 @@
 const addressOf = (at: number): string => `127.9.0.${at + 1}:${PORT}`;
 
 let clock = new ManualClock();
-let open: Listener[] = [];
+let listeners: Listener[] = [];
 let seeds: string[] = [];
-let looks: string[] = [];
+let attempts: string[] = [];
 let subscriber: UpdateSubscriber | undefined;
 
 After(() => {
   subscriber?.stop();
-  open.forEach((updates) => updates.close());
-  open = [];
+  listeners.forEach((listener) => listener.close());
+  listeners = [];
 });
 
 Given(
-  "{int} signalboxes that are told of and {int} that are only seeds, none of which takes anyone",
-  async (told: number, others: number) => {
+  "{int} announced controllers and {int} that are only listed as seeds, none of which accepts nodes",
+  async (announced: number, seedOnly: number) => {
     clock = new ManualClock();
-    looks = [];
-    const all = Array.from({ length: told + others }, (_none, at) => addressOf(at));
-    seeds = all.slice(told);
-    const boxes = all.slice(0, told).map((id, at) => ({ id, cell: `c${at}` }));
+    attempts = [];
+    const all = Array.from({ length: announced + seedOnly }, (_none, at) => addressOf(at));
+    seeds = all.slice(announced);
+    const controllers = all.slice(0, announced).map((id, at) => ({ id, cell: `c${at}` }));
     for (const id of all) {
       const refuse = async (connection: Connection): Promise<void> => {
-        looks.push(id);
-        connection.send({ kind: "adrift", boxes });
+        attempts.push(id);
+        connection.send({ kind: "adrift", boxes: controllers });
         await connection.finish();
       };
-      const updates = new Listener(clock, TIMES, { pointsman: refuse }, silentLogger);
-      await updates.listen(id.split(":")[0] ?? "", PORT);
-      open.push(updates);
+      const listener = new Listener(clock, TIMES, { pointsman: refuse }, silentLogger);
+      await listener.listen(id.split(":")[0] ?? "", PORT);
+      listeners.push(listener);
     }
   },
 );
 
-When("a node has looked for one {int} times", async (count: number) => {
+When("a node has made {int} attempts to connect to a controller", async (count: number) => {
   subscriber = new UpdateSubscriber({
     name: "n",
     zone: "c0",
@@ -59,12 +59,15 @@
     log: silentLogger,
   });
   void subscriber.run();
-  for (let step = 0; step < 5_000 && looks.length < count; step += 1)
+  for (let step = 0; step < 5_000 && attempts.length < count; step += 1)
     await clock.pass(10 * MILLISECOND_US);
-  assert.ok(looks.length >= count, `it looked only ${looks.length} times`);
+  assert.ok(attempts.length >= count, `it made only ${attempts.length} attempts`);
 });
 
-Then("at most {int} of the looks went to those that are only seeds", (most: number) => {
-  const spent = looks.slice(0, 13).filter((id) => seeds.includes(id)).length;
-  assert.ok(spent <= most, looks.join(" "));
-});
+Then(
+  "at most {int} of the attempts went to controllers that are only listed as seeds",
+  (maxAttempts: number) => {
+    const attemptsToSeeds = attempts.slice(0, 13).filter((id) => seeds.includes(id)).length;
+    assert.ok(attemptsToSeeds <= maxAttempts, attempts.join(" "));
+  },
+);
--- a/features/steps/relay.ts
+++ b/features/steps/relay.ts
@@ -6,64 +6,67 @@
 import { RelayCluster } from "../support/relay-cluster.js";
 
 let cluster: RelayCluster | undefined;
-/** Every scenario's cluster has ports of its own. */
-let clusters = 0;
+/** Number of clusters started so far; each scenario's cluster uses its own ports. */
+let clusterCount = 0;
 
 const current = (): RelayCluster => {
   assert.ok(cluster, "no cluster was started");
   return cluster;
 };
 
-const join = async (number: number): Promise<void> => {
+const addNode = async (number: number): Promise<void> => {
   await current().addNode(number);
   await current().pass(200);
 };
 
 Given(
-  "a signalbox that feeds {int} and {int} pointsmen below it",
-  async (room: number, count: number) => {
-    assert.equal(room, FAN_OUT);
-    clusters += 1;
-    cluster = new RelayCluster({ clock: new ManualClock(), port: 12_000 + clusters * 20 });
+  "a controller that feeds up to {int} nodes directly, and {int} gateways below it",
+  async (fanOut: number, count: number) => {
+    assert.equal(fanOut, FAN_OUT);
+    clusterCount += 1;
+    cluster = new RelayCluster({ clock: new ManualClock(), port: 12_000 + clusterCount * 20 });
     await cluster.start();
-    for (let number = 1; number <= count; number += 1) await join(number);
+    for (let number = 1; number <= count; number += 1) await addNode(number);
   },
 );
 
-Given("{int} pointsmen below the signalbox in all", async (count: number) => {
-  for (let number = current().nodes.length + 1; number <= count; number += 1) await join(number);
+Given("{int} gateways below the controller in total", async (count: number) => {
+  for (let number = current().nodes.length + 1; number <= count; number += 1) await addNode(number);
   await current().pass(500);
 });
 Then(
-  "no relay feeds more than {int}, and none is more than {int} deep",
-  (most: number, deepest: number) => {
+  "no relay feeds more than {int} nodes, and none is more than {int} levels deep",
+  (maxChildren: number, maxDepth: number) => {
     const { nodes, depthOf, publisher } = current();
     nodes.forEach((node) =>
       assert.ok(
-        node.publisher.size <= most && depthOf(node) <= deepest,
-        `${node.publisher.size} children, ${depthOf(node)} deep`,
+        node.publisher.size <= maxChildren && depthOf(node) <= maxDepth,
+        `${node.publisher.size} children at depth ${depthOf(node)}`,
       ),
     );
     assert.equal(publisher.size, FAN_OUT);
   },
 );
-When("a relay with relays below it dies without a word", () => {
+When("a relay with relays below it crashes", () => {
   const { nodes, depthOf, parentOf, kill } = current();
-  const dying = nodes.find(
+  const crashing = nodes.find(
     (node) =>
       depthOf(node) === 0 &&
       nodes.some((other) => other.publisher.size > 0 && parentOf(other) === node),
   );
-  assert.ok(dying, "no relay has relays below it");
-  kill(dying);
-});
-Then("the signalbox feeds {int} at most, and nobody hangs below itself", async (most: number) => {
-  await current().pass(500);
-  assert.ok(current().publisher.size <= most, `${current().publisher.size}`);
-  current().nodes.forEach(current().depthOf);
+  assert.ok(crashing, "no relay has relays below it");
+  kill(crashing);
 });
+Then(
+  "the controller feeds at most {int} nodes, and no node is below itself",
+  async (maxChildren: number) => {
+    await current().pass(500);
+    assert.ok(current().publisher.size <= maxChildren, `${current().publisher.size}`);
+    current().nodes.forEach(current().depthOf);
+  },
+);
 
-When("a fact is posted at the signalbox", () => {
+When("an update is published at the controller", () => {
   current().updates.post([
     { key: "plan/route/r1", version: 9, tie: "", body: { item: "nine", dropped: false } },
   ]);
@@ -71,10 +74,10 @@
 const ROUTES = "plan/route/many-";
 const routesAt = (updates: UpdateStore): number =>
   updates.all().filter(({ key }) => key.startsWith(ROUTES)).length;
-/** How many of the routes each node held when it was told that the news is fresh. */
+/** Number of routes that each node held when it received the freshness message. */
 let heldWhenFresh: number[] = [];
 
-When("a plan of {int} routes is posted at the signalbox", (count: number) => {
+When("a configuration of {int} routes is published at the controller", (count: number) => {
   heldWhenFresh = [];
   current().nodes.forEach(({ subscriber, updates }) =>
     subscriber.events.on("freshness", () => {
@@ -90,24 +93,21 @@
     })),
   );
 });
-When("the signalbox tells that all purges so far are known", () =>
+When("the controller announces that all purges so far are known", () =>
   current().publisher.sendFreshness(0),
 );
-Then(
-  "every pointsman holds {int} routes within {int} ms",
-  async (count: number, waitMs: number) => {
-    await current().pass(waitMs);
-    current().nodes.forEach(({ updates }, at) =>
-      assert.equal(routesAt(updates), count, `node ${at + 1}`),
-    );
-  },
-);
-Then("every pointsman was told so after it held them", () => {
+Then("every gateway holds {int} routes within {int} ms", async (count: number, waitMs: number) => {
+  await current().pass(waitMs);
+  current().nodes.forEach(({ updates }, at) =>
+    assert.equal(routesAt(updates), count, `node ${at + 1}`),
+  );
+});
+Then("every gateway received the announcement after it held the routes", () => {
   assert.equal(heldWhenFresh.length, current().nodes.length);
   heldWhenFresh.forEach((held) => assert.equal(held, 1_500));
 });
 
-When("the fact is posted again with a lower version", async () => {
+When("the update is published again with a lower version", async () => {
   await current().pass(100);
   current().nodes.forEach(({ updates }) =>
     updates.post([
@@ -115,32 +115,35 @@
     ]),
   );
 });
-When("a relay with children dies without a word", () => {
-  const dying = current().nodes.find(({ publisher }) => publisher.size > 0);
-  assert.ok(dying, "no relay has children");
-  current().kill(dying);
+When("a relay with children crashes", () => {
+  const crashing = current().nodes.find(({ publisher }) => publisher.size > 0);
+  assert.ok(crashing, "no relay has children");
+  current().kill(crashing);
 });
 When("a relay with children no longer feeds them", () => {
   const broken = current().nodes.find(({ publisher }) => publisher.size > 0);
   assert.ok(broken, "no relay has children");
   broken.relay.close();
 });
-When("the signalbox is gone for {int} ms", async (waitMs: number) => {
+When("the controller is down for {int} ms", async (waitMs: number) => {
   current().closeController();
   await current().pass(waitMs);
 });
 
-Then("some pointsmen are fed by a relay and none feeds more than {int}", async (most: number) => {
-  await current().pass(500);
-  const { nodes, publisher } = current();
-  assert.equal(publisher.size, most);
-  assert.equal(
-    nodes.reduce((sum, node) => sum + node.publisher.size, 0),
-    nodes.length - most,
-  );
-  nodes.forEach((node) => assert.ok(node.publisher.size <= most));
-});
-Then("every pointsman holds it within {int} ms", async (waitMs: number) => {
+Then(
+  "some gateways are fed by a relay and no node feeds more than {int}",
+  async (maxChildren: number) => {
+    await current().pass(500);
+    const { nodes, publisher } = current();
+    assert.equal(publisher.size, maxChildren);
+    assert.equal(
+      nodes.reduce((sum, node) => sum + node.publisher.size, 0),
+      nodes.length - maxChildren,
+    );
+    nodes.forEach((node) => assert.ok(node.publisher.size <= maxChildren));
+  },
+);
+Then("every gateway holds the update within {int} ms", async (waitMs: number) => {
   await current().pass(waitMs);
   current().nodes.forEach(({ updates }, at) =>
     assert.equal(updates.get("plan/route/r1")?.body["item"], "nine", `node ${at + 1}`),
--- a/features/steps/thin-links.ts
+++ b/features/steps/thin-links.ts
@@ -31,18 +31,18 @@
     }
     await cluster.pass(1_000);
     cluster.nodes.forEach(({ name, subscriber }) => assert.ok(subscriber.isUpToDate, name));
-    cluster.disturbances.length = 0;
+    cluster.disconnects.length = 0;
   },
 );
 
-/** Names as operators' tools make them: they don't compress. */
+/** Random names, like those that operators' tools generate: they do not compress. */
 const randomNames = (count: number): readonly string[] => {
   const random = xoroshiro128plus(SEED);
   const letter = () => NAME_LETTERS[uniformInt(random, 0, NAME_LETTERS.length - 1)] ?? "a";
   return Array.from({ length: count }, () => Array.from({ length: 8 }, letter).join(""));
 };
 
-When("a change of {int} routes is committed", (count: number) => {
+When("a configuration change of {int} routes is committed", (count: number) => {
   const names = randomNames(2 * count);
   const registers = Array.from({ length: count }, (_, at) =>
     toRouteRegister("menu.example", {
@@ -76,11 +76,11 @@
 );
 
 Then(
-  "no session and no relay is lost within {int} ms",
+  "no node loses its session or its relay within {int} ms",
   { timeout: 60_000 },
   async (waitMs: number) => {
     await current().pass(waitMs);
-    assert.deepEqual(current().disturbances, []);
+    assert.deepEqual(current().disconnects, []);
   },
 );
 
@@ -88,29 +88,29 @@
   assert.ok(current().nodes.some(({ publisher }) => publisher.size > 1));
 });
 
-let heldRelay: RelayNode | undefined;
-When("a relay sends its children nothing but keep-alives", () => {
-  heldRelay = current().nodes.find(({ publisher }) => publisher.size > 0);
-  assert.ok(heldRelay, "no relay has children");
-  current().holdRelay(heldRelay);
+let throttledRelay: RelayNode | undefined;
+When("a relay sends its children only keep-alives", () => {
+  throttledRelay = current().nodes.find(({ publisher }) => publisher.size > 0);
+  assert.ok(throttledRelay, "no relay has children");
+  current().holdRelay(throttledRelay);
 });
-When("the relay sends again what it held back", () => {
-  assert.ok(heldRelay);
-  current().releaseRelay(heldRelay);
+When("the relay sends the messages that it held back", () => {
+  assert.ok(throttledRelay);
+  current().releaseRelay(throttledRelay);
 });
-When("the controller is gone", () => current().closeController());
+When("the controller stops", () => current().closeController());
 When("{int} ms pass", { timeout: 60_000 }, async (waitMs: number) => current().pass(waitMs));
 
 const isBelow = (node: RelayNode, relay: RelayNode | undefined): boolean => {
   const parent = current().parentOf(node);
   return parent !== undefined && (parent === relay || isBelow(parent, relay));
 };
-Then("just the children of that relay and those below them count as behind", () => {
+Then("exactly the nodes below that relay are behind", () => {
   current().nodes.forEach((node) =>
-    assert.equal(node.lag.isBehind(), isBelow(node, heldRelay), node.name),
+    assert.equal(node.lag.isBehind(), isBelow(node, throttledRelay), node.name),
   );
 });
-Then("no gateway counts as behind", () => {
+Then("no gateway is behind", () => {
   current().nodes.forEach(({ name, lag }) => assert.equal(lag.isBehind(), false, name));
 });
 
--- a/features/steps/update-lag.ts
+++ b/features/steps/update-lag.ts
@@ -7,7 +7,7 @@
 let lag: UpdateLag;
 
 Given(
-  "a node that may lack an update for {int} ms, and takes announcements into account for {int} ms after its session",
+  "a node that may miss an announced update for {int} ms, and takes announcements into account for {int} ms after its session ended",
   (limitMs: number, forgetAfterMs: number) => {
     clock = new ManualClock();
     lag = new UpdateLag({
@@ -24,8 +24,8 @@
   return { origin, sequence: Number(sequence) };
 };
 
-const play = async (event: string): Promise<void> => {
-  if (event === "session over") lag.recordDisconnected();
+const applyEvent = async (event: string): Promise<void> => {
+  if (event === "session ended") lag.recordDisconnected();
   else if (event === "a snapshot without a position") lag.recordSnapshot(undefined);
   else if (event.startsWith("a snapshot at")) {
     lag.recordSnapshot(positionIn(event));
@@ -41,7 +41,7 @@
 };
 
 When(/^((?:a snapshot (?:at|without)).*)$/, async (events: string) => {
-  for (const event of events.split(", ")) await play(event);
+  for (const event of events.split(", ")) await applyEvent(event);
 });
 Then(/^it (is|is not) behind$/, (verdict: string) =>
   assert.equal(lag.isBehind(), verdict === "is"),
--- a/features/support/relay-cluster.ts
+++ b/features/support/relay-cluster.ts
@@ -12,10 +12,10 @@
 
 const TIMES = { heartbeatUs: 300_000, timeoutUs: 1_000_000 };
 const LAG_LIMIT_US = 1_500_000;
-const CONTACT_US = 4_000_000;
+const FORGET_AFTER_US = 4_000_000;
 const CONTROLLER_NAME = "controller";
 
-/** A node of the cluster, and what it relays with. */
+/** A node of the cluster with its relay components. */
 export interface RelayNode {
   readonly name: string;
   readonly address: string;
@@ -26,27 +26,27 @@
   readonly lag: UpdateLag;
 }
 
-/** The rates of the links of a shaped cluster, in megabits a second. */
+/** Link rates of a cluster with a {@link ShapedNet}, in megabits per second. */
 export interface LinkRates {
   readonly controllerMbps: number;
   readonly nodeMbps: number;
 }
 
-/** What a cluster is made with; each has ports of its own. */
+/** Options of {@link RelayCluster}; each cluster needs its own ports. */
 export interface RelayClusterOptions {
   readonly clock: ManualClock;
   readonly port: number;
-  /** Without rates, links carry everything at once. */
+  /** If undefined, links have no bandwidth limit. */
   readonly rates?: LinkRates;
 }
 
-/** One controller, and nodes that get their updates from it and from each other. */
+/** One controller, and nodes that receive their updates from it or from each other. */
 export class RelayCluster {
   readonly updates: UpdateStore;
   readonly publisher: UpdatePublisher;
   readonly sessions: NodeSessions;
-  /** Nodes that left although nobody asked for it, and relays that were lost. */
-  readonly disturbances: string[] = [];
+  /** Unexpected disconnects: nodes that left, relays that were lost and sessions that were closed. */
+  readonly disconnects: string[] = [];
   nodes: RelayNode[] = [];
   private readonly net: ShapedNet | undefined;
   private readonly listener: Listener;
@@ -63,7 +63,7 @@
     this.sessions = new NodeSessions({
       clock,
       publisher: this.publisher,
-      log: this.disturbanceLogger(CONTROLLER_NAME),
+      log: this.disconnectLogger(CONTROLLER_NAME),
       mayServe: async () => true,
       controllers: () => [{ id: `127.3.0.1:${port}`, zone: "c1" }],
       answer: async (message) => message,
@@ -80,14 +80,14 @@
     await this.listen(this.listener, CONTROLLER_NAME, "127.3.0.1", port);
   };
 
-  /** Starts a node; it joins as the clock goes on. */
+  /** Starts a node; it joins when the clock advances. */
   readonly addNode = async (number: number): Promise<void> => {
     const { clock, port, rates } = this.options;
     const updates = new UpdateStore(clock);
     const publisher = new UpdatePublisher(clock, updates, () => false, {
       ...(rates ? { linkMbps: rates.nodeMbps } : {}),
     });
-    const lag = new UpdateLag({ clock, limitUs: LAG_LIMIT_US, forgetAfterUs: CONTACT_US });
+    const lag = new UpdateLag({ clock, limitUs: LAG_LIMIT_US, forgetAfterUs: FORGET_AFTER_US });
     const name = `n${number}`;
     const ip = `127.3.1.${number}`;
     const subscriber = new UpdateSubscriber({
@@ -102,7 +102,7 @@
       times: TIMES,
       updates,
       lag,
-      log: this.disturbanceLogger(name),
+      log: this.disconnectLogger(name),
     });
     const children = relayHandlers({ subscriber, publisher, log: silentLogger });
     const relay = new Listener(clock, TIMES, children, silentLogger);
@@ -117,7 +117,7 @@
     for (let passedMs = 0; passedMs < waitMs; passedMs += 20) await this.options.clock.pass(20_000);
   };
 
-  /** The relay that a node gets its updates from, or none where the controller sends them. */
+  /** The relay that feeds a node, or undefined if the controller feeds it directly. */
   readonly parentOf = (node: RelayNode): RelayNode | undefined =>
     this.nodes.find(({ address }) => address === node.subscriber.parentRelay);
 
@@ -125,23 +125,23 @@
     let depth = 0;
     for (let at = this.parentOf(node); at; at = this.parentOf(at)) {
       depth += 1;
-      assert.ok(depth < this.nodes.length, "a relay hangs below itself");
+      assert.ok(depth < this.nodes.length, "a relay is below itself in the tree");
     }
     return depth;
   };
 
-  /** A relay's children get nothing but keep-alives from it, until it is released. */
+  /** Limits what a relay sends its children to keep-alives until {@link releaseRelay} is called. */
   readonly holdRelay = ({ name }: RelayNode): void => this.net?.hold(name);
   readonly releaseRelay = ({ name }: RelayNode): void => this.net?.release(name);
 
-  /** Ends a node without a word. */
+  /** Stops a node without notice, as a crash would. */
   readonly kill = (node: RelayNode): void => {
     this.nodes = this.nodes.filter((other) => other !== node);
     node.subscriber.stop();
     node.relay.close();
   };
 
-  /** Ends the controller. */
+  /** Stops the controller. */
   readonly closeController = (): void => this.listener.close();
 
   readonly close = (): void => {
@@ -154,7 +154,7 @@
     this.net?.close();
   };
 
-  /** Where the net is shaped, the program listens behind it. */
+  /** With a shaped network, the program listens behind the proxy of that network. */
   private readonly listen = async (
     listener: Listener,
     machine: string,
@@ -166,11 +166,11 @@
     await this.net?.open({ machine, ip, listensAt, port });
   };
 
-  private readonly disturbanceLogger = (who: string) => ({
+  private readonly disconnectLogger = (nodeName: string) => ({
     ...silentLogger,
     info: (message: string, fields = {}) => {
       if (["node left", "relay lost", "session closed"].includes(message))
-        this.disturbances.push(`${who}: ${message} ${JSON.stringify(fields)}`);
+        this.disconnects.push(`${nodeName}: ${message} ${JSON.stringify(fields)}`);
     },
   });
 }
--- a/features/support/replica-cluster.ts
+++ b/features/support/replica-cluster.ts
@@ -21,7 +21,7 @@
   readonly store: ReplicatedStore;
   readonly lease: LeaderLease;
   readonly keys: IdempotencyKeyReplication;
-  readonly book: IdempotencyKeyTable;
+  readonly keyTable: IdempotencyKeyTable;
   readonly learnedPurges: Purge[];
   /** The keys of all registers that its listeners were notified of. */
   readonly notifiedKeys: Set<string>;
@@ -31,13 +31,13 @@
 export const KEY_WINDOW_US = 60_000_000;
 
 /**
- * The control state of several controllers over a network and disks of the test's own; idempotency
- * keys are in real files, if `diskBytes` is given.
+ * Replicated state of several controllers on a simulated network and in-memory disks. Idempotency
+ * keys are stored in real files if `diskBytes` is given.
  */
 export class ReplicaCluster {
   readonly clock = new ManualClock();
   readonly partitioned = new Set<string>();
-  /** Messages that never reach whom they are for. */
+  /** Selects the messages that are dropped instead of being delivered. */
   dropsMessage: (to: string, message: Message) => boolean = () => false;
   readonly running = new Map<string, ClusterMember>();
   private readonly folders = new Map<string, string>();
@@ -96,7 +96,7 @@
       registers.forEach(({ key }) => notifiedKeys.add(key)),
     );
     await store.start(firstRun);
-    const book = new IdempotencyKeyTable({
+    const keyTable = new IdempotencyKeyTable({
       folder: this.diskBytes === 0 ? "" : join(folder, "keys"),
       clock: this.clock,
       keyWindowUs: KEY_WINDOW_US,
@@ -105,7 +105,7 @@
     const learnedPurges: Purge[] = [];
     const keys = new IdempotencyKeyReplication({
       self: id,
-      table: book,
+      table: keyTable,
       store,
       request: transport.request,
       isConnected: (to) => this.isReachable(id, to),
@@ -122,7 +122,7 @@
       store,
       lease,
       keys,
-      book,
+      keyTable,
       learnedPurges,
       notifiedKeys,
     };
@@ -130,7 +130,7 @@
     return member;
   };
 
-  /** Moves the clock on while the work goes on, so that requests to those who are gone time out. */
+  /** Advances the clock until the work is done, so that requests to stopped controllers time out. */
   readonly withClock = async <T>(work: Promise<T>): Promise<T> => {
     let isDone = false;
     const finished = work.finally(() => {
@@ -141,17 +141,18 @@
     return finished;
   };
 
-  /** Every controller catches up, and one change of the voter set takes these in. */
+  /** Lets every controller catch up, then sets the voter set to the given ids in one change. */
   readonly makeVoters = async (ids: readonly string[]): Promise<void> => {
     await this.readAll();
     const changed = await this.withClock(
       this.member(this.ids[0] ?? "").store.changeMembers(() => ids),
     );
-    if (changed.isErr) throw new Error(`the voter set was not changed: ${changed.error.message}`);
+    if (changed.isErr)
+      throw new Error(`the voter set could not be changed: ${changed.error.message}`);
     await this.readAll();
   };
 
-  /** Twice, since the first read may only tell a new replica whom to ask. */
+  /** Reads twice, because the first read may only tell a new replica which voters to ask. */
   readonly readAll = async (): Promise<void> => {
     for (const id of [...this.running.keys(), ...this.running.keys()])
       await this.withClock(this.member(id).store.read());
@@ -159,18 +160,18 @@
 
   readonly member = (id: string): ClusterMember => {
     const member = this.running.get(id);
-    if (!member) throw new Error(`${id} is down`);
+    if (!member) throw new Error(`${id} is not running`);
     return member;
   };
 
-  /** Kills every process; what was synced stays. */
+  /** Kills every process; synced data is kept. */
   readonly killAll = async (): Promise<void> => {
     for (const id of [...this.running.keys()]) await this.kill(id);
   };
 
   /**
-   * Kills a process. A write that the disk has begun comes to its end, so that no two incarnations
-   * write one folder.
+   * Kills a process. Waits for a disk write in progress to complete, so that two incarnations never
+   * write to the same folder.
    */
   readonly kill = async (id: string): Promise<void> => {
     const member = this.running.get(id);
@@ -178,7 +179,7 @@
     this.running.delete(id);
     await member?.store.persisted();
     await member?.writeAheadLog.idle();
-    await member?.book.close();
+    await member?.keyTable.close();
     await settle(4);
   };
 
--- a/features/support/shaped-net.ts
+++ b/features/support/shaped-net.ts
@@ -4,13 +4,13 @@
 import type { Clock } from "../../src/common/clock.js";
 
 const LENGTH_BYTES = 4;
-/** No frame but a keep-alive is as short. */
+/** Maximum size of a keep-alive; every other frame is longer. */
 const KEEP_ALIVE_BYTES = 20;
 const PACKET_BYTES = 16_384;
-/** A connection's sender is held up while so much of it is on its way. */
+/** Bytes in flight on a connection at which its sender is paused. */
 const WINDOW_BYTES = 65_536;
 
-/** The sending side of one machine's link: what is sent over it goes out one after the other. */
+/** Sending direction of one machine's link; transfers over it are serialized. */
 export class Uplink {
   private freeAtUs = 0;
 
@@ -26,7 +26,7 @@
   };
 }
 
-/** Where a program is dialled, where it listens, and the machine that it runs on. */
+/** Address at which clients connect, address at which the program listens, and its machine. */
 export interface ShapedAddress {
   readonly machine: string;
   readonly ip: string;
@@ -34,7 +34,7 @@
   readonly port: number;
 }
 
-/** Who a connection's first message says that it is from. */
+/** Name of the sender, taken from the first message of a connection. */
 const senderOf = (first: Buffer): string => {
   const size = first.readUInt32BE(0);
   const hello = asRecord(unpackValue(first.subarray(LENGTH_BYTES, LENGTH_BYTES + size)));
@@ -43,22 +43,22 @@
 };
 
 /**
- * Stands between the machines of a test and carries what they send at the rate of the sender's link,
- * on the test's clock. All connections of a machine share its link.
+ * Proxies the connections between the machines of a test and limits each sender to the rate of its
+ * link, as measured on the test's clock. All connections of a machine share its link.
  */
 export class ShapedNet {
   private readonly uplinks = new Map<string, Uplink>();
   private readonly servers: Server[] = [];
   private readonly sockets = new Set<Socket>();
-  /** Machines whose listeners send nothing but keep-alives, and what they hold back. */
+  /** Deliveries held back, by machine whose listener may send only keep-alives. */
   private readonly held = new Map<string, (() => void)[]>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** From now on a machine's listener sends its callers keep-alives only; the rest is held back. */
+  /** From now on, holds back all that a machine's listener sends, except keep-alives. */
   readonly hold = (machine: string): void => void this.held.set(machine, []);
 
-  /** Sends what was held back. */
+  /** Delivers what was held back, and stops holding back. */
   readonly release = (machine: string): void => {
     const waiting = this.held.get(machine) ?? [];
     this.held.delete(machine);
@@ -71,7 +71,7 @@
   readonly open = ({ machine, ip, listensAt, port }: ShapedAddress): Promise<void> =>
     new Promise((resolve) => {
       const server = createServer({ noDelay: true }, (socket) =>
-        this.carry(socket, machine, listensAt, port),
+        this.proxy(socket, machine, listensAt, port),
       );
       this.servers.push(server);
       server.listen(port, ip, resolve);
@@ -82,21 +82,21 @@
     this.sockets.forEach((socket) => socket.destroy());
   };
 
-  private readonly carry = (dialler: Socket, machine: string, ip: string, port: number): void => {
-    this.sockets.add(dialler);
-    dialler.on("error", () => dialler.destroy());
-    dialler.once("data", (first: Buffer) => {
+  private readonly proxy = (client: Socket, machine: string, ip: string, port: number): void => {
+    this.sockets.add(client);
+    client.on("error", () => client.destroy());
+    client.once("data", (first: Buffer) => {
       const target = connect({ host: ip, port, noDelay: true });
       this.sockets.add(target);
       target.on("error", () => target.destroy());
       target.write(first);
-      this.pump(dialler, target, senderOf(first), "");
-      this.pump(target, dialler, machine, machine);
+      this.forward(client, target, senderOf(first), "");
+      this.forward(target, client, machine, machine);
     });
   };
 
-  /** Carries bytes one way over the sender's link, and then the end. */
-  private readonly pump = (from: Socket, to: Socket, sender: string, listener: string): void => {
+  /** Forwards bytes in one direction over the sender's link, and closes the target after them. */
+  private readonly forward = (from: Socket, to: Socket, sender: string, listener: string): void => {
     const uplink = this.uplinks.get(sender);
     let inFlight = 0;
     let isOver = false;
@@ -104,9 +104,9 @@
       if (isOver && inFlight === 0) to.destroy();
     };
     const deliver = (packet: Buffer): void => {
-      const held = packet.length > KEEP_ALIVE_BYTES ? this.held.get(listener) : undefined;
-      if (held) {
-        held.push(() => deliver(packet));
+      const queue = packet.length > KEEP_ALIVE_BYTES ? this.held.get(listener) : undefined;
+      if (queue) {
+        queue.push(() => deliver(packet));
         return;
       }
       inFlight -= packet.length;
--- a/features/update-lag.feature
+++ b/features/update-lag.feature
@@ -1,9 +1,9 @@
-Feature: A node knows whether it lacks an update that it was told of
+Feature: A node detects whether it is missing an announced update
 
   Background:
-    Given a node that may lack an update for 1500 ms, and takes announcements into account for 4000 ms after its session
+    Given a node that may miss an announced update for 1500 ms, and takes announcements into account for 4000 ms after its session ended
 
-  Scenario Outline: It is behind once an announced update has been missing for too long, and not when that can't be told
+  Scenario Outline: A node is behind once an announced update has been missing for too long, but not if that cannot be determined
     When <events>
     Then it <verdict> behind
 
@@ -20,7 +20,7 @@
       | a snapshot without a position, announced a/4, 1600 ms                   | is not  |
       | a snapshot at a/3, announced a/4, a snapshot without a position, 1600 ms | is not |
       | a snapshot without a position, reached a/3, announced a/4, 1600 ms      | is      |
-      | a snapshot at a/3, announced a/4, session over, 3900 ms                 | is      |
-      | a snapshot at a/3, announced a/4, session over, 4100 ms                 | is not  |
+      | a snapshot at a/3, announced a/4, session ended, 3900 ms                | is      |
+      | a snapshot at a/3, announced a/4, session ended, 4100 ms                | is not  |
       | a snapshot at a/3, 100 announcements from a/4, reached a/102, 1600 ms   | is      |
       | a snapshot at a/3, 100 announcements from a/4, reached a/103, 1600 ms   | is not  |
