--- a/features/compatibility.feature
+++ b/features/compatibility.feature
@@ -1,35 +1,35 @@
-Feature: What was written and sent before is read as it was meant
+Feature: Data and messages of earlier versions remain compatible
 
-  Scenario: The control state of every copy is loaded with every value, and goes on
-    Given three copies that start from the control state stored before
-    Then each holds exactly what it held
-    And each knows which of it was proposed together, and what was there before
-    And what is in force is what was in force
-    And a new order is confirmed by a quorum
+  Scenario: The state of every replica is loaded with every value, and accepts new writes
+    Given three replicas that start from the state stored by an earlier version
+    Then each replica holds exactly the recorded state
+    And each replica holds the recorded history of writes proposed together and of earlier values
+    And the committed registers and the voter set are the recorded ones
+    And a new write is confirmed by a quorum
 
-  Scenario: The remembered workers are loaded with every value
-    Then the workers remembered before are read as they were
+  Scenario: Stored workers are loaded with every value
+    Then the workers stored by an earlier version are read with every value
 
-  Scenario: A worker's call, what is shared of it and what nodes are told of it keep their form
-    Then the heartbeats of before give the beats, the shared beats and the facts of before
+  Scenario: Heartbeats of workers, shared heartbeats and the updates for nodes keep their format
+    Then the recorded heartbeats result in the recorded worker states, shared heartbeats and updates
 
-  Scenario: The log of operation keys is loaded with every value
-    Then the operation keys and purges of before are held
+  Scenario: The log of idempotency keys is loaded with every value
+    Then the stored idempotency keys and purges are loaded
 
-  Scenario: Every frame is read with every value, and written as before
-    Then every frame of before is read as the message that it was
-    And every message of before is written as the frame that it was
+  Scenario: Every frame is decoded with every value and encoded as recorded
+    Then every recorded frame is decoded to the recorded message
+    And every recorded message is encoded to the recorded frame
 
-  Scenario: What one box sends is what it sent before
-    Then a conversation of four boxes is word for word that of before
+  Scenario: Controllers send each other the recorded messages
+    Then a conversation of four controllers is identical to the recorded one
 
-  Scenario: A member fed only with messages of before answers as before
-    Then the member's answers are word for word those of before
+  Scenario: A controller that receives only recorded messages answers as recorded
+    Then the controller's answers are identical to the recorded ones
 
-  Scenario: The crew, the news and the beats that nodes and boxes are sent are taken as before
-    Then what is taken from the crew, the news, the sessions and the beats of before is what was sent
+  Scenario: Cluster sizes, updates, sessions and heartbeats in messages to nodes and controllers are read as recorded
+    Then cluster sizes, updates, sessions and heartbeats are read from the recorded messages as they were sent
 
-  Scenario Outline: What the health subsystem reports, stores and answers is what it was before
+  Scenario Outline: The reports, stored registers and answers of the health subsystem keep their format
     Then the reports, registers and answers of the "<part>" are word for word those of before
 
     Examples:
@@ -39,17 +39,17 @@
       | capacity forecast   |
       | maintenance windows |
 
-  Scenario: What controllers forward to each other for operators keeps its form
+  Scenario: Requests of operators that controllers forward to each other keep their format
     Then each forwarded order of before is read and packed again as the frame that it was
     And each answer to a forwarded order of before is read and packed again as the frame that it was
     And each kind of message that was forwarded before still has its name
 
-  Scenario: Requests for objects, the server's answers and what a client makes of them keep their form
+  Scenario: Object requests, the object server's answers and the client's results keep their format
     Then requests for objects are packed as before
     And the object server's answers are word for word those of before
     And the object client makes of the replies of before what it made of them
 
-  Scenario: A controller and nodes of any version take each other's messages
-    Then a controller and six nodes say to each other what they said before
-    And a node says to controllers and its relay what it said before
-    And a controller greets its peers, and takes their greeting, as before
+  Scenario: Controllers and nodes of different versions understand each other
+    Then the messages between a controller and six nodes are the recorded ones
+    And the messages of a node to controllers and its relay are the recorded ones
+    And a controller sends its peers the recorded hello and reads theirs as recorded
--- a/features/steps/compatibility.ts
+++ b/features/steps/compatibility.ts
@@ -33,15 +33,15 @@
 import type { Message } from "../../src/transport/connection.js";
 import { ReplicaCluster } from "../support/replica-cluster.js";
 import {
-  answersOf,
-  bringBack,
+  collectAnswers,
+  startFromFiles,
   bytesOf,
-  converse,
+  recordConversation,
   IDS,
   plain,
   throughWire,
   withFormerNames,
-  live,
+  fromPlainJson,
   messageOf,
 } from "../support/golden.js";
 import { ManualClock } from "../support/manual-clock.js";
@@ -50,7 +50,7 @@
 const MEMBERS = IDS.slice(0, 3);
 
 let cluster = new ReplicaCluster(IDS);
-let found: readonly unknown[] = [];
+let loadedStates: readonly unknown[] = [];
 let folder = "";
 
 After(async () => {
@@ -59,15 +59,15 @@
   folder = "";
 });
 
-const golden = async (name: string): Promise<unknown> =>
+const readGolden = async (name: string): Promise<unknown> =>
   parseJson(await readFile(join(FOLDER, name), "utf8"));
-const goldenRec = async (name: string): Promise<UnknownRecord> =>
-  asRecord(await golden(name), name);
+const readGoldenRecord = async (name: string): Promise<UnknownRecord> =>
+  asRecord(await readGolden(name), name);
 
-const framesOf = async (): Promise<
+const readFrames = async (): Promise<
   readonly { readonly bytes: Buffer; readonly message: Message; readonly deflated: boolean }[]
 > =>
-  asList(await golden("frames.json")).map((value) => {
+  asList(await readGolden("frames.json")).map((value) => {
     const row = asRecord(value);
     return {
       bytes: Buffer.from(readString(row, "frame"), "base64"),
@@ -75,47 +75,54 @@
       deflated: readFlag(row, "deflated"),
     };
   });
-const aside = async (name: string): Promise<string> => {
+const copyToTempFolder = async (name: string): Promise<string> => {
   folder = await mkdtemp(join(tmpdir(), "yewreel-"));
   await cp(join(FOLDER, name), folder, { recursive: true });
   return folder;
 };
 
-Given("three copies that start from the control state stored before", async () => {
+Given("three replicas that start from the state stored by an earlier version", async () => {
   cluster = new ReplicaCluster(IDS);
   const files = new Map<string, Map<string, Uint8Array>>();
   for (const id of MEMBERS) {
-    const held = new Map<string, Uint8Array>();
+    const stateFiles = new Map<string, Uint8Array>();
     for (const name of await readdir(join(FOLDER, `state-${id}`)))
-      held.set(name, await readFile(join(FOLDER, `state-${id}`, name)));
-    files.set(id, held);
+      stateFiles.set(name, await readFile(join(FOLDER, `state-${id}`, name)));
+    files.set(id, stateFiles);
   }
-  found = await bringBack(cluster, MEMBERS, (id) => files.get(id) ?? new Map<string, Uint8Array>());
+  loadedStates = await startFromFiles(
+    cluster,
+    MEMBERS,
+    (id) => files.get(id) ?? new Map<string, Uint8Array>(),
+  );
 });
 
-/** Records that today's snapshots have beside those of before. */
-const isOfHistory = (record: unknown): boolean =>
+/** Whether a record is of a kind that snapshots of earlier versions did not contain. */
+const isHistoryRecord = (record: unknown): boolean =>
   ["call", "earlier"].includes(String(asRecord(record)["t"]));
 const snapshotOf = (state: unknown): readonly unknown[] => asList(asRecord(state)["snapshot"]);
 
-Then("each holds exactly what it held", async () => {
-  const withoutHistory = found.map((state) => ({
+Then("each replica holds exactly the recorded state", async () => {
+  const withoutHistory = loadedStates.map((state) => ({
     ...asRecord(state),
-    snapshot: snapshotOf(state).filter((record) => !isOfHistory(record)),
+    snapshot: snapshotOf(state).filter((record) => !isHistoryRecord(record)),
   }));
-  assert.deepEqual(withFormerNames(withoutHistory), await golden("loaded.json"));
+  assert.deepEqual(withFormerNames(withoutHistory), await readGolden("loaded.json"));
 });
 
-Then("each knows which of it was proposed together, and what was there before", async () => {
-  const history = found.map((state) => snapshotOf(state).filter(isOfHistory));
-  assert.deepEqual(
-    history,
-    asList(parseJson(await readFile("features/data/2026-12-history/loaded.json", "utf8"))),
-  );
-});
+Then(
+  "each replica holds the recorded history of writes proposed together and of earlier values",
+  async () => {
+    const history = loadedStates.map((state) => snapshotOf(state).filter(isHistoryRecord));
+    assert.deepEqual(
+      history,
+      asList(parseJson(await readFile("features/data/2026-12-history/loaded.json", "utf8"))),
+    );
+  },
+);
 
-Then("what is in force is what was in force", async () => {
-  const { registers, roster: voterSet } = await goldenRec("state.json");
+Then("the committed registers and the voter set are the recorded ones", async () => {
+  const { registers, roster: voterSet } = await readGoldenRecord("state.json");
   for (const id of MEMBERS) {
     assert.ok((await cluster.withClock(cluster.member(id).store.read())).isOk);
     const byKey = (rows: readonly UnknownRecord[]) =>
@@ -130,32 +137,32 @@
   }
 });
 
-Then("a new order is confirmed by a quorum", async () => {
-  const order = makeRegister("route/pay", 9, '{"service":"pay","new":true}');
-  assert.ok((await cluster.withClock(cluster.member("b").store.propose([order]))).isOk);
+Then("a new write is confirmed by a quorum", async () => {
+  const register = makeRegister("route/pay", 9, '{"service":"pay","new":true}');
+  assert.ok((await cluster.withClock(cluster.member("b").store.propose([register]))).isOk);
   for (const id of MEMBERS) {
     assert.ok((await cluster.withClock(cluster.member(id).store.read())).isOk);
-    assert.equal(cluster.member(id).store.get("route/pay")?.digest, order.digest);
+    assert.equal(cluster.member(id).store.get("route/pay")?.digest, register.digest);
   }
 });
 
-Then("the workers remembered before are read as they were", async () => {
-  const archive = new WriteAheadLog({
-    folder: await aside("workers"),
+Then("the workers stored by an earlier version are read with every value", async () => {
+  const writeAheadLog = new WriteAheadLog({
+    folder: await copyToTempFolder("workers"),
     fileSystem: new NodeFileSystem(),
     snapshot: () => [],
   });
-  const loaded = await archive.load();
-  const { kept } = await goldenRec("workers.json");
+  const loaded = await writeAheadLog.load();
+  const { kept } = await readGoldenRecord("workers.json");
   const heartbeats = loaded.kind === "verified" ? loaded.records.map(readSharedHeartbeat) : [];
   assert.deepEqual(plain(withFormerNames(heartbeats)), kept, loaded.kind);
   assert.deepEqual(plain(heartbeats.map(packHeartbeat)), kept);
 });
 
 Then(
-  "the heartbeats of before give the beats, the shared beats and the facts of before",
+  "the recorded heartbeats result in the recorded worker states, shared heartbeats and updates",
   async () => {
-    const { calls, beats: heartbeats, shared, facts } = await goldenRec("workers.json");
+    const { calls, beats: heartbeats, shared, facts } = await readGoldenRecord("workers.json");
     const clock = new ManualClock();
     const updates = new UpdateStore(clock);
     const registry = new WorkerRegistry(clock, updates, 1_000_000);
@@ -176,37 +183,37 @@
   },
 );
 
-Then("the operation keys and purges of before are held", async () => {
-  const { pack, body } = await goldenRec("keys.json");
-  const book = new IdempotencyKeyTable({
-    folder: await aside("keys"),
+Then("the stored idempotency keys and purges are loaded", async () => {
+  const { pack, body } = await readGoldenRecord("keys.json");
+  const table = new IdempotencyKeyTable({
+    folder: await copyToTempFolder("keys"),
     clock: new ManualClock(),
     keyWindowUs: 60_000_000,
     diskBytes: 1_000_000,
   });
-  assert.equal(await book.load(), true);
-  assert.deepEqual(plain(book.pack()), pack);
-  assert.equal(Buffer.from(book.findResponse("k1")?.body ?? []).toString(), body);
-  const other = new IdempotencyKeyTable({
+  assert.equal(await table.load(), true);
+  assert.deepEqual(plain(table.pack()), pack);
+  assert.equal(Buffer.from(table.findResponse("k1")?.body ?? []).toString(), body);
+  const mergedTable = new IdempotencyKeyTable({
     folder: "",
     clock: new ManualClock(),
     keyWindowUs: 60_000_000,
     diskBytes: 1_000_000,
   });
-  assert.equal(await other.merge(asRecord(live(pack))), true);
-  assert.deepEqual(plain(other.pack()), pack);
+  assert.equal(await mergedTable.merge(asRecord(fromPlainJson(pack))), true);
+  assert.deepEqual(plain(mergedTable.pack()), pack);
 });
 
-Then("every frame of before is read as the message that it was", async () => {
-  const frames = await framesOf();
+Then("every recorded frame is decoded to the recorded message", async () => {
+  const frames = await readFrames();
   assert.ok(frames.some(({ deflated }) => deflated));
   const read = await throughWire(frames.map(({ bytes }) => bytes));
   assert.deepEqual(plain(read), plain(frames.map(({ message }) => message)));
 });
 
-Then("every message of before is written as the frame that it was", async () => {
-  // What deflates may give other bytes with another zlib, so these are compared as what they hold.
-  const frames = await framesOf();
+Then("every recorded message is encoded to the recorded frame", async () => {
+  // Deflated bytes may differ between zlib versions, so these frames are compared by content.
+  const frames = await readFrames();
   for (const { bytes, message, deflated } of frames) {
     const [read] = await throughWire([bytes]);
     assert.ok(read);
@@ -217,38 +224,38 @@
   }
 });
 
-Then("a conversation of four boxes is word for word that of before", async () => {
+Then("a conversation of four controllers is identical to the recorded one", async () => {
   cluster = new ReplicaCluster(IDS);
-  assert.deepEqual(plain(await converse(cluster)), await golden("conversation.json"));
+  assert.deepEqual(plain(await recordConversation(cluster)), await readGolden("conversation.json"));
 });
 
-Then("the member's answers are word for word those of before", async () => {
+Then("the controller's answers are identical to the recorded ones", async () => {
   cluster = new ReplicaCluster(IDS);
-  const asked = asList(await golden("asked-of-b.json")).map(messageOf);
-  const answers = plain(await answersOf(cluster, "b", asked));
-  const expected = asList(await golden("answers-of-b.json"));
+  const requests = asList(await readGolden("asked-of-b.json")).map(messageOf);
+  const answers = plain(await collectAnswers(cluster, "b", requests));
+  const expected = asList(await readGolden("answers-of-b.json"));
   asList(answers).forEach((answer, at) =>
-    assert.deepEqual(answer, expected[at], `the answer to ${asked[at]?.kind ?? ""}, message ${at}`),
+    assert.deepEqual(answer, expected[at], `answer to ${requests[at]?.kind ?? ""}, message ${at}`),
   );
   assert.equal(asList(answers).length, expected.length);
 });
 
 Then(
-  "what is taken from the crew, the news, the sessions and the beats of before is what was sent",
+  "cluster sizes, updates, sessions and heartbeats are read from the recorded messages as they were sent",
   async () => {
-    const taken = { crew: 0, news: 0, sessions: 0, beats: 0 };
-    for (const { message } of await framesOf()) {
+    const readCounts = { crew: 0, news: 0, sessions: 0, beats: 0 };
+    for (const { message } of await readFrames()) {
       const clock = new ManualClock();
       const updates = new UpdateStore(clock);
       if (message.kind === "crew") {
         const size = readClusterSize(message);
         assert.deepEqual({ kind: "crew", ...asRecord(withFormerNames(size)) }, message);
         assert.deepEqual(packClusterSize(size), message);
-        taken.crew += 1;
+        readCounts.crew += 1;
       } else if (message.kind === "news") {
         updates.merge(asList(message["facts"]));
         assert.deepEqual(plain(updates.pack(updates.all())), plain(message["facts"]));
-        taken.news += 1;
+        readCounts.news += 1;
       } else if (message.kind === "sessions") {
         const sessions = new NodeSessions({
           clock,
@@ -262,7 +269,7 @@
         });
         sessions.applyPeerSessions("a", message);
         assert.deepEqual(plain(sessions.nodes().map(packNode)), plain(message["nodes"]));
-        taken.sessions += 1;
+        readCounts.sessions += 1;
       } else if (message.kind === "beats") {
         readList(message, "beats", (value) => {
           const { ageUs, ...heartbeat } = asRecord(value);
@@ -270,12 +277,12 @@
           assert.deepEqual(withFormerNames(readSharedHeartbeat(value)), heartbeat);
           assert.deepEqual(packHeartbeat(readSharedHeartbeat(value)), heartbeat);
         });
-        taken.beats += 1;
+        readCounts.beats += 1;
       }
     }
     assert.ok(
-      Object.values(taken).every((count) => count > 0),
-      JSON.stringify(taken),
+      Object.values(readCounts).every((count) => count > 0),
+      JSON.stringify(readCounts),
     );
   },
 );
--- a/features/steps/membership-golden.ts
+++ b/features/steps/membership-golden.ts
@@ -40,7 +40,7 @@
 const recorded = async (name: string): Promise<UnknownRecord> =>
   asRecord(asRecord(parseJson(await readFile(DATA, "utf8")))[name], name);
 
-/** Without the ages of updates, which depend on when the sockets' events come. */
+/** Replaces the ages of updates by their type, because they depend on the timing of socket events. */
 const withoutAges = (value: unknown): unknown => {
   if (Array.isArray(value)) return value.map(withoutAges);
   if (!isRecord(value)) return value;
@@ -57,18 +57,18 @@
 };
 
 /**
- * A node of the golden conversation: sends the hello as it was, answers questions, keeps what it is
- * sent.
+ * Connects as a node of the recorded conversation: sends its hello, answers requests and collects
+ * the messages that it receives.
  */
 const joinAsNode = async (
-  got: Record<string, Message[]>,
+  messagesByNode: Record<string, Message[]>,
   name: string,
   node: UnknownRecord,
 ): Promise<Connection> => {
   const received: Message[] = [];
-  got[name] = received;
+  messagesByNode[name] = received;
   const connection = await connectTo("127.11.0.1", PORT, clock, 1_000_000, TIMES);
-  assert.ok(connection, `${name} reached no controller`);
+  assert.ok(connection, `${name} could not connect to the controller`);
   connections.push(connection);
   connection.send({ kind: "pointsman", node: { name, ...node } });
   const receive = async (): Promise<void> => {
@@ -83,7 +83,7 @@
   return connection;
 };
 
-Then("a controller and six nodes say to each other what they said before", async () => {
+Then("the messages between a controller and six nodes are the recorded ones", async () => {
   clock = new ManualClock();
   const updates = new UpdateStore(clock);
   const registry = new WorkerRegistry(clock, updates, 1_000_000);
@@ -101,7 +101,7 @@
   );
   const publisher = new UpdatePublisher(clock, updates, () => true);
   let mayServe = true;
-  const asked: unknown[] = [];
+  const requests: unknown[] = [];
   const reports: Message[] = [];
   const sessions = new NodeSessions({
     clock,
@@ -115,7 +115,7 @@
       { id: "127.11.0.2:1", zone: "c2" },
     ],
     answer: async (message, node) => {
-      asked.push([node, message]);
+      requests.push([node, message]);
       return { kind: "unknown" };
     },
   });
@@ -126,17 +126,25 @@
   listeners.push(listener);
   await listener.listen("127.11.0.1", PORT);
 
-  const got: Record<string, Message[]> = {};
+  const messagesByNode: Record<string, Message[]> = {};
   const nodeAt = (at: number, zone: string, rest: UnknownRecord): UnknownRecord => ({
     cell: zone,
     relay: `127.11.1.${at}:1`,
     ...rest,
   });
-  const first = await joinAsNode(got, "n1", nodeAt(1, "c1", { role: "pointsman", linkMbps: 10 }));
-  const second = await joinAsNode(got, "n2", nodeAt(2, "c1", { role: "pointsman", linkMbps: 10 }));
-  await joinAsNode(got, "n3", nodeAt(3, "c2", { role: "depot" }));
-  await joinAsNode(got, "n4", nodeAt(4, "c1", { role: "pointsman", linkMbps: 100 }));
-  const fifth = await joinAsNode(got, "n5", nodeAt(5, "c3", { role: "pointsman" }));
+  const first = await joinAsNode(
+    messagesByNode,
+    "n1",
+    nodeAt(1, "c1", { role: "pointsman", linkMbps: 10 }),
+  );
+  const second = await joinAsNode(
+    messagesByNode,
+    "n2",
+    nodeAt(2, "c1", { role: "pointsman", linkMbps: 10 }),
+  );
+  await joinAsNode(messagesByNode, "n3", nodeAt(3, "c2", { role: "depot" }));
+  await joinAsNode(messagesByNode, "n4", nodeAt(4, "c1", { role: "pointsman", linkMbps: 100 }));
+  const fifth = await joinAsNode(messagesByNode, "n5", nodeAt(5, "c3", { role: "pointsman" }));
   fifth.send({ kind: "lost-news", parent: "127.11.1.1:1" });
   await pass(60);
   sessions.announceControllers();
@@ -147,24 +155,24 @@
   first.send({ kind: "retry-ask", life: "l", wants: [], ask: 7 });
   second.send({ kind: "faults", counts: [] });
   await pass(60);
-  const answersSoon = sessions.queryAll({ kind: "retries" }, 100_000);
+  const pendingAnswers = sessions.queryAll({ kind: "retries" }, 100_000);
   await pass(160);
-  const answers = await answersSoon;
+  const answers = await pendingAnswers;
   const packed = sessions.packNodes();
   mayServe = false;
-  await joinAsNode(got, "n6", nodeAt(6, "c1", { role: "pointsman" }));
+  await joinAsNode(messagesByNode, "n6", nodeAt(6, "c1", { role: "pointsman" }));
 
-  const before = await recorded("controller");
-  assert.deepEqual(withoutAges(plain(got)), before["got"]);
-  assert.deepEqual(plain(asked), before["asked"]);
-  assert.deepEqual(plain(reports), before["reports"]);
-  assert.deepEqual(plain(answers.map(packNodeAnswer)), before["answers"]);
-  assert.deepEqual(plain(packed), before["pack"]);
-  assert.deepEqual(plain(sessions.nodes().map(packNode)), before["nodes"]);
-  assert.deepEqual(withFormerNames(sessions.clusterSize()), before["crew"]);
+  const expected = await recorded("controller");
+  assert.deepEqual(withoutAges(plain(messagesByNode)), expected["got"]);
+  assert.deepEqual(plain(requests), expected["asked"]);
+  assert.deepEqual(plain(reports), expected["reports"]);
+  assert.deepEqual(plain(answers.map(packNodeAnswer)), expected["answers"]);
+  assert.deepEqual(plain(packed), expected["pack"]);
+  assert.deepEqual(plain(sessions.nodes().map(packNode)), expected["nodes"]);
+  assert.deepEqual(withFormerNames(sessions.clusterSize()), expected["crew"]);
   const { kind, ...size } = packClusterSize(sessions.clusterSize());
   assert.equal(kind, "crew");
-  assert.deepEqual(size, before["crew"]);
+  assert.deepEqual(size, expected["crew"]);
 });
 
 const controller = (at: number, zone: string): UnknownRecord => ({
@@ -172,23 +180,23 @@
   cell: zone,
 });
 
-Then("a node says to controllers and its relay what it said before", async () => {
+Then("the messages of a node to controllers and its relay are the recorded ones", async () => {
   clock = new ManualClock();
   const updates = new UpdateStore(clock);
-  const said: unknown[] = [];
+  const sent: unknown[] = [];
   const serve = async (
     ip: string,
     kind: string,
-    act: (connection: Connection) => void,
+    onConnect: (connection: Connection) => void,
   ): Promise<void> => {
     const handle = async (
       connection: Connection,
       hello: Message,
       incoming: AsyncIterable<Message>,
     ): Promise<void> => {
-      said.push([ip, hello]);
-      act(connection);
-      for await (const message of incoming) said.push([ip, message]);
+      sent.push([ip, hello]);
+      onConnect(connection);
+      for await (const message of incoming) sent.push([ip, message]);
     };
     const listener = new Listener(clock, TIMES, { [kind]: handle }, silentLogger);
     listeners.push(listener);
@@ -256,23 +264,23 @@
     answer: ({ kind }) => (kind === "retries" ? { kind: "retries", rows: [] } : undefined),
   });
   const events: unknown[] = [];
-  const note = (name: string) => (value: unknown) => {
+  const recordEvent = (name: string) => (value: unknown) => {
     events.push([name, withFormerNames(value) ?? null]);
   };
-  subscriber.events.on("clusterSize", note("crew"));
-  subscriber.events.on("snapshot", note("whole"));
-  subscriber.events.on("freshness", note("fresh"));
-  subscriber.events.on("disconnected", note("unfed"));
+  subscriber.events.on("clusterSize", recordEvent("crew"));
+  subscriber.events.on("snapshot", recordEvent("whole"));
+  subscriber.events.on("freshness", recordEvent("fresh"));
+  subscriber.events.on("disconnected", recordEvent("unfed"));
   void subscriber.run();
   await pass(900);
-  // What the stopping itself brings about isn't recorded.
+  // Taken before the subscriber stops, because the effects of stopping are not recorded.
   const facts = updates.pack(updates.all());
-  const observed = withoutAges(plain({ said, events, facts }));
+  const observed = withoutAges(plain({ said: sent, events, facts }));
   subscriber.stop();
   assert.deepEqual(observed, await recorded("node"));
 });
 
-Then("a controller greets its peers, and takes their greeting, as before", async () => {
+Then("a controller sends its peers the recorded hello and reads theirs as recorded", async () => {
   clock = new ManualClock();
   const peers = new Peers({
     self: "127.13.0.1:1",
@@ -284,8 +292,8 @@
   peers.learnFrom({ kind: "welcome", from: "127.13.0.2:1", cell: "c2", known: [] });
   peers.learnFrom({ kind: "welcome", from: "127.13.0.3:1", known: [] });
   const zones = ["127.13.0.1:1", "127.13.0.2:1", "127.13.0.3:1"].map(peers.zoneOf);
-  const before = await recorded("peers");
-  assert.deepEqual(plain(peers.hello()), before["hello"]);
-  assert.deepEqual(zones, before["cells"]);
-  assert.deepEqual(withFormerNames(peers.connectedControllers()), before["boxes"]);
+  const expected = await recorded("peers");
+  assert.deepEqual(plain(peers.hello()), expected["hello"]);
+  assert.deepEqual(zones, expected["cells"]);
+  assert.deepEqual(withFormerNames(peers.connectedControllers()), expected["boxes"]);
 });
--- a/features/support/golden.ts
+++ b/features/support/golden.ts
@@ -7,9 +7,9 @@
 import { STATE_FOLDER, type ReplicaCluster } from "./replica-cluster.js";
 import { ManualClock } from "./manual-clock.js";
 
-export type Said = readonly [to: string, message: Message];
+export type SentMessage = readonly [to: string, message: Message];
 
-/** A value as JSON holds it, with bytes as text, and without what is undefined. */
+/** Converts a value to plain JSON: bytes become base64 text, and undefined fields are omitted. */
 export const plain = (value: unknown): unknown =>
   JSON.parse(
     JSON.stringify(value, (_key, inner: unknown) => {
@@ -21,9 +21,9 @@
   );
 
 /**
- * Fields of values in memory that have been renamed since the golden data was written: today's
- * name, and the name then. Only for comparing what was loaded; frames, stored records and answers
- * are compared without it.
+ * Fields of in-memory values that were renamed after the golden data was recorded: current name and
+ * former name. Used only to compare loaded values; frames, stored records and answers are compared
+ * without it.
  */
 const FORMER_NAMES: ReadonlyMap<string, string> = new Map([
   ["isAccepted", "isVoted"],
@@ -36,7 +36,7 @@
   ["zoneDistributors", "halls"],
 ]);
 
-/** The value with the field names that it had in memory when the golden data was written. */
+/** Returns the value with the in-memory field names of when the golden data was recorded. */
 export const withFormerNames = (value: unknown): unknown => {
   if (Array.isArray(value)) return value.map(withFormerNames);
   if (!isRecord(value)) return value;
@@ -48,39 +48,43 @@
   );
 };
 
-/** What `plain` made of a value, with its bytes again. */
-export const live = (value: unknown): unknown => {
-  if (Array.isArray(value)) return value.map(live);
+/** Inverse of {@link plain}: converts base64 text back to bytes. */
+export const fromPlainJson = (value: unknown): unknown => {
+  if (Array.isArray(value)) return value.map(fromPlainJson);
   if (!isRecord(value)) return value;
   if (typeof value["bytes"] === "string" && Object.keys(value).length === 1)
     return Buffer.from(value["bytes"], "base64");
-  return Object.fromEntries(Object.entries(value).map(([key, inner]) => [key, live(inner)]));
+  return Object.fromEntries(
+    Object.entries(value).map(([key, inner]) => [key, fromPlainJson(inner)]),
+  );
 };
-/** The message that a golden file holds in that form. */
+/** Reads a message from the plain JSON of a golden file. */
 export const messageOf = (value: unknown): Message => {
-  const record = asRecord(live(value), "message");
+  const record = asRecord(fromPlainJson(value), "message");
   return { ...record, kind: readString(record, "kind") };
 };
 
 export const IDS = ["a", "b", "c", "d"];
-export const ORDER = [
+export const WRITES = [
   makeRegister("service/pay", 1, '{"workers":1}'),
   makeRegister("route/pay", 1, JSON.stringify({ service: "pay", pad: "x".repeat(3_000) })),
 ];
 
 /**
- * One conversation of four boxes, all of it begun by `a`, but for the catching up of `d`. What was
- * sent, in order.
+ * Runs a conversation of four controllers, started by `a` except for the catch-up of `d`, and
+ * returns all messages in the order in which they were sent.
  */
-export const converse = async (cluster: ReplicaCluster): Promise<readonly Said[]> => {
-  const said: Said[] = [];
+export const recordConversation = async (
+  cluster: ReplicaCluster,
+): Promise<readonly SentMessage[]> => {
+  const sent: SentMessage[] = [];
   cluster.dropsMessage = (to, message) => {
-    said.push([to, message]);
+    sent.push([to, message]);
     return false;
   };
   await cluster.startAll();
   const a = cluster.member("a");
-  await cluster.withClock(a.store.propose(ORDER));
+  await cluster.withClock(a.store.propose(WRITES));
   await cluster.withClock(
     a.store.propose([
       makeRegister("route/pay", 2, '{"service":"pay"}'),
@@ -106,11 +110,11 @@
   await cluster.withClock(cluster.member("d").store.read());
   await cluster.withClock(a.lease.handleRequest({ kind: "join", id: "d" }));
   await cluster.withClock(a.store.read());
-  return said;
+  return sent;
 };
 
-/** What one box that hears nothing else answers to these. */
-export const answersOf = async (
+/** Returns the answers of one controller that receives only these messages. */
+export const collectAnswers = async (
   cluster: ReplicaCluster,
   id: string,
   messages: readonly Message[],
@@ -135,7 +139,7 @@
   return answers;
 };
 
-/** Sends bytes at the reader of this code, gives the messages read. */
+/** Decodes frames through a real connection, and returns the messages read. */
 export const throughWire = (frames: readonly Buffer[]): Promise<readonly Message[]> =>
   new Promise((resolve, reject) => {
     const server = createServer((socket: Socket) => socket.end(Buffer.concat(frames)));
@@ -159,7 +163,7 @@
     });
   });
 
-/** The bytes that this code writes for messages. */
+/** Encodes messages through a real connection, and returns the bytes written. */
 export const bytesOf = (messages: readonly Message[]): Promise<Buffer> =>
   new Promise((resolve, reject) => {
     const chunks: Buffer[] = [];
@@ -182,19 +186,19 @@
     });
   });
 
-/** Boxes that come back with a folder each as it was stored, and have caught up with each other. */
-export const bringBack = async (
+/** Starts controllers from stored state folders, and returns the state that each loaded. */
+export const startFromFiles = async (
   cluster: ReplicaCluster,
   ids: readonly string[],
   filesOf: (id: string) => ReadonlyMap<string, Uint8Array>,
 ): Promise<readonly unknown[]> => {
-  const found: unknown[] = [];
+  const loadedStates: unknown[] = [];
   for (const id of ids) {
     filesOf(id).forEach((bytes, name) =>
       cluster.diskOf(id).files.set(`${STATE_FOLDER}/${name}`, bytes),
     );
     const { replica: state, store } = await cluster.start(id, false);
-    found.push(
+    loadedStates.push(
       plain({
         entries: [...state.copyOfEntries().values()],
         snapshot: state.snapshot(),
@@ -206,5 +210,5 @@
       }),
     );
   }
-  return found;
+  return loadedStates;
 };
