--- a/features/relay.feature
+++ b/features/relay.feature
@@ -1,7 +1,7 @@
 Feature: Updates are distributed through a tree of relays that repairs itself
 
   Background:
-    Given a controller that feeds up to 4 nodes directly, and 9 gateways below it
+    Given a controller with a fan-out of 4, and 9 gateways below it
 
   Scenario: More gateways than the controller feeds directly are fed through relays
     Then some gateways are fed by a relay and no node feeds more than 4
--- a/features/steps/relay.ts
+++ b/features/steps/relay.ts
@@ -20,7 +20,7 @@
 };
 
 Given(
-  "a controller that feeds up to {int} nodes directly, and {int} gateways below it",
+  "a controller with a fan-out of {int}, and {int} gateways below it",
   async (fanOut: number, count: number) => {
     assert.equal(fanOut, FAN_OUT);
     clusterCount += 1;
