--- a/features/ctl.feature
+++ b/features/ctl.feature
@@ -5,12 +5,12 @@
     When the nodes are queried
     Then the answer is that of controller 2
 
-  Scenario: The next controller is tried when one has no quorum
+  Scenario: The next controller is tried when one answers 503
     Given controllers that answer "503, 200"
     When the nodes are queried
     Then the answer is that of controller 2
 
-  Scenario: A rejection is final
+  Scenario: A rejection is not retried at another controller
     Given controllers that answer "409, 200"
     When the nodes are queried
     Then it fails with code "REJECTED" and exit code 1, saying "409: no"
@@ -21,7 +21,7 @@
     When the nodes are queried
     Then it fails with code "UNREACHABLE" and exit code 3, saying "cannot be reached"
 
-  Scenario: No controller is named
+  Scenario: No controller is given
     Given controllers that answer ""
     When the nodes are queried
     Then it fails with code "INVALID_INPUT" and exit code 2, saying "no controller is named"
@@ -32,17 +32,17 @@
     Then the answer is that of controller 2
     And controller 2 got the same method and body as controller 1
 
-  Scenario: A redirect that leads in a circle ends
+  Scenario: A redirect loop is aborted
     Given controllers that answer "307"
     When a change is posted
     Then it fails with code "REJECTED" and exit code 1, saying "307"
 
-  Scenario: Workers to add are read from the command line
+  Scenario: Workers to add are parsed from command line arguments
     Given controllers that answer "200"
     When the command "backends forecast --add pay@c1*3 menu@c2" is run
     Then the body sent to controller 1 has "add" as '[{"service":"pay","cell":"c1","count":3},{"service":"menu","cell":"c2","count":1}]'
 
-  Scenario: A table has every column that any row has
+  Scenario: A table has the columns of all rows
     Then the rows '[{"id":"a"},{"id":"bb","zone":"c1"}]' are printed as
       """
       id  zone
--- a/features/metrics.feature
+++ b/features/metrics.feature
@@ -1,19 +1,19 @@
-Feature: Programs tell their own figures
+Feature: Programs export metrics
 
-  Scenario: Figures are given in the text format, fresh at each reading, and the library is loaded only then
+  Scenario: Metrics are served in the text format, with current values at each scrape
     Given a metrics server with a count and a count by outcome
-    When the metrics are read
-    Then they say that the count is 1 and that 3 requests ended "ok"
-    When the count becomes 5 and no request is counted any more
-    And the metrics are read
-    Then they say that the count is 5 and nothing of requests
+    When the metrics are scraped
+    Then the count is 1 and 3 requests have the outcome "ok"
+    When the count becomes 5 and the count by outcome becomes empty
+    And the metrics are scraped
+    Then the count is 5 and there are no requests by outcome
 
-  Scenario: Another path is unknown, and a port that is taken stops nothing
+  Scenario: Other paths are not found, and a port that is in use is not fatal
     Given a metrics server with a count and a count by outcome
-    Then another path of it answers 404
-    And a second server at the same port says so in one warning and goes on
+    Then another path of the metrics server answers 404
+    And a second server at the same port logs one warning and goes on
 
-  Scenario Outline: An endpoint that can't be is refused in the settings
+  Scenario Outline: An invalid metrics endpoint is refused in the settings
     Then the settings with the metrics endpoint "<endpoint>" are <verdict>
 
     Examples:
@@ -23,7 +23,7 @@
       | 9464          | refused |
       | 70000/metrics | refused |
 
-  Scenario: The delay of the event loop is how late a timer fired
-    Given the delay of the event loop is measured
-    When the loop stands still for 700 ms
-    Then the longest delay is 450 ms or more, and the next reading begins anew
+  Scenario: The event loop delay is the lateness of a timer
+    Given the event loop delay is measured
+    When the event loop is blocked for 700 ms
+    Then the maximum delay is 450 ms or more, and is reset by being read
--- a/features/steps/contact.ts
+++ b/features/steps/contact.ts
@@ -25,71 +25,80 @@
 import { CuttableNet } from "../support/cuttable-net.js";
 import { ManualClock, settle } from "../support/manual-clock.js";
 
-const TIMES = { heartbeatUs: 300_000, timeoutUs: 1_000_000 };
+const LINK_TIMES = { heartbeatUs: 300_000, timeoutUs: 1_000_000 };
 const STEP_US = 10_000;
 
-interface Box {
+interface Controller {
   readonly settings: Settings;
   readonly clock: ManualClock;
   running: RunningProgram;
 }
 
-/** Every scenario has ports of its own. */
-let base = 15_000;
+/** First port of the running scenario: each scenario uses its own range. */
+let basePort = 15_000;
 let net = new CuttableNet();
-let boxes: Box[] = [];
+let controllers: Controller[] = [];
 let nodeClock = new ManualClock();
-let frozen: ManualClock | undefined;
-let takers: UpdateSubscriber[] = [];
-let wires: Connection[] = [];
+let frozenClock: ManualClock | undefined;
+let subscribers: UpdateSubscriber[] = [];
+let openConnections: Connection[] = [];
 let heartbeats = 0;
 
 /**
- * Each box, and the nodes, have a clock of their own; all move on together, but for one that is
- * frozen.
+ * Advances the clocks together in steps: one clock per controller and one for all nodes. A frozen
+ * clock stands still.
  */
-const pass = async (spanUs: number): Promise<void> => {
+const advance = async (spanUs: number): Promise<void> => {
   for (let passedUs = 0; passedUs < spanUs; passedUs += STEP_US) {
-    for (const clock of [nodeClock, ...boxes.map((box) => box.clock)])
-      if (clock !== frozen) await clock.pass(STEP_US);
+    for (const clock of [nodeClock, ...controllers.map((controller) => controller.clock)])
+      if (clock !== frozenClock) await clock.pass(STEP_US);
     await settle(4);
   }
 };
 
-/** How long it takes, by the clocks. */
-const during = async <T>(
-  work: Promise<T>,
-  mostUs = 20_000_000,
+/** Advances the clocks until the operation ends; returns its result and how long it took. */
+const advanceUntilDone = async <T>(
+  operation: Promise<T>,
+  limitUs = 20_000_000,
 ): Promise<{ readonly result: T; readonly tookUs: number }> => {
   let isDone = false;
-  const finished = work.finally(() => {
+  const finished = operation.finally(() => {
     isDone = true;
   });
   await settle();
   let tookUs = 0;
   // eslint-disable-next-line @typescript-eslint/no-unnecessary-condition -- set by the callback above
-  for (; !isDone && tookUs < mostUs; tookUs += STEP_US) await pass(STEP_US);
+  for (; !isDone && tookUs < limitUs; tookUs += STEP_US) await advance(STEP_US);
   return { result: await finished, tookUs };
 };
 
-const until = async (isSo: () => boolean, mostUs: number, what: string): Promise<void> => {
-  for (let passedUs = 0; !isSo(); passedUs += STEP_US) {
-    assert.ok(passedUs < mostUs, `within ${mostUs / 1_000} ms ${what}`);
-    await pass(STEP_US);
+const advanceUntil = async (
+  condition: () => boolean,
+  timeoutUs: number,
+  what: string,
+): Promise<void> => {
+  for (let passedUs = 0; !condition(); passedUs += STEP_US) {
+    assert.ok(passedUs < timeoutUs, `within ${timeoutUs / 1_000} ms ${what}`);
+    await advance(STEP_US);
   }
 };
 
 interface Answer {
   readonly status: number;
   readonly body: UnknownRecord;
-  readonly comeBack: boolean;
+  readonly hasRetryAfter: boolean;
 }
 
-const call = (box: Box, method: string, path: string, body: unknown = ""): Promise<Answer> =>
+const callController = (
+  controller: Controller,
+  method: string,
+  path: string,
+  body: unknown = "",
+): Promise<Answer> =>
   new Promise((resolve, reject) => {
     const bytes = typeof body === "string" ? body : JSON.stringify(body);
     const request = httpRequest(
-      `http://${box.settings.control}${path}`,
+      `http://${controller.settings.control}${path}`,
       { method, agent: false, headers: { "Content-Length": Buffer.byteLength(bytes) } },
       (response) => {
         const chunks: Buffer[] = [];
@@ -98,7 +107,7 @@
           resolve({
             status: response.statusCode ?? 0,
             body: asRecord(parseJson(Buffer.concat(chunks).toString())),
-            comeBack: response.headers["retry-after"] !== undefined,
+            hasRetryAfter: response.headers["retry-after"] !== undefined,
           }),
         );
       },
@@ -107,12 +116,12 @@
     request.end(bytes);
   });
 
-const boxAt = (number: number): Box => {
-  const box = boxes[number - 1];
-  assert.ok(box);
-  return box;
+const controllerAt = (number: number): Controller => {
+  const controller = controllers[number - 1];
+  assert.ok(controller);
+  return controller;
 };
-const idOf = (box: Box): string => box.settings.control;
+const idOf = (controller: Controller): string => controller.settings.control;
 
 const settingsOf = (number: number, firstRun: boolean): Settings =>
   parseSettings(`
@@ -120,13 +129,13 @@
     name = "box-${number}"
     cell = "c${number}"
     ip = "127.4.0.${number}"
-    sparePorts = [${base}, ${base + 1}]
-    seedNodes = [${[1, 2, 3].map((other) => `"127.1.0.${other}:${base + 2}"`).join()}]
+    sparePorts = [${basePort}, ${basePort + 1}]
+    seedNodes = [${[1, 2, 3].map((other) => `"127.1.0.${other}:${basePort + 2}"`).join()}]
     firstRun = ${firstRun}
     heartbeat = "1500ms"
     logLevel = "silent"
     [listen]
-    control = "127.1.0.${number}:${base + 2}"
+    control = "127.1.0.${number}:${basePort + 2}"
     [withstand]
     machines = 1
     [bounds]
@@ -140,7 +149,7 @@
     retrySlack = 50
   `).unwrapOrElse(({ sentence }) => assert.fail(sentence));
 
-const beatOf = (service: string, zone: string, state = "ready"): UnknownRecord => {
+const heartbeatOf = (service: string, zone: string, state = "ready"): UnknownRecord => {
   heartbeats += 1;
   return {
     service,
@@ -153,7 +162,7 @@
     callCount: heartbeats,
   };
 };
-const planOf = (version: number, giveUp = "2000ms"): UnknownRecord => ({
+const configurationOf = (version: number, timeout = "2000ms"): UnknownRecord => ({
   putItems: {
     listeners: [
       {
@@ -166,7 +175,7 @@
             rank: 1,
             version,
             matchOn: { pathStart: "/a/" },
-            then: { service: "s1", giveUp, tries: 2 },
+            then: { service: "s1", giveUp: timeout, tries: 2 },
           },
         ],
       },
@@ -174,115 +183,134 @@
     groups: [{ name: "s1", statusPath: "/health", maxConnections: 60, version: 1 }],
   },
 });
-const apply = async (number: number, version: number): Promise<void> => {
+const applyConfiguration = async (number: number, version: number): Promise<void> => {
   for (let at = 0; at < 20; at += 1)
     if (
-      (await during(call(boxAt(number), "POST", "/plan/change", planOf(version)))).result.status ===
-      200
+      (
+        await advanceUntilDone(
+          callController(controllerAt(number), "POST", "/plan/change", configurationOf(version)),
+        )
+      ).result.status === 200
     )
       return;
   assert.fail(`version ${version} was not acknowledged`);
 };
-const CELLS = ["c1", "c2", "c3"];
+const ZONES = ["c1", "c2", "c3"];
 
-Given("3 signalboxes that stand, a plan, and workers that beat", async () => {
+Given("3 running controllers, a configuration, and workers that send heartbeats", async () => {
   setLogLevel("silent");
-  base += 20;
+  basePort += 20;
   net = new CuttableNet();
   nodeClock = new ManualClock();
-  [boxes, takers, wires, frozen] = [[], [], [], undefined];
+  [controllers, subscribers, openConnections, frozenClock] = [[], [], [], undefined];
   for (const number of [1, 2, 3]) {
     const settings = settingsOf(number, true);
-    await net.open(settings.control, splitAddress(settings.control).ip, settings.ip, base);
+    await net.open(settings.control, splitAddress(settings.control).ip, settings.ip, basePort);
     const clock = new ManualClock();
-    boxes.push({ settings, clock, running: await runController(settings, clock) });
+    controllers.push({ settings, clock, running: await runController(settings, clock) });
   }
-  await pass(4_000_000);
-  await apply(1, 1);
-  for (const zone of CELLS)
+  await advance(4_000_000);
+  await applyConfiguration(1, 1);
+  for (const zone of ZONES)
     assert.equal(
-      (await during(call(boxAt(1), "POST", `/workers/w-${zone}/heartbeat`, beatOf("s1", zone))))
-        .result.status,
+      (
+        await advanceUntilDone(
+          callController(
+            controllerAt(1),
+            "POST",
+            `/workers/w-${zone}/heartbeat`,
+            heartbeatOf("s1", zone),
+          ),
+        )
+      ).result.status,
       200,
     );
-  await pass(1_500_000);
+  await advance(1_500_000);
 });
 
 After(async () => {
-  frozen = undefined;
-  takers.forEach((subscriber) => subscriber.stop());
-  wires.forEach((connection) => connection.close());
-  for (const box of boxes) await during(box.running.stop());
+  frozenClock = undefined;
+  subscribers.forEach((subscriber) => subscriber.stop());
+  openConnections.forEach((connection) => connection.close());
+  for (const controller of controllers) await advanceUntilDone(controller.running.stop());
   net.close();
-  boxes = [];
+  controllers = [];
   await settle();
 });
 
-const cutWays = (box: Box, way: string): void =>
-  boxes
-    .filter((other) => other !== box)
+const partition = (controller: Controller, fault: string): void =>
+  controllers
+    .filter((other) => other !== controller)
     .forEach((other) => {
-      if (way !== "hears nobody") net.cut(idOf(box), idOf(other));
-      if (way !== "is heard by nobody") net.cut(idOf(other), idOf(box));
+      if (fault !== "receives nothing from its peers") net.cut(idOf(controller), idOf(other));
+      if (fault !== "can send nothing to its peers") net.cut(idOf(other), idOf(controller));
     });
-const WAY = "(neither hears nor is heard|hears nobody|is heard by nobody)";
-When(new RegExp(`^box (\\d) ${WAY}$`), (number: string, way: string) =>
-  cutWays(boxAt(Number(number)), way),
+const PARTITION =
+  "(is partitioned from its peers|receives nothing from its peers|can send nothing to its peers)";
+When(new RegExp(`^controller (\\d) ${PARTITION}$`), (number: string, fault: string) =>
+  partition(controllerAt(Number(number)), fault),
 );
-When("every box neither hears nor is heard", () => boxes.forEach((box) => cutWays(box, "")));
-When("the cut is healed for {int} s", async (seconds: number) => {
+When("every controller is partitioned from its peers", () =>
+  controllers.forEach((controller) => partition(controller, "")),
+);
+When("the partition is healed and {int} s pass", async (seconds: number) => {
   net.heal();
-  await pass(seconds * 1_000_000);
+  await advance(seconds * 1_000_000);
 });
 
-/** A node's bare session: what comes in, and what it may ask. */
-const join = async (
-  box: Box,
+/** Opens a node session at protocol level: records received messages and sends requests. */
+const openSession = async (
+  controller: Controller,
   name: string,
 ): Promise<{
-  readonly wire: Connection;
-  readonly heard: Message[];
-  readonly ask: (message: Message) => Promise<Message | undefined>;
+  readonly connection: Connection;
+  readonly received: Message[];
+  readonly request: (message: Message) => Promise<Message | undefined>;
 }> => {
-  const { result: connection } = await during(
-    connectTo(box.settings.ip, base, nodeClock, 500_000, TIMES),
+  const { result: connection } = await advanceUntilDone(
+    connectTo(controller.settings.ip, basePort, nodeClock, 500_000, LINK_TIMES),
   );
-  assert.ok(connection, "nobody listens");
-  wires.push(connection);
-  const asks = new PendingRequests(nodeClock);
-  const heard: Message[] = [];
+  assert.ok(connection, "the controller refused the connection");
+  openConnections.push(connection);
+  const pendingRequests = new PendingRequests(nodeClock);
+  const received: Message[] = [];
   const read = async () => {
     for await (const message of connection.incoming())
-      if (!asks.resolve(message)) heard.push(message);
-    asks.abandonAll();
+      if (!pendingRequests.resolve(message)) received.push(message);
+    pendingRequests.abandonAll();
   };
   void read();
   connection.send({
     kind: "pointsman",
-    node: { name, cell: box.settings.zone, relay: `127.6.0.1:${base + 1}`, role: "pointsman" },
+    node: {
+      name,
+      cell: controller.settings.zone,
+      relay: `127.6.0.1:${basePort + 1}`,
+      role: "pointsman",
+    },
   });
   return {
-    wire: connection,
-    heard,
-    ask: (message) => asks.request(connection.send, message, 500_000),
+    connection,
+    received,
+    request: (message) => pendingRequests.request(connection.send, message, 500_000),
   };
 };
 
 Then(
-  "box {int} says {string} within 1 s to every beat, leave, tell, order and hello",
-  async (number: number, verdict: string) => {
-    const box = boxAt(number);
-    const { zone } = box.settings;
+  "controller {int} {word} every heartbeat, leave and query within 1 s, and every command and node session",
+  async (number: number, expectation: string) => {
+    const controller = controllerAt(number);
+    const { zone } = controller.settings;
     const heartbeat = (id: string, state: string): readonly [string, string, unknown] => [
       "POST",
       `/workers/${id}/heartbeat`,
-      beatOf("s1", zone, state),
+      heartbeatOf("s1", zone, state),
     ];
-    const soon: readonly (readonly [string, string, unknown])[] = [
+    const timedCalls: readonly (readonly [string, string, unknown])[] = [
       heartbeat(`w-${zone}`, "ready"),
       heartbeat(`w-fresh-${heartbeats}`, "ready"),
       heartbeat(`w-leaving-${heartbeats}`, "draining"),
-      ["POST", `/workers/w-${CELLS[(heartbeats + 1) % 2]}/leave`, ""],
+      ["POST", `/workers/w-${ZONES[(heartbeats + 1) % 2]}/leave`, ""],
       ["POST", "/workers/w-nobody/leave", ""],
       ...[
         "nodes",
@@ -300,34 +328,38 @@
         { add: [{ service: "s1", cell: zone, count: 1 }], retire: [] },
       ],
     ];
-    const later: readonly (readonly [string, string, unknown])[] = [
+    const untimedCalls: readonly (readonly [string, string, unknown])[] = [
       ["GET", "/plan/read", ""],
-      ["POST", "/plan/change", planOf(heartbeats)],
+      ["POST", "/plan/change", configurationOf(heartbeats)],
       ["POST", "/retries", { service: "*", kind: "unsafe", ratio: 0.1, slack: 4 }],
       ["POST", "/cells/shift", { cell: "" }],
     ];
-    const answersTo = (calls: typeof soon) =>
+    const answersTo = (calls: typeof timedCalls) =>
       Promise.all(
         calls.map(async ([method, path, body]) => ({
           path,
-          ...(await call(box, method, path, body)),
+          ...(await callController(controller, method, path, body)),
         })),
       );
-    const hello = join(box, `bare-${heartbeats}`);
-    const orders = answersTo(later);
-    const { result, tookUs } = await during(answersTo(soon));
+    const session = openSession(controller, `bare-${heartbeats}`);
+    const untimedAnswers = answersTo(untimedCalls);
+    const { result, tookUs } = await advanceUntilDone(answersTo(timedCalls));
     assert.ok(tookUs <= 1_000_000, `${tookUs} us`);
-    const answers = [...result, ...(await during(orders)).result];
-    answers.forEach(({ path, status, body, comeBack }) => {
-      assert.equal(status, verdict === "yes" ? 200 : 503, `${path}: ${JSON.stringify(body)}`);
-      assert.equal(comeBack, verdict !== "yes", path);
+    const answers = [...result, ...(await advanceUntilDone(untimedAnswers)).result];
+    answers.forEach(({ path, status, body, hasRetryAfter }) => {
+      assert.equal(
+        status,
+        expectation === "accepts" ? 200 : 503,
+        `${path}: ${JSON.stringify(body)}`,
+      );
+      assert.equal(hasRetryAfter, expectation !== "accepts", path);
     });
-    const { wire: connection, heard } = (await during(hello)).result;
+    const { connection, received: heard } = (await advanceUntilDone(session)).result;
     assert.equal(
       heard.some(({ kind }) => kind === "welcome"),
-      verdict === "yes",
+      expectation === "accepts",
     );
-    if (verdict !== "yes")
+    if (expectation !== "accepts")
       assert.deepEqual(
         heard.map(({ kind }) => kind),
         ["adrift"],
@@ -336,88 +368,98 @@
   },
 );
 Then(
-  "box {int} still tells of its own copy, and that this is its own view",
+  "controller {int} still reports the state of its replica, marked as its own view",
   async (number: number) => {
-    const { status, body } = (await during(call(boxAt(number), "GET", "/tell/copy"))).result;
+    const { status, body } = (
+      await advanceUntilDone(callController(controllerAt(number), "GET", "/tell/copy"))
+    ).result;
     const copy = asRecord(body["copy"]);
     assert.deepEqual(
       [status, copy["view"], copy["box"], copy["roster"]],
-      [200, "this copy's own", idOf(boxAt(number)), 1],
+      [200, "this copy's own", idOf(controllerAt(number)), 1],
     );
     assert.ok(asNumber(copy["unansweredMs"]) > 0);
   },
 );
 
 When(
-  "box {int} is frozen for {int} s, and the plan is changed to version {int} meanwhile",
+  "controller {int} is frozen and partitioned for {int} s while the configuration changes to version {int}",
   async (number: number, seconds: number, version: number) => {
-    const box = boxAt(number);
-    frozen = box.clock;
-    cutWays(box, "");
-    await apply(1, version);
-    await pass(seconds * 1_000_000);
-    box.clock.jump(seconds * 1_000_000);
+    const controller = controllerAt(number);
+    frozenClock = controller.clock;
+    partition(controller, "");
+    await applyConfiguration(1, version);
+    await advance(seconds * 1_000_000);
+    controller.clock.jump(seconds * 1_000_000);
   },
 );
-When("box {int} thaws, its timers late, and still cut off", (number: number) => {
-  assert.equal(frozen, boxAt(number).clock);
-  frozen = undefined;
+When("controller {int} resumes with overdue timers, still partitioned", (number: number) => {
+  assert.equal(frozenClock, controllerAt(number).clock);
+  frozenClock = undefined;
 });
 When(
-  "box {int} thaws after {int} s that only it slept through, its timers late",
-  (number: number, seconds: number) => boxAt(number).clock.jump(seconds * 1_000_000),
+  "controller {int} alone is frozen for {int} s and resumes with overdue timers",
+  (number: number, seconds: number) => controllerAt(number).clock.jump(seconds * 1_000_000),
 );
 
 Then(
-  "the first feed of a node at box {int} holds version {int}",
+  "the first updates that a node gets from controller {int} contain version {int}",
   async (number: number, version: number) => {
     for (let at = 0; at < 60; at += 1) {
-      const { wire: connection, heard } = await join(boxAt(number), `late-${at}`);
-      await pass(100_000);
-      const news = heard.find(({ kind }) => kind === "news");
+      const { connection, received: heard } = await openSession(controllerAt(number), `late-${at}`);
+      await advance(100_000);
+      const updates = heard.find(({ kind }) => kind === "news");
       connection.close();
-      if (!news) continue;
-      const fact = asList(news["facts"])
+      if (!updates) continue;
+      const update = asList(updates["facts"])
         .map((value) => asRecord(value))
         .find((one) => one["key"] === "plan/route/r1");
-      assert.equal(fact?.["version"], version, `after ${at} hellos`);
+      assert.equal(update?.["version"], version, `after ${at} refused sessions`);
       return;
     }
-    assert.fail("no node was fed");
+    assert.fail("no node got updates");
   },
 );
 
 let acknowledgedUs = 0;
 let contactFrames = 0;
-When("{int} workers beat at box {int} at once", async (count: number, number: number) => {
-  const box = boxAt(number);
-  const before = sentFrames.get("contact")?.frames ?? 0;
-  const answers = Array.from({ length: count }, (_, at) =>
-    call(box, "POST", `/workers/w-crowd-${at}/heartbeat`, beatOf("s1", box.settings.zone)),
-  );
-  const { result, tookUs } = await during(Promise.all(answers));
-  result.forEach(({ status }) => assert.equal(status, 200));
-  acknowledgedUs = tookUs;
-  contactFrames = (sentFrames.get("contact")?.frames ?? 0) - before;
-});
+When(
+  "{int} workers send heartbeats to controller {int} at once",
+  async (count: number, number: number) => {
+    const controller = controllerAt(number);
+    const before = sentFrames.get("contact")?.frames ?? 0;
+    const answers = Array.from({ length: count }, (_, at) =>
+      callController(
+        controller,
+        "POST",
+        `/workers/w-crowd-${at}/heartbeat`,
+        heartbeatOf("s1", controller.settings.zone),
+      ),
+    );
+    const { result, tookUs } = await advanceUntilDone(Promise.all(answers));
+    result.forEach(({ status }) => assert.equal(status, 200));
+    acknowledgedUs = tookUs;
+    contactFrames = (sentFrames.get("contact")?.frames ?? 0) - before;
+  },
+);
 Then(
-  "all are acknowledged within {int} ms, and at most {int} frames of contact were sent",
-  (ms: number, most: number) => {
+  "all are acknowledged within {int} ms, with at most {int} quorum contact frames sent",
+  (ms: number, maxFrames: number) => {
     assert.ok(acknowledgedUs <= ms * 1_000, `${acknowledgedUs} us`);
-    assert.ok(contactFrames > 0 && contactFrames <= most, `${contactFrames} frames`);
+    assert.ok(contactFrames > 0 && contactFrames <= maxFrames, `${contactFrames} frames`);
   },
 );
 
-let holder: Box | undefined;
-let bare: Awaited<ReturnType<typeof join>> | undefined;
+let leaseHolder: Controller | undefined;
+let bareSession: Awaited<ReturnType<typeof openSession>> | undefined;
 /**
- * Tokens leased by the answer; the node says that it holds some, so that a new holder of the duty
- * would renew them.
+ * Requests a retry lease and returns the granted tokens. The request states that the node already
+ * holds some, because a new holder of the leader lease would renew those.
  */
-const leased = async (): Promise<number | undefined> => {
-  assert.ok(bare);
-  const { result } = await during(
-    bare.ask({ kind: "retry-ask", life: "a life", wants: [["s1", "safe", 5, 3]] }),
+const requestTokens = async (): Promise<number | undefined> => {
+  assert.ok(bareSession);
+  const { result } = await advanceUntilDone(
+    bareSession.request({ kind: "retry-ask", life: "a life", wants: [["s1", "safe", 5, 3]] }),
   );
   return result === undefined
     ? undefined
@@ -426,98 +468,131 @@
         0,
       );
 };
-Given("a node with a session at the holder of the duty gets a lease there", async () => {
-  const lease = asRecord((await during(call(boxAt(1), "GET", "/tell/duty"))).result.body["duty"]);
-  holder = boxes.find((box) => idOf(box) === lease["holder"]);
-  assert.ok(holder);
-  bare = await join(holder, "bare");
-  await pass(200_000);
-  assert.equal(await leased(), 3);
-});
-When("the holder neither hears nor is heard", () => holder && cutWays(holder, ""));
-Then("no lease is given there until its session ends", async () => {
-  let asked = 0;
-  for (; bare?.wire.isClosed === false; asked += 1)
-    assert.ok(((await leased()) ?? 0) === 0, `a lease at asking ${asked}`);
-  assert.ok(asked > 2, `${asked} askings`);
+Given(
+  "a node with a session at the holder of the leader lease gets a retry lease there",
+  async () => {
+    const lease = asRecord(
+      (await advanceUntilDone(callController(controllerAt(1), "GET", "/tell/duty"))).result.body[
+        "duty"
+      ],
+    );
+    leaseHolder = controllers.find((controller) => idOf(controller) === lease["holder"]);
+    assert.ok(leaseHolder);
+    bareSession = await openSession(leaseHolder, "bare");
+    await advance(200_000);
+    assert.equal(await requestTokens(), 3);
+  },
+);
+When(
+  "the holder of the leader lease is partitioned from its peers",
+  () => leaseHolder && partition(leaseHolder, ""),
+);
+Then("it grants the node no retry lease until the session ends", async () => {
+  let requestCount = 0;
+  for (; bareSession?.connection.isClosed === false; requestCount += 1)
+    assert.ok(((await requestTokens()) ?? 0) === 0, `request ${requestCount} was granted a lease`);
+  assert.ok(requestCount > 2, `${requestCount} requests`);
 });
 
-let sessionsAt: string[] = [];
+let sessionControllers: string[] = [];
 const startNode = async (
   seeds: readonly string[],
 ): Promise<{ readonly subscriber: UpdateSubscriber; readonly updates: UpdateStore }> => {
   const updates = new UpdateStore(nodeClock);
   const info = (event: string, fields: UnknownRecord = {}) => {
-    if (event === "session opened") sessionsAt.push(readString(fields, "controller"));
+    if (event === "session opened") sessionControllers.push(readString(fields, "controller"));
   };
   const subscriber = new UpdateSubscriber({
     name: "n1",
     zone: "c3",
     role: "gateway",
-    relay: `127.6.0.2:${base + 1}`,
+    relay: `127.6.0.2:${basePort + 1}`,
     seeds,
-    peerPort: base,
+    peerPort: basePort,
     clock: nodeClock,
-    times: TIMES,
+    times: LINK_TIMES,
     updates,
     log: { ...silentLogger, info },
   });
-  takers.push(subscriber);
-  sessionsAt = [];
+  subscribers.push(subscriber);
+  sessionControllers = [];
   void subscriber.run();
-  await pass(1_500_000);
+  await advance(1_500_000);
   return { subscriber, updates };
 };
-let node: Awaited<ReturnType<typeof startNode>>;
-const knowsPlan = (): boolean => node.updates.get("plan/route/r1") !== undefined;
-Given("a node that knows box {int} alone has a session there", async (number: number) => {
-  node = await startNode([idOf(boxAt(number))]);
-  assert.ok(node.subscriber.isConnected && knowsPlan());
-  assert.deepEqual(sessionsAt, [idOf(boxAt(number))]);
+let subscribedNode: Awaited<ReturnType<typeof startNode>>;
+const hasConfiguration = (): boolean => subscribedNode.updates.get("plan/route/r1") !== undefined;
+Given("a node that knows only controller {int} has a session there", async (number: number) => {
+  subscribedNode = await startNode([idOf(controllerAt(number))]);
+  assert.ok(subscribedNode.subscriber.isConnected && hasConfiguration());
+  assert.deepEqual(sessionControllers, [idOf(controllerAt(number))]);
 });
-Given("a node whose seeds are gone", async () => {
-  node = await startNode([`127.1.0.9:${base + 2}`]);
-  assert.ok(!node.subscriber.isConnected);
+Given("a node whose seed nodes are all unreachable", async () => {
+  subscribedNode = await startNode([`127.1.0.9:${basePort + 2}`]);
+  assert.ok(!subscribedNode.subscriber.isConnected);
 });
-When("its settings file names box {int}", (number: number) =>
-  node.subscriber.renewSeeds([idOf(boxAt(number))]),
+When("its settings change to controller {int} as the seed node", (number: number) =>
+  subscribedNode.subscriber.renewSeeds([idOf(controllerAt(number))]),
 );
-Then("the session is over within {int} ms", (ms: number) =>
-  until(() => !node.subscriber.isConnected, ms * 1_000, "the session is over"),
+Then("the session ends within {int} ms", (ms: number) =>
+  advanceUntil(() => !subscribedNode.subscriber.isConnected, ms * 1_000, "the session has ended"),
 );
 Then(
-  "within {int} s the node has one at another box, and knows the plan",
+  "within {int} s the node has a session with another controller, and the configuration",
   async (seconds: number) => {
-    await until(() => node.subscriber.isConnected, seconds * 1_000_000, "the node has a session");
-    assert.notEqual(sessionsAt.at(-1), idOf(boxAt(3)));
-    await until(knowsPlan, 200_000, "it knows the plan");
+    await advanceUntil(
+      () => subscribedNode.subscriber.isConnected,
+      seconds * 1_000_000,
+      "the node has a session",
+    );
+    assert.notEqual(sessionControllers.at(-1), idOf(controllerAt(3)));
+    await advanceUntil(hasConfiguration, 200_000, "the node has the configuration");
   },
 );
-Then("for {int} s the node has none, and knows the plan", async (seconds: number) => {
-  const before = sessionsAt.length;
-  await pass(seconds * 1_000_000);
-  assert.ok(!node.subscriber.isConnected && sessionsAt.length === before && knowsPlan());
-});
-When("the cut between boxes {int} and {int} is healed", (one: number, other: number) =>
-  net.healBetween(idOf(boxAt(one)), idOf(boxAt(other))),
+Then(
+  "for {int} s the node has no session, and keeps the configuration",
+  async (seconds: number) => {
+    const before = sessionControllers.length;
+    await advance(seconds * 1_000_000);
+    assert.ok(
+      !subscribedNode.subscriber.isConnected &&
+        sessionControllers.length === before &&
+        hasConfiguration(),
+    );
+  },
+);
+When("the partition between controllers {int} and {int} is healed", (one: number, other: number) =>
+  net.healBetween(idOf(controllerAt(one)), idOf(controllerAt(other))),
 );
 Then(
-  "a worker of {string} that beats at box {int} is sent to {string}",
+  "a worker of zone {string} that sends a heartbeat to controller {int} is redirected to {string}",
   async (zone: string, number: number, to: string) => {
     const { status, body } = (
-      await during(call(boxAt(number), "POST", `/workers/w-${zone}/heartbeat`, beatOf("s1", zone)))
+      await advanceUntilDone(
+        callController(
+          controllerAt(number),
+          "POST",
+          `/workers/w-${zone}/heartbeat`,
+          heartbeatOf("s1", zone),
+        ),
+      )
     ).result;
-    assert.deepEqual([status, body["reportTo"]], [200, to === "" ? undefined : idOf(boxAt(3))]);
+    assert.deepEqual(
+      [status, body["reportTo"]],
+      [200, to === "none" ? undefined : idOf(controllerAt(3))],
+    );
   },
 );
 
 When(
-  "the connection that box {int} has dialled to box {int} is reset",
-  (from: number, to: number) => net.reset(idOf(boxAt(from)), idOf(boxAt(to))),
+  "the connection from controller {int} to controller {int} is reset",
+  (from: number, to: number) => net.reset(idOf(controllerAt(from)), idOf(controllerAt(to))),
 );
-Then("{int} s later box {int} tells of that node", async (seconds: number, number: number) => {
-  await pass(seconds * 1_000_000);
-  const { body } = (await during(call(boxAt(number), "GET", "/tell/nodes"))).result;
+Then("{int} s later controller {int} lists that node", async (seconds: number, number: number) => {
+  await advance(seconds * 1_000_000);
+  const { body } = (
+    await advanceUntilDone(callController(controllerAt(number), "GET", "/tell/nodes"))
+  ).result;
   assert.deepEqual(
     asList(body["nodes"]).map((one) => readString(asRecord(one), "name")),
     ["n1"],
@@ -526,15 +601,15 @@
 
 let registry: WorkerRegistry;
 When(
-  "a beat of {string} is shared that is {int} s old, and one of {string} that is {int} s old",
+  "a peer shares a heartbeat of {string} that is {int} s old, and one of {string} that is {int} s old",
   (one: string, oneS: number, other: string, otherS: number) => {
     registry = new WorkerRegistry(nodeClock, new UpdateStore(nodeClock), 1_500_000);
-    registry.record(readHeartbeat(one, beatOf("s1", "c1")), oneS * 1_000_000);
-    registry.record(readHeartbeat(other, beatOf("s1", "c1")), otherS * 1_000_000);
+    registry.record(readHeartbeat(one, heartbeatOf("s1", "c1")), oneS * 1_000_000);
+    registry.record(readHeartbeat(other, heartbeatOf("s1", "c1")), otherS * 1_000_000);
   },
 );
 Then(
-  "{string} is {string} and {string} is {string}",
+  "worker {string} is {string} and worker {string} is {string}",
   (one: string, state: string, other: string, otherState: string) =>
     assert.deepEqual(
       [one, other].map((id) => registry.get(id)?.state ?? "unknown"),
@@ -542,9 +617,9 @@
     ),
 );
 Then(
-  "workers that couldn't be heard for {int} s are no more missing than before",
+  "a worker that could not be heard for {int} s is missing only 5 s after listening resumes",
   async (seconds: number) => {
-    registry.record(readHeartbeat("w-heard", beatOf("s1", "c1")));
+    registry.record(readHeartbeat("w-heard", heartbeatOf("s1", "c1")));
     await nodeClock.pass(seconds * 1_000_000);
     registry.restartListening();
     registry.sweep();
@@ -555,51 +630,66 @@
   },
 );
 
-/** All are stopped before the first is started; their disks are empty then. */
-const startAnew = async (numbers: readonly number[], firstRun: boolean): Promise<void> => {
-  for (const number of numbers) await during(boxAt(number).running.stop());
+/** Stops all of them before starting the first. They restart with empty disks. */
+const restartWithEmptyDisks = async (
+  numbers: readonly number[],
+  firstRun: boolean,
+): Promise<void> => {
+  for (const number of numbers) await advanceUntilDone(controllerAt(number).running.stop());
   for (const number of numbers)
-    boxAt(number).running = await runController(settingsOf(number, firstRun), boxAt(number).clock);
+    controllerAt(number).running = await runController(
+      settingsOf(number, firstRun),
+      controllerAt(number).clock,
+    );
 };
-When("box {int} starts anew without its disk, and hears nobody", async (number: number) => {
-  cutWays(boxAt(number), "hears nobody");
-  await startAnew([number], false);
-  await pass(1_500_000);
-});
-When("only pulses come through to box {int}", (number: number) =>
-  boxes.forEach((box) => net.passPulsesOnly(idOf(box), idOf(boxAt(number)))),
+When(
+  "controller {int} restarts with an empty disk and receives nothing from its peers",
+  async (number: number) => {
+    partition(controllerAt(number), "receives nothing from its peers");
+    await restartWithEmptyDisks([number], false);
+    await advance(1_500_000);
+  },
+);
+When("only keep-alive frames reach controller {int}", (number: number) =>
+  controllers.forEach((controller) =>
+    net.passKeepAlivesOnly(idOf(controller), idOf(controllerAt(number))),
+  ),
 );
 When(
-  "boxes {int} and {int} lose their disks together, and {int} s pass",
+  "controllers {int} and {int} restart with empty disks together, and {int} s pass",
   async (one: number, other: number, seconds: number) => {
-    await startAnew([one, other], false);
-    await pass(seconds * 1_000_000);
+    await restartWithEmptyDisks([one, other], false);
+    await advance(seconds * 1_000_000);
   },
 );
-When("every box is stopped, and then started as for the first time", async () => {
-  await startAnew([1, 2, 3], true);
-  await pass(4_000_000);
+When("every controller is stopped and then started as a first run", async () => {
+  await restartWithEmptyDisks([1, 2, 3], true);
+  await advance(4_000_000);
 });
-const copyOf = async (number: number): Promise<readonly unknown[]> => {
+const replicaStateOf = async (number: number): Promise<readonly unknown[]> => {
   const copy = asRecord(
-    (await during(call(boxAt(number), "GET", "/tell/copy"))).result.body["copy"],
+    (await advanceUntilDone(callController(controllerAt(number), "GET", "/tell/copy"))).result.body[
+      "copy"
+    ],
   );
   return [copy["counting"], copy["why"], copy["majorityInReach"]];
 };
 Then(
-  "box {int} tells that its copy doesn't count since {string}",
+  "controller {int} reports that its replica does not vote because {string}",
   async (number: number, why: string) =>
-    assert.deepEqual(await copyOf(number), [false, why, false]),
+    assert.deepEqual(await replicaStateOf(number), [false, why, false]),
 );
 Then(
-  "box {int} tells that its copy doesn't count since {string}, though its links reach a majority",
-  async (number: number, why: string) => assert.deepEqual(await copyOf(number), [false, why, true]),
+  "controller {int} reports that its replica does not vote because {string}, with a majority in reach",
+  async (number: number, why: string) =>
+    assert.deepEqual(await replicaStateOf(number), [false, why, true]),
 );
 Then(
-  "box {int} tells of roster {int}, of a term, and that box {int} is unseen",
+  "controller {int} reports voter set {int}, a term, and that controller {int} does not answer",
   async (number: number, voterSet: number, unseen: number) => {
     const lease = asRecord(
-      (await during(call(boxAt(number), "GET", "/tell/duty"))).result.body["duty"],
+      (await advanceUntilDone(callController(controllerAt(number), "GET", "/tell/duty"))).result
+        .body["duty"],
     );
     assert.deepEqual(
       [asRecord(lease["roster"])["number"], asRecord(lease["roster"])["is"]],
@@ -609,8 +699,8 @@
     const rows = readList(lease, "boxes", asRecord);
     assert.deepEqual(
       rows.map((row) => [row["box"], row["seen"], row["counting"], row["why"]]),
-      boxes.map((box, at) => [
-        idOf(box),
+      controllers.map((controller, at) => [
+        idOf(controller),
         at + 1 !== unseen,
         at + 1 !== unseen,
         at + 1 === unseen ? "it does not answer" : "",
@@ -620,18 +710,25 @@
 );
 
 Then(
-  "version {int} with another content gets {int} and {string}",
+  "configuration version {int} with different content gets {int} and {string}",
   async (version: number, status: number, sentence: string) => {
-    const { listeners } = asRecord(planOf(version, "1500ms")["putItems"]);
-    const { result } = await during(
-      call(boxAt(2), "POST", "/plan/change", { putItems: { listeners } }),
+    const { listeners } = asRecord(configurationOf(version, "1500ms")["putItems"]);
+    const { result } = await advanceUntilDone(
+      callController(controllerAt(2), "POST", "/plan/change", { putItems: { listeners } }),
     );
     assert.deepEqual([result.status, result.body["problem"]], [status, sentence]);
   },
 );
-Then("version {int} as it was gets {int}", async (version: number, status: number) => {
-  assert.equal(
-    (await during(call(boxAt(3), "POST", "/plan/change", planOf(version)))).result.status,
-    status,
-  );
-});
+Then(
+  "configuration version {int} with its original content gets {int}",
+  async (version: number, status: number) => {
+    assert.equal(
+      (
+        await advanceUntilDone(
+          callController(controllerAt(3), "POST", "/plan/change", configurationOf(version)),
+        )
+      ).result.status,
+      status,
+    );
+  },
+);
--- a/features/steps/ctl.ts
+++ b/features/steps/ctl.ts
@@ -33,7 +33,10 @@
     });
   });
 
-/** A redirect leads to the next controller, and from the last one back to the first. */
+/**
+ * Starts a controller that answers every request with the status, or is unreachable ("nothing").
+ * A redirect points to the next controller, that of the last one to the first.
+ */
 const startController = async (controller: number, answer: string): Promise<string> => {
   const server = createServer((request, response) => {
     const chunks: Buffer[] = [];
@@ -63,7 +66,7 @@
     addresses.push(await startController(addresses.length + 1, answer));
 });
 
-const attempt = async (call: Promise<UnknownRecord>): Promise<void> => {
+const recordOutcome = async (call: Promise<UnknownRecord>): Promise<void> => {
   try {
     outcome = await call;
   } catch (error) {
@@ -72,9 +75,11 @@
   }
 };
 
-When("the nodes are queried", () => attempt(new ControllerClient(addresses).get("/tell/nodes")));
+When("the nodes are queried", () =>
+  recordOutcome(new ControllerClient(addresses).get("/tell/nodes")),
+);
 When("a change is posted", () =>
-  attempt(new ControllerClient(addresses.slice(0, 1)).post("/plan/change", { a: 1 })),
+  recordOutcome(new ControllerClient(addresses.slice(0, 1)).post("/plan/change", { a: 1 })),
 );
 When("the command {string} is run", async (line: string) => {
   const program = new Command("yewreel");
--- a/features/steps/forwarded-messages.ts
+++ b/features/steps/forwarded-messages.ts
@@ -1,6 +1,6 @@
 /**
- * Messages between controllers for operators: those of before the renames are read, and written as
- * they were.
+ * Wire compatibility of the messages that controllers forward to each other for operators: frames
+ * recorded before fields were renamed are read, and encoded again to the same bytes.
  */
 import assert from "node:assert/strict";
 import { readFile } from "node:fs/promises";
@@ -32,10 +32,7 @@
   readonly message: Message;
 }
 
-/**
- * The frames of before as this code's reader gives them, each compared with the message that it
- * held.
- */
+/** Decodes the recorded frames and compares each with the message recorded with it. */
 const forwardedFrames = async (): Promise<readonly ForwardedFrame[]> => {
   const rows = asList(parseJson(await readFile(FILE, "utf8"))).map((value) => asRecord(value));
   const frames = rows.map((row) => Buffer.from(readString(row, "frame"), "base64"));
@@ -47,7 +44,7 @@
   return messages.map((message, at) => ({ message, bytes: frames[at] ?? Buffer.alloc(0) }));
 };
 
-/** What is packed again, as a request or reply with the number that it had. */
+/** Encodes the message with the request or reply number it had, and compares the bytes. */
 const assertSameFrame = async (packed: Message, { message, bytes }: ForwardedFrame) => {
   const numbered = {
     ...packed,
@@ -57,7 +54,7 @@
   assert.deepEqual(await bytesOf([numbered]), bytes, JSON.stringify(message));
 };
 
-const REPACK: ReadonlyMap<string, (message: Message) => Message> = new Map([
+const REENCODERS: ReadonlyMap<string, (message: Message) => Message> = new Map([
   ["shift", (message) => packZoneShift(readZoneShift(message))],
   ["clear", (message) => packCanaryClearance(readCanaryClearance(message))],
   ["window", (message) => packWindowCommand(readWindowCommand(message))],
@@ -66,16 +63,18 @@
 Then(
   "each forwarded order of before is read and packed again as the frame that it was",
   async () => {
-    const orders = (await forwardedFrames()).filter(({ message }) => REPACK.has(message.kind));
+    const commands = (await forwardedFrames()).filter(({ message }) =>
+      REENCODERS.has(message.kind),
+    );
     assert.deepEqual(
-      [...new Set(orders.map(({ message }) => message.kind))].sort(),
-      [...REPACK.keys()].sort(),
+      [...new Set(commands.map(({ message }) => message.kind))].sort(),
+      [...REENCODERS.keys()].sort(),
     );
-    assert.equal(orders.filter(({ message }) => message.kind === "window").length, 3);
-    for (const order of orders) {
-      const repack = REPACK.get(order.message.kind);
-      assert.ok(repack);
-      await assertSameFrame(repack(order.message), order);
+    assert.equal(commands.filter(({ message }) => message.kind === "window").length, 3);
+    for (const command of commands) {
+      const reencode = REENCODERS.get(command.message.kind);
+      assert.ok(reencode);
+      await assertSameFrame(reencode(command.message), command);
     }
   },
 );
@@ -83,27 +82,27 @@
 Then(
   "each answer to a forwarded order of before is read and packed again as the frame that it was",
   async () => {
-    const answers = (await forwardedFrames()).filter(({ message }) => "outcome" in message);
-    assert.ok(answers.some(({ message }) => "body" in message));
-    assert.ok(answers.some(({ message }) => !("body" in message)));
-    for (const answer of answers) {
-      const response = readApiResponse(answer.message);
-      assert.ok(response, JSON.stringify(answer.message));
+    const replies = (await forwardedFrames()).filter(({ message }) => "outcome" in message);
+    assert.ok(replies.some(({ message }) => "body" in message));
+    assert.ok(replies.some(({ message }) => !("body" in message)));
+    for (const reply of replies) {
+      const response = readApiResponse(reply.message);
+      assert.ok(response, JSON.stringify(reply.message));
       const packed =
-        "body" in answer.message ? packApiResponse(response) : packOutcome(response.outcome);
-      await assertSameFrame(packed, answer);
+        "body" in reply.message ? packApiResponse(response) : packOutcome(response.outcome);
+      await assertSameFrame(packed, reply);
     }
   },
 );
 
 Then("each kind of message that was forwarded before still has its name", async () => {
-  const now = new Set<string>([
+  const currentKinds = new Set<string>([
     ...Object.values(MessageKind),
     ...Object.values(PEER_REQUEST),
     ...Object.values(PEER_REPLY),
     ...Object.values(NODE_QUERY),
   ]);
-  const before = new Set((await forwardedFrames()).map(({ message }) => message.kind));
-  assert.ok(before.size >= 13, [...before].join());
-  before.forEach((kind) => assert.ok(now.has(kind), kind));
+  const formerKinds = new Set((await forwardedFrames()).map(({ message }) => message.kind));
+  assert.ok(formerKinds.size >= 13, [...formerKinds].join());
+  formerKinds.forEach((kind) => assert.ok(currentKinds.has(kind), kind));
 });
--- a/features/steps/goods.ts
+++ b/features/steps/goods.ts
@@ -9,22 +9,22 @@
 import { sleep } from "../../src/common/clock.js";
 import { ManualClock } from "../support/manual-clock.js";
 
-interface Asked {
-  readonly want: ObjectRequest;
-  readonly old: CachedObject | undefined;
+interface SourceFetch {
+  readonly request: ObjectRequest;
+  readonly cached: CachedObject | undefined;
 }
 
 let clock = new ManualClock();
-let copies: CachedObjects;
+let cachedObjects: CachedObjects;
 let store: ObjectStore;
 let version = 1;
-let asked: Asked[] = [];
+let sourceFetches: SourceFetch[] = [];
 let isFresh = true;
-let refuses = false;
-let isLateCache = false;
-let purges = 0;
+let isRateLimited = false;
+let isOutdatedCache = false;
+let purgeCount = 0;
 
-const copyOf = (url: string, bornUs: number): CachedObject => ({
+const objectOf = (url: string, validatedAtUs: number): CachedObject => ({
   service: "s",
   host: "h",
   url,
@@ -33,43 +33,43 @@
   etag: `"${version}"`,
   labels: ["t1"],
   body: Buffer.from(String(version)),
-  validatedAtUs: bornUs,
+  validatedAtUs,
 });
 
 const source = async (
-  want: ObjectRequest,
-  old: CachedObject | undefined,
+  request: ObjectRequest,
+  cached: CachedObject | undefined,
 ): Promise<LookupResult> => {
-  asked.push({ want, old });
-  if (refuses) return { kind: "none", reason: "rate", retryAfterUs: 1 };
-  const beganUs = clock.nowUs();
-  const copy = copyOf(
-    want.url,
-    isLateCache && want.maxAgeUs > 5_000_000 ? beganUs - 5_000_000 : beganUs,
+  sourceFetches.push({ request, cached });
+  if (isRateLimited) return { kind: "none", reason: "rate", retryAfterUs: 1 };
+  const startedAtUs = clock.nowUs();
+  const copy = objectOf(
+    request.url,
+    isOutdatedCache && request.maxAgeUs > 5_000_000 ? startedAtUs - 5_000_000 : startedAtUs,
   );
   await sleep(clock, 100_000);
   return { kind: "found", copy };
 };
 
-const build = (): void => {
+const resetStore = (): void => {
   clock = new ManualClock();
-  copies = new CachedObjects(clock, 1_000_000);
+  cachedObjects = new CachedObjects(clock, 1_000_000);
   store = new ObjectStore({
     clock,
-    cachedObjects: copies,
+    cachedObjects,
     isFresh: () => isFresh,
     source,
     staleIfErrorUs: 1_000_000,
   });
   version = 1;
-  asked = [];
+  sourceFetches = [];
   isFresh = true;
-  refuses = false;
-  isLateCache = false;
+  isRateLimited = false;
+  isOutdatedCache = false;
 };
 
-const get = async (url: string): Promise<LookupResult> => {
-  const want: ObjectRequest = {
+const fetchObject = async (url: string): Promise<LookupResult> => {
+  const request: ObjectRequest = {
     service: "s",
     host: "h",
     url,
@@ -79,7 +79,7 @@
     deadlineUs: clock.nowUs() + 2_000_000,
   };
   let found: LookupResult | undefined;
-  void store.get(want).then((result) => {
+  void store.get(request).then((result) => {
     found = result;
   });
   for (let step = 0; step < 300 && found === undefined; step += 1) await clock.pass(10_000);
@@ -87,13 +87,13 @@
   return found;
 };
 
-const versionOf = (found: LookupResult): string =>
+const outcomeOf = (found: LookupResult): string =>
   found.kind === "found" ? found.copy.body.toString() : found.reason;
 
-const learn = (kind: string, name: string): void => {
-  purges += 1;
-  copies.purge({
-    id: `p${purges}`,
+const receivePurge = (kind: string, name: string): void => {
+  purgeCount += 1;
+  cachedObjects.purge({
+    id: `p${purgeCount}`,
     host: kind === "path" ? "h" : "",
     path: kind === "path" ? name : "",
     label: kind === "label" ? name : "",
@@ -101,13 +101,13 @@
   store.detachInFlight();
 };
 
-Given("a store whose source takes 100 ms", build);
-Given("a store whose source is a cache with an old object", () => {
-  build();
-  isLateCache = true;
+Given("an object store whose source takes 100 ms", resetStore);
+Given("an object store whose source is a cache with an outdated object", () => {
+  resetStore();
+  isOutdatedCache = true;
 });
-When("{int} callers want {string} at the same moment", async (count: number, url: string) => {
-  await Promise.all(Array.from({ length: count }, () => get(url)));
+When("{int} callers want {string} at the same time", async (count: number, url: string) => {
+  await Promise.all(Array.from({ length: count }, () => fetchObject(url)));
 });
 When(/^(\d+) seconds? pass(?:es)? at the store$/, (seconds: string) =>
   clock.pass(Number(seconds) * 1_000_000),
@@ -117,45 +117,50 @@
   async (kind: string, name: string) => {
     await clock.pass(1_000);
     version += 1;
-    learn(kind, name);
+    receivePurge(kind, name);
   },
 );
 When(/^a purge of (label|path) "(.*)" is learned$/, async (kind: string, name: string) => {
-  learn(kind, name);
+  receivePurge(kind, name);
   await clock.pass(1_000_000);
 });
 When(
   /^a caller wants "(.*)" and the object changes and a purge of (label|path) "(.*)" is learned meanwhile$/,
   async (url: string, kind: string, name: string) => {
-    const before = get(url);
+    const before = fetchObject(url);
     version += 1;
-    learn(kind, name);
+    receivePurge(kind, name);
     await before;
   },
 );
 When("a caller wants {string}", async (url: string) => {
-  await get(url);
+  await fetchObject(url);
 });
-When("the updates are too old", () => {
+When("the updates are stale", () => {
   isFresh = false;
 });
-When("the source refuses for its rate", () => {
-  refuses = true;
+When("the source is rate limited", () => {
+  isRateLimited = true;
 });
-Then("the source was asked {int} time(s)", (count: number) => assert.equal(asked.length, count));
-Then("the source was asked {int} times, the last time with the old object", (count: number) => {
-  assert.equal(asked.length, count);
-  assert.ok(asked[count - 1]?.old);
-});
-Then("a caller of {string} gets version {int}", async (url: string, wanted: number) =>
-  assert.equal(versionOf(await get(url)), String(wanted)),
+Then("the source was queried {int} time(s)", (count: number) =>
+  assert.equal(sourceFetches.length, count),
+);
+Then(
+  "the source was queried {int} times, the last time to revalidate the cached object",
+  (count: number) => {
+    assert.equal(sourceFetches.length, count);
+    assert.ok(sourceFetches[count - 1]?.cached);
+  },
+);
+Then("a caller that wants {string} gets version {int}", async (url: string, expected: number) =>
+  assert.equal(outcomeOf(await fetchObject(url)), String(expected)),
 );
-Then("a caller of {string} is refused for the rate", async (url: string) =>
-  assert.equal(versionOf(await get(url)), "rate"),
+Then("a caller that wants {string} is refused because of the rate limit", async (url: string) =>
+  assert.equal(outcomeOf(await fetchObject(url)), "rate"),
 );
 Then("the cache was asked for an object no older than the purge", () => {
-  const last = asked[asked.length - 1];
-  assert.ok(last && last.want.maxAgeUs <= 1_100_000, `${last?.want.maxAgeUs}`);
+  const last = sourceFetches[sourceFetches.length - 1];
+  assert.ok(last && last.request.maxAgeUs <= 1_100_000, `${last?.request.maxAgeUs}`);
 });
 Then(
   "the range {string} of {int} bytes resolves to {string}",
@@ -165,58 +170,58 @@
   },
 );
 
-// --- the rate limit ------------------------------------------------------------------------------
+// --- origin rate limit ------------------------------------------------------------------------------
 
 let rate = 0;
 let limitFactor = 0;
 let windowS = 0;
-let history: { readonly atUs: number; readonly cache: string }[] = [];
+let sentRequests: { readonly atUs: number; readonly cache: string }[] = [];
 let allocator: RateAllocator;
 
 interface CacheNode {
   readonly name: string;
-  readonly share: RateLimiter;
+  readonly rateLimiter: RateLimiter;
   isUp: boolean;
   isPartitioned: boolean;
 }
 
 const newCacheNode = (name: string): CacheNode => ({
   name,
-  share: new RateLimiter(clock, () => rate),
+  rateLimiter: new RateLimiter(clock, () => rate),
   isUp: true,
   isPartitioned: false,
 });
-const renew = (cache: CacheNode): void => {
+const renewLease = (cache: CacheNode): void => {
   if (!cache.isUp || cache.isPartitioned) return;
   const askedUs = clock.nowUs();
-  cache.share.applyLease({
-    share: allocator.allocate(cache.name, "depot", cache.share.share),
+  cache.rateLimiter.applyLease({
+    share: allocator.allocate(cache.name, "depot", cache.rateLimiter.share),
     expiresAtUs: askedUs + RATE_LEASE_US,
   });
 };
-const spendAll = (cache: CacheNode): void => {
-  while (cache.isUp && cache.share.takeToken("s").ok)
-    history.push({ atUs: clock.nowUs(), cache: cache.name });
+const sendAtFullRate = (cache: CacheNode): void => {
+  while (cache.isUp && cache.rateLimiter.takeToken("s").ok)
+    sentRequests.push({ atUs: clock.nowUs(), cache: cache.name });
 };
 
 Given(
-  "an origin with a rate of {int} a second and a limit of {float} over {int} s",
+  "an origin with a rate of {int} per second and a limit of {float} over {int} s",
   (perS: number, excess: number, seconds: number) => {
     clock = new ManualClock();
     [rate, limitFactor, windowS] = [perS, excess, seconds];
-    history = [];
+    sentRequests = [];
     allocator = new RateAllocator(clock);
   },
 );
 When(
-  "{int} caches spend all they may for {int} s, while caches crash and start and the allocator moves",
+  "{int} caches send at their full rate for {int} s while caches restart, are partitioned and the allocator is replaced",
   async (count: number, seconds: number) => {
     const caches = Array.from({ length: count }, (_, at) => newCacheNode(`d${at}`));
     let incarnations = 0;
     for (let step = 0; step < seconds * 20; step += 1) {
       await clock.pass(50_000);
-      // Every 7 s one is killed and starts again as another incarnation; every 11 s one is
-      // partitioned for 4 s; every 20 s the allocator moves.
+      // Every 7 s one cache is replaced by a new incarnation, every 11 s one is partitioned for
+      // 4 s, and every 20 s the allocator is replaced by one without state.
       if (step % 140 === 139) {
         incarnations += 1;
         caches[incarnations % count] = newCacheNode(`again-${incarnations}`);
@@ -225,41 +230,43 @@
         caches.forEach((cache, at) => (cache.isPartitioned = at === incarnations % count));
       if (step % 220 === 80) caches.forEach((cache) => (cache.isPartitioned = false));
       if (step % 400 === 399) allocator = new RateAllocator(clock);
-      if (step % 12 === 0) caches.forEach(renew);
-      caches.forEach(spendAll);
+      if (step % 12 === 0) caches.forEach(renewLease);
+      caches.forEach(sendAtFullRate);
     }
   },
 );
-When("one cache of 2 is partitioned", async () => {
+When("one of 2 caches is partitioned from the allocator", async () => {
   const [one, two] = [newCacheNode("one"), newCacheNode("two")];
   for (let step = 0; step < 600; step += 1) {
     await clock.pass(50_000);
     if (step === 300) one.isPartitioned = true;
-    if (step % 12 === 0) [one, two].forEach(renew);
-    [one, two].forEach(spendAll);
+    if (step % 12 === 0) [one, two].forEach(renewLease);
+    [one, two].forEach(sendAtFullRate);
   }
 });
-Then("no {int} s of the recorded history hold more than the limit allows", (seconds: number) => {
+Then("no {int} s window has more requests than the limit allows", (seconds: number) => {
   assert.equal(seconds, windowS);
-  const most = rate * windowS * limitFactor + 5;
+  const maxRequests = rate * windowS * limitFactor + 5;
   let from = 0;
-  history.forEach(({ atUs }, at) => {
-    while (atUs - (history[from]?.atUs ?? atUs) > windowS * 1_000_000) from += 1;
-    assert.ok(at - from + 1 <= most, `${at - from + 1} in a window`);
+  sentRequests.forEach(({ atUs }, at) => {
+    while (atUs - (sentRequests[from]?.atUs ?? atUs) > windowS * 1_000_000) from += 1;
+    assert.ok(at - from + 1 <= maxRequests, `${at - from + 1} in a window`);
   });
 });
-Then("at least {int} requests a second were made", (least: number) =>
-  assert.ok(history.length / 60 >= least, `${history.length / 60}`),
+Then("at least {int} requests per second were sent", (minRate: number) =>
+  assert.ok(sentRequests.length / 60 >= minRate, `${sentRequests.length / 60}`),
 );
-Then("it sends nothing once its lease has ended, and the other then gets the whole rate", () => {
-  const cutUs = 1_000_000 + 301 * 50_000;
+Then("it sends nothing after its lease expires, and the other then gets the whole rate", () => {
+  const partitionedAtUs = 1_000_000 + 301 * 50_000;
   assert.equal(
-    history.filter(({ cache, atUs }) => cache === "one" && atUs > cutUs + RATE_LEASE_US).length,
+    sentRequests.filter(
+      ({ cache, atUs }) => cache === "one" && atUs > partitionedAtUs + RATE_LEASE_US,
+    ).length,
     0,
   );
-  const late = history.filter(
-    ({ cache, atUs }) => cache === "two" && atUs > cutUs + 2 * RATE_LEASE_US,
+  const laterRequests = sentRequests.filter(
+    ({ cache, atUs }) => cache === "two" && atUs > partitionedAtUs + 2 * RATE_LEASE_US,
   );
-  const spanS = (clock.nowUs() - cutUs - 2 * RATE_LEASE_US) / 1_000_000;
-  assert.ok(late.length / spanS > rate * 0.9, `${late.length / spanS}`);
+  const spanS = (clock.nowUs() - partitionedAtUs - 2 * RATE_LEASE_US) / 1_000_000;
+  assert.ok(laterRequests.length / spanS > rate * 0.9, `${laterRequests.length / spanS}`);
 });
--- a/features/steps/metrics.ts
+++ b/features/steps/metrics.ts
@@ -38,32 +38,32 @@
   servers.push(server);
   await server.listen();
 });
-When("the metrics are read", async () => {
+When("the metrics are scraped", async () => {
   const response = await fetch(`http://${IP}:${PORT}/metrics`);
   assert.equal(response.status, 200);
   assert.match(response.headers.get("content-type") ?? "", /^text\/plain/);
   text = await response.text();
 });
-When("the count becomes {int} and no request is counted any more", (value: number) => {
+When("the count becomes {int} and the count by outcome becomes empty", (value: number) => {
   count = value;
   requests = [];
 });
 Then(
-  "they say that the count is {int} and that {int} requests ended {string}",
+  "the count is {int} and {int} requests have the outcome {string}",
   (value: number, ended: number, outcome: string) => {
     assert.match(text, new RegExp(`^yewreel_count ${value}$`, "m"));
     assert.match(text, new RegExp(`^yewreel_requests\\{outcome="${outcome}"\\} ${ended}$`, "m"));
   },
 );
-Then("they say that the count is {int} and nothing of requests", (value: number) => {
+Then("the count is {int} and there are no requests by outcome", (value: number) => {
   assert.match(text, new RegExp(`^yewreel_count ${value}$`, "m"));
   assert.doesNotMatch(text, /^yewreel_requests\{/m);
 });
-Then("another path of it answers {int}", async (status: number) => {
+Then("another path of the metrics server answers {int}", async (status: number) => {
   const response = await fetch(`http://${IP}:${PORT}/other`);
   assert.equal(response.status, status);
 });
-Then("a second server at the same port says so in one warning and goes on", async () => {
+Then("a second server at the same port logs one warning and goes on", async () => {
   const warnings: string[] = [];
   const second = newServer(warnings);
   servers.push(second);
@@ -74,7 +74,7 @@
 Then(
   /^the settings with the metrics endpoint "(.*)" are (taken|refused)$/,
   (endpoint: string, verdict: string) => {
-    const read = parseSettings(
+    const parsed = parseSettings(
       [
         `[node]\nname = "n"\ncell = "c"\nip = "127.0.0.1"\nsparePorts = [1000, 1010]\nheartbeat = "1s"`,
         `seedNodes = []`,
@@ -82,37 +82,34 @@
         `[metrics]\ngateway = "${endpoint}"`,
       ].join("\n"),
     );
-    assert.equal(read.isOk, verdict === "taken");
-    if (read.isOk)
-      assert.deepEqual(read.value.metrics.get("gateway"), { port: 9464, path: "/metrics" });
-    else assert.match(read.error.sentence, /metrics/);
+    assert.equal(parsed.isOk, verdict === "taken");
+    if (parsed.isOk)
+      assert.deepEqual(parsed.value.metrics.get("gateway"), { port: 9464, path: "/metrics" });
+    else assert.match(parsed.error.sentence, /metrics/);
   },
 );
 
 let recorder: EventLoopDelayRecorder | undefined;
 let nowUs = 0;
-let fire: () => void = () => undefined;
-Given("the delay of the event loop is measured", () => {
+let fireTimer: () => void = () => undefined;
+Given("the event loop delay is measured", () => {
   nowUs = 0;
-  const noTimer: Timer = { stop: () => undefined };
+  const inertTimer: Timer = { stop: () => undefined };
   const clock: Clock = {
     nowUs: () => nowUs,
-    after: () => noTimer,
+    after: () => inertTimer,
     every: (_gapUs, act) => {
-      fire = act;
-      return noTimer;
+      fireTimer = act;
+      return inertTimer;
     },
   };
   recorder = new EventLoopDelayRecorder(clock);
 });
-When("the loop stands still for {int} ms", (stillMs: number) => {
-  nowUs += stillMs * 1_000;
-  fire();
+When("the event loop is blocked for {int} ms", (blockedMs: number) => {
+  nowUs += blockedMs * 1_000;
+  fireTimer();
+});
+Then("the maximum delay is {int} ms or more, and is reset by being read", (minMs: number) => {
+  assert.ok((recorder?.take().maxUs ?? 0) >= minMs * 1_000 - 1);
+  assert.equal(recorder?.take().maxUs, 0);
 });
-Then(
-  "the longest delay is {int} ms or more, and the next reading begins anew",
-  (leastMs: number) => {
-    assert.ok((recorder?.take().maxUs ?? 0) >= leastMs * 1_000 - 1);
-    assert.equal(recorder?.take().maxUs, 0);
-  },
-);
--- a/features/steps/object-messages.ts
+++ b/features/steps/object-messages.ts
@@ -37,7 +37,7 @@
 const golden = async (): Promise<UnknownRecord> =>
   asRecord(parseJson(await readFile(FILE, "utf8")), FILE);
 
-const wantOf = (clock: Clock, url: string, leftUs = 900_000): ObjectRequest => ({
+const requestOf = (clock: Clock, url: string, leftUs = 900_000): ObjectRequest => ({
   service: "s",
   host: "h.example",
   url,
@@ -66,7 +66,7 @@
   for (const row of rows) {
     const { range, etag } = row;
     const packed = packObjectRequest(
-      wantOf(clock, readString(row, "url"), readNumber(row, "leftUs")),
+      requestOf(clock, readString(row, "url"), readNumber(row, "leftUs")),
       clock.nowUs(),
       range === undefined ? undefined : asString(range),
       etag === undefined ? undefined : objectOf(asString(etag)),
@@ -76,41 +76,41 @@
   }
 });
 
-/** The origin of the golden conversation. */
+/** Origin that serves the objects and failures listed in the golden data. */
 const originOf =
   (clock: Clock, data: UnknownRecord) =>
-  async (want: ObjectRequest): Promise<LookupResult> => {
-    const none = asRecord(data["none"])[want.url];
-    if (isRecord(none))
+  async (request: ObjectRequest): Promise<LookupResult> => {
+    const failure = asRecord(data["none"])[request.url];
+    if (isRecord(failure))
       return {
         kind: "none",
-        reason: readString(none, "why") === "rate" ? "rate" : "full",
-        retryAfterUs: readNumber(none, "comeBackUs"),
+        reason: readString(failure, "why") === "rate" ? "rate" : "full",
+        retryAfterUs: readNumber(failure, "comeBackUs"),
       };
     const row = asList(data["objects"])
       .map((value) => asRecord(value))
-      .find(({ url }) => url === want.url);
-    assert.ok(row, want.url);
-    const bornUs = clock.nowUs() - readNumber(row, "ageUs");
-    const slowUs = readNumber(row, "slowUs");
-    if (slowUs > 0) await sleep(clock, slowUs);
+      .find(({ url }) => url === request.url);
+    assert.ok(row, request.url);
+    const validatedAtUs = clock.nowUs() - readNumber(row, "ageUs");
+    const delayUs = readNumber(row, "slowUs");
+    if (delayUs > 0) await sleep(clock, delayUs);
     return {
       kind: "found",
       copy: {
-        service: want.service,
-        host: want.host,
-        url: want.url,
+        service: request.service,
+        host: request.host,
+        url: request.url,
         status: readNumber(row, "status"),
         headers: readList(row, "heads", asString),
         etag: readString(row, "etag"),
         labels: readList(row, "labels", asString),
         body: Buffer.from(readString(row, "text").repeat(readNumber(row, "times"))),
-        validatedAtUs: bornUs,
+        validatedAtUs,
       },
     };
   };
 
-/** Messages that come in one by one, as they are pushed. */
+/** Stream of incoming messages, in the order in which they are pushed. */
 class Incoming implements AsyncIterable<Message> {
   private readonly queue: Message[] = [];
   private wake: () => void = () => undefined;
@@ -144,7 +144,7 @@
     clock,
     store: storeOf(),
     ownStore: storeOf(),
-    // A service with a rate, of which no share was ever leased, has none left.
+    // A service with a rate limit of which no share has been leased has no tokens.
     rateLimiter: new RateLimiter(clock, (service) => (service === "spent" ? 1 : 0)),
     log: silentLogger,
   });
@@ -158,20 +158,20 @@
   await settle();
   const rows = asList(data["server"]).map((row) => asRecord(row));
   assert.equal(rows.length, 14);
-  for (const { message, sent: wanted } of rows) {
+  for (const { message, sent: expected } of rows) {
     if (message !== null) {
       incoming.push(messageOf(message));
       await settle();
       await clock.pass(200_000);
     }
-    assert.deepEqual(sent.splice(0), wanted, JSON.stringify(message));
+    assert.deepEqual(sent.splice(0), expected, JSON.stringify(message));
   }
 });
 
-/** A cache that gives the next reply of the golden conversation, and records what it was sent. */
+/** Peer cache stub: answers with the next golden reply and records the requests. */
 class RecordedCache extends PeerCaches {
-  reply: unknown = null;
-  private readonly asked: unknown[] = [];
+  nextReply: unknown = null;
+  private readonly requests: unknown[] = [];
 
   override get isAnyConnected(): boolean {
     return true;
@@ -182,11 +182,11 @@
     message: Message,
     waitUs: number,
   ): Promise<Message | undefined> => {
-    this.asked.push(plain({ key, message, waitUs }));
-    return this.reply === null ? undefined : messageOf(this.reply);
+    this.requests.push(plain({ key, message, waitUs }));
+    return this.nextReply === null ? undefined : messageOf(this.nextReply);
   };
 
-  readonly takeAsked = (): unknown => this.asked.splice(0);
+  readonly takeRequests = (): unknown => this.requests.splice(0);
 }
 
 const originFetcher = (clock: Clock, rateLimiter: RateLimiter): OriginFetcher => {
@@ -235,7 +235,7 @@
   return { client, cache };
 };
 
-/** The result with the field names that it had in memory when the golden data was written. */
+/** The result with the field names that were used in memory when the golden data was written. */
 const formerResult = (result: ObjectResult): unknown =>
   plain(
     result.kind === "served"
@@ -251,18 +251,18 @@
   assert.equal(rows.length, 15);
   for (const row of rows) {
     await clock.pass(typeof row["afterUs"] === "number" ? row["afterUs"] : 1_000);
-    cache.reply = row["reply"];
+    cache.nextReply = row["reply"];
     const result = await client.fetch(
-      wantOf(clock, readString(row, "url")),
+      requestOf(clock, readString(row, "url")),
       row["range"] === undefined ? undefined : asString(row["range"]),
     );
-    assert.deepEqual(cache.takeAsked(), row["asked"]);
+    assert.deepEqual(cache.takeRequests(), row["asked"]);
     assert.deepEqual(formerResult(result), row["result"]);
   }
   for (const row of asList(data["permits"]).map((value) => asRecord(value))) {
-    cache.reply = row["reply"];
+    cache.nextReply = row["reply"];
     assert.equal(await client.permit("s"), row["isPermitted"]);
-    assert.deepEqual(cache.takeAsked(), row["asked"]);
+    assert.deepEqual(cache.takeRequests(), row["asked"]);
   }
   assert.deepEqual(plain(client.snapshot()), data["snapshot"]);
 });
--- a/features/steps/terms.ts
+++ b/features/steps/terms.ts
@@ -29,55 +29,57 @@
 retryWindow = "10s"
 `;
 
-const FLAWS: Readonly<Record<string, readonly [string, string]>> = {
+const SETTINGS_ERRORS: Readonly<Record<string, readonly [string, string]>> = {
   "the name is empty": ['name = "n1"', 'name = ""'],
-  "the grace is no duration": ['grace = "6s"', 'grace = "soon"'],
-  "the ports are one": ["[7540, 7555]", "[7540]"],
-  "the seeds are a text": ['["10.0.0.1:80"]', '"10.0.0.1:80"'],
+  "the grace period is not a duration": ['grace = "6s"', 'grace = "soon"'],
+  "the port range has only one port": ["[7540, 7555]", "[7540]"],
+  "the seed nodes are not a list": ['["10.0.0.1:80"]', '"10.0.0.1:80"'],
   "the log level is unknown": ['logLevel = "info"', 'logLevel = "loud"'],
   "a rollout weight is negative": ["[bounds]", "[rollout]\nlate = -1\n[bounds]"],
-  "the file is no TOML": ["[node]", "[node"],
+  "the file is not TOML": ["[node]", "[node"],
   "nothing is wrong": ["", ""],
 };
 
-let read = parseSettings(VALID);
+let parsed = parseSettings(VALID);
 
-When(/^settings are read in which (.*)$/, (flaw: string) => {
-  const change = FLAWS[flaw];
-  assert.ok(change, `no such flaw: ${flaw}`);
-  read = parseSettings(VALID.replace(...change));
+When(/^settings are read in which (.*)$/, (error: string) => {
+  const change = SETTINGS_ERRORS[error];
+  assert.ok(change, `unknown error: ${error}`);
+  parsed = parseSettings(VALID.replace(...change));
 });
 Then("they are rejected in one line that names {string}", (field: string) => {
-  assert.ok(read.isErr);
-  assert.ok(read.error.sentence.includes(field), read.error.sentence);
-  assert.ok(!read.error.sentence.includes("\n"));
+  assert.ok(parsed.isErr);
+  assert.ok(parsed.error.sentence.includes(field), parsed.error.sentence);
+  assert.ok(!parsed.error.sentence.includes("\n"));
 });
-Then("the grace is {int} microseconds", (graceUs: number) => {
-  assert.ok(read.isOk);
-  assert.equal(read.value.graceUs, graceUs);
+Then("the grace period is {int} microseconds", (graceUs: number) => {
+  assert.ok(parsed.isOk);
+  assert.equal(parsed.value.graceUs, graceUs);
 });
 
 const clock = new ManualClock();
-let announced = 0;
-let join: () => void = () => undefined;
+let announcements = 0;
+let announceJoin: () => void = () => undefined;
 Given("an announcement that is debounced for {int} ms", (ms: number) => {
-  announced = 0;
-  join = debounce(clock, ms * 1_000, () => (announced += 1));
+  announcements = 0;
+  announceJoin = debounce(clock, ms * 1_000, () => (announcements += 1));
 });
 When("{int} nodes join within {int} ms", async (count: number, ms: number) => {
   for (let at = 0; at < count; at += 1) {
-    join();
+    announceJoin();
     await clock.pass(Math.floor((ms * 1_000) / count));
   }
   await clock.pass(100_000);
 });
 When("{int} nodes join {int} ms apart", async (count: number, ms: number) => {
   for (let at = 0; at < count; at += 1) {
-    join();
+    announceJoin();
     await clock.pass(ms * 1_000);
   }
 });
-Then("it is made {int} time(s)", (count: number) => assert.equal(announced, count));
+Then("the announcement is made {int} time(s)", (count: number) =>
+  assert.equal(announcements, count),
+);
 
 let registry: WorkerRegistry;
 
@@ -94,26 +96,26 @@
   });
 
 Given(
-  "a registry that knows worker {string} as {word} at call {int}",
+  "a registry with worker {string} as {word} since heartbeat {int}",
   (id: string, state: string, callCount: number) => {
     registry = new WorkerRegistry(clock, new UpdateStore(clock), 1_500_000);
     registry.record(heartbeat(id, state, callCount));
   },
 );
 When(
-  "a heartbeat of call {int} says that {string} is {word}",
+  "heartbeat {int} reports {string} as {word}",
   (callCount: number, id: string, state: string) => {
     registry.record(heartbeat(id, state, callCount));
   },
 );
-When("{int} seconds go by", async (seconds: number) => {
+When("{int} seconds pass without heartbeats", async (seconds: number) => {
   await clock.pass(seconds * 1_000_000);
   registry.sweep();
 });
-When("{string} leaves", (id: string) => {
+When("worker {string} leaves the registry", (id: string) => {
   registry.leave(id);
 });
-Then("{string} is {word}", (id: string, state: string) =>
+Then("the registry has {string} as {word}", (id: string, state: string) =>
   assert.equal(registry.get(id)?.state, state),
 );
 
@@ -138,7 +140,7 @@
   }));
 });
 Then("both give the same rows", () => {
-  const wanted = usage.map((row) => ({ ...row, count: String(row.count) }));
-  assert.deepEqual(fromCsv, wanted);
-  assert.deepEqual(fromParquet, wanted);
+  const expected = usage.map((row) => ({ ...row, count: String(row.count) }));
+  assert.deepEqual(fromCsv, expected);
+  assert.deepEqual(fromParquet, expected);
 });
--- a/features/steps/visibility.ts
+++ b/features/steps/visibility.ts
@@ -4,38 +4,38 @@
 import type { Message } from "../../src/transport/connection.js";
 import { settle } from "../support/manual-clock.js";
 
-interface Question {
+interface PeerRequest {
   readonly peer: string;
   readonly kind: string;
   readonly timeoutUs: number;
   readonly answer: (reply: Message | undefined) => void;
 }
 
-const ANSWER: Message = { kind: "done" };
+const REPLY: Message = { kind: "done" };
 
 let check: VisibilityCheck;
-let questions: Question[] = [];
+let peerRequests: PeerRequest[] = [];
 let isAcknowledged = false;
-let endReading: () => void = () => undefined;
+let finishCatchUp: () => void = () => undefined;
 let reply: Message | undefined;
 
 Given(
   "a controller with peers {string} and {string} that are connected and {string} that isn't",
   (one: string, other: string, absent: string) => {
-    questions = [];
+    peerRequests = [];
     isAcknowledged = false;
     check = new VisibilityCheck({
       peers: {
         known: () => [one, other, absent],
         isConnected: (id) => id !== absent,
         request: (peer, { kind }, timeoutUs) =>
-          new Promise((resolve) => questions.push({ peer, kind, timeoutUs, answer: resolve })),
+          new Promise((resolve) => peerRequests.push({ peer, kind, timeoutUs, answer: resolve })),
       },
       quorum: { whenCaughtUp: async () => undefined },
     });
   },
 );
-When("a change is committed and its acknowledgement waits", () => {
+When("a change is committed and its acknowledgement is pending", () => {
   void check.waitForPeers().then(() => {
     isAcknowledged = true;
   });
@@ -44,7 +44,7 @@
   /^"(\w+)" and "(\w+)" are asked whether they have posted it, and "\w+" is not$/,
   (one: string, other: string) => {
     assert.deepEqual(
-      questions.map(({ peer, kind }) => [peer, kind]),
+      peerRequests.map(({ peer, kind }) => [peer, kind]),
       [
         [one, "posted"],
         [other, "posted"],
@@ -52,33 +52,36 @@
     );
   },
 );
-const questionTo = (wanted: string): Question => {
-  const found = questions.find(({ peer }) => peer === wanted);
+const requestTo = (expectedPeer: string): PeerRequest => {
+  const found = peerRequests.find(({ peer }) => peer === expectedPeer);
   assert.ok(found);
   return found;
 };
-When("{string} answers", async (peer: string) => {
-  questionTo(peer).answer(ANSWER);
+When("peer {string} replies", async (peer: string) => {
+  requestTo(peer).answer(REPLY);
   await settle();
 });
-When("{string} answers nothing until its time-out", async (peer: string) => {
-  questionTo(peer).answer(undefined);
+When("the request to peer {string} times out", async (peer: string) => {
+  requestTo(peer).answer(undefined);
   await settle();
 });
-Then("the acknowledgement still waits", () => assert.equal(isAcknowledged, false));
-Then("the change is acknowledged, {int} ms after the question at most", (boundMs: number) => {
-  assert.equal(isAcknowledged, true);
-  questions.forEach(({ timeoutUs }) => assert.ok(timeoutUs <= boundMs * 1_000));
-});
+Then("the change is not yet acknowledged", () => assert.equal(isAcknowledged, false));
+Then(
+  "the change is acknowledged, and requests to peers time out after at most {int} ms",
+  (boundMs: number) => {
+    assert.equal(isAcknowledged, true);
+    peerRequests.forEach(({ timeoutUs }) => assert.ok(timeoutUs <= boundMs * 1_000));
+  },
+);
 
-Given("a controller that reads what others hold", () => {
+Given("a controller that is catching up from its peers", () => {
   reply = undefined;
-  const reading = new Promise<void>((resolve) => {
-    endReading = resolve;
+  const catchUp = new Promise<void>((resolve) => {
+    finishCatchUp = resolve;
   });
   check = new VisibilityCheck({
     peers: { known: () => [], isConnected: () => true, request: async () => undefined },
-    quorum: { whenCaughtUp: () => reading },
+    quorum: { whenCaughtUp: () => catchUp },
   });
 });
 When("a peer asks whether it has posted what is committed", async () => {
@@ -89,9 +92,9 @@
   });
   await settle();
 });
-Then("it answers nothing yet", () => assert.equal(reply, undefined));
-When("the reading ends", async () => {
-  endReading();
+Then("it does not reply yet", () => assert.equal(reply, undefined));
+When("the catch-up ends", async () => {
+  finishCatchUp();
   await settle();
 });
-Then("it answers", () => assert.equal(reply?.kind, "done"));
+Then("it replies", () => assert.equal(reply?.kind, "done"));
--- a/features/visibility.feature
+++ b/features/visibility.feature
@@ -1,17 +1,17 @@
-Feature: A change is acknowledged once it is on its way to every node
+Feature: A change is acknowledged once every controller in contact has posted it to its nodes
 
-  Scenario: The acknowledgement waits for the connected controllers, and for none that is cut off
+  Scenario: The acknowledgement waits for connected peers, but not for disconnected ones
     Given a controller with peers "b" and "c" that are connected and "d" that isn't
-    When a change is committed and its acknowledgement waits
+    When a change is committed and its acknowledgement is pending
     Then "b" and "c" are asked whether they have posted it, and "d" is not
-    When "b" answers
-    Then the acknowledgement still waits
-    When "c" answers nothing until its time-out
-    Then the change is acknowledged, 300 ms after the question at most
+    When peer "b" replies
+    Then the change is not yet acknowledged
+    When the request to peer "c" times out
+    Then the change is acknowledged, and requests to peers time out after at most 300 ms
 
-  Scenario: A controller that is behind answers once it has caught up
-    Given a controller that reads what others hold
+  Scenario: A controller that is behind replies once it has caught up
+    Given a controller that is catching up from its peers
     When a peer asks whether it has posted what is committed
-    Then it answers nothing yet
-    When the reading ends
-    Then it answers
+    Then it does not reply yet
+    When the catch-up ends
+    Then it replies
