--- a/features/contact.feature
+++ b/features/contact.feature
@@ -11,10 +11,10 @@
     Then controller 3 accepts every heartbeat, leave and query within 1 s, and every command and node session
 
     Examples:
-      | fault                            |
-      | is partitioned from its peers    |
-      | receives nothing from its peers  |
-      | can send nothing to its peers    |
+      | fault                           |
+      | is partitioned from its peers   |
+      | receives nothing from its peers |
+      | can send nothing to its peers   |
 
   Scenario: A controller that resumes after a freeze rejects requests, and first sends nodes what changed meanwhile
     When controller 3 is frozen and partitioned for 6 s while the configuration changes to version 2
@@ -39,10 +39,10 @@
     And within 3 s the node has a session with another controller, and the configuration
 
     Examples:
-      | fault                            |
-      | is partitioned from its peers    |
-      | receives nothing from its peers  |
-      | can send nothing to its peers    |
+      | fault                           |
+      | is partitioned from its peers   |
+      | receives nothing from its peers |
+      | can send nothing to its peers   |
 
   Scenario: A controller that resumes after a freeze first ends the sessions of its nodes
     Given a node that knows only controller 3 has a session there
@@ -69,9 +69,9 @@
     When the partition is healed and 3 s pass
     Then a worker of zone "c3" that sends a heartbeat to controller 1 is redirected to "controller 3"
 
-  Scenario: A node whose seed nodes are all unreachable uses the seed nodes of changed settings
+  Scenario: A node whose seed nodes are all unreachable uses those of the reloaded settings
     Given a node whose seed nodes are all unreachable
-    When its settings change to controller 2 as the seed node
+    When its settings are reloaded with controller 2 as the seed node
     Then within 3 s the node has a session with another controller, and the configuration
 
   Scenario: A single broken link between controllers does not hide the nodes behind it
@@ -84,7 +84,7 @@
     Then worker "w-old" is "missing" and worker "w-older" is "unknown"
     And a worker that could not be heard for 8 s is missing only 5 s after listening resumes
 
-  Scenario: Operators see the voter set, the term and every controller, with why one does not vote
+  Scenario: Operators see the voter set, the term and every controller, and the reason why one does not vote
     When controller 3 restarts with an empty disk and receives nothing from its peers
     Then controller 3 reports that its replica does not vote because "its disk is empty"
     And controller 1 reports voter set 1, a term, and that controller 3 does not answer
--- a/features/steps/contact.ts
+++ b/features/steps/contact.ts
@@ -42,7 +42,7 @@
 let frozenClock: ManualClock | undefined;
 let subscribers: UpdateSubscriber[] = [];
 let openConnections: Connection[] = [];
-let heartbeats = 0;
+let heartbeatCount = 0;
 
 /**
  * Advances the clocks together in steps: one clock per controller and one for all nodes. A frozen
@@ -150,7 +150,7 @@
   `).unwrapOrElse(({ sentence }) => assert.fail(sentence));
 
 const heartbeatOf = (service: string, zone: string, state = "ready"): UnknownRecord => {
-  heartbeats += 1;
+  heartbeatCount += 1;
   return {
     service,
     address: "127.5.0.1:80",
@@ -159,7 +159,7 @@
     capacity: 3,
     state,
     warmLeft: "0ms",
-    callCount: heartbeats,
+    callCount: heartbeatCount,
   };
 };
 const configurationOf = (version: number, timeout = "2000ms"): UnknownRecord => ({
@@ -308,9 +308,9 @@
     ];
     const timedCalls: readonly (readonly [string, string, unknown])[] = [
       heartbeat(`w-${zone}`, "ready"),
-      heartbeat(`w-fresh-${heartbeats}`, "ready"),
-      heartbeat(`w-leaving-${heartbeats}`, "draining"),
-      ["POST", `/workers/w-${ZONES[(heartbeats + 1) % 2]}/leave`, ""],
+      heartbeat(`w-fresh-${heartbeatCount}`, "ready"),
+      heartbeat(`w-leaving-${heartbeatCount}`, "draining"),
+      ["POST", `/workers/w-${ZONES[(heartbeatCount + 1) % 2]}/leave`, ""],
       ["POST", "/workers/w-nobody/leave", ""],
       ...[
         "nodes",
@@ -330,7 +330,7 @@
     ];
     const untimedCalls: readonly (readonly [string, string, unknown])[] = [
       ["GET", "/plan/read", ""],
-      ["POST", "/plan/change", configurationOf(heartbeats)],
+      ["POST", "/plan/change", configurationOf(heartbeatCount)],
       ["POST", "/retries", { service: "*", kind: "unsafe", ratio: 0.1, slack: 4 }],
       ["POST", "/cells/shift", { cell: "" }],
     ];
@@ -341,7 +341,7 @@
           ...(await callController(controller, method, path, body)),
         })),
       );
-    const session = openSession(controller, `bare-${heartbeats}`);
+    const session = openSession(controller, `bare-${heartbeatCount}`);
     const untimedAnswers = answersTo(untimedCalls);
     const { result, tookUs } = await advanceUntilDone(answersTo(timedCalls));
     assert.ok(tookUs <= 1_000_000, `${tookUs} us`);
@@ -531,7 +531,7 @@
   subscribedNode = await startNode([`127.1.0.9:${basePort + 2}`]);
   assert.ok(!subscribedNode.subscriber.isConnected);
 });
-When("its settings change to controller {int} as the seed node", (number: number) =>
+When("its settings are reloaded with controller {int} as the seed node", (number: number) =>
   subscribedNode.subscriber.renewSeeds([idOf(controllerAt(number))]),
 );
 Then("the session ends within {int} ms", (ms: number) =>
--- a/features/steps/goods.ts
+++ b/features/steps/goods.ts
@@ -170,7 +170,7 @@
   },
 );
 
-// --- origin rate limit ------------------------------------------------------------------------------
+// --- origin rate limit
 
 let rate = 0;
 let limitFactor = 0;
--- a/features/steps/system.ts
+++ b/features/steps/system.ts
@@ -113,9 +113,9 @@
   assert.fail(`timed out waiting until ${what}`);
 };
 
-let heartbeats = 0;
+let heartbeatCount = 0;
 const heartbeatOf = (worker: StandIn, state = "ready"): string => {
-  heartbeats += 1;
+  heartbeatCount += 1;
   const service = worker.id.startsWith("old") ? "s-old" : "s-new";
   const zone = `c${(Number(worker.id.slice(-1)) % 3) + 1}`;
   return JSON.stringify({
@@ -126,7 +126,7 @@
     capacity: 3,
     state,
     warmLeft: "0ms",
-    callCount: heartbeats,
+    callCount: heartbeatCount,
   });
 };
 const liveController = (): Settings => {
--- a/features/steps/visibility.ts
+++ b/features/steps/visibility.ts
@@ -20,7 +20,7 @@
 let reply: Message | undefined;
 
 Given(
-  "a controller with peers {string} and {string} that are connected and {string} that isn't",
+  "a controller with connected peers {string} and {string} and a disconnected peer {string}",
   (one: string, other: string, absent: string) => {
     peerRequests = [];
     isAcknowledged = false;
--- a/features/terms.feature
+++ b/features/terms.feature
@@ -5,14 +5,14 @@
     Then they are rejected in one line that names "<field>"
 
     Examples:
-      | error                               | field           |
-      | the name is empty                   | node.name       |
-      | the grace period is not a duration  | bounds.grace    |
-      | the port range has only one port    | node.sparePorts |
-      | the seed nodes are not a list       | node.seedNodes  |
-      | the log level is unknown            | node.logLevel   |
-      | a rollout weight is negative        | rollout.late    |
-      | the file is not TOML                | Invalid         |
+      | error                              | field           |
+      | the name is empty                  | node.name       |
+      | the grace period is not a duration | bounds.grace    |
+      | the port range has only one port   | node.sparePorts |
+      | the seed nodes are not a list      | node.seedNodes  |
+      | the log level is unknown           | node.logLevel   |
+      | a rollout weight is negative       | rollout.late    |
+      | the file is not TOML               | Invalid         |
 
   Scenario: Durations in valid settings are converted to microseconds
     When settings are read in which nothing is wrong
--- a/features/visibility.feature
+++ b/features/visibility.feature
@@ -1,7 +1,7 @@
 Feature: A change is acknowledged once every controller in contact has posted it to its nodes
 
   Scenario: The acknowledgement waits for connected peers, but not for disconnected ones
-    Given a controller with peers "b" and "c" that are connected and "d" that isn't
+    Given a controller with connected peers "b" and "c" and a disconnected peer "d"
     When a change is committed and its acknowledgement is pending
     Then "b" and "c" are asked whether they have posted it, and "d" is not
     When peer "b" replies
