--- a/cucumber.js
+++ b/cucumber.js
@@ -3,6 +3,6 @@
   import: ["target/test/features/steps/*.js"],
   format: ["summary"],
   strict: true,
-  // The scenarios of KNOWN-RED.txt; `npm run test:known-red` runs them.
+  // Excludes the scenarios listed in KNOWN-RED.txt, which `npm run test:known-red` runs.
   tags: "not @known-red and not @known-red-at-times",
 };
--- a/eslint.config.js
+++ b/eslint.config.js
@@ -5,22 +5,23 @@
 const noCastsAndArrowsOnly = [
   {
     selector: "FunctionDeclaration[generator=false]",
-    message: "Arrow functions only; generators are the one exception.",
+    message: "Use an arrow function; function declarations are allowed only for generators.",
   },
   {
     selector:
       "FunctionExpression[generator=false]:not(MethodDefinition[kind=/^(constructor|get|set)$/] > FunctionExpression)",
-    message: "Arrow functions only; generators are the one exception.",
+    message:
+      "Use an arrow function; only generators, constructors and accessors may be ordinary functions.",
   },
   {
     selector: "TSAsExpression:not([typeAnnotation.typeName.name='const'])",
-    message: "No casts.",
+    message: "Type assertions other than `as const` are not allowed.",
   },
-  { selector: "TSTypeAssertion", message: "No casts." },
-  { selector: "TSNonNullExpression", message: "No casts, and so no non-null assertions." },
+  { selector: "TSTypeAssertion", message: "Type assertions are not allowed." },
+  { selector: "TSNonNullExpression", message: "Non-null assertions are not allowed." },
 ];
 
-/** The layers of `src`, lowest first. A folder imports only from folders of lower rows. */
+/** The layers of `src`, lowest first. A folder may import only from folders of lower layers. */
 const LAYERS = [
   ["common"],
   ["transport"],
@@ -33,8 +34,8 @@
 ];
 
 /**
- * Imports that the order of the layers would allow and that are wrong all the same: the data plane
- * needs no agreement.
+ * Imports that are forbidden although the order of the layers would allow them: the data plane does
+ * not need consensus.
  */
 const FORBIDDEN_BESIDES = { proxy: ["consensus", "storage", "config"] };
 
@@ -54,7 +55,7 @@
             patterns: [
               {
                 group: above.map((other) => `**/../${other}${other.endsWith(".js") ? "" : "/**"}`),
-                message: `${folder} imports only from the layers below it (see docs/architecture.md).`,
+                message: `${folder} may import only from the layers below it (see docs/architecture.md).`,
               },
             ],
           },
@@ -64,7 +65,7 @@
   }),
 );
 
-/** Limits on size and nesting, in all code that ships. */
+/** Limits on size, nesting and complexity for all code that ships. */
 const sizeLimits = {
   "max-lines": ["error", { max: 400 }],
   "max-lines-per-function": ["error", { max: 60 }],
@@ -98,12 +99,11 @@
       "object-shorthand": ["error", "properties"],
       "@typescript-eslint/no-explicit-any": "error",
       "@typescript-eslint/consistent-type-assertions": ["error", { assertionStyle: "never" }],
-      // An interface that others implement may be asynchronous where one implementation has nothing
-      // to wait for.
+      // An implementation of an asynchronous interface may have nothing to await.
       "@typescript-eslint/require-await": "off",
       "@typescript-eslint/no-misused-promises": ["error", { checksVoidReturn: false }],
-      // Untyped data is read by index signature, where a bracket shows that the field may be
-      // missing.
+      // Untyped data is read through index signatures, where the bracket notation shows that a
+      // field may be missing.
       "@typescript-eslint/dot-notation": ["error", { allowIndexSignaturePropertyAccess: true }],
       "@typescript-eslint/no-confusing-void-expression": ["error", { ignoreArrowShorthand: true }],
       "@typescript-eslint/restrict-template-expressions": ["error", { allowNumber: true }],
@@ -121,7 +121,7 @@
         { selector: "default", format: ["camelCase"], leadingUnderscore: "allow" },
         { selector: "variable", format: ["camelCase", "UPPER_CASE"] },
         { selector: "typeLike", format: ["PascalCase"] },
-        // Names of fields may be given by a protocol, names of imports by a library.
+        // Property names may be determined by a protocol, and import names by a library.
         {
           selector: ["objectLiteralProperty", "objectLiteralMethod", "typeProperty", "import"],
           format: null,
--- a/examples/demo.sh
+++ b/examples/demo.sh
@@ -1,16 +1,18 @@
 #!/usr/bin/env bash
-# A fleet on this machine's loopback addresses: three controllers, two gateways and two stand-in workers. Applies
-# examples/config.json, sends one request through a gateway and prints it. Ctrl-C ends all of it and removes its folder.
+# Runs a demo cluster on the loopback addresses of this machine: three controllers, two gateways
+# and two stub workers. Applies examples/config.json, sends one request through a gateway and prints
+# the response. Ctrl-C stops all processes and deletes the temporary folder with their settings,
+# data and logs.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 yewreel="target/bundle/main.js"
 worker="target/test/features/support/run-stand-in.js"
-[ -f "$yewreel" ] && [ -f "$worker" ] || { echo "demo: build first: npm run demo does"; exit 1; }
+[ -f "$yewreel" ] && [ -f "$worker" ] || { echo "demo: the build output is missing; start the demo with npm run demo, which builds first"; exit 1; }
 folder=$(mktemp -d)
 started=()
 finish() {
   trap - EXIT INT TERM
-  echo "demo: ending all processes"
+  echo "demo: stopping all processes"
   [ ${#started[@]} -eq 0 ] || kill -KILL "${started[@]}" 2>/dev/null || true
   wait 2>/dev/null || true
   rm -rf "$folder"
@@ -34,24 +36,24 @@
   started+=($!)
 done
 
-# Runs a command again until it succeeds; fails after 30 seconds.
+# Repeats a command every 0.5 s until it succeeds; fails after 60 attempts (30 seconds).
 retry() {
   for _ in $(seq 60); do
     "$@" > "$folder/out.txt" 2>&1 && return
     sleep 0.5
   done
-  echo "demo: no success within 30 seconds: $*"
+  echo "demo: command did not succeed within 30 seconds: $*"
   cat "$folder/out.txt"
   return 1
 }
 export YEWREEL_CONTROLLERS=$controllers
-echo "demo: three controllers, two gateways and two workers start; logs in $folder"
+echo "demo: starting three controllers, two gateways and two workers; logs in $folder"
 retry node "$yewreel" ctl apply examples/config.json
 echo "demo: applied examples/config.json"
 retry curl -sf -o /dev/null http://127.0.0.4:17602/ready
 retry curl -sf -i -H "Host: menu.example" -H "Yewreel-Try-Id: demo" http://127.0.0.4:17601/menu/today
-echo "demo: GET http://127.0.0.4:17601/menu/today with Host: menu.example"
+echo "demo: response to GET http://127.0.0.4:17601/menu/today with Host: menu.example:"
 sed 's/^/    /' "$folder/out.txt"
 echo
-echo "demo: try YEWREEL_CONTROLLERS=$controllers node $yewreel ctl nodes; Ctrl-C ends all"
+echo "demo: press Ctrl-C to stop. To list the nodes, run: YEWREEL_CONTROLLERS=$controllers node $yewreel ctl nodes"
 wait
--- a/examples/settings.sh
+++ b/examples/settings.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Prints the settings of a node for trying yewreel on one machine: settings.sh NAME IP ZONE [FOLDER]
+# Prints the settings of one node of a yewreel demo cluster on a single machine.
+# Usage: settings.sh NAME IP ZONE [DATA_FOLDER]
 set -euo pipefail
 cat <<TOML
 [node]
--- a/src/proxy/no-http2.cjs
+++ b/src/proxy/no-http2.cjs
@@ -1,2 +1,3 @@
-// Workers speak HTTP/1.1 only. Node's own http2 would cost every start 40 ms and its memory; undici does without it.
+// Replaces node:http2 in the bundle. Workers speak HTTP/1.1 only, and loading Node's http2 module
+// would add 40 ms to every start and increase memory use; undici works without it.
 module.exports = { constants: {} };
