--- a/src/programs/cache/cache.ts
+++ b/src/programs/cache/cache.ts
@@ -31,7 +31,7 @@
 import type { RetryBudgets } from "../../proxy/retry-budget.js";
 import { subscribeToPurges } from "../purge-subscriber.js";
 import { openRetryBudgets } from "../gateway/retry-budgets.js";
-import { relayMetrics } from "../gateway/figures.js";
+import { relayMetrics } from "../gateway/metrics.js";
 import type { RunningProgram } from "../running-program.js";
 
 const MB = 1024 * 1024;
--- a/src/programs/controller/controller.ts
+++ b/src/programs/controller/controller.ts
@@ -21,7 +21,7 @@
 import { configRoutes, publishCommitted } from "./config.js";
 import { openConsensus } from "./consensus.js";
 import { startControlLoop } from "./control-loop.js";
-import { controllerMetrics } from "./figures.js";
+import { controllerMetrics } from "./metrics.js";
 import { queryRoutes, ReplicaStatus, type QueryHandlers } from "./fleet-queries.js";
 import { openHealth } from "./health.js";
 import { MessageDispatcher } from "./message-dispatcher.js";
--- a/src/programs/gateway/gateway.ts
+++ b/src/programs/gateway/gateway.ts
@@ -8,7 +8,7 @@
 import { serveApi } from "../http-api.js";
 import type { RunningProgram } from "../running-program.js";
 import { adminRoutes } from "./admin-api.js";
-import { gatewayMetrics } from "./figures.js";
+import { gatewayMetrics } from "./metrics.js";
 import { openDataPlane, type DataPlane } from "./data-plane.js";
 import { nodeQueryHandlers } from "./node-queries.js";
 import type { GatewayObjectCache, GatewayObjectCacheOptions } from "./object-cache.js";
