--- a/chaos/journal.ts
+++ b/chaos/journal.ts
@@ -1,7 +1,7 @@
 /** Reads the journal of bench runs: which days were run and which rules they violated. */
 import {
   asRecord,
-  readFlag,
+  readBoolean,
   isRecord,
   readList,
   readString,
@@ -92,7 +92,7 @@
     const seed = typeof day["seed"] === "number" ? String(day["seed"]) : "sealed";
     return {
       ...common,
-      commit: `${readString(entry, "head").slice(0, 7)}${readFlag(entry, "dirty") ? " and changes" : ""}`,
+      commit: `${readString(entry, "head").slice(0, 7)}${readBoolean(entry, "dirty") ? " and changes" : ""}`,
       name: `${name} (${seed})`,
       key: [site, name, seed, small ? "small" : "full"].join(" "),
       origin: isOwnDay ? "own" : command === "hunt" ? "hunt" : "standard",
--- a/features/steps/answers.ts
+++ b/features/steps/answers.ts
@@ -779,7 +779,7 @@
     clock,
     maxBytes: 0,
     sharedCaches: new PeerCaches(clock),
-    zoneCaches: new PeerCaches(clock),
+    zoneDistributors: new PeerCaches(clock),
     origin,
     rateLimiter,
     isFresh: () => true,
--- a/features/steps/compatibility.ts
+++ b/features/steps/compatibility.ts
@@ -23,7 +23,7 @@
 import {
   asList,
   asRecord,
-  readFlag,
+  readBoolean,
   readList,
   parseJson,
   readString,
@@ -72,7 +72,7 @@
     return {
       bytes: Buffer.from(readString(row, "frame"), "base64"),
       message: messageOf(row["message"]),
-      deflated: readFlag(row, "deflated"),
+      deflated: readBoolean(row, "deflated"),
     };
   });
 const copyToTempFolder = async (name: string): Promise<string> => {
--- a/features/steps/contact.ts
+++ b/features/steps/contact.ts
@@ -21,7 +21,7 @@
 } from "../../src/common/decode.js";
 import { connectTo } from "../../src/transport/connect.js";
 import type { Connection, Message } from "../../src/transport/connection.js";
-import { sentFrames } from "../../src/transport/frame-codec.js";
+import { sentFrameCounts } from "../../src/transport/frame-codec.js";
 import { CuttableNet } from "../support/cuttable-net.js";
 import { ManualClock, settle } from "../support/manual-clock.js";
 
@@ -147,7 +147,7 @@
     retryRatio = 0.2
     retryWindow = "10s"
     retrySlack = 50
-  `).unwrapOrElse(({ sentence }) => assert.fail(sentence));
+  `).unwrapOrElse(({ message }) => assert.fail(message));
 
 const heartbeatOf = (service: string, zone: string, state = "ready"): UnknownRecord => {
   heartbeatCount += 1;
@@ -427,7 +427,7 @@
   "{int} workers send heartbeats to controller {int} at once",
   async (count: number, number: number) => {
     const controller = controllerAt(number);
-    const before = sentFrames.get("contact")?.frames ?? 0;
+    const before = sentFrameCounts.get("contact")?.frames ?? 0;
     const answers = Array.from({ length: count }, (_, at) =>
       callController(
         controller,
@@ -439,7 +439,7 @@
     const { result, tookUs } = await advanceUntilDone(Promise.all(answers));
     result.forEach(({ status }) => assert.equal(status, 200));
     acknowledgedUs = tookUs;
-    contactFrames = (sentFrames.get("contact")?.frames ?? 0) - before;
+    contactFrames = (sentFrameCounts.get("contact")?.frames ?? 0) - before;
   },
 );
 Then(
@@ -532,7 +532,7 @@
   assert.ok(!subscribedNode.subscriber.isConnected);
 });
 When("its settings are reloaded with controller {int} as the seed node", (number: number) =>
-  subscribedNode.subscriber.renewSeeds([idOf(controllerAt(number))]),
+  subscribedNode.subscriber.setSeeds([idOf(controllerAt(number))]),
 );
 Then("the session ends within {int} ms", (ms: number) =>
   advanceUntil(() => !subscribedNode.subscriber.isConnected, ms * 1_000, "the session has ended"),
--- a/features/steps/data-folder.ts
+++ b/features/steps/data-folder.ts
@@ -4,7 +4,7 @@
 import { basename, join } from "node:path";
 import { After, Before, Given, Then, When } from "@cucumber/cucumber";
 import type { Logger, LogFields } from "../../src/common/logger.js";
-import { takeOverFormerFolder, type Role } from "../../src/storage/data-folder.js";
+import { migrateDataFolder, type Role } from "../../src/storage/data-folder.js";
 import {
   NodeFileSystem,
   type FileSystem,
@@ -48,7 +48,7 @@
 const logger: Logger = { info: logAt("info"), warn: logAt("warn"), debug: logAt("debug") };
 
 const migrate = (role: Role, name: string, fileSystem = files): Promise<boolean> =>
-  takeOverFormerFolder({
+  migrateDataFolder({
     role,
     folder: name === "" ? "" : join(parent, name),
     fileSystem,
@@ -183,7 +183,7 @@
 const CURRENT = "/data/controller";
 const FORMER = "/data/signalbox";
 const migrateOn = (fileSystem: FolderFileSystem): Promise<boolean> =>
-  takeOverFormerFolder({ role: "controller", folder: CURRENT, fileSystem, logger });
+  migrateDataFolder({ role: "controller", folder: CURRENT, fileSystem, logger });
 const diskWithState = async (seed: number): Promise<FaultyDisk> => {
   const faulty = new FaultyDisk(seededRandom(seed));
   await writeState(FORMER, faulty.open());
--- a/features/steps/forecast.ts
+++ b/features/steps/forecast.ts
@@ -88,8 +88,8 @@
     );
     for (let index = 0; index < callCount; index += 1) {
       const nodeCounters = this.counters[Math.floor(random() * NODES)];
-      nodeCounters?.arrived("s");
-      nodeCounters?.answered(
+      nodeCounters?.recordArrival("s");
+      nodeCounters?.recordCompletion(
         "s",
         ZONES[Math.floor(random() * 4)] ?? "",
         CALL_US * slowdown * (0.5 + random()),
@@ -235,8 +235,8 @@
   for (let index = 0; index < nodes; index += 1) {
     const nodeCounters = simulation.counters[index];
     for (let call = 0; call < Math.round((load * SLOTS * 10) / nodes); call += 1) {
-      nodeCounters?.arrived("s");
-      nodeCounters?.answered("s", "c1", CALL_US);
+      nodeCounters?.recordArrival("s");
+      nodeCounters?.recordCompletion("s", "c1", CALL_US);
     }
     const report = nodeCounters?.takeReport();
     if (!report) continue;
--- a/features/steps/metrics.ts
+++ b/features/steps/metrics.ts
@@ -19,7 +19,7 @@
     ip: IP,
     port: PORT,
     path: "/metrics",
-    figures: [
+    metrics: [
       { name: "yewreel_count", help: "A count.", read: () => count },
       { name: "yewreel_requests", help: "Counts by outcome.", read: () => requests },
     ],
@@ -85,7 +85,7 @@
     assert.equal(parsed.isOk, verdict === "taken");
     if (parsed.isOk)
       assert.deepEqual(parsed.value.metrics.get("gateway"), { port: 9464, path: "/metrics" });
-    else assert.match(parsed.error.sentence, /metrics/);
+    else assert.match(parsed.error.message, /metrics/);
   },
 );
 
--- a/features/steps/moves.ts
+++ b/features/steps/moves.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
-import { checkForecast, readKept } from "../../src/programs/ctl/forecast-check.js";
+import { checkForecast, readSavedForecast } from "../../src/programs/ctl/forecast-check.js";
 import { RequestCounters } from "../../src/proxy/request-counters.js";
 import {
   confidenceHalfWidth,
@@ -241,7 +241,7 @@
 When(
   "the nodes have sent {int} calls to workers new to {string} and {int} to workers it already had",
   (newCount: number, node: string, knownCount: number) => {
-    const read = readKept(savedForecast);
+    const read = readSavedForecast(savedForecast);
     assert.ok(isRecord(read));
     const calls = [
       { kind: "safe", worker: "w-new", count: newCount },
--- a/features/steps/object-messages.ts
+++ b/features/steps/object-messages.ts
@@ -15,7 +15,7 @@
   asString,
   isRecord,
   parseJson,
-  readFlag,
+  readBoolean,
   readList,
   readNumber,
   readString,
@@ -70,7 +70,7 @@
       clock.nowUs(),
       range === undefined ? undefined : asString(range),
       etag === undefined ? undefined : objectOf(asString(etag)),
-      readFlag(row, "isHop"),
+      readBoolean(row, "isHop"),
     );
     assert.deepEqual(plain(packed), row["message"]);
   }
@@ -226,7 +226,7 @@
     clock,
     maxBytes: 1_000_000,
     sharedCaches: cache,
-    zoneCaches: new PeerCaches(clock),
+    zoneDistributors: new PeerCaches(clock),
     origin: originFetcher(clock, rateLimiter),
     rateLimiter,
     isFresh: () => true,
--- a/features/steps/retries.ts
+++ b/features/steps/retries.ts
@@ -85,7 +85,7 @@
 });
 
 const request = (node: Node, kind: RouteKind, wantsRetry: boolean): void => {
-  const budget = node.budgets.of("s", kind);
+  const budget = node.budgets.budgetFor("s", kind);
   budget.recordRequest();
   requests.push({ atUs: timeline.nowUs(), kind });
   if (!wantsRetry || !budget.trySpend()) return;
@@ -126,7 +126,7 @@
         const [service, kind, tokens] = asList(value);
         const known = KINDS.find((one) => one === asString(kind));
         assert.ok(known);
-        node.budgets.of(asString(service), known).setLease({
+        node.budgets.budgetFor(asString(service), known).setLease({
           tokens: asNumber(tokens) * (isLeaseDoubled ? 2 : 1),
           expiresUs: requestedUs + RETRY_LEASE_US,
         });
@@ -234,7 +234,7 @@
   assert.ok(retriesUnderLease >= count, `${retriesUnderLease} of ${retries.length}`),
 );
 Then("it is allowed no retry", () =>
-  assert.equal(nodes[0]?.budgets.of("s", "safe").trySpend(), false),
+  assert.equal(nodes[0]?.budgets.budgetFor("s", "safe").trySpend(), false),
 );
 
 let currentAllocator: RetryAllocator;
@@ -311,22 +311,22 @@
 When(
   "it makes {int} requests and {int} retries",
   async (requestCount: number, retryCount: number) => {
-    const budget = budgets.of("s", "safe");
+    const budget = budgets.budgetFor("s", "safe");
     for (let at = 0; at < requestCount; at += 1) budget.recordRequest();
     for (let at = 0; at < retryCount; at += 1) assert.ok(budget.trySpend());
     await clock.pass(20_000_000);
   },
 );
 Then("no lease was requested from the leader", () => assert.equal(leaseRequestCount, 0));
-When("a retry is rejected", () => assert.equal(budgets.of("s", "safe").trySpend(), false));
+When("a retry is rejected", () => assert.equal(budgets.budgetFor("s", "safe").trySpend(), false));
 Then(
   "it requests a lease from the leader within a second, uses it, and stops requesting when it needs none",
   async () => {
     await clock.pass(1_000_000);
     await settle();
     assert.ok(leaseRequestCount > 0);
-    assert.equal(budgets.of("s", "safe").leasedTokens(), 5);
-    assert.ok(budgets.of("s", "safe").trySpend());
+    assert.equal(budgets.budgetFor("s", "safe").leasedTokens(), 5);
+    assert.ok(budgets.budgetFor("s", "safe").trySpend());
     await clock.pass(20_000_000);
     const countBefore = leaseRequestCount;
     await clock.pass(20_000_000);
--- a/features/steps/terms.ts
+++ b/features/steps/terms.ts
@@ -49,8 +49,8 @@
 });
 Then("they are rejected in one line that names {string}", (field: string) => {
   assert.ok(parsed.isErr);
-  assert.ok(parsed.error.sentence.includes(field), parsed.error.sentence);
-  assert.ok(!parsed.error.sentence.includes("\n"));
+  assert.ok(parsed.error.message.includes(field), parsed.error.message);
+  assert.ok(!parsed.error.message.includes("\n"));
 });
 Then("the grace period is {int} microseconds", (graceUs: number) => {
   assert.ok(parsed.isOk);
--- a/features/steps/traffic.ts
+++ b/features/steps/traffic.ts
@@ -97,14 +97,14 @@
     windowUs: 10_000_000,
     limits: () => defaultLimits({ ratio: isBudgetEmpty ? 0 : 100, slack: 0, windowUs: 10_000_000 }),
   });
-  retriesFor = (kind) => budgets.of("s1", kind).snapshot().retries;
+  retriesFor = (kind) => budgets.budgetFor("s1", kind).snapshot().retries;
   gateway = new ProxyServer({
     clock,
     log: silentLogger,
     zone: "c1",
     bufferMemoryBytes: 64 * 1024,
     routes: table,
-    pool,
+    workers: pool,
     retryBudgets: budgets,
     isBehind: () => isBehind,
     connectionShare: () => 10,
--- a/features/steps/update-lag.ts
+++ b/features/steps/update-lag.ts
@@ -13,7 +13,7 @@
     lag = new UpdateLag({
       clock,
       limitUs: limitMs * 1_000,
-      forgetAfterUs: forgetAfterMs * 1_000,
+      disconnectedGraceUs: forgetAfterMs * 1_000,
     });
   },
 );
--- a/features/support/golden.ts
+++ b/features/support/golden.ts
@@ -206,7 +206,7 @@
         roster: state.voterSet,
         pending: state.voterSetProposal ?? null,
         counts: store.isVoting,
-        sums: state.bucketSums(),
+        sums: state.bucketHashes(),
       }),
     );
   }
--- a/features/support/health-run.ts
+++ b/features/support/health-run.ts
@@ -8,7 +8,7 @@
 import { silentLogger } from "../../src/common/logger.js";
 import { CanaryAnalyzer } from "../../src/health/canary-analysis.js";
 import {
-  NO_CANARIES,
+  INITIAL_CANARY_STATE,
   readCanaryState,
   type CanaryState,
   type SplitRoute,
@@ -137,7 +137,8 @@
   const clock = new ManualClock();
   const transcript: Transcript = [];
   let json = "";
-  const state = (): CanaryState => (json === "" ? NO_CANARIES : readCanaryState(parseJson(json)));
+  const state = (): CanaryState =>
+    json === "" ? INITIAL_CANARY_STATE : readCanaryState(parseJson(json));
   const shares = [
     { service: "old", share: 9 },
     { service: "new", share: 1 },
@@ -247,10 +248,10 @@
   const tick = async (callsPerNode: number, rejected: number): Promise<void> => {
     counters.forEach((counter, index) => {
       for (let call = 0; call < callsPerNode; call += 1) {
-        counter.arrived("pay");
-        counter.answered("pay", ZONES[call % 2] ?? "", 200_000 + (call % 7) * 10_000);
+        counter.recordArrival("pay");
+        counter.recordCompletion("pay", ZONES[call % 2] ?? "", 200_000 + (call % 7) * 10_000);
       }
-      for (let call = 0; call < rejected; call += 1) counter.refused("pay");
+      for (let call = 0; call < rejected; call += 1) counter.recordRejection("pay");
       const report: Message | undefined = counter.takeReport();
       if (needsMoreReports(transcript)) transcript.push(["report", JSON.stringify(report ?? null)]);
       if (report) forecaster.receive({ ...report, node: `n${index}` });
--- a/features/support/relay-cluster.ts
+++ b/features/support/relay-cluster.ts
@@ -87,7 +87,11 @@
     const publisher = new UpdatePublisher(clock, updates, () => false, {
       ...(rates ? { linkMbps: rates.nodeMbps } : {}),
     });
-    const lag = new UpdateLag({ clock, limitUs: LAG_LIMIT_US, forgetAfterUs: FORGET_AFTER_US });
+    const lag = new UpdateLag({
+      clock,
+      limitUs: LAG_LIMIT_US,
+      disconnectedGraceUs: FORGET_AFTER_US,
+    });
     const name = `n${number}`;
     const ip = `127.3.1.${number}`;
     const subscriber = new UpdateSubscriber({
--- a/fuzz/proxy-harness.ts
+++ b/fuzz/proxy-harness.ts
@@ -140,14 +140,14 @@
       windowUs: 10_000_000,
       limits: () => defaultLimits({ ratio: retryRatio, slack: 0, windowUs: 10_000_000 }),
     });
-    this.retriesOf = (kind) => budgets.of("s1", kind).snapshot().retries;
+    this.retriesOf = (kind) => budgets.budgetFor("s1", kind).snapshot().retries;
     this.proxy = new ProxyServer({
       clock,
       log: silentLogger,
       zone: "c1",
       bufferMemoryBytes: 4 * 1024 * 1024,
       routes: table,
-      pool: this.pool,
+      workers: this.pool,
       retryBudgets: budgets,
       connectionShare: () => 10,
       countFault: () => undefined,
--- a/scalability/changes.ts
+++ b/scalability/changes.ts
@@ -4,7 +4,7 @@
 import { join } from "node:path";
 import { Command } from "commander";
 import { quantileSorted } from "simple-statistics";
-import { sleep, SteadyClock, type Timer } from "../src/common/clock.js";
+import { sleep, MonotonicClock, type Timer } from "../src/common/clock.js";
 import { asRecord, asNumber, type UnknownRecord } from "../src/common/decode.js";
 import { MILLISECOND_US, SECOND_US } from "../src/common/duration.js";
 import { Host, post, makeRule, waitUntil } from "./host.js";
@@ -14,7 +14,7 @@
  * Measures the cost of configuration changes: real controllers over loopback, first idle, then with
  * changes sent one after another.
  */
-const clock = new SteadyClock();
+const clock = new MonotonicClock();
 
 const bytesInFolder = async (folder: string): Promise<number> => {
   const entries = await readdir(folder, { withFileTypes: true });
--- a/scalability/host-process.ts
+++ b/scalability/host-process.ts
@@ -4,7 +4,7 @@
 import { runGateway } from "../src/programs/gateway/gateway.js";
 import { runController } from "../src/programs/controller/controller.js";
 import { CONFIG_PREFIX, WORKER_PREFIX } from "../src/membership/update-store.js";
-import { SteadyClock, type Timer } from "../src/common/clock.js";
+import { MonotonicClock, type Timer } from "../src/common/clock.js";
 import { setLogLevel } from "../src/common/logger.js";
 import {
   asRecord,
@@ -15,7 +15,7 @@
   type UnknownRecord,
 } from "../src/common/decode.js";
 import { MILLISECOND_US, SECOND_US } from "../src/common/duration.js";
-import { sentFrames } from "../src/transport/frame-codec.js";
+import { sentFrameCounts } from "../src/transport/frame-codec.js";
 import { controllerAddress, steadyUs, nodeIp, settingsOf } from "./loopback.js";
 
 /**
@@ -23,7 +23,7 @@
  * nodes, many light workers, or one real gateway.
  */
 setLogLevel("silent");
-const clock = new SteadyClock();
+const clock = new MonotonicClock();
 
 const measure = (): UnknownRecord => {
   const { user, system } = process.cpuUsage();
@@ -33,7 +33,7 @@
     cpuUs: user + system,
     rssMb: rss / 2 ** 20,
     heapMb: heapUsed / 2 ** 20,
-    sent: Object.fromEntries([...sentFrames].map(([kind, counts]) => [kind, { ...counts }])),
+    sent: Object.fromEntries([...sentFrameCounts].map(([kind, counts]) => [kind, { ...counts }])),
   };
 };
 
@@ -61,8 +61,8 @@
   const loadCounters = new LoadCounters(`${at}-${steadyUs()}`);
   const report = clock.every(2 * SECOND_US, () => {
     for (let service = 0; service < services; service += 1) {
-      loadCounters.arrived(`s${service}`);
-      loadCounters.answered(`s${service}`, settings.zone, 100 * MILLISECOND_US);
+      loadCounters.recordArrival(`s${service}`);
+      loadCounters.recordCompletion(`s${service}`, settings.zone, 100 * MILLISECOND_US);
     }
     const message = loadCounters.takeReport();
     if (message) member.subscriber.report(message);
--- a/scalability/host.ts
+++ b/scalability/host.ts
@@ -1,11 +1,11 @@
 import { fork, type ChildProcess } from "node:child_process";
 import { request } from "node:http";
-import { sleep, SteadyClock } from "../src/common/clock.js";
+import { sleep, MonotonicClock } from "../src/common/clock.js";
 import { asRecord, asNumber, type UnknownRecord } from "../src/common/decode.js";
 import { MILLISECOND_US, SECOND_US } from "../src/common/duration.js";
 import { steadyUs } from "./loopback.js";
 
-const clock = new SteadyClock();
+const clock = new MonotonicClock();
 
 /** A child process that answers requests over its IPC channel. */
 export class Host {
--- a/scalability/measurement.ts
+++ b/scalability/measurement.ts
@@ -5,7 +5,7 @@
 import { mkdtemp, rm } from "node:fs/promises";
 import { loadavg, tmpdir } from "node:os";
 import { join } from "node:path";
-import { sleep, SteadyClock } from "../src/common/clock.js";
+import { sleep, MonotonicClock } from "../src/common/clock.js";
 import { readNumber, type UnknownRecord } from "../src/common/decode.js";
 import { MILLISECOND_US, SECOND_US } from "../src/common/duration.js";
 import { Host, makeRule, post, waitUntil } from "./host.js";
@@ -19,7 +19,7 @@
 /** One of this many nodes is restarted. */
 const RESTART_EVERY_NTH = 7;
 
-const clock = new SteadyClock();
+const clock = new MonotonicClock();
 
 const configurationOf = (size: Size): string =>
   JSON.stringify({
--- a/scalability/node.ts
+++ b/scalability/node.ts
@@ -7,14 +7,14 @@
 import { UpdateStore, CONFIG_PREFIX, WORKER_PREFIX } from "../src/membership/update-store.js";
 import { RouteTable } from "../src/proxy/route-table.js";
 import { WorkerDirectory } from "../src/proxy/worker-directory.js";
-import { sleep, SteadyClock } from "../src/common/clock.js";
+import { sleep, MonotonicClock } from "../src/common/clock.js";
 import { asRecord, readNumber, type UnknownRecord } from "../src/common/decode.js";
 import { MILLISECOND_US, SECOND_US } from "../src/common/duration.js";
 import { Host, post, makeRule, waitUntil } from "./host.js";
 import { controllerAddress, FRONT_PORT, steadyUs, nodeIp, READY_PORT } from "./loopback.js";
 
 /** Measures one node: the memory it needs per worker and route, and the cost of a request. */
-const clock = new SteadyClock();
+const clock = new MonotonicClock();
 const ZONES = 7;
 const WORKERS_PER_SERVICE = 50;
 
--- a/simulator/run.ts
+++ b/simulator/run.ts
@@ -5,7 +5,7 @@
 import { availableParallelism } from "node:os";
 import { isMainThread, parentPort, workerData } from "node:worker_threads";
 import { Command } from "commander";
-import { readFlag, readString } from "../src/common/decode.js";
+import { readBoolean, readString } from "../src/common/decode.js";
 import { DEPLOYMENTS, faultKindOf } from "./schedule.js";
 import {
   readSeedRange,
@@ -44,11 +44,11 @@
     to: from + seeds,
     step: 1,
     deployment,
-    exceedsTolerance: readFlag(options, "beyond"),
+    exceedsTolerance: readBoolean(options, "beyond"),
     frequentFault,
-    shrinks: readFlag(options, "shrink"),
+    shrinks: readBoolean(options, "shrink"),
   };
-  return { range, seeds, jobs, json: readFlag(options, "json") };
+  return { range, seeds, jobs, json: readBoolean(options, "json") };
 };
 
 const USAGE = `seeds, from and jobs must be integers of at least 1, jobs at most the number of processors, deployment one of ${Object.keys(DEPLOYMENTS).join(", ")}, and favour a kind of fault.`;
--- a/simulator/seed-runner.ts
+++ b/simulator/seed-runner.ts
@@ -3,7 +3,7 @@
 import {
   asRecord,
   asString,
-  readFlag,
+  readBoolean,
   readList,
   readNumber,
   readString,
@@ -109,9 +109,9 @@
     to: readNumber(record, "to"),
     step: readNumber(record, "step"),
     deployment: readString(record, "deployment"),
-    exceedsTolerance: readFlag(record, "exceedsTolerance"),
+    exceedsTolerance: readBoolean(record, "exceedsTolerance"),
     frequentFault: readString(record, "frequentFault"),
-    shrinks: readFlag(record, "shrinks"),
+    shrinks: readBoolean(record, "shrinks"),
   };
 };
 
--- a/src/cache/messages.ts
+++ b/src/cache/messages.ts
@@ -8,7 +8,7 @@
   asRecord,
   asString,
   isRecord,
-  readFlag,
+  readBoolean,
   readList,
   readNumber,
   readString,
@@ -133,7 +133,8 @@
   etag !== "" && etag === message[REQUEST_KEY.etag];
 
 /** Whether the receiver of a request must not forward it to another cache. */
-export const isHop = (message: Message): boolean => readFlag(message, REQUEST_KEY.isHop);
+export const forbidsForwarding = (message: Message): boolean =>
+  readBoolean(message, REQUEST_KEY.isHop);
 
 /** Packs a request for a permit to send one more request to a service. */
 export const packPermitRequest = (service: string): Message => ({
@@ -151,7 +152,7 @@
 
 /** Whether a reply permits the request; without a reply it does not. */
 export const isPermitted = (reply: Message | undefined): boolean =>
-  reply !== undefined && readFlag(reply, REPLY_KEY.isPermitted);
+  reply !== undefined && readBoolean(reply, REPLY_KEY.isPermitted);
 
 /** Turns a reply into a message that carries the id of its request. */
 export const packReply = (reply: UnknownRecord, request: Message): Message => ({
--- a/src/cache/object-client.ts
+++ b/src/cache/object-client.ts
@@ -31,7 +31,7 @@
    * The nodes that distribute large objects in this zone. Empty if a cache runs in the zone, or if
    * this node is the distributor.
    */
-  readonly zoneCaches: PeerCaches;
+  readonly zoneDistributors: PeerCaches;
   readonly origin: OriginFetcher;
   readonly rateLimiter: RateLimiter;
   readonly isFresh: () => boolean;
@@ -171,7 +171,7 @@
     range: string | undefined,
     previous?: CachedObject,
   ): Promise<ClientReply | ObjectUnavailable> => {
-    const { clock, sharedCaches: caches, zoneCaches: zoneDistributors } = this.options;
+    const { clock, sharedCaches: caches, zoneDistributors } = this.options;
     const sentAtUs = clock.nowUs();
     const message = packObjectRequest(request, sentAtUs, range, previous);
     const viaDistributor = zoneDistributors.isAnyConnected && this.isLarge(request);
--- a/src/cache/object-server.ts
+++ b/src/cache/object-server.ts
@@ -7,7 +7,7 @@
 import type { Message, Connection } from "../transport/connection.js";
 import {
   hasVersion,
-  isHop,
+  forbidsForwarding,
   OBJECT_MESSAGE,
   packObject,
   packPermit,
@@ -67,7 +67,7 @@
     if (message.kind === OBJECT_MESSAGE.permit)
       return packPermit(rateLimiter.takeToken(permitService(message)).ok);
     const request = readObjectRequest(message, clock.nowUs());
-    const selectedStore = isHop(message) ? (this.options.ownStore ?? store) : store;
+    const selectedStore = forbidsForwarding(message) ? (this.options.ownStore ?? store) : store;
     const cached = selectedStore.peek(request);
     const found = cached
       ? await selectedStore.get(request)
--- a/src/cache/origin-fetch.ts
+++ b/src/cache/origin-fetch.ts
@@ -70,7 +70,7 @@
     previous: CachedObject | undefined,
   ): Promise<LookupResult> => {
     const { clock, retryBudgets } = this.options;
-    const budget = retryBudgets.of(request.service, "cached");
+    const budget = retryBudgets.budgetFor(request.service, "cached");
     const tried = new Set<string>();
     let errorResponse: CachedObject | undefined;
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
@@ -201,7 +201,7 @@
         headers,
         body: null,
         attemptId,
-        usesOwnConnection: true,
+        usesDedicatedConnection: true,
         reserveMemory: () => true,
         maySend: () => clock.nowUs() < request.deadlineUs,
       },
--- a/src/common/clock.ts
+++ b/src/common/clock.ts
@@ -16,7 +16,7 @@
  * Monotonic clock of the process. Delays are rounded up to whole milliseconds, so rounding never
  * makes a timer fire early.
  */
-export class SteadyClock implements Clock {
+export class MonotonicClock implements Clock {
   readonly nowUs = (): number => Math.round(performance.now() * 1_000);
 
   readonly after = (delayUs: number, callback: () => void): Timer => {
--- a/src/common/decode.ts
+++ b/src/common/decode.ts
@@ -46,7 +46,8 @@
 };
 
 /** Reads a boolean field; anything but `true`, including a missing field, is false. */
-export const readFlag = (record: UnknownRecord, field: string): boolean => record[field] === true;
+export const readBoolean = (record: UnknownRecord, field: string): boolean =>
+  record[field] === true;
 
 /**
  * Reads a list field and decodes each element with `read`; empty if the field is missing. Throws a
--- a/src/common/http-outcomes.ts
+++ b/src/common/http-outcomes.ts
@@ -7,19 +7,19 @@
    * so that it can safely be retried.
    */
   readonly retryAfter: boolean;
-  readonly closes: boolean;
+  readonly closesConnection: boolean;
 }
 
 const outcome = (
   status: number,
   problem: string,
   isRetryable = false,
-  closes = false,
+  closesConnection = false,
 ): HttpOutcome => ({
   status,
   problem,
   retryAfter: isRetryable,
-  closes,
+  closesConnection,
 });
 
 /**
--- a/src/common/settings.ts
+++ b/src/common/settings.ts
@@ -11,7 +11,7 @@
  */
 export interface SettingsError {
   readonly kind: "unreadable" | "wrong";
-  readonly sentence: string;
+  readonly message: string;
 }
 
 convict.addFormat({
@@ -264,11 +264,11 @@
       rolloutWeights: cfg.get("rollout"),
     });
   } catch (error) {
-    const sentence =
+    const message =
       (error instanceof Error ? error.message : String(error))
         .split("\n")
         .find((line) => line.trim() !== "") ?? "";
-    return err({ kind: "wrong", sentence });
+    return err({ kind: "wrong", message });
   }
 };
 
@@ -277,7 +277,7 @@
   try {
     return parseSettings(await readFile(path, "utf8"));
   } catch {
-    return err({ kind: "unreadable", sentence: `the settings file ${path} cannot be read` });
+    return err({ kind: "unreadable", message: `the settings file ${path} cannot be read` });
   }
 };
 
--- a/src/common/weighted-split.ts
+++ b/src/common/weighted-split.ts
@@ -19,5 +19,5 @@
       }));
 
 /** Returns the name of the service with the largest share. */
-export const mainOf = (shares: readonly WeightedService[]): string =>
+export const serviceWithLargestShare = (shares: readonly WeightedService[]): string =>
   [...shares].sort((a, b) => b.share - a.share)[0]?.service ?? "";
--- a/src/config/change-request.ts
+++ b/src/config/change-request.ts
@@ -72,7 +72,7 @@
  * Like {@link parseChange}, but releases the event loop after every few items, so that heartbeats
  * continue while a large change is parsed.
  */
-export const parseChangeInTurns = async (
+export const parseChangeIncrementally = async (
   body: string,
 ): Promise<Result<readonly Register[], ConfigError>> => {
   const items = readItems(body);
--- a/src/consensus/acceptor.ts
+++ b/src/consensus/acceptor.ts
@@ -188,7 +188,7 @@
     readonly nextBucket: number;
   } => {
     const { state } = this.options.local;
-    const hashes = state.bucketSums();
+    const hashes = state.bucketHashes();
     const equalBuckets: number[] = [];
     const entries: EntryReport[] = [];
     let bucket = fromBucket;
--- a/src/consensus/catch-up.ts
+++ b/src/consensus/catch-up.ts
@@ -58,7 +58,7 @@
   private readonly runOnce = async (): Promise<Result<void, ReplicatedStoreError>> => {
     const { local, logger } = this.options;
     const ownEntries = local.state.copyOfEntries();
-    const bucketHashes = local.state.bucketSums();
+    const bucketHashes = local.state.bucketHashes();
     const floor = local.nextBallot();
     const voterSetBefore = local.voterSet.number;
     const views = new Map<string, ReplicaView>();
--- a/src/consensus/lease-messages.ts
+++ b/src/consensus/lease-messages.ts
@@ -2,7 +2,7 @@
  * Messages of the leader lease and of joining and leaving voters, with their encoding. The names
  * and texts on the wire are defined here and never change.
  */
-import { readFlag, readString } from "../common/decode.js";
+import { readBoolean, readString } from "../common/decode.js";
 import type { Message } from "../transport/connection.js";
 
 /** Asks whether the receiving member considers the lease available to a candidate. */
@@ -100,7 +100,7 @@
 export const decodeLeaseResponse = (message: Message): LeaseResponse => {
   const reason = message[REASON];
   return {
-    isGranted: readFlag(message, IS_GRANTED),
+    isGranted: readBoolean(message, IS_GRANTED),
     reason: typeof reason === "string" ? reason : undefined,
   };
 };
--- a/src/consensus/messages.ts
+++ b/src/consensus/messages.ts
@@ -15,7 +15,7 @@
   asRecord,
   asString,
   isRecord,
-  readFlag,
+  readBoolean,
   readList,
   readNumber,
   readString,
@@ -281,7 +281,7 @@
 
 /** @throws DecodeError if a field is missing or has the wrong type */
 export const decodeReadResponse = (message: Message): ReadResponse => ({
-  isVoting: readFlag(message, IS_VOTING),
+  isVoting: readBoolean(message, IS_VOTING),
   equalBuckets: readList(message, EQUAL_BUCKETS, asNumber),
   entries: readList(message, "entries", decodeEntryReport),
   nextBucket: readNumber(message, NEXT_BUCKET),
@@ -302,7 +302,7 @@
 
 /** @throws DecodeError if a field has the wrong type */
 export const decodeContactResponse = (message: Message): ContactResponse => ({
-  isVoting: readFlag(message, IS_VOTING),
+  isVoting: readBoolean(message, IS_VOTING),
   voterSet: decodeOptionalVoterSet(message),
   grantedTerm: isRecord(message[GRANT]) ? readNumber(message[GRANT], "version") : undefined,
 });
--- a/src/consensus/quorum-reader.ts
+++ b/src/consensus/quorum-reader.ts
@@ -86,7 +86,7 @@
     const { self, local, calls, views, withstandMachines } = this.options;
     const ownEntries = local.state.copyOfEntries();
     const uncommittedKeys = local.state.uncommittedKeys();
-    const reader = { bucketHashes: local.state.bucketSums(), uncommittedKeys };
+    const reader = { bucketHashes: local.state.bucketHashes(), uncommittedKeys };
     const collected = new Map<string, ReplicaView>();
     const read = await calls.collect<ReplicaView>({
       sets: local.quorumSets,
--- a/src/consensus/reconfiguration.ts
+++ b/src/consensus/reconfiguration.ts
@@ -114,7 +114,7 @@
     const read = await reader.readNow();
     if (read.isErr) return read;
     const ownEntries = local.state.copyOfEntries();
-    const bucketHashes = local.state.bucketSums();
+    const bucketHashes = local.state.bucketHashes();
     const collected = new Map<string, ReplicaView>();
     const viewed = await calls.collect<ReplicaView>({
       sets: () => quorumSetsOf(voterSet),
--- a/src/consensus/register.ts
+++ b/src/consensus/register.ts
@@ -6,7 +6,7 @@
 import {
   asList,
   asRecord,
-  readFlag,
+  readBoolean,
   asNumber,
   readString,
   asString,
@@ -76,7 +76,7 @@
       readString(record, "key"),
       readNumber(record, "version"),
       readString(record, "body"),
-      readFlag(record, "dropped"),
+      readBoolean(record, "dropped"),
     ),
     past,
     pastFrom,
--- a/src/consensus/replica.ts
+++ b/src/consensus/replica.ts
@@ -152,7 +152,7 @@
   };
 
   /** The hash of each bucket, for comparison with another replica. */
-  readonly bucketSums = (): readonly string[] => this.hashes.values();
+  readonly bucketHashes = (): readonly string[] => this.hashes.values();
 
   /** The entries of one bucket that have a ballot. */
   readonly entriesInBucket = (bucket: number): readonly Entry[] =>
--- a/src/health/canary-analysis.ts
+++ b/src/health/canary-analysis.ts
@@ -6,7 +6,7 @@
 import type { UnknownRecord } from "../common/decode.js";
 import { MILLISECOND_US } from "../common/duration.js";
 import type { Logger } from "../common/logger.js";
-import { mainOf } from "../common/weighted-split.js";
+import { serviceWithLargestShare } from "../common/weighted-split.js";
 import type { Message } from "../transport/connection.js";
 import {
   findStop,
@@ -23,7 +23,7 @@
   StaleRouteVersionError,
   type ClearError,
 } from "./errors.js";
-import { increaseOf, keyOf, readOutcomeRow, type OutcomeRow } from "./outcome-report.js";
+import { increaseOf, outcomeRowKey, readOutcomeRow, type OutcomeRow } from "./outcome-report.js";
 import { readRowsReport } from "./reports-codec.js";
 import { RouteComparison } from "./route-comparison.js";
 import type { SequentialTestSettings } from "./sequential-test.js";
@@ -148,7 +148,7 @@
       this.droppedReports += 1;
       return;
     }
-    const key = keyOf(row);
+    const key = outcomeRowKey(row);
     const before = rows.get(key);
     const increase = increaseOf(row, before);
     if (!increase) return;
@@ -186,7 +186,7 @@
     const chosen = state().baselines.find((row) => matchesVersion(row, route));
     const known = chosen?.service ?? previousPrimary(route.name);
     if (known !== undefined && route.shares.some(({ service }) => service === known)) return known;
-    return mainOf(route.shares);
+    return serviceWithLargestShare(route.shares);
   };
 
   private readonly decide = async (): Promise<void> => {
--- a/src/health/capacity-forecast.ts
+++ b/src/health/capacity-forecast.ts
@@ -15,7 +15,7 @@
   type CapacityStates,
   type ForecastSettings,
 } from "./capacity-state.js";
-import { addLoad, loadKey, LoadWindow, NO_LOAD, type LoadFigures } from "./load-window.js";
+import { addLoad, loadKey, LoadWindow, NO_LOAD, type LoadTotals } from "./load-window.js";
 
 /** A worker that provides slots to a service. */
 export interface ForecastWorker {
@@ -145,11 +145,11 @@
     const slots = this.slots();
     const isMajorityReporting = this.load.reportingNodes() * 2 > nodes();
     const keys = [...increases.keys(), ...this.monitors.keys(), ...slots.keys()];
-    const observe = (key: string, figures: LoadFigures) =>
+    const observe = (key: string, totals: LoadTotals) =>
       this.observe(key, {
         nowUs,
         durationS,
-        figures,
+        totals,
         slots: slots.get(key) ?? 0,
         isMajorityReporting,
       });
@@ -194,7 +194,7 @@
 const serviceOf = (key: string): string => key.split("|")[0] ?? "";
 const isWholeService = (key: string): boolean => key.endsWith("|");
 
-const sumOf = (service: string, increases: ReadonlyMap<string, LoadFigures>): LoadFigures =>
+const sumOf = (service: string, increases: ReadonlyMap<string, LoadTotals>): LoadTotals =>
   [...increases]
     .filter(([key]) => serviceOf(key) === service)
     .reduce((sum, [, figures]) => addLoad(sum, figures), NO_LOAD);
--- a/src/health/capacity-monitor.ts
+++ b/src/health/capacity-monitor.ts
@@ -8,7 +8,7 @@
   type CapacityState,
   type ForecastSettings,
 } from "./capacity-state.js";
-import type { LoadFigures } from "./load-window.js";
+import type { LoadTotals } from "./load-window.js";
 import { fitTrend, type Trend, type UtilizationSample } from "./utilization-trend.js";
 
 interface Sample extends UtilizationSample {
@@ -20,7 +20,7 @@
 export interface LoadInterval {
   readonly nowUs: number;
   readonly durationS: number;
-  readonly figures: LoadFigures;
+  readonly totals: LoadTotals;
   /** Total slots of the routable workers. */
   readonly slots: number;
   /** Whether more than half of the nodes have reported recently. */
@@ -133,8 +133,8 @@
 }
 
 /** By Little's law, mean requests in flight = total time of completed requests / interval. */
-const toSample = ({ nowUs, durationS, figures, slots }: LoadInterval): Sample => {
-  const [arrived = 0, rejected = 0, completed = 0, busyUs = 0] = figures;
+const toSample = ({ nowUs, durationS, totals, slots }: LoadInterval): Sample => {
+  const [arrived = 0, rejected = 0, completed = 0, busyUs = 0] = totals;
   return {
     atS: nowUs / SECOND_US,
     perS: Math.max(arrived, completed) / durationS,
--- a/src/health/load-counters.ts
+++ b/src/health/load-counters.ts
@@ -23,15 +23,15 @@
 
   constructor(private readonly incarnation: string) {}
 
-  readonly arrived = (service: string): void => {
+  readonly recordArrival = (service: string): void => {
     this.usageFor(service, "").arrived += 1;
   };
 
-  readonly refused = (service: string): void => {
+  readonly recordRejection = (service: string): void => {
     this.usageFor(service, "").rejected += 1;
   };
 
-  readonly answered = (service: string, zone: string, tookUs: number): void => {
+  readonly recordCompletion = (service: string, zone: string, tookUs: number): void => {
     const usage = this.usageFor(service, zone);
     usage.completed += 1;
     usage.busyUs += tookUs;
--- a/src/health/load-window.ts
+++ b/src/health/load-window.ts
@@ -9,13 +9,13 @@
  * Arrived, rejected and completed requests, and the total duration of the completed ones in
  * microseconds, in this order.
  */
-export type LoadFigures = readonly number[];
+export type LoadTotals = readonly number[];
 
-/** Load figures of an idle service. */
-export const NO_LOAD: LoadFigures = [0, 0, 0, 0];
+/** Load totals of an idle service. */
+export const NO_LOAD: LoadTotals = [0, 0, 0, 0];
 
-/** Adds two sets of figures element by element. */
-export const addLoad = (one: LoadFigures, other: LoadFigures): LoadFigures =>
+/** Adds two sets of totals element by element. */
+export const addLoad = (one: LoadTotals, other: LoadTotals): LoadTotals =>
   one.map((value, index) => value + (other[index] ?? 0));
 
 /** Key of the load of a service in one zone of its workers or, without a zone, as a whole. */
@@ -24,21 +24,21 @@
 interface NodeLoad {
   readonly incarnation: string;
   lastReportUs: number;
-  readonly rows: Map<string, LoadFigures>;
+  readonly rows: Map<string, LoadTotals>;
 }
 
 /** A node whose last report is older than this does not count as reporting. */
 const REPORT_TIMEOUT_US = 6 * SECOND_US;
 
-const readRow = (value: unknown): { readonly key: string; readonly figures: LoadFigures } => {
-  const [service, zone, ...figures] = asList(value, "row");
-  return { key: loadKey(asString(service), asString(zone)), figures: figures.map(asNumber) };
+const readRow = (value: unknown): { readonly key: string; readonly totals: LoadTotals } => {
+  const [service, zone, ...totals] = asList(value, "row");
+  return { key: loadKey(asString(service), asString(zone)), totals: totals.map(asNumber) };
 };
 
 /** Invariant: a duplicate, late or out-of-order report adds nothing. */
 export class LoadWindow {
   private readonly reported = new Map<string, NodeLoad>();
-  private increases = new Map<string, LoadFigures>();
+  private increases = new Map<string, LoadTotals>();
 
   constructor(private readonly clock: Clock) {}
 
@@ -57,24 +57,24 @@
         : { incarnation, lastReportUs: 0, rows: new Map() };
     load.lastReportUs = this.clock.nowUs();
     this.reported.set(node, load);
-    rows.forEach(({ key, figures }) => {
+    rows.forEach(({ key, totals }) => {
       const last = load.rows.get(key);
       // The counts in a node's first report include load from before this leader's term, so the
       // report only sets the starting point.
       if (last || !isFirstReport)
         this.add(
           key,
-          figures.map((figure, index) => Math.max(0, figure - (last?.[index] ?? 0))),
+          totals.map((total, index) => Math.max(0, total - (last?.[index] ?? 0))),
         );
       load.rows.set(
         key,
-        figures.map((figure, index) => Math.max(figure, last?.[index] ?? 0)),
+        totals.map((total, index) => Math.max(total, last?.[index] ?? 0)),
       );
     });
   };
 
   /** The increases since the last call, by `loadKey`. */
-  readonly takeIncreases = (): ReadonlyMap<string, LoadFigures> => {
+  readonly takeIncreases = (): ReadonlyMap<string, LoadTotals> => {
     const { increases } = this;
     this.increases = new Map();
     return increases;
@@ -94,7 +94,7 @@
     this.increases = new Map();
   };
 
-  private readonly add = (key: string, figures: LoadFigures): void => {
-    this.increases.set(key, addLoad(this.increases.get(key) ?? NO_LOAD, figures));
+  private readonly add = (key: string, totals: LoadTotals): void => {
+    this.increases.set(key, addLoad(this.increases.get(key) ?? NO_LOAD, totals));
   };
 }
--- a/src/health/outcome-report.ts
+++ b/src/health/outcome-report.ts
@@ -46,7 +46,7 @@
 };
 
 /** Identifies a row by everything except its counts. */
-export const keyOf = (row: OutcomeRow): string =>
+export const outcomeRowKey = (row: OutcomeRow): string =>
   `${row.route}\n${row.version}\n${row.service}\n${row.stratum}`;
 
 /**
--- a/src/health/split-routes.ts
+++ b/src/health/split-routes.ts
@@ -1,5 +1,5 @@
 import { asRecord, parseJson } from "../common/decode.js";
-import { mainOf, readWeightedServices } from "../common/weighted-split.js";
+import { serviceWithLargestShare, readWeightedServices } from "../common/weighted-split.js";
 import { parseDuration } from "../common/duration.js";
 import type { SplitRoute } from "./canary-state.js";
 
@@ -46,7 +46,7 @@
     shares.length > 1 ? { name, version, isSafe: rule["routeKind"] === "safe", shares } : undefined;
   return {
     version,
-    primary: mainOf(shares),
+    primary: serviceWithLargestShare(shares),
     split,
     deadlineUs: parseDuration(action["giveUp"]).unwrapOr(0),
   };
--- a/src/idempotency/key-replication.ts
+++ b/src/idempotency/key-replication.ts
@@ -3,7 +3,7 @@
  * and purges are stored at a quorum.
  */
 import { randomUUID } from "node:crypto";
-import { asString, readFlag, readList, readString } from "../common/decode.js";
+import { asString, readBoolean, readList, readString } from "../common/decode.js";
 import { MILLISECOND_US } from "../common/duration.js";
 import type { Logger } from "../common/logger.js";
 import type { ReplicatedStore } from "../consensus/replicated-store.js";
@@ -130,7 +130,7 @@
     const { table } = this.options;
     const merges: Promise<boolean>[] = [];
     const read = await this.gatherToRead({ kind: KEY_MESSAGE.readTable }, (reply) => {
-      if (!readFlag(reply, "counts")) return false;
+      if (!readBoolean(reply, "counts")) return false;
       merges.push(table.merge(reply));
       return true;
     });
@@ -241,7 +241,7 @@
     const ids = table.purges().map(({ id }) => id);
     const merges: Promise<boolean>[] = [];
     const read = await this.gatherToRead({ kind: KEY_MESSAGE.readPurges, ids }, (reply) => {
-      if (!readFlag(reply, "counts")) return false;
+      if (!readBoolean(reply, "counts")) return false;
       merges.push(...readList(reply, "purges", readPurge).map(this.addPurge));
       return true;
     });
--- a/src/main.ts
+++ b/src/main.ts
@@ -3,12 +3,12 @@
 import { Command } from "commander";
 import { MetricsServer, processMetrics } from "./programs/metrics-server.js";
 import type { RunningProgram } from "./programs/running-program.js";
-import { SteadyClock, type Clock } from "./common/clock.js";
+import { MonotonicClock, type Clock } from "./common/clock.js";
 import { EventLoopDelayRecorder } from "./common/event-loop-delay.js";
 import { loggerFor, setLogLevel } from "./common/logger.js";
 import { readSettings, type Settings } from "./common/settings.js";
 import { SECOND_US } from "./common/duration.js";
-import { takeOverFormerFolder, type Role } from "./storage/data-folder.js";
+import { migrateDataFolder, type Role } from "./storage/data-folder.js";
 import { NodeFileSystem } from "./storage/file-system.js";
 
 const SETTINGS_VARIABLE = "YEWREEL_CONFIG";
@@ -42,7 +42,7 @@
     if (read.isOk) {
       setLogLevel(read.value.logLevel);
       applySettings(read.value);
-    } else log.warn(`The changed settings are not applied: ${read.error.sentence}.`);
+    } else log.warn(`The changed settings are not applied: ${read.error.message}.`);
   };
   clock.every(SETTINGS_POLL_INTERVAL_US, () => void reloadIfModified());
   process.on("SIGHUP", () => void reloadIfModified());
@@ -62,7 +62,7 @@
   await new MetricsServer({
     ...endpoint,
     ip: settings.ip,
-    figures: [...processMetrics(delays), ...program.figures],
+    metrics: [...processMetrics(delays), ...program.metrics],
     log: loggerFor("metrics"),
   }).listen();
 };
@@ -72,7 +72,7 @@
   const path = process.env[SETTINGS_VARIABLE] ?? "/etc/yewreel/boot.toml";
   const read = await readSettings(path);
   if (read.isErr) {
-    process.stderr.write(`yewreel: ${path}: ${read.error.sentence}\n`);
+    process.stderr.write(`yewreel: ${path}: ${read.error.message}\n`);
     process.exit(EXIT_INVALID_SETTINGS);
   }
   setLogLevel(read.value.logLevel);
@@ -82,13 +82,13 @@
       `unhandled promise rejection: ${error instanceof Error ? (error.stack ?? error.message) : String(error)}.`,
     ),
   );
-  await takeOverFormerFolder({
+  await migrateDataFolder({
     role,
     folder: read.value.dataFolder,
     fileSystem: new NodeFileSystem(),
     logger: loggerFor("storage"),
   });
-  const clock = new SteadyClock();
+  const clock = new MonotonicClock();
   const program = await load();
   const running = await program(read.value, clock);
   await serveMetrics(role, read.value, clock, running);
--- a/src/membership/node-sessions.ts
+++ b/src/membership/node-sessions.ts
@@ -114,7 +114,7 @@
   readonly closeAll = (): void => this.sessions.forEach((session) => session.connection.close());
 
   /** Moves the nodes of other zones off the relays and the controller of the drained zone. */
-  readonly leaveDrainedZone = (): void => {
+  readonly evacuateDrainedZone = (): void => {
     const drained = this.options.drainedZone();
     this.sessions.forEach((session) => {
       if (this.isOutsideDrainedZone(session.node)) session.connection.close();
@@ -153,7 +153,7 @@
   };
 
   /** Removes the nodes of a peer whose link was lost. */
-  readonly forget = (from: string): void => {
+  readonly removePeer = (from: string): void => {
     if (this.peerNodes.delete(from)) void this.events.emit("peersChanged");
   };
 
--- a/src/membership/update-position.ts
+++ b/src/membership/update-position.ts
@@ -34,7 +34,7 @@
    * Time after the end of its session for which a node still considers announcements. After that it
    * no longer counts as behind and continues with the updates it has.
    */
-  readonly forgetAfterUs: number;
+  readonly disconnectedGraceUs: number;
 }
 
 interface Announcement {
@@ -67,9 +67,9 @@
   readonly isBehind = (): boolean => {
     const [oldest] = this.announcements;
     if (!oldest) return false;
-    const { clock, limitUs, forgetAfterUs } = this.options;
+    const { clock, limitUs, disconnectedGraceUs } = this.options;
     const nowUs = clock.nowUs();
-    if (this.disconnectedUs !== undefined && nowUs - this.disconnectedUs > forgetAfterUs) {
+    if (this.disconnectedUs !== undefined && nowUs - this.disconnectedUs > disconnectedGraceUs) {
       this.announcements = [];
       return false;
     }
--- a/src/membership/update-subscriber.ts
+++ b/src/membership/update-subscriber.ts
@@ -6,7 +6,7 @@
 import {
   asList,
   asRecord,
-  readFlag,
+  readBoolean,
   readList,
   readString,
   asString,
@@ -102,7 +102,7 @@
   }
 
   /** Replaces the seeds after the settings file was reloaded. */
-  readonly renewSeeds = (seeds: readonly string[]): void => {
+  readonly setSeeds = (seeds: readonly string[]): void => {
     this.seeds = seeds;
   };
 
@@ -291,8 +291,8 @@
     const received = asList(message["facts"], "facts");
     updates.merge(received);
     updates.forget(readList(message, "forget", asString));
-    if (readFlag(message, "whole")) {
-      if (readFlag(message, "complete"))
+    if (readBoolean(message, "whole")) {
+      if (readBoolean(message, "complete"))
         this.removeAbsentWorkers(new Set(received.map((one) => readString(asRecord(one), "key"))));
       void this.events.emit("snapshot");
     }
@@ -301,7 +301,7 @@
 
   private readonly recordProgress = (updates: Message): void => {
     const position = readPosition(updates["position"]);
-    if (readFlag(updates, "whole")) {
+    if (readBoolean(updates, "whole")) {
       this.options.lag?.recordSnapshot(position);
       if (!position) void this.events.emit("positionUnknown");
     }
--- a/src/membership/worker-registry.ts
+++ b/src/membership/worker-registry.ts
@@ -122,7 +122,7 @@
     return heartbeat;
   };
 
-  readonly drop = (id: string): void => {
+  readonly markGone = (id: string): void => {
     const entry = this.entries.get(id);
     if (entry) this.record({ ...entry.heartbeat, state: "gone" });
   };
--- a/src/programs/cache/cache.ts
+++ b/src/programs/cache/cache.ts
@@ -208,7 +208,7 @@
     workers.applyUpdates(changed);
   });
   updates.events.on("forgotten", (keys) => {
-    workers.forgetKeys(keys);
+    workers.removeKeys(keys);
     keys.forEach((key) => faults.remove(key));
   });
   const purges = subscribeToPurges({
@@ -216,8 +216,8 @@
     updates,
     subscriber,
     freshness,
-    copies: cachedObjects,
-    detach: () => {
+    cachedObjects,
+    detachInFlight: () => {
       store.detachInFlight();
       ownStore.detachInFlight();
     },
@@ -291,8 +291,8 @@
   const reports = startReports(clock, subscriber, upstream, stores, origin);
   log.info("cache is listening", { address: members.ownAddress });
   return {
-    figures: relayMetrics(node),
-    applySettings: ({ seedNodes }) => subscriber.renewSeeds(seedNodes),
+    metrics: relayMetrics(node),
+    applySettings: ({ seedNodes }) => subscriber.setSeeds(seedNodes),
     stop: async () => {
       log.info("cache is shutting down");
       reports.stop();
--- a/src/programs/controller/config.ts
+++ b/src/programs/controller/config.ts
@@ -5,7 +5,7 @@
  * as updates, which the publisher sends to the nodes.
  */
 import { err, type Result } from "true-myth/result";
-import { parseChangeInTurns } from "../../config/change-request.js";
+import { parseChangeIncrementally } from "../../config/change-request.js";
 import { findUnknownService, toConfigDocument } from "../../config/config-document.js";
 import { isConfigKey } from "../../config/config-keys.js";
 import type { Register } from "../../consensus/register.js";
@@ -73,7 +73,7 @@
         sessions: sessions.size,
       });
     if (committed.some(({ key }) => key === PUBLISHED_REGISTER.ejections))
-      sessions.leaveDrainedZone();
+      sessions.evacuateDrainedZone();
     committed.forEach((register) => {
       const key = UPDATE_KEYS[register.key];
       if (key !== undefined) updates.post([toPublishedUpdate(key, register)]);
@@ -99,7 +99,7 @@
 ): Promise<ApiResponse> => {
   const log = loggerFor("config");
   log.info("configuration change received", { bytes: request.body.length });
-  const change = await parseChangeInTurns(request.body);
+  const change = await parseChangeIncrementally(request.body);
   if (change.isErr) return toApiResponse(err(fromConfigError(change.error)));
   const result = await proposeChange(store, change.value);
   if (result.isOk) await visibility.waitForPeers();
--- a/src/programs/controller/controller.ts
+++ b/src/programs/controller/controller.ts
@@ -181,7 +181,7 @@
   log.info("controller started", { address: settings.control });
 
   return {
-    figures: controllerMetrics({
+    metrics: controllerMetrics({
       ...subsystems,
       sessions: nodes.sessions,
       freshness: subsystems.quorum.freshness,
--- a/src/programs/controller/metrics.ts
+++ b/src/programs/controller/metrics.ts
@@ -5,7 +5,7 @@
 import type { Peers } from "../../membership/peers.js";
 import type { UpdatePublisher } from "../../membership/update-publisher.js";
 import type { UpdateStore } from "../../membership/update-store.js";
-import type { Figure } from "../metrics-server.js";
+import type { Metric } from "../metrics-server.js";
 import type { QuorumFreshness } from "./quorum-freshness.js";
 
 /** Dependencies of {@link controllerMetrics}. */
@@ -26,7 +26,7 @@
   sessions,
   peers,
   freshness,
-}: ControllerMetricsOptions): readonly Figure[] => [
+}: ControllerMetricsOptions): readonly Metric[] => [
   {
     name: "yewreel_voting",
     help: "1 while this replica takes part in quorums.",
--- a/src/programs/controller/node-sessions.ts
+++ b/src/programs/controller/node-sessions.ts
@@ -82,7 +82,7 @@
     sessions.announceControllers();
   });
   peers.events.on("disconnected", (id) => {
-    sessions.forget(id);
+    sessions.removePeer(id);
     sessions.announceControllers();
     if (isWithoutQuorum()) sessions.closeAll();
   });
--- a/src/programs/controller/peer-messages.ts
+++ b/src/programs/controller/peer-messages.ts
@@ -4,7 +4,7 @@
  * releases use them.
  */
 import type { OutcomeName } from "../../common/http-outcomes.js";
-import { readFlag, readNumber, readString } from "../../common/decode.js";
+import { readBoolean, readNumber, readString } from "../../common/decode.js";
 import type { Message } from "../../transport/connection.js";
 import type { ApiResponse } from "../http-api.js";
 
@@ -38,7 +38,7 @@
 
 /** Whether there is a reply and it is positive. */
 export const isPositiveReply = (reply: Message | undefined): boolean =>
-  reply !== undefined && readFlag(reply, "yes");
+  reply !== undefined && readBoolean(reply, "yes");
 
 /** Builds the reply to a forwarded call of the admin API. */
 export const packApiResponse = ({ outcome, body = {} }: ApiResponse): Message => ({
--- a/src/programs/controller/peer-server.ts
+++ b/src/programs/controller/peer-server.ts
@@ -49,7 +49,7 @@
     }
     if (this.newestConnections.get(peer) !== connection) return;
     this.newestConnections.delete(peer);
-    if (!peers.isConnected(peer)) sessions.forget(peer);
+    if (!peers.isConnected(peer)) sessions.removePeer(peer);
   };
 
   /** Replies to a request on the connection that it came from. */
--- a/src/programs/controller/published-state.ts
+++ b/src/programs/controller/published-state.ts
@@ -4,7 +4,11 @@
  */
 import type { LeaderLease } from "../../consensus/leader-lease.js";
 import type { ReplicatedStore } from "../../consensus/replicated-store.js";
-import { NO_CANARIES, readCanaryState, type CanaryState } from "../../health/canary-state.js";
+import {
+  INITIAL_CANARY_STATE,
+  readCanaryState,
+  type CanaryState,
+} from "../../health/canary-state.js";
 import { readCapacityStates, type CapacityStates } from "../../health/capacity-state.js";
 import { readHealthDecisions } from "../../health/decisions-codec.js";
 import { NO_DECISIONS, type HealthDecisions } from "../../health/health-decisions.js";
@@ -34,7 +38,7 @@
     this.read(PUBLISHED_REGISTER.ejections, readHealthDecisions, NO_DECISIONS);
 
   readonly canaries = (): CanaryState =>
-    this.read(PUBLISHED_REGISTER.canaries, readCanaryState, NO_CANARIES);
+    this.read(PUBLISHED_REGISTER.canaries, readCanaryState, INITIAL_CANARY_STATE);
 
   readonly forecasts = (): CapacityStates =>
     this.read(PUBLISHED_REGISTER.forecasts, readCapacityStates, {});
--- a/src/programs/controller/workers.ts
+++ b/src/programs/controller/workers.ts
@@ -102,7 +102,7 @@
     const record = asRecord(value, "beat");
     const heartbeat = readSharedHeartbeat(record);
     const ageUs = typeof record["ageUs"] === "number" ? record["ageUs"] : 0;
-    if (heartbeat.state === "gone" && registry.get(heartbeat.id)) registry.drop(heartbeat.id);
+    if (heartbeat.state === "gone" && registry.get(heartbeat.id)) registry.markGone(heartbeat.id);
     else registry.record(heartbeat, ageUs);
   });
 };
--- a/src/programs/ctl/commands/backends.ts
+++ b/src/programs/ctl/commands/backends.ts
@@ -14,8 +14,13 @@
 } from "../command-line.js";
 import { InvalidInputError } from "../errors.js";
 import { parseJsonFile, readTextFile, writeJsonFile } from "../files.js";
-import { countResults, readKept, checkForecast, type CheckedRow } from "../forecast-check.js";
-import { rowsOf, textOf, textsOf } from "../json-values.js";
+import {
+  countResults,
+  readSavedForecast,
+  checkForecast,
+  type CheckedRow,
+} from "../forecast-check.js";
+import { toRows, formatValue, formatValues } from "../json-values.js";
 import { formatTable } from "../table.js";
 
 interface ForecastOptions extends QueryOptions {
@@ -61,14 +66,14 @@
  * column.
  */
 const formatForecast = (forecast: UnknownRecord, isByNode: boolean): string => {
-  const loaded = rowsOf(forecast["loaded"]).map(roundFields);
+  const loaded = toRows(forecast["loaded"]).map(roundFields);
   return [
-    formatTable(rowsOf(forecast["fleet"]).map(toForecastRow)),
-    ...(isByNode ? ["", formatTable(rowsOf(forecast["nodes"]).map(toForecastRow))] : []),
+    formatTable(toRows(forecast["fleet"]).map(toForecastRow)),
+    ...(isByNode ? ["", formatTable(toRows(forecast["nodes"]).map(toForecastRow))] : []),
     ...(loaded.length > 0
       ? ["", "Workers that would have more than 80% of their slots in use:", formatTable(loaded)]
       : []),
-    ...textsOf(forecast["warnings"]).map((warning) => `Warning: ${warning}.`),
+    ...formatValues(forecast["warnings"]).map((warning) => `Warning: ${warning}.`),
   ].join("\n");
 };
 
@@ -86,7 +91,7 @@
 };
 
 const readForecastFile = async (file: string): Promise<UnknownRecord> => {
-  const forecast = readKept(parseJsonFile(file, await readTextFile(file)));
+  const forecast = readSavedForecast(parseJsonFile(file, await readTextFile(file)));
   if (typeof forecast === "string") throw new InvalidInputError(forecast);
   return forecast;
 };
@@ -95,10 +100,10 @@
 const checkBackends = async (file: string, options: ForecastOptions): Promise<void> => {
   const savedForecast = await readForecastFile(file);
   const services = [
-    ...new Set(rowsOf(savedForecast["subsets"]).map((row) => textOf(row["service"]))),
+    ...new Set(toRows(savedForecast["subsets"]).map((row) => formatValue(row["service"]))),
   ];
   const answer = await clientFor(options).post("/backends/seen", { services });
-  const rows = checkForecast(savedForecast, rowsOf(answer["seen"]));
+  const rows = checkForecast(savedForecast, toRows(answer["seen"]));
   if (options.json === true) printJson(rows);
   else print(formatCheck(rows));
 };
--- a/src/programs/ctl/commands/leadership.ts
+++ b/src/programs/ctl/commands/leadership.ts
@@ -12,7 +12,7 @@
 import { callAddress } from "../controller-client.js";
 import { CommandError } from "../errors.js";
 import { EXIT_INVALID_INPUT, EXIT_UNREACHABLE } from "../exit-codes.js";
-import { rowsOf, textsOf } from "../json-values.js";
+import { toRows, formatValues } from "../json-values.js";
 import { formatTable } from "../table.js";
 
 /**
@@ -22,8 +22,8 @@
 const formatLeadership = (answer: UnknownRecord): string => {
   const { holder, term, roster, boxes } = isRecord(answer["duty"]) ? answer["duty"] : answer;
   const { number, is, members, from } = isRecord(roster) ? roster : {};
-  const current = textsOf(members);
-  const leaving = textsOf(from).filter((id) => !current.includes(id));
+  const current = formatValues(members);
+  const leaving = formatValues(from).filter((id) => !current.includes(id));
   const summary = {
     holder,
     term,
@@ -32,7 +32,7 @@
     members: current.join(" "),
     ...(leaving.length > 0 ? { leaving: leaving.join(" ") } : {}),
   };
-  return [formatTable([summary]), "", formatTable(rowsOf(boxes))].join("\n");
+  return [formatTable([summary]), "", formatTable(toRows(boxes))].join("\n");
 };
 
 /**
--- a/src/programs/ctl/commands/queries.ts
+++ b/src/programs/ctl/commands/queries.ts
@@ -1,6 +1,6 @@
 /** The queries that print one table each: `nodes`, `workers`, `inspection`, `keys`, `goods`. */
 import type { Command } from "commander";
-import { rowsOf } from "../json-values.js";
+import { toRows } from "../json-values.js";
 import {
   clientFor,
   commandAction,
@@ -32,7 +32,7 @@
   const answer = await clientFor(options).get(path);
   const value = answer[field] ?? answer;
   if (options.json === true) printJson(value);
-  else print(formatTable(rowsOf(value)));
+  else print(formatTable(toRows(value)));
 };
 
 /** Adds the commands to `ctl`. */
--- a/src/programs/ctl/commands/rollout.ts
+++ b/src/programs/ctl/commands/rollout.ts
@@ -12,7 +12,7 @@
   type QueryOptions,
 } from "../command-line.js";
 import { InvalidInputError, RejectedError } from "../errors.js";
-import { nestedRows, rowsOf } from "../json-values.js";
+import { nestedRows, toRows } from "../json-values.js";
 import { formatTable } from "../table.js";
 
 const SUMMARY_COLUMNS = [
@@ -41,7 +41,7 @@
   const rows = (await fetchRollouts(options)).filter((row) => row["route"] === route);
   if (rows.length === 0) throw new RejectedError(`${route} is not a route that splits its traffic`);
   if (options.json === true) printJson(rows);
-  else print(rows.map((row) => formatTable(rowsOf(row))).join("\n\n"));
+  else print(rows.map((row) => formatTable(toRows(row))).join("\n\n"));
 };
 
 interface ClearOptions extends ControllerOptions {
--- a/src/programs/ctl/commands/usage.ts
+++ b/src/programs/ctl/commands/usage.ts
@@ -4,7 +4,7 @@
 import { callAddress } from "../controller-client.js";
 import { InvalidInputError } from "../errors.js";
 import { withWriteErrors } from "../files.js";
-import { rowsOf } from "../json-values.js";
+import { toRows } from "../json-values.js";
 import type { UsageRow } from "../usage-export.js";
 
 const exportUsage = async (file: string, addresses: readonly string[]): Promise<number> => {
@@ -13,7 +13,7 @@
   const rows: UsageRow[] = [];
   for (const address of addresses) {
     const answer = await callAddress(address, { method: "GET", path: "/tell/counts" });
-    rows.push(...rowsOf(answer["counts"]).map((row) => readUsageRow(address, row)));
+    rows.push(...toRows(answer["counts"]).map((row) => readUsageRow(address, row)));
   }
   const isWritten = await withWriteErrors(file, () => writeUsage(file, rows));
   if (!isWritten) throw new InvalidInputError(`${file} must end in .csv or .parquet`);
--- a/src/programs/ctl/commands/windows.ts
+++ b/src/programs/ctl/commands/windows.ts
@@ -13,7 +13,7 @@
   type QueryOptions,
 } from "../command-line.js";
 import { InvalidInputError, RejectedError } from "../errors.js";
-import { nestedRows, rowsOf, textOf, textsOf } from "../json-values.js";
+import { nestedRows, toRows, formatValue, formatValues } from "../json-values.js";
 import { formatTable } from "../table.js";
 
 /**
@@ -43,8 +43,8 @@
   const answer = await clientFor(options).post("/windows", { cell: zone, opens, lasts });
   print(
     [
-      `Window ${textOf(answer["id"])} is planned.`,
-      ...textsOf(answer["warnings"]).map((warning) => `Warning: ${warning}`),
+      `Window ${formatValue(answer["id"])} is planned.`,
+      ...formatValues(answer["warnings"]).map((warning) => `Warning: ${warning}`),
     ].join("\n"),
   );
 };
@@ -62,7 +62,7 @@
   const window = (await fetchWindows(options)).find((row) => row["id"] === id);
   if (!window) throw new RejectedError(`there is no window ${id}`);
   if (options.json === true) printJson(window);
-  else print(formatTable(rowsOf(window)));
+  else print(formatTable(toRows(window)));
 };
 
 const cancelWindow = async (id: string, options: ControllerOptions): Promise<void> => {
--- a/src/programs/ctl/controller-client.ts
+++ b/src/programs/ctl/controller-client.ts
@@ -2,7 +2,7 @@
 import { request } from "node:http";
 import { isRecord, parseJson, type UnknownRecord } from "../../common/decode.js";
 import { InvalidInputError, RejectedError, UnreachableError } from "./errors.js";
-import { textOf } from "./json-values.js";
+import { formatValue } from "./json-values.js";
 
 /** One HTTP call of the controllers' admin API. */
 export interface ControllerCall {
@@ -103,7 +103,7 @@
   }
   const { status, body } = response;
   if (status === HTTP_OK) return body;
-  const message = `${url.host} responded with ${status}: ${textOf(body["problem"] ?? "no reason given")}`;
+  const message = `${url.host} responded with ${status}: ${formatValue(body["problem"] ?? "no reason given")}`;
   throw status >= HTTP_SERVER_ERROR ? new UnreachableError(message) : new RejectedError(message);
 };
 
--- a/src/programs/ctl/ctl.ts
+++ b/src/programs/ctl/ctl.ts
@@ -14,14 +14,14 @@
 import { addUsageCommand } from "./commands/usage.js";
 import { addWindowCommands } from "./commands/windows.js";
 import { addZoneCommands } from "./commands/zones.js";
-import { EXIT_DONE, EXIT_INVALID_INPUT, EXIT_REJECTED, EXIT_UNREACHABLE } from "./exit-codes.js";
+import { EXIT_SUCCESS, EXIT_INVALID_INPUT, EXIT_REJECTED, EXIT_UNREACHABLE } from "./exit-codes.js";
 
 const HELP_AFTER = `
 Environment:
   YEWREEL_CONTROLLERS  controllers to call, as ip:port, comma-separated
 
 Exit codes:
-  ${EXIT_DONE}  done
+  ${EXIT_SUCCESS}  done
   ${EXIT_REJECTED}  rejected by the controllers, or not found
   ${EXIT_INVALID_INPUT}  invalid command line or file
   ${EXIT_UNREACHABLE}  no controller answered, or none has a quorum
--- a/src/programs/ctl/exit-codes.ts
+++ b/src/programs/ctl/exit-codes.ts
@@ -4,7 +4,7 @@
  */
 
 /** The command succeeded. */
-export const EXIT_DONE = 0;
+export const EXIT_SUCCESS = 0;
 /** A controller rejected the command; another controller would as well. */
 export const EXIT_REJECTED = 1;
 /** The command line or a file named by it is invalid; nothing was sent. */
--- a/src/programs/ctl/forecast-check.ts
+++ b/src/programs/ctl/forecast-check.ts
@@ -90,7 +90,7 @@
  * Compares a forecast with the counts by node, service and kind. The counts must be queried one
  * counting window after the change, when they include nothing older.
  *
- * @param forecast - a saved forecast that {@link readKept} has accepted
+ * @param forecast - a saved forecast that {@link readSavedForecast} has accepted
  * @param seenAnswers - rows of `/backends/seen`, one for each node that was queried
  */
 export const checkForecast = (
@@ -140,7 +140,7 @@
  * Validates the content of a forecast file. Returns the forecast, or a message that says what is
  * wrong with it.
  */
-export const readKept = (value: unknown): UnknownRecord | string => {
+export const readSavedForecast = (value: unknown): UnknownRecord | string => {
   if (!isRecord(value) || !Array.isArray(value["nodes"]) || !Array.isArray(value["subsets"]))
     return "the file does not contain a saved forecast";
   try {
--- a/src/programs/ctl/json-values.ts
+++ b/src/programs/ctl/json-values.ts
@@ -8,7 +8,7 @@
  * Formats a value as a table cell: strings unchanged, `undefined` as an empty cell, the rest as
  * JSON.
  */
-export const textOf = (value: unknown): string => {
+export const formatValue = (value: unknown): string => {
   if (typeof value === "string") return value;
   return value === undefined ? "" : JSON.stringify(value);
 };
@@ -17,14 +17,14 @@
  * The objects of a list as rows; a single object becomes one row (`what`, `is`) for each of its
  * fields.
  */
-export const rowsOf = (value: unknown): readonly UnknownRecord[] => {
+export const toRows = (value: unknown): readonly UnknownRecord[] => {
   if (Array.isArray(value)) return value.filter(isRecord);
   return isRecord(value) ? Object.entries(value).map(([what, is]) => ({ what, is })) : [];
 };
 
 /** The elements of a list as strings, formatted like table cells. */
-export const textsOf = (value: unknown): readonly string[] =>
-  Array.isArray(value) ? value.map(textOf) : [];
+export const formatValues = (value: unknown): readonly string[] =>
+  Array.isArray(value) ? value.map(formatValue) : [];
 
 /** The rows of the list in the field `inner` of the object in the field `outer` of a response. */
 export const nestedRows = (
@@ -33,5 +33,5 @@
   inner: string,
 ): readonly UnknownRecord[] => {
   const object = answer[outer];
-  return isRecord(object) ? rowsOf(object[inner]) : [];
+  return isRecord(object) ? toRows(object[inner]) : [];
 };
--- a/src/programs/ctl/table.ts
+++ b/src/programs/ctl/table.ts
@@ -1,6 +1,6 @@
 /** Formatting of tables for the terminal. */
 import type { UnknownRecord } from "../../common/decode.js";
-import { textOf } from "./json-values.js";
+import { formatValue } from "./json-values.js";
 
 /**
  * Formats rows below a header, with every column that any row has, in the order of first
@@ -10,13 +10,13 @@
   if (rows.length === 0) return "none";
   const columns = [...new Set(rows.flatMap((row) => Object.keys(row)))];
   const widths = columns.map((column) =>
-    Math.max(column.length, ...rows.map((row) => textOf(row[column]).length)),
+    Math.max(column.length, ...rows.map((row) => formatValue(row[column]).length)),
   );
   const formatLine = (values: readonly string[]) =>
     values
       .map((value, index) => value.padEnd(widths[index] ?? 0))
       .join("  ")
       .trimEnd();
-  const lines = rows.map((row) => formatLine(columns.map((column) => textOf(row[column]))));
+  const lines = rows.map((row) => formatLine(columns.map((column) => formatValue(row[column]))));
   return [formatLine(columns), ...lines].join("\n");
 };
--- a/src/programs/data-plane-node.ts
+++ b/src/programs/data-plane-node.ts
@@ -46,7 +46,7 @@
   const lag = new UpdateLag({
     clock,
     limitUs: Math.min(settings.applyUs, settings.drainUs) * LAG_LIMIT_FRACTION,
-    forgetAfterUs: settings.contactUs,
+    disconnectedGraceUs: settings.contactUs,
   });
   const subscriber = new UpdateSubscriber({
     name: settings.name,
--- a/src/programs/gateway/data-plane.ts
+++ b/src/programs/gateway/data-plane.ts
@@ -86,7 +86,7 @@
       logApplied(changed, clock.nowUs() - beganUs, { subscriber, publisher });
     });
     updates.events.on("forgotten", (keys) => {
-      workers.forgetKeys(keys);
+      workers.removeKeys(keys);
       keys.forEach((key) => faults.remove(key));
     });
     subscriber.events.on("clusterSize", (size) => {
--- a/src/programs/gateway/gateway.ts
+++ b/src/programs/gateway/gateway.ts
@@ -50,7 +50,7 @@
     zone,
     bufferMemoryBytes: ((settings.memoryMb || DEFAULT_MEMORY_MB) * MB) / BUFFER_MEMORY_DIVISOR,
     routes: dataPlane.routes,
-    pool: dataPlane.workers,
+    workers: dataPlane.workers,
     retryBudgets: dataPlane.retryBudgets,
     isBehind,
     connectionShare: dataPlane.connectionShare,
@@ -128,8 +128,8 @@
   log.info("gateway is listening", { address: settings.front });
 
   return {
-    figures: gatewayMetrics({ dataPlane, node, server }),
-    applySettings: ({ seedNodes }) => subscriber.renewSeeds(seedNodes),
+    metrics: gatewayMetrics({ dataPlane, node, server }),
+    applySettings: ({ seedNodes }) => subscriber.setSeeds(seedNodes),
     stop: async () => {
       log.info("gateway is shutting down");
       isStopping = true;
--- a/src/programs/gateway/metrics.ts
+++ b/src/programs/gateway/metrics.ts
@@ -1,5 +1,5 @@
 /** Metrics that gateways and caches export. */
-import type { Figure, LabelledValue } from "../metrics-server.js";
+import type { Metric, LabelledValue } from "../metrics-server.js";
 import type { ProxyServer } from "../../proxy/proxy-server.js";
 import type { DataPlane } from "./data-plane.js";
 import type { DataPlaneNode } from "../data-plane-node.js";
@@ -25,7 +25,7 @@
   subscriber,
   publisher,
   updates,
-}: DataPlaneNode): readonly Figure[] => [
+}: DataPlaneNode): readonly Metric[] => [
   {
     name: "yewreel_updates",
     help: "Updates known to this node: configuration items, workers, decisions.",
@@ -53,7 +53,7 @@
   dataPlane,
   node,
   server,
-}: GatewayMetricsOptions): readonly Figure[] => [
+}: GatewayMetricsOptions): readonly Metric[] => [
   ...relayMetrics(node),
   {
     name: "yewreel_config_version",
--- a/src/programs/gateway/node-queries.ts
+++ b/src/programs/gateway/node-queries.ts
@@ -4,7 +4,7 @@
 import type { WorkerDirectory } from "../../proxy/worker-directory.js";
 import {
   asRecord,
-  readFlag,
+  readBoolean,
   readList,
   readString,
   asString,
@@ -36,7 +36,7 @@
     };
   }),
   retire: readList(message, "retire", asString),
-  byRoute: readFlag(message, "byRoute"),
+  byRoute: readBoolean(message, "byRoute"),
 });
 
 /**
--- a/src/programs/gateway/object-cache.ts
+++ b/src/programs/gateway/object-cache.ts
@@ -141,8 +141,8 @@
     updates,
     subscriber,
     freshness,
-    copies: cachedObjects,
-    detach: store.detachInFlight,
+    cachedObjects,
+    detachInFlight: store.detachInFlight,
   });
   const log = loggerFor("zone-distributor");
   return { server: new ObjectServer({ clock, store, rateLimiter, log }), purges };
@@ -180,7 +180,7 @@
     clock,
     maxBytes: ((settings.memoryMb || DEFAULT_MEMORY_MB) * MB) / GATEWAY_CACHE_MEMORY_DIVISOR,
     sharedCaches: caches,
-    zoneCaches: zoneDistributors,
+    zoneDistributors,
     origin: openOrigin(options, rateLimiter),
     rateLimiter,
     isFresh: freshness.isFresh,
@@ -191,8 +191,8 @@
     updates,
     subscriber,
     freshness,
-    copies: objects.cachedObjects,
-    detach: objects.detachInFlight,
+    cachedObjects: objects.cachedObjects,
+    detachInFlight: objects.detachInFlight,
   });
   const distributor = openDistributor(options, caches, freshness, rateLimiter);
   subscribeToClusterSize(options, caches, zoneDistributors);
--- a/src/programs/http-api.ts
+++ b/src/programs/http-api.ts
@@ -93,7 +93,7 @@
 const send = (response: Response, result: ApiResponse): void => {
   const outcome = HTTP_OUTCOMES[result.outcome];
   if (outcome.retryAfter) response.setHeader("Retry-After", String(RETRY_AFTER_S));
-  if (outcome.closes) response.setHeader("Connection", "close");
+  if (outcome.closesConnection) response.setHeader("Connection", "close");
   const body = JSON.stringify(
     result.body ?? (outcome.problem === "" ? {} : { problem: outcome.problem }),
   );
--- a/src/programs/loadgen/loadgen.ts
+++ b/src/programs/loadgen/loadgen.ts
@@ -4,7 +4,7 @@
 import { Agent, request } from "node:http";
 import { hostname } from "node:os";
 import type { Command } from "commander";
-import { SteadyClock, type Clock } from "../../common/clock.js";
+import { MonotonicClock, type Clock } from "../../common/clock.js";
 import { MILLISECOND_US, SECOND_US } from "../../common/duration.js";
 import { EXIT_INVALID_INPUT } from "../ctl/exit-codes.js";
 
@@ -182,7 +182,7 @@
       const report = summarize(
         await generateLoad(
           { targets, host, path, method, body, ratePerS, seconds, budgetMs },
-          new SteadyClock(),
+          new MonotonicClock(),
         ),
       );
       process.stdout.write(
--- a/src/programs/metrics-server.ts
+++ b/src/programs/metrics-server.ts
@@ -5,7 +5,7 @@
 import { createServer, type Server, type ServerResponse } from "node:http";
 import type { Registry } from "prom-client";
 import { messageOf } from "../common/errors.js";
-import { sentFrames } from "../transport/frame-codec.js";
+import { sentFrameCounts } from "../transport/frame-codec.js";
 import type { EventLoopDelayRecorder } from "../common/event-loop-delay.js";
 import type { Logger } from "../common/logger.js";
 
@@ -16,7 +16,7 @@
 }
 
 /** A gauge that is read on each scrape. */
-export interface Figure {
+export interface Metric {
   /** Ends with the unit, if any: for example `yewreel_children` or `yewreel_uptime_seconds`. */
   readonly name: string;
   readonly help: string;
@@ -29,7 +29,7 @@
   readonly port: number;
   /** The path, with its leading slash. */
   readonly path: string;
-  readonly figures: readonly Figure[];
+  readonly metrics: readonly Metric[];
   readonly log: Logger;
 }
 
@@ -38,10 +38,10 @@
     ? []
     : [...new Set(values.flatMap(({ labels }) => Object.keys(labels)))];
 
-const openRegistry = async (figures: readonly Figure[]): Promise<Registry> => {
+const openRegistry = async (metrics: readonly Metric[]): Promise<Registry> => {
   const prometheus = await import("prom-client");
   const registry = new prometheus.Registry();
-  figures.forEach(({ name, help, read }) => {
+  metrics.forEach(({ name, help, read }) => {
     const gauge = new prometheus.Gauge({
       name,
       help,
@@ -91,13 +91,13 @@
     url: string | undefined,
     response: ServerResponse,
   ): Promise<void> => {
-    const { path, figures, log } = this.options;
+    const { path, metrics, log } = this.options;
     if (url !== path) {
       response.writeHead(404).end();
       return;
     }
     try {
-      this.registry ??= openRegistry(figures);
+      this.registry ??= openRegistry(metrics);
       const registry = await this.registry;
       const text = await registry.metrics();
       response.writeHead(200, { "Content-Type": registry.contentType }).end(text);
@@ -109,7 +109,7 @@
 }
 
 /** Process metrics, common to all programs. */
-export const processMetrics = (delays: EventLoopDelayRecorder): readonly Figure[] => [
+export const processMetrics = (delays: EventLoopDelayRecorder): readonly Metric[] => [
   {
     name: "yewreel_event_loop_delay_microseconds",
     help: "How late timers fired since the last reading.",
@@ -138,6 +138,7 @@
   {
     name: "yewreel_sent_bytes",
     help: "Bytes sent to other processes of the cluster, by kind of message.",
-    read: () => [...sentFrames].map(([kind, { bytes }]) => ({ labels: { kind }, value: bytes })),
+    read: () =>
+      [...sentFrameCounts].map(([kind, { bytes }]) => ({ labels: { kind }, value: bytes })),
   },
 ];
--- a/src/programs/purge-subscriber.ts
+++ b/src/programs/purge-subscriber.ts
@@ -15,12 +15,12 @@
   readonly updates: UpdateStore;
   readonly subscriber: UpdateSubscriber;
   readonly freshness: Freshness;
-  readonly copies: CachedObjects;
+  readonly cachedObjects: CachedObjects;
   /**
    * Called once for each batch of updates that purged something. Detaches the fetches in flight, so
    * that they serve no later requests.
    */
-  readonly detach: () => void;
+  readonly detachInFlight: () => void;
 }
 
 /**
@@ -42,11 +42,11 @@
   updates,
   subscriber,
   freshness,
-  copies,
-  detach,
+  cachedObjects,
+  detachInFlight,
 }: PurgeSubscriberOptions): Timer => {
   const apply = ({ key, body }: Update): boolean =>
-    copies.purge({
+    cachedObjects.purge({
       id: key,
       host: readString(body, "host"),
       path: readString(body, "path"),
@@ -54,13 +54,13 @@
     });
   updates.events.on("changed", (changed) => {
     const applied = changed.filter(isPurge).filter(apply);
-    if (applied.length > 0) detach();
+    if (applied.length > 0) detachInFlight();
   });
   updates.events.on("forgotten", (keys) =>
-    keys.filter((key) => key.startsWith(PURGE_PREFIX)).forEach(copies.forgetPurge),
+    keys.filter((key) => key.startsWith(PURGE_PREFIX)).forEach(cachedObjects.forgetPurge),
   );
   subscriber.events.on("freshness", freshness.confirm);
   return clock.every(SECOND_US, () => {
-    if (freshness.ageUs() > MAX_UPDATE_AGE_US) copies.clear();
+    if (freshness.ageUs() > MAX_UPDATE_AGE_US) cachedObjects.clear();
   });
 };
--- a/src/programs/running-program.ts
+++ b/src/programs/running-program.ts
@@ -1,6 +1,6 @@
 /** The interface between `main.ts` and the program that it starts. */
 import type { Settings } from "../common/settings.js";
-import type { Figure } from "./metrics-server.js";
+import type { Metric } from "./metrics-server.js";
 
 /** A running program. */
 export interface RunningProgram {
@@ -9,5 +9,5 @@
   /** Applies reloaded settings. Only the seed nodes take effect at runtime. */
   readonly applySettings: (settings: Settings) => void;
   /** The metrics of the program, in addition to those of the process. */
-  readonly figures: readonly Figure[];
+  readonly metrics: readonly Metric[];
 }
--- a/src/proxy/client-connection.ts
+++ b/src/proxy/client-connection.ts
@@ -47,7 +47,7 @@
  * @param context - the request, already counted in `openRequests` of its connection
  * @param onClosed - called once, right before the promise resolves
  */
-export const untilClosed = (
+export const waitUntilClosed = (
   context: RequestContext,
   onClosed: (context: RequestContext) => void,
 ): Promise<void> => {
--- a/src/proxy/pipeline.ts
+++ b/src/proxy/pipeline.ts
@@ -28,9 +28,9 @@
 
 /** Receives request arrivals, rejections and responses for the capacity forecast. */
 export interface LoadObserver {
-  readonly arrived: (service: string) => void;
-  readonly refused: (service: string) => void;
-  readonly answered: (service: string, zone: string, tookUs: number) => void;
+  readonly recordArrival: (service: string) => void;
+  readonly recordRejection: (service: string) => void;
+  readonly recordCompletion: (service: string, zone: string, tookUs: number) => void;
 }
 
 /** Dependencies and options of {@link RequestPipeline}. */
@@ -41,7 +41,7 @@
   /** Memory limit for all buffered bodies together. */
   readonly bufferMemoryBytes: number;
   readonly routes: RouteTable;
-  readonly pool: WorkerDirectory;
+  readonly workers: WorkerDirectory;
   readonly retryBudgets: RetryBudgets;
   /**
    * Returns whether a configuration was announced that this node has not received; default never.
@@ -100,7 +100,7 @@
       outcomes: this.outcomes,
       completion: this.completion,
       isDraining,
-      ...(loadCounters ? { countRejected: loadCounters.refused } : {}),
+      ...(loadCounters ? { countRejected: loadCounters.recordRejection } : {}),
     });
     const { writer, memory } = this;
     const keyed = new KeyedRequests({ clock, idempotency, writer, random });
@@ -119,7 +119,7 @@
       random,
       forward: this.startForwarding,
       reject: writer.reject,
-      ...(loadCounters ? { countArrival: loadCounters.arrived } : {}),
+      ...(loadCounters ? { countArrival: loadCounters.recordArrival } : {}),
       ...(objects ? { serveCached: new CachedRequests(objects, writer).serve } : {}),
     });
     const bodies = new BodyReader({
@@ -154,15 +154,23 @@
   };
 
   private readonly newForwarder = (keyed: KeyedRequests): Forwarder => {
-    const { clock, zone, pool, random, connectionShare, countFault, countAttempt, loadCounters } =
-      this.options;
+    const {
+      clock,
+      zone,
+      workers,
+      random,
+      connectionShare,
+      countFault,
+      countAttempt,
+      loadCounters,
+    } = this.options;
     const acts = this.options.actsOnForecast === true;
     return new Forwarder({
       clock,
       zone,
-      workers: pool,
+      workers,
       loadBalancer: new LoadBalancer({
-        workers: pool,
+        workers,
         zone,
         random,
         connectionShare,
@@ -173,7 +181,7 @@
       countFault,
       actsOnForecast: acts,
       ...(countAttempt ? { countAttempt } : {}),
-      ...(loadCounters ? { countResponse: loadCounters.answered } : {}),
+      ...(loadCounters ? { countResponse: loadCounters.recordCompletion } : {}),
     });
   };
 
@@ -181,11 +189,11 @@
     keyed: KeyedRequests,
     stalls: StallDetector,
   ): RetryingForwarder => {
-    const { clock, routes, pool, retryBudgets, objects, actsOnForecast } = this.options;
+    const { clock, routes, workers, retryBudgets, objects, actsOnForecast } = this.options;
     return new RetryingForwarder({
       clock,
       routes,
-      workers: pool,
+      workers,
       retryBudgets,
       forwarder: this.forwarder,
       keyed,
--- a/src/proxy/proxy-server.ts
+++ b/src/proxy/proxy-server.ts
@@ -10,7 +10,7 @@
 import {
   ClientConnections,
   isClosing,
-  untilClosed,
+  waitUntilClosed,
   type ClientConnection,
 } from "./client-connection.js";
 import { newDeliveryState } from "./delivery-state.js";
@@ -118,7 +118,7 @@
     const context = this.newContext(req, res, connection);
     connection.openRequests += 1;
     this.open += 1;
-    connection.lastAnswered = untilClosed(context, this.close);
+    connection.lastAnswered = waitUntilClosed(context, this.close);
     this.pipeline.start(context);
   };
 
--- a/src/proxy/reassignment-forecast.ts
+++ b/src/proxy/reassignment-forecast.ts
@@ -86,7 +86,7 @@
  * Number of placeholder names tried for each added worker. The name of an added worker is not known
  * yet, and it determines which subsets the worker joins.
  */
-export const DRAWS = 16;
+export const PLACEHOLDER_NAME_SAMPLES = 16;
 /**
  * Factor by which the variance of a share exceeds that of independent requests. Requests are not
  * independent, because the load balancer follows workers that are fast or slow for a while
@@ -226,8 +226,9 @@
       ],
       nodes,
     );
-  const afters = Array.from({ length: additions.length > 0 ? DRAWS : 1 }, (_none, draw) =>
-    afterOf(draw),
+  const afters = Array.from(
+    { length: additions.length > 0 ? PLACEHOLDER_NAME_SAMPLES : 1 },
+    (_none, draw) => afterOf(draw),
   );
   const cellOf = new Map(workers.map((worker) => [worker.id, worker.zone]));
   const groups = sumBy(calls, (call) =>
--- a/src/proxy/request-routing.ts
+++ b/src/proxy/request-routing.ts
@@ -72,7 +72,7 @@
       reject(context, "noTryId");
       return;
     }
-    retryBudgets.of(context.service, toRouteKind(route.kind)).recordRequest();
+    retryBudgets.budgetFor(context.service, toRouteKind(route.kind)).recordRequest();
     this.options.countArrival?.(context.service);
     this.options.forward(context);
   };
--- a/src/proxy/response-check.ts
+++ b/src/proxy/response-check.ts
@@ -20,7 +20,7 @@
    * cannot be told from a late response to another request, so the connection serves only this
    * request.
    */
-  readonly usesOwnConnection?: boolean;
+  readonly usesDedicatedConnection?: boolean;
 }
 
 /**
@@ -42,12 +42,12 @@
  */
 const matchesAttempt = (
   headers: FlatHeaders,
-  { attemptId, usesOwnConnection }: SentRequest,
+  { attemptId, usesDedicatedConnection }: SentRequest,
 ): boolean => {
   const id = headerValue(headers, ATTEMPT_ID_HEADER);
   return (
     (id === attemptId && !isRepeated(headers, ATTEMPT_ID_HEADER)) ||
-    (usesOwnConnection === true && id === undefined)
+    (usesDedicatedConnection === true && id === undefined)
   );
 };
 
--- a/src/proxy/response-writer.ts
+++ b/src/proxy/response-writer.ts
@@ -86,7 +86,7 @@
     const outcome = HTTP_OUTCOMES[name];
     if (name === "full" && context.service !== "") this.options.countRejected?.(context.service);
     this.options.outcomes.recordRejection(context, name);
-    this.closeAfter(context, outcome.closes);
+    this.closeAfter(context, outcome.closesConnection);
     const body = JSON.stringify({ problem: outcome.problem });
     if (outcome.retryAfter) res.setHeader("Retry-After", retryAfterSeconds(route, minRetryAfterUs));
     res.writeHead(outcome.status, {
--- a/src/proxy/retry-and-hedging.ts
+++ b/src/proxy/retry-and-hedging.ts
@@ -142,7 +142,7 @@
     this.options.workers.capacityForecast(context.service) !== "";
 
   private readonly spendRetry = (context: RequestContext, route: Route): boolean =>
-    this.options.retryBudgets.of(context.service, toRouteKind(route.kind)).trySpend();
+    this.options.retryBudgets.budgetFor(context.service, toRouteKind(route.kind)).trySpend();
 
   /**
    * Makes one attempt. If the worker of a safe request becomes unresponsive, a hedged request is
--- a/src/proxy/retry-budget.ts
+++ b/src/proxy/retry-budget.ts
@@ -147,7 +147,7 @@
   constructor(private readonly options: RetryBudgetsOptions) {}
 
   /** Returns the budget of a service and kind of route, creating it on first use. */
-  readonly of = (service: string, kind: RouteKind): RetryBudget => {
+  readonly budgetFor = (service: string, kind: RouteKind): RetryBudget => {
     const key = `${service}|${kind}`;
     const known = this.budgets.get(key);
     if (known) return known.budget;
--- a/src/proxy/upstream-request.ts
+++ b/src/proxy/upstream-request.ts
@@ -132,7 +132,7 @@
       this.resolve = resolve;
     });
     this.inFlightRequest = worker.begin();
-    this.connection = worker.acquireConnection(request.usesOwnConnection === true);
+    this.connection = worker.acquireConnection(request.usesDedicatedConnection === true);
     const { method, path, headers, body } = request;
     try {
       this.connection.client.dispatch(
@@ -209,7 +209,7 @@
 
   /** The response is complete. */
   readonly onResponseEnd = (): void => {
-    const isShared = this.request.usesOwnConnection !== true;
+    const isShared = this.request.usesDedicatedConnection !== true;
     if (this.isStreaming) {
       this.isStreaming = false;
       this.release(true, isShared);
--- a/src/proxy/worker-directory.ts
+++ b/src/proxy/worker-directory.ts
@@ -140,7 +140,7 @@
   };
 
   /** Removes the workers whose updates were deleted. */
-  readonly forgetKeys = (keys: readonly string[]): void => {
+  readonly removeKeys = (keys: readonly string[]): void => {
     keys
       .filter((key) => key.startsWith(WORKER_PREFIX))
       .forEach((key) => this.remove(key.slice(WORKER_PREFIX.length)));
--- a/src/quota/quota-codec.ts
+++ b/src/quota/quota-codec.ts
@@ -92,7 +92,7 @@
 });
 
 /** Packs the response of a controller that cannot allocate tokens. */
-export const packRetryRefusal = (): Message => ({ kind: QUOTA_MESSAGE.retryResponse });
+export const packRetryRejection = (): Message => ({ kind: QUOTA_MESSAGE.retryResponse });
 
 /** Packs the allocated tokens, which are leased for `durationUs` microseconds. */
 export const packRetryResponse = (
--- a/src/quota/retry-allocator.ts
+++ b/src/quota/retry-allocator.ts
@@ -5,7 +5,7 @@
 import type { Message } from "../transport/connection.js";
 import { LeaseAllocator } from "./lease-allocator.js";
 import {
-  packRetryRefusal,
+  packRetryRejection,
   packRetryResponse,
   readRetryRequest,
   type RetryDemand,
@@ -62,7 +62,7 @@
    */
   readonly handleRequest = (message: Message): Message => {
     this.refresh();
-    if (this.leaderSinceUs === undefined) return packRetryRefusal();
+    if (this.leaderSinceUs === undefined) return packRetryRejection();
     const { incarnation, demands } = readRetryRequest(message);
     const limits = this.options.limits();
     const allotments = demands.map((demand) => ({
--- a/src/quota/retry-lease-renewer.ts
+++ b/src/quota/retry-lease-renewer.ts
@@ -14,7 +14,7 @@
   /** Called when a budget rejects a retry. */
   onExhausted: () => void;
   /** The budget of a service and kind of route. */
-  readonly of: (
+  readonly budgetFor: (
     service: string,
     kind: RouteKind,
   ) => {
@@ -61,7 +61,7 @@
     const response = readRetryResponse(reply);
     response?.allotments.forEach(({ service, kind, tokens }) => {
       this.retryBudgets
-        .of(service, toRouteKind(kind))
+        .budgetFor(service, toRouteKind(kind))
         .setLease({ tokens, expiresUs: requestedUs + response.durationUs });
     });
     this.isScheduled = false;
--- a/src/storage/data-folder.ts
+++ b/src/storage/data-folder.ts
@@ -17,8 +17,8 @@
   cache: "depot",
 };
 
-/** Options of {@link takeOverFormerFolder}. */
-export interface TakeOverOptions {
+/** Options of {@link migrateDataFolder}. */
+export interface DataFolderMigrationOptions {
   readonly role: Role;
   /** The data folder that the role is configured to use; empty on a machine without a disk. */
   readonly folder: string;
@@ -50,12 +50,12 @@
  *
  * @returns whether a folder was taken over
  */
-export const takeOverFormerFolder = async ({
+export const migrateDataFolder = async ({
   role,
   folder,
   fileSystem,
   logger,
-}: TakeOverOptions): Promise<boolean> => {
+}: DataFolderMigrationOptions): Promise<boolean> => {
   const former = folder === "" ? undefined : findFormerFolder(role, folder);
   if (former === undefined) return false;
   try {
--- a/src/storage/log-codec.ts
+++ b/src/storage/log-codec.ts
@@ -7,7 +7,7 @@
 import {
   asList,
   asRecord,
-  readFlag,
+  readBoolean,
   readNumber,
   readString,
   type UnknownRecord,
@@ -101,7 +101,7 @@
     checksum: checksum.toString("base64"),
     content: {
       link: readString(fields, "link"),
-      isVerified: readFlag(fields, "isWhole"),
+      isVerified: readBoolean(fields, "isWhole"),
       records: asList(fields["records"], "records").map((record) => asRecord(record)),
     },
   };
--- a/src/transport/frame-codec.ts
+++ b/src/transport/frame-codec.ts
@@ -45,15 +45,15 @@
 };
 
 /** Frames and bytes sent by this process since its start, by message kind. */
-export const sentFrames = new Map<string, { frames: number; bytes: number }>();
+export const sentFrameCounts = new Map<string, { frames: number; bytes: number }>();
 
-/** Adds a frame to `sentFrames`. */
+/** Adds a frame to `sentFrameCounts`. */
 export const countSentFrame = (kind: string, bytes: number): void => {
-  const counts = sentFrames.get(kind);
+  const counts = sentFrameCounts.get(kind);
   if (counts) {
     counts.frames += 1;
     counts.bytes += bytes;
-  } else sentFrames.set(kind, { frames: 1, bytes });
+  } else sentFrameCounts.set(kind, { frames: 1, bytes });
 };
 
 /**
