--- a/features/steps/inspection.ts
+++ b/features/steps/inspection.ts
@@ -12,11 +12,7 @@
 import { NO_DECISIONS, type HealthDecisions } from "../../src/health/health-decisions.js";
 import { OUTLIER_SETTINGS } from "../../src/health/outlier-ranking.js";
 import { CanaryAnalyzer } from "../../src/health/canary-analysis.js";
-import {
-  INITIAL_CANARY_STATE,
-  type CanaryState,
-  type SplitRoute,
-} from "../../src/health/canary-state.js";
+import { NO_CANARIES, type CanaryState, type SplitRoute } from "../../src/health/canary-state.js";
 import { silentLogger } from "../../src/common/logger.js";
 import { seeded } from "../support/fleet.js";
 import { ManualClock } from "../support/manual-clock.js";
@@ -136,7 +132,7 @@
 // --- Canary analyzer
 
 let clock = new ManualClock();
-let state: CanaryState = INITIAL_CANARY_STATE;
+let state: CanaryState = NO_CANARIES;
 let route: SplitRoute = { name: "", version: 0, isSafe: false, shares: [] };
 let analyzer: CanaryAnalyzer;
 let isLeader = true;
@@ -187,7 +183,7 @@
     candidateShare: string,
   ) => {
     clock = new ManualClock();
-    state = INITIAL_CANARY_STATE;
+    state = NO_CANARIES;
     isLeader = leadership === "that holds";
     route = {
       name,
--- a/features/support/health-run.ts
+++ b/features/support/health-run.ts
@@ -8,7 +8,7 @@
 import { silentLogger } from "../../src/common/logger.js";
 import { CanaryAnalyzer } from "../../src/health/canary-analysis.js";
 import {
-  INITIAL_CANARY_STATE,
+  NO_CANARIES,
   readCanaryState,
   type CanaryState,
   type SplitRoute,
@@ -137,8 +137,7 @@
   const clock = new ManualClock();
   const transcript: Transcript = [];
   let json = "";
-  const state = (): CanaryState =>
-    json === "" ? INITIAL_CANARY_STATE : readCanaryState(parseJson(json));
+  const state = (): CanaryState => (json === "" ? NO_CANARIES : readCanaryState(parseJson(json)));
   const shares = [
     { service: "old", share: 9 },
     { service: "new", share: 1 },
--- a/src/health/canary-state.ts
+++ b/src/health/canary-state.ts
@@ -50,7 +50,7 @@
 }
 
 /** The state before the first decision. */
-export const INITIAL_CANARY_STATE: CanaryState = { baselines: [], stops: [] };
+export const NO_CANARIES: CanaryState = { baselines: [], stops: [] };
 
 /** Whether a row refers to the given route in the given version. */
 export const matchesVersion = (row: RouteVersion, route: SplitRoute): boolean =>
--- a/src/health/capacity-forecast.ts
+++ b/src/health/capacity-forecast.ts
@@ -197,7 +197,7 @@
 const sumOf = (service: string, increases: ReadonlyMap<string, LoadTotals>): LoadTotals =>
   [...increases]
     .filter(([key]) => serviceOf(key) === service)
-    .reduce((sum, [, figures]) => addLoad(sum, figures), NO_LOAD);
+    .reduce((sum, [, totals]) => addLoad(sum, totals), NO_LOAD);
 
 const sorted = (states: CapacityStates): readonly (readonly [string, string])[] =>
   Object.entries(states).sort(([a], [b]) => (a < b ? -1 : 1));
--- a/src/health/load-counters.ts
+++ b/src/health/load-counters.ts
@@ -2,7 +2,7 @@
 import { packRowsReport } from "./reports-codec.js";
 
 /**
- * Cumulative load figures. Invariant: they never decrease within an incarnation, so a duplicate, late
+ * Cumulative load totals. Invariant: they never decrease within an incarnation, so a duplicate, late
  * or out-of-order report adds nothing.
  */
 interface Usage {
--- a/src/programs/controller/published-state.ts
+++ b/src/programs/controller/published-state.ts
@@ -4,11 +4,7 @@
  */
 import type { LeaderLease } from "../../consensus/leader-lease.js";
 import type { ReplicatedStore } from "../../consensus/replicated-store.js";
-import {
-  INITIAL_CANARY_STATE,
-  readCanaryState,
-  type CanaryState,
-} from "../../health/canary-state.js";
+import { NO_CANARIES, readCanaryState, type CanaryState } from "../../health/canary-state.js";
 import { readCapacityStates, type CapacityStates } from "../../health/capacity-state.js";
 import { readHealthDecisions } from "../../health/decisions-codec.js";
 import { NO_DECISIONS, type HealthDecisions } from "../../health/health-decisions.js";
@@ -38,7 +34,7 @@
     this.read(PUBLISHED_REGISTER.ejections, readHealthDecisions, NO_DECISIONS);
 
   readonly canaries = (): CanaryState =>
-    this.read(PUBLISHED_REGISTER.canaries, readCanaryState, INITIAL_CANARY_STATE);
+    this.read(PUBLISHED_REGISTER.canaries, readCanaryState, NO_CANARIES);
 
   readonly forecasts = (): CapacityStates =>
     this.read(PUBLISHED_REGISTER.forecasts, readCapacityStates, {});
--- a/src/proxy/forwarding.ts
+++ b/src/proxy/forwarding.ts
@@ -88,11 +88,11 @@
    * request is rejected before it is sent rather than aborted while it runs.
    */
   readonly wouldBeLate = (context: RequestContext, route: Route, worker: Worker): boolean => {
-    const { actsOnForecast, workers: pool, clock } = this.options;
+    const { actsOnForecast, workers, clock } = this.options;
     return (
       actsOnForecast &&
       !route.isSafe &&
-      pool.capacityForecast(context.service) === "overrun" &&
+      workers.capacityForecast(context.service) === "overrun" &&
       worker.expectedLatencyUs(worker.load(0)) > context.deadlineUs - clock.nowUs()
     );
   };
@@ -169,7 +169,7 @@
     startedUs: number,
     result: UpstreamResult,
   ): void => {
-    const { clock, workers: pool, countFault, countResponse: countAnswer } = this.options;
+    const { clock, workers, countFault, countResponse: countAnswer } = this.options;
     if (result.kind === "answered" || result.kind === "lost")
       countAnswer?.(context.service, worker.zone, clock.nowUs() - startedUs);
     if (result.kind === "answered") markRun(context.deliveryState);
@@ -182,7 +182,7 @@
     if (isDown || result.kind === "lost") worker.avoid();
     if (isUnreachable) context.isLocalNetworkSuspected = true;
     if (result.kind === "rejected" && result.reason === "wrong-worker")
-      pool.removeMisdirected(worker);
+      workers.removeMisdirected(worker);
     const isAttributable =
       result.kind === "answered" || result.kind === "rejected" || result.kind === "lost" || isDown;
     if (isAttributable) countFault(worker.id, result.kind === "lost" || isDown);
--- a/src/storage/data-folder.ts
+++ b/src/storage/data-folder.ts
@@ -48,7 +48,7 @@
  * moved by a single atomic rename. After a crash before the parent is synced it may be under either
  * name; if it is under the earlier one, the next start renames it again.
  *
- * @returns whether a folder was taken over
+ * @returns whether the earlier folder was renamed
  */
 export const migrateDataFolder = async ({
   role,
