--- a/features/support/health-run.ts
+++ b/features/support/health-run.ts
@@ -247,10 +247,10 @@
   const tick = async (callsPerNode: number, rejected: number): Promise<void> => {
     counters.forEach((counter, index) => {
       for (let call = 0; call < callsPerNode; call += 1) {
-        counter.arrived("pay");
-        counter.answered("pay", ZONES[call % 2] ?? "", 200_000 + (call % 7) * 10_000);
+        counter.recordArrival("pay");
+        counter.recordCompletion("pay", ZONES[call % 2] ?? "", 200_000 + (call % 7) * 10_000);
       }
-      for (let call = 0; call < rejected; call += 1) counter.refused("pay");
+      for (let call = 0; call < rejected; call += 1) counter.recordRejection("pay");
       const report: Message | undefined = counter.takeReport();
       if (needsMoreReports(transcript)) transcript.push(["report", JSON.stringify(report ?? null)]);
       if (report) forecaster.receive({ ...report, node: `n${index}` });
--- a/src/programs/gateway/gateway.ts
+++ b/src/programs/gateway/gateway.ts
@@ -8,7 +8,7 @@
 import { serveApi } from "../http-api.js";
 import type { RunningProgram } from "../running-program.js";
 import { adminRoutes } from "./admin-api.js";
-import { gatewayMetrics } from "./figures.js";
+import { gatewayMetrics } from "./metrics.js";
 import { openDataPlane, type DataPlane } from "./data-plane.js";
 import { nodeQueryHandlers } from "./node-queries.js";
 import type { GatewayObjectCache, GatewayObjectCacheOptions } from "./object-cache.js";
@@ -50,7 +50,7 @@
     zone,
     bufferMemoryBytes: ((settings.memoryMb || DEFAULT_MEMORY_MB) * MB) / BUFFER_MEMORY_DIVISOR,
     routes: dataPlane.routes,
-    pool: dataPlane.workers,
+    workers: dataPlane.workers,
     retryBudgets: dataPlane.retryBudgets,
     isBehind,
     connectionShare: dataPlane.connectionShare,
@@ -128,8 +128,8 @@
   log.info("gateway is listening", { address: settings.front });
 
   return {
-    figures: gatewayMetrics({ dataPlane, node, server }),
-    applySettings: ({ seedNodes }) => subscriber.renewSeeds(seedNodes),
+    metrics: gatewayMetrics({ dataPlane, node, server }),
+    applySettings: ({ seedNodes }) => subscriber.setSeeds(seedNodes),
     stop: async () => {
       log.info("gateway is shutting down");
       isStopping = true;
