--- a/features/compatibility.feature
+++ b/features/compatibility.feature
@@ -30,7 +30,7 @@
     Then cluster sizes, updates, sessions and heartbeats are read from the recorded messages as they were sent
 
   Scenario Outline: The reports, stored registers and answers of the health subsystem keep their format
-    Then the reports, registers and answers of the "<part>" are word for word those of before
+    Then the reports, registers and answers of the "<part>" are identical to the recorded ones
 
     Examples:
       | part                |
@@ -40,14 +40,14 @@
       | maintenance windows |
 
   Scenario: Requests of operators that controllers forward to each other keep their format
-    Then each forwarded order of before is read and packed again as the frame that it was
-    And each answer to a forwarded order of before is read and packed again as the frame that it was
-    And each kind of message that was forwarded before still has its name
+    Then every recorded forwarded request is decoded and encoded again to the recorded frame
+    And every recorded response to a forwarded request is decoded and encoded again to the recorded frame
+    And every recorded kind of forwarded message still exists under its name
 
   Scenario: Object requests, the object server's answers and the client's results keep their format
-    Then requests for objects are packed as before
-    And the object server's answers are word for word those of before
-    And the object client makes of the replies of before what it made of them
+    Then requests for objects are encoded as recorded
+    And the object server's answers are identical to the recorded ones
+    And the object client turns the recorded replies into the recorded results
 
   Scenario: Controllers and nodes of different versions understand each other
     Then the messages between a controller and six nodes are the recorded ones
--- a/features/goods.feature
+++ b/features/goods.feature
@@ -4,22 +4,22 @@
 
   Scenario: Simultaneous misses share one fetch, and a cached object is served until its maximum age
     Given an object store whose source takes 100 ms
-    When 5 callers want "/a" at the same time
+    When 5 clients request "/a" at the same time
     Then the source was queried 1 time
-    When 39 seconds pass at the store
-    Then a caller that wants "/a" gets version 1
+    When 39 seconds pass in the store
+    Then a client that requests "/a" gets version 1
     And the source was queried 1 time
-    When 2 seconds pass at the store
-    Then a caller that wants "/a" gets version 1
+    When 2 seconds pass in the store
+    Then a client that requests "/a" gets version 1
     And the source was queried 2 times
 
   Scenario Outline: A purge drops the cached objects that it covers, and those of a fetch in flight
     Given an object store whose source takes 100 ms
-    And a caller that wants "/a" gets version 1
-    When the object changes and a purge of <target> is learned
-    Then a caller that wants "/a" gets version 2
-    When a caller wants "/b" and the object changes and a purge of <target> is learned meanwhile
-    Then a caller that wants "/b" gets version <later>
+    And a client that requests "/a" gets version 1
+    When the object changes and a purge of <target> is received
+    Then a client that requests "/a" gets version 2
+    When a client requests "/b" and meanwhile the object changes and a purge of <target> is received
+    Then a client that requests "/b" gets version <later>
 
     Examples:
       | target      | later |
@@ -28,25 +28,25 @@
 
   Scenario: An object from a cache that has not received the purge yet is not accepted
     Given an object store whose source is a cache with an outdated object
-    And a purge of path "/a" is learned
-    When a caller wants "/a"
+    And a purge of path "/a" is received
+    When a client requests "/a"
     Then the cache was asked for an object no older than the purge
 
   Scenario: Without recent updates no cached object is served without revalidation
     Given an object store whose source takes 100 ms
-    And a caller that wants "/a" gets version 1
+    And a client that requests "/a" gets version 1
     When the updates are stale
-    Then a caller that wants "/a" gets version 1
+    Then a client that requests "/a" gets version 1
     And the source was queried 2 times, the last time to revalidate the cached object
 
   Scenario: When the source fails, an expired object is served up to the stale-if-error limit
     Given an object store whose source takes 100 ms
-    And a caller that wants "/a" gets version 1
+    And a client that requests "/a" gets version 1
     When the source is rate limited
-    And 40 seconds pass at the store
-    Then a caller that wants "/a" gets version 1
-    When 1 second passes at the store
-    Then a caller that wants "/a" is refused because of the rate limit
+    And 40 seconds pass in the store
+    Then a client that requests "/a" gets version 1
+    When 1 second passes in the store
+    Then a client that requests "/a" is refused because of the rate limit
 
   Scenario: All rate shares together keep the limit while caches restart and the allocator is replaced
     Given an origin with a rate of 100 per second and a limit of 1.1 over 5 s
--- a/features/keys.feature
+++ b/features/keys.feature
@@ -64,7 +64,7 @@
     Then the last result is "won"
 
   Scenario: Without a quorum no attempt wins
-    When boxes 3, 4 and 5 are cut off
+    When controllers 3, 4 and 5 are partitioned
     And attempt "one" claims key "k" through controller 1
     Then the last result is "none"
 
@@ -75,7 +75,7 @@
     Then attempt "two" for key "k" through controller 2 gets the result "working"
 
   Scenario: An acknowledged purge is known to every controller that has read from a quorum
-    When boxes 4 and 5 are cut off
+    When controllers 4 and 5 are partitioned
     And a purge of label "t1" is acknowledged by controller 1
     And controller 4 is reconnected and controller 1 is killed
     And controller 4 reads the purges
--- a/features/metrics.feature
+++ b/features/metrics.feature
@@ -17,11 +17,11 @@
     Then the settings with the metrics endpoint "<endpoint>" are <verdict>
 
     Examples:
-      | endpoint      | verdict |
-      | 9464/metrics  | taken   |
-      | /metrics      | refused |
-      | 9464          | refused |
-      | 70000/metrics | refused |
+      | endpoint      | verdict  |
+      | 9464/metrics  | accepted |
+      | /metrics      | refused  |
+      | 9464          | refused  |
+      | 70000/metrics | refused  |
 
   Scenario: The event loop delay is the lateness of a timer
     Given the event loop delay is measured
--- a/features/steps/forwarded-messages.ts
+++ b/features/steps/forwarded-messages.ts
@@ -61,7 +61,7 @@
 ]);
 
 Then(
-  "each forwarded order of before is read and packed again as the frame that it was",
+  "every recorded forwarded request is decoded and encoded again to the recorded frame",
   async () => {
     const commands = (await forwardedFrames()).filter(({ message }) =>
       REENCODERS.has(message.kind),
@@ -80,7 +80,7 @@
 );
 
 Then(
-  "each answer to a forwarded order of before is read and packed again as the frame that it was",
+  "every recorded response to a forwarded request is decoded and encoded again to the recorded frame",
   async () => {
     const replies = (await forwardedFrames()).filter(({ message }) => "outcome" in message);
     assert.ok(replies.some(({ message }) => "body" in message));
@@ -95,7 +95,7 @@
   },
 );
 
-Then("each kind of message that was forwarded before still has its name", async () => {
+Then("every recorded kind of forwarded message still exists under its name", async () => {
   const currentKinds = new Set<string>([
     ...Object.values(MessageKind),
     ...Object.values(PEER_REQUEST),
--- a/features/steps/goods.ts
+++ b/features/steps/goods.ts
@@ -106,26 +106,26 @@
   resetStore();
   isOutdatedCache = true;
 });
-When("{int} callers want {string} at the same time", async (count: number, url: string) => {
+When("{int} clients request {string} at the same time", async (count: number, url: string) => {
   await Promise.all(Array.from({ length: count }, () => fetchObject(url)));
 });
-When(/^(\d+) seconds? pass(?:es)? at the store$/, (seconds: string) =>
+When(/^(\d+) seconds? pass(?:es)? in the store$/, (seconds: string) =>
   clock.pass(Number(seconds) * 1_000_000),
 );
 When(
-  /^the object changes and a purge of (label|path) "(.*)" is learned$/,
+  /^the object changes and a purge of (label|path) "(.*)" is received$/,
   async (kind: string, name: string) => {
     await clock.pass(1_000);
     version += 1;
     receivePurge(kind, name);
   },
 );
-When(/^a purge of (label|path) "(.*)" is learned$/, async (kind: string, name: string) => {
+When(/^a purge of (label|path) "(.*)" is received$/, async (kind: string, name: string) => {
   receivePurge(kind, name);
   await clock.pass(1_000_000);
 });
 When(
-  /^a caller wants "(.*)" and the object changes and a purge of (label|path) "(.*)" is learned meanwhile$/,
+  /^a client requests "(.*)" and meanwhile the object changes and a purge of (label|path) "(.*)" is received$/,
   async (url: string, kind: string, name: string) => {
     const before = fetchObject(url);
     version += 1;
@@ -133,7 +133,7 @@
     await before;
   },
 );
-When("a caller wants {string}", async (url: string) => {
+When("a client requests {string}", async (url: string) => {
   await fetchObject(url);
 });
 When("the updates are stale", () => {
@@ -152,10 +152,10 @@
     assert.ok(sourceFetches[count - 1]?.cached);
   },
 );
-Then("a caller that wants {string} gets version {int}", async (url: string, expected: number) =>
+Then("a client that requests {string} gets version {int}", async (url: string, expected: number) =>
   assert.equal(outcomeOf(await fetchObject(url)), String(expected)),
 );
-Then("a caller that wants {string} is refused because of the rate limit", async (url: string) =>
+Then("a client that requests {string} is refused because of the rate limit", async (url: string) =>
   assert.equal(outcomeOf(await fetchObject(url)), "rate"),
 );
 Then("the cache was asked for an object no older than the purge", () => {
--- a/features/steps/health-golden.ts
+++ b/features/steps/health-golden.ts
@@ -20,7 +20,7 @@
 };
 
 Then(
-  "the reports, registers and answers of the {string} are word for word those of before",
+  "the reports, registers and answers of the {string} are identical to the recorded ones",
   async (name: string) => {
     const golden = asRecord(parseJson(await readFile(GOLDEN_FILE, "utf8")))[name];
     const run = RUNS[name];
--- a/features/steps/keys.ts
+++ b/features/steps/keys.ts
@@ -150,7 +150,7 @@
 When("the clock advances by {int} s", (seconds: number) =>
   current().clock.pass(seconds * 1_000_000),
 );
-When(/^boxes (.*) are cut off$/, (list: string) =>
+When(/^controllers (.*) are partitioned$/, (list: string) =>
   list.match(/\d/g)?.forEach((number) => current().partitioned.add(`b${number}`)),
 );
 When(
--- a/features/steps/metrics.ts
+++ b/features/steps/metrics.ts
@@ -72,7 +72,7 @@
 });
 
 Then(
-  /^the settings with the metrics endpoint "(.*)" are (taken|refused)$/,
+  /^the settings with the metrics endpoint "(.*)" are (accepted|refused)$/,
   (endpoint: string, verdict: string) => {
     const parsed = parseSettings(
       [
@@ -82,7 +82,7 @@
         `[metrics]\ngateway = "${endpoint}"`,
       ].join("\n"),
     );
-    assert.equal(parsed.isOk, verdict === "taken");
+    assert.equal(parsed.isOk, verdict === "accepted");
     if (parsed.isOk)
       assert.deepEqual(parsed.value.metrics.get("gateway"), { port: 9464, path: "/metrics" });
     else assert.match(parsed.error.sentence, /metrics/);
--- a/features/steps/object-messages.ts
+++ b/features/steps/object-messages.ts
@@ -59,7 +59,7 @@
   validatedAtUs: 0,
 });
 
-Then("requests for objects are packed as before", async () => {
+Then("requests for objects are encoded as recorded", async () => {
   const clock = new ManualClock();
   const rows = asList((await golden())["packed"]).map((row) => asRecord(row));
   assert.equal(rows.length, 4);
@@ -129,7 +129,7 @@
   }
 }
 
-Then("the object server's answers are word for word those of before", async () => {
+Then("the object server's answers are identical to the recorded ones", async () => {
   const data = await golden();
   const clock = new ManualClock();
   const storeOf = () =>
@@ -243,7 +243,7 @@
       : { kind: "none", why: result.reason, comeBackUs: result.retryAfterUs },
   );
 
-Then("the object client makes of the replies of before what it made of them", async () => {
+Then("the object client turns the recorded replies into the recorded results", async () => {
   const data = await golden();
   const clock = new ManualClock();
   const { client, cache } = newClient(clock);
--- a/features/steps/terms.ts
+++ b/features/steps/terms.ts
@@ -42,7 +42,7 @@
 
 let parsed = parseSettings(VALID);
 
-When(/^settings are read in which (.*)$/, (error: string) => {
+When(/^settings are parsed in which (.*)$/, (error: string) => {
   const change = SETTINGS_ERRORS[error];
   assert.ok(change, `unknown error: ${error}`);
   parsed = parseSettings(VALID.replace(...change));
--- a/features/terms.feature
+++ b/features/terms.feature
@@ -1,7 +1,7 @@
 Feature: Settings validation, worker registry states and usage export
 
   Scenario Outline: An invalid settings file is rejected with one line naming the field
-    When settings are read in which <error>
+    When settings are parsed in which <error>
     Then they are rejected in one line that names "<field>"
 
     Examples:
@@ -15,7 +15,7 @@
       | the file is not TOML               | Invalid         |
 
   Scenario: Durations in valid settings are converted to microseconds
-    When settings are read in which nothing is wrong
+    When settings are parsed in which nothing is wrong
     Then the grace period is 6000000 microseconds
 
   Scenario: Joins in quick succession are announced once
