--- a/features/steps/compatibility.ts
+++ b/features/steps/compatibility.ts
@@ -35,11 +35,11 @@
 import {
   collectAnswers,
   startFromFiles,
-  bytesOf,
+  encodeMessages,
   recordConversation,
   IDS,
-  plain,
-  throughWire,
+  toPlainJson,
+  decodeFrames,
   withFormerNames,
   fromPlainJson,
   messageOf,
@@ -129,11 +129,13 @@
       [...rows].sort((one, other) => (readString(one, "key") < readString(other, "key") ? -1 : 1));
     assert.deepEqual(
       byKey(
-        asList(plain(cluster.member(id).store.committedRegisters())).map((row) => asRecord(row)),
+        asList(toPlainJson(cluster.member(id).store.committedRegisters())).map((row) =>
+          asRecord(row),
+        ),
       ),
       byKey(asList(registers).map((row) => asRecord(row))),
     );
-    assert.deepEqual(plain(cluster.member(id).store.voterSet()), voterSet);
+    assert.deepEqual(toPlainJson(cluster.member(id).store.voterSet()), voterSet);
   }
 });
 
@@ -155,8 +157,8 @@
   const loaded = await writeAheadLog.load();
   const { kept } = await readGoldenRecord("workers.json");
   const heartbeats = loaded.kind === "verified" ? loaded.records.map(readSharedHeartbeat) : [];
-  assert.deepEqual(plain(withFormerNames(heartbeats)), kept, loaded.kind);
-  assert.deepEqual(plain(heartbeats.map(packHeartbeat)), kept);
+  assert.deepEqual(toPlainJson(withFormerNames(heartbeats)), kept, loaded.kind);
+  assert.deepEqual(toPlainJson(heartbeats.map(packHeartbeat)), kept);
 });
 
 Then(
@@ -171,15 +173,15 @@
     );
     assert.deepEqual(
       [
-        plain(withFormerNames(registry.all())),
-        plain(registry.packAll()),
-        plain(updates.pack(updates.all())),
+        toPlainJson(withFormerNames(registry.all())),
+        toPlainJson(registry.packAll()),
+        toPlainJson(updates.pack(updates.all())),
       ],
       [heartbeats, shared, facts],
     );
     const read = asList(shared).map(readSharedHeartbeat);
-    assert.deepEqual(plain(withFormerNames(read)), heartbeats);
-    assert.deepEqual(plain(read.map(packHeartbeat)), heartbeats);
+    assert.deepEqual(toPlainJson(withFormerNames(read)), heartbeats);
+    assert.deepEqual(toPlainJson(read.map(packHeartbeat)), heartbeats);
   },
 );
 
@@ -192,7 +194,7 @@
     diskBytes: 1_000_000,
   });
   assert.equal(await table.load(), true);
-  assert.deepEqual(plain(table.pack()), pack);
+  assert.deepEqual(toPlainJson(table.pack()), pack);
   assert.equal(Buffer.from(table.findResponse("k1")?.body ?? []).toString(), body);
   const mergedTable = new IdempotencyKeyTable({
     folder: "",
@@ -201,38 +203,41 @@
     diskBytes: 1_000_000,
   });
   assert.equal(await mergedTable.merge(asRecord(fromPlainJson(pack))), true);
-  assert.deepEqual(plain(mergedTable.pack()), pack);
+  assert.deepEqual(toPlainJson(mergedTable.pack()), pack);
 });
 
 Then("every recorded frame is decoded to the recorded message", async () => {
   const frames = await readFrames();
   assert.ok(frames.some(({ deflated }) => deflated));
-  const read = await throughWire(frames.map(({ bytes }) => bytes));
-  assert.deepEqual(plain(read), plain(frames.map(({ message }) => message)));
+  const read = await decodeFrames(frames.map(({ bytes }) => bytes));
+  assert.deepEqual(toPlainJson(read), toPlainJson(frames.map(({ message }) => message)));
 });
 
 Then("every recorded message is encoded to the recorded frame", async () => {
   // Deflated bytes may differ between zlib versions, so these frames are compared by content.
   const frames = await readFrames();
   for (const { bytes, message, deflated } of frames) {
-    const [read] = await throughWire([bytes]);
+    const [read] = await decodeFrames([bytes]);
     assert.ok(read);
-    const written = await bytesOf([read]);
+    const written = await encodeMessages([read]);
     if (!deflated) assert.deepEqual(written, bytes, message.kind);
     assert.equal((written.readUInt32BE(0) & 0x4000_0000) !== 0, deflated, message.kind);
-    assert.deepEqual(plain(await throughWire([written])), plain([message]));
+    assert.deepEqual(toPlainJson(await decodeFrames([written])), toPlainJson([message]));
   }
 });
 
 Then("a conversation of four controllers is identical to the recorded one", async () => {
   cluster = new ReplicaCluster(IDS);
-  assert.deepEqual(plain(await recordConversation(cluster)), await readGolden("conversation.json"));
+  assert.deepEqual(
+    toPlainJson(await recordConversation(cluster)),
+    await readGolden("conversation.json"),
+  );
 });
 
 Then("the controller's answers are identical to the recorded ones", async () => {
   cluster = new ReplicaCluster(IDS);
   const requests = asList(await readGolden("asked-of-b.json")).map(messageOf);
-  const answers = plain(await collectAnswers(cluster, "b", requests));
+  const answers = toPlainJson(await collectAnswers(cluster, "b", requests));
   const expected = asList(await readGolden("answers-of-b.json"));
   asList(answers).forEach((answer, at) =>
     assert.deepEqual(answer, expected[at], `answer to ${requests[at]?.kind ?? ""}, message ${at}`),
@@ -254,7 +259,7 @@
         readCounts.crew += 1;
       } else if (message.kind === "news") {
         updates.merge(asList(message["facts"]));
-        assert.deepEqual(plain(updates.pack(updates.all())), plain(message["facts"]));
+        assert.deepEqual(toPlainJson(updates.pack(updates.all())), toPlainJson(message["facts"]));
         readCounts.news += 1;
       } else if (message.kind === "sessions") {
         const sessions = new NodeSessions({
@@ -268,7 +273,10 @@
           answer: async (question) => question,
         });
         sessions.applyPeerSessions("a", message);
-        assert.deepEqual(plain(sessions.nodes().map(packNode)), plain(message["nodes"]));
+        assert.deepEqual(
+          toPlainJson(sessions.nodes().map(packNode)),
+          toPlainJson(message["nodes"]),
+        );
         readCounts.sessions += 1;
       } else if (message.kind === "beats") {
         readList(message, "beats", (value) => {
--- a/features/steps/contact.ts
+++ b/features/steps/contact.ts
@@ -22,7 +22,7 @@
 import { connectTo } from "../../src/transport/connect.js";
 import type { Connection, Message } from "../../src/transport/connection.js";
 import { sentFrames } from "../../src/transport/frame-codec.js";
-import { CuttableNet } from "../support/cuttable-net.js";
+import { PartitionableNet } from "../support/cuttable-net.js";
 import { ManualClock, settle } from "../support/manual-clock.js";
 
 const LINK_TIMES = { heartbeatUs: 300_000, timeoutUs: 1_000_000 };
@@ -36,7 +36,7 @@
 
 /** First port of the running scenario: each scenario uses its own range. */
 let basePort = 15_000;
-let net = new CuttableNet();
+let net = new PartitionableNet();
 let controllers: Controller[] = [];
 let nodeClock = new ManualClock();
 let frozenClock: ManualClock | undefined;
@@ -200,7 +200,7 @@
 Given("3 running controllers, a configuration, and workers that send heartbeats", async () => {
   setLogLevel("silent");
   basePort += 20;
-  net = new CuttableNet();
+  net = new PartitionableNet();
   nodeClock = new ManualClock();
   [controllers, subscribers, openConnections, frozenClock] = [[], [], [], undefined];
   for (const number of [1, 2, 3]) {
--- a/features/steps/forwarded-messages.ts
+++ b/features/steps/forwarded-messages.ts
@@ -23,7 +23,7 @@
   readZoneShift,
 } from "../../src/programs/controller/peer-messages.js";
 import type { Message } from "../../src/transport/connection.js";
-import { bytesOf, plain, throughWire } from "../support/golden.js";
+import { encodeMessages, toPlainJson, decodeFrames } from "../support/golden.js";
 
 const FILE = join("features/data/before-2026-12-forwarded", "frames.json");
 
@@ -36,9 +36,9 @@
 const forwardedFrames = async (): Promise<readonly ForwardedFrame[]> => {
   const rows = asList(parseJson(await readFile(FILE, "utf8"))).map((value) => asRecord(value));
   const frames = rows.map((row) => Buffer.from(readString(row, "frame"), "base64"));
-  const messages = await throughWire(frames);
+  const messages = await decodeFrames(frames);
   assert.deepEqual(
-    plain(messages),
+    toPlainJson(messages),
     rows.map((row) => row["message"]),
   );
   return messages.map((message, at) => ({ message, bytes: frames[at] ?? Buffer.alloc(0) }));
@@ -51,7 +51,7 @@
     ...("ask" in message ? { ask: message["ask"] } : {}),
     ...("re" in message ? { re: message["re"] } : {}),
   };
-  assert.deepEqual(await bytesOf([numbered]), bytes, JSON.stringify(message));
+  assert.deepEqual(await encodeMessages([numbered]), bytes, JSON.stringify(message));
 };
 
 const REENCODERS: ReadonlyMap<string, (message: Message) => Message> = new Map([
--- a/features/steps/membership-golden.ts
+++ b/features/steps/membership-golden.ts
@@ -19,7 +19,7 @@
 import { connectTo } from "../../src/transport/connect.js";
 import type { Connection, Message } from "../../src/transport/connection.js";
 import { Listener } from "../../src/transport/listener.js";
-import { plain, withFormerNames } from "../support/golden.js";
+import { toPlainJson, withFormerNames } from "../support/golden.js";
 import { ManualClock } from "../support/manual-clock.js";
 
 const DATA = "features/data/before-2026-12-membership/conversations.json";
@@ -163,12 +163,12 @@
   await joinAsNode(messagesByNode, "n6", nodeAt(6, "c1", { role: "pointsman" }));
 
   const expected = await recorded("controller");
-  assert.deepEqual(withoutAges(plain(messagesByNode)), expected["got"]);
-  assert.deepEqual(plain(requests), expected["asked"]);
-  assert.deepEqual(plain(reports), expected["reports"]);
-  assert.deepEqual(plain(answers.map(packNodeAnswer)), expected["answers"]);
-  assert.deepEqual(plain(packed), expected["pack"]);
-  assert.deepEqual(plain(sessions.nodes().map(packNode)), expected["nodes"]);
+  assert.deepEqual(withoutAges(toPlainJson(messagesByNode)), expected["got"]);
+  assert.deepEqual(toPlainJson(requests), expected["asked"]);
+  assert.deepEqual(toPlainJson(reports), expected["reports"]);
+  assert.deepEqual(toPlainJson(answers.map(packNodeAnswer)), expected["answers"]);
+  assert.deepEqual(toPlainJson(packed), expected["pack"]);
+  assert.deepEqual(toPlainJson(sessions.nodes().map(packNode)), expected["nodes"]);
   assert.deepEqual(withFormerNames(sessions.clusterSize()), expected["crew"]);
   const { kind, ...size } = packClusterSize(sessions.clusterSize());
   assert.equal(kind, "crew");
@@ -275,7 +275,7 @@
   await pass(900);
   // Taken before the subscriber stops, because the effects of stopping are not recorded.
   const facts = updates.pack(updates.all());
-  const observed = withoutAges(plain({ said: sent, events, facts }));
+  const observed = withoutAges(toPlainJson({ said: sent, events, facts }));
   subscriber.stop();
   assert.deepEqual(observed, await recorded("node"));
 });
@@ -293,7 +293,7 @@
   peers.learnFrom({ kind: "welcome", from: "127.13.0.3:1", known: [] });
   const zones = ["127.13.0.1:1", "127.13.0.2:1", "127.13.0.3:1"].map(peers.zoneOf);
   const expected = await recorded("peers");
-  assert.deepEqual(plain(peers.hello()), expected["hello"]);
+  assert.deepEqual(toPlainJson(peers.hello()), expected["hello"]);
   assert.deepEqual(zones, expected["cells"]);
   assert.deepEqual(withFormerNames(peers.connectedControllers()), expected["boxes"]);
 });
--- a/features/steps/moves.ts
+++ b/features/steps/moves.ts
@@ -11,7 +11,12 @@
   type ReassignmentRow,
 } from "../../src/proxy/reassignment-forecast.js";
 import { isRecord } from "../../src/common/decode.js";
-import { FLEET_TERMS, SimFleet, type FleetTerms, type SimNode } from "../support/fleet.js";
+import {
+  DEFAULT_FLEET_OPTIONS,
+  SimFleet,
+  type FleetOptions,
+  type SimNode,
+} from "../support/fleet.js";
 
 interface ShareObservation {
   readonly share: number;
@@ -22,14 +27,20 @@
 const SETTLE_US = 10_000_000;
 const WINDOW_US = 60_000_000;
 
-let terms: FleetTerms = FLEET_TERMS;
+let fleetOptions: FleetOptions = DEFAULT_FLEET_OPTIONS;
 let nodeObservations: ShareObservation[] = [];
 let fleetObservations: ShareObservation[] = [];
 
 Given(
   "fleets of {int} zones with {int} nodes and {int} workers each, {int}% of all slots in use",
-  (zones: number, nodesACell: number, workersACell: number, percent: number) => {
-    terms = { ...FLEET_TERMS, cells: zones, nodesACell, workersACell, usedPart: percent / 100 };
+  (zones: number, nodesPerZone: number, workersPerZone: number, percent: number) => {
+    fleetOptions = {
+      ...DEFAULT_FLEET_OPTIONS,
+      zones,
+      nodesPerZone,
+      workersPerZone,
+      utilization: percent / 100,
+    };
   },
 );
 
@@ -51,11 +62,11 @@
 const startFleet = (
   seed: number,
 ): { readonly fleet: SimFleet; readonly counts: ReadonlyMap<string, RequestCounters> } => {
-  const fleet = new SimFleet({ ...terms, seed });
+  const fleet = new SimFleet({ ...fleetOptions, seed });
   const counts = new Map(
     fleet.nodes.map(({ name }) => [name, new RequestCounters(fleet.timeline)]),
   );
-  fleet.onSent = (node, worker) => counts.get(node)?.record("s", "safe", "r", worker);
+  fleet.onCall = (node, worker) => counts.get(node)?.record("s", "safe", "r", worker);
   fleet.start();
   fleet.timeline.runUntil(SETTLE_US + WINDOW_US);
   return { fleet, counts };
@@ -70,13 +81,13 @@
     spanUs: 0,
     counts: [],
   };
-  const { pool } = node;
+  const { directory } = node;
   return forecastReassignment({
     node: node.name,
     zone: node.zone,
-    nodeCount: pool.nodeCount,
+    nodeCount: directory.nodeCount,
     service: "s",
-    workers: pool.readyWorkersOf("s"),
+    workers: directory.readyWorkersOf("s"),
     calls,
     spanUs,
     change,
@@ -87,11 +98,11 @@
 const callsAfterForecast = (fleet: SimFleet): ReadonlyMap<string, readonly string[]> => {
   const fromUs = fleet.timeline.nowUs();
   fleet.timeline.runUntil(fromUs + WINDOW_US);
-  const sent = new Map<string, string[]>(fleet.nodes.map(({ name }) => [name, []]));
-  fleet.sent
+  const callsByNode = new Map<string, string[]>(fleet.nodes.map(({ name }) => [name, []]));
+  fleet.calls
     .filter(({ atUs, worker }) => atUs >= fromUs && worker !== "")
-    .forEach(({ node, worker }) => sent.get(node)?.push(worker));
-  return sent;
+    .forEach(({ node, worker }) => callsByNode.get(node)?.push(worker));
+  return callsByNode;
 };
 
 const simulateRun = (seed: number, changeName: string): void => {
@@ -99,9 +110,11 @@
   const change = changeOf(changeName, fleet);
   const rows = new Map(fleet.nodes.map((node) => [node.name, forecastOf(node, counts, change)]));
   const subsets = new Map(
-    fleet.nodes.map(({ name, pool }) => [
+    fleet.nodes.map(({ name, directory }) => [
       name,
-      new Set([...pool.subsetFor("s").local, ...pool.subsetFor("s").remote].map(({ id }) => id)),
+      new Set(
+        [...directory.subsetFor("s").local, ...directory.subsetFor("s").remote].map(({ id }) => id),
+      ),
     ]),
   );
   // A retirement is not carried out: the share is that of the calls which still went to the workers
@@ -111,12 +124,12 @@
   if (isAdding)
     for (let at = 0; at < (change.add[0]?.count ?? 0); at += 1)
       fleet.add(`fresh-${seed}-${at}`, "c0");
-  const sent = callsAfterForecast(fleet);
+  const callsByNode = callsAfterForecast(fleet);
   let [moved, total, forecast] = [0, 0, 0];
   let draws: number[] = [];
   fleet.nodes.forEach(({ name }) => {
     const row = rows.get(name);
-    const calls = sent.get(name) ?? [];
+    const calls = callsByNode.get(name) ?? [];
     if (!row || row.calls < 30 || calls.length < 30) return;
     const leavers = new Set(row.leavers.filter((id) => change.retire.includes(id)));
     const count = calls.filter((id) =>
@@ -171,8 +184,9 @@
     for (let seed = 1; seed <= Number(runCount); seed += 1) simulateRun(seed, changeName);
   },
 );
-const shareWithinBand = (seen: readonly ShareObservation[]): number =>
-  seen.filter(({ share, low, high }) => share >= low && share <= high).length / seen.length;
+const shareWithinBand = (observations: readonly ShareObservation[]): number =>
+  observations.filter(({ share, low, high }) => share >= low && share <= high).length /
+  observations.length;
 Then(
   "at least {int}% of the nodes' observed shares lie within their bands, and at least {int}% of the fleets'",
   (nodes: number, fleets: number) => {
@@ -191,14 +205,14 @@
   assert.ok(mean <= width, String(mean));
 });
 
-let chosen: (readonly string[])[][] = [];
+let chosenWorkersByRun: (readonly string[])[][] = [];
 When("one run is simulated with a forecast every second and once more without forecasts", () => {
-  chosen = [true, false].map((isForecasting) => {
-    const fleet = new SimFleet({ ...terms, seed: 5 });
+  chosenWorkersByRun = [true, false].map((isForecasting) => {
+    const fleet = new SimFleet({ ...fleetOptions, seed: 5 });
     const counts = new Map(
       fleet.nodes.map(({ name }) => [name, new RequestCounters(fleet.timeline)]),
     );
-    fleet.onSent = (node, worker) => counts.get(node)?.record("s", "safe", "r", worker);
+    fleet.onCall = (node, worker) => counts.get(node)?.record("s", "safe", "r", worker);
     fleet.start();
     if (isForecasting)
       fleet.timeline.every(1_000_000, () =>
@@ -207,11 +221,11 @@
         ),
       );
     fleet.timeline.runUntil(30_000_000);
-    return fleet.nodes.map((node) => node.chosen);
+    return fleet.nodes.map((node) => node.chosenWorkers);
   });
 });
 Then("every node chose the same workers in the same order", () => {
-  const [withForecasts, withoutForecasts] = chosen;
+  const [withForecasts, withoutForecasts] = chosenWorkersByRun;
   // eslint-disable-next-line @typescript-eslint/prefer-optional-chain -- the assertion also narrows the type
   assert.ok(withForecasts && withForecasts.every((node) => node.length > 50));
   assert.deepEqual(withForecasts, withoutForecasts);
--- a/features/steps/object-messages.ts
+++ b/features/steps/object-messages.ts
@@ -28,7 +28,7 @@
 import { WorkerDirectory } from "../../src/proxy/worker-directory.js";
 import { RateLimiter } from "../../src/quota/rate-limiter.js";
 import type { Message } from "../../src/transport/connection.js";
-import { plain, messageOf } from "../support/golden.js";
+import { toPlainJson, messageOf } from "../support/golden.js";
 import { ManualClock, settle } from "../support/manual-clock.js";
 
 const FILE = "features/data/before-2026-12-objects/objects.json";
@@ -72,7 +72,7 @@
       etag === undefined ? undefined : objectOf(asString(etag)),
       readFlag(row, "isHop"),
     );
-    assert.deepEqual(plain(packed), row["message"]);
+    assert.deepEqual(toPlainJson(packed), row["message"]);
   }
 });
 
@@ -151,7 +151,7 @@
   const sent: unknown[] = [];
   const incoming = new Incoming();
   void server.serve(
-    { send: (message: Message) => void sent.push(plain(message)) },
+    { send: (message: Message) => void sent.push(toPlainJson(message)) },
     { kind: "goods" },
     incoming,
   );
@@ -182,7 +182,7 @@
     message: Message,
     waitUs: number,
   ): Promise<Message | undefined> => {
-    this.requests.push(plain({ key, message, waitUs }));
+    this.requests.push(toPlainJson({ key, message, waitUs }));
     return this.nextReply === null ? undefined : messageOf(this.nextReply);
   };
 
@@ -237,7 +237,7 @@
 
 /** The result with the field names that were used in memory when the golden data was written. */
 const formerResult = (result: ObjectResult): unknown =>
-  plain(
+  toPlainJson(
     result.kind === "served"
       ? { kind: "served", status: result.status, heads: result.headers, body: result.body }
       : { kind: "none", why: result.reason, comeBackUs: result.retryAfterUs },
@@ -264,5 +264,5 @@
     assert.equal(await client.permit("s"), row["isPermitted"]);
     assert.deepEqual(cache.takeRequests(), row["asked"]);
   }
-  assert.deepEqual(plain(client.snapshot()), data["snapshot"]);
+  assert.deepEqual(toPlainJson(client.snapshot()), data["snapshot"]);
 });
--- a/features/steps/subset.ts
+++ b/features/steps/subset.ts
@@ -11,7 +11,13 @@
 import { ServiceLatency } from "../../src/proxy/latency-estimate.js";
 import { Worker } from "../../src/proxy/worker.js";
 import { WorkerDirectory } from "../../src/proxy/worker-directory.js";
-import { FLEET_TERMS, seeded, SimFleet, type Sent, type SimWorker } from "../support/fleet.js";
+import {
+  DEFAULT_FLEET_OPTIONS,
+  seeded,
+  SimFleet,
+  type CallRecord,
+  type SimWorker,
+} from "../support/fleet.js";
 import { ManualClock } from "../support/manual-clock.js";
 
 interface NodeLocation {
@@ -129,8 +135,8 @@
   const countingClock = { nowUs: () => (count += 1), after: clock.after, every: clock.every };
   const [node] = nodes;
   assert.ok(node);
-  const pool = new WorkerDirectory(countingClock, node.name, node.zone);
-  pool.setNodeCount(nodeCountFor(node));
+  const directory = new WorkerDirectory(countingClock, node.name, node.zone);
+  directory.setNodeCount(nodeCountFor(node));
   const body = (zone: string) => ({
     service: "s",
     address: "127.0.0.1:1",
@@ -139,7 +145,7 @@
     state: "ready",
     warmUs: 0,
   });
-  pool.applyUpdates(
+  directory.applyUpdates(
     workers.map(({ id, zone }) => ({
       key: WORKER_PREFIX + id,
       version: 1,
@@ -149,7 +155,7 @@
     })),
   );
   const loadBalancer = new LoadBalancer({
-    workers: pool,
+    workers: directory,
     zone: node.zone,
     random: seeded(7),
     connectionShare: () => 6,
@@ -179,14 +185,14 @@
 
 Given(
   "a fleet of {int} zones with {int} nodes and {int} workers each, {int}% of all slots in use",
-  (cellCount: number, nodesACell: number, workersACell: number, percent: number) => {
+  (zoneCount: number, nodesPerZone: number, workersPerZone: number, percent: number) => {
     fleet = new SimFleet({
-      ...FLEET_TERMS,
-      cells: cellCount,
-      nodesACell,
-      workersACell,
-      usedPart: percent / 100,
-      speeds: [1],
+      ...DEFAULT_FLEET_OPTIONS,
+      zones: zoneCount,
+      nodesPerZone,
+      workersPerZone,
+      utilization: percent / 100,
+      durationFactors: [1],
     });
     departed = [];
     fleet.start();
@@ -198,9 +204,9 @@
 });
 
 /** Calls sent in the second half of the last phase, after the effects of earlier changes settled. */
-const recentCalls = (): readonly Sent[] => {
+const recentCalls = (): readonly CallRecord[] => {
   const fromUs = (phaseStartUs + fleet.timeline.nowUs()) / 2;
-  return fleet.sent.filter(({ atUs }) => atUs >= fromUs);
+  return fleet.calls.filter(({ atUs }) => atUs >= fromUs);
 };
 const callCounts = (ids: readonly string[]): readonly number[] => {
   const counts = new Map(ids.map((id) => [id, 0]));
@@ -238,7 +244,8 @@
   leftAtUs = fleet.timeline.nowUs();
   departed = [...fleet.workers.keys()].slice(0, leaveCount);
   departed.forEach(fleet.retire);
-  for (let at = 0; at < joinCount; at += 1) fleet.add(`w-new-${at}`, `c${at % fleet.terms.cells}`);
+  for (let at = 0; at < joinCount; at += 1)
+    fleet.add(`w-new-${at}`, `c${at % fleet.options.zones}`);
 });
 Then(
   "no worker present throughout has more than {float} times the mean number of calls",
@@ -254,19 +261,19 @@
 );
 Then("no call is sent to a worker after it left", () => {
   assert.equal(
-    fleet.sent.filter((sent) => sent.atUs > leftAtUs && departed.includes(sent.worker)).length,
+    fleet.calls.filter((call) => call.atUs > leftAtUs && departed.includes(call.worker)).length,
     0,
   );
 });
 When("a sixth of the workers become {int} times slower", (times: number) => {
   slowWorkers = [...fleet.workers.values()].filter((_worker, at) => at % 6 === 0);
   slowWorkers.forEach((slowWorker) => {
-    slowWorker.slowness = times;
+    slowWorker.slowdown = times;
   });
 });
 When("the slow workers recover", () => {
   slowWorkers.forEach((slowWorker) => {
-    slowWorker.slowness = 1;
+    slowWorker.slowdown = 1;
   });
 });
 const slowShare = (): number => {
--- a/features/steps/system.ts
+++ b/features/steps/system.ts
@@ -8,7 +8,7 @@
 import type { Settings } from "../../src/common/settings.js";
 import { asRecord, asList, parseJson, type UnknownRecord } from "../../src/common/decode.js";
 import { ManualClock, settle } from "../support/manual-clock.js";
-import { StandIn } from "../support/stand-in.js";
+import { StubWorker } from "../support/stand-in.js";
 
 let clock = new ManualClock();
 let basePort = 0;
@@ -17,7 +17,7 @@
 let controllers: Settings[] = [];
 let gateways: Settings[] = [];
 let running = new Map<string, RunningProgram>();
-let workers = new Map<string, StandIn>();
+let workers = new Map<string, StubWorker>();
 let lastRequestNumber = 0;
 let heartbeatResponse: UnknownRecord = {};
 
@@ -114,7 +114,7 @@
 };
 
 let heartbeatCount = 0;
-const heartbeatOf = (worker: StandIn, state = "ready"): string => {
+const heartbeatOf = (worker: StubWorker, state = "ready"): string => {
   heartbeatCount += 1;
   const service = worker.id.startsWith("old") ? "s-old" : "s-new";
   const zone = `c${(Number(worker.id.slice(-1)) % 3) + 1}`;
@@ -239,7 +239,7 @@
 const requestsSeenBy = (prefix: string): number =>
   [...workers]
     .filter(([id]) => id.startsWith(prefix))
-    .reduce((sum, [, worker]) => sum + worker.seen.length, 0);
+    .reduce((sum, [, worker]) => sum + worker.requests.length, 0);
 
 Given("3 controllers and 5 gateways in 3 zones in their first run", async () => {
   setLogLevel("silent");
@@ -261,7 +261,7 @@
 });
 Given("an old and a new service with 3 workers each that send heartbeats", async () => {
   for (const id of ["old-1", "old-2", "old-3", "new-1", "new-2", "new-3"]) {
-    const worker = new StandIn(id);
+    const worker = new StubWorker(id);
     await worker.start();
     workers.set(id, worker);
   }
@@ -320,7 +320,7 @@
       call(controller.control, "POST", `/workers/${id}/heartbeat`, heartbeatOf(worker, "draining")),
     );
     assert.equal(answer.status, 200);
-    workers.forEach((one) => one.seen.splice(0));
+    workers.forEach((one) => one.requests.splice(0));
   },
 );
 When("the updates have been distributed", async () => clock.pass(200_000));
@@ -335,7 +335,7 @@
 });
 When("the new service's workers reset connections instead of responding", () => {
   workers.forEach((worker, id) => {
-    if (id.startsWith("new")) worker.manner = "resets";
+    if (id.startsWith("new")) worker.behavior = "resets";
   });
 });
 When("the holder of the leader lease is stopped gracefully", async () => {
@@ -379,13 +379,13 @@
     assert.equal((await sendRequest(gateway)).status, 200, gateway.name);
 });
 Then("every gateway sends requests to the new service", async () => {
-  workers.forEach((worker) => worker.seen.splice(0));
+  workers.forEach((worker) => worker.requests.splice(0));
   for (const gateway of gateways) assert.equal((await sendRequest(gateway)).status, 200);
   assert.deepEqual([requestsSeenBy("old"), requestsSeenBy("new")], [0, gateways.length]);
 });
 Then("every gateway sends requests to the old service only", async () => {
   await clock.pass(300_000);
-  workers.forEach((worker) => worker.seen.splice(0));
+  workers.forEach((worker) => worker.requests.splice(0));
   for (const gateway of gateways)
     for (let time = 0; time < 4; time += 1) assert.equal((await sendRequest(gateway)).status, 200);
   assert.deepEqual([requestsSeenBy("old"), requestsSeenBy("new")], [gateways.length * 4, 0]);
@@ -393,7 +393,7 @@
 Then("no gateway sends a request to {string}", async (id: string) => {
   for (const gateway of gateways)
     for (let time = 0; time < 5; time += 1) assert.equal((await sendRequest(gateway)).status, 200);
-  assert.equal(workers.get(id)?.seen.length, 0);
+  assert.equal(workers.get(id)?.requests.length, 0);
 });
 Then(
   "within {int} seconds the new service is stopped on {string}",
@@ -433,7 +433,7 @@
 const requestsSeenInZone = (zone: string): number =>
   [...workers]
     .filter(([id]) => zoneOfWorker(id) === zone)
-    .reduce((sum, [, worker]) => sum + worker.seen.length, 0);
+    .reduce((sum, [, worker]) => sum + worker.requests.length, 0);
 
 /** Sends one request to each ready gateway, as the platform routes clients only to these. */
 const sendToReadyGateways = async (): Promise<void> => {
@@ -525,7 +525,7 @@
   assert.ok(sentRequests.length > 60, `${sentRequests.length} requests`);
   const runs = new Map<string, number>();
   workers.forEach((worker) =>
-    worker.seen.forEach(({ tryId }) => runs.set(tryId, (runs.get(tryId) ?? 0) + 1)),
+    worker.requests.forEach(({ attemptId }) => runs.set(attemptId, (runs.get(attemptId) ?? 0) + 1)),
   );
   sentRequests.forEach(({ id, status }) =>
     assert.deepEqual([id, status, runs.get(id)], [id, 200, 1]),
@@ -589,8 +589,8 @@
   );
   await advanceWithHeartbeats(1_000_000);
   workers.forEach((worker, id) => {
-    worker.seen.splice(0);
-    if (id.startsWith("old")) worker.manner = "full";
+    worker.requests.splice(0);
+    if (id.startsWith("old")) worker.behavior = "full";
   });
   for (let round = 0; round < 8; round += 1)
     for (const gateway of gateways) assert.equal((await sendRequest(gateway)).status, 503);
@@ -608,7 +608,9 @@
       .find((one) => one["service"] === "s-old" && one["kind"] === "unsafe");
     assert.ok(row, JSON.stringify(response));
     assert.deepEqual([row["ratio"], row["slack"], row["unheard"]], [ratio, slack, 0]);
-    const arrivals = [...workers.values()].flatMap(({ seen }) => seen.map(({ tryId }) => tryId));
+    const arrivals = [...workers.values()].flatMap(({ requests }) =>
+      requests.map(({ attemptId }) => attemptId),
+    );
     const retries = arrivals.length - new Set(arrivals).size;
     assert.ok(
       retries <= ratio * Number(row["requests"]) + slack,
@@ -619,8 +621,10 @@
 );
 Then("no request was executed twice", () => {
   const runs = new Map<string, number>();
-  workers.forEach(({ seen, manner }) =>
-    seen.forEach(({ tryId }) => manner !== "full" && runs.set(tryId, (runs.get(tryId) ?? 0) + 1)),
+  workers.forEach(({ requests, behavior }) =>
+    requests.forEach(
+      ({ attemptId }) => behavior !== "full" && runs.set(attemptId, (runs.get(attemptId) ?? 0) + 1),
+    ),
   );
   runs.forEach((count) => assert.equal(count, 1));
 });
@@ -629,7 +633,7 @@
 let requestsBefore = 0;
 let connectionsBefore = 0;
 const totalRequests = (): number =>
-  [...workers.values()].reduce((sum, { seen }) => sum + seen.length, 0);
+  [...workers.values()].reduce((sum, { requests }) => sum + requests.length, 0);
 const totalConnections = (): number =>
   [...workers.values()].reduce((sum, { connections }) => sum + connections, 0);
 When(
@@ -648,16 +652,16 @@
 Then(
   "it gives the share of requests sent to {string}, per node and for the fleet",
   (id: string) => {
-    const seen = workers.get(id)?.seen.length ?? 0;
+    const requestCount = workers.get(id)?.requests.length ?? 0;
     const [fleet] = asList(forecastMoves["fleet"]).map((value) => asRecord(value));
-    assert.ok(fleet && seen > 0);
+    assert.ok(fleet && requestCount > 0);
     assert.deepEqual(
       [fleet["kind"], fleet["route"], fleet["calls"], asList(forecastMoves["unheard"]).length],
       ["unsafe", "r-unsafe", 60, 0],
     );
     assert.ok(
-      Math.abs(Number(fleet["moved"]) - seen / 60) < 1e-9,
-      `${String(fleet["moved"])} against ${seen}`,
+      Math.abs(Number(fleet["moved"]) - requestCount / 60) < 1e-9,
+      `${String(fleet["moved"])} against ${requestCount}`,
     );
     assert.ok(
       Number(fleet["low"]) <= Number(fleet["moved"]) &&
@@ -667,7 +671,8 @@
     assert.equal(rows.length, 5);
     assert.ok(
       Math.abs(
-        rows.reduce((sum, row) => sum + Number(row["moved"]) * Number(row["calls"]), 0) - seen,
+        rows.reduce((sum, row) => sum + Number(row["moved"]) * Number(row["calls"]), 0) -
+          requestCount,
       ) < 1e-9,
     );
   },
--- a/features/steps/traffic.ts
+++ b/features/steps/traffic.ts
@@ -14,7 +14,7 @@
 import { InMemoryKeyService } from "../../fuzz/proxy-harness.js";
 import { ManualClock, settle } from "../support/manual-clock.js";
 import { configurationUpdates, workerUpdate } from "../support/proxy-updates.js";
-import { StandIn, type WorkerBehavior } from "../support/stand-in.js";
+import { StubWorker, type WorkerBehavior } from "../support/stand-in.js";
 
 interface HttpResponse {
   readonly status: number;
@@ -68,7 +68,7 @@
 let canaryOutcomes: string[] = [];
 let isBudgetEmpty = false;
 let retriesFor: (kind: RouteKind) => number = () => 0;
-let workers = new Map<string, StandIn>();
+let workers = new Map<string, StubWorker>();
 let responses: HttpResponse[] = [];
 let rawResponse = "";
 let attemptCount = 0;
@@ -150,8 +150,8 @@
   await settle();
 };
 
-const addWorker = async (id: string, manner: WorkerBehavior): Promise<StandIn> => {
-  const worker = new StandIn(id, manner);
+const addWorker = async (id: string, behavior: WorkerBehavior): Promise<StubWorker> => {
+  const worker = new StubWorker(id, behavior);
   await worker.start();
   workers.set(id, worker);
   updates.post([workerUpdate(worker)]);
@@ -231,7 +231,7 @@
   assert.ok(response, "no response arrived");
   return response;
 };
-const workerById = (id: string): StandIn => {
+const workerById = (id: string): StubWorker => {
   const found = workers.get(id);
   assert.ok(found);
   return found;
@@ -291,17 +291,17 @@
 When(
   "a client gets {string} until {string} has received a request",
   async (path: string, id: string) => {
-    for (let time = 0; time < 60 && workerById(id).seen.length === 0; time += 1)
+    for (let time = 0; time < 60 && workerById(id).requests.length === 0; time += 1)
       responses.push(await advanceUntilDone(sendRequest("GET", path), 1_000));
-    assert.ok(workerById(id).seen.length > 0, `${id} received no request`);
+    assert.ok(workerById(id).requests.length > 0, `${id} received no request`);
   },
 );
 When(
   "a client posts {string} to {string} until {string} has received a request",
   async (body: string, path: string, id: string) => {
-    for (let time = 0; time < 60 && workerById(id).seen.length === 0; time += 1)
+    for (let time = 0; time < 60 && workerById(id).requests.length === 0; time += 1)
       responses.push(await advanceUntilDone(sendRequest("POST", path, body), 1_000));
-    assert.ok(workerById(id).seen.length > 0, `${id} received no request`);
+    assert.ok(workerById(id).requests.length > 0, `${id} received no request`);
   },
 );
 When("a client gets {string} {int} times in a row", async (path: string, times: number) => {
@@ -318,7 +318,7 @@
   "a client gets {string} and {string} joins before the response",
   async (path: string, id: string) => {
     const response = sendRequest("GET", path);
-    for (let turn = 0; turn < 500 && workerById("w1").seen.length === 0; turn += 1)
+    for (let turn = 0; turn < 500 && workerById("w1").requests.length === 0; turn += 1)
       await clock.pass(1_000);
     await addWorker(id, "well");
     responses.push(await advanceUntilDone(response, 100_000));
@@ -396,7 +396,7 @@
 Then(
   "{string} received the same method, path, query and body, its own id as the expected worker, and no more time than the client had left",
   (id: string) => {
-    const [seen] = workerById(id).seen;
+    const [seen] = workerById(id).requests;
     assert.ok(seen);
     assert.match(seen.head, /^POST \/unsafe\/x\?y=1 HTTP\/1\.1/);
     assert.equal(seen.body, "an order");
@@ -406,11 +406,11 @@
   },
 );
 Then("{string} received {int} request(s)", (id: string, count: number) =>
-  assert.equal(workerById(id).seen.length, count),
+  assert.equal(workerById(id).requests.length, count),
 );
 Then("the workers received {int} request(s) in total", (count: number) => {
   assert.equal(
-    [...workers.values()].reduce((sum, worker) => sum + worker.seen.length, 0),
+    [...workers.values()].reduce((sum, worker) => sum + worker.requests.length, 0),
     count,
   );
 });
@@ -472,7 +472,7 @@
     socket.write(
       `POST ${path} HTTP/1.1\r\nHost: a.example\r\nYewreel-Try-Id: leaver\r\nYewreel-Time-Left-Ms: 2500\r\nContent-Length: ${body.length}\r\n\r\n${body}`,
     );
-    for (let turn = 0; turn < 2_000 && workerById("w1").seen.length === 0; turn += 1)
+    for (let turn = 0; turn < 2_000 && workerById("w1").requests.length === 0; turn += 1)
       await settle();
     await clock.pass(disconnectsAfterMs * 1_000);
     socket.destroy();
@@ -508,7 +508,7 @@
     );
     for (
       let step = 0;
-      step < 200 && [...workers.values()].every((worker) => worker.seen.length === 0);
+      step < 200 && [...workers.values()].every((worker) => worker.requests.length === 0);
       step += 1
     )
       await clock.pass(5_000);
@@ -537,7 +537,7 @@
 );
 Then("all workers together received {int} request(s)", (count: number) =>
   assert.equal(
-    [...workers.values()].reduce((sum, worker) => sum + worker.seen.length, 0),
+    [...workers.values()].reduce((sum, worker) => sum + worker.requests.length, 0),
     count,
   ),
 );
--- a/features/support/cuttable-net.ts
+++ b/features/support/cuttable-net.ts
@@ -12,7 +12,7 @@
  * blocked; blocked frames and connection ends are buffered and delivered once the block is
  * removed. Connections of nodes are never blocked.
  */
-export class CuttableNet {
+export class PartitionableNet {
   private readonly blockedDirections = new Set<string>();
   private readonly keepAlivesOnly = new Set<string>();
   private readonly servers: Server[] = [];
--- a/features/support/fleet.ts
+++ b/features/support/fleet.ts
@@ -106,11 +106,11 @@
 }
 
 /** Size, capacity and load of a {@link SimFleet}. */
-export interface FleetTerms {
+export interface FleetOptions {
   readonly seed: number;
-  readonly cells: number;
-  readonly nodesACell: number;
-  readonly workersACell: number;
+  readonly zones: number;
+  readonly nodesPerZone: number;
+  readonly workersPerZone: number;
   /** Calls that a worker runs at the same time. */
   readonly slots: number;
   /** Calls that a worker queues when all its slots are in use. */
@@ -120,26 +120,26 @@
   /** Standard deviation of the logarithm of the call duration. */
   readonly logStdDev: number;
   /** Factors on the call duration, assigned to the workers in turn. */
-  readonly speeds: readonly number[];
+  readonly durationFactors: readonly number[];
   /** Fraction of all slots in use if each call took the mean duration of its worker. */
-  readonly usedPart: number;
+  readonly utilization: number;
   /** Ratio of the traffic of the busiest node to that of the least busy one. Not read so far. */
   readonly unevenness: number;
   readonly latencyTargetUs: number;
 }
 
 /** A fleet of 7 zones with 28 nodes and 21 workers each, at 60% utilization. */
-export const FLEET_TERMS: FleetTerms = {
+export const DEFAULT_FLEET_OPTIONS: FleetOptions = {
   seed: 1,
-  cells: 7,
-  nodesACell: 28,
-  workersACell: 21,
+  zones: 7,
+  nodesPerZone: 28,
+  workersPerZone: 21,
   slots: 2,
   queueLimit: 8,
   meanUs: 180_000,
   logStdDev: 0.8,
-  speeds: [0.6, 1, 1.4],
-  usedPart: 0.6,
+  durationFactors: [0.6, 1, 1.4],
+  utilization: 0.6,
   unevenness: 2,
   latencyTargetUs: 600_000,
 };
@@ -159,7 +159,7 @@
 export class SimWorker {
   running = 0;
   served = 0;
-  slowness = 1;
+  slowdown = 1;
   readonly queued: SimCall[] = [];
 
   constructor(
@@ -170,21 +170,21 @@
   ) {}
 
   readonly offer = (call: SimCall): void => {
-    const { terms } = this.fleet;
-    if (this.running < terms.slots) this.start(call);
-    else if (this.queued.length < terms.queueLimit) this.queued.push(call);
+    const { options } = this.fleet;
+    if (this.running < options.slots) this.start(call);
+    else if (this.queued.length < options.queueLimit) this.queued.push(call);
     else call.done(0, "reset");
   };
 
   private readonly start = (call: SimCall): void => {
-    const { timeline, terms } = this.fleet;
+    const { timeline, options } = this.fleet;
     this.running += 1;
-    timeline.after(this.fleet.sampleDurationUs() * this.durationFactor * this.slowness, () => {
+    timeline.after(this.fleet.sampleDurationUs() * this.durationFactor * this.slowdown, () => {
       this.running -= 1;
       this.served += 1;
       const next = this.queued.shift();
       if (next) this.start(next);
-      call.worker.reportLoad(this.running, this.queued.length, terms.slots);
+      call.worker.reportLoad(this.running, this.queued.length, options.slots);
       call.done(timeline.nowUs() - call.sentUs, "answered");
     });
   };
@@ -192,10 +192,10 @@
 
 /** Simulated node with the real worker directory and load balancer. */
 export class SimNode {
-  readonly pool: WorkerDirectory;
+  readonly directory: WorkerDirectory;
   readonly loadBalancer: LoadBalancer;
   /** The ids of the chosen workers in order, so that two runs can be compared. */
-  readonly chosen: string[] = [];
+  readonly chosenWorkers: string[] = [];
 
   constructor(
     readonly name: string,
@@ -204,11 +204,14 @@
     readonly fleet: SimFleet,
     random: () => number,
   ) {
-    const { terms } = fleet;
-    this.pool = new WorkerDirectory(fleet.timeline, name, zone);
-    this.pool.setNodeCount({ inZone: terms.nodesACell, total: terms.nodesACell * terms.cells });
+    const { options } = fleet;
+    this.directory = new WorkerDirectory(fleet.timeline, name, zone);
+    this.directory.setNodeCount({
+      inZone: options.nodesPerZone,
+      total: options.nodesPerZone * options.zones,
+    });
     this.loadBalancer = new LoadBalancer({
-      workers: this.pool,
+      workers: this.directory,
       zone,
       random,
       connectionShare: () => 6,
@@ -217,7 +220,7 @@
 }
 
 /** Record of a call: when and by which node it was sent, to which worker, and its result. */
-export interface Sent {
+export interface CallRecord {
   readonly atUs: number;
   readonly node: string;
   readonly worker: string;
@@ -233,16 +236,16 @@
   readonly timeline = new Timeline();
   readonly workers = new Map<string, SimWorker>();
   readonly nodes: SimNode[] = [];
-  readonly sent: Sent[] = [];
+  readonly calls: CallRecord[] = [];
   /** Called for each call when it is sent. */
-  onSent: (node: string, worker: string) => void = () => undefined;
+  onCall: (node: string, worker: string) => void = () => undefined;
   private readonly random: () => number;
   private version = 0;
 
-  constructor(readonly terms: FleetTerms) {
-    this.random = seeded(terms.seed);
-    for (let zone = 0; zone < terms.cells; zone += 1) {
-      for (let node = 0; node < terms.nodesACell; node += 1) {
+  constructor(readonly options: FleetOptions) {
+    this.random = seeded(options.seed);
+    for (let zone = 0; zone < options.zones; zone += 1) {
+      for (let node = 0; node < options.nodesPerZone; node += 1) {
         const weight =
           0.15 +
           Array.from({ length: 40 }, () => (this.random() < 0.15 ? 1 : 0)).reduce<number>(
@@ -255,19 +258,19 @@
             `c${zone}`,
             weight,
             this,
-            seeded(terms.seed * 1_000 + this.nodes.length),
+            seeded(options.seed * 1_000 + this.nodes.length),
           ),
         );
       }
     }
-    for (let zone = 0; zone < terms.cells; zone += 1)
-      for (let worker = 0; worker < terms.workersACell; worker += 1)
+    for (let zone = 0; zone < options.zones; zone += 1)
+      for (let worker = 0; worker < options.workersPerZone; worker += 1)
         this.add(`w-${zone}-${worker}`, `c${zone}`);
   }
 
   /** Samples a call duration from a log-normal distribution with mean `meanUs`. */
   readonly sampleDurationUs = (): number => {
-    const { meanUs, logStdDev } = this.terms;
+    const { meanUs, logStdDev } = this.options;
     const normal =
       Math.sqrt(-2 * Math.log(1 - this.random())) * Math.cos(2 * Math.PI * this.random());
     return meanUs * Math.exp(logStdDev * normal - (logStdDev * logStdDev) / 2);
@@ -275,10 +278,15 @@
 
   /** Adds a worker and announces it to all nodes as ready. */
   readonly add = (id: string, zone: string): void => {
-    const { speeds } = this.terms;
+    const { durationFactors } = this.options;
     this.workers.set(
       id,
-      new SimWorker(id, zone, this, speeds[this.workers.size % speeds.length] ?? 1),
+      new SimWorker(
+        id,
+        zone,
+        this,
+        durationFactors[this.workers.size % durationFactors.length] ?? 1,
+      ),
     );
     this.publishWorker(id, zone, "ready");
   };
@@ -301,22 +309,23 @@
         service: "s",
         address: "127.0.0.1:1",
         cell: zone,
-        capacity: this.terms.slots,
+        capacity: this.options.slots,
         state,
         warmUs: 0,
       },
     };
-    this.nodes.forEach((node) => node.pool.applyUpdates([update]));
+    this.nodes.forEach((node) => node.directory.applyUpdates([update]));
   };
 
   /** Schedules the node's arrivals as a Poisson process with a rate in proportion to its weight. */
   private readonly scheduleArrival = (node: SimNode): void => {
-    const { usedPart, slots, meanUs, speeds } = this.terms;
+    const { utilization, slots, meanUs, durationFactors } = this.options;
     const totalWeight = this.nodes.reduce((sum, { weight }) => sum + weight, 0);
-    const workers = this.terms.cells * this.terms.workersACell;
-    const meanSpeed = speeds.reduce((sum, factor) => sum + 1 / factor, 0) / speeds.length;
+    const workers = this.options.zones * this.options.workersPerZone;
+    const meanSpeed =
+      durationFactors.reduce((sum, factor) => sum + 1 / factor, 0) / durationFactors.length;
     const arrivalsPerUs =
-      (((usedPart * workers * slots) / meanUs) * meanSpeed * node.weight) / totalWeight;
+      (((utilization * workers * slots) / meanUs) * meanSpeed * node.weight) / totalWeight;
     this.timeline.after(-Math.log(1 - this.random()) / arrivalsPerUs, () => {
       this.send(node);
       this.scheduleArrival(node);
@@ -325,17 +334,17 @@
 
   private readonly send = (node: SimNode): void => {
     const sentUs = this.timeline.nowUs();
-    const worker = node.loadBalancer.choose("s", new Set(), this.terms.latencyTargetUs);
+    const worker = node.loadBalancer.choose("s", new Set(), this.options.latencyTargetUs);
     if (!worker)
-      return void this.sent.push({
+      return void this.calls.push({
         atUs: sentUs,
         node: node.name,
         worker: "",
         tookUs: 0,
         kind: "refused",
       });
-    node.chosen.push(worker.id);
-    this.onSent(node.name, worker.id);
+    node.chosenWorkers.push(worker.id);
+    this.onCall(node.name, worker.id);
     const call = worker.begin();
     this.workers.get(worker.id)?.offer({
       node,
@@ -345,7 +354,7 @@
         worker.finish(call, true);
         if (kind === "answered") worker.latency.record(tookUs);
         else worker.avoid();
-        this.sent.push({ atUs: sentUs, node: node.name, worker: worker.id, tookUs, kind });
+        this.calls.push({ atUs: sentUs, node: node.name, worker: worker.id, tookUs, kind });
       },
     });
   };
--- a/features/support/golden.ts
+++ b/features/support/golden.ts
@@ -10,7 +10,7 @@
 export type SentMessage = readonly [to: string, message: Message];
 
 /** Converts a value to plain JSON: bytes become base64 text, and undefined fields are omitted. */
-export const plain = (value: unknown): unknown =>
+export const toPlainJson = (value: unknown): unknown =>
   JSON.parse(
     JSON.stringify(value, (_key, inner: unknown) => {
       if (!isRecord(inner)) return inner;
@@ -48,7 +48,7 @@
   );
 };
 
-/** Inverse of {@link plain}: converts base64 text back to bytes. */
+/** Inverse of {@link toPlainJson}: converts base64 text back to bytes. */
 export const fromPlainJson = (value: unknown): unknown => {
   if (Array.isArray(value)) return value.map(fromPlainJson);
   if (!isRecord(value)) return value;
@@ -140,7 +140,7 @@
 };
 
 /** Decodes frames through a real connection, and returns the messages read. */
-export const throughWire = (frames: readonly Buffer[]): Promise<readonly Message[]> =>
+export const decodeFrames = (frames: readonly Buffer[]): Promise<readonly Message[]> =>
   new Promise((resolve, reject) => {
     const server = createServer((socket: Socket) => socket.end(Buffer.concat(frames)));
     server.listen(0, "127.0.0.1", () => {
@@ -164,7 +164,7 @@
   });
 
 /** Encodes messages through a real connection, and returns the bytes written. */
-export const bytesOf = (messages: readonly Message[]): Promise<Buffer> =>
+export const encodeMessages = (messages: readonly Message[]): Promise<Buffer> =>
   new Promise((resolve, reject) => {
     const chunks: Buffer[] = [];
     const server = createServer((socket: Socket) => {
@@ -199,7 +199,7 @@
     );
     const { replica: state, store } = await cluster.start(id, false);
     loadedStates.push(
-      plain({
+      toPlainJson({
         entries: [...state.copyOfEntries().values()],
         snapshot: state.snapshot(),
         highest: state.highestBallotNumber,
--- a/features/support/run-stand-in.ts
+++ b/features/support/run-stand-in.ts
@@ -1,5 +1,5 @@
 import { request } from "node:http";
-import { StandIn } from "./stand-in.js";
+import { StubWorker } from "./stand-in.js";
 
 /**
  * Runs a stub worker that sends heartbeats to the first controller that accepts them:
@@ -13,7 +13,7 @@
   process.exit(2);
 }
 
-const worker = new StandIn(`i-${process.pid}`);
+const worker = new StubWorker(`i-${process.pid}`);
 await worker.start();
 let callCount = 0;
 
--- a/features/support/stand-in.ts
+++ b/features/support/stand-in.ts
@@ -4,7 +4,7 @@
 export interface ReceivedRequest {
   readonly head: string;
   readonly body: string;
-  readonly tryId: string;
+  readonly attemptId: string;
   readonly expectedWorker: string;
 }
 
@@ -26,15 +26,15 @@
   new RegExp(`^${name}: (.*)$`, "im").exec(head)?.[1]?.trim() ?? "";
 
 /** A stub worker with a configurable behavior. Uses raw sockets, so that it can violate HTTP. */
-export class StandIn {
-  readonly seen: ReceivedRequest[] = [];
+export class StubWorker {
+  readonly requests: ReceivedRequest[] = [];
   connections = 0;
   private server: Server | undefined;
   private readonly sockets = new Set<Socket>();
 
   constructor(
     readonly id: string,
-    public manner: WorkerBehavior = "well",
+    public behavior: WorkerBehavior = "well",
     public body = "the bytes of the worker",
   ) {}
 
@@ -54,8 +54,8 @@
     this.server?.close();
   };
 
-  readonly responseFor = (tryId: string, body = this.body): string =>
-    `HTTP/1.1 200 OK\r\nYewreel-Try-Id: ${tryId}\r\nYewreel-Server-Seal: s.${body.length}\r\nYewreel-Worker-Load: 1,0,3\r\nX-Mark: kept\r\nContent-Length: ${body.length}\r\n\r\n${body}`;
+  readonly responseFor = (attemptId: string, body = this.body): string =>
+    `HTTP/1.1 200 OK\r\nYewreel-Try-Id: ${attemptId}\r\nYewreel-Server-Seal: s.${body.length}\r\nYewreel-Worker-Load: 1,0,3\r\nX-Mark: kept\r\nContent-Length: ${body.length}\r\n\r\n${body}`;
 
   private readonly serve = (socket: Socket): void => {
     this.connections += 1;
@@ -73,21 +73,21 @@
         if (unread.length < end + 4 + length) return;
         const body = unread.slice(end + 4, end + 4 + length);
         unread = unread.slice(end + 4 + length);
-        const tryId = headerValue(head, "yewreel-try-id");
-        this.seen.push({
+        const attemptId = headerValue(head, "yewreel-try-id");
+        this.requests.push({
           head,
           body,
-          tryId,
+          attemptId,
           expectedWorker: headerValue(head, "yewreel-expect-worker"),
         });
-        this.respond(socket, tryId);
+        this.respond(socket, attemptId);
       }
     });
   };
 
-  private readonly respond = (socket: Socket, tryId: string): void => {
-    const response = this.responseFor(tryId);
-    switch (this.manner) {
+  private readonly respond = (socket: Socket, attemptId: string): void => {
+    const response = this.responseFor(attemptId);
+    switch (this.behavior) {
       case "well":
         return void socket.write(response);
       case "silent":
@@ -96,11 +96,11 @@
         return void socket.resetAndDestroy();
       case "full":
         return void socket.write(
-          `HTTP/1.1 503 Service Unavailable\r\nYewreel-Try-Id: ${tryId}\r\nYewreel-Not-Run: 1\r\nContent-Length: 0\r\n\r\n`,
+          `HTTP/1.1 503 Service Unavailable\r\nYewreel-Try-Id: ${attemptId}\r\nYewreel-Not-Run: 1\r\nContent-Length: 0\r\n\r\n`,
         );
       case "other worker":
         return void socket.write(
-          `HTTP/1.1 421 Misdirected Request\r\nYewreel-Try-Id: ${tryId}\r\nYewreel-Worker-Id: i-other\r\nContent-Length: 0\r\n\r\n`,
+          `HTTP/1.1 421 Misdirected Request\r\nYewreel-Try-Id: ${attemptId}\r\nYewreel-Worker-Id: i-other\r\nContent-Length: 0\r\n\r\n`,
         );
       case "wrong id":
         return void socket.write(this.responseFor("somebody-else"));
@@ -115,7 +115,7 @@
         return void socket.write(response + this.responseFor("late-extra", "EXTRA"));
       case "fails":
         return void socket.write(
-          `HTTP/1.1 500 Internal Server Error\r\nYewreel-Try-Id: ${tryId}\r\nContent-Length: 4\r\n\r\noops`,
+          `HTTP/1.1 500 Internal Server Error\r\nYewreel-Try-Id: ${attemptId}\r\nContent-Length: 4\r\n\r\noops`,
         );
       case "closes":
         socket.end(response.replace("X-Mark", "Connection: close\r\nX-Mark"));
--- a/scalability/node.ts
+++ b/scalability/node.ts
@@ -2,7 +2,7 @@
 import { writeFile } from "node:fs/promises";
 import { cpus, loadavg, tmpdir, totalmem } from "node:os";
 import { Command } from "commander";
-import { StandIn } from "../features/support/stand-in.js";
+import { StubWorker } from "../features/support/stand-in.js";
 import { summarize, generateLoad } from "../src/programs/loadgen/loadgen.js";
 import { UpdateStore, CONFIG_PREFIX, WORKER_PREFIX } from "../src/membership/update-store.js";
 import { RouteTable } from "../src/proxy/route-table.js";
@@ -92,7 +92,7 @@
   });
 
 /**
- * Measures a real gateway with stand-in workers at several request rates and, for comparison, the
+ * Measures a real gateway with stub workers at several request rates and, for comparison, the
  * same load sent directly to the workers.
  */
 const measureLoad = async (
@@ -101,7 +101,7 @@
 ): Promise<readonly UnknownRecord[]> => {
   const controller = new Host(300);
   const node = new Host(300);
-  const workers = Array.from({ length: 8 }, (_none, at) => new StandIn(`w-${at}`));
+  const workers = Array.from({ length: 8 }, (_none, at) => new StubWorker(`w-${at}`));
   try {
     await Promise.all(workers.map((worker) => worker.start()));
     await controller.request({
