--- a/examples/demo.sh
+++ b/examples/demo.sh
@@ -6,7 +6,7 @@
 set -euo pipefail
 cd "$(dirname "$0")/.."
 yewreel="target/bundle/main.js"
-worker="target/test/features/support/run-stand-in.js"
+worker="target/test/features/support/run-stub-worker.js"
 [ -f "$yewreel" ] && [ -f "$worker" ] || { echo "demo: the build output is missing; start the demo with npm run demo, which builds first"; exit 1; }
 folder=$(mktemp -d)
 started=()
--- a/features/steps/fuzz.ts
+++ b/features/steps/fuzz.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { Then, When } from "@cucumber/cucumber";
-import { fuzzSeed } from "../../fuzz/play-seed.js";
+import { fuzzSeed } from "../../fuzz/seed-runner.js";
 import { VARIANTS } from "../../fuzz/variants.js";
 
 const MAX_SEEDS = 600;
--- a/features/steps/contact.ts
+++ b/features/steps/quorum-contact.ts
@@ -22,7 +22,7 @@
 import { connectTo } from "../../src/transport/connect.js";
 import type { Connection, Message } from "../../src/transport/connection.js";
 import { sentFrames } from "../../src/transport/frame-codec.js";
-import { PartitionableNet } from "../support/cuttable-net.js";
+import { PartitionableNet } from "../support/partitionable-net.js";
 import { ManualClock, settle } from "../support/manual-clock.js";
 
 const LINK_TIMES = { heartbeatUs: 300_000, timeoutUs: 1_000_000 };
--- a/features/steps/simulator.ts
+++ b/features/steps/simulator.ts
@@ -7,7 +7,7 @@
 import { generateSchedule } from "../../simulator/schedule-generator.js";
 import { faultKindOf, type Event, type Schedule } from "../../simulator/schedule.js";
 import { shrink } from "../../simulator/shrink.js";
-import { DEFECTIVE_COMPONENTS } from "../support/broken-controllers.js";
+import { DEFECTIVE_COMPONENTS } from "../support/defective-controllers.js";
 
 /** The components that the scenario runs, and the violations found. */
 let components: Components = REAL_COMPONENTS;
--- a/features/steps/system.ts
+++ b/features/steps/system.ts
@@ -8,7 +8,7 @@
 import type { Settings } from "../../src/common/settings.js";
 import { asRecord, asList, parseJson, type UnknownRecord } from "../../src/common/decode.js";
 import { ManualClock, settle } from "../support/manual-clock.js";
-import { StubWorker } from "../support/stand-in.js";
+import { StubWorker } from "../support/stub-worker.js";
 
 let clock = new ManualClock();
 let basePort = 0;
--- a/features/steps/traffic.ts
+++ b/features/steps/traffic.ts
@@ -14,7 +14,7 @@
 import { InMemoryKeyService } from "../../fuzz/proxy-harness.js";
 import { ManualClock, settle } from "../support/manual-clock.js";
 import { configurationUpdates, workerUpdate } from "../support/proxy-updates.js";
-import { StubWorker, type WorkerBehavior } from "../support/stand-in.js";
+import { StubWorker, type WorkerBehavior } from "../support/stub-worker.js";
 
 interface HttpResponse {
   readonly status: number;
--- a/features/support/run-stand-in.ts
+++ b/features/support/run-stub-worker.ts
@@ -1,14 +1,14 @@
 import { request } from "node:http";
-import { StubWorker } from "./stand-in.js";
+import { StubWorker } from "./stub-worker.js";
 
 /**
  * Runs a stub worker that sends heartbeats to the first controller that accepts them:
- * run-stand-in.js SERVICE ZONE CONTROLLER [CONTROLLER...]
+ * run-stub-worker.js SERVICE ZONE CONTROLLER [CONTROLLER...]
  */
 const [service = "", zone = "", ...controllers] = process.argv.slice(2);
 if (service === "" || zone === "" || controllers.length === 0) {
   process.stderr.write(
-    "usage: run-stand-in.js SERVICE ZONE CONTROLLER [CONTROLLER...] (CONTROLLER: ip:port)\n",
+    "usage: run-stub-worker.js SERVICE ZONE CONTROLLER [CONTROLLER...] (CONTROLLER: ip:port)\n",
   );
   process.exit(2);
 }
--- a/fuzz/run.ts
+++ b/fuzz/run.ts
@@ -1,5 +1,5 @@
 import { Command } from "commander";
-import { fuzzSeed } from "./play-seed.js";
+import { fuzzSeed } from "./seed-runner.js";
 import { VARIANTS } from "./variants.js";
 
 interface Flags {
--- a/scalability/node.ts
+++ b/scalability/node.ts
@@ -2,7 +2,7 @@
 import { writeFile } from "node:fs/promises";
 import { cpus, loadavg, tmpdir, totalmem } from "node:os";
 import { Command } from "commander";
-import { StubWorker } from "../features/support/stand-in.js";
+import { StubWorker } from "../features/support/stub-worker.js";
 import { summarize, generateLoad } from "../src/programs/loadgen/loadgen.js";
 import { UpdateStore, CONFIG_PREFIX, WORKER_PREFIX } from "../src/membership/update-store.js";
 import { RouteTable } from "../src/proxy/route-table.js";
