--- a/features/retries.feature
+++ b/features/retries.feature
@@ -36,7 +36,7 @@
 
   Scenario: A new leader renews the leases that nodes hold, and grants no others until the earlier leases are over
     Given a leader that has leased 40 tokens of 200 to a node
-    When another controller becomes the leader
+    When another controller takes over the allocation of leases
     Then the node's 40 tokens are renewed, and no other node gets any for 13 seconds
     And after that another node gets tokens
 
--- a/features/steps/retries.ts
+++ b/features/steps/retries.ts
@@ -267,7 +267,7 @@
     assert.equal(requestLease("one", tokens, 0), tokens);
   },
 );
-When("another controller becomes the leader", () => {
+When("another controller takes over the allocation of leases", () => {
   startAllocator();
   const next = allocators[allocators.length - 1];
   assert.ok(next);
--- a/src/proxy/reassignment-forecast.ts
+++ b/src/proxy/reassignment-forecast.ts
@@ -89,8 +89,8 @@
 export const PLACEHOLDER_NAME_SAMPLES = 16;
 /**
  * Factor by which the variance of a share exceeds that of independent requests. Requests are not
- * independent, because the load balancer follows workers that are fast or slow for a while
- * (measured in moves.feature).
+ * independent, because the load balancer follows workers that are fast or slow for a while (see
+ * features/reassignment-forecast.feature).
  */
 const OVERDISPERSION = 6;
 
