--- a/chaos/summary.ts
+++ b/chaos/summary.ts
@@ -15,8 +15,8 @@
 
 /** Reads `[[note]]` tables; throws a DecodeError that names the field which is wrong. */
 export const readNotes = (value: unknown): readonly Note[] =>
-  readList(asRecord(value, "notes"), "note", (one) => {
-    const note = asRecord(one, "note");
+  readList(asRecord(value, "notes"), "note", (partialRun) => {
+    const note = asRecord(partialRun, "note");
     return {
       day: readString(note, "day"),
       rule: readString(note, "rule"),
@@ -94,7 +94,7 @@
 };
 
 const unbrokenOf = (runs: readonly DayRun[]): number =>
-  runs.reduce((row, run) => (hasViolations(run) ? 0 : row + 1), 0);
+  runs.reduce((streak, run) => (hasViolations(run) ? 0 : streak + 1), 0);
 
 /**
  * Sums what the journal says; runs in any order. `since` leaves out what began before it (an ISO
@@ -114,33 +114,41 @@
   const findings = findingsOf(runs, notes);
   const sites = [...new Set([...recent, ...partialRuns].map(({ site }) => site))].sort();
   const rows = sites.map((site): SiteRow => {
-    const here = runs.filter((run) => run.site === site);
-    const sized = (whose: DayRun["origin"], small: boolean) =>
+    const siteRuns = runs.filter((run) => run.site === site);
+    const countDays = (origin: DayRun["origin"], small: boolean) =>
       new Set(
-        here.filter((run) => run.origin === whose && run.isSmall === small).map(({ key }) => key),
+        siteRuns
+          .filter((run) => run.origin === origin && run.isSmall === small)
+          .map(({ key }) => key),
       ).size;
-    const both = (whose: DayRun["origin"]) => ({
-      full: sized(whose, false),
-      small: sized(whose, true),
+    const countBySize = (origin: DayRun["origin"]) => ({
+      full: countDays(origin, false),
+      small: countDays(origin, true),
     });
     const kinds = new Map<string, number>();
-    here.forEach((run) => run.kinds.forEach((kind) => kinds.set(kind, (kinds.get(kind) ?? 0) + 1)));
-    const foundHere = findings.filter((finding) => finding.site === site);
+    siteRuns.forEach((run) =>
+      run.kinds.forEach((kind) => kinds.set(kind, (kinds.get(kind) ?? 0) + 1)),
+    );
+    const siteFindings = findings.filter((finding) => finding.site === site);
     return {
       site,
-      days: { own: both("own"), hunt: both("hunt"), standard: both("standard") },
-      plays: here.length,
-      uncharged: here.filter((run) => !run.isCpuCharged).length,
+      days: {
+        own: countBySize("own"),
+        hunt: countBySize("hunt"),
+        standard: countBySize("standard"),
+      },
+      plays: siteRuns.length,
+      uncharged: siteRuns.filter((run) => !run.isCpuCharged).length,
       givenUp: recent.filter((run) => run.site === site && run.abortReason !== undefined).length,
       partial: partialRuns.filter((one) => one.site === site).length,
       unbroken: {
-        full: unbrokenOf(here.filter((run) => !run.isSmall)),
-        small: unbrokenOf(here.filter((run) => run.isSmall)),
+        full: unbrokenOf(siteRuns.filter((run) => !run.isSmall)),
+        small: unbrokenOf(siteRuns.filter((run) => run.isSmall)),
       },
       kinds: [...kinds].sort(([a, timesA], [b, timesB]) => timesB - timesA || (a < b ? -1 : 1)),
-      found: foundHere.length,
-      mended: foundHere.filter(({ state }) => state === "mended").length,
-      left: foundHere.filter(({ state }) => state !== "mended").length,
+      found: siteFindings.length,
+      mended: siteFindings.filter(({ state }) => state === "mended").length,
+      left: siteFindings.filter(({ state }) => state !== "mended").length,
     };
   });
   return { since, rows, findings, givenUp: recent.filter((run) => run.abortReason !== undefined) };
--- a/scalability/changes.ts
+++ b/scalability/changes.ts
@@ -104,10 +104,10 @@
         )) === 200,
     );
     await sleep(clock, 6 * SECOND_US);
-    const idleFrom = await sample(controllers);
+    const idleStart = await sample(controllers);
     await sleep(clock, seconds * SECOND_US);
-    const idleTo = await sample(controllers);
-    const times: number[] = [];
+    const idleEnd = await sample(controllers);
+    const latenciesMs: number[] = [];
     let failed = 0;
     for (let at = 0; at < orders; at += 1) {
       const change = {
@@ -124,20 +124,23 @@
         "/plan/change",
         JSON.stringify(change),
       );
-      if (status === 200) times.push((steadyUs() - fromUs) / MILLISECOND_US);
+      if (status === 200) latenciesMs.push((steadyUs() - fromUs) / MILLISECOND_US);
       else failed += 1;
     }
-    const busyTo = await sample(controllers);
-    times.sort((a, b) => a - b);
+    const busyEnd = await sample(controllers);
+    latenciesMs.sort((a, b) => a - b);
     return {
       boxes: count,
       orders,
       routes,
       failed,
-      ms: { median: round(quantileSorted(times, 0.5)), p99: round(quantileSorted(times, 0.99)) },
-      cpuMsAnOrder: round((busyTo.cpuUs - idleTo.cpuUs) / MILLISECOND_US / orders),
-      bytesAnOrder: round((busyTo.bytes - idleTo.bytes) / orders),
-      idlePerBoxSecond: perControllerSecond(idleFrom, idleTo, count),
+      ms: {
+        median: round(quantileSorted(latenciesMs, 0.5)),
+        p99: round(quantileSorted(latenciesMs, 0.99)),
+      },
+      cpuMsAnOrder: round((busyEnd.cpuUs - idleEnd.cpuUs) / MILLISECOND_US / orders),
+      bytesAnOrder: round((busyEnd.bytes - idleEnd.bytes) / orders),
+      idlePerBoxSecond: perControllerSecond(idleStart, idleEnd, count),
       diskBytesPerBox: round((await bytesInFolder(folder)) / count),
     };
   } finally {
@@ -170,9 +173,9 @@
 ): Promise<UnknownRecord> => {
   const folder = await mkdtemp(join(tmpdir(), "scalability-"));
   const controllers = Array.from({ length: 4 }, () => new Host(300));
-  const last = 3;
+  const lastIndex = 3;
   let timer: Timer | undefined;
-  const startBox = (controller: Host, at: number) =>
+  const startController = (controller: Host, at: number) =>
     controller.request({ what: "box", at, boxes: 4, folder: join(folder, String(at)) });
   const change = (version: number) =>
     post(
@@ -188,7 +191,7 @@
       }),
     );
   try {
-    await Promise.all(controllers.map(startBox));
+    await Promise.all(controllers.map(startController));
     await waitUntil(
       "the configuration is accepted",
       async () =>
@@ -199,21 +202,21 @@
         )) === 200,
     );
     await waitUntil("the last one has it", async () =>
-      (await readConfiguration(controllerAddress(last))).includes(`"r-${routes - 1}"`),
+      (await readConfiguration(controllerAddress(lastIndex))).includes(`"r-${routes - 1}"`),
     );
-    controllers[last]?.kill();
-    if (isWiped) await rm(join(folder, String(last)), { recursive: true, force: true });
+    controllers[lastIndex]?.kill();
+    if (isWiped) await rm(join(folder, String(lastIndex)), { recursive: true, force: true });
     for (let at = 0; at < orders; at += 1)
       await waitUntil("the change is accepted", async () => (await change(2 + at)) === 200);
     let version = 2 + orders;
     timer = clock.every(SECOND_US / 2, () => void change((version += 1)));
-    const back = new Host(300);
-    controllers[last] = back;
+    const restarted = new Host(300);
+    controllers[lastIndex] = restarted;
     const fromUs = steadyUs();
-    await startBox(back, last);
+    await startController(restarted, lastIndex);
     const upUs = steadyUs() - fromUs;
     await waitUntil("it has all", async () =>
-      (await readConfiguration(controllerAddress(last))).includes(`"version":${1 + orders}`),
+      (await readConfiguration(controllerAddress(lastIndex))).includes(`"version":${1 + orders}`),
     );
     return {
       orders,
@@ -245,8 +248,8 @@
     .option("--commit <id>", "the commit that is measured", "")
     .option("--out <file>", "where the result is written")
     .action(async (options: Readonly<Record<string, string | true>>) => {
-      const given = (name: string) => Number(options[name]);
-      const [orders, routes] = [given("orders"), given("routes")];
+      const numberOption = (name: string) => Number(options[name]);
+      const [orders, routes] = [numberOption("orders"), numberOption("routes")];
       const measured =
         options["down"] === true
           ? {
@@ -255,7 +258,7 @@
                 await measureCatchUp(orders, routes, true),
               ],
             }
-          : await measureChanges(given("boxes"), orders, routes, given("seconds"));
+          : await measureChanges(numberOption("boxes"), orders, routes, numberOption("seconds"));
       const result = { commit: options["commit"], node: process.version, ...measured };
       process.stdout.write(`${JSON.stringify(result)}\n`);
       if (typeof options["out"] === "string")
--- a/scalability/host-process.ts
+++ b/scalability/host-process.ts
@@ -58,19 +58,19 @@
 const startLightNode = async (at: number): Promise<void> => {
   const settings = settingsOf(`node-${at}`, nodeIp(at), `c${at % zones}`, controllers, "");
   const member = joinCluster(settings, clock, "gateway");
-  const usage = new LoadCounters(`${at}-${steadyUs()}`);
+  const loadCounters = new LoadCounters(`${at}-${steadyUs()}`);
   const report = clock.every(2 * SECOND_US, () => {
     for (let service = 0; service < services; service += 1) {
-      usage.arrived(`s${service}`);
-      usage.answered(`s${service}`, settings.zone, 100 * MILLISECOND_US);
+      loadCounters.arrived(`s${service}`);
+      loadCounters.answered(`s${service}`, settings.zone, 100 * MILLISECOND_US);
     }
-    const message = usage.takeReport();
+    const message = loadCounters.takeReport();
     if (message) member.subscriber.report(message);
   });
   const node: LightNode = { at, member, report, items: 0, workers: 0, mark: 0, markUs: 0 };
   lightNodes.set(at, node);
-  member.updates.events.on("changed", (facts) => {
-    facts.forEach(({ key, version }) => {
+  member.updates.events.on("changed", (changes) => {
+    changes.forEach(({ key, version }) => {
       if (key === MARK_KEY && version > node.mark) {
         node.mark = version;
         node.markUs = steadyUs();
@@ -133,9 +133,9 @@
   for (let at = from; at < from + count; at += 1) {
     let callCount = 0;
     clock.after(((at - from) / count) * 1_500 * MILLISECOND_US, () => {
-      const next = () => heartbeat(at, (callCount += 1));
-      next();
-      clock.every(1_500 * MILLISECOND_US, next);
+      const sendNext = () => heartbeat(at, (callCount += 1));
+      sendNext();
+      clock.every(1_500 * MILLISECOND_US, sendNext);
     });
   }
 };
@@ -182,12 +182,12 @@
       startWorkers(readNumber(request, "from"), readNumber(request, "count"));
       return {};
     case "restart": {
-      const chosen = [...lightNodes.values()].filter(
+      const selected = [...lightNodes.values()].filter(
         ({ at }) => at % readNumber(request, "every") === 0,
       );
-      chosen.forEach(stopLightNode);
-      for (const { at } of chosen) await startLightNode(at);
-      return { restarted: chosen.length };
+      selected.forEach(stopLightNode);
+      for (const { at } of selected) await startLightNode(at);
+      return { restarted: selected.length };
     }
     case "status": {
       const all = [...lightNodes.values()];
--- a/scalability/host.ts
+++ b/scalability/host.ts
@@ -66,12 +66,12 @@
 
 export const waitUntil = async (
   what: string,
-  isSo: () => Promise<boolean>,
+  condition: () => Promise<boolean>,
   seconds = 90,
 ): Promise<number> => {
   const fromUs = steadyUs();
   while (steadyUs() - fromUs < seconds * SECOND_US) {
-    if (await isSo()) return steadyUs() - fromUs;
+    if (await condition()) return steadyUs() - fromUs;
     await sleep(clock, 50 * MILLISECOND_US);
   }
   throw new Error(`after ${seconds} s it was still not so that ${what}`);
--- a/scalability/loopback.ts
+++ b/scalability/loopback.ts
@@ -11,12 +11,13 @@
  * Each run has a part of the loopback range of its own, so that two don't meet; children have that
  * of their parent.
  */
-const net = process.env["SCALABILITY_NET"] ?? String(60 + (process.pid % 150));
-process.env["SCALABILITY_NET"] = net;
+const subnet = process.env["SCALABILITY_NET"] ?? String(60 + (process.pid % 150));
+process.env["SCALABILITY_NET"] = subnet;
 
-export const controllerAddress = (at: number): string => `127.${net}.0.${at + 1}:${CONTROL_PORT}`;
+export const controllerAddress = (at: number): string =>
+  `127.${subnet}.0.${at + 1}:${CONTROL_PORT}`;
 export const nodeIp = (at: number): string =>
-  `127.${net}.${Math.floor(at / 250) + 1}.${(at % 250) + 1}`;
+  `127.${subnet}.${Math.floor(at / 250) + 1}.${(at % 250) + 1}`;
 
 /** Settings of one program on loopback, with the bounds of a deployment of hundreds of machines. */
 export const settingsOf = (
--- a/scalability/node.ts
+++ b/scalability/node.ts
@@ -19,17 +19,17 @@
 const WORKERS_PER_SERVICE = 50;
 
 /** Run in a process of its own, so that nothing else counts. */
-const measureHeldState = async (workers: number, routes: number): Promise<void> => {
-  const collect = globalThis.gc ?? (() => undefined);
-  collect();
+const measureStateInProcess = async (workers: number, routes: number): Promise<void> => {
+  const collectGarbage = globalThis.gc ?? (() => undefined);
+  collectGarbage();
   const before = process.memoryUsage();
   const updates = new UpdateStore(clock);
   const table = new RouteTable();
-  const pool = new WorkerDirectory(clock, "node", "c0");
-  pool.setNodeCount({ inZone: 430, total: 3_000 });
-  updates.events.on("changed", (facts) => {
-    table.applyUpdates(facts);
-    pool.applyUpdates(facts);
+  const directory = new WorkerDirectory(clock, "node", "c0");
+  directory.setNodeCount({ inZone: 430, total: 3_000 });
+  updates.events.on("changed", (changes) => {
+    table.applyUpdates(changes);
+    directory.applyUpdates(changes);
   });
   const cpuBefore = process.cpuUsage();
   updates.post(
@@ -64,9 +64,9 @@
   );
   await sleep(clock, 200 * MILLISECOND_US);
   const services = Math.max(1, Math.floor(workers / WORKERS_PER_SERVICE));
-  for (let service = 0; service < services; service += 1) pool.subsetFor(`s${service}`);
+  for (let service = 0; service < services; service += 1) directory.subsetFor(`s${service}`);
   const { user, system } = process.cpuUsage(cpuBefore);
-  collect();
+  collectGarbage();
   const after = process.memoryUsage();
   process.send?.({
     workers,
@@ -75,7 +75,7 @@
     rssMb: after.rss / 2 ** 20,
     cpuMs: (user + system) / 1_000,
     held: updates.all().length,
-    pool: pool.size,
+    pool: directory.size,
   });
   process.disconnect();
 };
@@ -108,7 +108,7 @@
       boxes: 1,
       folder: `${tmpdir()}/scalability-node-${process.pid}`,
     });
-    const plan = {
+    const configuration = {
       limits: {
         maxHeaderBytes: 16_384,
         maxBodyBytes: 1_048_576,
@@ -125,7 +125,7 @@
         (await post(
           controllerAddress(0),
           "/plan/change",
-          JSON.stringify({ putItems: plan, remove: { routes: [] } }),
+          JSON.stringify({ putItems: configuration, remove: { routes: [] } }),
         )) === 200,
     );
     let callCount = 0;
@@ -200,7 +200,9 @@
 const cli = new Command("scalability-node");
 cli
   .command("hold <workers> <routes>")
-  .action((workers: string, routes: string) => measureHeldState(Number(workers), Number(routes)));
+  .action((workers: string, routes: string) =>
+    measureStateInProcess(Number(workers), Number(routes)),
+  );
 cli
   .command("measure")
   .requiredOption("--out <file>")
--- a/scalability/run.ts
+++ b/scalability/run.ts
@@ -7,14 +7,18 @@
 import { Command } from "commander";
 import { isRecord, type UnknownRecord } from "../src/common/decode.js";
 import { measureSize } from "./measurement.js";
-import { packSize, problemOf, type Size } from "./size.js";
+import { packSize, findProblem, type Size } from "./size.js";
 
 const FIELDS = ["nodes", "workers", "routes", "services"] as const;
 
 type Options = Readonly<Record<string, string>>;
 
-const sizesOf = (what: string, given: readonly string[], options: Options): readonly Size[] => {
-  const field = FIELDS.find((one) => one === what);
+const sizesOf = (
+  dimension: string,
+  values: readonly string[],
+  options: Options,
+): readonly Size[] => {
+  const field = FIELDS.find((one) => one === dimension);
   if (field === undefined) return [];
   const option = (name: string) => Number(options[name]);
   const base: Size = {
@@ -27,11 +31,11 @@
     seconds: option("seconds"),
     settleSeconds: option("settle"),
   };
-  return given.map((size): Size => ({ ...base, [field]: Number(size) }));
+  return values.map((size): Size => ({ ...base, [field]: Number(size) }));
 };
 
 /** A size that fails is an entry that says why. */
-const measureOrExplain = async (size: Size): Promise<UnknownRecord> => {
+const measureOrReportFailure = async (size: Size): Promise<UnknownRecord> => {
   try {
     return await measureSize(size);
   } catch (error) {
@@ -45,9 +49,10 @@
 const progressLine = ({ size, failed, change }: UnknownRecord): string =>
   JSON.stringify({ size, failed, change: isRecord(change) ? change["lastNodeUs"] : undefined });
 
-const run = async (what: string, given: string[], options: Options): Promise<void> => {
-  const sizes = sizesOf(what, given, options);
-  const problem = sizes.length === 0 ? `${what} is none of ${FIELDS.join(", ")}` : problemOf(sizes);
+const run = async (dimension: string, given: string[], options: Options): Promise<void> => {
+  const sizes = sizesOf(dimension, given, options);
+  const problem =
+    sizes.length === 0 ? `${dimension} is none of ${FIELDS.join(", ")}` : findProblem(sizes);
   if (problem !== undefined) {
     process.stderr.write(`scalability: ${problem}.\n`);
     process.exitCode = 2;
@@ -61,11 +66,11 @@
   };
   const command = process.argv.slice(2).join(" ");
   for (const size of sizes) {
-    const result = await measureOrExplain(size);
+    const result = await measureOrReportFailure(size);
     results.push(result);
     process.stdout.write(`${progressLine(result)}\n`);
     if (options["out"] === undefined) continue;
-    const body = { commit: options["commit"], machine, command, what, results };
+    const body = { commit: options["commit"], machine, command, what: dimension, results };
     await writeFile(options["out"], `${JSON.stringify(body, undefined, 1)}\n`);
   }
 };
--- a/scalability/size.ts
+++ b/scalability/size.ts
@@ -6,7 +6,7 @@
 const MAX_PROCESSES = 300;
 const MAX_NODES = 10_000;
 const MAX_WORKERS = 30_000;
-const MEMORY_SHARE = 0.5;
+const MAX_MEMORY_FRACTION = 0.5;
 
 export interface Size {
   readonly nodes: number;
@@ -39,7 +39,7 @@
 });
 
 /** What is wrong with the sizes asked for, in one line; undefined if they fit the machine. */
-export const problemOf = (sizes: readonly Size[]): string | undefined => {
+export const findProblem = (sizes: readonly Size[]): string | undefined => {
   for (const { nodes, workers, routes, services, controllers, hosts } of sizes) {
     const invalid = Object.entries({
       nodes,
@@ -57,7 +57,7 @@
     if (processes > MAX_PROCESSES) return `${processes} processes are more than ${MAX_PROCESSES}`;
     const neededMb =
       controllers * 150 + hosts * 100 + (nodes * (workers + routes + services) * 1.2) / 1_024;
-    if (neededMb > (totalmem() / 2 ** 20) * MEMORY_SHARE)
+    if (neededMb > (totalmem() / 2 ** 20) * MAX_MEMORY_FRACTION)
       return `about ${Math.round(neededMb)} MB are more than half of this machine's memory`;
   }
   return undefined;
--- a/scalability/table.ts
+++ b/scalability/table.ts
@@ -45,7 +45,7 @@
 const nodes = (result: UnknownRecord): number => numberAt(result, "size.nodes");
 
 /** What is read from each size, with its unit. */
-const FIGURES: readonly (readonly [string, (result: UnknownRecord) => number])[] = [
+const METRICS: readonly (readonly [string, (result: UnknownRecord) => number])[] = [
   [
     "controller, processor at rest, % of a core (mean of all)",
     (r) => numberAt(r, "atRest.boxes.cpuUs") / 10_000 / restSeconds(r) / controllers(r),
@@ -102,31 +102,31 @@
   const pairs = points.map(({ x, y }) => [x, y]);
   const fit = linearRegression(pairs);
   const line = linearRegressionLine(fit);
-  const spread = Math.max(...points.map(({ x, y }) => Math.abs(y - line(x))));
-  return `| ${name} | ${points.map(({ y }) => round(y)).join(" / ")} | ${round(fit.b)} + ${fit.m.toPrecision(2)} x | ${points.length > 2 ? rSquared(pairs, line).toFixed(2) : "-"} | ${round(spread)} |`;
+  const maxResidual = Math.max(...points.map(({ x, y }) => Math.abs(y - line(x))));
+  return `| ${name} | ${points.map(({ y }) => round(y)).join(" / ")} | ${round(fit.b)} + ${fit.m.toPrecision(2)} x | ${points.length > 2 ? rSquared(pairs, line).toFixed(2) : "-"} | ${round(maxResidual)} |`;
 };
 
 const tableOf = (file: UnknownRecord): string => {
-  const what = readString(file, "what");
+  const dimension = readString(file, "what");
   const all = readList(file, "results", (value) => asRecord(value));
-  const good = all.filter((result) => result["failed"] === undefined);
+  const succeeded = all.filter((result) => result["failed"] === undefined);
   const failed = all
     .filter((result) => result["failed"] !== undefined)
-    .map((result) => `${numberAt(result, `size.${what}`)}: ${readString(result, "failed")}`);
-  const sizes = good.map((result) => numberAt(result, `size.${what}`));
-  const loads = good.map((result) => round(numberAt(result, "loadAverage")));
-  const others = Object.entries(asRecord(good[0]?.["size"] ?? {}))
-    .filter(([field]) => field !== what)
+    .map((result) => `${numberAt(result, `size.${dimension}`)}: ${readString(result, "failed")}`);
+  const sizes = succeeded.map((result) => numberAt(result, `size.${dimension}`));
+  const loads = succeeded.map((result) => round(numberAt(result, "loadAverage")));
+  const fixedSizes = Object.entries(asRecord(succeeded[0]?.["size"] ?? {}))
+    .filter(([field]) => field !== dimension)
     .map(([field, value]) => `${field} ${String(value)}`);
   return [
-    `**By ${what}** (${sizes.join(" / ")}; ${others.join(", ")}; commit ${readString(file, "commit")}; load of the machine ${loads.join(" / ")})`,
+    `**By ${dimension}** (${sizes.join(" / ")}; ${fixedSizes.join(", ")}; commit ${readString(file, "commit")}; load of the machine ${loads.join(" / ")})`,
     "",
-    `| figure | measured | line through it, x = ${what} | R2 | farthest point from it |`,
+    `| figure | measured | line through it, x = ${dimension} | R2 | farthest point from it |`,
     "|---|---|---|---|---|",
-    ...FIGURES.map(([name, read]) =>
+    ...METRICS.map(([name, read]) =>
       rowOf(
         name,
-        good.map((result) => ({ x: numberAt(result, `size.${what}`), y: read(result) })),
+        succeeded.map((result) => ({ x: numberAt(result, `size.${dimension}`), y: read(result) })),
       ),
     ),
     ...(failed.length > 0 ? ["", ...failed.map((why) => `Failed at ${why}.`)] : []),
--- a/scalability/usage.ts
+++ b/scalability/usage.ts
@@ -8,9 +8,9 @@
   readonly sent: Readonly<Record<string, { readonly frames: number; readonly bytes: number }>>;
 }
 
-const readFrameCounts = (replies: UnknownRecord): Map<string, { frames: number; bytes: number }> =>
+const readFrameCounts = (reply: UnknownRecord): Map<string, { frames: number; bytes: number }> =>
   new Map(
-    Object.entries(asRecord(replies["sent"])).map(([kind, counts]) => [
+    Object.entries(asRecord(reply["sent"])).map(([kind, counts]) => [
       kind,
       {
         frames: readNumber(asRecord(counts), "frames"),
@@ -26,21 +26,21 @@
 ): Usage => {
   const sent: Record<string, { frames: number; bytes: number }> = {};
   let cpuUs = 0;
-  after.forEach((now, at) => {
-    const was = before[at];
-    cpuUs += readNumber(now, "cpuUs") - (was ? readNumber(was, "cpuUs") : 0);
-    const earlier = was
-      ? readFrameCounts(was)
+  after.forEach((current, at) => {
+    const previous = before[at];
+    cpuUs += readNumber(current, "cpuUs") - (previous ? readNumber(previous, "cpuUs") : 0);
+    const previousCounts = previous
+      ? readFrameCounts(previous)
       : new Map<string, { frames: number; bytes: number }>();
-    readFrameCounts(now).forEach(({ frames, bytes }, kind) => {
+    readFrameCounts(current).forEach(({ frames, bytes }, kind) => {
       const sum = sent[kind] ?? { frames: 0, bytes: 0 };
-      const rise = {
-        frames: sum.frames + frames - (earlier.get(kind)?.frames ?? 0),
-        bytes: sum.bytes + bytes - (earlier.get(kind)?.bytes ?? 0),
+      const total = {
+        frames: sum.frames + frames - (previousCounts.get(kind)?.frames ?? 0),
+        bytes: sum.bytes + bytes - (previousCounts.get(kind)?.bytes ?? 0),
       };
-      if (rise.frames > 0) sent[kind] = rise;
+      if (total.frames > 0) sent[kind] = total;
     });
   });
-  const max = (field: string) => Math.max(...after.map((now) => readNumber(now, field)));
+  const max = (field: string) => Math.max(...after.map((current) => readNumber(current, field)));
   return { cpuUs, rssMb: max("rssMb"), heapMb: max("heapMb"), sent };
 };
--- a/soak/checks.ts
+++ b/soak/checks.ts
@@ -3,7 +3,7 @@
  * what the machine's own delays may have brought about, and count it.
  */
 import { BOUNDS } from "./bounds.js";
-import type { Disturbance, History, RequestRecord, RunRecord } from "./history.js";
+import type { FaultRecord, History, RequestRecord, RunRecord } from "./history.js";
 
 /** What a check found. */
 export interface CheckResult {
@@ -17,13 +17,13 @@
 export type Check = (history: History) => CheckResult;
 
 /** Statuses that promise that a request has not run and never will. */
-const PROMISES = new Set([408, 421, 429, 503]);
+const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
 /** How long a process may take beyond its grace period to be gone. */
 const EXIT_SLACK_US = 1_000_000;
 
-const seconds = (us: number): string => `${(us / 1_000_000).toFixed(3)} s`;
+const formatSeconds = (us: number): string => `${(us / 1_000_000).toFixed(3)} s`;
 
-const judgeAll = <T>(
+const checkEach = <T>(
   items: readonly T[],
   findProblem: (item: T) => string | undefined,
 ): CheckResult => ({
@@ -32,7 +32,7 @@
   skipped: 0,
 });
 
-const runsByAttempt = (runs: readonly RunRecord[]): ReadonlyMap<string, readonly RunRecord[]> => {
+const groupByAttempt = (runs: readonly RunRecord[]): ReadonlyMap<string, readonly RunRecord[]> => {
   const byAttempt = new Map<string, RunRecord[]>();
   runs.forEach((run) =>
     byAttempt.set(run.attemptId, [...(byAttempt.get(run.attemptId) ?? []), run]),
@@ -42,25 +42,25 @@
 
 /** No unsafe request runs twice, and none whose response promised that it had not run. */
 export const runsAtMostOnce: Check = ({ requests, runs }) => {
-  const byAttempt = runsByAttempt(runs);
+  const byAttempt = groupByAttempt(runs);
   const unsafe = requests.filter(({ isSafe }) => !isSafe);
-  return judgeAll(unsafe, ({ attemptId, gateway, status, sentUs }) => {
+  return checkEach(unsafe, ({ attemptId, gateway, status, sentUs }) => {
     const count = byAttempt.get(attemptId)?.length ?? 0;
-    if (count > 1) return `${attemptId} ran ${count} times (${gateway}, ${seconds(sentUs)})`;
-    return count === 1 && status !== undefined && PROMISES.has(status)
-      ? `${attemptId} ran, and its client got ${status} from ${gateway} (${seconds(sentUs)})`
+    if (count > 1) return `${attemptId} ran ${count} times (${gateway}, ${formatSeconds(sentUs)})`;
+    return count === 1 && status !== undefined && NOT_RUN_STATUSES.has(status)
+      ? `${attemptId} ran, and its client got ${status} from ${gateway} (${formatSeconds(sentUs)})`
       : undefined;
   });
 };
 
 /** Every success has the worker's seal and the complete body of its own attempt. */
 export const answersBelong: Check = ({ requests }) =>
-  judgeAll(
+  checkEach(
     requests.filter(({ status }) => status === 200),
     ({ attemptId, hasSeal, body, gateway, sentUs }) =>
       hasSeal && body === `answer to ${attemptId}`
         ? undefined
-        : `${attemptId} got "${body}" from ${gateway} (${seconds(sentUs)})`,
+        : `${attemptId} got "${body}" from ${gateway} (${formatSeconds(sentUs)})`,
   );
 
 const overlaps = (
@@ -70,19 +70,19 @@
 ): boolean => span.fromUs <= toUs && span.toUs >= fromUs;
 
 /** A gateway is in touch if nothing was done to it, or to a controller, in the contact time before. */
-const wasInTouch = (
-  disturbances: readonly Disturbance[],
+const hadControllerContact = (
+  faults: readonly FaultRecord[],
   gateway: string,
   { sentUs, endedUs }: RequestRecord,
 ): boolean =>
-  !disturbances.some(
-    (disturbance) =>
-      (disturbance.process === gateway || disturbance.process.startsWith("controller")) &&
-      overlaps(disturbance, sentUs - BOUNDS.contactUs, endedUs),
+  !faults.some(
+    (fault) =>
+      (fault.process === gateway || fault.process.startsWith("controller")) &&
+      overlaps(fault, sentUs - BOUNDS.contactUs, endedUs),
   );
 
 /** The versions that may be in force for a request: none older than what must be, none never sent. */
-const servicesAllowed = (
+const allowedServices = (
   { changes }: History,
   { sentUs, endedUs }: RequestRecord,
 ): ReadonlySet<string> => {
@@ -101,22 +101,22 @@
 
 /** After `apply` past an acknowledgement no gateway in touch handles a request by an older version. */
 export const configurationInForce: Check = (history) => {
-  const { requests, runs, disturbances, machineDelays } = history;
-  const byAttempt = runsByAttempt(runs);
+  const { requests, runs, faults, machineDelays } = history;
+  const byAttempt = groupByAttempt(runs);
   const probes = requests.filter(
-    (request) => request.isProbe && wasInTouch(disturbances, request.gateway, request),
+    (request) => request.isProbe && hadControllerContact(faults, request.gateway, request),
   );
   const judged = probes.filter(
     ({ sentUs, endedUs }) =>
       !machineDelays.some((delay) => overlaps(delay, sentUs - BOUNDS.applyUs, endedUs)),
   );
-  const result = judgeAll(judged, (request) => {
-    const allowed = servicesAllowed(history, request);
-    const wrong = (byAttempt.get(request.attemptId) ?? []).find(
+  const result = checkEach(judged, (request) => {
+    const allowed = allowedServices(history, request);
+    const staleRun = (byAttempt.get(request.attemptId) ?? []).find(
       ({ service }) => !allowed.has(service),
     );
-    return wrong
-      ? `${request.attemptId} was run by ${wrong.service}, which only an older version allows (${request.gateway}, ${seconds(request.sentUs)})`
+    return staleRun
+      ? `${request.attemptId} was run by ${staleRun.service}, which only an older version allows (${request.gateway}, ${formatSeconds(request.sentUs)})`
       : undefined;
   });
   return { ...result, skipped: probes.length - judged.length };
@@ -124,57 +124,58 @@
 
 /** A reading of the configuration holds all that was acknowledged before it began. */
 export const readsAreCurrent: Check = ({ reads, changes, largeChanges }) =>
-  judgeAll(reads, ({ controller, startUs, probeVersion, routes }) => {
+  checkEach(reads, ({ controller, startUs, probeVersion, routes }) => {
     const isBefore = (acknowledgedUs: number | undefined): boolean =>
       acknowledgedUs !== undefined && acknowledgedUs < startUs;
     const required = changes
       .filter(({ acknowledgedUs }) => isBefore(acknowledgedUs))
       .reduce((highest, { version }) => Math.max(highest, version), 0);
     if (probeVersion < required)
-      return `${controller} showed version ${probeVersion} after ${required} was acknowledged (${seconds(startUs)})`;
+      return `${controller} showed version ${probeVersion} after ${required} was acknowledged (${formatSeconds(startUs)})`;
     const missing = largeChanges
       .filter(({ acknowledgedUs }) => isBefore(acknowledgedUs))
       .flatMap((change) => change.routes)
       .find((route) => !routes.has(route));
     return missing === undefined
       ? undefined
-      : `${controller} lacked the acknowledged route ${missing} (${seconds(startUs)})`;
+      : `${controller} lacked the acknowledged route ${missing} (${formatSeconds(startUs)})`;
   });
 
 /** A gateway that was only told to end cuts off no request that a worker has begun. */
-export const drainsCutNothing: Check = ({ requests, runs, disturbances }) => {
-  const byAttempt = runsByAttempt(runs);
-  const during = requests.filter(
+export const drainsCutNothing: Check = ({ requests, runs, faults }) => {
+  const byAttempt = groupByAttempt(runs);
+  const requestsDuringDrain = requests.filter(
     ({ gateway, sentUs, endedUs }) =>
-      disturbances.some(
+      faults.some(
         ({ process, kind, fromUs }) =>
           process === gateway &&
           kind === "term" &&
           fromUs <= endedUs &&
           sentUs <= fromUs + 3_000_000,
       ) &&
-      !disturbances.some(
+      !faults.some(
         (other) =>
           other.process === gateway &&
           (other.kind === "kill" || other.kind === "stop") &&
           overlaps(other, sentUs - BOUNDS.contactUs, endedUs),
       ),
   );
-  return judgeAll(during, ({ attemptId, status, gateway, sentUs }) =>
+  return checkEach(requestsDuringDrain, ({ attemptId, status, gateway, sentUs }) =>
     status === undefined && byAttempt.has(attemptId)
-      ? `${attemptId} was cut off by ${gateway}, which was told to end (${seconds(sentUs)})`
+      ? `${attemptId} was cut off by ${gateway}, which was told to end (${formatSeconds(sentUs)})`
       : undefined,
   );
 };
 
 /** Processes end when they are told to, within their grace period, and not by themselves. */
 export const exitsAreAsked: Check = ({ exits }) =>
-  judgeAll(exits, ({ process, atUs, code, termUs, wasKilled }) => {
+  checkEach(exits, ({ process, atUs, code, termUs, wasKilled }) => {
     if (wasKilled) return undefined;
-    if (termUs === undefined) return `${process} ended by itself with ${code} (${seconds(atUs)})`;
-    if (code !== 0) return `${process} ended with ${code} after SIGTERM (${seconds(atUs)})`;
+    if (termUs === undefined)
+      return `${process} ended by itself with ${code} (${formatSeconds(atUs)})`;
+    if (code !== 0) return `${process} ended with ${code} after SIGTERM (${formatSeconds(atUs)})`;
     return atUs - termUs > BOUNDS.graceUs + EXIT_SLACK_US
-      ? `${process} took ${seconds(atUs - termUs)} to end`
+      ? `${process} took ${formatSeconds(atUs - termUs)} to end`
       : undefined;
   });
 
--- a/soak/client.ts
+++ b/soak/client.ts
@@ -4,7 +4,7 @@
 import type { Program } from "./program.js";
 import type { SeededRandom } from "../simulator/seeded-random.js";
 
-const TIME_LEFT_MS = 2_000;
+const BUDGET_MS = 2_000;
 const CONNECTIONS = 3;
 const HOST = "soak.example";
 
@@ -30,7 +30,7 @@
   readonly random: SeededRandom;
   readonly seed: number;
   /** Milliseconds between requests. */
-  readonly gapMs: number;
+  readonly intervalMs: number;
 }
 
 /** Sends requests to one gateway at a bounded rate. */
@@ -42,7 +42,7 @@
   constructor(private readonly options: ClientOptions) {}
 
   readonly start = (): void => {
-    this.timer = setInterval(this.send, this.options.gapMs);
+    this.timer = setInterval(this.send, this.options.intervalMs);
   };
 
   readonly stop = (): void => {
@@ -57,10 +57,10 @@
     const attemptId = `${seed}-${gateway.name}-${this.count}`;
     const sentUs = nowUs();
     let hasResponse = false;
-    let hasEnded = false;
-    const end = (response?: IncomingMessage, body = ""): void => {
-      if (hasEnded) return;
-      hasEnded = true;
+    let isRecorded = false;
+    const recordOutcome = (response?: IncomingMessage, body = ""): void => {
+      if (isRecorded) return;
+      isRecorded = true;
       this.options.history.requests.push({
         attemptId,
         gateway: gateway.name,
@@ -73,7 +73,7 @@
         body,
       });
     };
-    const call = request(
+    const clientRequest = request(
       `http://${gateway.front}${route.path}x`,
       {
         method: route.isSafe ? "GET" : "POST",
@@ -81,7 +81,7 @@
         headers: {
           Host: HOST,
           "Yewreel-Try-Id": attemptId,
-          "Yewreel-Time-Left-Ms": String(TIME_LEFT_MS),
+          "Yewreel-Time-Left-Ms": String(BUDGET_MS),
         },
       },
       (response) => {
@@ -89,15 +89,15 @@
         const chunks: Buffer[] = [];
         response.on("data", (chunk: Buffer) => chunks.push(chunk));
         response.on("error", () => undefined);
-        response.on("close", () => end(response, Buffer.concat(chunks).toString()));
+        response.on("close", () => recordOutcome(response, Buffer.concat(chunks).toString()));
       },
     );
-    const endWithoutResponse = (): void => {
-      if (!hasResponse) end();
+    const recordNoResponse = (): void => {
+      if (!hasResponse) recordOutcome();
     };
-    call.setTimeout(TIME_LEFT_MS * 2, () => call.destroy());
-    call.on("error", endWithoutResponse);
-    call.on("close", endWithoutResponse);
-    call.end();
+    clientRequest.setTimeout(BUDGET_MS * 2, () => clientRequest.destroy());
+    clientRequest.on("error", recordNoResponse);
+    clientRequest.on("close", recordNoResponse);
+    clientRequest.end();
   };
 }
--- a/soak/history.ts
+++ b/soak/history.ts
@@ -58,7 +58,7 @@
 }
 
 /** What was done to a process, from its begin until the process was up again. */
-export interface Disturbance {
+export interface FaultRecord {
   readonly process: string;
   readonly kind: "term" | "kill" | "stop" | "start";
   readonly fromUs: number;
@@ -79,7 +79,7 @@
   readonly largeChanges: readonly LargeChangeRecord[];
   readonly reads: readonly ReadRecord[];
   readonly exits: readonly ExitRecord[];
-  readonly disturbances: readonly Disturbance[];
+  readonly faults: readonly FaultRecord[];
   readonly machineDelays: readonly MachineDelay[];
 }
 
@@ -91,6 +91,6 @@
   readonly largeChanges: LargeChangeRecord[] = [];
   readonly reads: ReadRecord[] = [];
   readonly exits: ExitRecord[] = [];
-  readonly disturbances: Disturbance[] = [];
+  readonly faults: FaultRecord[] = [];
   readonly machineDelays: MachineDelay[] = [];
 }
--- a/soak/operator.ts
+++ b/soak/operator.ts
@@ -12,7 +12,7 @@
 const MAX_CALLS = 8;
 const RETRY_PAUSE_MS = 200;
 /** Statuses that end a change at once: it is not and will not be in force. */
-const REFUSALS = new Set([400, 409, 412, 413, 422]);
+const REJECTED_STATUSES = new Set([400, 409, 412, 413, 422]);
 
 /** What the operator works with. */
 export interface OperatorOptions {
@@ -23,7 +23,7 @@
   readonly random: SeededRandom;
 }
 
-const ruleOf = (
+const makeRule = (
   name: string,
   version: number,
   service: string,
@@ -44,17 +44,17 @@
 /** Sends changes one after the other; one without a clear answer goes to the next controller. */
 export class Operator {
   private version = 1;
-  private readonly names = CLIENT_ROUTES.map(({ path }) => `r-${path.replaceAll("/", "")}`);
+  private readonly routeNames = CLIENT_ROUTES.map(({ path }) => `r-${path.replaceAll("/", "")}`);
 
   constructor(private readonly options: OperatorOptions) {}
 
   /** The first configuration; throws where no controller takes it. */
-  readonly applyFirst = async (): Promise<void> => {
+  readonly applyInitial = async (): Promise<void> => {
     const { services, history, nowUs } = this.options;
     const [service = ""] = services;
     const sentUs = nowUs();
     const rules = CLIENT_ROUTES.map((route, at) =>
-      ruleOf(this.names[at] ?? "", this.version, service, route),
+      makeRule(this.routeNames[at] ?? "", this.version, service, route),
     );
     const groups = services.map((name) => ({
       name,
@@ -89,7 +89,7 @@
     const probe = CLIENT_ROUTES.findIndex(({ isProbe }) => isProbe);
     const route = CLIENT_ROUTES[probe];
     if (!route) return false;
-    const rules = [ruleOf(PROBE_ROUTE, version, service, route)];
+    const rules = [makeRule(PROBE_ROUTE, version, service, route)];
     const acknowledgedUs = await this.send({ putItems: { listeners: [{ host: HOST, rules }] } });
     history.changes.push({ version, service, sentUs, acknowledgedUs });
     return acknowledgedUs !== undefined;
@@ -102,7 +102,7 @@
     const { version } = this;
     const names = Array.from({ length: count }, (_, at) => `r-large-${version}-${at}`);
     const rules = names.map((name) =>
-      ruleOf(name, version, services[0] ?? "", { path: `/${name}/`, isSafe: true }),
+      makeRule(name, version, services[0] ?? "", { path: `/${name}/`, isSafe: true }),
     );
     const acknowledgedUs = await this.send({ putItems: { listeners: [{ host: HOST, rules }] } });
     history.largeChanges.push({ routes: names, acknowledgedUs });
@@ -110,7 +110,7 @@
 
   /** Sends a change that is invalid. Resolves to whether it was refused, or not answered at all. */
   readonly sendInvalid = async (): Promise<boolean> => {
-    const rules = [ruleOf("r-wrong", 1, "no-such-service", { path: "/wrong/", isSafe: true })];
+    const rules = [makeRule("r-wrong", 1, "no-such-service", { path: "/wrong/", isSafe: true })];
     return (await this.send({ putItems: { listeners: [{ host: HOST, rules }] } })) === undefined;
   };
 
@@ -146,7 +146,7 @@
         CALL_TIMEOUT_MS,
       );
       if (reply?.status === 200) return nowUs();
-      if (reply && REFUSALS.has(reply.status)) return undefined;
+      if (reply && REJECTED_STATUSES.has(reply.status)) return undefined;
       await pause(RETRY_PAUSE_MS);
     }
     return undefined;
--- a/soak/program.ts
+++ b/soak/program.ts
@@ -27,7 +27,7 @@
   readonly nowUs: () => number;
 }
 
-const milliseconds = (us: number): string => `${us * MS_PER_US}ms`;
+const formatMs = (us: number): string => `${us * MS_PER_US}ms`;
 
 const settingsOf = (options: ProgramOptions, firstRun: boolean): string => {
   const { name, role, ip, zone, zones, controllerIps, folder } = options;
@@ -41,7 +41,7 @@
       sparePorts: [PORTS.firstSpare, PORTS.firstSpare + 5],
       seedNodes: controllerIps.map((seed) => `${seed}:${PORTS.control}`),
       firstRun,
-      heartbeat: milliseconds(BOUNDS.heartbeatUs),
+      heartbeat: formatMs(BOUNDS.heartbeatUs),
       dataFolder: isGateway ? "" : join(folder, "data"),
     },
     cells: Object.fromEntries(zones.map((other) => [other, "r1"])),
@@ -53,11 +53,11 @@
     limits: { memoryMb: 200, fileHandles: 1_000, diskMb: 64, linkMbps: 100 },
     withstand: { machines: 1 },
     bounds: {
-      drain: milliseconds(BOUNDS.drainUs),
-      grace: milliseconds(BOUNDS.graceUs),
-      apply: milliseconds(BOUNDS.applyUs),
-      contact: milliseconds(BOUNDS.contactUs),
-      confirm: milliseconds(BOUNDS.confirmUs),
+      drain: formatMs(BOUNDS.drainUs),
+      grace: formatMs(BOUNDS.graceUs),
+      apply: formatMs(BOUNDS.applyUs),
+      contact: formatMs(BOUNDS.contactUs),
+      confirm: formatMs(BOUNDS.confirmUs),
       retryRatio: 0.2,
       retryWindow: RETRY_WINDOW,
       retrySlack: 50,
@@ -129,12 +129,12 @@
     if (!child) return;
     this.termUs = this.options.nowUs();
     child.kill("SIGTERM");
-    const overdue = setTimeout(
+    const killTimer = setTimeout(
       () => child.kill("SIGKILL"),
       (BOUNDS.graceUs + KILL_AFTER_GRACE_US) * MS_PER_US,
     );
     await this.exited;
-    clearTimeout(overdue);
+    clearTimeout(killTimer);
   };
 
   readonly kill = async (): Promise<void> => {
--- a/soak/run.ts
+++ b/soak/run.ts
@@ -6,12 +6,12 @@
 import { Command } from "commander";
 import { CHECKS } from "./checks.js";
 import { drawSchedule } from "./schedule.js";
-import { playSoak } from "./soak-run.js";
+import { runSoak } from "./soak-run.js";
 
-const FOUND = 1;
-const WRONG_OPTIONS = 2;
-const INCONCLUSIVE = 3;
-const INTERRUPTED = 130;
+const EXIT_VIOLATIONS = 1;
+const EXIT_INVALID_OPTIONS = 2;
+const EXIT_INCONCLUSIVE = 3;
+const EXIT_INTERRUPTED = 130;
 /** With more than this part of the observations left out a run tells nothing. */
 const MAX_SKIPPED_FRACTION = 0.05;
 const MAX_GATEWAYS = 200;
@@ -31,7 +31,7 @@
 
 const runSeed = async (seed: number, durationMs: number, gateways: number): Promise<SeedReport> => {
   const schedule = drawSchedule(seed, durationMs);
-  const { history, failures, folder } = await playSoak({ schedule, gateways, keepsFiles: true });
+  const { history, failures, folder } = await runSoak({ schedule, gateways, keepsFiles: true });
   const results = Object.entries(CHECKS).map(([name, check]) => ({ name, ...check(history) }));
   const found = results.flatMap(({ name, violations }) =>
     violations.map((violation) => `${name}: ${violation}`),
@@ -40,7 +40,7 @@
     seed,
     requests: history.requests.length,
     changes: history.changes.length + history.largeChanges.length,
-    signals: history.disturbances.length,
+    signals: history.faults.length,
     judged: results.reduce((sum, { judged }) => sum + judged, 0),
     skipped: results.reduce((sum, { skipped }) => sum + skipped, 0),
     violations: [...failures.map((failure) => `failure: ${failure}`), ...found],
@@ -48,7 +48,7 @@
   };
 };
 
-const lineOf = (report: SeedReport): string => {
+const formatReport = (report: SeedReport): string => {
   const { seed, requests, changes, signals, judged, skipped, violations, folder } = report;
   const counts = `${requests} requests, ${changes} changes, ${signals} signals, ${judged} judged, ${skipped} skipped`;
   const found = violations.slice(0, 10).map((violation) => `\n  ${violation}`);
@@ -57,31 +57,31 @@
 };
 
 const exitCodeOf = (reports: readonly SeedReport[]): number => {
-  if (reports.some(({ violations }) => violations.length > 0)) return FOUND;
+  if (reports.some(({ violations }) => violations.length > 0)) return EXIT_VIOLATIONS;
   const judged = reports.reduce((sum, report) => sum + report.judged, 0);
   const skipped = reports.reduce((sum, report) => sum + report.skipped, 0);
-  return skipped > (judged + skipped) * MAX_SKIPPED_FRACTION ? INCONCLUSIVE : 0;
+  return skipped > (judged + skipped) * MAX_SKIPPED_FRACTION ? EXIT_INCONCLUSIVE : 0;
 };
 
 const run = async (options: Readonly<Record<string, string>>): Promise<void> => {
   const [seeds, from, seconds, gateways] = ["seeds", "from", "seconds", "gateways"].map((name) =>
     Number(options[name]),
   );
-  const areWhole = [seeds, from, seconds, gateways].every(
+  const areValid = [seeds, from, seconds, gateways].every(
     (value): value is number => value !== undefined && Number.isSafeInteger(value) && value > 0,
   );
-  if (!areWhole || !seeds || !from || !seconds || !gateways || gateways > MAX_GATEWAYS) {
+  if (!areValid || !seeds || !from || !seconds || !gateways || gateways > MAX_GATEWAYS) {
     process.stderr.write(
       `soak: seeds, from, seconds and gateways are whole numbers from 1 on, gateways up to ${MAX_GATEWAYS}\n`,
     );
-    process.exitCode = WRONG_OPTIONS;
+    process.exitCode = EXIT_INVALID_OPTIONS;
     return;
   }
   const reports: SeedReport[] = [];
   for (let seed = from; seed < from + seeds; seed += 1) {
     const report = await runSeed(seed, seconds * 1_000, gateways);
     reports.push(report);
-    process.stdout.write(lineOf(report));
+    process.stdout.write(formatReport(report));
   }
   const { json } = options;
   if (json !== undefined)
@@ -92,8 +92,8 @@
   process.exitCode = exitCodeOf(reports);
 };
 
-process.on("SIGINT", () => process.exit(INTERRUPTED));
-process.on("SIGTERM", () => process.exit(INTERRUPTED));
+process.on("SIGINT", () => process.exit(EXIT_INTERRUPTED));
+process.on("SIGTERM", () => process.exit(EXIT_INTERRUPTED));
 await new Command("soak")
   .description("plays seeded schedules on real programs over loopback and checks what was seen")
   .option("--seeds <n>", "how many seeds are played, one after the other", "3")
--- a/soak/schedule.ts
+++ b/soak/schedule.ts
@@ -19,11 +19,11 @@
   readonly actions: readonly Action[];
 }
 
-const CHANGE_GAP_MS = 900;
-const READ_GAP_MS = 400;
-const FAULT_GAP_MS = 2_500;
+const MEAN_CHANGE_INTERVAL_MS = 900;
+const MEAN_READ_INTERVAL_MS = 400;
+const MEAN_FAULT_INTERVAL_MS = 2_500;
 /** No fault begins so near to the end, so that all are up again when everything is read back. */
-const QUIET_END_MS = 6_000;
+const FAULT_FREE_END_MS = 6_000;
 const FAULTS = ["terminate", "kill", "freeze"] as const;
 const ALL_CONTROLLERS_PROBABILITY = 0.1;
 /** Of the other faults, those that hit a gateway. */
@@ -34,12 +34,12 @@
 const MAX_SLOT = 10_000;
 
 /** Half to one and a half of the mean gap. */
-const nextGapMs = (gapMs: number, random: SeededRandom): number =>
-  gapMs / 2 + random.integer(0, gapMs);
+const drawIntervalMs = (meanMs: number, random: SeededRandom): number =>
+  meanMs / 2 + random.integer(0, meanMs);
 
-const everyMs = (gapMs: number, untilMs: number, random: SeededRandom): readonly number[] => {
+const drawTimesMs = (meanMs: number, untilMs: number, random: SeededRandom): readonly number[] => {
   const times: number[] = [];
-  for (let atMs = random.integer(0, gapMs); atMs < untilMs; atMs += nextGapMs(gapMs, random))
+  for (let atMs = random.integer(0, meanMs); atMs < untilMs; atMs += drawIntervalMs(meanMs, random))
     times.push(atMs);
   return times;
 };
@@ -59,9 +59,14 @@
 export const drawSchedule = (seed: number, durationMs: number): SoakSchedule => {
   const random = new SeededRandom(seed);
   const actions: Action[] = [
-    ...everyMs(CHANGE_GAP_MS, durationMs - 2_000, random).map((atMs) => drawChange(atMs, random)),
-    ...everyMs(READ_GAP_MS, durationMs, random).map((atMs): Action => ({ kind: "read", atMs })),
-    ...everyMs(FAULT_GAP_MS, durationMs - QUIET_END_MS, random).map((atMs) =>
+    ...drawTimesMs(MEAN_CHANGE_INTERVAL_MS, durationMs - 2_000, random).map((atMs) =>
+      drawChange(atMs, random),
+    ),
+    ...drawTimesMs(MEAN_READ_INTERVAL_MS, durationMs, random).map((atMs): Action => ({
+      kind: "read",
+      atMs,
+    })),
+    ...drawTimesMs(MEAN_FAULT_INTERVAL_MS, durationMs - FAULT_FREE_END_MS, random).map((atMs) =>
       drawFault(atMs, random),
     ),
   ];
--- a/soak/soak-run.ts
+++ b/soak/soak-run.ts
@@ -5,7 +5,7 @@
 import { messageOf } from "../src/common/errors.js";
 import { BOUNDS } from "./bounds.js";
 import { Client } from "./client.js";
-import { HistoryRecorder, type Disturbance, type History } from "./history.js";
+import { HistoryRecorder, type FaultRecord, type History } from "./history.js";
 import { callApi } from "./http-call.js";
 import { Operator } from "./operator.js";
 import { Program } from "./program.js";
@@ -15,8 +15,8 @@
 
 const CONTROLLERS = 3;
 const SERVICES = ["s0", "s1", "s2", "s3"] as const;
-const WORKERS_A_SERVICE = 2;
-const CLIENT_GAP_MS = 40;
+const WORKERS_PER_SERVICE = 2;
+const CLIENT_INTERVAL_MS = 40;
 const LARGE_CHANGE_ROUTES = 1_200;
 const FREEZE_MS = 1_200;
 const RESTART_MS = 300;
@@ -58,7 +58,7 @@
   private readonly workers: readonly Worker[];
   private readonly clients: readonly Client[];
   private readonly random: SeededRandom;
-  private readonly disturbed = new Set<Program>();
+  private readonly faultyPrograms = new Set<Program>();
   private delayTimer: NodeJS.Timeout | undefined;
 
   constructor(folder: string, { schedule, gateways }: SoakRunOptions) {
@@ -71,7 +71,7 @@
       { length: CONTROLLERS },
       (_, at) => `127.${subnet}.0.${at + 1}`,
     );
-    const program = (role: "gateway" | "controller", at: number): Program =>
+    const makeProgram = (role: "gateway" | "controller", at: number): Program =>
       new Program({
         name: `${role}-${at + 1}`,
         role,
@@ -83,19 +83,19 @@
         history,
         nowUs,
       });
-    this.controllers = controllerIps.map((_, at) => program("controller", at));
-    this.gateways = Array.from({ length: gateways }, (_, at) => program("gateway", at));
+    this.controllers = controllerIps.map((_, at) => makeProgram("controller", at));
+    this.gateways = Array.from({ length: gateways }, (_, at) => makeProgram("gateway", at));
     const { random, controllers } = this;
     this.operator = new Operator({ controllers, services: SERVICES, history, nowUs, random });
     this.workers = SERVICES.flatMap((service, serviceAt) =>
       Array.from(
-        { length: WORKERS_A_SERVICE },
+        { length: WORKERS_PER_SERVICE },
         (_, at) =>
           new Worker({
             id: `${service}-${at}`,
             service,
             zone: zones[at % zones.length] ?? "",
-            ip: `127.${subnet}.2.${serviceAt * WORKERS_A_SERVICE + at + 1}`,
+            ip: `127.${subnet}.2.${serviceAt * WORKERS_PER_SERVICE + at + 1}`,
             controllers: controllers.map(({ control }) => control),
             history,
             nowUs,
@@ -104,7 +104,8 @@
       ),
     );
     this.clients = this.gateways.map(
-      (gateway) => new Client({ gateway, history, nowUs, random, seed, gapMs: CLIENT_GAP_MS }),
+      (gateway) =>
+        new Client({ gateway, history, nowUs, random, seed, intervalMs: CLIENT_INTERVAL_MS }),
     );
   }
 
@@ -113,21 +114,21 @@
     await Promise.all(
       [...this.controllers, ...this.gateways].map((program) => program.start(true)),
     );
-    await this.operator.applyFirst();
+    await this.operator.applyInitial();
     await Promise.all(this.workers.map((worker) => worker.start(BOUNDS.heartbeatUs / 1_000)));
-    await Promise.all(this.gateways.map(this.untilReady));
-    this.watchMachine();
+    await Promise.all(this.gateways.map(this.waitUntilReady));
+    this.monitorMachine();
     this.clients.forEach((client) => client.start());
   };
 
   /** Plays the actions, each at its time, whether or not earlier ones have ended. */
-  readonly play = async ({ actions, durationMs }: SoakSchedule): Promise<void> => {
+  readonly run = async ({ actions, durationMs }: SoakSchedule): Promise<void> => {
     const startMs = nowUs() / 1_000;
     const running: Promise<void>[] = [];
     for (const action of actions) {
       await pause(Math.max(0, startMs + action.atMs - nowUs() / 1_000));
       running.push(
-        this.act(action).catch((error: unknown) => void this.failures.push(messageOf(error))),
+        this.execute(action).catch((error: unknown) => void this.failures.push(messageOf(error))),
       );
     }
     await pause(Math.max(0, startMs + durationMs - nowUs() / 1_000));
@@ -143,7 +144,7 @@
     await Promise.all([...this.controllers, ...this.gateways].map((program) => program.close()));
   };
 
-  private readonly act = async (action: Action): Promise<void> => {
+  private readonly execute = async (action: Action): Promise<void> => {
     const { operator, controllers, random } = this;
     switch (action.kind) {
       case "move-probe":
@@ -160,27 +161,27 @@
       case "kill-all-controllers":
         // The worst moment is right after an acknowledgement.
         await operator.moveProbe();
-        await Promise.all(controllers.map((controller) => this.disturb(controller, "kill")));
+        await Promise.all(controllers.map((controller) => this.injectFault(controller, "kill")));
         return;
       default: {
         const programs = action.role === "gateway" ? this.gateways : controllers;
         const program = programs[action.slot % programs.length];
-        if (program) await this.disturb(program, action.kind);
+        if (program) await this.injectFault(program, action.kind);
       }
     }
   };
 
   /** Does something to a program that nothing is being done to, until it is up again. */
-  private readonly disturb = async (
+  private readonly injectFault = async (
     program: Program,
     action: "terminate" | "kill" | "freeze",
   ): Promise<void> => {
-    if (this.disturbed.has(program)) return;
-    this.disturbed.add(program);
+    if (this.faultyPrograms.has(program)) return;
+    this.faultyPrograms.add(program);
     const kinds = { terminate: "term", kill: "kill", freeze: "stop" } as const;
-    const disturbance = { process: program.name, kind: kinds[action], fromUs: nowUs() };
-    const open: Disturbance = { ...disturbance, toUs: Number.POSITIVE_INFINITY };
-    this.history.disturbances.push(open);
+    const fault = { process: program.name, kind: kinds[action], fromUs: nowUs() };
+    const ongoing: FaultRecord = { ...fault, toUs: Number.POSITIVE_INFINITY };
+    this.history.faults.push(ongoing);
     if (action === "freeze") {
       program.freeze();
       await pause(FREEZE_MS);
@@ -189,23 +190,25 @@
       await (action === "kill" ? program.kill() : program.terminate());
       await pause(RESTART_MS);
       await program.start(false);
-      await this.untilUp(program);
+      await this.waitUntilUp(program);
     }
-    const { disturbances } = this.history;
-    disturbances[disturbances.indexOf(open)] = { ...disturbance, toUs: nowUs() };
-    this.disturbed.delete(program);
+    const { faults } = this.history;
+    faults[faults.indexOf(ongoing)] = { ...fault, toUs: nowUs() };
+    this.faultyPrograms.delete(program);
   };
 
-  private readonly untilUp = (program: Program): Promise<void> =>
-    program.options.role === "gateway" ? this.untilReady(program) : this.untilAnswering(program);
+  private readonly waitUntilUp = (program: Program): Promise<void> =>
+    program.options.role === "gateway"
+      ? this.waitUntilReady(program)
+      : this.waitUntilAnswering(program);
 
-  private readonly untilReady = (gateway: Program): Promise<void> =>
-    this.until(gateway.ready, "/ready", [200], `${gateway.name} is ready`);
+  private readonly waitUntilReady = (gateway: Program): Promise<void> =>
+    this.waitForStatus(gateway.ready, "/ready", [200], `${gateway.name} is ready`);
 
-  private readonly untilAnswering = (controller: Program): Promise<void> =>
-    this.until(controller.control, "/tell/copy", [200], `${controller.name} answers`);
+  private readonly waitUntilAnswering = (controller: Program): Promise<void> =>
+    this.waitForStatus(controller.control, "/tell/copy", [200], `${controller.name} answers`);
 
-  private readonly until = async (
+  private readonly waitForStatus = async (
     address: string,
     path: string,
     statuses: readonly number[],
@@ -221,7 +224,7 @@
   };
 
   /** A plain timer beside the run tells when the machine itself is late. */
-  private readonly watchMachine = (): void => {
+  private readonly monitorMachine = (): void => {
     let dueUs = nowUs() + DELAY_CHECK_MS * 1_000;
     this.delayTimer = setInterval(() => {
       const atUs = nowUs();
@@ -233,12 +236,12 @@
 }
 
 /** Plays a schedule from the start of all programs to their end. */
-export const playSoak = async (options: SoakRunOptions): Promise<SoakRunResult> => {
+export const runSoak = async (options: SoakRunOptions): Promise<SoakRunResult> => {
   const folder = await mkdtemp(join(tmpdir(), "yewreel-soak-"));
   const fleet = new SoakFleet(folder, options);
   try {
     await fleet.start();
-    await fleet.play(options.schedule);
+    await fleet.run(options.schedule);
   } finally {
     await fleet.close();
     if (!options.keepsFiles) await rm(folder, { recursive: true, force: true });
--- a/soak/worker.ts
+++ b/soak/worker.ts
@@ -39,8 +39,8 @@
   /** Listens, and sends heartbeats from then on. */
   readonly start = async (heartbeatMs: number): Promise<void> => {
     await new Promise<void>((resolve) => this.server.listen(0, this.options.ip, resolve));
-    await this.beat();
-    this.timer = setInterval(() => void this.beat(), heartbeatMs);
+    await this.sendHeartbeat();
+    this.timer = setInterval(() => void this.sendHeartbeat(), heartbeatMs);
   };
 
   readonly close = (): void => {
@@ -50,7 +50,7 @@
   };
 
   /** Calls one controller after the other until one acknowledges. */
-  private readonly beat = async (): Promise<void> => {
+  private readonly sendHeartbeat = async (): Promise<void> => {
     const { id, service, zone, controllers } = this.options;
     const address = this.server.address();
     if (!isAddress(address)) return;
