--- a/chaos/journal.ts
+++ b/chaos/journal.ts
@@ -1,4 +1,4 @@
-/** Reads the journal of bench runs: which days were run, and which rules they broke. */
+/** Reads the journal of bench runs: which days were run and which rules they violated. */
 import {
   asRecord,
   readFlag,
@@ -11,9 +11,9 @@
 } from "../src/common/decode.js";
 
 /**
- * One run of a day, as a journal entry records it. `key` is the same for every run of one day at
- * one size: deployment, name, seed, full or small. `violations` are rules with how often, and what
- * else failed the gate, in the entry's own words.
+ * One run of a day, as recorded in a journal entry. `key` identifies a day at one size: deployment,
+ * name, seed, and full or small. `violations` counts the violations of each rule and the other
+ * reasons for which the run failed the gate.
  */
 export interface DayRun {
   readonly entry: string;
@@ -24,15 +24,15 @@
   readonly key: string;
   readonly origin: "own" | "hunt" | "standard";
   readonly isSmall: boolean;
-  /** Whether processor time was charged. */
+  /** Whether the run simulated the cost of processor time. */
   readonly isCpuCharged: boolean;
   readonly kinds: readonly string[];
   readonly violations: Readonly<Record<string, number>>;
-  /** Why the day was not run to its end; undefined if it was. */
+  /** Why the run was aborted; undefined if it was completed. */
   readonly abortReason?: string;
 }
 
-/** An entry that records no complete day, and why. */
+/** A journal entry without a complete day, and the reason. */
 export interface PartialRun {
   readonly entry: string;
   readonly at: string;
@@ -64,8 +64,8 @@
 };
 
 /**
- * The days of one journal entry, in the order they stand there. Throws a DecodeError that names a
- * field which is not as it should be.
+ * Reads the days of one journal entry, in their order. Throws a DecodeError that names the first
+ * invalid field.
  */
 export const readEntry = (
   value: unknown,
--- a/chaos/summary.ts
+++ b/chaos/summary.ts
@@ -1,10 +1,10 @@
-/** Sums what the journal says of the days that were run, deployment by deployment. */
+/** Summarizes the runs of the journal per deployment. */
 import { asRecord, readList, readString } from "../src/common/decode.js";
 import type { DayRun, PartialRun } from "./journal.js";
 
 /**
- * What is known of a broken rule, from chaos/notes.toml: which day (its key begins so), which rule,
- * what became of it and on which page it is written up.
+ * State of a violated rule, from chaos/notes.toml. `day` is a prefix of the keys of the days that
+ * the note applies to; `told` is the page that describes the fault.
  */
 export interface Note {
   readonly day: string;
@@ -13,7 +13,7 @@
   readonly told: string;
 }
 
-/** Reads `[[note]]` tables; throws a DecodeError that names the field which is wrong. */
+/** Reads `[[note]]` tables. Throws a DecodeError that names the invalid field. */
 export const readNotes = (value: unknown): readonly Note[] =>
   readList(asRecord(value, "notes"), "note", (partialRun) => {
     const note = asRecord(partialRun, "note");
@@ -25,31 +25,32 @@
     };
   });
 
-/** A rule that a day broke, over all runs of that day at that size, oldest first. */
+/** A rule violated by a day, over all runs of that day at that size, oldest first. */
 export interface Finding {
   readonly site: string;
   readonly key: string;
   readonly rule: string;
   readonly times: number;
   readonly entries: readonly string[];
-  /** Whether the latest run of the same day held it. */
+  /** Whether the latest run of the same day did not violate the rule. */
   readonly nowHeld: boolean;
   readonly state: "mended" | "left" | "open";
   readonly told: string;
 }
 
+/** Totals of one deployment. */
 export interface SiteRow {
   readonly site: string;
-  /** Different days run to their end, by origin and size. */
+  /** Number of distinct days that were completed, by origin and size. */
   readonly days: Readonly<
     Record<DayRun["origin"], { readonly full: number; readonly small: number }>
   >;
   readonly plays: number;
-  /** How many of the runs charged no processor time. */
+  /** Number of runs that did not simulate the cost of processor time. */
   readonly uncharged: number;
   readonly givenUp: number;
   readonly partial: number;
-  /** Runs of full days, and of small ones, that broke nothing since the last that did. */
+  /** Number of runs since the last one that violated a rule, for full and for small days. */
   readonly unbroken: { readonly full: number; readonly small: number };
   readonly kinds: readonly (readonly [string, number])[];
   readonly found: number;
@@ -57,6 +58,7 @@
   readonly left: number;
 }
 
+/** Summary of the journal. */
 export interface Summary {
   readonly since: string;
   readonly rows: readonly SiteRow[];
@@ -75,7 +77,7 @@
       const before = found.get(id);
       const note = notes.find((one) => one.rule === rule && run.key.startsWith(one.day));
       const nowHeld = latest.get(run.key)?.violations[rule] === undefined;
-      // A note alone mends nothing: the same day must have been run again.
+      // A note alone is not enough: the latest run of the same day must not violate the rule.
       const state =
         note === undefined ? "open" : note.state === "mended" && !nowHeld ? "open" : note.state;
       found.set(id, {
@@ -97,8 +99,8 @@
   runs.reduce((streak, run) => (hasViolations(run) ? 0 : streak + 1), 0);
 
 /**
- * Sums what the journal says; runs in any order. `since` leaves out what began before it (an ISO
- * time; empty: nothing).
+ * Summarizes runs, which may be in any order. Runs that began before `since` (an ISO time) are left
+ * out; an empty `since` includes all.
  */
 export const summarize = (
   allRuns: readonly DayRun[],
